--- a/coordination/dispatch/health.go
+++ b/coordination/dispatch/health.go
@@ -36,7 +36,7 @@
 	case health.Ejected:
 		return unfitEjected
 	case health.OnTrial:
-		if len(request.Tried) > 0 || !c.health.MayTry(k.ID, request.repeatable(), c.since(now)) {
+		if len(request.Tried) > 0 || !c.health.MayBeginTrial(k.ID, request.repeatable(), c.since(now)) {
 			return unfitOnTrial
 		}
 		return fitForTrial
@@ -117,7 +117,7 @@
 
 // lost reports whether the agent beside a server does not reach it, and no answer outweighs that.
 func (c *Core) lost(k *Candidate, now time.Time) bool {
-	return k.word.current(now) && !k.word.Reachable && !c.health.Proven(k.ID, c.since(k.word.lostAt), c.since(now))
+	return k.word.current(now) && !k.word.Reachable && !c.health.Confirmed(k.ID, c.since(k.word.lostAt), c.since(now))
 }
 
 // mayTryLost reports whether a request may be the trial of a lost server.
@@ -125,9 +125,9 @@
 	if !request.repeatable() || len(request.Tried) > 0 || k.word.lostAt.IsZero() {
 		return false
 	}
-	due := c.health.MayTryLost
+	due := c.health.MayBeginLostTrial
 	if !c.otherServes(k, now) {
-		due = c.health.MayTryLastLost
+		due = c.health.MayBeginLostTrialUnlimited
 	}
 	return due(k.ID, c.since(k.word.lostAt), c.since(now)) && c.leavesTime(k, request, now)
 }
@@ -191,12 +191,12 @@
 // be told.
 type HealthNews struct {
 	Changes []health.Change
-	Words   []health.Word
+	Words   []health.Report
 }
 
 // TakeHealthNews returns the news since the last call.
 func (c *Core) TakeHealthNews() HealthNews {
-	news := HealthNews{Changes: c.healthChanges, Words: c.health.TakeWords()}
+	news := HealthNews{Changes: c.healthChanges, Words: c.health.TakeReports()}
 	c.healthChanges = nil
 	return news
 }
@@ -224,7 +224,7 @@
 		return
 	}
 	c.noteHealth(c.health.Observe(health.Attempt{
-		Server: k.ID, Class: outcome.Class, Outcome: outcome.Outcome, Sent: c.since(outcome.SentAt), Repeated: outcome.Repeated,
+		Server: k.ID, Class: outcome.Class, Outcome: outcome.Outcome, Sent: c.since(outcome.SentAt), Retry: outcome.Repeated,
 		Lost: k.word.current(now) && !k.word.Reachable, LostAt: c.since(k.word.lostAt),
 	}, c.since(now)))
 }
@@ -238,8 +238,8 @@
 }
 
 // HearHealth takes in what another entry of the zone said of a server at a time.
-func (c *Core) HearHealth(word health.Word, at, now time.Time) {
-	c.noteHealth(c.health.Hear(word, c.since(at), c.since(now)))
+func (c *Core) HearHealth(word health.Report, at, now time.Time) {
+	c.noteHealth(c.health.ApplyReport(word, c.since(at), c.since(now)))
 }
 
 // TakeZone takes over which other entries the zone has: they take turns with trials.
--- a/coordination/dispatch/health_test.go
+++ b/coordination/dispatch/health_test.go
@@ -15,9 +15,9 @@
 // eject has a server ejected, as two connections that do not come up do, and returns for how long.
 func eject(c *Core, k *Candidate, now time.Time) time.Duration {
 	for range 2 {
-		c.Observe(k, Outcome{Outcome: health.Unreached, SentAt: now}, now)
+		c.Observe(k, Outcome{Outcome: health.Unreachable, SentAt: now}, now)
 	}
-	return c.health.View(k.ID, c.since(now)).Left
+	return c.health.View(k.ID, c.since(now)).Remaining
 }
 
 // A suspect server is left out for requests that can't be repeated or have failed elsewhere, and
--- a/coordination/dispatch/list.go
+++ b/coordination/dispatch/list.go
@@ -57,7 +57,7 @@
 				ended.Kind = ServerRestarted
 			}
 			changes = append(changes, ended)
-			c.health.Renew(server.ID, c.since(now))
+			c.health.Reset(server.ID, c.since(now))
 			// What its former incarnation was sent, and what was told of that, is over.
 			delete(c.kept, server.ID)
 			if c.words[server.Address].Born != server.Born {
--- a/coordination/dispatch/lost_test.go
+++ b/coordination/dispatch/lost_test.go
@@ -151,7 +151,7 @@
 					continue
 				}
 				trials++
-				s.core.Observe(decision.Candidate, Outcome{Outcome: health.Unreached, SentAt: s.now}, s.now)
+				s.core.Observe(decision.Candidate, Outcome{Outcome: health.Unreachable, SentAt: s.now}, s.now)
 				s.ends(decision)
 			}
 			assert.Greater(t, trials, 10)
--- a/coordination/dispatch/property_test.go
+++ b/coordination/dispatch/property_test.go
@@ -242,7 +242,7 @@
 		g.answeredAt[decision.Candidate.ID] = g.now
 		g.core.SawWhole(decision.Candidate, 500*time.Millisecond)
 	} else {
-		failure := rapid.SampledFrom([]health.Outcome{health.Errored, health.Declined, health.Broken, health.Overdue, health.Unreached}).Draw(g.T, "failure")
+		failure := rapid.SampledFrom([]health.Outcome{health.Errored, health.Declined, health.Broken, health.Overdue, health.Unreachable}).Draw(g.T, "failure")
 		g.core.Observe(decision.Candidate, Outcome{Outcome: failure, SentAt: decision.Send.sentAt}, g.now)
 	}
 }
--- a/coordination/dispatch/restarted_test.go
+++ b/coordination/dispatch/restarted_test.go
@@ -104,7 +104,7 @@
 	}
 	assert.Equal(t, health.Ejected, s.core.health.State("a1", s.core.since(s.now)))
 	s.bears("a1", 200, nil)
-	assert.Equal(t, health.InOrder, s.core.health.State("a1", s.core.since(s.now)))
+	assert.Equal(t, health.Healthy, s.core.health.State("a1", s.core.since(s.now)))
 }
 
 // Two lives between two words, and births that tell nothing: one that is not told, or in the same
--- a/coordination/dispatch/word.go
+++ b/coordination/dispatch/word.go
@@ -135,16 +135,16 @@
 // Suspect reports whether there is evidence against a server beside its own silence, for a request
 // that was sent there at a time.
 func (c *Core) Suspect(k *Candidate, sentAt, now time.Time) bool {
-	onTrial := c.health.OnLostTrial(k.ID, c.since(sentAt), c.since(k.word.lostAt))
+	onTrial := c.health.IsLostTrial(k.ID, c.since(sentAt), c.since(k.word.lostAt))
 	return k.word.silent(now) || (c.lost(k, now) && !onTrial) ||
-		(c.health.Mute(k.ID, c.since(sentAt)) && c.hasOther(k, now))
+		(c.health.Unresponsive(k.ID, c.since(sentAt)) && c.hasOther(k, now))
 }
 
 // hasOther reports whether the service of a server has another one that is sent ordinary requests.
 func (c *Core) hasOther(k *Candidate, now time.Time) bool {
 	return slices.ContainsFunc(c.byService[k.listing.server.Service], func(other *Candidate) bool {
 		state := c.health.State(other.ID, c.since(now))
-		return other != k && !c.Leaving(other) && (state == health.InOrder || state == health.Suspect)
+		return other != k && !c.Leaving(other) && (state == health.Healthy || state == health.Suspect)
 	})
 }
 
--- a/coordination/health/benchmark_test.go
+++ b/coordination/health/benchmark_test.go
@@ -16,7 +16,7 @@
 	for index := 0; b.Loop(); index++ {
 		now += ms
 		for _, id := range ids {
-			if tracker.State(id, now) != InOrder {
+			if tracker.State(id, now) != Healthy {
 				b.Fatal(id)
 			}
 		}
@@ -32,12 +32,12 @@
 	tracker.SetMembers(names("e", 15))
 	for _, server := range servers[:30] {
 		for range 2 {
-			tracker.Observe(Attempt{Server: server, Outcome: Unreached, Sent: time.Second}, time.Second)
+			tracker.Observe(Attempt{Server: server, Outcome: Unreachable, Sent: time.Second}, time.Second)
 		}
 	}
 	for b.Loop() {
 		for _, server := range servers {
-			tracker.MayTry(server, true, 2*time.Second)
+			tracker.MayBeginTrial(server, true, 2*time.Second)
 		}
 	}
 }
--- a/coordination/health/bounds_test.go
+++ b/coordination/health/bounds_test.go
@@ -17,7 +17,7 @@
 // A word of a faulty entry that names no round does not end the process that hears it.
 func TestWordOfAnEjectionWithoutARound(t *testing.T) {
 	tracker := trackerOf("a", "b", "c", "d")
-	tracker.Hear(Word{Server: "a", Entry: "e1", Ejected: true, Left: time.Millisecond, Failed: 2}, time.Second, time.Second)
+	tracker.ApplyReport(Report{Server: "a", Entry: "e1", Ejected: true, Remaining: time.Millisecond, Failed: 2}, time.Second, time.Second)
 	now := 2 * time.Second
 	assert.Equal(t, OnTrial, tracker.State("a", now))
 	assert.NotPanics(t, func() { tracker.Observe(Attempt{Server: "a", Outcome: Declined, Sent: now}, now) })
@@ -26,14 +26,14 @@
 // A faulty entry can't have a server ejected for longer than an ejection lasts.
 func TestWordOfAnEjectionWithoutEnd(t *testing.T) {
 	tracker := trackerOf("a", "b", "c", "d")
-	tracker.Hear(Word{Server: "a", Entry: "e1", Ejected: true, Left: 24 * time.Hour, Round: 1, Failed: 2}, time.Second, time.Second)
+	tracker.ApplyReport(Report{Server: "a", Entry: "e1", Ejected: true, Remaining: 24 * time.Hour, Round: 1, Failed: 2}, time.Second, time.Second)
 	assert.NotEqual(t, Ejected, tracker.State("a", 3*time.Second))
 }
 
 // A faulty round does not make later ejections last no time at all.
 func TestWordOfAnEjectionWithAHugeRound(t *testing.T) {
 	tracker := trackerOf("a", "b", "c", "d")
-	tracker.Hear(Word{Server: "a", Entry: "e1", Ejected: true, Left: time.Millisecond, Round: 100, Failed: 2}, time.Second, time.Second)
+	tracker.ApplyReport(Report{Server: "a", Entry: "e1", Ejected: true, Remaining: time.Millisecond, Round: 100, Failed: 2}, time.Second, time.Second)
 	now := 2 * time.Second
 	tracker.Observe(Attempt{Server: "a", Outcome: Broken, Sent: now}, now)
 	assert.Equal(t, Ejected, tracker.State("a", now+100*time.Millisecond))
@@ -68,10 +68,10 @@
 				tracker.SetMembers(others)
 				at := time.Minute + time.Duration(trial)*37*time.Millisecond
 				for range 2 {
-					tracker.Observe(Attempt{Server: "a", Outcome: Unreached, Sent: at}, at)
+					tracker.Observe(Attempt{Server: "a", Outcome: Unreachable, Sent: at}, at)
 				}
 				now := at
-				for ; now < at+2*time.Minute && !tracker.MayTry("a", true, now); now += every {
+				for ; now < at+2*time.Minute && !tracker.MayBeginTrial("a", true, now); now += every {
 				}
 				worst = max(worst, now-at)
 			}
--- a/coordination/health/evidence.go
+++ b/coordination/health/evidence.go
@@ -20,13 +20,13 @@
 	Broken
 	// Overdue is an answer that takes many times as long as usual; it may still come.
 	Overdue
-	// Unreached is a connection that did not come up: nothing was sent.
-	Unreached
+	// Unreachable is a connection that did not come up: nothing was sent.
+	Unreachable
 
-	outcomes = int(Unreached) + 1
+	outcomes = int(Unreachable) + 1
 )
 
-var outcomeNames = [outcomes]string{Served: "served", Errored: "errored", Declined: "declined", Broken: "broken", Overdue: "overdue", Unreached: "unreached"}
+var outcomeNames = [outcomes]string{Served: "served", Errored: "errored", Declined: "declined", Broken: "broken", Overdue: "overdue", Unreachable: "unreached"}
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
@@ -64,7 +64,7 @@
 
 // priorRates are the shares of each failure that are taken for usual at the least, so that one
 // failure among many requests says no more than one among few.
-var priorRates = [outcomes]float64{Errored: 0.02, Declined: 0.1, Broken: 0.02, Overdue: 0.05, Unreached: 0.01}
+var priorRates = [outcomes]float64{Errored: 0.02, Declined: 0.1, Broken: 0.02, Overdue: 0.05, Unreachable: 0.01}
 
 // rates counts the outcomes of requests of a class, with older ones forgotten by and by.
 type rates struct {
--- a/coordination/health/health.go
+++ b/coordination/health/health.go
@@ -23,13 +23,13 @@
 
 // The states.
 const (
-	InOrder State = iota + 1
+	Healthy State = iota + 1
 	Suspect
 	Ejected
 	OnTrial
 )
 
-var stateNames = [...]string{InOrder: "in order", Suspect: "suspect", Ejected: "ejected", OnTrial: "on trial"}
+var stateNames = [...]string{Healthy: "in order", Suspect: "suspect", Ejected: "ejected", OnTrial: "on trial"}
 
 func (s State) String() string { return stateNames[s] }
 
@@ -78,8 +78,8 @@
 	Outcome Outcome
 	// Sent is when the attempt was sent.
 	Sent time.Duration
-	// Repeated is set when the same request had failed elsewhere before.
-	Repeated bool
+	// Retry is set when the same request had failed elsewhere before.
+	Retry bool
 	// Lost is set when the agent beside the server does not reach it now, LostAt since when.
 	Lost   bool
 	LostAt time.Duration
@@ -89,14 +89,14 @@
 type Change struct {
 	Server   string
 	From, To State
-	// By is the entry that told it; empty when this one has found out itself.
-	By string
+	// Reporter is the entry that told it; empty when this one has found out itself.
+	Reporter string
 	// Outcome is what decided it; 0 for a word.
 	Outcome  Outcome
 	Evidence float64
-	// For is the length of an ejection, Round how many there were in a row.
-	For   time.Duration
-	Round int
+	// Duration is the length of an ejection, Round how many there were in a row.
+	Duration time.Duration
+	Round    int
 }
 
 // service is what is known of a service as a whole.
@@ -144,7 +144,7 @@
 	services map[string]*service
 	servers  map[string]*record
 	members  []string
-	words    []Word
+	words    []Report
 	// early are words on servers that are not listed yet.
 	early []earlyWord
 }
@@ -181,8 +181,8 @@
 	return early
 }
 
-// Renew forgets a server whose name another one has: what was found out before now does not hold.
-func (t *Tracker) Renew(server string, now time.Duration) {
+// Reset forgets a server whose name another one has: what was found out before now does not hold.
+func (t *Tracker) Reset(server string, now time.Duration) {
 	if held := t.servers[server]; held != nil {
 		fresh := newRecord(held.service)
 		fresh.changedAt, fresh.lost.renewedAt = now, now
@@ -213,7 +213,7 @@
 	held := t.servers[server]
 	switch {
 	case held == nil:
-		return InOrder
+		return Healthy
 	case held.ejected && now < held.till:
 		return Ejected
 	case held.ejected:
@@ -221,13 +221,13 @@
 	case held.against(now)+held.hinted(now) >= suspectAt:
 		return Suspect
 	}
-	return InOrder
+	return Healthy
 }
 
-// Mute reports whether a server is out because it answers nothing, and was ejected after a request
+// Unresponsive reports whether a server is out because it answers nothing, and was ejected after a request
 // was sent there, so that this need not wait on. A request sent later is the server's trial, or
 // has no other server: it has the usual time, or a service that is slow would never return.
-func (t *Tracker) Mute(server string, sent time.Duration) bool {
+func (t *Tracker) Unresponsive(server string, sent time.Duration) bool {
 	held := t.servers[server]
 	return held != nil && held.ejected && held.mute && sent < held.changedAt
 }
@@ -252,7 +252,7 @@
 	own := classOf(held.classes, attempt.Class)
 	all.forget(now)
 	own.forget(now)
-	weight := weightOf(all, own, attempt.Outcome, attempt.Repeated)
+	weight := weightOf(all, own, attempt.Outcome, attempt.Retry)
 	t.services[held.service].sinceLostTrial++
 	if !held.ejected {
 		all.add(attempt.Outcome, now)
@@ -316,7 +316,7 @@
 	}
 	held.restore(now)
 	t.tell(attempt.Server, held, now)
-	return Change{Server: attempt.Server, From: OnTrial, To: InOrder, Outcome: Served, Round: held.round}, true
+	return Change{Server: attempt.Server, From: OnTrial, To: Healthy, Outcome: Served, Round: held.round}, true
 }
 
 // restore takes a server back into order. Its ejections are forgotten later.
@@ -363,10 +363,10 @@
 	evidence := held.against(now)
 	t.dropFromUsual(held, now)
 	held.eject(now)
-	held.mute = attempt.Outcome == Overdue || attempt.Outcome == Unreached
+	held.mute = attempt.Outcome == Overdue || attempt.Outcome == Unreachable
 	t.tell(attempt.Server, held, now)
 	return Change{
-		Server: attempt.Server, From: from, To: Ejected, Outcome: attempt.Outcome, Evidence: evidence, For: held.till - now, Round: held.round,
+		Server: attempt.Server, From: from, To: Ejected, Outcome: attempt.Outcome, Evidence: evidence, Duration: held.till - now, Round: held.round,
 	}, true
 }
 
@@ -380,7 +380,7 @@
 	if held.against(now)+held.hinted(now) < needed {
 		return false
 	}
-	return outcome == Unreached || (held.mostlyFails(leastFailures, now) && t.mayEject(held.service))
+	return outcome == Unreachable || (held.mostlyFails(leastFailures, now) && t.mayEject(held.service))
 }
 
 // mayEject reports whether one more server of a service may be ejected for what its requests
@@ -436,24 +436,24 @@
 
 // View is what is held of one server, for a dump.
 type View struct {
-	State    State
-	Evidence float64
-	Hinted   float64
-	Round    int
-	// Left is what is left of an ejection.
-	Left time.Duration
-	By   string
+	State        State
+	Evidence     float64
+	PeerEvidence float64
+	Round        int
+	// Remaining is what is left of an ejection.
+	Remaining time.Duration
+	Reporter  string
 }
 
 // View describes one server.
 func (t *Tracker) View(server string, now time.Duration) View {
 	held := t.servers[server]
 	if held == nil {
-		return View{State: InOrder}
+		return View{State: Healthy}
 	}
-	view := View{State: t.State(server, now), Evidence: held.against(now), Hinted: held.hinted(now), Round: held.round, By: held.by}
+	view := View{State: t.State(server, now), Evidence: held.against(now), PeerEvidence: held.hinted(now), Round: held.round, Reporter: held.by}
 	if held.ejected {
-		view.Left = max(0, held.till-now)
+		view.Remaining = max(0, held.till-now)
 	}
 	return view
 }
--- a/coordination/health/health_test.go
+++ b/coordination/health/health_test.go
@@ -60,23 +60,23 @@
 // try sends the server a request on trial, which ends so.
 func (s *script) try(server string, outcome Outcome) *script {
 	s.t.Helper()
-	require.True(s.t, s.tracker.MayTry(server, true, s.now))
+	require.True(s.t, s.tracker.MayBeginTrial(server, true, s.now))
 	s.tracker.BeginTrial(server, s.now)
-	assert.False(s.t, s.tracker.MayTry(server, true, s.now), "one at a time")
+	assert.False(s.t, s.tracker.MayBeginTrial(server, true, s.now), "one at a time")
 	return s.see(server, outcome)
 }
 
 func TestOneFailureMakesSuspectTwoEject(t *testing.T) {
-	play(t, 4).see("s0", Errored).is("s0", Suspect).see("s0", Errored).is("s0", Ejected).is("s1", InOrder)
+	play(t, 4).see("s0", Errored).is("s0", Suspect).see("s0", Errored).is("s0", Ejected).is("s1", Healthy)
 	play(t, 4).see("s0", Broken, Broken).is("s0", Ejected)
 	play(t, 4).see("s0", Overdue, Overdue).is("s0", Suspect).see("s0", Overdue).is("s0", Ejected)
-	play(t, 4).see("s0", Unreached).is("s0", Suspect).see("s0", Unreached).is("s0", Ejected)
+	play(t, 4).see("s0", Unreachable).is("s0", Suspect).see("s0", Unreachable).is("s0", Ejected)
 	play(t, 4).see("s0", Declined, Declined, Declined).is("s0", Suspect).see("s0", Declined).is("s0", Ejected)
 }
 
 func TestEvidenceIsForgotten(t *testing.T) {
-	play(t, 4).see("s0", Errored).wait(evidenceHalfLife).is("s0", InOrder).see("s0", Errored).is("s0", Suspect)
-	play(t, 4).see("s0", Errored, Served, Served, Served, Served, Served, Served, Served, Served).is("s0", InOrder).see("s0", Errored).is("s0", Suspect)
+	play(t, 4).see("s0", Errored).wait(evidenceHalfLife).is("s0", Healthy).see("s0", Errored).is("s0", Suspect)
+	play(t, 4).see("s0", Errored, Served, Served, Served, Served, Served, Served, Served, Served).is("s0", Healthy).see("s0", Errored).is("s0", Suspect)
 }
 
 // A server that fails some of its requests is found among others that fail none, and serves on.
@@ -91,7 +91,7 @@
 			s.see(fmt.Sprint("s", server), outcome)
 		}
 	}
-	s.is("s0", Suspect).is("s1", InOrder).is("s2", InOrder).is("s3", InOrder)
+	s.is("s0", Suspect).is("s1", Healthy).is("s2", Healthy).is("s3", Healthy)
 }
 
 // Where one in seven answers of every server is a failure, that is no server's fault.
@@ -130,7 +130,7 @@
 	for range 10 {
 		for server := range 4 {
 			s.seeClass(fmt.Sprint("s", server), "faulty", Errored)
-			s.is(fmt.Sprint("s", server), InOrder)
+			s.is(fmt.Sprint("s", server), Healthy)
 		}
 	}
 	s.seeClass("s2", "sound", Errored)
@@ -143,9 +143,9 @@
 	s := play(t, 4)
 	for range 3 {
 		s.now += 10 * ms
-		s.tracker.Observe(Attempt{Server: "s0", Class: "route", Outcome: Errored, Sent: s.now - ms, Repeated: true}, s.now)
+		s.tracker.Observe(Attempt{Server: "s0", Class: "route", Outcome: Errored, Sent: s.now - ms, Retry: true}, s.now)
 	}
-	s.is("s0", InOrder)
+	s.is("s0", Healthy)
 }
 
 // Failures of requests eject at most half of the servers; connections that do not come up are
@@ -156,17 +156,17 @@
 		s.see(fmt.Sprint("s", server), Broken, Broken)
 	}
 	assert.Len(t, s.tracker.Ejected(), 2)
-	s.is("s2", Suspect).see("s3", Unreached, Unreached).is("s3", Ejected)
+	s.is("s2", Suspect).see("s3", Unreachable, Unreachable).is("s3", Ejected)
 	assert.Empty(t, play(t, 1).see("s0", Broken, Broken, Broken).tracker.Ejected(), "the only server")
 }
 
 func TestServerReturnsByATrial(t *testing.T) {
 	s := play(t, 4).see("s0", Errored, Errored).is("s0", Ejected)
-	assert.False(t, s.tracker.MayTry("s0", true, s.now))
+	assert.False(t, s.tracker.MayBeginTrial("s0", true, s.now))
 	s.wait(firstEjection).is("s0", OnTrial)
-	assert.False(t, s.tracker.MayTry("s0", false, s.now), "not by a request that can't be sent again")
-	s.try("s0", Served).is("s0", InOrder)
-	assert.True(t, s.tracker.Proven("s0", s.now-1, s.now))
+	assert.False(t, s.tracker.MayBeginTrial("s0", false, s.now), "not by a request that can't be sent again")
+	s.try("s0", Served).is("s0", Healthy)
+	assert.True(t, s.tracker.Confirmed("s0", s.now-1, s.now))
 }
 
 // What was sent before the ejection says nothing of the server now, either way.
@@ -175,9 +175,9 @@
 	old := s.now - 20*ms
 	s.wait(firstEjection)
 	s.tracker.Observe(Attempt{Server: "s0", Class: "route", Outcome: Served, Sent: old}, s.now)
-	s.is("s0", OnTrial).try("s0", Served).is("s0", InOrder)
+	s.is("s0", OnTrial).try("s0", Served).is("s0", Healthy)
 	s.tracker.Observe(Attempt{Server: "s0", Class: "route", Outcome: Errored, Sent: old}, s.now)
-	s.is("s0", InOrder)
+	s.is("s0", Healthy)
 }
 
 // Each failed trial keeps a server out for longer, up to a bound, and after a time in
@@ -185,15 +185,15 @@
 func TestFlappingServerStaysOutLonger(t *testing.T) {
 	s := play(t, 4).see("s0", Errored, Errored)
 	for _, out := range []time.Duration{firstEjection, 2 * firstEjection, longestEjection, longestEjection} {
-		assert.InDelta(t, out, s.tracker.View("s0", s.now).Left, 1)
+		assert.InDelta(t, out, s.tracker.View("s0", s.now).Remaining, 1)
 		s.wait(out).try("s0", Errored)
 	}
-	s.wait(longestEjection).try("s0", Served).is("s0", InOrder)
+	s.wait(longestEjection).try("s0", Served).is("s0", Healthy)
 	s.see("s0", Errored, Errored).is("s0", Ejected)
-	assert.InDelta(t, longestEjection, s.tracker.View("s0", s.now).Left, 1)
-	s.wait(longestEjection).try("s0", Served).is("s0", InOrder)
+	assert.InDelta(t, longestEjection, s.tracker.View("s0", s.now).Remaining, 1)
+	s.wait(longestEjection).try("s0", Served).is("s0", Healthy)
 	s.wait(maximumRounds*forgiveTime).see("s0", Errored).is("s0", Suspect).see("s0", Errored).is("s0", Ejected)
-	assert.InDelta(t, firstEjection, s.tracker.View("s0", s.now).Left, 1)
+	assert.InDelta(t, firstEjection, s.tracker.View("s0", s.now).Remaining, 1)
 }
 
 // A trial that fails in a way that is usual has the server tried again as soon as before.
@@ -203,32 +203,32 @@
 		s.see("s1", []Outcome{Served, Overdue, Served}[request%3]).see("s2", Served)
 	}
 	s.wait(firstEjection).try("s0", Overdue).is("s0", Ejected)
-	assert.InDelta(t, firstEjection, s.tracker.View("s0", s.now).Left, 1)
+	assert.InDelta(t, firstEjection, s.tracker.View("s0", s.now).Remaining, 1)
 	s.wait(firstEjection).try("s0", Declined).is("s0", Ejected)
-	s.wait(firstEjection).try("s0", Served).is("s0", InOrder)
+	s.wait(firstEjection).try("s0", Served).is("s0", Healthy)
 }
 
 func TestTrialWithoutAnEndLeavesRoomForAnother(t *testing.T) {
 	s := play(t, 4).see("s0", Errored, Errored).wait(firstEjection)
 	s.tracker.BeginTrial("s0", s.now)
-	assert.False(t, s.tracker.MayTry("s0", true, s.now))
+	assert.False(t, s.tracker.MayBeginTrial("s0", true, s.now))
 	s.tracker.EndTrial("s0", s.now)
-	assert.True(t, s.tracker.MayTry("s0", true, s.now))
+	assert.True(t, s.tracker.MayBeginTrial("s0", true, s.now))
 	s.tracker.BeginTrial("s0", s.now)
 	s.wait(trialLimit)
-	assert.True(t, s.tracker.MayTry("s0", true, s.now))
+	assert.True(t, s.tracker.MayBeginTrial("s0", true, s.now))
 }
 
 // A server that is sent no request that may be repeated returns by another one.
 func TestAnyRequestIsATrialAfterAWhile(t *testing.T) {
 	s := play(t, 4).see("s0", Errored, Errored).wait(firstEjection + trialPatience)
-	assert.True(t, s.tracker.MayTry("s0", false, s.now))
+	assert.True(t, s.tracker.MayBeginTrial("s0", false, s.now))
 }
 
 func TestServersThatAreListedNoMoreAreForgotten(t *testing.T) {
 	s := play(t, 4).see("s0", Errored, Errored)
 	s.tracker.SetServers("service", []string{"s1", "s9"})
-	s.is("s0", InOrder)
+	s.is("s0", Healthy)
 	assert.Len(t, s.tracker.servers, 2)
 	s.tracker.SetServers("service", nil)
 	assert.Empty(t, s.tracker.servers)
--- a/coordination/health/lost.go
+++ b/coordination/health/lost.go
@@ -59,22 +59,22 @@
 	return lostRecord{answeredAt: longAgo, toldAt: longAgo, trialAt: longAgo, ownTrialAt: longAgo, renewedAt: longAgo}
 }
 
-// Proven reports whether a server has served an attempt in the zone lately, after it was said not
+// Confirmed reports whether a server has served an attempt in the zone lately, after it was said not
 // to be reached, and failed none of this entry's since. That outweighs what its agent says.
-func (t *Tracker) Proven(server string, lostAt, now time.Duration) bool {
+func (t *Tracker) Confirmed(server string, lostAt, now time.Duration) bool {
 	held := t.servers[server]
 	return held != nil && !held.ejected && held.lost.answeredAt > max(held.failedAt, lostAt) && now-held.lost.answeredAt <= provenTime
 }
 
-// MayTryLost reports whether this entry may send a lost server a trial now.
-func (t *Tracker) MayTryLost(server string, lostAt, now time.Duration) bool {
+// MayBeginLostTrial reports whether this entry may send a lost server a trial now.
+func (t *Tracker) MayBeginLostTrial(server string, lostAt, now time.Duration) bool {
 	held := t.servers[server]
-	return held != nil && t.services[held.service].sinceLostTrial >= attemptsPerLostTrial && t.MayTryLastLost(server, lostAt, now)
+	return held != nil && t.services[held.service].sinceLostTrial >= attemptsPerLostTrial && t.MayBeginLostTrialUnlimited(server, lostAt, now)
 }
 
-// MayTryLastLost is MayTryLost for a server of a service that has no other to send requests to: there
+// MayBeginLostTrialUnlimited is MayTryLost for a server of a service that has no other to send requests to: there
 // are no attempts to count, and a request that is no trial is refused.
-func (t *Tracker) MayTryLastLost(server string, lostAt, now time.Duration) bool {
+func (t *Tracker) MayBeginLostTrialUnlimited(server string, lostAt, now time.Duration) bool {
 	held := t.servers[server]
 	if held == nil {
 		return false
@@ -121,9 +121,9 @@
 	}
 }
 
-// OnLostTrial reports whether a request was sent to a lost server as its trial, which has not been
+// IsLostTrial reports whether a request was sent to a lost server as its trial, which has not been
 // answered: it need not be given up because the server is lost.
-func (t *Tracker) OnLostTrial(server string, sent, lostAt time.Duration) bool {
+func (t *Tracker) IsLostTrial(server string, sent, lostAt time.Duration) bool {
 	held := t.servers[server]
 	return held != nil && held.onLostTrial(sent, lostAt)
 }
@@ -139,17 +139,17 @@
 }
 
 // hearLost takes in what another entry has seen of a server that may be lost.
-func (r *record) hearLost(word Word, at time.Duration) {
-	if answered := at - word.Answered; word.Answered > 0 && answered > r.lost.renewedAt {
+func (r *record) hearLost(word Report, at time.Duration) {
+	if answered := at - word.AnswerAge; word.AnswerAge > 0 && answered > r.lost.renewedAt {
 		r.lost.answeredAt, r.lost.toldAt = max(r.lost.answeredAt, answered), max(r.lost.toldAt, answered)
 	}
-	if tried := at - word.Tried; word.Tried > 0 && tried > r.lost.renewedAt {
+	if tried := at - word.LostTrialAge; word.LostTrialAge > 0 && tried > r.lost.renewedAt {
 		r.lost.trialAt = max(r.lost.trialAt, tried)
 	}
 }
 
 // onlyProof reports whether a word says nothing of failures or ejections.
-func (w Word) onlyProof() bool {
+func (w Report) onlyProof() bool {
 	return !w.Ejected && !w.Returned && w.Evidence == 0 && w.Failed == 0 && w.Served == 0
 }
 
--- a/coordination/health/lost_test.go
+++ b/coordination/health/lost_test.go
@@ -15,8 +15,8 @@
 // at once; trial tells that it was its trial.
 func (z *zone) sendLost(entry int, server string, lostAt time.Duration, sound bool) (sent, trial bool) {
 	tracker := z.entries[entry]
-	if !tracker.Proven(server, lostAt, z.now) {
-		if !tracker.MayTryLost(server, lostAt, z.now) {
+	if !tracker.Confirmed(server, lostAt, z.now) {
+		if !tracker.MayBeginLostTrial(server, lostAt, z.now) {
 			return false, false
 		}
 		tracker.BeginLostTrial(server, z.now)
@@ -24,7 +24,7 @@
 	}
 	outcome := Served
 	if !sound {
-		outcome = Unreached
+		outcome = Unreachable
 	}
 	tracker.Observe(Attempt{Server: server, Class: "route", Outcome: outcome, Sent: z.now, Lost: true, LostAt: lostAt}, z.now)
 	return true, trial
@@ -61,18 +61,18 @@
 		assert.False(t, trial)
 		words += len(z.entries[0].words)
 		for index, entry := range z.entries {
-			assert.True(t, entry.Proven("s0", lostAt, z.now) || z.now-lostAt < 700*ms, "entry %d after %s", index, z.now-lostAt)
-			assert.Equal(t, InOrder.String(), entry.State("s0", z.now).String())
+			assert.True(t, entry.Confirmed("s0", lostAt, z.now) || z.now-lostAt < 700*ms, "entry %d after %s", index, z.now-lostAt)
+			assert.Equal(t, Healthy.String(), entry.State("s0", z.now).String())
 		}
 	}
 	assert.LessOrEqual(t, words, int(10*time.Second/provenPace)+1)
 	z.step(provenTime+60*ms, 0)
 	for _, entry := range z.entries {
-		assert.False(t, entry.Proven("s0", lostAt, z.now), "it ages")
+		assert.False(t, entry.Confirmed("s0", lostAt, z.now), "it ages")
 	}
 	lostAgain := z.now
 	z.warm("s1")
-	assert.False(t, z.entries[0].Proven("s0", lostAgain, z.now))
+	assert.False(t, z.entries[0].Confirmed("s0", lostAgain, z.now))
 }
 
 // An answer told that came before the loss is no proof, nor is one before another server took the
@@ -83,12 +83,12 @@
 	one.see("s0", Errored, Served)
 	answered := one.now
 	two.hear(one, 60*ms)
-	assert.True(t, two.tracker.Proven("s0", answered-2*ms, two.now))
-	assert.False(t, two.tracker.Proven("s0", answered+ms, two.now))
-	two.tracker.Renew("s0", two.now)
+	assert.True(t, two.tracker.Confirmed("s0", answered-2*ms, two.now))
+	assert.False(t, two.tracker.Confirmed("s0", answered+ms, two.now))
+	two.tracker.Reset("s0", two.now)
 	one.see("s0", Errored)
 	two.hear(one, 60*ms)
-	assert.False(t, two.tracker.Proven("s0", answered-2*ms, two.now))
+	assert.False(t, two.tracker.Confirmed("s0", answered-2*ms, two.now))
 }
 
 // An agent that finds its server and loses it anew does not bring another trial beside one that has
@@ -99,15 +99,15 @@
 	lostAt := z.now
 	z.step(firstLostTrial, 0)
 	tracker := z.entries[0]
-	require.True(t, tracker.MayTryLost("s0", lostAt, z.now))
+	require.True(t, tracker.MayBeginLostTrial("s0", lostAt, z.now))
 	tracker.BeginLostTrial("s0", z.now)
 	began := z.now
 	for ; z.now < began+trialLimit; z.step(50*ms, 0) {
 		z.warm("s1")
-		assert.False(t, tracker.MayTryLost("s0", z.now-firstLostTrial, z.now), "after %s", z.now-began)
+		assert.False(t, tracker.MayBeginLostTrial("s0", z.now-firstLostTrial, z.now), "after %s", z.now-began)
 	}
 	z.warm("s1")
-	assert.True(t, tracker.MayTryLost("s0", z.now-firstLostTrial, z.now))
+	assert.True(t, tracker.MayBeginLostTrial("s0", z.now-firstLostTrial, z.now))
 }
 
 // A proof alone changes nothing of what is counted against a server.
@@ -129,15 +129,15 @@
 	one := play(t, 4)
 	two := one.another("e1")
 	one.see("s0", Errored)
-	one.tracker.TakeWords()
+	one.tracker.TakeReports()
 	one.now += 60 * time.Second
 	two.now = one.now
 	one.tracker.Observe(Attempt{Server: "s0", Class: "route", Outcome: Served, Sent: one.now, Lost: true, LostAt: one.now - ms}, one.now)
-	words := one.tracker.TakeWords()
+	words := one.tracker.TakeReports()
 	require.Len(t, words, 1)
 	assert.True(t, words[0].onlyProof())
-	two.tracker.Hear(words[0], two.now, two.now)
-	assert.True(t, two.tracker.Proven("s0", one.now-2*ms, two.now))
+	two.tracker.ApplyReport(words[0], two.now, two.now)
+	assert.True(t, two.tracker.Confirmed("s0", one.now-2*ms, two.now))
 	assert.Empty(t, two.tracker.servers["s0"].hints)
 }
 
@@ -149,7 +149,7 @@
 		if former {
 			one.see("s0", Errored)
 		}
-		one.tracker.TakeWords()
+		one.tracker.TakeReports()
 		two.now += 60 * time.Second
 		for range 40 {
 			two.tracker.Observe(Attempt{Server: "s1", Class: "route", Outcome: Served, Sent: two.now}, two.now)
@@ -273,7 +273,7 @@
 			around(true)
 		}
 		for index, entry := range z.entries {
-			if !entry.Proven("s0", lostAt, z.now) {
+			if !entry.Confirmed("s0", lostAt, z.now) {
 				t.Fatalf("not proven at entry %d of %d after %s", index, entries, bound)
 			}
 		}
--- a/coordination/health/trial.go
+++ b/coordination/health/trial.go
@@ -12,10 +12,10 @@
 // comes by another way than requests do. What costs a caller least is one request that may be
 // sent again, at one entry of the zone at a time.
 
-// MayTry reports whether this entry may send a server on trial a request now. It has no other
+// MayBeginTrial reports whether this entry may send a server on trial a request now. It has no other
 // request of the zone, and it is this entry's turn. A request that must not be repeated is a
 // trial only when no other has come for trialPatience.
-func (t *Tracker) MayTry(server string, repeatable bool, now time.Duration) bool {
+func (t *Tracker) MayBeginTrial(server string, repeatable bool, now time.Duration) bool {
 	held := t.servers[server]
 	if held == nil || !held.ejected || now < held.till {
 		return false
--- a/coordination/health/words.go
+++ b/coordination/health/words.go
@@ -24,9 +24,9 @@
 	disputed = ejectAt + 1
 )
 
-// Word is what an entry tells the others of its zone of one server. Times are ages and spans,
+// Report is what an entry tells the others of its zone of one server. Times are ages and spans,
 // so that clocks need not agree.
-type Word struct {
+type Report struct {
 	Server string
 	// Entry is who found it out.
 	Entry string
@@ -37,20 +37,20 @@
 	Evidence float64
 	// Failed and Served count the entry's attempts of the last Since, with older ones forgotten
 	// by and by. Changed is for how long the state holds.
-	Failed  float64
-	Served  float64
-	Since   time.Duration
-	Changed time.Duration
-	Left    time.Duration
-	Round   int
-	// Trying is set while a trial is under way.
-	Trying bool
-	// Mute servers answer nothing.
-	Mute bool
-	// Answered is the age of the last answer of the server to the entry, Tried that of the entry's
+	Failed     float64
+	Served     float64
+	FailureAge time.Duration
+	StateAge   time.Duration
+	Remaining  time.Duration
+	Round      int
+	// TrialOpen is set while a trial is under way.
+	TrialOpen bool
+	// Unresponsive servers answer nothing.
+	Unresponsive bool
+	// AnswerAge is the age of the last answer of the server to the entry, Tried that of the entry's
 	// last trial of it as a lost one; 0 if there was none lately.
-	Answered time.Duration
-	Tried    time.Duration
+	AnswerAge    time.Duration
+	LostTrialAge time.Duration
 }
 
 // hint is another entry's evidence.
@@ -63,28 +63,28 @@
 // tell notes a word for the other entries. Where the failures are over it counts nothing: others would
 // take what is left of the counts for new failures, and successes beside them.
 func (t *Tracker) tell(server string, held *record, now time.Duration) {
-	word := Word{
+	word := Report{
 		Server: server, Entry: t.self, Ejected: held.ejected, Returned: !held.ejected && held.changedAt == now,
-		Changed: now - held.changedAt, Left: held.till - now, Round: held.round,
-		Trying: held.trialOpen, Mute: held.mute, Answered: lately(held.servedAt, now), Tried: lately(held.lost.ownTrialAt, now),
+		StateAge: now - held.changedAt, Remaining: held.till - now, Round: held.round,
+		TrialOpen: held.trialOpen, Unresponsive: held.mute, AnswerAge: lately(held.servedAt, now), LostTrialAge: lately(held.lost.ownTrialAt, now),
 	}
 	if held.failurePeriodLasts(now) || held.ejected {
-		word.Failed, word.Served, word.Since = held.failurePeriod.failed, held.failurePeriod.served, now-held.failurePeriod.began
+		word.Failed, word.Served, word.FailureAge = held.failurePeriod.failed, held.failurePeriod.served, now-held.failurePeriod.began
 		word.Evidence = held.against(now)
 	}
 	t.words = append(t.words, word)
 	held.lost.toldAt = max(held.lost.toldAt, held.servedAt)
 }
 
-// TakeWords returns what the other entries are to be told since the last call.
-func (t *Tracker) TakeWords() []Word {
+// TakeReports returns what the other entries are to be told since the last call.
+func (t *Tracker) TakeReports() []Report {
 	taken := t.words
 	t.words = nil
 	return taken
 }
 
-// Hear takes in what another entry said at a time, and returns the change that it brings.
-func (t *Tracker) Hear(word Word, at, now time.Duration) (Change, bool) {
+// ApplyReport takes in what another entry said at a time, and returns the change that it brings.
+func (t *Tracker) ApplyReport(word Report, at, now time.Duration) (Change, bool) {
 	if word.Entry == t.self {
 		return Change{}, false
 	}
@@ -98,14 +98,14 @@
 	if word.onlyProof() {
 		return Change{}, false
 	}
-	changedAt := at - word.Changed
+	changedAt := at - word.StateAge
 	switch {
 	case word.Ejected:
 		return t.hearEjected(held, word, at, changedAt, now)
 	case word.Returned:
 		return t.hearReturned(held, word, changedAt, now)
 	}
-	held.beginFailurePeriod(at-word.Since, at)
+	held.beginFailurePeriod(at-word.FailureAge, at)
 	held.hear(word, at)
 	return Change{}, false
 }
@@ -116,7 +116,7 @@
 // earlyWord is a word on a server that was not listed when it came: an entry that starts may be
 // told of servers' health before it has the list.
 type earlyWord struct {
-	word Word
+	word Report
 	at   time.Duration
 }
 
@@ -136,7 +136,7 @@
 			kept = append(kept, one)
 			continue
 		}
-		if change, changed := t.Hear(one.word, one.at, one.at); changed {
+		if change, changed := t.ApplyReport(one.word, one.at, one.at); changed {
 			changes = append(changes, change)
 		}
 	}
@@ -145,7 +145,7 @@
 }
 
 // hear notes another entry's evidence.
-func (r *record) hear(word Word, at time.Duration) {
+func (r *record) hear(word Report, at time.Duration) {
 	if _, known := r.hints[word.Entry]; !known && len(r.hints) >= mostHints {
 		oldest := word.Entry
 		oldestAt := at
@@ -177,14 +177,14 @@
 }
 
 // hearEjected takes over an ejection, or what has become of one that is known.
-func (t *Tracker) hearEjected(held *record, word Word, at, changedAt, now time.Duration) (Change, bool) {
+func (t *Tracker) hearEjected(held *record, word Report, at, changedAt, now time.Duration) (Change, bool) {
 	if held.ejected {
-		if till := at + word.Left; changedAt > held.changedAt || till > held.till {
+		if till := at + word.Remaining; changedAt > held.changedAt || till > held.till {
 			if word.Round > held.round || changedAt-held.changedAt > sameEjection {
 				held.trialOpen, held.ownTrial = false, false
 			}
 			held.till, held.round, held.changedAt = max(held.till, till), max(held.round, word.Round), max(held.changedAt, changedAt)
-			held.mute = word.Mute
+			held.mute = word.Unresponsive
 		}
 		held.followTrial(word, at)
 		return Change{}, false
@@ -197,28 +197,28 @@
 	}
 	from := t.State(word.Server, now)
 	t.dropFromUsual(held, now)
-	held.ejected, held.by, held.changedAt, held.till = true, word.Entry, changedAt, at+word.Left
-	held.round, held.mute = max(held.round, word.Round), word.Mute
+	held.ejected, held.by, held.changedAt, held.till = true, word.Entry, changedAt, at+word.Remaining
+	held.round, held.mute = max(held.round, word.Round), word.Unresponsive
 	held.trialOpen, held.ownTrial = false, false
 	held.followTrial(word, at)
-	return Change{Server: word.Server, From: from, To: Ejected, By: word.Entry, For: held.till - now, Round: held.round}, true
+	return Change{Server: word.Server, From: from, To: Ejected, Reporter: word.Entry, Duration: held.till - now, Round: held.round}, true
 }
 
 // followTrial takes over how the trials of another entry go.
-func (r *record) followTrial(word Word, at time.Duration) {
+func (r *record) followTrial(word Report, at time.Duration) {
 	if at < r.till || r.ownTrial {
 		return
 	}
-	r.trialOpen = word.Trying
-	if word.Trying {
+	r.trialOpen = word.TrialOpen
+	if word.TrialOpen {
 		r.trialAt = at
 	}
 }
 
 // believes reports whether another entry's ejection holds here too.
-func (t *Tracker) believes(held *record, word Word, at time.Duration) bool {
+func (t *Tracker) believes(held *record, word Report, at time.Duration) bool {
 	supported := held.against(at)+held.hintedBut(word.Entry, at) >= suspectAt
-	held.beginFailurePeriod(at-word.Since, at)
+	held.beginFailurePeriod(at-word.FailureAge, at)
 	word.Evidence = disputed
 	held.hear(word, at)
 	if !held.mostlyFails(0, at) || !t.mayEject(held.service) {
@@ -238,12 +238,12 @@
 }
 
 // hearReturned takes over that a server has served its trials.
-func (t *Tracker) hearReturned(held *record, word Word, changedAt, now time.Duration) (Change, bool) {
+func (t *Tracker) hearReturned(held *record, word Report, changedAt, now time.Duration) (Change, bool) {
 	if !held.ejected || changedAt <= held.changedAt {
 		return Change{}, false
 	}
 	from := t.State(word.Server, now)
 	held.restore(now)
 	held.changedAt = changedAt
-	return Change{Server: word.Server, From: from, To: InOrder, By: word.Entry, Round: held.round}, true
+	return Change{Server: word.Server, From: from, To: Healthy, Reporter: word.Entry, Round: held.round}, true
 }
--- a/coordination/health/words_test.go
+++ b/coordination/health/words_test.go
@@ -15,8 +15,8 @@
 
 // hear has an entry hear all that another has to tell, some time after it was said.
 func (s *script) hear(from *script, late time.Duration) *script {
-	for _, word := range from.tracker.TakeWords() {
-		s.tracker.Hear(word, from.now, from.now+late)
+	for _, word := range from.tracker.TakeReports() {
+		s.tracker.ApplyReport(word, from.now, from.now+late)
 	}
 	s.now = max(s.now, from.now+late)
 	return s
@@ -37,7 +37,7 @@
 	one.see("s0", Errored, Errored)
 	two.hear(one, 60*ms).is("s0", Ejected)
 	one.wait(firstEjection).try("s0", Served)
-	two.hear(one, 60*ms).is("s0", InOrder)
+	two.hear(one, 60*ms).is("s0", Healthy)
 }
 
 // Successes from before the fault are no reason to doubt it; those from after it began are.
@@ -52,7 +52,7 @@
 	words := one.tracker.words
 	before.hear(one, 60*ms).is("s0", Ejected)
 	one.tracker.words = words
-	after.hear(one, 60*ms).is("s0", Suspect).wait(hintTime).is("s0", InOrder)
+	after.hear(one, 60*ms).is("s0", Suspect).wait(hintTime).is("s0", Healthy)
 }
 
 // An entry whose own connections fail can't empty the zone.
@@ -60,13 +60,13 @@
 	one := play(t, 16)
 	two := one.another("e1")
 	for server := range 16 {
-		one.see(fmt.Sprint("s", server), Unreached, Unreached)
+		one.see(fmt.Sprint("s", server), Unreachable, Unreachable)
 		two.hear(one, 60*ms)
 	}
 	assert.Len(t, two.tracker.Ejected(), 2)
 	three := one.another("e2")
 	for server := range 4 {
-		three.see(fmt.Sprint("s", 8+server), Unreached, Unreached)
+		three.see(fmt.Sprint("s", 8+server), Unreachable, Unreachable)
 		two.hear(three, 60*ms)
 	}
 	assert.Greater(t, len(two.tracker.Ejected()), 4, "two that agree are believed")
@@ -77,18 +77,18 @@
 	one := play(t, 8)
 	late := &script{t: t, tracker: New("e1"), now: one.now}
 	for range 2 * mostEarly {
-		late.tracker.Hear(Word{Server: "elsewhere", Entry: "e2", Ejected: true}, one.now, one.now)
+		late.tracker.ApplyReport(Report{Server: "elsewhere", Entry: "e2", Ejected: true}, one.now, one.now)
 	}
 	one.see("s0", Errored, Errored)
 	// The late one counts time from its own start.
-	for _, word := range one.tracker.TakeWords() {
-		late.tracker.Hear(word, -100*ms, 50*ms)
+	for _, word := range one.tracker.TakeReports() {
+		late.tracker.ApplyReport(word, -100*ms, 50*ms)
 	}
 	late.now = 60 * ms
 	assert.Len(t, late.tracker.early, mostEarly)
 	changes := late.tracker.SetServers("service", names("s", 8))
 	assert.Len(t, changes, 1)
-	late.is("s0", Ejected).is("s1", InOrder)
+	late.is("s0", Ejected).is("s1", Healthy)
 	assert.Len(t, late.tracker.early, mostEarly-2, "the suspicion and the ejection are taken in")
 }
 
@@ -101,15 +101,15 @@
 	}
 	assert.Len(t, two.tracker.servers["s0"].hints, mostHints)
 	two.is("s0", Suspect)
-	assert.InDelta(t, hintCap, two.tracker.View("s0", two.now).Hinted, 0.01)
+	assert.InDelta(t, hintCap, two.tracker.View("s0", two.now).PeerEvidence, 0.01)
 	two.see("s0", Errored).is("s0", Ejected)
 	three := play(t, 8)
 	three.hear(three.another("e1").see("s0", Errored), 0)
-	fresh := three.tracker.View("s0", three.now).Hinted
+	fresh := three.tracker.View("s0", three.now).PeerEvidence
 	assert.Less(t, fresh, suspectAt/1.5)
 	three.wait(hintTime / 2)
-	assert.Less(t, three.tracker.View("s0", three.now).Hinted, 0.6*fresh)
-	assert.Zero(t, three.wait(hintTime).tracker.View("s0", three.now).Hinted)
+	assert.Less(t, three.tracker.View("s0", three.now).PeerEvidence, 0.6*fresh)
+	assert.Zero(t, three.wait(hintTime).tracker.View("s0", three.now).PeerEvidence)
 }
 
 // zone plays entries that share what they learn, with words that take a while.
@@ -120,7 +120,7 @@
 }
 
 type transit struct {
-	word     Word
+	word     Report
 	to       int
 	said, at time.Duration
 }
@@ -145,11 +145,11 @@
 			kept = append(kept, one)
 			continue
 		}
-		z.entries[one.to].Hear(one.word, one.said, z.now)
+		z.entries[one.to].ApplyReport(one.word, one.said, z.now)
 	}
 	z.transit = kept
 	for from, entry := range z.entries {
-		for _, word := range entry.TakeWords() {
+		for _, word := range entry.TakeReports() {
 			for to := range z.entries {
 				if to != from {
 					z.transit = append(z.transit, transit{word: word, to: to, said: z.now, at: z.now + delay})
@@ -166,7 +166,7 @@
 	case Ejected:
 		return false
 	case OnTrial:
-		if !tracker.MayTry(server, true, z.now) {
+		if !tracker.MayBeginTrial(server, true, z.now) {
 			return false
 		}
 		tracker.BeginTrial(server, z.now)
@@ -212,7 +212,7 @@
 	failures, _ := z.play(time.Second, func(server, _ int) bool { return server == 0 })
 	assert.LessOrEqual(t, failures, 6)
 	for index, entry := range z.entries {
-		assert.NotEqual(t, InOrder.String(), entry.State("s0", z.now).String(), "entry %d", index)
+		assert.NotEqual(t, Healthy.String(), entry.State("s0", z.now).String(), "entry %d", index)
 	}
 	failures, out = z.play(10*time.Second, func(server, _ int) bool { return server == 0 })
 	assert.LessOrEqual(t, failures, 11, "a trial each second")
@@ -269,7 +269,7 @@
 			}
 		}
 		for index, entry := range z.entries {
-			if state := entry.State("s0", z.now); state != InOrder {
+			if state := entry.State("s0", z.now); state != Healthy {
 				t.Fatalf("%s at entry %d of %d after %s", state, index, entries, bound)
 			}
 			if len(entry.servers) != servers || len(entry.words) > 0 {
@@ -288,12 +288,12 @@
 		for range rapid.IntRange(1, 60).Draw(t, "attempts") {
 			now += time.Duration(rapid.IntRange(0, 1500).Draw(t, "later")) * ms
 			server := fmt.Sprint("s", rapid.IntRange(0, 1).Draw(t, "server"))
-			if tracker.MayTry(server, true, now) {
+			if tracker.MayBeginTrial(server, true, now) {
 				tracker.BeginTrial(server, now)
 			}
 			tracker.Observe(Attempt{Server: server, Outcome: Outcome(rapid.IntRange(1, outcomes-1).Draw(t, "outcome")), Sent: now}, now)
-			for _, word := range tracker.TakeWords() {
-				assert.NoError(t, word.Check())
+			for _, word := range tracker.TakeReports() {
+				assert.NoError(t, word.Validate())
 				assert.Equal(t, word, word.limited())
 			}
 		}
@@ -302,26 +302,26 @@
 
 // Each field of a word has its bounds.
 func TestWordsOutOfBoundsAreFaults(t *testing.T) {
-	sound := Word{Server: "s0", Entry: "e1", Ejected: true, Round: 1, Left: longestEjection, Evidence: evidenceCap}
-	assert.NoError(t, sound.Check())
-	for field, spoil := range map[string]func(*Word){
-		"since":    func(w *Word) { w.Since = -1 },
-		"changed":  func(w *Word) { w.Changed = LongestSpan + 1 },
-		"left":     func(w *Word) { w.Left = longestEjection + 1 },
-		"round":    func(w *Word) { w.Round = 0 },
-		"evidence": func(w *Word) { w.Evidence = math.NaN() },
-		"failed":   func(w *Word) { w.Failed = math.Inf(1) },
-		"served":   func(w *Word) { w.Served = -1 },
-		"answered": func(w *Word) { w.Answered = -1 },
-		"tried":    func(w *Word) { w.Tried = LongestSpan + 1 },
+	sound := Report{Server: "s0", Entry: "e1", Ejected: true, Round: 1, Remaining: longestEjection, Evidence: evidenceCap}
+	assert.NoError(t, sound.Validate())
+	for field, spoil := range map[string]func(*Report){
+		"since":    func(w *Report) { w.FailureAge = -1 },
+		"changed":  func(w *Report) { w.StateAge = MaxDuration + 1 },
+		"left":     func(w *Report) { w.Remaining = longestEjection + 1 },
+		"round":    func(w *Report) { w.Round = 0 },
+		"evidence": func(w *Report) { w.Evidence = math.NaN() },
+		"failed":   func(w *Report) { w.Failed = math.Inf(1) },
+		"served":   func(w *Report) { w.Served = -1 },
+		"answered": func(w *Report) { w.AnswerAge = -1 },
+		"tried":    func(w *Report) { w.LostTrialAge = MaxDuration + 1 },
 	} {
 		word := sound
 		spoil(&word)
-		var invalid *InvalidWord
-		if assert.ErrorAs(t, word.Check(), &invalid, field) {
+		var invalid *InvalidReportError
+		if assert.ErrorAs(t, word.Validate(), &invalid, field) {
 			assert.Equal(t, field, invalid.Field)
 		}
-		assert.NoError(t, word.limited().Check(), field)
+		assert.NoError(t, word.limited().Validate(), field)
 	}
 }
 
@@ -331,21 +331,21 @@
 	one := play(t, 8)
 	two := one.another("e1")
 	one.see("s0", Errored, Errored)
-	words := one.tracker.TakeWords()
+	words := one.tracker.TakeReports()
 	ejection := words[len(words)-1]
-	two.tracker.Hear(ejection, one.now, one.now)
+	two.tracker.ApplyReport(ejection, one.now, one.now)
 	two.now = one.now + firstEjection + 50*ms
 	two.is("s0", OnTrial)
 	assert.True(t, two.tracker.BeginTrial("s0", two.now))
 	assert.False(t, two.tracker.BeginTrial("s0", two.now), "one at a time")
 	echo := ejection
 	echo.Entry = "e2"
-	two.tracker.Hear(echo, one.now+40*ms, two.now)
-	assert.False(t, two.tracker.MayTry("s0", true, two.now))
+	two.tracker.ApplyReport(echo, one.now+40*ms, two.now)
+	assert.False(t, two.tracker.MayBeginTrial("s0", true, two.now))
 	assert.True(t, two.tracker.servers["s0"].ownTrial)
 	two.wait(100 * ms)
 	echo.Round++
-	two.tracker.Hear(echo, two.now, two.now)
+	two.tracker.ApplyReport(echo, two.now, two.now)
 	assert.False(t, two.tracker.servers["s0"].ownTrial)
 	two.is("s0", Ejected)
 }
@@ -355,11 +355,11 @@
 	one := play(t, 8)
 	two := one.another("e1")
 	one.see("s0", Errored, Errored)
-	words := one.tracker.TakeWords()
+	words := one.tracker.TakeReports()
 	two.now = one.now + 100*ms
-	two.tracker.Renew("s0", two.now)
-	two.tracker.Hear(words[len(words)-1], one.now, two.now)
-	two.is("s0", InOrder)
+	two.tracker.Reset("s0", two.now)
+	two.tracker.ApplyReport(words[len(words)-1], one.now, two.now)
+	two.is("s0", Healthy)
 }
 
 // The order of turns is that of the zone as it is, and of the ejection.
@@ -373,7 +373,7 @@
 			order := placement.Rank(fmt.Sprint("s0/", round), s.tracker.members)
 			for turn := range 2 * len(order) {
 				now := held.till + time.Duration(turn)*trialTurn
-				assert.Equal(t, order[turn%len(order)] == s.tracker.self, s.tracker.MayTry("s0", true, now))
+				assert.Equal(t, order[turn%len(order)] == s.tracker.self, s.tracker.MayBeginTrial("s0", true, now))
 			}
 		}
 	}
--- a/internal/catalog/health.go
+++ b/internal/catalog/health.go
@@ -56,19 +56,19 @@
 }
 
 // heldHealth is the newest word of an entry on a server.
-type heldHealth = heldWord[health.Word]
+type heldHealth = heldWord[health.Report]
 
 // HealthFunction is told what another entry of the zone has said of a server, and when.
-type HealthFunction func(word health.Word, at time.Time)
+type HealthFunction func(word health.Report, at time.Time)
 
 // healthWords are what the zone's entries have said of servers. The catalog's mutex guards it.
 type healthWords struct {
-	heldWords[health.Word]
+	heldWords[health.Report]
 	onWord HealthFunction
 }
 
 func newHealthWords(started time.Time) healthWords {
-	return healthWords{heldWords: newHeldWords[health.Word](started, healthMemory, mostHealthWords)}
+	return healthWords{heldWords: newHeldWords[health.Report](started, healthMemory, mostHealthWords)}
 }
 
 // OnHealth registers a function that is called with each word of another entry. It must be
@@ -76,7 +76,7 @@
 func (c *Catalog) OnHealth(function HealthFunction) { c.health.onWord = function }
 
 // TellHealth has the zone's other entries told what this one has found out at a time, at the next pace.
-func (c *Catalog) TellHealth(words []health.Word, at time.Time) {
+func (c *Catalog) TellHealth(words []health.Report, at time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := time.Now()
@@ -122,7 +122,7 @@
 }
 
 // longestMilliseconds keeps the spans of words within what a time.Duration holds.
-const longestMilliseconds = int64(health.LongestSpan / time.Millisecond)
+const longestMilliseconds = int64(health.MaxDuration / time.Millisecond)
 
 // checked is a word that was received at a time, if it can be meant: one faulty word does not cost
 // the others of its message.
@@ -141,7 +141,7 @@
 		}
 	}
 	held := t.held(now)
-	return held, held.word.Check()
+	return held, held.word.Validate()
 }
 
 // held is a word that was received at a time.
@@ -149,11 +149,11 @@
 	span := func(milliseconds int64) time.Duration { return time.Duration(milliseconds) * time.Millisecond }
 	return heldHealth{
 		at: now.Add(-span(t.AgeMilliseconds)), number: t.Number,
-		word: health.Word{
-			Server: t.Server, Entry: t.Entry, Ejected: t.Ejected, Returned: t.Returned, Trying: t.Trying, Mute: t.Mute, Evidence: float64(t.Evidence),
+		word: health.Report{
+			Server: t.Server, Entry: t.Entry, Ejected: t.Ejected, Returned: t.Returned, TrialOpen: t.Trying, Unresponsive: t.Mute, Evidence: float64(t.Evidence),
 			Failed: float64(t.Failed), Served: float64(t.Served),
-			Round: t.Round, Since: span(t.SinceMilliseconds), Changed: span(t.ChangedMilliseconds), Left: span(t.LeftMilliseconds),
-			Answered: span(t.AnsweredMilliseconds), Tried: span(t.TriedMilliseconds),
+			Round: t.Round, FailureAge: span(t.SinceMilliseconds), StateAge: span(t.ChangedMilliseconds), Remaining: span(t.LeftMilliseconds),
+			AnswerAge: span(t.AnsweredMilliseconds), LostTrialAge: span(t.TriedMilliseconds),
 		},
 	}
 }
@@ -161,10 +161,10 @@
 // toldHealthOf is a word as it is passed on at a time.
 func toldHealthOf(h heldHealth, now time.Time) toldHealth {
 	return toldHealth{
-		Server: h.word.Server, Entry: h.word.Entry, Ejected: h.word.Ejected, Returned: h.word.Returned, Trying: h.word.Trying, Mute: h.word.Mute,
-		Evidence: float32(h.word.Evidence), Failed: float32(h.word.Failed), Served: float32(h.word.Served), Round: h.word.Round, SinceMilliseconds: h.word.Since.Milliseconds(),
-		ChangedMilliseconds: h.word.Changed.Milliseconds(), LeftMilliseconds: h.word.Left.Milliseconds(),
-		AnsweredMilliseconds: h.word.Answered.Milliseconds(), TriedMilliseconds: h.word.Tried.Milliseconds(),
+		Server: h.word.Server, Entry: h.word.Entry, Ejected: h.word.Ejected, Returned: h.word.Returned, Trying: h.word.TrialOpen, Mute: h.word.Unresponsive,
+		Evidence: float32(h.word.Evidence), Failed: float32(h.word.Failed), Served: float32(h.word.Served), Round: h.word.Round, SinceMilliseconds: h.word.FailureAge.Milliseconds(),
+		ChangedMilliseconds: h.word.StateAge.Milliseconds(), LeftMilliseconds: h.word.Remaining.Milliseconds(),
+		AnsweredMilliseconds: h.word.AnswerAge.Milliseconds(), TriedMilliseconds: h.word.LostTrialAge.Milliseconds(),
 		AgeMilliseconds: now.Sub(h.at).Milliseconds(), Number: h.number,
 	}
 }
--- a/internal/catalog/health_test.go
+++ b/internal/catalog/health_test.go
@@ -12,17 +12,17 @@
 	"pinevane.example/pinevane/coordination/health"
 )
 
-func ejectedWord(entry, server string) health.Word {
-	return health.Word{Entry: entry, Server: server, Ejected: true, Left: time.Second, Round: 2, Mute: true, Evidence: 5.5,
-		Failed: 1.5, Served: 0.25, Returned: true, Trying: true, Since: 40 * time.Millisecond, Changed: 30 * time.Millisecond,
-		Answered: 20 * time.Millisecond, Tried: 10 * time.Millisecond}
+func ejectedWord(entry, server string) health.Report {
+	return health.Report{Entry: entry, Server: server, Ejected: true, Remaining: time.Second, Round: 2, Unresponsive: true, Evidence: 5.5,
+		Failed: 1.5, Served: 0.25, Returned: true, TrialOpen: true, FailureAge: 40 * time.Millisecond, StateAge: 30 * time.Millisecond,
+		AnswerAge: 20 * time.Millisecond, LostTrialAge: 10 * time.Millisecond}
 }
 
 // An entry tells its own words; a relay passes on those of others too, but not to who said them.
 func TestWordsOnHealthArePassedOnByRelays(t *testing.T) {
 	c := newTestCatalog()
 	now := time.Now()
-	c.TellHealth([]health.Word{ejectedWord("10.0.0.1", "i-1")}, now)
+	c.TellHealth([]health.Report{ejectedWord("10.0.0.1", "i-1")}, now)
 	other := toldHealth{Server: "i-2", Entry: "10.0.0.2", Ejected: true, Number: 7, AgeMilliseconds: 100}.held(now)
 	assert.True(t, c.holdHealth(other, now))
 	servers := func(ip string, isRelay bool, told uint64) []string {
--- a/internal/forward/dump.go
+++ b/internal/forward/dump.go
@@ -57,7 +57,7 @@
 }
 
 func healthView(held health.View) HealthView {
-	return HealthView{State: held.State.String(), Evidence: held.Evidence, Hinted: held.Hinted, Round: held.Round, By: held.By}
+	return HealthView{State: held.State.String(), Evidence: held.Evidence, Hinted: held.PeerEvidence, Round: held.Round, By: held.Reporter}
 }
 
 // Servers lists the servers in view in order of ID.
@@ -73,7 +73,7 @@
 		view := ServerView{
 			ID: server.ID, Service: server.Service, Address: server.Address, Zone: server.Zone,
 			Draining: server.Draining, InFlight: one.InFlight, Outstanding: one.Outstanding, Version: one.Version,
-			EjectedFor: one.Health.Left.Seconds(), Health: healthView(one.Health), StatusAge: one.WordAge.Seconds(), MeanMillisecond: one.MeanMilliseconds,
+			EjectedFor: one.Health.Remaining.Seconds(), Health: healthView(one.Health), StatusAge: one.WordAge.Seconds(), MeanMillisecond: one.MeanMilliseconds,
 			ColdFor: one.ColdFor.Seconds(), Evacuated: one.Evacuated, RestLeft: one.RestLeft.Seconds(), SaidLeaving: one.SaidLeaving,
 		}
 		if one.Limit.InForce {
--- a/internal/forward/health.go
+++ b/internal/forward/health.go
@@ -26,7 +26,7 @@
 // HealthSource is what entries of a zone tell each other of servers.
 type HealthSource interface {
 	// TellHealth has the others told what was found out at a time: ages in the words are those of then.
-	TellHealth(words []health.Word, at time.Time)
+	TellHealth(words []health.Report, at time.Time)
 	// ZoneEntries lists the others.
 	ZoneEntries() []string
 }
@@ -46,7 +46,7 @@
 
 // finding is what was found out at a time.
 type finding struct {
-	words []health.Word
+	words []health.Report
 	at    time.Time
 }
 
@@ -108,17 +108,17 @@
 	if change.Outcome != 0 {
 		by = change.Outcome.String()
 	}
-	fields := []zap.Field{zap.String("server", change.Server), zap.String("by", by), zap.String("entry", change.By), zap.Int("round", change.Round)}
+	fields := []zap.Field{zap.String("server", change.Server), zap.String("by", by), zap.String("entry", change.Reporter), zap.Int("round", change.Round)}
 	if change.To == health.Ejected {
 		t.health.ejections.WithLabelValues(by).Inc()
-		t.log.Log(logging.ServerEjected, append(fields, zap.Duration("for", change.For), zap.Float64("evidence", change.Evidence))...)
+		t.log.Log(logging.ServerEjected, append(fields, zap.Duration("for", change.Duration), zap.Float64("evidence", change.Evidence))...)
 		return
 	}
 	t.log.Log(logging.ServerReturned, fields...)
 }
 
 // HearHealth takes in what another entry of the zone has said of a server, and when.
-func (f *Forwarder) HearHealth(word health.Word, at time.Time) {
+func (f *Forwarder) HearHealth(word health.Report, at time.Time) {
 	t := f.targets
 	defer t.tellZone()
 	t.mutex.Lock()
@@ -174,7 +174,7 @@
 	switch failed.reason {
 	case fault.ReasonLinkLost:
 		if failed.execution == fault.ExecutionNotRun {
-			w.observe(k, health.Unreached)
+			w.observe(k, health.Unreachable)
 			return
 		}
 		w.observe(k, health.Broken)
--- a/internal/forward/health_lock_test.go
+++ b/internal/forward/health_lock_test.go
@@ -19,7 +19,7 @@
 	forwarder *Forwarder
 	held      map[string]int
 	asked     map[string]int
-	words     []health.Word
+	words     []health.Report
 }
 
 func (s *lockedSource) note(call string) {
@@ -31,7 +31,7 @@
 	s.forwarder.targets.mutex.Unlock()
 }
 
-func (s *lockedSource) TellHealth(words []health.Word, _ time.Time) {
+func (s *lockedSource) TellHealth(words []health.Report, _ time.Time) {
 	s.note("tell")
 	s.words = append(s.words, words...)
 }
@@ -63,10 +63,10 @@
 	_, refusal := f.targets.choose(w)
 	require.Nil(t, refusal)
 	for range 2 {
-		w.observe(f.server("i-0"), health.Unreached)
+		w.observe(f.server("i-0"), health.Unreachable)
 	}
 	time.Sleep(300 * time.Millisecond)
-	f.HearHealth(health.Word{Server: "i-1", Entry: "10.0.0.9", Ejected: true, Round: 1}, time.Now())
+	f.HearHealth(health.Report{Server: "i-1", Entry: "10.0.0.9", Ejected: true, Round: 1}, time.Now())
 	w.endTrial()
 	require.Len(t, source.words, 2)
 	assert.False(t, source.words[0].Ejected)
--- a/internal/forward/health_test.go
+++ b/internal/forward/health_test.go
@@ -22,7 +22,7 @@
 func eject(t *targets, k *dispatch.Candidate) {
 	now := time.Now()
 	for range 2 {
-		t.core.Observe(k, dispatch.Outcome{Outcome: health.Unreached, SentAt: now}, now)
+		t.core.Observe(k, dispatch.Outcome{Outcome: health.Unreachable, SentAt: now}, now)
 	}
 }
 
@@ -99,11 +99,11 @@
 		{failure{reason: fault.ReasonLinkLost, execution: fault.ExecutionNotRun}, health.Suspect},
 		{failure{reason: fault.ReasonLinkLost, execution: fault.ExecutionUnknown}, health.Suspect},
 		{failure{reason: fault.ReasonBackendFailed, execution: fault.ExecutionUnknown, cause: errors.New("reset")}, health.Suspect},
-		{failure{reason: fault.ReasonBackendFailed, execution: fault.ExecutionUnknown, cause: statusError(500)}, health.InOrder},
-		{failure{reason: fault.ReasonOverloaded, execution: fault.ExecutionNotRun}, health.InOrder},
-		{failure{reason: fault.ReasonWrongVersion, execution: fault.ExecutionNotRun}, health.InOrder},
-		{failure{reason: fault.ReasonDeadline, execution: fault.ExecutionUnknown}, health.InOrder},
-		{failure{reason: fault.ReasonCanceled, execution: fault.ExecutionUnknown}, health.InOrder},
+		{failure{reason: fault.ReasonBackendFailed, execution: fault.ExecutionUnknown, cause: statusError(500)}, health.Healthy},
+		{failure{reason: fault.ReasonOverloaded, execution: fault.ExecutionNotRun}, health.Healthy},
+		{failure{reason: fault.ReasonWrongVersion, execution: fault.ExecutionNotRun}, health.Healthy},
+		{failure{reason: fault.ReasonDeadline, execution: fault.ExecutionUnknown}, health.Healthy},
+		{failure{reason: fault.ReasonCanceled, execution: fault.ExecutionUnknown}, health.Healthy},
 	} {
 		f, w := healthFleet(fleet.Repeatable, 3)
 		w.noteFailure(f.server("i-0"), &one.failed, 0)
--- a/internal/forward/health_trial_test.go
+++ b/internal/forward/health_trial_test.go
@@ -94,7 +94,7 @@
 	play(10 * time.Second)
 	t.Log(f.state("i-0"), refused)
 	assert.Zero(t, refused)
-	assert.Equal(t, health.InOrder.String(), f.state("i-0"))
+	assert.Equal(t, health.Healthy.String(), f.state("i-0"))
 }
 
 // A request for which no other attempt would follow is no trial.
--- a/internal/forward/health_wait_test.go
+++ b/internal/forward/health_wait_test.go
@@ -23,7 +23,7 @@
 	toldAt        []time.Time
 }
 
-func (s *slowSource) TellHealth(words []health.Word, at time.Time) {
+func (s *slowSource) TellHealth(words []health.Report, at time.Time) {
 	s.once.Do(func() { close(s.entered) })
 	<-s.tell
 	s.toldAt = append(s.toldAt, at)
@@ -61,7 +61,7 @@
 	fail := func() {
 		_, one := healthFleet(fleet.Repeatable, 1)
 		one.Forwarder = f
-		one.observe(server, health.Unreached)
+		one.observe(server, health.Unreachable)
 	}
 	go fail()
 	go fail()
@@ -102,7 +102,7 @@
 	observe := func(server *target) {
 		_, w := healthFleet(fleet.Repeatable, 1)
 		w.Forwarder = f
-		w.observe(server, health.Unreached)
+		w.observe(server, health.Unreachable)
 	}
 	server := f.server("i-0")
 	told := make(chan struct{})
