--- a/coordination/dispatch/asked.go
+++ b/coordination/dispatch/asked.go
@@ -40,7 +40,7 @@
 // Ask is what a server asks of all entries in its answers, as these tell each other.
 type Ask struct {
 	Server string
-	Born   incarnation.Born
+	Born   incarnation.StartTime
 	// Leaving is set when the server is about to end.
 	Leaving bool
 	// Limited is set while the server names a rate, PerSecond.
--- a/coordination/dispatch/asked_test.go
+++ b/coordination/dispatch/asked_test.go
@@ -105,7 +105,7 @@
 	s.core.HearAsk(Ask{Server: "a1", Born: 5, Leaving: true}, s.now, s.now)
 	s.core.HearAsk(Ask{Server: "a2", Born: 5, Leaving: true}, s.now, s.now)
 	s.core.HearAsk(Ask{Server: "a3", Limited: true, PerSecond: 1}, s.now, s.now)
-	for id, born := range map[string]incarnation.Born{"a1": 5, "a2": 6, "a3": 0} {
+	for id, born := range map[string]incarnation.StartTime{"a1": 5, "a2": 6, "a3": 0} {
 		s.fleet.Servers = append(s.fleet.Servers, Server{ID: id, Service: "s", Address: id + ":1", Zone: "a", Slots: 16, Version: 1, HoldsModel: true, Born: born})
 	}
 	s.update()
--- a/coordination/dispatch/candidate.go
+++ b/coordination/dispatch/candidate.go
@@ -48,7 +48,7 @@
 	since time.Time
 	// next is the incarnation that the agent has told and the list has not; until endedTill this one
 	// counts as ended for that.
-	next      incarnation.Born
+	next      incarnation.StartTime
 	endedTill time.Time
 }
 
--- a/coordination/dispatch/kept.go
+++ b/coordination/dispatch/kept.go
@@ -13,7 +13,7 @@
 
 // keptServer is what is held of a server whose line has gone.
 type keptServer struct {
-	born  incarnation.Born
+	born  incarnation.StartTime
 	at    time.Time
 	sent  admission.Window
 	limit namedLimit
--- a/coordination/dispatch/messages.go
+++ b/coordination/dispatch/messages.go
@@ -27,7 +27,7 @@
 	// Revision orders the lines: of two with the same address the higher is the newer.
 	Revision uint64
 	// Born tells this life of the server from others under its ID.
-	Born incarnation.Born
+	Born incarnation.StartTime
 }
 
 // Service is what is published of a service.
@@ -92,7 +92,7 @@
 	// admission.ColdSpan.
 	Received int
 	// Born is that of the server that the word is on.
-	Born incarnation.Born
+	Born incarnation.StartTime
 }
 
 // Request is what a request wants of a server.
--- a/coordination/dispatch/restarted_test.go
+++ b/coordination/dispatch/restarted_test.go
@@ -11,7 +11,7 @@
 )
 
 // bears lists a server as one that has started again, with what it tells of itself then.
-func (s *script) bears(id string, born incarnation.Born, change func(*Server)) []Change {
+func (s *script) bears(id string, born incarnation.StartTime, change func(*Server)) []Change {
 	for index := range s.fleet.Servers {
 		if one := &s.fleet.Servers[index]; one.ID == id {
 			one.Born = born
@@ -79,7 +79,7 @@
 
 // A list and an agent that go on telling different births keep no server from being used for long.
 func TestBirthsThatNeverAgreeKeepNoServerOut(t *testing.T) {
-	for _, told := range []incarnation.Born{50, 200} {
+	for _, told := range []incarnation.StartTime{50, 200} {
 		s := newScript(t, "a1")
 		s.bears("a1", 100, nil)
 		for second := range 13 {
--- a/coordination/incarnation/incarnation.go
+++ b/coordination/incarnation/incarnation.go
@@ -1,13 +1,13 @@
 // Package incarnation tells the lives of a server apart that starts again under its name.
 package incarnation
 
-// Born is when a server has started, in Unix milliseconds of its own clock; 0 while that is not known.
+// StartTime is when a server has started, in Unix milliseconds of its own clock; 0 while that is not known.
 // It is only compared with others of the same server, so that the clock need not be right. Two lives
 // that began in the same millisecond are taken for one.
-type Born int64
+type StartTime int64
 
 // Before reports whether a server's life began before another one of it.
-func (b Born) Before(other Born) bool { return b != 0 && other != 0 && b < other }
+func (b StartTime) Before(other StartTime) bool { return b != 0 && other != 0 && b < other }
 
 // Differs reports whether two lives of a server are known not to be the same.
-func (b Born) Differs(other Born) bool { return b != 0 && other != 0 && b != other }
+func (b StartTime) Differs(other StartTime) bool { return b != 0 && other != 0 && b != other }
--- a/coordination/incarnation/incarnation_test.go
+++ b/coordination/incarnation/incarnation_test.go
@@ -7,12 +7,12 @@
 )
 
 func TestUnknownBirthTellsNothing(t *testing.T) {
-	assert.True(t, Born(1).Before(2))
-	assert.False(t, Born(2).Before(2))
-	assert.False(t, Born(0).Before(2))
-	assert.False(t, Born(2).Before(0))
-	assert.True(t, Born(1).Differs(2))
-	assert.False(t, Born(2).Differs(2))
-	assert.False(t, Born(0).Differs(2))
-	assert.False(t, Born(2).Differs(0))
+	assert.True(t, StartTime(1).Before(2))
+	assert.False(t, StartTime(2).Before(2))
+	assert.False(t, StartTime(0).Before(2))
+	assert.False(t, StartTime(2).Before(0))
+	assert.True(t, StartTime(1).Differs(2))
+	assert.False(t, StartTime(2).Differs(2))
+	assert.False(t, StartTime(0).Differs(2))
+	assert.False(t, StartTime(2).Differs(0))
 }
--- a/internal/catalog/asks.go
+++ b/internal/catalog/asks.go
@@ -35,12 +35,12 @@
 	Server string `cbor:"1,keyasint"`
 	Entry  string `cbor:"2,keyasint"`
 	// Number orders the words of one entry.
-	Number          uint64           `cbor:"3,keyasint"`
-	AgeMilliseconds int64            `cbor:"4,keyasint"`
-	Born            incarnation.Born `cbor:"5,keyasint,omitempty"`
-	Leaving         bool             `cbor:"6,keyasint,omitempty"`
-	Limited         bool             `cbor:"7,keyasint,omitempty"`
-	PerSecond       float64          `cbor:"8,keyasint,omitempty"`
+	Number          uint64                `cbor:"3,keyasint"`
+	AgeMilliseconds int64                 `cbor:"4,keyasint"`
+	Born            incarnation.StartTime `cbor:"5,keyasint,omitempty"`
+	Leaving         bool                  `cbor:"6,keyasint,omitempty"`
+	Limited         bool                  `cbor:"7,keyasint,omitempty"`
+	PerSecond       float64               `cbor:"8,keyasint,omitempty"`
 }
 
 // askBatch is what one process passes on at once.
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -82,7 +82,7 @@
 	serverKeys []string
 	faulty     faultyRecords
 	// formerIncarnations are the births of lines that were taken for late ones of a former incarnation, by key.
-	formerIncarnations map[string]incarnation.Born
+	formerIncarnations map[string]incarnation.StartTime
 	// ages tells how long ago records of versions were named, by key.
 	ages map[string]versionAge
 	// fresh is when the copy was last known to be current; regained is when that was
@@ -145,7 +145,7 @@
 	}
 	c := &Catalog{
 		options: options, started: time.Now(), agentOffset: rand.N(agentSpread), mirror: mirror.New(), changes: mirror.NewChanges(), heads: map[string]uint64{}, pulls: map[string]pull{},
-		servers: map[string]fleet.Server{}, formerIncarnations: map[string]incarnation.Born{}, faulty: newFaultyRecords(), ages: map[string]versionAge{}, lapsed: map[string]lapsedServer{},
+		servers: map[string]fleet.Server{}, formerIncarnations: map[string]incarnation.StartTime{}, faulty: newFaultyRecords(), ages: map[string]versionAge{}, lapsed: map[string]lapsedServer{},
 		statuses: map[string]heldStatus{}, links: map[string]*peerLink{}, backupOf: map[string]bool{}, kick: make(chan struct{}, 1), haste: make(chan struct{}, 1),
 		overlay: overlay.New(overlay.Options{
 			Self: options.Self, Zone: options.Zone, Relays: relaysPerZone, Gates: gatesPerZone, Feeders: feedersPerAgent,
@@ -379,7 +379,7 @@
 // isFormerIncarnation reports whether a line is a late one of a server's former incarnation: it began before the one
 // that is listed, and no other line has told the same. A server whose clock was set back tells it
 // with each heartbeat; one that has ended can have had one line under way. The mutex is held.
-func (c *Catalog) isFormerIncarnation(key string, born, listed incarnation.Born) bool {
+func (c *Catalog) isFormerIncarnation(key string, born, listed incarnation.StartTime) bool {
 	if !born.Before(listed) {
 		delete(c.formerIncarnations, key)
 		return false
--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -42,7 +42,7 @@
 	// Revision is the store's revision of the line.
 	Revision uint64
 	// Born tells this life of the server from others under its ID.
-	Born incarnation.Born
+	Born incarnation.StartTime
 }
 
 // NamedVersion is the newest published version of a model's weights.
@@ -125,7 +125,7 @@
 	// Pace is over 1 when the server is slow.
 	Pace float64
 	// Born tells this life of the server from others under its ID.
-	Born incarnation.Born
+	Born incarnation.StartTime
 }
 
 // StartOrder asks a server to take a staged version into service.
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -65,5 +65,5 @@
 	// admission.ColdSpan.
 	Received int `cbor:"18,keyasint,omitempty" json:"received"`
 	// Born is that of the server that the word is on; 0 when the server does not tell it.
-	Born incarnation.Born `cbor:"19,keyasint,omitempty" json:"born"`
+	Born incarnation.StartTime `cbor:"19,keyasint,omitempty" json:"born"`
 }
