--- a/coordination/silence/loss_test.go
+++ b/coordination/silence/loss_test.go
@@ -19,7 +19,7 @@
 		acked, answered time.Duration
 		open            bool
 	}
-	judge := NewJudge()
+	judge := NewDetector()
 	var calls []*call
 	now := time.Second
 	next := now
@@ -39,10 +39,10 @@
 				pool[s] = idle[:len(idle)-1]
 			} else {
 				id++
-				c = &call{obs: Observation{ID: id, Server: s, Opened: now, Heard: now, Known: true, Packet: now, Usual: 120 * ms, Expected: 120 * ms, Repeatable: repeatable}}
+				c = &call{obs: Observation{ID: id, Server: s, Opened: now, LastRead: now, HasTCPInfo: true, LastPacket: now, UsualWait: 120 * ms, ExpectedWait: 120 * ms, Repeatable: repeatable}}
 				calls = append(calls, c)
 			}
-			c.open, c.obs.Waiting, c.obs.Asked = true, true, now
+			c.open, c.obs.Waiting, c.obs.Requested = true, true, now
 			c.acked = now + ms
 			wait := 200 * ms
 			for r.Float64() < loss {
@@ -64,12 +64,12 @@
 			o := &c.obs
 			if o.Waiting {
 				if now >= c.acked {
-					o.Packet, o.Unacknowledged, o.Acknowledged = max(o.Packet, c.acked), 0, true
+					o.LastPacket, o.Unacknowledged, o.Acknowledged = max(o.LastPacket, c.acked), 0, true
 				} else {
-					o.Unacknowledged, o.Acknowledged = min(now-o.Asked, now-o.Packet), false
+					o.Unacknowledged, o.Acknowledged = min(now-o.Requested, now-o.LastPacket), false
 				}
 				if now >= c.answered {
-					o.Waiting, o.Heard, o.Packet = false, c.answered, c.answered
+					o.Waiting, o.LastRead, o.LastPacket = false, c.answered, c.answered
 					pool[o.Server] = append(pool[o.Server], c)
 				}
 			}
@@ -78,10 +78,10 @@
 		}
 		calls = kept
 		verdict := judge.Tick(now, all)
-		for _, s := range verdict.Try {
-			judge.Connected(s, now, true)
+		for _, s := range verdict.Probe {
+			judge.RecordProbe(s, now, true)
 		}
-		for _, d := range verdict.Distrust {
+		for _, d := range verdict.Silent {
 			if d.Server == "" && !d.ByAnswers {
 				common++
 			} else if !d.ByAnswers {
--- a/coordination/silence/silence.go
+++ b/coordination/silence/silence.go
@@ -58,67 +58,67 @@
 	Opened time.Duration
 	// Waiting is set while an answer or a further part of one is awaited, Asked when the
 	// request was sent.
-	Waiting bool
-	Asked   time.Duration
+	Waiting   bool
+	Requested time.Duration
 	// Repeatable is set when the request may be sent again.
 	Repeatable bool
-	// Heard is when the last byte was read, or the time of Opened.
-	Heard time.Duration
-	// Usual is how long the next byte usually takes.
-	Usual time.Duration
-	// Expected is how long the answer heard last was expected to take to begin.
-	Expected time.Duration
-	// Known is set when the kernel has told the next three fields.
-	Known bool
+	// LastRead is when the last byte was read, or the time of Opened.
+	LastRead time.Duration
+	// UsualWait is how long the next byte usually takes.
+	UsualWait time.Duration
+	// ExpectedWait is how long the answer heard last was expected to take to begin.
+	ExpectedWait time.Duration
+	// HasTCPInfo is set when the kernel has told the next three fields.
+	HasTCPInfo bool
 	// Unacknowledged is how long bytes or a probe have been waiting to be acknowledged; 0
 	// when none are.
 	Unacknowledged time.Duration
 	// Acknowledged is set when all that was sent has been acknowledged.
 	Acknowledged bool
-	// Packet is when the last packet came in.
-	Packet time.Duration
+	// LastPacket is when the last packet came in.
+	LastPacket time.Duration
 }
 
 // lastSign is when the connection was last known to work.
 func (o Observation) lastSign() time.Duration {
-	if o.Known {
-		return max(o.Heard, o.Packet)
+	if o.HasTCPInfo {
+		return max(o.LastRead, o.LastPacket)
 	}
-	return o.Heard
+	return o.LastRead
 }
 
 // mute is how long an answer has been awaited without a byte.
-func (o Observation) mute(now time.Duration) time.Duration { return now - max(o.Asked, o.Heard) }
+func (o Observation) mute(now time.Duration) time.Duration { return now - max(o.Requested, o.LastRead) }
 
 // suspect reports whether a connection that carries a request looks silent itself: what was sent
 // is not acknowledged, or the answer to a request that may be repeated is overdue. One that was
 // acknowledged and whose answer has not begun waits at a server that is at work: if the connection
 // goes silent, a probe stays unacknowledged.
-func (j *Judge) suspect(o Observation, now time.Duration) bool {
+func (j *Detector) suspect(o Observation, now time.Duration) bool {
 	if !o.Waiting {
 		return false
 	}
-	queued := o.Acknowledged && o.Heard <= o.Asked
+	queued := o.Acknowledged && o.LastRead <= o.Requested
 	return o.Unacknowledged > 0 || (o.Repeatable && !queued && j.overdue(o, now))
 }
 
-// Distrust names connections that are not to be believed any more: those that were opened
+// SilentSet names connections that are not to be believed any more: those that were opened
 // up to a moment and have shown no sign of life since.
-type Distrust struct {
+type SilentSet struct {
 	// Server limits it to one server; empty for all.
 	Server string
 	Before time.Duration
-	// Proof are the connections that were found silent.
-	Proof []uint64
-	// Suspect are the connections that carry a request and look silent themselves; others
+	// Confirmed are the connections that were found silent.
+	Confirmed []uint64
+	// Suspects are the connections that carry a request and look silent themselves; others
 	// that carry one are spared, but for those of ByAnswers. With them 0.76 to 0.96 of the calls
 	// begun in the half second after a silence at rest are in time, with the proof alone 0.68 to
 	// 0.76 (nine and six plays); the streams under way at a single silent server pause for 0.5 to
 	// 0.6 s instead of 1.1 s in seven plays of nine.
-	Suspect []uint64
-	// RestingOnly spares the connections that carry a request, other than the proof: two
+	Suspects []uint64
+	// IdleOnly spares the connections that carry a request, other than the proof: two
 	// packets lost in a row make a single connection look silent.
-	RestingOnly bool
+	IdleOnly bool
 	// Working are the servers with older connections that have shown signs of life since: what
 	// looks silent there has lost packets. Their connections are spared, but for the proof.
 	Working []string
@@ -129,11 +129,11 @@
 }
 
 // Covers reports whether a connection is distrusted.
-func (d Distrust) Covers(o Observation) bool {
-	if slices.Contains(d.Proof, o.ID) {
+func (d SilentSet) Covers(o Observation) bool {
+	if slices.Contains(d.Confirmed, o.ID) {
 		return true
 	}
-	if (d.Server != "" && d.Server != o.Server) || (d.RestingOnly && o.Waiting) || slices.Contains(d.Working, o.Server) {
+	if (d.Server != "" && d.Server != o.Server) || (d.IdleOnly && o.Waiting) || slices.Contains(d.Working, o.Server) {
 		return false
 	}
 	if o.Waiting && !d.coversCarrying(o) {
@@ -141,24 +141,24 @@
 	}
 	sign := o.lastSign()
 	if d.ByAnswers {
-		sign = o.Heard
+		sign = o.LastRead
 	}
 	return o.Opened <= d.Before && sign <= d.Before
 }
 
 // coversCarrying reports whether a connection can be distrusted though it carries a request.
-func (d Distrust) coversCarrying(o Observation) bool {
+func (d SilentSet) coversCarrying(o Observation) bool {
 	if d.ByAnswers {
 		return o.Repeatable
 	}
-	return slices.Contains(d.Suspect, o.ID)
+	return slices.Contains(d.Suspects, o.ID)
 }
 
-// Verdict is what follows from a tick.
-type Verdict struct {
-	// Try are the servers to which a new connection is to be made, as a proof.
-	Try      []string
-	Distrust []Distrust
+// Result is what follows from a tick.
+type Result struct {
+	// Probe are the servers to which a new connection is to be made, as a proof.
+	Probe  []string
+	Silent []SilentSet
 }
 
 // trial is what new connections to a server have shown.
@@ -170,8 +170,8 @@
 	seen time.Duration
 }
 
-// Judge keeps what outlasts a tick.
-type Judge struct {
+// Detector keeps what outlasts a tick.
+type Detector struct {
 	ticked  bool
 	last    time.Duration
 	resumed time.Duration
@@ -185,22 +185,22 @@
 	pruned time.Duration
 }
 
-// NewJudge returns a judge that has seen nothing.
-func NewJudge() *Judge {
-	return &Judge{trials: map[string]*trial{}, silentAt: map[string]time.Duration{}, askedAt: map[string]time.Duration{}, signAt: map[string]time.Duration{}}
+// NewDetector returns a judge that has seen nothing.
+func NewDetector() *Detector {
+	return &Detector{trials: map[string]*trial{}, silentAt: map[string]time.Duration{}, askedAt: map[string]time.Duration{}, signAt: map[string]time.Duration{}}
 }
 
-// Skip stands for a tick at which nothing has been awaited for long, so that there is nothing
+// SkipTick stands for a tick at which nothing has been awaited for long, so that there is nothing
 // to look at but whether the process itself was paused.
-func (j *Judge) Skip(now time.Duration) {
+func (j *Detector) SkipTick(now time.Duration) {
 	if j.ticked && now-j.last > pauseLeast {
 		j.resumed = now
 	}
 	j.ticked, j.last = true, now
 }
 
-// Connected notes how the try of a new connection has ended that began at some moment.
-func (j *Judge) Connected(server string, began time.Duration, succeeded bool) {
+// RecordProbe notes how the try of a new connection has ended that began at some moment.
+func (j *Detector) RecordProbe(server string, began time.Duration, succeeded bool) {
 	one := j.trialOf(server)
 	one.under = false
 	one.seen = max(one.seen, began)
@@ -209,7 +209,7 @@
 	}
 }
 
-func (j *Judge) trialOf(server string) *trial {
+func (j *Detector) trialOf(server string) *trial {
 	one := j.trials[server]
 	if one == nil {
 		one = &trial{tried: -tryPause}
@@ -219,14 +219,14 @@
 }
 
 // Tick looks at all connections, the resting ones among them.
-func (j *Judge) Tick(now time.Duration, all []Observation) Verdict {
-	j.Skip(now)
+func (j *Detector) Tick(now time.Duration, all []Observation) Result {
+	j.SkipTick(now)
 	for _, one := range all {
 		fresh := j.trialOf(one.Server)
 		fresh.answered, fresh.seen = max(fresh.answered, one.Opened), now
 	}
 	j.prune(now)
-	var verdict Verdict
+	var verdict Result
 	// Each finds what the other does not: alone, the first leaves streams under way a pause of
 	// 1.1 s where the middlebox acknowledges, the second a lone stream a wait of 1.1 s.
 	j.judgeUnacknowledged(now, all, &verdict)
@@ -235,7 +235,7 @@
 }
 
 // prune forgets the servers that have not been seen for long.
-func (j *Judge) prune(now time.Duration) {
+func (j *Detector) prune(now time.Duration) {
 	if now-j.pruned < memoryTime {
 		return
 	}
@@ -252,12 +252,12 @@
 
 // judgeUnacknowledged goes by what the kernel tells: bytes that stay unacknowledged on a
 // connection while a later one to the same server came up.
-func (j *Judge) judgeUnacknowledged(now time.Duration, all []Observation, verdict *Verdict) {
-	found := map[string]*Distrust{}
+func (j *Detector) judgeUnacknowledged(now time.Duration, all []Observation, verdict *Result) {
+	found := map[string]*SilentSet{}
 	signs := map[string]time.Duration{}
 	for _, one := range all {
 		waited := min(one.Unacknowledged, now-j.resumed)
-		if !one.Known || !one.Waiting || waited < UnacknowledgedLimit {
+		if !one.HasTCPInfo || !one.Waiting || waited < UnacknowledgedLimit {
 			continue
 		}
 		since := now - one.Unacknowledged
@@ -265,17 +265,17 @@
 		if known.answered <= since {
 			if !known.under && now-known.tried >= tryPause {
 				known.under, known.tried = true, now
-				verdict.Try = append(verdict.Try, one.Server)
+				verdict.Probe = append(verdict.Probe, one.Server)
 			}
 			continue
 		}
 		silent := found[one.Server]
 		if silent == nil {
-			silent = &Distrust{Server: one.Server, Before: since}
+			silent = &SilentSet{Server: one.Server, Before: since}
 			found[one.Server] = silent
 		}
 		silent.Before = min(silent.Before, since)
-		silent.Proof = append(silent.Proof, one.ID)
+		silent.Confirmed = append(silent.Confirmed, one.ID)
 		if sign, known := signs[one.Server]; !known || one.lastSign() < sign {
 			signs[one.Server] = one.lastSign()
 		}
@@ -289,18 +289,18 @@
 			suspects = append(suspects, one.ID)
 		}
 	}
-	common := Distrust{Suspect: suspects}
+	common := SilentSet{Suspects: suspects}
 	for server, silent := range found {
-		silent.Suspect = suspects
+		silent.Suspects = suspects
 		j.silentAt[server], j.askedAt[server], j.signAt[server] = now, silent.Before, signs[server]
-		silent.RestingOnly = len(silent.Proof) < proofLeast
-		if silent.RestingOnly && works(server, signs[server], silent.Before, all) {
+		silent.IdleOnly = len(silent.Confirmed) < proofLeast
+		if silent.IdleOnly && works(server, signs[server], silent.Before, all) {
 			silent.Working = []string{server}
 		}
-		verdict.Distrust = append(verdict.Distrust, *silent)
-		common.Proof = append(common.Proof, silent.Proof...)
+		verdict.Silent = append(verdict.Silent, *silent)
+		common.Confirmed = append(common.Confirmed, silent.Confirmed...)
 	}
-	slices.Sort(common.Proof)
+	slices.Sort(common.Confirmed)
 	silent := j.silentTogether(now, all)
 	if len(silent) < serversLeast {
 		return
@@ -310,13 +310,13 @@
 		common.Before = min(common.Before, j.askedAt[server])
 	}
 	common.Working = working(j.earliestSign(silent), j.latestAsked(silent), all)
-	verdict.Distrust = append(verdict.Distrust, common)
+	verdict.Silent = append(verdict.Silent, common)
 }
 
 // silentTogether are the servers with connections that were found silent a short time ago and that
 // do not work since the last of these began to be: an earlier sign of life shows nothing of a
 // silence that began after it, say right after a loss.
-func (j *Judge) silentTogether(now time.Duration, all []Observation) []string {
+func (j *Detector) silentTogether(now time.Duration, all []Observation) []string {
 	var recent []string
 	for server, at := range j.silentAt {
 		if now-at <= provenTime {
@@ -328,7 +328,7 @@
 }
 
 // latestAsked is when the last of some servers began to look silent.
-func (j *Judge) latestAsked(servers []string) (latest time.Duration) {
+func (j *Detector) latestAsked(servers []string) (latest time.Duration) {
 	for _, server := range servers {
 		latest = max(latest, j.askedAt[server])
 	}
@@ -336,7 +336,7 @@
 }
 
 // earliestSign is when the first of some servers that look silent had last shown a sign of life.
-func (j *Judge) earliestSign(servers []string) time.Duration {
+func (j *Detector) earliestSign(servers []string) time.Duration {
 	earliest := j.signAt[servers[0]]
 	for _, server := range servers {
 		earliest = min(earliest, j.signAt[server])
@@ -369,7 +369,7 @@
 // acknowledged by somebody who does not pass them on: several servers owe answers on older
 // connections, none of which has brought a byte, and answer on newer ones. Only requests that
 // may be repeated count, because only these are ended by it.
-func (j *Judge) judgeOverdue(now time.Duration, all []Observation, verdict *Verdict) {
+func (j *Detector) judgeOverdue(now time.Duration, all []Observation, verdict *Result) {
 	overdue := slices.DeleteFunc(slices.Clone(all), func(o Observation) bool { return !o.Repeatable || !j.overdue(o, now) })
 	if !enough(overdue, overdueLeast) {
 		return
@@ -377,11 +377,11 @@
 	var latest, mute, heard time.Duration
 	for _, one := range overdue {
 		latest = max(latest, one.Opened)
-		mute = max(mute, one.Asked, one.Heard)
+		mute = max(mute, one.Requested, one.LastRead)
 	}
 	for _, one := range all {
 		if one.Opened <= latest {
-			heard = max(heard, one.Heard)
+			heard = max(heard, one.LastRead)
 		}
 	}
 	if now-max(heard, j.resumed) < muteLeast {
@@ -390,7 +390,7 @@
 	var fresh []Observation
 	for _, one := range all {
 		owed := slices.ContainsFunc(overdue, func(old Observation) bool { return old.Server == one.Server })
-		if owed && one.Opened > max(latest, heard) && one.Heard > max(one.Opened, mute) {
+		if owed && one.Opened > max(latest, heard) && one.LastRead > max(one.Opened, mute) {
 			fresh = append(fresh, one)
 		}
 	}
@@ -398,26 +398,26 @@
 	if !enough(proven, overdueLeast) {
 		return
 	}
-	common := Distrust{Before: max(latest, heard), ByAnswers: true}
+	common := SilentSet{Before: max(latest, heard), ByAnswers: true}
 	for _, one := range proven {
-		common.Proof = append(common.Proof, one.ID)
+		common.Confirmed = append(common.Confirmed, one.ID)
 	}
-	verdict.Distrust = append(verdict.Distrust, common)
+	verdict.Silent = append(verdict.Silent, common)
 }
 
-func (j *Judge) overdue(o Observation, now time.Duration) bool {
+func (j *Detector) overdue(o Observation, now time.Duration) bool {
 	if !o.Waiting {
 		return false
 	}
 	mute := min(o.mute(now), now-j.resumed)
-	return mute >= max(muteLeast, muteFactor*o.Usual)
+	return mute >= max(muteLeast, muteFactor*o.UsualWait)
 }
 
 // refuted reports whether newer connections have brought enough answers that were expected to
 // take at least as long as an overdue one: a light request that overtakes a heavy one shows
 // nothing.
 func refuted(overdue Observation, fresh []Observation) bool {
-	as := slices.DeleteFunc(slices.Clone(fresh), func(o Observation) bool { return o.Expected < overdue.Usual })
+	as := slices.DeleteFunc(slices.Clone(fresh), func(o Observation) bool { return o.ExpectedWait < overdue.UsualWait })
 	return enough(as, freshLeast)
 }
 
--- a/coordination/silence/silence_test.go
+++ b/coordination/silence/silence_test.go
@@ -15,16 +15,16 @@
 
 // world is a script's connections, which a judge looks at each tick.
 type world struct {
-	judge *Judge
+	judge *Detector
 	now   time.Duration
 	open  []Observation
 }
 
-func newWorld() *world { return &world{judge: NewJudge(), now: time.Second} }
+func newWorld() *world { return &world{judge: NewDetector(), now: time.Second} }
 
 // kept adds a connection that was opened long ago and has just been heard.
 func (w *world) kept(server string) *Observation {
-	w.open = append(w.open, Observation{ID: uint64(len(w.open) + 1), Server: server, Opened: w.now - 500*ms, Heard: w.now, Known: true, Packet: w.now, Usual: 60 * ms, Expected: 60 * ms})
+	w.open = append(w.open, Observation{ID: uint64(len(w.open) + 1), Server: server, Opened: w.now - 500*ms, LastRead: w.now, HasTCPInfo: true, LastPacket: w.now, UsualWait: 60 * ms, ExpectedWait: 60 * ms})
 	return &w.open[len(w.open)-1]
 }
 
@@ -43,37 +43,37 @@
 	}
 	w.now += after
 	for index := range w.open[first:] {
-		w.open[first+index].Heard, w.open[first+index].Expected = w.now, expected
+		w.open[first+index].LastRead, w.open[first+index].ExpectedWait = w.now, expected
 	}
 }
 
 // ask sends a request on a connection, which may run once.
 func (w *world) ask(id int) {
-	w.open[id-1].Waiting, w.open[id-1].Asked = true, w.now
+	w.open[id-1].Waiting, w.open[id-1].Requested = true, w.now
 }
 
 // pass lets time pass, with ticks; unacknowledged connections stay so.
-func (w *world) pass(time time.Duration, unacknowledged ...int) (all []Verdict) {
+func (w *world) pass(time time.Duration, unacknowledged ...int) (all []Result) {
 	for end := w.now + time; w.now < end; {
 		w.now += tick
 		for _, id := range unacknowledged {
-			w.open[id-1].Unacknowledged = w.now - w.open[id-1].Asked
+			w.open[id-1].Unacknowledged = w.now - w.open[id-1].Requested
 		}
 		all = append(all, w.judge.Tick(w.now, w.open))
 	}
 	return all
 }
 
-func tried(all []Verdict) (servers []string) {
+func tried(all []Result) (servers []string) {
 	for _, one := range all {
-		servers = append(servers, one.Try...)
+		servers = append(servers, one.Probe...)
 	}
 	return servers
 }
 
-func distrusts(all []Verdict) (found []Distrust) {
+func distrusts(all []Result) (found []SilentSet) {
 	for _, one := range all {
-		found = append(found, one.Distrust...)
+		found = append(found, one.Silent...)
 	}
 	return found
 }
@@ -89,7 +89,7 @@
 	all := w.pass(300*ms, 1)
 	assert.Equal(t, []string{"a"}, tried(all))
 	assert.Empty(t, distrusts(all))
-	w.judge.Connected("a", w.now, true)
+	w.judge.RecordProbe("a", w.now, true)
 	found := distrusts(w.pass(tick, 1))
 	assert.Len(t, found, 1)
 	assert.True(t, found[0].Covers(w.open[0]))
@@ -110,9 +110,9 @@
 	w.ask(2)
 	w.askAgain(3)
 	w.pass(275*ms, 1, 2)
-	w.judge.Connected("a", w.now, true)
-	w.judge.Connected("b", w.now, true)
-	w.open[3].Packet = w.now
+	w.judge.RecordProbe("a", w.now, true)
+	w.judge.RecordProbe("b", w.now, true)
+	w.open[3].LastPacket = w.now
 	found := distrusts(w.pass(tick, 1, 2))
 	common := found[len(found)-1]
 	assert.Empty(t, common.Server)
@@ -128,7 +128,7 @@
 	w.ask(1)
 	w.ask(2)
 	w.pass(300*ms, 1, 2)
-	w.judge.Connected("a", w.now, false)
+	w.judge.RecordProbe("a", w.now, false)
 	all := w.pass(2*time.Second, 1, 2)
 	assert.Empty(t, distrusts(all))
 	assert.LessOrEqual(t, len(tried(all)), 4, "tries are rare")
@@ -140,7 +140,7 @@
 	w.kept("a")
 	w.ask(1)
 	all := w.pass(225*ms, 1)
-	w.open[0].Unacknowledged, w.open[0].Packet = 0, w.now
+	w.open[0].Unacknowledged, w.open[0].LastPacket = 0, w.now
 	all = append(all, w.pass(2*time.Second)...)
 	assert.Empty(t, tried(all))
 	assert.Empty(t, distrusts(all))
@@ -155,7 +155,7 @@
 	for id := 1; id <= 3; id++ {
 		w.askAgain(id)
 	}
-	w.judge.Skip(w.now)
+	w.judge.SkipTick(w.now)
 	w.now += 3 * time.Second
 	all := w.pass(100*ms, 1, 2, 3)
 	assert.Empty(t, tried(all))
@@ -180,7 +180,7 @@
 	}
 	w.now += tick
 	for id := 5; id <= 7; id++ {
-		w.open[id-1].Heard = w.now
+		w.open[id-1].LastRead = w.now
 	}
 	found := distrusts(w.pass(tick))
 	assert.Len(t, found, 1)
@@ -205,9 +205,9 @@
 	all := w.pass(2 * time.Second)
 	assert.Empty(t, distrusts(all), "the new connection is mute too")
 	w.answered(60*ms, 60*ms, "a", "b", "b")
-	w.open[3].Heard = w.now - 100*ms
+	w.open[3].LastRead = w.now - 100*ms
 	assert.Empty(t, distrusts(w.pass(tick)), "an old connection has been heard")
-	w.open[3].Heard = w.now - time.Second
+	w.open[3].LastRead = w.now - time.Second
 	assert.NotEmpty(t, distrusts(w.pass(tick)), "none has")
 }
 
@@ -299,16 +299,16 @@
 			// A stream that only reads, and an answer that brings a part now and then.
 			for _, id := range []int{5, 7} {
 				w.askAgain(id)
-				w.open[id-1].Acknowledged, w.open[id-1].Asked = true, w.now-200*ms
+				w.open[id-1].Acknowledged, w.open[id-1].Requested = true, w.now-200*ms
 			}
-			w.open[6].Heard = w.now
+			w.open[6].LastRead = w.now
 			w.pass(one.sign, 1, 2)
-			w.open[6].Heard, w.open[6].Packet = w.now, w.now
+			w.open[6].LastRead, w.open[6].LastPacket = w.now, w.now
 			w.pass(100*ms-one.sign, 1, 2)
 			w.askAgain(8)
 			w.pass(175*ms, 1, 2)
 			for _, server := range one.servers {
-				w.judge.Connected(server, w.now, true)
+				w.judge.RecordProbe(server, w.now, true)
 			}
 			found := distrusts(w.pass(tick, 1, 2, 8))
 			for id, distrusted := range one.covered {
@@ -319,8 +319,8 @@
 }
 
 // coveredByAny reports whether one of some verdicts distrusts a connection.
-func coveredByAny(found []Distrust, o Observation) bool {
-	return slices.ContainsFunc(found, func(one Distrust) bool { return one.Covers(o) })
+func coveredByAny(found []SilentSet, o Observation) bool {
+	return slices.ContainsFunc(found, func(one SilentSet) bool { return one.Covers(o) })
 }
 
 // Seen: links that lost one packet in twenty had up to 86 connections given up within four
@@ -354,14 +354,14 @@
 			w.ask(2)
 			w.pass(signLeast+tick, 1, 2)
 			for _, id := range one.working {
-				w.open[id-1].Heard = w.now
+				w.open[id-1].LastRead = w.now
 			}
 			for _, server := range one.fresh {
-				w.kept(server).Opened = w.open[0].Heard + time.Millisecond
+				w.kept(server).Opened = w.open[0].LastRead + time.Millisecond
 			}
 			w.pass(UnacknowledgedLimit-signLeast, 1, 2)
-			w.judge.Connected("a", w.now, true)
-			w.judge.Connected("b", w.now, true)
+			w.judge.RecordProbe("a", w.now, true)
+			w.judge.RecordProbe("b", w.now, true)
 			found := distrusts(w.pass(tick, 1, 2))
 			for id, distrusted := range one.covered {
 				assert.Equal(t, distrusted, coveredByAny(found, w.open[id]), "connection %d", id+1)
@@ -383,16 +383,16 @@
 			w.pass(2 * tick)
 			w.ask(1) // its packet is lost, and the one after it falls into the silence
 			w.pass(6*tick, 1)
-			w.open[3].Heard, w.open[3].Packet = w.now, w.now
+			w.open[3].LastRead, w.open[3].LastPacket = w.now, w.now
 			w.pass(tick, 1)
 			for _, id := range unacknowledged[1:] {
 				w.ask(id)
 			}
-			var found []Distrust
+			var found []SilentSet
 			for step := range 20 {
 				if step > 2 {
-					w.judge.Connected("a", w.now, true)
-					w.judge.Connected("b", w.now, true)
+					w.judge.RecordProbe("a", w.now, true)
+					w.judge.RecordProbe("b", w.now, true)
 				}
 				for _, one := range distrusts(w.pass(tick, unacknowledged...)) {
 					found = append(found, one)
@@ -416,7 +416,7 @@
 	w.kept("a")
 	w.ask(1)
 	w.pass(275*ms, 1)
-	w.judge.Connected("a", w.now, true)
+	w.judge.RecordProbe("a", w.now, true)
 	assert.NotEmpty(t, distrusts(w.pass(tick, 1)))
 	w.open = nil
 	w.kept("b")
--- a/internal/forward/silence.go
+++ b/internal/forward/silence.go
@@ -36,13 +36,13 @@
 	started time.Time
 
 	mutex  sync.Mutex
-	judge  *silence.Judge
+	judge  *silence.Detector
 	open   map[*connection]bool
 	nextID uint64
 }
 
 func newWatch(log *logging.Logger, metrics *metrics, started time.Time) *watch {
-	return &watch{log: log, metrics: metrics, started: started, judge: silence.NewJudge(), open: map[*connection]bool{}}
+	return &watch{log: log, metrics: metrics, started: started, judge: silence.NewDetector(), open: map[*connection]bool{}}
 }
 
 func (v *watch) now() time.Duration { return time.Since(v.started) }
@@ -103,12 +103,12 @@
 	defer v.mutex.Unlock()
 	now := v.now()
 	if !v.worthALook(now) {
-		v.judge.Skip(now)
+		v.judge.SkipTick(now)
 		return
 	}
 	all, connections := v.observe(now)
 	verdict := v.judge.Tick(now, all)
-	for _, server := range verdict.Try {
+	for _, server := range verdict.Probe {
 		for _, one := range connections {
 			if one.target.Address == server {
 				go v.try(ctx, one.target)
@@ -116,7 +116,7 @@
 			}
 		}
 	}
-	for _, distrust := range verdict.Distrust {
+	for _, distrust := range verdict.Silent {
 		v.giveUp(now, distrust, all, connections)
 	}
 }
@@ -150,12 +150,12 @@
 	}
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	v.judge.Connected(chosen.Address, began, err == nil)
+	v.judge.RecordProbe(chosen.Address, began, err == nil)
 }
 
 // giveUp ends the connections that are distrusted: resting ones are closed, requests on the
 // others learn of it. The mutex is held.
-func (v *watch) giveUp(now time.Duration, distrust silence.Distrust, all []silence.Observation, connections []*connection) {
+func (v *watch) giveUp(now time.Duration, distrust silence.SilentSet, all []silence.Observation, connections []*connection) {
 	resting, carrying := 0, 0
 	for index, one := range connections {
 		if !distrust.Covers(all[index]) || one.silent.Swap(true) {
@@ -175,10 +175,10 @@
 	if distrust.ByAnswers {
 		by = "unanswered"
 	}
-	proof := min(len(distrust.Proof), resting+carrying)
+	proof := min(len(distrust.Confirmed), resting+carrying)
 	v.metrics.silent.WithLabelValues(by).Add(float64(proof))
 	v.metrics.silent.WithLabelValues("distrusted").Add(float64(resting + carrying - proof))
-	v.log.Log(logging.ConnectionsSilent, zap.String("server", distrust.Server), zap.String("by", by), zap.Int("proof", len(distrust.Proof)),
+	v.log.Log(logging.ConnectionsSilent, zap.String("server", distrust.Server), zap.String("by", by), zap.Int("proof", len(distrust.Confirmed)),
 		zap.Int("with_requests", carrying), zap.Int("resting", resting), zap.Duration("older_than", now-distrust.Before))
 }
 
@@ -186,15 +186,15 @@
 func (c *connection) observe(now time.Duration) silence.Observation {
 	seen := silence.Observation{
 		ID: c.id, Server: c.target.Address, Opened: c.opened, Waiting: c.carrying.Load() && !c.silent.Load(),
-		Asked: time.Duration(c.asked.Load()), Heard: time.Duration(c.heard.Load()), Usual: time.Duration(c.usual.Load()),
-		Expected: time.Duration(c.expected.Load()), Repeatable: c.repeatable.Load(),
+		Requested: time.Duration(c.asked.Load()), LastRead: time.Duration(c.heard.Load()), UsualWait: time.Duration(c.usual.Load()),
+		ExpectedWait: time.Duration(c.expected.Load()), Repeatable: c.repeatable.Load(),
 	}
-	mute := now - max(seen.Asked, seen.Heard)
+	mute := now - max(seen.Requested, seen.LastRead)
 	if !seen.Waiting || mute < inspectAfter {
 		return seen
 	}
 	if state, known := network.ReadTransport(c.net); known {
-		seen.Known, seen.Unacknowledged, seen.Acknowledged, seen.Packet = true, state.Unacknowledged(mute), !state.Waiting, now-state.SinceHeard
+		seen.HasTCPInfo, seen.Unacknowledged, seen.Acknowledged, seen.LastPacket = true, state.Unacknowledged(mute), !state.Waiting, now-state.SinceHeard
 	}
 	return seen
 }
