--- a/coordination/liveness/liveness.go
+++ b/coordination/liveness/liveness.go
@@ -9,21 +9,21 @@
 type Options struct {
 	// Heartbeat is the period at which a silent process still sends a sign of life.
 	Heartbeat time.Duration
-	// Suspect is the silence after which a process is taken for dead.
-	Suspect time.Duration
-	// Pause is the gap between two ticks of the judge after which its own view is void.
-	Pause time.Duration
+	// SuspectAfter is the silence after which a process is taken for dead.
+	SuspectAfter time.Duration
+	// MaxTickGap is the gap between two ticks of the judge after which its own view is void.
+	MaxTickGap time.Duration
 }
 
 func (o Options) applyDefaults() Options {
 	if o.Heartbeat == 0 {
 		o.Heartbeat = 2 * time.Second
 	}
-	if o.Suspect == 0 {
-		o.Suspect = 5 * time.Second
+	if o.SuspectAfter == 0 {
+		o.SuspectAfter = 5 * time.Second
 	}
-	if o.Pause == 0 {
-		o.Pause = 3 * time.Second
+	if o.MaxTickGap == 0 {
+		o.MaxTickGap = 3 * time.Second
 	}
 	return o
 }
@@ -44,8 +44,8 @@
 // Options returns the periods in force.
 func (d *Detector) Options() Options { return d.options }
 
-// Heard records a sign of life.
-func (d *Detector) Heard(process string, now time.Duration) { d.heard[process] = now }
+// RecordActivity records a sign of life.
+func (d *Detector) RecordActivity(process string, now time.Duration) { d.heard[process] = now }
 
 // Forget drops a process.
 func (d *Detector) Forget(process string) { delete(d.heard, process) }
@@ -54,7 +54,7 @@
 // After a pause of the judge itself nobody is suspected: every process gets a
 // whole period anew, and paused is true.
 func (d *Detector) Tick(now time.Duration) (suspects []string, paused bool) {
-	paused = d.ticked && now-d.lastTick > d.options.Pause
+	paused = d.ticked && now-d.lastTick > d.options.MaxTickGap
 	d.lastTick, d.ticked = now, true
 	if paused {
 		for process := range d.heard {
@@ -63,7 +63,7 @@
 		return nil, true
 	}
 	for process, at := range d.heard {
-		if now-at > d.options.Suspect {
+		if now-at > d.options.SuspectAfter {
 			suspects = append(suspects, process)
 			delete(d.heard, process)
 		}
--- a/coordination/liveness/roundtrips.go
+++ b/coordination/liveness/roundtrips.go
@@ -35,8 +35,8 @@
 	return &RoundTrips{period: period, peers: map[string]*roundTrip{}}
 }
 
-// Probe returns the number to send to a peer now; 0 means that none is due.
-func (r *RoundTrips) Probe(peer string, now time.Duration) uint64 {
+// NextProbe returns the number to send to a peer now; 0 means that none is due.
+func (r *RoundTrips) NextProbe(peer string, now time.Duration) uint64 {
 	known := r.peers[peer]
 	if known == nil {
 		known = &roundTrip{sent: map[uint64]time.Duration{}, asked: now - r.period}
@@ -59,8 +59,8 @@
 	delete(k.sent, slices.Min(slices.Collect(maps.Keys(k.sent))))
 }
 
-// Answered notes the answer to a probe. Earlier probes are not waited for any more.
-func (r *RoundTrips) Answered(peer string, probe uint64, now time.Duration) {
+// RecordReply notes the answer to a probe. Earlier probes are not waited for any more.
+func (r *RoundTrips) RecordReply(peer string, probe uint64, now time.Duration) {
 	known := r.peers[peer]
 	if known == nil {
 		return
@@ -77,8 +77,8 @@
 	}
 }
 
-// Keep drops every peer but those given.
-func (r *RoundTrips) Keep(peers map[string]bool) {
+// RetainOnly drops every peer but those given.
+func (r *RoundTrips) RetainOnly(peers map[string]bool) {
 	for peer := range r.peers {
 		if !peers[peer] {
 			delete(r.peers, peer)
@@ -86,10 +86,10 @@
 	}
 }
 
-// Least returns the time of the quickest peer: the last time measured, or that for
+// Min returns the time of the quickest peer: the last time measured, or that for
 // which a probe has been waited for when it is longer. Slow peers do not show in
 // it, a slow own link does. It is 0 while nothing was measured.
-func (r *RoundTrips) Least(now time.Duration) time.Duration {
+func (r *RoundTrips) Min(now time.Duration) time.Duration {
 	least, found := time.Duration(0), false
 	for _, known := range r.peers {
 		if !known.measured {
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -124,7 +124,7 @@
 		Address: a.daemon.Settings().ServerAddress, Reachable: a.reachable, Model: model,
 		Running: a.report.Running, Waiting: a.report.Waiting, CacheUsed: a.report.CacheUsed, CacheTotal: a.report.CacheTotal,
 		Pace: a.report.Pace, SwitchMilliseconds: fleet.NoSwitch,
-		LinkMilliseconds: a.roundTrips.Least(now.Sub(a.started)).Milliseconds(),
+		LinkMilliseconds: a.roundTrips.Min(now.Sub(a.started)).Milliseconds(),
 		ColdMilliseconds: a.cold.left(now).Milliseconds(), Received: a.cold.received.Count(now.Sub(a.started)), Born: a.report.Born,
 	}
 	if engine != nil {
@@ -197,13 +197,13 @@
 	}
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.roundTrips.Keep(linked)
+	a.roundTrips.RetainOnly(linked)
 }
 
 func (a *Agent) probe(entry string) uint64 {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	return a.roundTrips.Probe(entry, time.Since(a.started))
+	return a.roundTrips.NextProbe(entry, time.Since(a.started))
 }
 
 // handleEcho notes that a probe has come back.
@@ -215,5 +215,5 @@
 	}
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.roundTrips.Answered(link.Remote().ID, echo.Probe, time.Since(a.started))
+	a.roundTrips.RecordReply(link.Remote().ID, echo.Probe, time.Since(a.started))
 }
