--- a/coordination/health/benchmark_test.go
+++ b/coordination/health/benchmark_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// BenchmarkChoice is what a choice among 60 servers asks, and an attempt that is served.
-func BenchmarkChoice(b *testing.B) {
+// BenchmarkSelection measures the state queries for a selection among 60 servers and the recording
+// of one served attempt.
+func BenchmarkSelection(b *testing.B) {
 	tracker := New("e0")
 	ids := names("s", 60)
 	tracker.SetServers("service", ids)
@@ -24,8 +25,8 @@
 	}
 }
 
-// BenchmarkMayTry looks through 60 servers of which half are on trial, at an entry of 15.
-func BenchmarkMayTry(b *testing.B) {
+// BenchmarkMayBeginTrial queries 60 servers, half of them on trial, at one of 15 entries.
+func BenchmarkMayBeginTrial(b *testing.B) {
 	tracker := New("e0")
 	servers := names("s", 60)
 	tracker.SetServers("service", servers)
--- a/coordination/health/bounds_test.go
+++ b/coordination/health/bounds_test.go
@@ -14,8 +14,8 @@
 	return t
 }
 
-// A word of a faulty entry that names no round does not end the process that hears it.
-func TestWordOfAnEjectionWithoutARound(t *testing.T) {
+// A report of a faulty entry without a round must not crash the process that receives it.
+func TestEjectionReportWithoutRound(t *testing.T) {
 	tracker := trackerOf("a", "b", "c", "d")
 	tracker.ApplyReport(Report{Server: "a", Entry: "e1", Ejected: true, Remaining: time.Millisecond, Failed: 2}, time.Second, time.Second)
 	now := 2 * time.Second
@@ -23,15 +23,15 @@
 	assert.NotPanics(t, func() { tracker.Observe(Attempt{Server: "a", Outcome: Declined, Sent: now}, now) })
 }
 
-// A faulty entry can't have a server ejected for longer than an ejection lasts.
-func TestWordOfAnEjectionWithoutEnd(t *testing.T) {
+// A faulty entry can't have a server ejected for longer than maxEjection.
+func TestEjectionReportWithExcessiveDuration(t *testing.T) {
 	tracker := trackerOf("a", "b", "c", "d")
 	tracker.ApplyReport(Report{Server: "a", Entry: "e1", Ejected: true, Remaining: 24 * time.Hour, Round: 1, Failed: 2}, time.Second, time.Second)
 	assert.NotEqual(t, Ejected, tracker.State("a", 3*time.Second))
 }
 
-// A faulty round does not make later ejections last no time at all.
-func TestWordOfAnEjectionWithAHugeRound(t *testing.T) {
+// A faulty round must not reduce the duration of later ejections to 0.
+func TestEjectionReportWithExcessiveRound(t *testing.T) {
 	tracker := trackerOf("a", "b", "c", "d")
 	tracker.ApplyReport(Report{Server: "a", Entry: "e1", Ejected: true, Remaining: time.Millisecond, Round: 100, Failed: 2}, time.Second, time.Second)
 	now := 2 * time.Second
@@ -39,8 +39,9 @@
 	assert.Equal(t, Ejected, tracker.State("a", now+100*time.Millisecond))
 }
 
-// A server whose line moves to another service is known there, whichever service is told first.
-func TestServerThatMovesToAnotherService(t *testing.T) {
+// A server that moves to another service keeps its record there, whichever of the two services is
+// updated first.
+func TestServerMovesToAnotherService(t *testing.T) {
 	tracker := New("e0")
 	tracker.SetServers("s", []string{"a"})
 	tracker.SetServers("r", []string{"a", "b"})
@@ -54,8 +55,8 @@
 	assert.Equal(t, Suspect, tracker.State("a", time.Second))
 }
 
-// With requests at one entry of a large zone only, a server still returns soon.
-func TestServerReturnsWhereOneEntryHasTheRequests(t *testing.T) {
+// A server returns soon even if only one entry of a large zone has requests.
+func TestServerReturnsWhenOneEntryHasAllRequests(t *testing.T) {
 	for _, members := range []int{3, 15} {
 		for _, every := range []time.Duration{100 * time.Millisecond, 700 * time.Millisecond, time.Second} {
 			worst := time.Duration(0)
--- a/coordination/health/evidence.go
+++ b/coordination/health/evidence.go
@@ -5,88 +5,89 @@
 	"time"
 )
 
-// Outcome is what an attempt has shown of the server that it was sent to.
+// Outcome is the result of an attempt, as far as it says something about the server.
 type Outcome int
 
-// The outcomes.
+// The outcomes of an attempt.
 const (
-	// Served is an answer that the server gave whole and meant as such.
+	// Served is a complete answer that reports no failure.
 	Served Outcome = iota + 1
-	// Errored is an answer that tells of a failure; it may be the request's own.
+	// Errored is an answer that reports a failure, which the request itself may have caused.
 	Errored
 	// Declined is an answer that says that the request was not run.
 	Declined
 	// Broken is a connection or an answer that broke off.
 	Broken
-	// Overdue is an answer that takes many times as long as usual; it may still come.
+	// Overdue is an answer that takes many times as long as usual. It may still arrive.
 	Overdue
-	// Unreachable is a connection that did not come up: nothing was sent.
+	// Unreachable is a connection that could not be established: nothing was sent.
 	Unreachable
 
-	outcomes = int(Unreachable) + 1
+	outcomeCount = int(Unreachable) + 1
 )
 
-var outcomeNames = [outcomes]string{Served: "served", Errored: "errored", Declined: "declined", Broken: "broken", Overdue: "overdue", Unreachable: "unreached"}
+var outcomeNames = [outcomeCount]string{Served: "served", Errored: "errored", Declined: "declined", Broken: "broken", Overdue: "overdue", Unreachable: "unreached"}
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Figures of the evidence. It is a cumulative sum of logarithmic likelihood ratios (Page's
-// test): each outcome adds how much likelier it is of a server that fails than of one like
-// the service's others, and the sum does not fall below 0. Unlike a number of failures in a
-// row it finds servers that fail a part of their requests; unlike a fixed share of failures it
-// is blind to what fails at every server of the service alike.
+// Parameters of the evidence, which is a cumulative sum of log-likelihood ratios (CUSUM, Page's
+// test): each outcome adds how much likelier it is at a failing server than at one like the
+// service's others, and the sum does not fall below 0. Unlike a count of consecutive failures, it
+// detects servers that fail only some of their requests. Unlike a fixed failure ratio, it ignores
+// failures that affect every server of the service alike.
 const (
-	// failingShare is how much more of the requests a failing server spoils than the others
-	// do, at the least that is looked for.
-	failingShare = 0.3
-	// suspectAt makes a server suspect: one failure where failures are rare.
-	suspectAt = 2.5
-	// ejectAt ejects it: two such failures. Where 14 in 100 answers of every server are failures,
-	// each is out for less than a fiftieth of the time.
-	ejectAt = 5
-	// trialAt makes a trial one that failed: one failure where less than about one request in
-	// ten fails so. At the limit of a fleet more answers than that are overdue at times, and a
-	// server that was well stayed out for eight seconds more.
-	trialAt = 1.5
-	// evidenceCap bounds what has to be forgotten before a sound server is believed.
-	evidenceCap = 10
-	// evidenceHalfLife is the time in which half of the evidence is forgotten: a server gets a
-	// request of each entry every few seconds.
+	// failingRatio is the smallest excess of failures, relative to the service's other servers,
+	// that the test is designed to detect.
+	failingRatio = 0.3
+	// suspectThreshold makes a server suspect: one failure where failures are rare.
+	suspectThreshold = 2.5
+	// ejectThreshold ejects a server: two such failures. Where 14 in 100 answers of every server
+	// are failures, each server is ejected for less than a fiftieth of the time.
+	ejectThreshold = 5
+	// trialFailedThreshold is the evidence at which a trial counts as failed: one failure where
+	// less than about one request in ten fails that way. When a fleet is at its limit, a larger
+	// part of the answers is overdue at times, and a server that was healthy stayed ejected for
+	// eight seconds longer.
+	trialFailedThreshold = 1.5
+	// maxEvidence limits the evidence that must decay before a healthy server is used again.
+	maxEvidence = 10
+	// evidenceHalfLife is the half-life of the evidence: each entry sends a server a request every
+	// few seconds.
 	evidenceHalfLife = 5 * time.Second
-	// rateHalfLife is the same for the rates of the service.
+	// rateHalfLife is the half-life of the service's outcome rates.
 	rateHalfLife = 10 * time.Second
-	// priorAttempts is how many attempts the rates below weigh as much as.
+	// priorAttempts is the number of attempts that priorRates weigh as much as.
 	priorAttempts = 10
-	// repeatedRate is the least assumed rate of failures of a request that has failed before:
-	// it may be the request's own fault.
-	repeatedRate = 0.5
+	// retryFailureRate is the smallest assumed failure rate of a request that has failed before,
+	// since the request itself may be the cause.
+	retryFailureRate = 0.5
 )
 
-// priorRates are the shares of each failure that are taken for usual at the least, so that one
-// failure among many requests says no more than one among few.
-var priorRates = [outcomes]float64{Errored: 0.02, Declined: 0.1, Broken: 0.02, Overdue: 0.05, Unreachable: 0.01}
+// priorRates are the smallest assumed baseline rates of each failure, so that one failure among
+// many requests weighs no more than one among few.
+var priorRates = [outcomeCount]float64{Errored: 0.02, Declined: 0.1, Broken: 0.02, Overdue: 0.05, Unreachable: 0.01}
 
-// rates counts the outcomes of requests of a class, with older ones forgotten by and by.
+// rates counts the outcomes of requests of a class with exponential decay.
 type rates struct {
-	counts [outcomes]float64
-	at     time.Duration
+	counts    [outcomeCount]float64
+	updatedAt time.Duration
 }
 
-func (r *rates) forget(now time.Duration) {
-	if factor := remembered(now-r.at, rateHalfLife); factor < 1 {
+func (r *rates) decay(now time.Duration) {
+	if factor := decayFactor(now-r.updatedAt, rateHalfLife); factor < 1 {
 		for outcome := range r.counts {
 			r.counts[outcome] *= factor
 		}
 	}
-	r.at = max(r.at, now)
+	r.updatedAt = max(r.updatedAt, now)
 }
 
 func (r *rates) add(outcome Outcome, now time.Duration) {
-	r.forget(now)
+	r.decay(now)
 	r.counts[outcome]++
 }
 
-func (r *rates) remove(part *rates) {
+func (r *rates) subtract(part *rates) {
 	for outcome, count := range part.counts {
 		r.counts[outcome] = max(0, r.counts[outcome]-count)
 	}
@@ -100,28 +101,28 @@
 	return sum
 }
 
-// usualRate is the share of a failure that is usual at the other servers of a service.
-func usualRate(all, own *rates, outcome Outcome) float64 {
+// baselineRate returns the rate of a failure at the other servers of a service.
+func baselineRate(all, own *rates, outcome Outcome) float64 {
 	others := max(0, all.attempts()-own.attempts())
 	failed := max(0, all.counts[outcome]-own.counts[outcome])
 	return max(priorRates[outcome], (failed+priorAttempts*priorRates[outcome])/(others+priorAttempts))
 }
 
-// weightOf is what an outcome adds to the evidence against a server.
-func weightOf(all, own *rates, outcome Outcome, repeated bool) float64 {
+// logLikelihoodRatio returns what an outcome adds to the evidence against a server.
+func logLikelihoodRatio(all, own *rates, outcome Outcome, retry bool) float64 {
 	if outcome == Served {
-		// (1-failing)/(1-usual), where failing = usual + failingShare*(1-usual).
-		return math.Log(1 - failingShare)
+		// (1-failing)/(1-baseline), where failing = baseline + failingRatio*(1-baseline).
+		return math.Log(1 - failingRatio)
 	}
-	usual := usualRate(all, own, outcome)
-	if repeated {
-		usual = max(usual, repeatedRate)
+	baseline := baselineRate(all, own, outcome)
+	if retry {
+		baseline = max(baseline, retryFailureRate)
 	}
-	return math.Log((usual + failingShare*(1-usual)) / usual)
+	return math.Log((baseline + failingRatio*(1-baseline)) / baseline)
 }
 
-// remembered is the part of what has been counted that is left after a time.
-func remembered(age, halfLife time.Duration) float64 {
+// decayFactor returns the fraction of a count that remains at an age.
+func decayFactor(age, halfLife time.Duration) float64 {
 	if age <= 0 {
 		return 1
 	}
--- a/coordination/health/failure_period.go
+++ b/coordination/health/failure_period.go
@@ -2,77 +2,81 @@
 
 import "time"
 
-// mostlyFailing is the least share of failures, among what all entries have met since the first
-// one, at which a server is ejected. One that fails less serves the rest, and is suspect: a
-// service that is short of places is better off with it.
-const mostlyFailing = 0.7
+// mostlyFailingRatio is the smallest ratio of failures, among the outcomes at all entries since the
+// first failure, at which a server is ejected. A server that fails less still serves the rest and
+// is only suspect: a service that is short of capacity is better off with it.
+const mostlyFailingRatio = 0.7
 
-// leastFailures is the least of failures, at all entries, that eject a server but for connections
-// that do not come up: of two in a row at a server that fails 4 in 10 there are few.
-const leastFailures = 1.5
+// minFailures is the smallest count of failures, over all entries, that ejects a server, other than
+// for connections that can't be established. Two failures in a row are rare at a server that fails
+// 4 in 10.
+const minFailures = 1.5
 
-// keptCount is what each attempt leaves of the counts of those before: a server that has served
-// hundreds of requests is ejected after a few failures when it goes down again.
-const keptCount = 0.6
+// attemptDecay is the factor by which each attempt reduces the counts of earlier ones, so that a
+// server that has served hundreds of requests is ejected after a few failures when it goes down
+// again.
+const attemptDecay = 0.6
 
-// failurePeriod counts what a server has shown this entry since a failure here or elsewhere.
+// failurePeriod counts the outcomes of this entry's attempts at a server since a failure here or at
+// another entry.
 type failurePeriod struct {
-	began          time.Duration
+	startedAt      time.Duration
 	failed, served float64
-	at             time.Duration
+	updatedAt      time.Duration
 }
 
-// decay forgets a part of what was counted.
-func (s *failurePeriod) decay(now time.Duration) {
-	factor := remembered(now-s.at, evidenceHalfLife)
-	s.failed, s.served, s.at = s.failed*factor, s.served*factor, max(s.at, now)
+// decay reduces the counts by the time since their last update.
+func (p *failurePeriod) decay(now time.Duration) {
+	factor := decayFactor(now-p.updatedAt, evidenceHalfLife)
+	p.failed, p.served, p.updatedAt = p.failed*factor, p.served*factor, max(p.updatedAt, now)
 }
 
-func (s *failurePeriod) count(failed bool, now time.Duration) {
-	s.decay(now)
-	s.failed, s.served = s.failed*keptCount, s.served*keptCount
+func (p *failurePeriod) count(failed bool, now time.Duration) {
+	p.decay(now)
+	p.failed, p.served = p.failed*attemptDecay, p.served*attemptDecay
 	if failed {
-		s.failed++
+		p.failed++
 	} else {
-		s.served++
+		p.served++
 	}
 }
 
-// failurePeriodLasts reports whether failures are recent enough for successes to be counted beside them.
-func (r *record) failurePeriodLasts(now time.Duration) bool {
+// failurePeriodActive reports whether there was a failure recently enough for successes to be
+// counted against it.
+func (r *record) failurePeriodActive(now time.Duration) bool {
 	r.failurePeriod.decay(now)
-	return now-r.failedAt < hintTime || r.hinted(now) > 0
+	return now-r.failedAt < peerEvidenceTTL || r.peerSum(now) > 0
 }
 
-// beginFailurePeriod counts successes from a failure on, also those of attempts that have ended before
-// it was known.
-func (r *record) beginFailurePeriod(began, now time.Duration) {
-	lasts := r.failurePeriodLasts(now)
-	if lasts && began >= r.failurePeriod.began {
+// beginFailurePeriod starts to count successes from the time of a failure, including those of
+// attempts that ended before the failure was known.
+func (r *record) beginFailurePeriod(startedAt, now time.Duration) {
+	active := r.failurePeriodActive(now)
+	if active && startedAt >= r.failurePeriod.startedAt {
 		return
 	}
 	served := 0.0
 	for _, sent := range r.served {
-		if sent > began {
+		if sent > startedAt {
 			served++
 		}
 	}
-	if !lasts {
-		r.failurePeriod = failurePeriod{began: began, served: served, at: now}
+	if !active {
+		r.failurePeriod = failurePeriod{startedAt: startedAt, served: served, updatedAt: now}
 		return
 	}
-	r.failurePeriod.began, r.failurePeriod.served = began, max(r.failurePeriod.served, served)
+	r.failurePeriod.startedAt, r.failurePeriod.served = startedAt, max(r.failurePeriod.served, served)
 }
 
-// mostlyFails reports whether most of the attempts at all entries, since the period began, have
-// failed, and at the least a number of them.
-func (r *record) mostlyFails(least float64, now time.Duration) bool {
+// mostlyFails reports whether most attempts at all entries since the failure period began have
+// failed, with at least a given count of failures.
+func (r *record) mostlyFails(minCount float64, now time.Duration) bool {
 	r.failurePeriod.decay(now)
 	failed, served := r.failurePeriod.failed, r.failurePeriod.served
-	for _, one := range r.hints {
-		if now-one.at < hintTime {
+	for _, one := range r.peerEvidence {
+		if now-one.updatedAt < peerEvidenceTTL {
 			failed, served = failed+one.failed, served+one.served
 		}
 	}
-	return failed >= least && failed >= mostlyFailing*(failed+served)
+	return failed >= minCount && failed >= mostlyFailingRatio*(failed+served)
 }
--- a/coordination/health/health.go
+++ b/coordination/health/health.go
@@ -1,16 +1,17 @@
-// Package health decides whether a server is sent ordinary requests, a trial, or nothing, by
-// what its answers show. It holds a bounded record for each listed server, reads no clock and
-// sends nothing: outcomes of attempts and words of the zone's other entries go in with the
-// time, states and words for the others come out.
+// Package health tracks the health of servers from the outcomes of requests, and decides whether a
+// server is sent ordinary requests, trial requests or nothing. It keeps a bounded record for each
+// listed server, reads no clock and does no I/O: the caller passes in the outcomes of attempts and
+// the health reports of the zone's other entries, each with its time, and reads the resulting
+// states and the reports for the other entries.
 //
-// A server that the agent beside it does not reach is lost, whatever its state: it is sent nothing but
-// trials, until an answer has come to some entry of the zone since the loss (see lost.go).
+// A server is healthy, suspect (there is evidence against it, and requests that must not fail go
+// elsewhere), ejected (it is sent nothing for a time) or on trial (the whole zone sends it one
+// request at a time, until one is served). What one entry observes applies to its whole zone: each
+// entry sends a server a request only every few seconds, so if each had to detect the failure by
+// itself, a failing server would cost requests at every entry.
 //
-// A server is in order, suspect (there is evidence, and requests that must not fail go
-// elsewhere), ejected (it is sent nothing for a time) or on trial (it is sent one request at a
-// time of the whole zone, until one was served). What is learned by one entry holds
-// in its zone, because each entry sends a server a request only every few seconds: were each to
-// learn for itself, a failing server would cost requests of every one.
+// A server that its agent can't reach is lost, whatever its state: it is sent only trials, until an
+// entry of the zone has received an answer since the loss (see lost.go).
 package health
 
 import (
@@ -18,10 +19,10 @@
 	"time"
 )
 
-// State is what a server may be sent.
+// State determines what a server may be sent.
 type State int
 
-// The states.
+// The states of a server.
 const (
 	Healthy State = iota + 1
 	Suspect
@@ -33,168 +34,174 @@
 
 func (s State) String() string { return stateNames[s] }
 
-// Times of ejections and trials.
+// Durations of ejections and trials.
 const (
-	// firstEjection is the length of a server's first ejection; it doubles with each further one
-	// up to longestEjection. A trial costs one request of the zone, and a fleet that is short of
-	// places needs a server in each second in which it is up.
-	firstEjection   = 250 * time.Millisecond
-	longestEjection = time.Second
-	maximumRounds   = 3
-	// forgiveTime is the time in order after which one ejection is forgotten.
-	forgiveTime = 5 * time.Second
-	// trialTurn is how long each entry of the zone in turn may begin a trial: longer than a
-	// word takes to reach the zone, so that two do not begin one at the same time.
+	// baseEjection is the duration of a server's first ejection. It doubles with each further one,
+	// up to maxEjection. A trial costs the zone one request, and a fleet that is short of capacity
+	// needs a server in every second in which it is up.
+	baseEjection = 250 * time.Millisecond
+	maxEjection  = time.Second
+	maxRounds    = 3
+	// forgiveInterval is the time as a healthy server after which one ejection is forgotten.
+	forgiveInterval = 5 * time.Second
+	// trialTurn is how long each entry of the zone may begin a trial, one entry after the other. It
+	// is longer than a report takes to reach the zone, so that two entries do not begin trials at
+	// the same time.
 	trialTurn = 300 * time.Millisecond
-	// trialLimit is how long a trial may be without an end, until another may begin.
-	trialLimit = 1500 * time.Millisecond
-	// trialPatience is how long a server waits for a trial by a request that may be repeated;
-	// after that any request is one, so that a server with no such requests returns too.
-	trialPatience = 4 * time.Second
+	// trialTimeout is the time after which an unfinished trial no longer blocks another one.
+	trialTimeout = 1500 * time.Millisecond
+	// repeatableTrialWait is how long a server on trial waits for a request that may be repeated.
+	// After that any request may be its trial, so that a server without repeatable requests returns
+	// too.
+	repeatableTrialWait = 4 * time.Second
 )
 
-// longAgo is before anything that another entry may have found out: a process that starts hears
-// of what was before.
-const longAgo = -time.Hour
+// distantPast is earlier than anything that another entry may have observed: a process that starts
+// receives reports of events before its start.
+const distantPast = -time.Hour
 
-// Bounds of what is held.
+// Limits on what is stored and on ejections.
 const (
-	// mostEjectedShare is the largest part of a service's servers that failures of requests may
-	// eject at a time: what fails at more of them is no fault of the servers.
-	mostEjectedShare = 0.5
-	// mostClasses is how many classes of requests are told apart at a service.
-	mostClasses = 32
-	// mostHints is how many entries' hints are held for a server.
-	mostHints = 16
-	// recentServed is how many served attempts are held as evidence against a hint.
-	recentServed = 4
+	// maxEjectedRatio is the largest ratio of a service's servers that failed requests may eject at
+	// a time. A failure that affects more of them is not the fault of the servers.
+	maxEjectedRatio = 0.5
+	// maxClasses is the number of request classes that are tracked for a service.
+	maxClasses = 32
+	// maxPeers is the number of other entries whose evidence is kept for a server.
+	maxPeers = 16
+	// maxRecentServed is the number of served attempts that are kept as evidence for a server
+	// against the reports of other entries.
+	maxRecentServed = 4
 )
 
-// Attempt is the outcome of one attempt.
+// Attempt is the outcome of one attempt to send a request to a server.
 type Attempt struct {
 	Server string
-	// Class groups requests that are alike, such as those of one route.
+	// Class groups similar requests, such as those of one route.
 	Class   string
 	Outcome Outcome
-	// Sent is when the attempt was sent.
+	// Sent is the time at which the attempt was sent.
 	Sent time.Duration
-	// Retry is set when the same request had failed elsewhere before.
+	// Retry is set when the same request has already failed at another server.
 	Retry bool
-	// Lost is set when the agent beside the server does not reach it now, LostAt since when.
+	// Lost is set when the server's agent can't reach it now, LostAt is since when.
 	Lost   bool
 	LostAt time.Duration
 }
 
-// Change is a change of a server's state that an attempt or a word has brought.
+// Change is a change of a server's state, caused by an attempt or a report.
 type Change struct {
 	Server   string
 	From, To State
-	// Reporter is the entry that told it; empty when this one has found out itself.
+	// Reporter is the entry that reported the change; empty when this entry detected it.
 	Reporter string
-	// Outcome is what decided it; 0 for a word.
+	// Outcome is the outcome that caused the change; 0 for a report.
 	Outcome  Outcome
 	Evidence float64
-	// Duration is the length of an ejection, Round how many there were in a row.
+	// Duration is the length of an ejection, Round the number of ejections in a row.
 	Duration time.Duration
 	Round    int
 }
 
-// service is what is known of a service as a whole.
+// service holds what is known of a whole service.
 type service struct {
 	servers []string
 	classes map[string]*rates
-	// sinceLostTrial counts this entry's attempts since it has last tried a lost server.
-	sinceLostTrial int
+	// attemptsSinceLostTrial counts this entry's attempts since its last trial of a lost server.
+	attemptsSinceLostTrial int
 }
 
-// record is what is known of one server.
+// record holds what is known of one server.
 type record struct {
 	service       string
 	classes       map[string]*rates
 	evidence      float64
 	evidenceAt    time.Duration
 	failurePeriod failurePeriod
-	hints         map[string]hint
-	// served are when the last served attempts were sent.
+	peerEvidence  map[string]peerEvidence
+	// served holds when the last served attempts were sent.
 	served   []time.Duration
 	servedAt time.Duration
 	failedAt time.Duration
-	lost     lostRecord
+	lost     lostState
 
 	ejected bool
-	// by is the entry that has ejected the server; empty for this one.
-	by string
-	// mute is set when it was ejected because it answers nothing.
-	mute bool
-	// changedAt is when it was last ejected or returned, till the end of the ejection.
-	changedAt time.Duration
-	till      time.Duration
-	round     int
-	// trialAt is when the present trial began, trialOpen that it has not ended, and ownTrial that
-	// it is this entry's.
+	// reporter is the entry that ejected the server; empty for this one.
+	reporter string
+	// unresponsive is set when the server was ejected because it does not answer.
+	unresponsive bool
+	// changedAt is when the server was last ejected or restored, ejectedUntil the end of the
+	// ejection.
+	changedAt    time.Duration
+	ejectedUntil time.Duration
+	round        int
+	// trialAt is when the last trial began, trialOpen whether it is unfinished, and ownTrial
+	// whether this entry runs it.
 	trialAt   time.Duration
 	trialOpen bool
 	ownTrial  bool
-	turns     turns
+	turns     turnOrder
 }
 
-// Tracker holds the health of all servers for one entry. It is not safe for concurrent use.
+// Tracker tracks the health of all servers for one entry. It is not safe for concurrent use.
 type Tracker struct {
 	self     string
 	services map[string]*service
 	servers  map[string]*record
 	members  []string
-	words    []Report
-	// early are words on servers that are not listed yet.
-	early []earlyWord
+	reports  []Report
+	// pending holds reports on servers that are not listed yet.
+	pending []pendingReport
 }
 
-// New returns a tracker for an entry that knows no server yet.
+// New returns a tracker without servers for the entry named self.
 func New(self string) *Tracker {
 	return &Tracker{self: self, services: map[string]*service{}, servers: map[string]*record{}}
 }
 
-// SetServers takes over which servers a service has; what is held of others is forgotten. It
-// returns the changes that words have brought which came before their server was listed.
+// SetServers sets the servers of a service and removes the records of all that are no longer
+// listed. It returns the changes from reports that arrived before their server was listed.
 func (t *Tracker) SetServers(name string, ids []string) []Change {
-	known := t.services[name]
-	if known == nil {
-		known = &service{classes: map[string]*rates{}}
-		t.services[name] = known
+	svc := t.services[name]
+	if svc == nil {
+		svc = &service{classes: map[string]*rates{}}
+		t.services[name] = svc
 	}
-	for _, id := range known.servers {
-		if held := t.servers[id]; held != nil && held.service == name && !slices.Contains(ids, id) {
+	for _, id := range svc.servers {
+		if rec := t.servers[id]; rec != nil && rec.service == name && !slices.Contains(ids, id) {
 			delete(t.servers, id)
 		}
 	}
-	known.servers = slices.Clone(ids)
+	svc.servers = slices.Clone(ids)
 	for _, id := range ids {
-		// A server that has moved here begins anew: other requests go there now.
-		if held := t.servers[id]; held == nil || held.service != name {
+		// A server that moves here from another service starts with a new record: it receives other
+		// requests now.
+		if rec := t.servers[id]; rec == nil || rec.service != name {
 			t.servers[id] = newRecord(name)
 		}
 	}
-	early := t.hearEarly()
+	changes := t.applyPending()
 	if len(ids) == 0 {
 		delete(t.services, name)
 	}
-	return early
+	return changes
 }
 
-// Reset forgets a server whose name another one has: what was found out before now does not hold.
+// Reset discards the record of a server whose name another server has taken. Observations from
+// before now do not apply to the new one.
 func (t *Tracker) Reset(server string, now time.Duration) {
-	if held := t.servers[server]; held != nil {
-		fresh := newRecord(held.service)
-		fresh.changedAt, fresh.lost.renewedAt = now, now
+	if rec := t.servers[server]; rec != nil {
+		fresh := newRecord(rec.service)
+		fresh.changedAt, fresh.lost.resetAt = now, now
 		t.servers[server] = fresh
 	}
 }
 
 func newRecord(service string) *record {
-	return &record{service: service, classes: map[string]*rates{}, hints: map[string]hint{}, changedAt: longAgo, servedAt: longAgo, failedAt: longAgo, lost: newLostRecord()}
+	return &record{service: service, classes: map[string]*rates{}, peerEvidence: map[string]peerEvidence{}, changedAt: distantPast, servedAt: distantPast, failedAt: distantPast, lost: newLostState()}
 }
 
-// SetMembers takes over which other entries the zone has; they take turns with trials.
+// SetMembers sets the other entries of the zone, which take turns with trials.
 func (t *Tracker) SetMembers(others []string) {
 	members := append(slices.Clone(others), t.self)
 	slices.Sort(members)
@@ -203,73 +210,75 @@
 		return
 	}
 	t.members = members
-	for _, held := range t.servers {
-		held.turns, held.lost.turns = turns{}, turns{}
+	for _, rec := range t.servers {
+		rec.turns, rec.lost.turns = turnOrder{}, turnOrder{}
 	}
 }
 
-// State tells what a server may be sent.
+// State returns the state of a server.
 func (t *Tracker) State(server string, now time.Duration) State {
-	held := t.servers[server]
+	rec := t.servers[server]
 	switch {
-	case held == nil:
+	case rec == nil:
 		return Healthy
-	case held.ejected && now < held.till:
+	case rec.ejected && now < rec.ejectedUntil:
 		return Ejected
-	case held.ejected:
+	case rec.ejected:
 		return OnTrial
-	case held.against(now)+held.hinted(now) >= suspectAt:
+	case rec.ownEvidence(now)+rec.peerSum(now) >= suspectThreshold:
 		return Suspect
 	}
 	return Healthy
 }
 
-// Unresponsive reports whether a server is out because it answers nothing, and was ejected after a request
-// was sent there, so that this need not wait on. A request sent later is the server's trial, or
-// has no other server: it has the usual time, or a service that is slow would never return.
+// Unresponsive reports whether a server was ejected because it does not answer, after the given
+// request was sent there, so that the request need not wait any longer. A request sent later is the
+// server's trial or has no other server: it gets the usual time, or else a slow service would never
+// return.
 func (t *Tracker) Unresponsive(server string, sent time.Duration) bool {
-	held := t.servers[server]
-	return held != nil && held.ejected && held.mute && sent < held.changedAt
+	rec := t.servers[server]
+	return rec != nil && rec.ejected && rec.unresponsive && sent < rec.changedAt
 }
 
-// Observe takes in the outcome of an attempt, and returns the change that it brings.
+// Observe records the outcome of an attempt and returns the change that it causes.
 func (t *Tracker) Observe(attempt Attempt, now time.Duration) (Change, bool) {
-	held := t.servers[attempt.Server]
-	if held == nil {
+	rec := t.servers[attempt.Server]
+	if rec == nil {
 		return Change{}, false
 	}
-	weight := t.count(held, attempt, now)
+	weight := t.recordOutcome(rec, attempt, now)
 	if attempt.Outcome == Served {
-		return t.observeServed(held, attempt, weight, now)
+		return t.observeServed(rec, attempt, weight, now)
 	}
-	return t.observeFailure(held, attempt, weight, now)
+	return t.observeFailure(rec, attempt, weight, now)
 }
 
-// count adds the outcome to the rates, and returns what it weighs. What an ejected server shows is
-// not usual at its service.
-func (t *Tracker) count(held *record, attempt Attempt, now time.Duration) float64 {
-	all := classOf(t.services[held.service].classes, attempt.Class)
-	own := classOf(held.classes, attempt.Class)
-	all.forget(now)
-	own.forget(now)
-	weight := weightOf(all, own, attempt.Outcome, attempt.Retry)
-	t.services[held.service].sinceLostTrial++
-	if !held.ejected {
+// recordOutcome adds the outcome to the rates and returns its weight as evidence. Outcomes at an
+// ejected server do not count towards the service's baseline.
+func (t *Tracker) recordOutcome(rec *record, attempt Attempt, now time.Duration) float64 {
+	all := classRates(t.services[rec.service].classes, attempt.Class)
+	own := classRates(rec.classes, attempt.Class)
+	all.decay(now)
+	own.decay(now)
+	weight := logLikelihoodRatio(all, own, attempt.Outcome, attempt.Retry)
+	t.services[rec.service].attemptsSinceLostTrial++
+	if !rec.ejected {
 		all.add(attempt.Outcome, now)
 		own.add(attempt.Outcome, now)
 	}
 	return weight
 }
 
-// classOf returns the rates of a class; the one that was longest unused makes room for a new one.
-func classOf(classes map[string]*rates, class string) *rates {
-	if known := classes[class]; known != nil {
-		return known
+// classRates returns the rates of a class. When there are too many classes, a new one replaces the
+// least recently used.
+func classRates(classes map[string]*rates, class string) *rates {
+	if existing := classes[class]; existing != nil {
+		return existing
 	}
-	if len(classes) >= mostClasses {
+	if len(classes) >= maxClasses {
 		oldest := ""
 		for name, one := range classes {
-			if oldest == "" || one.at < classes[oldest].at || (one.at == classes[oldest].at && name < oldest) {
+			if oldest == "" || one.updatedAt < classes[oldest].updatedAt || (one.updatedAt == classes[oldest].updatedAt && name < oldest) {
 				oldest = name
 			}
 		}
@@ -280,189 +289,191 @@
 	return fresh
 }
 
-// against is the evidence of this entry's own attempts.
-func (r *record) against(now time.Duration) float64 {
-	return r.evidence * remembered(now-r.evidenceAt, evidenceHalfLife)
+// ownEvidence returns the evidence from this entry's own attempts.
+func (r *record) ownEvidence(now time.Duration) float64 {
+	return r.evidence * decayFactor(now-r.evidenceAt, evidenceHalfLife)
 }
 
-func (r *record) weigh(weight float64, now time.Duration) {
-	r.evidence, r.evidenceAt = min(max(0, r.against(now)+weight), evidenceCap), now
+func (r *record) addEvidence(weight float64, now time.Duration) {
+	r.evidence, r.evidenceAt = min(max(0, r.ownEvidence(now)+weight), maxEvidence), now
 }
 
-func (t *Tracker) observeServed(held *record, attempt Attempt, weight float64, now time.Duration) (Change, bool) {
-	if held.ejected && attempt.Sent < held.changedAt {
-		// It was sent before what ejected the server.
+func (t *Tracker) observeServed(rec *record, attempt Attempt, weight float64, now time.Duration) (Change, bool) {
+	if rec.ejected && attempt.Sent < rec.changedAt {
+		// The attempt was sent before the ejection.
 		return Change{}, false
 	}
-	held.weigh(weight, now)
-	held.servedAt, held.lost.answeredAt = now, now
-	held.served = append(held.served, attempt.Sent)
-	if len(held.served) > recentServed {
-		held.served = held.served[1:]
+	rec.addEvidence(weight, now)
+	rec.servedAt, rec.lost.answeredAt = now, now
+	rec.served = append(rec.served, attempt.Sent)
+	if len(rec.served) > maxRecentServed {
+		rec.served = rec.served[1:]
 	}
-	held.forgive(now)
-	if !held.ejected {
-		counts := held.failurePeriodLasts(now) && attempt.Sent > held.failurePeriod.began
+	rec.forgiveEjections(now)
+	if !rec.ejected {
+		counts := rec.failurePeriodActive(now) && attempt.Sent > rec.failurePeriod.startedAt
 		if counts {
-			held.failurePeriod.count(false, now)
+			rec.failurePeriod.count(false, now)
 		}
-		if counts || held.provesAnew(attempt, now) {
-			t.tell(attempt.Server, held, now)
+		if counts || rec.needsConfirmationReport(attempt, now) {
+			t.queueReport(attempt.Server, rec, now)
 		}
 		return Change{}, false
 	}
-	if now < held.till {
+	if now < rec.ejectedUntil {
 		return Change{}, false
 	}
-	held.restore(now)
-	t.tell(attempt.Server, held, now)
-	return Change{Server: attempt.Server, From: OnTrial, To: Healthy, Outcome: Served, Round: held.round}, true
+	rec.restore(now)
+	t.queueReport(attempt.Server, rec, now)
+	return Change{Server: attempt.Server, From: OnTrial, To: Healthy, Outcome: Served, Round: rec.round}, true
 }
 
-// restore takes a server back into order. Its ejections are forgotten later.
+// restore makes a server healthy again. Its earlier ejections expire later.
 func (r *record) restore(now time.Duration) {
-	r.ejected, r.trialOpen, r.ownTrial, r.by = false, false, false, ""
+	r.ejected, r.trialOpen, r.ownTrial, r.reporter = false, false, false, ""
 	r.evidence, r.evidenceAt, r.changedAt, r.failurePeriod = 0, now, now, failurePeriod{}
-	clear(r.hints)
-	r.failedAt = longAgo
+	clear(r.peerEvidence)
+	r.failedAt = distantPast
 }
 
-// forgive forgets one ejection for each forgiveTime in order.
-func (r *record) forgive(now time.Duration) {
-	for !r.ejected && r.round > 0 && now-r.changedAt >= forgiveTime {
+// forgiveEjections forgets one ejection for each forgiveInterval as a healthy server.
+func (r *record) forgiveEjections(now time.Duration) {
+	for !r.ejected && r.round > 0 && now-r.changedAt >= forgiveInterval {
 		r.round--
-		r.changedAt += forgiveTime
+		r.changedAt += forgiveInterval
 	}
 }
 
-func (t *Tracker) observeFailure(held *record, attempt Attempt, weight float64, now time.Duration) (Change, bool) {
-	if held.round > 0 && attempt.Sent < max(held.changedAt, held.till) {
-		// It was sent before the server returned or came on trial: more of what ejected it.
+func (t *Tracker) observeFailure(rec *record, attempt Attempt, weight float64, now time.Duration) (Change, bool) {
+	if rec.round > 0 && attempt.Sent < max(rec.changedAt, rec.ejectedUntil) {
+		// The attempt was sent before the server was restored or put on trial, so that its failure
+		// belongs to the ejection before.
 		return Change{}, false
 	}
-	held.forgive(now)
-	held.weigh(weight, now)
-	held.beginFailurePeriod(attempt.Sent, now)
-	held.failurePeriod.count(true, now)
-	held.failedAt = now
+	rec.forgiveEjections(now)
+	rec.addEvidence(weight, now)
+	rec.beginFailurePeriod(attempt.Sent, now)
+	rec.failurePeriod.count(true, now)
+	rec.failedAt = now
 	from := t.State(attempt.Server, now)
-	if held.ejected && (attempt.Outcome == Declined || held.against(now) < trialAt) {
-		held.ejectAgain(now)
-		t.tell(attempt.Server, held, now)
+	if rec.ejected && (attempt.Outcome == Declined || rec.ownEvidence(now) < trialFailedThreshold) {
+		rec.repeatEjection(now)
+		t.queueReport(attempt.Server, rec, now)
 		return Change{}, false
 	}
-	onLostTrial := attempt.Lost && held.onLostTrial(attempt.Sent, attempt.LostAt)
-	if !held.ejected && (onLostTrial || !t.convicts(held, attempt.Outcome, now)) {
-		// A lost server that fails its trial is sent nothing anyhow; ejected, it would take the place
-		// of another one that may be.
-		if held.against(now) >= suspectAt {
-			t.tell(attempt.Server, held, now)
+	lostTrial := attempt.Lost && rec.isLostTrial(attempt.Sent, attempt.LostAt)
+	if !rec.ejected && (lostTrial || !t.shouldEject(rec, attempt.Outcome, now)) {
+		// A lost server that fails its trial is sent nothing anyway. If it were ejected, it would
+		// count towards maxEjectedRatio in the place of another server.
+		if rec.ownEvidence(now) >= suspectThreshold {
+			t.queueReport(attempt.Server, rec, now)
 		}
 		return Change{}, false
 	}
-	evidence := held.against(now)
-	t.dropFromUsual(held, now)
-	held.eject(now)
-	held.mute = attempt.Outcome == Overdue || attempt.Outcome == Unreachable
-	t.tell(attempt.Server, held, now)
+	evidence := rec.ownEvidence(now)
+	t.removeFromBaseline(rec, now)
+	rec.eject(now)
+	rec.unresponsive = attempt.Outcome == Overdue || attempt.Outcome == Unreachable
+	t.queueReport(attempt.Server, rec, now)
 	return Change{
-		Server: attempt.Server, From: from, To: Ejected, Outcome: attempt.Outcome, Evidence: evidence, Duration: held.till - now, Round: held.round,
+		Server: attempt.Server, From: from, To: Ejected, Outcome: attempt.Outcome, Evidence: evidence, Duration: rec.ejectedUntil - now, Round: rec.round,
 	}, true
 }
 
-// convicts reports whether the evidence suffices to eject a server: less of it where the server
-// has returned lately.
-func (t *Tracker) convicts(held *record, outcome Outcome, now time.Duration) bool {
-	needed := float64(ejectAt)
-	if held.round > 0 {
-		needed = suspectAt
+// shouldEject reports whether the evidence suffices to eject a server. A server that was ejected
+// recently needs less.
+func (t *Tracker) shouldEject(rec *record, outcome Outcome, now time.Duration) bool {
+	needed := float64(ejectThreshold)
+	if rec.round > 0 {
+		needed = suspectThreshold
 	}
-	if held.against(now)+held.hinted(now) < needed {
+	if rec.ownEvidence(now)+rec.peerSum(now) < needed {
 		return false
 	}
-	return outcome == Unreachable || (held.mostlyFails(leastFailures, now) && t.mayEject(held.service))
+	return outcome == Unreachable || (rec.mostlyFails(minFailures, now) && t.mayEjectMore(rec.service))
 }
 
-// mayEject reports whether one more server of a service may be ejected for what its requests
-// have met.
-func (t *Tracker) mayEject(name string) bool {
+// mayEjectMore reports whether one more server of a service may be ejected because of failed
+// requests.
+func (t *Tracker) mayEjectMore(name string) bool {
 	servers := t.services[name].servers
 	ejected := 0
 	for _, id := range servers {
-		// A server that has moved to another service is in the list of this one until that is told.
-		if one := t.servers[id]; one != nil && one.service == name && one.ejected {
+		// A server that has moved to another service stays in this list until the next update of
+		// this service.
+		if other := t.servers[id]; other != nil && other.service == name && other.ejected {
 			ejected++
 		}
 	}
-	return ejected+1 <= int(mostEjectedShare*float64(len(servers)))
+	return ejected+1 <= int(maxEjectedRatio*float64(len(servers)))
 }
 
-// dropFromUsual takes what a server has shown out of what is usual at its service: the next one that
-// fails is not taken for sound because this one has failed.
-func (t *Tracker) dropFromUsual(held *record, now time.Duration) {
-	for class, own := range held.classes {
-		if all := t.services[held.service].classes[class]; all != nil {
-			all.forget(now)
-			own.forget(now)
-			all.remove(own)
+// removeFromBaseline removes a server's outcomes from the baseline of its service, so that they do
+// not hide the next server that fails.
+func (t *Tracker) removeFromBaseline(rec *record, now time.Duration) {
+	for class, own := range rec.classes {
+		if all := t.services[rec.service].classes[class]; all != nil {
+			all.decay(now)
+			own.decay(now)
+			all.subtract(own)
 		}
 	}
-	clear(held.classes)
+	clear(rec.classes)
 }
 
-// eject takes a server out, for longer each time.
+// eject ejects a server, for longer each time.
 func (r *record) eject(now time.Duration) {
 	r.round++
-	r.till = now + r.length()
-	r.round = min(r.round, maximumRounds)
-	r.ejected, r.by, r.changedAt = true, "", now
+	r.ejectedUntil = now + r.ejectionDuration()
+	r.round = min(r.round, maxRounds)
+	r.ejected, r.reporter, r.changedAt = true, "", now
 	r.trialOpen, r.ownTrial = false, false
 	r.evidence, r.evidenceAt = 0, now
 }
 
-// ejectAgain takes a server out for as long as before: its trial has failed in a way that is usual,
-// or was declined because it is full or changes over.
-func (r *record) ejectAgain(now time.Duration) {
+// repeatEjection ejects a server for as long as before: its trial failed in a way that is usual at
+// its service, or was declined because the server is full or in a changeover.
+func (r *record) repeatEjection(now time.Duration) {
 	evidence := r.evidence
 	r.round--
 	r.eject(now)
 	r.evidence = evidence
 }
 
-// length is that of the present ejection.
-func (r *record) length() time.Duration {
-	return min(firstEjection<<(min(max(r.round, 1), maximumRounds)-1), longestEjection)
+// ejectionDuration returns the duration of the current ejection.
+func (r *record) ejectionDuration() time.Duration {
+	return min(baseEjection<<(min(max(r.round, 1), maxRounds)-1), maxEjection)
 }
 
-// View is what is held of one server, for a dump.
+// View describes the record of one server for a dump.
 type View struct {
 	State        State
 	Evidence     float64
 	PeerEvidence float64
 	Round        int
-	// Remaining is what is left of an ejection.
+	// Remaining is the remaining time of an ejection.
 	Remaining time.Duration
 	Reporter  string
 }
 
-// View describes one server.
+// View returns the description of one server.
 func (t *Tracker) View(server string, now time.Duration) View {
-	held := t.servers[server]
-	if held == nil {
+	rec := t.servers[server]
+	if rec == nil {
 		return View{State: Healthy}
 	}
-	view := View{State: t.State(server, now), Evidence: held.against(now), PeerEvidence: held.hinted(now), Round: held.round, Reporter: held.by}
-	if held.ejected {
-		view.Remaining = max(0, held.till-now)
+	view := View{State: t.State(server, now), Evidence: rec.ownEvidence(now), PeerEvidence: rec.peerSum(now), Round: rec.round, Reporter: rec.reporter}
+	if rec.ejected {
+		view.Remaining = max(0, rec.ejectedUntil-now)
 	}
 	return view
 }
 
-// Ejected lists the servers that are ejected or on trial.
+// Ejected returns the servers that are ejected or on trial.
 func (t *Tracker) Ejected() []string {
 	var ejected []string
-	for id, held := range t.servers {
-		if held.ejected {
+	for id, rec := range t.servers {
+		if rec.ejected {
 			ejected = append(ejected, id)
 		}
 	}
--- a/coordination/health/limits.go
+++ b/coordination/health/limits.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// Limits of words: what an entry of this code can't have said is a fault of the entry, or of the
-// way here.
+// Limits of report fields. A value that an entry of this version can't send is a fault of the
+// sender or of the transport.
 const (
-	// MaxDuration bounds ages and spans, which are no longer than an entry runs.
+	// MaxDuration limits ages and durations, which can't exceed the run time of an entry.
 	MaxDuration = 10 * 365 * 24 * time.Hour
-	// mostCounted bounds the counts of attempts: keptCount makes their sum at most
-	// 1/(1-keptCount), beside the recentServed that are counted when a period of failures begins.
-	mostCounted = 2 * recentServed
+	// maxCount limits the counts of attempts. With attemptDecay their sum is at most
+	// 1/(1-attemptDecay), plus the maxRecentServed attempts that are counted when a failure period
+	// begins.
+	maxCount = 2 * maxRecentServed
 )
 
-// InvalidReportError tells of a word that can't be meant.
+// InvalidReportError describes a report with an invalid field.
 type InvalidReportError struct {
 	Server, Entry string
 	Field         string
@@ -24,56 +25,59 @@
 }
 
 func (e *InvalidReportError) Error() string {
-	return fmt.Sprintf("health of server %q by entry %q: %s is %v, out of its bounds", e.Server, e.Entry, e.Field, e.Value)
+	return fmt.Sprintf("health report on server %q by entry %q: %s is %v, out of bounds", e.Server, e.Entry, e.Field, e.Value)
 }
 
-// Validate reports what of a word can't be meant; a word that was decoded is to be checked before it
-// is held. Left is negative once an ejection has ended.
-func (w Report) Validate() error {
-	leastRound := 0
-	if w.Ejected {
-		leastRound = 1
+// Validate returns an error if a field of the report is out of bounds. A decoded report must be
+// validated before it is stored. Remaining is negative after the end of an ejection.
+func (r Report) Validate() error {
+	minRound := 0
+	if r.Ejected {
+		minRound = 1
 	}
-	for _, one := range []struct {
+	for _, check := range []struct {
 		field string
 		value any
-		sound bool
+		valid bool
 	}{
-		{"since", w.FailureAge, 0 <= w.FailureAge && w.FailureAge <= MaxDuration},
-		{"changed", w.StateAge, 0 <= w.StateAge && w.StateAge <= MaxDuration},
-		{"left", w.Remaining, -MaxDuration <= w.Remaining && w.Remaining <= longestEjection},
-		{"answered", w.AnswerAge, 0 <= w.AnswerAge && w.AnswerAge <= MaxDuration},
-		{"tried", w.LostTrialAge, 0 <= w.LostTrialAge && w.LostTrialAge <= MaxDuration},
-		{"round", w.Round, leastRound <= w.Round && w.Round <= maximumRounds},
-		{"evidence", w.Evidence, 0 <= w.Evidence && w.Evidence <= evidenceCap},
-		{"failed", w.Failed, 0 <= w.Failed && w.Failed <= mostCounted},
-		{"served", w.Served, 0 <= w.Served && w.Served <= mostCounted},
+		{"since", r.FailureAge, 0 <= r.FailureAge && r.FailureAge <= MaxDuration},
+		{"changed", r.StateAge, 0 <= r.StateAge && r.StateAge <= MaxDuration},
+		{"left", r.Remaining, -MaxDuration <= r.Remaining && r.Remaining <= maxEjection},
+		{"answered", r.AnswerAge, 0 <= r.AnswerAge && r.AnswerAge <= MaxDuration},
+		{"tried", r.LostTrialAge, 0 <= r.LostTrialAge && r.LostTrialAge <= MaxDuration},
+		{"round", r.Round, minRound <= r.Round && r.Round <= maxRounds},
+		{"evidence", r.Evidence, 0 <= r.Evidence && r.Evidence <= maxEvidence},
+		{"failed", r.Failed, 0 <= r.Failed && r.Failed <= maxCount},
+		{"served", r.Served, 0 <= r.Served && r.Served <= maxCount},
 	} {
-		if !one.sound {
-			return &InvalidReportError{Server: w.Server, Entry: w.Entry, Field: one.field, Value: one.value}
+		if !check.valid {
+			return &InvalidReportError{Server: r.Server, Entry: r.Entry, Field: check.field, Value: check.value}
 		}
 	}
 	return nil
 }
 
-// limited is a word within its bounds, whatever the caller has checked.
-func (w Report) limited() Report {
-	w.FailureAge, w.StateAge = clamp(w.FailureAge, 0, MaxDuration), clamp(w.StateAge, 0, MaxDuration)
-	w.AnswerAge, w.LostTrialAge = clamp(w.AnswerAge, 0, MaxDuration), clamp(w.LostTrialAge, 0, MaxDuration)
-	w.Remaining = clamp(w.Remaining, -MaxDuration, longestEjection)
-	w.Round = min(max(w.Round, 0), maximumRounds)
-	if w.Ejected {
-		w.Round = max(w.Round, 1)
+// clamped returns the report with all fields within their bounds, whether or not the caller has
+// validated it.
+func (r Report) clamped() Report {
+	r.FailureAge, r.StateAge = clampDuration(r.FailureAge, 0, MaxDuration), clampDuration(r.StateAge, 0, MaxDuration)
+	r.AnswerAge, r.LostTrialAge = clampDuration(r.AnswerAge, 0, MaxDuration), clampDuration(r.LostTrialAge, 0, MaxDuration)
+	r.Remaining = clampDuration(r.Remaining, -MaxDuration, maxEjection)
+	r.Round = min(max(r.Round, 0), maxRounds)
+	if r.Ejected {
+		r.Round = max(r.Round, 1)
 	}
-	w.Evidence, w.Failed, w.Served = limitedCount(w.Evidence, evidenceCap), limitedCount(w.Failed, mostCounted), limitedCount(w.Served, mostCounted)
-	return w
+	r.Evidence, r.Failed, r.Served = clampCount(r.Evidence, maxEvidence), clampCount(r.Failed, maxCount), clampCount(r.Served, maxCount)
+	return r
 }
 
-func clamp(value, least, most time.Duration) time.Duration { return min(max(value, least), most) }
+func clampDuration(value, lower, upper time.Duration) time.Duration {
+	return min(max(value, lower), upper)
+}
 
-func limitedCount(value, most float64) float64 {
+func clampCount(value, upper float64) float64 {
 	if math.IsNaN(value) {
 		return 0
 	}
-	return min(max(value, 0), most)
+	return min(max(value, 0), upper)
 }
--- a/coordination/health/lost.go
+++ b/coordination/health/lost.go
@@ -2,160 +2,168 @@
 
 import "time"
 
-// A server that only the agent beside it does not reach is lost. Its own answers outweigh the agent,
-// in the whole zone, if they have come since the loss: in use it is as long as some entry is served
-// there every provenTime. Where nothing is under way that could answer, one request that may be
-// repeated tries it at a time.
+// A server is lost while its agent can't reach it, whatever its answers to the entries show. An
+// answer to any entry of the zone since the loss outweighs the agent in the whole zone: the server
+// stays in use as long as some entry is served there once every confirmationTTL. Without requests
+// in flight that could be answered, it is tried with one repeatable request at a time.
 //
-// What it buys: a fleet that is short of places keeps servers whose agents err, with a share of the
-// requests like that of others instead of 3 to 7 of 900 (TestServerThatIsFalselyIllStaysInUse). What
-// it costs where the servers are really down is bounded by attemptsPerLostTrial and the pauses below
+// In a fleet that is short of capacity this keeps servers in use whose agents are wrong: they get a
+// normal share of the requests instead of 3 to 7 of 900 (TestServerThatIsFalselyIllStaysInUse). The
+// cost where servers are really down is limited by attemptsPerLostTrial and the pauses below
 // (TestCostOfLostServers).
 
-// Times and bounds of lost servers.
+// Durations and limits for lost servers.
 const (
-	// provenTime is for how long an answer outweighs an agent that does not reach its server.
-	provenTime = 2 * time.Second
-	// provenPace is how often the zone is told at the most that a lost server has answered: often
-	// enough that one word may be missed, and a proof holds on.
-	provenPace = provenTime / 4
-	// firstLostTrial is the time from a loss, or the last answer, to the first trial: what is under
-	// way then may show without one whether the server serves.
-	firstLostTrial = 250 * time.Millisecond
-	// longestLostPause bounds the pause between two trials, which is as long as the server has been
-	// without an answer until the last one, but trialLimit at the least: a server that is down costs
-	// the zone some four requests in the first 7 s and one in 8 s then.
-	longestLostPause = 8 * time.Second
-	// lostTurn is how long each entry in turn may begin a trial, and lostTurnEnd the part at its end in
-	// which it may not, so that the word of a trial reaches the next entry first. A turn of trialTurn
-	// would not do: a trial may be due for long when an entry hears of the loss, so that its first
-	// request comes at any time of a turn, and not at the beginning.
-	lostTurn    = 600 * time.Millisecond
-	lostTurnEnd = 200 * time.Millisecond
-	// attemptsPerLostTrial is how many attempts at a service an entry makes at the least for each
-	// trial of a lost server of it, so that the loss of a large part of a fleet costs callers no
-	// more than one attempt in so many.
+	// confirmationTTL is how long an answer outweighs an agent that can't reach its server.
+	confirmationTTL = 2 * time.Second
+	// confirmationInterval is the shortest time between two reports to the zone that a lost server
+	// has answered. It is short enough that one report may be lost without the confirmation
+	// expiring.
+	confirmationInterval = confirmationTTL / 4
+	// lostTrialDelay is the time from a loss, or from the last answer, to the first trial. Requests
+	// already in flight may show within it whether the server serves.
+	lostTrialDelay = 250 * time.Millisecond
+	// maxLostTrialPause limits the pause between two trials. The pause is the time that the server
+	// had gone without an answer at the last trial, but at least trialTimeout: a server that is
+	// down costs the zone about four requests in the first 7 s and then one in 8 s.
+	maxLostTrialPause = 8 * time.Second
+	// lostTurn is how long each entry may begin a trial, one entry after the other. In the last
+	// lostTurnGuard of its turn it may not, so that its report reaches the next entry first.
+	// trialTurn is too short here: a trial may have been due for a while when an entry learns of
+	// the loss, so that its first request comes at any time of a turn and not at its beginning.
+	lostTurn      = 600 * time.Millisecond
+	lostTurnGuard = 200 * time.Millisecond
+	// attemptsPerLostTrial is the smallest number of attempts at a service that an entry makes for
+	// each trial of one of its lost servers, so that the loss of a large part of a fleet costs
+	// callers no more than that ratio of attempts.
 	attemptsPerLostTrial = 20
-	// latelyTime is the age up to which answers and trials are told: an older one changes nothing.
-	latelyTime = 2 * longestLostPause
+	// recentWindow is the age up to which answers and trials are reported. Older ones have no
+	// effect.
+	recentWindow = 2 * maxLostTrialPause
 )
 
-// lostRecord is what decides whether a lost server is sent requests. That it is lost, and since when,
-// its agent's words tell, which are kept elsewhere.
-type lostRecord struct {
-	// answeredAt is the last answer to any entry of the zone, as far as that is known, toldAt the
-	// last one that the zone knows of.
+// lostState decides whether a lost server is sent requests. Whether and since when it is lost is
+// known from its agent's status reports, which are stored elsewhere.
+type lostState struct {
+	// answeredAt is the last known answer to any entry of the zone, reportedAt the last one that
+	// was reported in the zone.
 	answeredAt time.Duration
-	toldAt     time.Duration
+	reportedAt time.Duration
 	// trialAt is the zone's last trial, ownTrialAt this entry's.
 	trialAt    time.Duration
 	ownTrialAt time.Duration
-	// renewedAt is since when the server has its name: what was before does not count.
-	renewedAt time.Duration
-	turns     turns
+	// resetAt is when another server took the name. Earlier observations do not count.
+	resetAt time.Duration
+	turns   turnOrder
 }
 
-func newLostRecord() lostRecord {
-	return lostRecord{answeredAt: longAgo, toldAt: longAgo, trialAt: longAgo, ownTrialAt: longAgo, renewedAt: longAgo}
+func newLostState() lostState {
+	return lostState{answeredAt: distantPast, reportedAt: distantPast, trialAt: distantPast, ownTrialAt: distantPast, resetAt: distantPast}
 }
 
-// Confirmed reports whether a server has served an attempt in the zone lately, after it was said not
-// to be reached, and failed none of this entry's since. That outweighs what its agent says.
+// Confirmed reports whether a server has served an attempt in the zone recently, after its agent
+// lost it, and has not failed an attempt of this entry since. This outweighs the agent's status
+// report.
 func (t *Tracker) Confirmed(server string, lostAt, now time.Duration) bool {
-	held := t.servers[server]
-	return held != nil && !held.ejected && held.lost.answeredAt > max(held.failedAt, lostAt) && now-held.lost.answeredAt <= provenTime
+	rec := t.servers[server]
+	return rec != nil && !rec.ejected && rec.lost.answeredAt > max(rec.failedAt, lostAt) && now-rec.lost.answeredAt <= confirmationTTL
 }
 
 // MayBeginLostTrial reports whether this entry may send a lost server a trial now.
 func (t *Tracker) MayBeginLostTrial(server string, lostAt, now time.Duration) bool {
-	held := t.servers[server]
-	return held != nil && t.services[held.service].sinceLostTrial >= attemptsPerLostTrial && t.MayBeginLostTrialUnlimited(server, lostAt, now)
+	rec := t.servers[server]
+	return rec != nil && t.services[rec.service].attemptsSinceLostTrial >= attemptsPerLostTrial && t.MayBeginLostTrialUnlimited(server, lostAt, now)
 }
 
-// MayBeginLostTrialUnlimited is MayTryLost for a server of a service that has no other to send requests to: there
-// are no attempts to count, and a request that is no trial is refused.
+// MayBeginLostTrialUnlimited is MayBeginLostTrial without attemptsPerLostTrial, for a server whose
+// service has no other server to send requests to: there are no attempts to count, and any request
+// that is not a trial is refused.
 func (t *Tracker) MayBeginLostTrialUnlimited(server string, lostAt, now time.Duration) bool {
-	held := t.servers[server]
-	if held == nil {
+	rec := t.servers[server]
+	if rec == nil {
 		return false
 	}
-	if held.ejected && (now < held.till || held.trying(now)) {
+	if rec.ejected && (now < rec.ejectedUntil || rec.trialActive(now)) {
 		return false
 	}
-	begin, due := held.lostTrialDue(lostAt)
-	if now < due || (now-due)%lostTurn >= lostTurn-lostTurnEnd {
+	begin, due := rec.nextLostTrial(lostAt)
+	if now < due || (now-due)%lostTurn >= lostTurn-lostTurnGuard {
 		return false
 	}
-	// Entries agree on a number of the trial without a message, but for those that find it out
-	// around a limit of two.
-	number := int((due - begin) / trialLimit)
-	return t.turnIn(&held.lost.turns, server+"/lost", number, int((now-due)/lostTurn))
+	// Entries derive the same trial number without exchanging messages, except for those that
+	// compute it near the boundary between two numbers.
+	number := int((due - begin) / trialTimeout)
+	return t.isOwnTurn(&rec.lost.turns, server+"/lost", number, int((now-due)/lostTurn))
 }
 
-// lostTrialDue is when the next trial may begin, and since when the server has shown nothing. Where it is
-// ejected, answers to other entries do not count: what has failed here is found out here.
-func (r *record) lostTrialDue(lostAt time.Duration) (begin, due time.Duration) {
+// nextLostTrial returns when the next trial may begin, and since when the server has not answered.
+// If the server is ejected, answers to other entries do not count, because the failure must be
+// cleared at this entry.
+func (r *record) nextLostTrial(lostAt time.Duration) (begin, due time.Duration) {
 	answeredAt := r.lost.answeredAt
 	if r.ejected {
 		answeredAt = r.servedAt
 	}
 	begin = max(lostAt, answeredAt)
-	due = begin + firstLostTrial
+	due = begin + lostTrialDelay
 	if r.lost.trialAt > answeredAt {
-		// Also one from before the loss, if the agent has found the server and lost it anew since.
-		due = max(due, r.lost.trialAt+clamp(r.lost.trialAt-begin, trialLimit, longestLostPause))
+		// The trial may also be from before the loss, if the agent has reached the server and lost
+		// it again since.
+		due = max(due, r.lost.trialAt+clampDuration(r.lost.trialAt-begin, trialTimeout, maxLostTrialPause))
 	}
 	return begin, due
 }
 
-// BeginLostTrial notes that this entry sends a lost server its trial.
+// BeginLostTrial records that this entry sends a lost server its trial.
 func (t *Tracker) BeginLostTrial(server string, now time.Duration) {
-	held := t.servers[server]
-	if held == nil {
+	rec := t.servers[server]
+	if rec == nil {
 		return
 	}
-	t.services[held.service].sinceLostTrial = 0
-	held.lost.trialAt, held.lost.ownTrialAt = now, now
+	t.services[rec.service].attemptsSinceLostTrial = 0
+	rec.lost.trialAt, rec.lost.ownTrialAt = now, now
 	if !t.BeginTrial(server, now) {
-		t.tell(server, held, now)
+		t.queueReport(server, rec, now)
 	}
 }
 
-// IsLostTrial reports whether a request was sent to a lost server as its trial, which has not been
-// answered: it need not be given up because the server is lost.
+// IsLostTrial reports whether a request is the unanswered trial of a lost server. Such a request
+// need not be given up because the server is lost.
 func (t *Tracker) IsLostTrial(server string, sent, lostAt time.Duration) bool {
-	held := t.servers[server]
-	return held != nil && held.onLostTrial(sent, lostAt)
+	rec := t.servers[server]
+	return rec != nil && rec.isLostTrial(sent, lostAt)
 }
 
-func (r *record) onLostTrial(sent, lostAt time.Duration) bool {
+func (r *record) isLostTrial(sent, lostAt time.Duration) bool {
 	began := r.lost.ownTrialAt
 	return began > max(lostAt, r.lost.answeredAt) && sent >= began
 }
 
-// provesAnew reports whether the zone is to be told that a lost server has served an attempt.
-func (r *record) provesAnew(attempt Attempt, now time.Duration) bool {
-	return attempt.Lost && r.lost.toldAt <= max(attempt.LostAt, now-provenPace)
+// needsConfirmationReport reports whether the zone must be informed that a lost server has served
+// an attempt.
+func (r *record) needsConfirmationReport(attempt Attempt, now time.Duration) bool {
+	return attempt.Lost && r.lost.reportedAt <= max(attempt.LostAt, now-confirmationInterval)
 }
 
-// hearLost takes in what another entry has seen of a server that may be lost.
-func (r *record) hearLost(word Report, at time.Duration) {
-	if answered := at - word.AnswerAge; word.AnswerAge > 0 && answered > r.lost.renewedAt {
-		r.lost.answeredAt, r.lost.toldAt = max(r.lost.answeredAt, answered), max(r.lost.toldAt, answered)
+// applyLostReport applies another entry's last answer from the server and its last trial of it as a
+// lost server.
+func (r *record) applyLostReport(report Report, at time.Duration) {
+	if answered := at - report.AnswerAge; report.AnswerAge > 0 && answered > r.lost.resetAt {
+		r.lost.answeredAt, r.lost.reportedAt = max(r.lost.answeredAt, answered), max(r.lost.reportedAt, answered)
 	}
-	if tried := at - word.LostTrialAge; word.LostTrialAge > 0 && tried > r.lost.renewedAt {
+	if tried := at - report.LostTrialAge; report.LostTrialAge > 0 && tried > r.lost.resetAt {
 		r.lost.trialAt = max(r.lost.trialAt, tried)
 	}
 }
 
-// onlyProof reports whether a word says nothing of failures or ejections.
-func (w Report) onlyProof() bool {
-	return !w.Ejected && !w.Returned && w.Evidence == 0 && w.Failed == 0 && w.Served == 0
+// confirmationOnly reports whether a report contains no failures and no ejection.
+func (r Report) confirmationOnly() bool {
+	return !r.Ejected && !r.Returned && r.Evidence == 0 && r.Failed == 0 && r.Served == 0
 }
 
-// lately is the age of something that has happened, 0 if that is long ago.
-func lately(at, now time.Duration) time.Duration {
-	if now-at > latelyTime {
+// recentAge returns the age of an event, or 0 if it is older than recentWindow.
+func recentAge(at, now time.Duration) time.Duration {
+	if now-at > recentWindow {
 		return 0
 	}
 	return max(now-at, time.Millisecond)
--- a/coordination/health/trial.go
+++ b/coordination/health/trial.go
@@ -7,74 +7,77 @@
 	"pinevane.example/pinevane/coordination/placement"
 )
 
-// A server returns by trials. Other ways to find out were weighed: a server's health check is
-// what may be false, waits for a place as a request does, and is priced; an agent's report
-// comes by another way than requests do. What costs a caller least is one request that may be
-// sent again, at one entry of the zone at a time.
+// An ejected server returns through a trial request. The alternatives are worse: a server's own
+// health check may be the very thing that is wrong, waits for a slot like a request and has a cost,
+// and an agent's status report takes another path than requests do. The cheapest trial for callers
+// is one repeatable request, sent by one entry of the zone at a time.
 
-// MayBeginTrial reports whether this entry may send a server on trial a request now. It has no other
-// request of the zone, and it is this entry's turn. A request that must not be repeated is a
-// trial only when no other has come for trialPatience.
+// MayBeginTrial reports whether this entry may now send a request to a server on trial: no other
+// request of the zone is its trial, and it is this entry's turn. A request that must not be
+// repeated may become a trial only after repeatableTrialWait without another one.
 func (t *Tracker) MayBeginTrial(server string, repeatable bool, now time.Duration) bool {
-	held := t.servers[server]
-	if held == nil || !held.ejected || now < held.till {
+	rec := t.servers[server]
+	if rec == nil || !rec.ejected || now < rec.ejectedUntil {
 		return false
 	}
-	if held.trying(now) {
+	if rec.trialActive(now) {
 		return false
 	}
-	if !repeatable && now-max(held.till, held.trialAt) < trialPatience {
+	if !repeatable && now-max(rec.ejectedUntil, rec.trialAt) < repeatableTrialWait {
 		return false
 	}
-	return t.hasTurn(server, held, now)
+	return t.hasTrialTurn(server, rec, now)
 }
 
-// hasTurn reports whether the turn of trials has come to this entry. The zone's entries take
-// turns in an order of their own for each server, and agree on it without a message: the end
-// of an ejection was told to all of them.
-func (t *Tracker) hasTurn(server string, held *record, now time.Duration) bool {
-	return t.turnIn(&held.turns, server, held.round, int((now-held.till)/trialTurn))
+// hasTrialTurn reports whether it is this entry's turn to begin a trial. The zone's entries take
+// turns in an order that depends on the server. They need no messages to agree on it, because the
+// end of the ejection was reported to all of them.
+func (t *Tracker) hasTrialTurn(server string, rec *record, now time.Duration) bool {
+	return t.isOwnTurn(&rec.turns, server, rec.round, int((now-rec.ejectedUntil)/trialTurn))
 }
 
-// turns is the order of the zone's entries in the trials of a round, kept because each request
-// asks for it; nil when the zone has changed.
-type turns struct {
+// turnOrder caches the order of the zone's entries in the trials of a round, because each request
+// needs it. It is empty after the members of the zone have changed.
+type turnOrder struct {
 	order []string
 	round int
 }
 
-// turnIn reports whether a turn, counted from 0 on, is this entry's.
-func (t *Tracker) turnIn(kept *turns, name string, round, turn int) bool {
+// isOwnTurn reports whether a turn, counted from 0, is this entry's.
+func (t *Tracker) isOwnTurn(kept *turnOrder, name string, round, turn int) bool {
 	if len(t.members) < 2 {
 		return true
 	}
 	if kept.order == nil || kept.round != round {
-		*kept = turns{order: placement.Rank(name+"/"+strconv.Itoa(round), t.members), round: round}
+		*kept = turnOrder{order: placement.Rank(name+"/"+strconv.Itoa(round), t.members), round: round}
 	}
 	return kept.order[turn%len(kept.order)] == t.self
 }
 
-// BeginTrial notes that this entry sends a server a request, and reports whether it is the server's
-// trial: a request that goes to a server on trial for want of others, beside an open trial, is none.
+// BeginTrial records that this entry sends a request to a server, and reports whether it is the
+// server's trial. A request that is sent to a server on trial for lack of others, while a trial is
+// open, is not.
 func (t *Tracker) BeginTrial(server string, now time.Duration) bool {
-	held := t.servers[server]
-	if held == nil || !held.ejected || now < held.till || held.trying(now) {
+	rec := t.servers[server]
+	if rec == nil || !rec.ejected || now < rec.ejectedUntil || rec.trialActive(now) {
 		return false
 	}
-	held.trialAt, held.trialOpen, held.ownTrial = now, true, true
-	t.tell(server, held, now)
+	rec.trialAt, rec.trialOpen, rec.ownTrial = now, true, true
+	t.queueReport(server, rec, now)
 	return true
 }
 
-// trying reports whether a trial of the zone is under way.
-func (r *record) trying(now time.Duration) bool { return r.trialOpen && now-r.trialAt < trialLimit }
+// trialActive reports whether a trial of the zone is in progress.
+func (r *record) trialActive(now time.Duration) bool {
+	return r.trialOpen && now-r.trialAt < trialTimeout
+}
 
-// EndTrial notes that this entry's trial has ended without showing anything.
+// EndTrial records that this entry's trial has ended without a result.
 func (t *Tracker) EndTrial(server string, now time.Duration) {
-	held := t.servers[server]
-	if held == nil || !held.ownTrial {
+	rec := t.servers[server]
+	if rec == nil || !rec.ownTrial {
 		return
 	}
-	held.trialOpen, held.ownTrial = false, false
-	t.tell(server, held, now)
+	rec.trialOpen, rec.ownTrial = false, false
+	t.queueReport(server, rec, now)
 }
--- a/coordination/health/words.go
+++ b/coordination/health/words.go
@@ -2,248 +2,250 @@
 
 import "time"
 
-// Figures of words from other entries.
+// Weights and limits of reports from other entries.
 const (
-	// hintWeight is what another entry's evidence counts of one's own: the fault may lie
-	// between it and the server.
-	hintWeight = 0.5
-	// hintCap keeps hints alone from ejecting a server.
-	hintCap = ejectAt - 1.5
-	// sameEjection is by how much two entries may differ on when a server was ejected: a word takes
-	// some milliseconds on its way, which are added. It is less than firstEjection, so that two
-	// ejections are told apart.
-	sameEjection = 150 * time.Millisecond
-	// hintTime is how long a hint counts, less and less.
-	hintTime = 3 * time.Second
-	// mostImposedShare is the part of a service's servers, but one at the least, that one other
-	// entry may have ejected here at a time. An entry whose own connections fail takes many for
-	// failing; of two that agree each may.
-	mostImposedShare = 0.125
-	// disputed is the evidence that is left of an ejection that does not hold here: it makes the
-	// server suspect.
-	disputed = ejectAt + 1
+	// peerEvidenceWeight is the weight of another entry's evidence relative to this entry's own:
+	// the fault may lie between that entry and the server.
+	peerEvidenceWeight = 0.5
+	// maxPeerEvidence keeps other entries' evidence alone from ejecting a server.
+	maxPeerEvidence = ejectThreshold - 1.5
+	// sameEjectionTolerance is the largest difference between the times at which two entries place
+	// the same ejection: the milliseconds that a report spends in transit add to it. It is less
+	// than baseEjection, so that two ejections can be told apart.
+	sameEjectionTolerance = 150 * time.Millisecond
+	// peerEvidenceTTL is how long another entry's evidence counts, with a weight that falls to 0.
+	peerEvidenceTTL = 3 * time.Second
+	// maxPeerEjectedRatio is the largest ratio of a service's servers, but at least one server,
+	// that one other entry may eject here at a time. An entry whose own connections fail regards
+	// many servers as failing. If two entries agree, the limit does not apply.
+	maxPeerEjectedRatio = 0.125
+	// disputedEvidence is the evidence recorded for a reported ejection that is not accepted here.
+	// It makes the server suspect.
+	disputedEvidence = ejectThreshold + 1
 )
 
-// Report is what an entry tells the others of its zone of one server. Times are ages and spans,
-// so that clocks need not agree.
+// Report is what an entry announces to the others of its zone about one server. All times are ages
+// and durations, so that clocks need not agree.
 type Report struct {
 	Server string
-	// Entry is who found it out.
+	// Entry is the entry that made the observation.
 	Entry string
-	// Ejected servers are sent nothing for Left, and then trials; otherwise Evidence is what
-	// the entry holds against the server, 0 after its return.
+	// Ejected servers are sent nothing for Remaining, and trials after that. For others Evidence is
+	// the entry's evidence against the server, 0 after its return.
 	Ejected  bool
 	Returned bool
 	Evidence float64
-	// Failed and Served count the entry's attempts of the last Since, with older ones forgotten
-	// by and by. Changed is for how long the state holds.
+	// Failed and Served count the entry's attempts since its failure period began, FailureAge ago,
+	// with exponential decay. StateAge is how long the state has lasted.
 	Failed     float64
 	Served     float64
 	FailureAge time.Duration
 	StateAge   time.Duration
 	Remaining  time.Duration
 	Round      int
-	// TrialOpen is set while a trial is under way.
+	// TrialOpen is set while a trial is in progress.
 	TrialOpen bool
-	// Unresponsive servers answer nothing.
+	// Unresponsive is set for a server that does not answer.
 	Unresponsive bool
-	// AnswerAge is the age of the last answer of the server to the entry, Tried that of the entry's
-	// last trial of it as a lost one; 0 if there was none lately.
+	// AnswerAge is the age of the server's last answer to the entry, LostTrialAge that of the
+	// entry's last trial of it as a lost server; 0 if there was none recently.
 	AnswerAge    time.Duration
 	LostTrialAge time.Duration
 }
 
-// hint is another entry's evidence.
-type hint struct {
+// peerEvidence is another entry's evidence against a server.
+type peerEvidence struct {
 	evidence       float64
 	failed, served float64
-	at             time.Duration
+	updatedAt      time.Duration
 }
 
-// tell notes a word for the other entries. Where the failures are over it counts nothing: others would
-// take what is left of the counts for new failures, and successes beside them.
-func (t *Tracker) tell(server string, held *record, now time.Duration) {
-	word := Report{
-		Server: server, Entry: t.self, Ejected: held.ejected, Returned: !held.ejected && held.changedAt == now,
-		StateAge: now - held.changedAt, Remaining: held.till - now, Round: held.round,
-		TrialOpen: held.trialOpen, Unresponsive: held.mute, AnswerAge: lately(held.servedAt, now), LostTrialAge: lately(held.lost.ownTrialAt, now),
-	}
-	if held.failurePeriodLasts(now) || held.ejected {
-		word.Failed, word.Served, word.FailureAge = held.failurePeriod.failed, held.failurePeriod.served, now-held.failurePeriod.began
-		word.Evidence = held.against(now)
-	}
-	t.words = append(t.words, word)
-	held.lost.toldAt = max(held.lost.toldAt, held.servedAt)
+// queueReport queues a report for the other entries. After the end of a failure period it contains
+// no counts: other entries would take the remaining counts for new failures, and count successes
+// against them.
+func (t *Tracker) queueReport(server string, rec *record, now time.Duration) {
+	report := Report{
+		Server: server, Entry: t.self, Ejected: rec.ejected, Returned: !rec.ejected && rec.changedAt == now,
+		StateAge: now - rec.changedAt, Remaining: rec.ejectedUntil - now, Round: rec.round,
+		TrialOpen: rec.trialOpen, Unresponsive: rec.unresponsive, AnswerAge: recentAge(rec.servedAt, now), LostTrialAge: recentAge(rec.lost.ownTrialAt, now),
+	}
+	if rec.failurePeriodActive(now) || rec.ejected {
+		report.Failed, report.Served, report.FailureAge = rec.failurePeriod.failed, rec.failurePeriod.served, now-rec.failurePeriod.startedAt
+		report.Evidence = rec.ownEvidence(now)
+	}
+	t.reports = append(t.reports, report)
+	rec.lost.reportedAt = max(rec.lost.reportedAt, rec.servedAt)
 }
 
-// TakeReports returns what the other entries are to be told since the last call.
+// TakeReports returns the reports to the other entries since the last call.
 func (t *Tracker) TakeReports() []Report {
-	taken := t.words
-	t.words = nil
+	taken := t.reports
+	t.reports = nil
 	return taken
 }
 
-// ApplyReport takes in what another entry said at a time, and returns the change that it brings.
-func (t *Tracker) ApplyReport(word Report, at, now time.Duration) (Change, bool) {
-	if word.Entry == t.self {
+// ApplyReport applies a report that another entry made at a time, and returns the change that it
+// causes.
+func (t *Tracker) ApplyReport(report Report, at, now time.Duration) (Change, bool) {
+	if report.Entry == t.self {
 		return Change{}, false
 	}
-	word, at = word.limited(), min(at, now)
-	held := t.servers[word.Server]
-	if held == nil {
-		t.keepEarly(earlyWord{word: word, at: at})
+	report, at = report.clamped(), min(at, now)
+	rec := t.servers[report.Server]
+	if rec == nil {
+		t.addPending(pendingReport{report: report, at: at})
 		return Change{}, false
 	}
-	held.hearLost(word, at)
-	if word.onlyProof() {
+	rec.applyLostReport(report, at)
+	if report.confirmationOnly() {
 		return Change{}, false
 	}
-	changedAt := at - word.StateAge
+	changedAt := at - report.StateAge
 	switch {
-	case word.Ejected:
-		return t.hearEjected(held, word, at, changedAt, now)
-	case word.Returned:
-		return t.hearReturned(held, word, changedAt, now)
+	case report.Ejected:
+		return t.applyEjection(rec, report, at, changedAt, now)
+	case report.Returned:
+		return t.applyReturn(rec, report, changedAt, now)
 	}
-	held.beginFailurePeriod(at-word.FailureAge, at)
-	held.hear(word, at)
+	rec.beginFailurePeriod(at-report.FailureAge, at)
+	rec.recordPeerEvidence(report, at)
 	return Change{}, false
 }
 
-// mostEarly is how many words on servers that are not listed yet are held.
-const mostEarly = 64
+// maxPendingReports is the number of reports on unlisted servers that are kept.
+const maxPendingReports = 64
 
-// earlyWord is a word on a server that was not listed when it came: an entry that starts may be
-// told of servers' health before it has the list.
-type earlyWord struct {
-	word Report
-	at   time.Duration
+// pendingReport is a report on a server that was not listed when it arrived: an entry that starts
+// may receive health reports before the list of servers.
+type pendingReport struct {
+	report Report
+	at     time.Duration
 }
 
-func (t *Tracker) keepEarly(one earlyWord) {
-	t.early = append(t.early, one)
-	if len(t.early) > mostEarly {
-		t.early = t.early[1:]
+func (t *Tracker) addPending(pending pendingReport) {
+	t.pending = append(t.pending, pending)
+	if len(t.pending) > maxPendingReports {
+		t.pending = t.pending[1:]
 	}
 }
 
-// hearEarly takes in the words on servers that have been listed since.
-func (t *Tracker) hearEarly() []Change {
-	var kept []earlyWord
+// applyPending applies the reports on servers that have been listed since.
+func (t *Tracker) applyPending() []Change {
+	var kept []pendingReport
 	var changes []Change
-	for _, one := range t.early {
-		if t.servers[one.word.Server] == nil {
+	for _, one := range t.pending {
+		if t.servers[one.report.Server] == nil {
 			kept = append(kept, one)
 			continue
 		}
-		if change, changed := t.ApplyReport(one.word, one.at, one.at); changed {
+		if change, changed := t.ApplyReport(one.report, one.at, one.at); changed {
 			changes = append(changes, change)
 		}
 	}
-	t.early = kept
+	t.pending = kept
 	return changes
 }
 
-// hear notes another entry's evidence.
-func (r *record) hear(word Report, at time.Duration) {
-	if _, known := r.hints[word.Entry]; !known && len(r.hints) >= mostHints {
-		oldest := word.Entry
-		oldestAt := at
-		for entry, one := range r.hints {
-			if one.at < oldestAt || (one.at == oldestAt && entry < oldest) {
-				oldest, oldestAt = entry, one.at
+// recordPeerEvidence stores another entry's evidence. Above maxPeers, the oldest is dropped.
+func (r *record) recordPeerEvidence(report Report, updatedAt time.Duration) {
+	if _, known := r.peerEvidence[report.Entry]; !known && len(r.peerEvidence) >= maxPeers {
+		oldest := report.Entry
+		oldestAt := updatedAt
+		for entry, one := range r.peerEvidence {
+			if one.updatedAt < oldestAt || (one.updatedAt == oldestAt && entry < oldest) {
+				oldest, oldestAt = entry, one.updatedAt
 			}
 		}
-		delete(r.hints, oldest)
-		if oldest == word.Entry {
+		delete(r.peerEvidence, oldest)
+		if oldest == report.Entry {
 			return
 		}
 	}
-	r.hints[word.Entry] = hint{evidence: word.Evidence, failed: word.Failed, served: word.Served, at: at}
+	r.peerEvidence[report.Entry] = peerEvidence{evidence: report.Evidence, failed: report.Failed, served: report.Served, updatedAt: updatedAt}
 }
 
-// hinted is what the hints of other entries add to the evidence.
-func (r *record) hinted(now time.Duration) float64 { return r.hintedBut("", now) }
+// peerSum returns what the other entries add to the evidence.
+func (r *record) peerSum(now time.Duration) float64 { return r.peerSumExcept("", now) }
 
-// hintedBut leaves one entry out.
-func (r *record) hintedBut(entry string, now time.Duration) float64 {
+// peerSumExcept is peerSum without one entry.
+func (r *record) peerSumExcept(entry string, now time.Duration) float64 {
 	sum := 0.0
-	for teller, one := range r.hints {
-		if age := now - one.at; teller != entry && age < hintTime {
-			sum += hintWeight * one.evidence * (1 - max(0, float64(age)/float64(hintTime)))
+	for reporter, one := range r.peerEvidence {
+		if age := now - one.updatedAt; reporter != entry && age < peerEvidenceTTL {
+			sum += peerEvidenceWeight * one.evidence * (1 - max(0, float64(age)/float64(peerEvidenceTTL)))
 		}
 	}
-	return min(sum, hintCap)
+	return min(sum, maxPeerEvidence)
 }
 
-// hearEjected takes over an ejection, or what has become of one that is known.
-func (t *Tracker) hearEjected(held *record, word Report, at, changedAt, now time.Duration) (Change, bool) {
-	if held.ejected {
-		if till := at + word.Remaining; changedAt > held.changedAt || till > held.till {
-			if word.Round > held.round || changedAt-held.changedAt > sameEjection {
-				held.trialOpen, held.ownTrial = false, false
+// applyEjection applies a reported ejection, or an update of one that is already known.
+func (t *Tracker) applyEjection(rec *record, report Report, at, changedAt, now time.Duration) (Change, bool) {
+	if rec.ejected {
+		if until := at + report.Remaining; changedAt > rec.changedAt || until > rec.ejectedUntil {
+			if report.Round > rec.round || changedAt-rec.changedAt > sameEjectionTolerance {
+				rec.trialOpen, rec.ownTrial = false, false
 			}
-			held.till, held.round, held.changedAt = max(held.till, till), max(held.round, word.Round), max(held.changedAt, changedAt)
-			held.mute = word.Unresponsive
+			rec.ejectedUntil, rec.round, rec.changedAt = max(rec.ejectedUntil, until), max(rec.round, report.Round), max(rec.changedAt, changedAt)
+			rec.unresponsive = report.Unresponsive
 		}
-		held.followTrial(word, at)
+		rec.applyTrial(report, at)
 		return Change{}, false
 	}
-	if changedAt <= held.changedAt {
+	if changedAt <= rec.changedAt {
 		return Change{}, false
 	}
-	if !t.believes(held, word, at) {
+	if !t.acceptsEjection(rec, report, at) {
 		return Change{}, false
 	}
-	from := t.State(word.Server, now)
-	t.dropFromUsual(held, now)
-	held.ejected, held.by, held.changedAt, held.till = true, word.Entry, changedAt, at+word.Remaining
-	held.round, held.mute = max(held.round, word.Round), word.Unresponsive
-	held.trialOpen, held.ownTrial = false, false
-	held.followTrial(word, at)
-	return Change{Server: word.Server, From: from, To: Ejected, Reporter: word.Entry, Duration: held.till - now, Round: held.round}, true
+	from := t.State(report.Server, now)
+	t.removeFromBaseline(rec, now)
+	rec.ejected, rec.reporter, rec.changedAt, rec.ejectedUntil = true, report.Entry, changedAt, at+report.Remaining
+	rec.round, rec.unresponsive = max(rec.round, report.Round), report.Unresponsive
+	rec.trialOpen, rec.ownTrial = false, false
+	rec.applyTrial(report, at)
+	return Change{Server: report.Server, From: from, To: Ejected, Reporter: report.Entry, Duration: rec.ejectedUntil - now, Round: rec.round}, true
 }
 
-// followTrial takes over how the trials of another entry go.
-func (r *record) followTrial(word Report, at time.Duration) {
-	if at < r.till || r.ownTrial {
+// applyTrial updates the state of a trial that another entry runs.
+func (r *record) applyTrial(report Report, at time.Duration) {
+	if at < r.ejectedUntil || r.ownTrial {
 		return
 	}
-	r.trialOpen = word.TrialOpen
-	if word.TrialOpen {
+	r.trialOpen = report.TrialOpen
+	if report.TrialOpen {
 		r.trialAt = at
 	}
 }
 
-// believes reports whether another entry's ejection holds here too.
-func (t *Tracker) believes(held *record, word Report, at time.Duration) bool {
-	supported := held.against(at)+held.hintedBut(word.Entry, at) >= suspectAt
-	held.beginFailurePeriod(at-word.FailureAge, at)
-	word.Evidence = disputed
-	held.hear(word, at)
-	if !held.mostlyFails(0, at) || !t.mayEject(held.service) {
+// acceptsEjection reports whether another entry's ejection applies here too.
+func (t *Tracker) acceptsEjection(rec *record, report Report, at time.Duration) bool {
+	corroborated := rec.ownEvidence(at)+rec.peerSumExcept(report.Entry, at) >= suspectThreshold
+	rec.beginFailurePeriod(at-report.FailureAge, at)
+	report.Evidence = disputedEvidence
+	rec.recordPeerEvidence(report, at)
+	if !rec.mostlyFails(0, at) || !t.mayEjectMore(rec.service) {
 		return false
 	}
-	if supported {
+	if corroborated {
 		return true
 	}
-	servers := t.services[held.service].servers
-	imposed := 0
+	servers := t.services[rec.service].servers
+	ejected := 0
 	for _, id := range servers {
-		if one := t.servers[id]; one != nil && one.service == held.service && one.ejected && one.by == word.Entry {
-			imposed++
+		if other := t.servers[id]; other != nil && other.service == rec.service && other.ejected && other.reporter == report.Entry {
+			ejected++
 		}
 	}
-	return imposed < max(1, int(mostImposedShare*float64(len(servers))))
+	return ejected < max(1, int(maxPeerEjectedRatio*float64(len(servers))))
 }
 
-// hearReturned takes over that a server has served its trials.
-func (t *Tracker) hearReturned(held *record, word Report, changedAt, now time.Duration) (Change, bool) {
-	if !held.ejected || changedAt <= held.changedAt {
+// applyReturn applies a report that a server has passed its trial.
+func (t *Tracker) applyReturn(rec *record, report Report, changedAt, now time.Duration) (Change, bool) {
+	if !rec.ejected || changedAt <= rec.changedAt {
 		return Change{}, false
 	}
-	from := t.State(word.Server, now)
-	held.restore(now)
-	held.changedAt = changedAt
-	return Change{Server: word.Server, From: from, To: Healthy, Reporter: word.Entry, Round: held.round}, true
+	from := t.State(report.Server, now)
+	rec.restore(now)
+	rec.changedAt = changedAt
+	return Change{Server: report.Server, From: from, To: Healthy, Reporter: report.Entry, Round: rec.round}, true
 }
--- a/coordination/health/words_test.go
+++ b/coordination/health/words_test.go
@@ -13,116 +13,118 @@
 	"pinevane.example/pinevane/coordination/placement"
 )
 
-// hear has an entry hear all that another has to tell, some time after it was said.
-func (s *script) hear(from *script, late time.Duration) *script {
-	for _, word := range from.tracker.TakeReports() {
-		s.tracker.ApplyReport(word, from.now, from.now+late)
+// receive applies all queued reports of another entry after a delay.
+func (s *script) receive(from *script, delay time.Duration) *script {
+	for _, report := range from.tracker.TakeReports() {
+		s.tracker.ApplyReport(report, from.now, from.now+delay)
 	}
-	s.now = max(s.now, from.now+late)
+	s.now = max(s.now, from.now+delay)
 	return s
 }
 
-// another returns the script of another entry of the zone.
-func (s *script) another(name string) *script {
+// newPeer returns the script of another entry of the zone.
+func (s *script) newPeer(name string) *script {
 	other := &script{t: s.t, tracker: New(name), now: s.now}
 	other.tracker.SetServers("service", s.tracker.services["service"].servers)
 	return other
 }
 
-// What one entry has found out holds at another that knows nothing else, and so does the
-// server's return.
-func TestEjectionAndReturnHoldInTheZone(t *testing.T) {
-	one := play(t, 8)
-	two := one.another("e1")
-	one.see("s0", Errored, Errored)
-	two.hear(one, 60*ms).is("s0", Ejected)
-	one.wait(firstEjection).try("s0", Served)
-	two.hear(one, 60*ms).is("s0", Healthy)
+// An ejection found by one entry applies at another without observations of its own, and so does
+// the server's return.
+func TestEjectionAndReturnHoldInZone(t *testing.T) {
+	first := newScript(t, 8)
+	second := first.newPeer("e1")
+	first.observe("s0", Errored, Errored)
+	second.receive(first, 60*ms).expect("s0", Ejected)
+	first.wait(baseEjection).runTrial("s0", Served)
+	second.receive(first, 60*ms).expect("s0", Healthy)
 }
 
-// Successes from before the fault are no reason to doubt it; those from after it began are.
-func TestOwnSuccessesOutweighAnEjectionTold(t *testing.T) {
-	one := play(t, 8)
-	before, after := one.another("e1"), one.another("e2")
-	before.see("s0", Served, Served, Served)
-	one.wait(100*ms).see("s0", Errored)
-	after.now = one.now
-	after.wait(5*ms).see("s0", Served, Served)
-	one.wait(50*ms).see("s0", Errored)
-	words := one.tracker.words
-	before.hear(one, 60*ms).is("s0", Ejected)
-	one.tracker.words = words
-	after.hear(one, 60*ms).is("s0", Suspect).wait(hintTime).is("s0", Healthy)
+// An entry's successes from before the fault do not outweigh a reported ejection. Successes since
+// the fault began do.
+func TestOwnSuccessesOutweighReportedEjection(t *testing.T) {
+	first := newScript(t, 8)
+	before, after := first.newPeer("e1"), first.newPeer("e2")
+	before.observe("s0", Served, Served, Served)
+	first.wait(100*ms).observe("s0", Errored)
+	after.now = first.now
+	after.wait(5*ms).observe("s0", Served, Served)
+	first.wait(50*ms).observe("s0", Errored)
+	reports := first.tracker.reports
+	before.receive(first, 60*ms).expect("s0", Ejected)
+	first.tracker.reports = reports
+	after.receive(first, 60*ms).expect("s0", Suspect).wait(peerEvidenceTTL).expect("s0", Healthy)
 }
 
-// An entry whose own connections fail can't empty the zone.
-func TestOneEntryCanNotEjectManyServersForAll(t *testing.T) {
-	one := play(t, 16)
-	two := one.another("e1")
+// An entry whose own connections fail can't eject all servers of the zone.
+func TestOneEntryCannotEjectManyServersForZone(t *testing.T) {
+	first := newScript(t, 16)
+	second := first.newPeer("e1")
 	for server := range 16 {
-		one.see(fmt.Sprint("s", server), Unreachable, Unreachable)
-		two.hear(one, 60*ms)
+		first.observe(fmt.Sprint("s", server), Unreachable, Unreachable)
+		second.receive(first, 60*ms)
 	}
-	assert.Len(t, two.tracker.Ejected(), 2)
-	three := one.another("e2")
+	assert.Len(t, second.tracker.Ejected(), 2)
+	third := first.newPeer("e2")
 	for server := range 4 {
-		three.see(fmt.Sprint("s", 8+server), Unreachable, Unreachable)
-		two.hear(three, 60*ms)
+		third.observe(fmt.Sprint("s", 8+server), Unreachable, Unreachable)
+		second.receive(third, 60*ms)
 	}
-	assert.Greater(t, len(two.tracker.Ejected()), 4, "two that agree are believed")
+	assert.Greater(t, len(second.tracker.Ejected()), 4, "the limit does not apply when two entries agree")
 }
 
-// An entry that starts may be told before it has the list of servers.
-func TestWordsOnServersNotListedYet(t *testing.T) {
-	one := play(t, 8)
-	late := &script{t: t, tracker: New("e1"), now: one.now}
-	for range 2 * mostEarly {
-		late.tracker.ApplyReport(Report{Server: "elsewhere", Entry: "e2", Ejected: true}, one.now, one.now)
+// An entry that starts may receive reports before it has the list of servers.
+func TestReportsOnUnlistedServers(t *testing.T) {
+	first := newScript(t, 8)
+	starting := &script{t: t, tracker: New("e1"), now: first.now}
+	for range 2 * maxPendingReports {
+		starting.tracker.ApplyReport(Report{Server: "elsewhere", Entry: "e2", Ejected: true}, first.now, first.now)
 	}
-	one.see("s0", Errored, Errored)
-	// The late one counts time from its own start.
-	for _, word := range one.tracker.TakeReports() {
-		late.tracker.ApplyReport(word, -100*ms, 50*ms)
+	first.observe("s0", Errored, Errored)
+	// The new entry's clock starts at its own start.
+	for _, report := range first.tracker.TakeReports() {
+		starting.tracker.ApplyReport(report, -100*ms, 50*ms)
 	}
-	late.now = 60 * ms
-	assert.Len(t, late.tracker.early, mostEarly)
-	changes := late.tracker.SetServers("service", names("s", 8))
+	starting.now = 60 * ms
+	assert.Len(t, starting.tracker.pending, maxPendingReports)
+	changes := starting.tracker.SetServers("service", names("s", 8))
 	assert.Len(t, changes, 1)
-	late.is("s0", Ejected).is("s1", Healthy)
-	assert.Len(t, late.tracker.early, mostEarly-2, "the suspicion and the ejection are taken in")
+	starting.expect("s0", Ejected).expect("s1", Healthy)
+	assert.Len(t, starting.tracker.pending, maxPendingReports-2, "both reports on the listed server are applied")
 }
 
-// A hint counts less than an own failure, less and less, and any number of them eject nobody.
-func TestHintsCountLessAndAge(t *testing.T) {
-	two := play(t, 8)
-	for entry := range 3 * mostHints {
-		other := two.another(fmt.Sprint("e", 1+entry))
-		two.hear(other.see("s0", Errored), 0)
+// Another entry's evidence counts less than an own failure and decays, and any number of other
+// entries do not eject a server by evidence alone.
+func TestPeerEvidenceIsDiscountedAndDecays(t *testing.T) {
+	second := newScript(t, 8)
+	for entry := range 3 * maxPeers {
+		other := second.newPeer(fmt.Sprint("e", 1+entry))
+		second.receive(other.observe("s0", Errored), 0)
 	}
-	assert.Len(t, two.tracker.servers["s0"].hints, mostHints)
-	two.is("s0", Suspect)
-	assert.InDelta(t, hintCap, two.tracker.View("s0", two.now).PeerEvidence, 0.01)
-	two.see("s0", Errored).is("s0", Ejected)
-	three := play(t, 8)
-	three.hear(three.another("e1").see("s0", Errored), 0)
-	fresh := three.tracker.View("s0", three.now).PeerEvidence
-	assert.Less(t, fresh, suspectAt/1.5)
-	three.wait(hintTime / 2)
-	assert.Less(t, three.tracker.View("s0", three.now).PeerEvidence, 0.6*fresh)
-	assert.Zero(t, three.wait(hintTime).tracker.View("s0", three.now).PeerEvidence)
+	assert.Len(t, second.tracker.servers["s0"].peerEvidence, maxPeers)
+	second.expect("s0", Suspect)
+	assert.InDelta(t, maxPeerEvidence, second.tracker.View("s0", second.now).PeerEvidence, 0.01)
+	second.observe("s0", Errored).expect("s0", Ejected)
+	third := newScript(t, 8)
+	third.receive(third.newPeer("e1").observe("s0", Errored), 0)
+	fresh := third.tracker.View("s0", third.now).PeerEvidence
+	assert.Less(t, fresh, suspectThreshold/1.5)
+	third.wait(peerEvidenceTTL / 2)
+	assert.Less(t, third.tracker.View("s0", third.now).PeerEvidence, 0.6*fresh)
+	assert.Zero(t, third.wait(peerEvidenceTTL).tracker.View("s0", third.now).PeerEvidence)
 }
 
-// zone plays entries that share what they learn, with words that take a while.
+// zone simulates entries that exchange reports with a delay.
 type zone struct {
-	entries []*Tracker
-	now     time.Duration
-	transit []transit
+	entries    []*Tracker
+	now        time.Duration
+	deliveries []delivery
 }
 
-type transit struct {
-	word     Report
-	to       int
-	said, at time.Duration
+type delivery struct {
+	report            Report
+	to                int
+	sentAt, arrivesAt time.Duration
 }
 
 func newZone(entries, servers int) *zone {
@@ -136,31 +138,32 @@
 	return z
 }
 
-// step advances the time and carries words.
-func (z *zone) step(span, delay time.Duration) {
-	z.now += span
-	var kept []transit
-	for _, one := range z.transit {
-		if one.at > z.now {
-			kept = append(kept, one)
+// step advances the time and delivers reports.
+func (z *zone) step(duration, delay time.Duration) {
+	z.now += duration
+	var kept []delivery
+	for _, pending := range z.deliveries {
+		if pending.arrivesAt > z.now {
+			kept = append(kept, pending)
 			continue
 		}
-		z.entries[one.to].ApplyReport(one.word, one.said, z.now)
+		z.entries[pending.to].ApplyReport(pending.report, pending.sentAt, z.now)
 	}
-	z.transit = kept
+	z.deliveries = kept
 	for from, entry := range z.entries {
-		for _, word := range entry.TakeReports() {
+		for _, report := range entry.TakeReports() {
 			for to := range z.entries {
 				if to != from {
-					z.transit = append(z.transit, transit{word: word, to: to, said: z.now, at: z.now + delay})
+					z.deliveries = append(z.deliveries, delivery{report: report, to: to, sentAt: z.now, arrivesAt: z.now + delay})
 				}
 			}
 		}
 	}
 }
 
-// send has an entry send one request to a server, if it may, which ends at once.
-func (z *zone) send(entry int, server string, sound bool) (sent bool) {
+// send sends a request from an entry to a server, if the entry may send one. The request ends at
+// once.
+func (z *zone) send(entry int, server string, healthy bool) (sent bool) {
 	tracker := z.entries[entry]
 	switch tracker.State(server, z.now) {
 	case Ejected:
@@ -172,66 +175,66 @@
 		tracker.BeginTrial(server, z.now)
 	}
 	outcome := Served
-	if !sound {
+	if !healthy {
 		outcome = Errored
 	}
 	tracker.Observe(Attempt{Server: server, Class: "route", Outcome: outcome, Sent: z.now}, z.now)
 	return true
 }
 
-// play has entries send servers requests at a pace, one after the other, for a time; fails tells
-// whether a request of a server fails. It returns the failures at s0 and the part of the time in
-// which s0 was out at the first entry.
-func (z *zone) play(span time.Duration, fails func(server, number int) bool) (failures int, out float64) {
+// run sends requests from random entries to the servers in turn for a time; fails tells whether a
+// request fails. It returns the failures at s0 and the fraction of the time in which s0 was ejected
+// or on trial at the first entry.
+func (z *zone) run(duration time.Duration, fails func(server, number int) bool) (failures int, ejectedRatio float64) {
 	const pace, delay = 10 * ms, 100 * ms
 	random := rand.New(rand.NewPCG(3, 4))
-	steps, outSteps := 0, 0
-	for until := z.now + span; z.now < until; z.step(pace, delay) {
+	steps, ejectedSteps := 0, 0
+	for until := z.now + duration; z.now < until; z.step(pace, delay) {
 		server := steps % 6
 		failed := fails(server, steps)
 		if z.send(random.IntN(len(z.entries)), fmt.Sprint("s", server), !failed) && failed && server == 0 {
 			failures++
 		}
 		if state := z.entries[0].State("s0", z.now); state == Ejected || state == OnTrial {
-			outSteps++
+			ejectedSteps++
 		}
 		steps++
 	}
-	return failures, float64(outSteps) / float64(steps)
+	return failures, float64(ejectedSteps) / float64(steps)
 }
 
-// Fifteen entries that each send a server about one request a second lose few to one that fails
-// all, and find it within half a second; one that fails 4 in 10 serves on, as a suspect, and
-// one server's usual failures do not take it out.
-func TestWhatAZoneLosesToAFailingServer(t *testing.T) {
+// Fifteen entries, each with about one request a second to a server, lose few requests to one that
+// fails all, and detect it within half a second. A server that fails 4 in 10 stays in use as a
+// suspect, and baseline failures do not eject a server.
+func TestZoneFailuresAtFailingServer(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	z := newZone(15, 6)
-	sound := func(int, int) bool { return false }
-	_, out := z.play(10*time.Second, sound)
-	assert.Zero(t, out)
-	failures, _ := z.play(time.Second, func(server, _ int) bool { return server == 0 })
+	noFailures := func(int, int) bool { return false }
+	_, ejectedRatio := z.run(10*time.Second, noFailures)
+	assert.Zero(t, ejectedRatio)
+	failures, _ := z.run(time.Second, func(server, _ int) bool { return server == 0 })
 	assert.LessOrEqual(t, failures, 6)
 	for index, entry := range z.entries {
 		assert.NotEqual(t, Healthy.String(), entry.State("s0", z.now).String(), "entry %d", index)
 	}
-	failures, out = z.play(10*time.Second, func(server, _ int) bool { return server == 0 })
-	assert.LessOrEqual(t, failures, 11, "a trial each second")
-	assert.Greater(t, out, 0.98)
+	failures, ejectedRatio = z.run(10*time.Second, func(server, _ int) bool { return server == 0 })
+	assert.LessOrEqual(t, failures, 11, "one trial per second")
+	assert.Greater(t, ejectedRatio, 0.98)
 
 	z = newZone(15, 6)
-	z.play(10*time.Second, sound)
-	_, out = z.play(10*time.Second, func(server, number int) bool { return server == 0 && random.Float64() < 0.4 })
-	assert.Less(t, out, 0.3)
+	z.run(10*time.Second, noFailures)
+	_, ejectedRatio = z.run(10*time.Second, func(server, number int) bool { return server == 0 && random.Float64() < 0.4 })
+	assert.Less(t, ejectedRatio, 0.3)
 
 	z = newZone(15, 6)
-	_, out = z.play(30*time.Second, func(_, number int) bool { return random.Float64() < 0.14 })
-	assert.Less(t, out, 0.02)
+	_, ejectedRatio = z.run(30*time.Second, func(_, number int) bool { return random.Float64() < 0.14 })
+	assert.Less(t, ejectedRatio, 0.02)
 }
 
-// Whatever has happened before, a server that fails everything gets, once it is ejected, at
-// most one request of the whole zone in each period of its ejection; and once it is sound it is
-// in use at every entry within a bounded time.
-func TestZoneTriesOneAtATimeAndServersReturn(t *testing.T) {
+// Whatever happened before, a server that fails everything gets at most one request of the whole
+// zone in each ejection period once it is ejected, and a server that has recovered is in use at
+// every entry within a bounded time.
+func TestZoneRunsOneTrialAtATimeAndServersReturn(t *testing.T) {
 	const step, servers = 20 * ms, 6
 	rapid.Check(t, func(t *rapid.T) {
 		entries := rapid.IntRange(1, 8).Draw(t, "entries")
@@ -241,14 +244,14 @@
 			z.send(rapid.IntRange(0, entries-1).Draw(t, "entry"), fmt.Sprint("s", rapid.IntRange(0, servers-1).Draw(t, "server")), rapid.Float64Range(0, 1).Draw(t, "luck") > 0.3)
 			z.step(time.Duration(rapid.IntRange(1, 300).Draw(t, "pause"))*ms, delay)
 		}
-		for until := z.now + 10*longestEjection; z.now < until; z.step(step, delay) {
+		for until := z.now + 10*maxEjection; z.now < until; z.step(step, delay) {
 			for entry := range entries {
 				z.send(entry, "s0", false)
 				z.send(entry, fmt.Sprint("s", 1+entry%(servers-1)), true)
 			}
 		}
 		var failed []time.Duration
-		for until := z.now + 8*longestEjection; z.now < until; z.step(step, delay) {
+		for until := z.now + 8*maxEjection; z.now < until; z.step(step, delay) {
 			for entry := range entries {
 				if z.send(entry, "s0", false) {
 					failed = append(failed, z.now)
@@ -256,13 +259,13 @@
 			}
 		}
 		for index := 1; index < len(failed); index++ {
-			if pause := failed[index] - failed[index-1]; pause < longestEjection {
+			if pause := failed[index] - failed[index-1]; pause < maxEjection {
 				t.Fatalf("two requests within %s at %v", pause, failed)
 			}
 		}
-		// A sound server returns: it is out for the longest ejection at most, and is tried
-		// within one round of turns.
-		bound := longestEjection + time.Duration(entries)*trialTurn + time.Second
+		// A healthy server returns: it is ejected for at most maxEjection and then tried within one
+		// round of turns.
+		bound := maxEjection + time.Duration(entries)*trialTurn + time.Second
 		for until := z.now + bound; z.now < until; z.step(step, delay) {
 			for entry := range entries {
 				z.send(entry, "s0", true)
@@ -272,15 +275,15 @@
 			if state := entry.State("s0", z.now); state != Healthy {
 				t.Fatalf("%s at entry %d of %d after %s", state, index, entries, bound)
 			}
-			if len(entry.servers) != servers || len(entry.words) > 0 {
-				t.Fatalf("%d servers, %d words held", len(entry.servers), len(entry.words))
+			if len(entry.servers) != servers || len(entry.reports) > 0 {
+				t.Fatalf("%d servers, %d reports stored", len(entry.servers), len(entry.reports))
 			}
 		}
 	})
 }
 
-// What an entry of this code says is within the bounds that words are held to.
-func TestWordsOfThisEntryAreSound(t *testing.T) {
+// Every report that an entry makes itself passes Validate.
+func TestOwnReportsAreValid(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tracker := New("e0")
 		tracker.SetServers("service", names("s", 4))
@@ -291,88 +294,88 @@
 			if tracker.MayBeginTrial(server, true, now) {
 				tracker.BeginTrial(server, now)
 			}
-			tracker.Observe(Attempt{Server: server, Outcome: Outcome(rapid.IntRange(1, outcomes-1).Draw(t, "outcome")), Sent: now}, now)
-			for _, word := range tracker.TakeReports() {
-				assert.NoError(t, word.Validate())
-				assert.Equal(t, word, word.limited())
+			tracker.Observe(Attempt{Server: server, Outcome: Outcome(rapid.IntRange(1, outcomeCount-1).Draw(t, "outcome")), Sent: now}, now)
+			for _, report := range tracker.TakeReports() {
+				assert.NoError(t, report.Validate())
+				assert.Equal(t, report, report.clamped())
 			}
 		}
 	})
 }
 
-// Each field of a word has its bounds.
-func TestWordsOutOfBoundsAreFaults(t *testing.T) {
-	sound := Report{Server: "s0", Entry: "e1", Ejected: true, Round: 1, Remaining: longestEjection, Evidence: evidenceCap}
-	assert.NoError(t, sound.Validate())
-	for field, spoil := range map[string]func(*Report){
-		"since":    func(w *Report) { w.FailureAge = -1 },
-		"changed":  func(w *Report) { w.StateAge = MaxDuration + 1 },
-		"left":     func(w *Report) { w.Remaining = longestEjection + 1 },
-		"round":    func(w *Report) { w.Round = 0 },
-		"evidence": func(w *Report) { w.Evidence = math.NaN() },
-		"failed":   func(w *Report) { w.Failed = math.Inf(1) },
-		"served":   func(w *Report) { w.Served = -1 },
-		"answered": func(w *Report) { w.AnswerAge = -1 },
-		"tried":    func(w *Report) { w.LostTrialAge = MaxDuration + 1 },
+// Each field of a report has its bounds.
+func TestReportsOutOfBoundsAreInvalid(t *testing.T) {
+	valid := Report{Server: "s0", Entry: "e1", Ejected: true, Round: 1, Remaining: maxEjection, Evidence: maxEvidence}
+	assert.NoError(t, valid.Validate())
+	for field, corrupt := range map[string]func(*Report){
+		"since":    func(r *Report) { r.FailureAge = -1 },
+		"changed":  func(r *Report) { r.StateAge = MaxDuration + 1 },
+		"left":     func(r *Report) { r.Remaining = maxEjection + 1 },
+		"round":    func(r *Report) { r.Round = 0 },
+		"evidence": func(r *Report) { r.Evidence = math.NaN() },
+		"failed":   func(r *Report) { r.Failed = math.Inf(1) },
+		"served":   func(r *Report) { r.Served = -1 },
+		"answered": func(r *Report) { r.AnswerAge = -1 },
+		"tried":    func(r *Report) { r.LostTrialAge = MaxDuration + 1 },
 	} {
-		word := sound
-		spoil(&word)
+		report := valid
+		corrupt(&report)
 		var invalid *InvalidReportError
-		if assert.ErrorAs(t, word.Validate(), &invalid, field) {
+		if assert.ErrorAs(t, report.Validate(), &invalid, field) {
 			assert.Equal(t, field, invalid.Field)
 		}
-		assert.NoError(t, word.limited().Validate(), field)
+		assert.NoError(t, report.clamped().Validate(), field)
 	}
 }
 
-// Another entry's word on an ejection that is known does not end this one's trial; one on a later
+// Another entry's report on a known ejection does not end this entry's trial; one on a later
 // ejection does.
-func TestWordOnAKnownEjectionKeepsTheTrial(t *testing.T) {
-	one := play(t, 8)
-	two := one.another("e1")
-	one.see("s0", Errored, Errored)
-	words := one.tracker.TakeReports()
-	ejection := words[len(words)-1]
-	two.tracker.ApplyReport(ejection, one.now, one.now)
-	two.now = one.now + firstEjection + 50*ms
-	two.is("s0", OnTrial)
-	assert.True(t, two.tracker.BeginTrial("s0", two.now))
-	assert.False(t, two.tracker.BeginTrial("s0", two.now), "one at a time")
-	echo := ejection
-	echo.Entry = "e2"
-	two.tracker.ApplyReport(echo, one.now+40*ms, two.now)
-	assert.False(t, two.tracker.MayBeginTrial("s0", true, two.now))
-	assert.True(t, two.tracker.servers["s0"].ownTrial)
-	two.wait(100 * ms)
-	echo.Round++
-	two.tracker.ApplyReport(echo, two.now, two.now)
-	assert.False(t, two.tracker.servers["s0"].ownTrial)
-	two.is("s0", Ejected)
+func TestReportOnKnownEjectionKeepsTrial(t *testing.T) {
+	first := newScript(t, 8)
+	second := first.newPeer("e1")
+	first.observe("s0", Errored, Errored)
+	reports := first.tracker.TakeReports()
+	ejection := reports[len(reports)-1]
+	second.tracker.ApplyReport(ejection, first.now, first.now)
+	second.now = first.now + baseEjection + 50*ms
+	second.expect("s0", OnTrial)
+	assert.True(t, second.tracker.BeginTrial("s0", second.now))
+	assert.False(t, second.tracker.BeginTrial("s0", second.now), "one trial at a time")
+	copied := ejection
+	copied.Entry = "e2"
+	second.tracker.ApplyReport(copied, first.now+40*ms, second.now)
+	assert.False(t, second.tracker.MayBeginTrial("s0", true, second.now))
+	assert.True(t, second.tracker.servers["s0"].ownTrial)
+	second.wait(100 * ms)
+	copied.Round++
+	second.tracker.ApplyReport(copied, second.now, second.now)
+	assert.False(t, second.tracker.servers["s0"].ownTrial)
+	second.expect("s0", Ejected)
 }
 
-// What is told of a server from before another one took its name says nothing of that.
-func TestRenewedServerIsNotHeldForWordsOfTheFormer(t *testing.T) {
-	one := play(t, 8)
-	two := one.another("e1")
-	one.see("s0", Errored, Errored)
-	words := one.tracker.TakeReports()
-	two.now = one.now + 100*ms
-	two.tracker.Reset("s0", two.now)
-	two.tracker.ApplyReport(words[len(words)-1], one.now, two.now)
-	two.is("s0", Healthy)
+// Reports on a server from before another one took its name do not apply to the new one.
+func TestResetServerIgnoresEarlierReports(t *testing.T) {
+	first := newScript(t, 8)
+	second := first.newPeer("e1")
+	first.observe("s0", Errored, Errored)
+	reports := first.tracker.TakeReports()
+	second.now = first.now + 100*ms
+	second.tracker.Reset("s0", second.now)
+	second.tracker.ApplyReport(reports[len(reports)-1], first.now, second.now)
+	second.expect("s0", Healthy)
 }
 
-// The order of turns is that of the zone as it is, and of the ejection.
-func TestTurnsFollowTheZoneAndTheRound(t *testing.T) {
-	s := play(t, 8).see("s0", Errored, Errored).wait(firstEjection)
+// The order of turns depends on the current members of the zone and on the round of the ejection.
+func TestTurnOrderFollowsMembersAndRound(t *testing.T) {
+	s := newScript(t, 8).observe("s0", Errored, Errored).wait(baseEjection)
 	for _, others := range [][]string{names("e", 5), names("f", 7), nil} {
 		s.tracker.SetMembers(others)
-		for round := 1; round <= maximumRounds; round++ {
-			held := s.tracker.servers["s0"]
-			held.round = round
+		for round := 1; round <= maxRounds; round++ {
+			rec := s.tracker.servers["s0"]
+			rec.round = round
 			order := placement.Rank(fmt.Sprint("s0/", round), s.tracker.members)
 			for turn := range 2 * len(order) {
-				now := held.till + time.Duration(turn)*trialTurn
+				now := rec.ejectedUntil + time.Duration(turn)*trialTurn
 				assert.Equal(t, order[turn%len(order)] == s.tracker.self, s.tracker.MayBeginTrial("s0", true, now))
 			}
 		}
