--- a/coordination/incarnation/incarnation_test.go
+++ b/coordination/incarnation/incarnation_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestUnknownBirthTellsNothing(t *testing.T) {
+func TestUnknownStartTime(t *testing.T) {
 	assert.True(t, StartTime(1).Before(2))
 	assert.False(t, StartTime(2).Before(2))
 	assert.False(t, StartTime(0).Before(2))
