--- a/coordination/liveness/liveness.go
+++ b/coordination/liveness/liveness.go
@@ -1,17 +1,18 @@
-// Package liveness judges whether a process is alive from when it was last
-// heard, and whether the judge itself was paused. It reads no clock; times are
-// durations on the caller's monotonic clock.
+// Package liveness detects whether processes are alive from when they last sent something, and
+// whether the detecting process itself was paused. It reads no clock; times are durations on the
+// caller's monotonic clock.
 package liveness
 
 import "time"
 
-// Options sets the periods of heartbeats and suspicion.
+// Options sets the heartbeat period and the timeouts.
 type Options struct {
-	// Heartbeat is the period at which a silent process still sends a sign of life.
+	// Heartbeat is the longest time without a message after which a process sends a heartbeat.
 	Heartbeat time.Duration
-	// SuspectAfter is the silence after which a process is taken for dead.
+	// SuspectAfter is the time without activity after which a process is considered dead.
 	SuspectAfter time.Duration
-	// MaxTickGap is the gap between two ticks of the judge after which its own view is void.
+	// MaxTickGap is the largest gap between two ticks. After a larger one the detecting process was
+	// paused, and its own observations are invalid.
 	MaxTickGap time.Duration
 }
 
@@ -28,57 +29,57 @@
 	return o
 }
 
-// Detector follows the silence of a set of processes.
+// Detector tracks the last activity of a set of processes.
 type Detector struct {
-	options  Options
-	heard    map[string]time.Duration
-	lastTick time.Duration
-	ticked   bool
+	options      Options
+	lastActivity map[string]time.Duration
+	lastTick     time.Duration
+	ticked       bool
 }
 
-// NewDetector returns a detector that has heard nobody.
+// NewDetector returns a detector without processes.
 func NewDetector(options Options) *Detector {
-	return &Detector{options: options.applyDefaults(), heard: map[string]time.Duration{}}
+	return &Detector{options: options.applyDefaults(), lastActivity: map[string]time.Duration{}}
 }
 
-// Options returns the periods in force.
+// Options returns the options with their defaults applied.
 func (d *Detector) Options() Options { return d.options }
 
-// RecordActivity records a sign of life.
-func (d *Detector) RecordActivity(process string, now time.Duration) { d.heard[process] = now }
+// RecordActivity records that a process was active.
+func (d *Detector) RecordActivity(process string, now time.Duration) { d.lastActivity[process] = now }
 
-// Forget drops a process.
-func (d *Detector) Forget(process string) { delete(d.heard, process) }
+// Forget removes a process.
+func (d *Detector) Forget(process string) { delete(d.lastActivity, process) }
 
-// Tick returns the processes that have been silent too long, and forgets them.
-// After a pause of the judge itself nobody is suspected: every process gets a
-// whole period anew, and paused is true.
+// Tick returns the processes that have been inactive for too long, and removes them. After a pause
+// of the detecting process, paused is true and no process is suspected: each gets a new full
+// SuspectAfter.
 func (d *Detector) Tick(now time.Duration) (suspects []string, paused bool) {
 	paused = d.ticked && now-d.lastTick > d.options.MaxTickGap
 	d.lastTick, d.ticked = now, true
 	if paused {
-		for process := range d.heard {
-			d.heard[process] = now
+		for process := range d.lastActivity {
+			d.lastActivity[process] = now
 		}
 		return nil, true
 	}
-	for process, at := range d.heard {
+	for process, at := range d.lastActivity {
 		if now-at > d.options.SuspectAfter {
 			suspects = append(suspects, process)
-			delete(d.heard, process)
+			delete(d.lastActivity, process)
 		}
 	}
 	return suspects, false
 }
 
-// Lease is a permission that ends by itself.
+// Lease is a permission that expires after a term.
 type Lease struct {
-	// Requested is when the holder asked, from which the term counts.
+	// Requested is when the holder requested the lease; the term starts then.
 	Requested time.Duration
 	Term      time.Duration
 }
 
-// Valid reports whether the lease still holds, with a safety margin.
+// Valid reports whether the lease is still valid, with a safety margin.
 func (l Lease) Valid(now, margin time.Duration) bool {
 	return l.Term > 0 && now+margin < l.Requested+l.Term
 }
--- a/coordination/liveness/roundtrips.go
+++ b/coordination/liveness/roundtrips.go
@@ -6,78 +6,78 @@
 	"time"
 )
 
-// maximumProbes bounds the probes of one peer that are waited for. A further one takes the place
-// of the oldest: probes are lost with the connection that carried them, and a measurement that
-// waited for them would never end. At a probe each 150 ms it is ten seconds' worth, more than
-// messages wait on the narrowest links.
-const maximumProbes = 64
+// maxPendingProbes limits the pending probes of one peer. A further probe replaces the oldest:
+// probes are lost with the connection that carried them, and a measurement that waited for all of
+// them would never end. With one probe per 150 ms this covers ten seconds, more than messages wait
+// on the slowest links.
+const maxPendingProbes = 64
 
-// RoundTrips measures how long probes to a set of peers take to be answered, which
-// shows queues on the own link that no other figure shows.
+// RoundTrips measures the round-trip times of probes to a set of peers. They show queueing on the
+// own link, which no other metric shows.
 type RoundTrips struct {
 	period time.Duration
 	next   uint64
-	peers  map[string]*roundTrip
+	peers  map[string]*peerRoundTrip
 }
 
-// roundTrip is what is known of one peer.
-type roundTrip struct {
-	// sent holds when each probe that is waited for was sent.
+// peerRoundTrip is the state of one peer.
+type peerRoundTrip struct {
+	// sent holds when each pending probe was sent.
 	sent map[uint64]time.Duration
-	// asked is when the newest probe was sent; took is the last time measured.
-	asked    time.Duration
-	took     time.Duration
-	measured bool
+	// lastProbe is when the newest probe was sent; rtt is the last measured time.
+	lastProbe time.Duration
+	rtt       time.Duration
+	measured  bool
 }
 
-// NewRoundTrips returns a measurement that probes each peer once in a period.
+// NewRoundTrips returns a measurement that probes each peer once per period.
 func NewRoundTrips(period time.Duration) *RoundTrips {
-	return &RoundTrips{period: period, peers: map[string]*roundTrip{}}
+	return &RoundTrips{period: period, peers: map[string]*peerRoundTrip{}}
 }
 
-// NextProbe returns the number to send to a peer now; 0 means that none is due.
+// NextProbe returns the number of the probe to send to a peer now; 0 if none is due.
 func (r *RoundTrips) NextProbe(peer string, now time.Duration) uint64 {
-	known := r.peers[peer]
-	if known == nil {
-		known = &roundTrip{sent: map[uint64]time.Duration{}, asked: now - r.period}
-		r.peers[peer] = known
+	trip := r.peers[peer]
+	if trip == nil {
+		trip = &peerRoundTrip{sent: map[uint64]time.Duration{}, lastProbe: now - r.period}
+		r.peers[peer] = trip
 	}
-	if now-known.asked < r.period {
+	if now-trip.lastProbe < r.period {
 		return 0
 	}
-	known.forgetOldest()
+	trip.dropOldest()
 	r.next++
-	known.sent[r.next], known.asked = now, now
+	trip.sent[r.next], trip.lastProbe = now, now
 	return r.next
 }
 
-// forgetOldest makes room for one more probe to wait for.
-func (k *roundTrip) forgetOldest() {
-	if len(k.sent) < maximumProbes {
+// dropOldest makes room for one more pending probe.
+func (p *peerRoundTrip) dropOldest() {
+	if len(p.sent) < maxPendingProbes {
 		return
 	}
-	delete(k.sent, slices.Min(slices.Collect(maps.Keys(k.sent))))
+	delete(p.sent, slices.Min(slices.Collect(maps.Keys(p.sent))))
 }
 
-// RecordReply notes the answer to a probe. Earlier probes are not waited for any more.
+// RecordReply records the reply to a probe. Earlier probes are no longer pending.
 func (r *RoundTrips) RecordReply(peer string, probe uint64, now time.Duration) {
-	known := r.peers[peer]
-	if known == nil {
+	trip := r.peers[peer]
+	if trip == nil {
 		return
 	}
-	at, waited := known.sent[probe]
-	if !waited {
+	at, pending := trip.sent[probe]
+	if !pending {
 		return
 	}
-	known.took, known.measured = now-at, true
-	for earlier := range known.sent {
+	trip.rtt, trip.measured = now-at, true
+	for earlier := range trip.sent {
 		if earlier <= probe {
-			delete(known.sent, earlier)
+			delete(trip.sent, earlier)
 		}
 	}
 }
 
-// RetainOnly drops every peer but those given.
+// RetainOnly removes all peers except the given ones.
 func (r *RoundTrips) RetainOnly(peers map[string]bool) {
 	for peer := range r.peers {
 		if !peers[peer] {
@@ -86,22 +86,22 @@
 	}
 }
 
-// Min returns the time of the quickest peer: the last time measured, or that for
-// which a probe has been waited for when it is longer. Slow peers do not show in
-// it, a slow own link does. It is 0 while nothing was measured.
+// Min returns the round-trip time of the fastest peer: the last measured time, or the age of its
+// oldest pending probe if that is longer. A slow peer does not affect it, a slow own link does. It
+// is 0 while nothing was measured.
 func (r *RoundTrips) Min(now time.Duration) time.Duration {
-	least, found := time.Duration(0), false
-	for _, known := range r.peers {
-		if !known.measured {
+	lowest, found := time.Duration(0), false
+	for _, trip := range r.peers {
+		if !trip.measured {
 			continue
 		}
-		took := known.took
-		for _, at := range known.sent {
-			took = max(took, now-at)
+		rtt := trip.rtt
+		for _, at := range trip.sent {
+			rtt = max(rtt, now-at)
 		}
-		if !found || took < least {
-			least, found = took, true
+		if !found || rtt < lowest {
+			lowest, found = rtt, true
 		}
 	}
-	return least
+	return lowest
 }
--- a/coordination/liveness/roundtrips_test.go
+++ b/coordination/liveness/roundtrips_test.go
@@ -9,8 +9,8 @@
 
 const ms = time.Millisecond
 
-// A slow own link shows in every peer's time, also before an answer has come; a slow
-// peer alone does not show.
+// A slow own link increases the time of every peer, even before a reply arrives. One slow peer does
+// not increase the minimum.
 func TestRoundTrips(t *testing.T) {
 	trips := NewRoundTrips(100 * ms)
 	assert.Zero(t, trips.Min(0))
@@ -23,9 +23,9 @@
 
 	a, b = trips.NextProbe("a", 200*ms), trips.NextProbe("b", 200*ms)
 	trips.RecordReply("a", a, 205*ms)
-	assert.Equal(t, 5*ms, trips.Min(900*ms), "b is slow alone")
+	assert.Equal(t, 5*ms, trips.Min(900*ms), "only b is slow")
 	a = trips.NextProbe("a", 900*ms)
-	assert.Equal(t, 600*ms, trips.Min(1500*ms), "both are waited for")
+	assert.Equal(t, 600*ms, trips.Min(1500*ms), "both probes are pending")
 	trips.RecordReply("b", b, 1600*ms)
 	trips.RecordReply("a", a, 1700*ms)
 	assert.Equal(t, 800*ms, trips.Min(1700*ms))
@@ -35,31 +35,31 @@
 	trips.RecordReply("a", a, 1800*ms)
 }
 
-// Seen: half of the servers of a fleet lost their paths for four seconds, and six of them,
-// idle, got no request until the end of the day (credit 0.33 to 0.56). Their agents told
-// entries of a way to them and back of 17 s. Cause: once as many probes were lost as are waited
-// for, no further one was sent, so that no answer could end the wait.
+// Half of a fleet's servers lost their network paths for four seconds, and six idle ones among them
+// got no request until the end of the day (credit 0.33 to 0.56): their agents reported a round-trip
+// time of 17 s to the entries. Once maxPendingProbes probes were lost, no further probe was sent,
+// so that no reply could end the wait.
 //
-// Probes that are never answered do not add up, and do not end the probing.
-func TestRoundTripsGoOnAfterLostProbes(t *testing.T) {
+// Probes that are never answered must neither accumulate nor end the probing.
+func TestProbingContinuesAfterLostProbes(t *testing.T) {
 	trips := NewRoundTrips(ms)
 	first := trips.NextProbe("a", 0)
 	trips.RecordReply("a", first, ms)
 	now := 2 * ms
 	for ; now < 100*ms; now += ms {
-		assert.NotZero(t, trips.NextProbe("a", now), "one in each period")
-		assert.LessOrEqual(t, len(trips.peers["a"].sent), maximumProbes, "waited for")
+		assert.NotZero(t, trips.NextProbe("a", now), "one probe per period")
+		assert.LessOrEqual(t, len(trips.peers["a"].sent), maxPendingProbes, "pending probes")
 	}
-	assert.GreaterOrEqual(t, trips.Min(now), (maximumProbes-1)*ms, "that nothing comes back shows")
+	assert.GreaterOrEqual(t, trips.Min(now), (maxPendingProbes-1)*ms, "the missing replies show")
 	probe := trips.NextProbe("a", now)
 	trips.RecordReply("a", probe, now+3*ms)
-	assert.Equal(t, 3*ms, trips.Min(now+4*ms), "an answer ends the wait for what was lost")
+	assert.Equal(t, 3*ms, trips.Min(now+4*ms), "a reply ends the wait for the lost probes")
 }
 
-// Each probe is answered, after 1.4 s: a link on which packets wait is measured, and does not
-// count as one of which nothing is known.
+// If each probe is answered after 1.4 s, a link with queueing is measured and does not count as
+// unknown.
 func TestSlowLinkIsMeasured(t *testing.T) {
-	const way = 1400 * ms
+	const delay = 1400 * ms
 	trips := NewRoundTrips(150 * ms)
 	sentAt := map[uint64]time.Duration{}
 	for now := time.Duration(0); now < 20*time.Second; now += 50 * ms {
@@ -67,11 +67,11 @@
 			sentAt[number] = now
 		}
 		for number, sent := range sentAt {
-			if now-sent >= way {
+			if now-sent >= delay {
 				trips.RecordReply("a", number, now)
 				delete(sentAt, number)
 			}
 		}
 	}
-	assert.GreaterOrEqual(t, trips.Min(20*time.Second), way)
+	assert.GreaterOrEqual(t, trips.Min(20*time.Second), delay)
 }
