--- a/coordination/silence/loss_test.go
+++ b/coordination/silence/loss_test.go
@@ -39,7 +39,7 @@
 				pool[s] = idle[:len(idle)-1]
 			} else {
 				id++
-				c = &call{obs: Observation{ID: id, Server: s, Opened: now, LastRead: now, HasTCPInfo: true, LastPacket: now, UsualWait: 120 * ms, ExpectedWait: 120 * ms, Repeatable: repeatable}}
+				c = &call{obs: Observation{ID: id, Server: s, Opened: now, LastRead: now, HasTCPInfo: true, LastPacket: now, TypicalWait: 120 * ms, ExpectedWait: 120 * ms, Repeatable: repeatable}}
 				calls = append(calls, c)
 			}
 			c.open, c.obs.Waiting, c.obs.Requested = true, true, now
--- a/coordination/silence/silence.go
+++ b/coordination/silence/silence.go
@@ -65,8 +65,8 @@
 	Repeatable bool
 	// LastRead is when the last byte was read, or Opened before the first one.
 	LastRead time.Duration
-	// UsualWait is how long the next byte usually takes.
-	UsualWait time.Duration
+	// TypicalWait is how long the next byte usually takes.
+	TypicalWait time.Duration
 	// ExpectedWait is how long the last answer was expected to take to begin.
 	ExpectedWait time.Duration
 	// HasTCPInfo is set when the kernel has supplied the next three fields.
@@ -414,14 +414,14 @@
 		return false
 	}
 	waited := min(o.waitTime(now), now-d.resumedAt)
-	return waited >= max(minOverdue, overdueFactor*o.UsualWait)
+	return waited >= max(minOverdue, overdueFactor*o.TypicalWait)
 }
 
 // overtaken reports whether newer connections have received enough answers that were expected to
 // take at least as long as an overdue one. A light request that overtakes a heavy one shows
 // nothing.
 func overtaken(overdue Observation, newer []Observation) bool {
-	similar := slices.DeleteFunc(slices.Clone(newer), func(o Observation) bool { return o.ExpectedWait < overdue.UsualWait })
+	similar := slices.DeleteFunc(slices.Clone(newer), func(o Observation) bool { return o.ExpectedWait < overdue.TypicalWait })
 	return hasQuorum(similar, minNewerAnswers)
 }
 
--- a/coordination/silence/silence_test.go
+++ b/coordination/silence/silence_test.go
@@ -24,7 +24,7 @@
 
 // addIdle adds a connection that was opened long ago and has just received a byte.
 func (f *fixture) addIdle(server string) *Observation {
-	f.open = append(f.open, Observation{ID: uint64(len(f.open) + 1), Server: server, Opened: f.now - 500*ms, LastRead: f.now, HasTCPInfo: true, LastPacket: f.now, UsualWait: 60 * ms, ExpectedWait: 60 * ms})
+	f.open = append(f.open, Observation{ID: uint64(len(f.open) + 1), Server: server, Opened: f.now - 500*ms, LastRead: f.now, HasTCPInfo: true, LastPacket: f.now, TypicalWait: 60 * ms, ExpectedWait: 60 * ms})
 	return &f.open[len(f.open)-1]
 }
 
--- a/internal/forward/silence.go
+++ b/internal/forward/silence.go
@@ -186,7 +186,7 @@
 func (c *connection) observe(now time.Duration) silence.Observation {
 	seen := silence.Observation{
 		ID: c.id, Server: c.target.Address, Opened: c.opened, Waiting: c.carrying.Load() && !c.silent.Load(),
-		Requested: time.Duration(c.asked.Load()), LastRead: time.Duration(c.heard.Load()), UsualWait: time.Duration(c.usual.Load()),
+		Requested: time.Duration(c.asked.Load()), LastRead: time.Duration(c.heard.Load()), TypicalWait: time.Duration(c.usual.Load()),
 		ExpectedWait: time.Duration(c.expected.Load()), Repeatable: c.repeatable.Load(),
 	}
 	mute := now - max(seen.Requested, seen.LastRead)
