--- a/coordination/health/evidence.go
+++ b/coordination/health/evidence.go
@@ -18,7 +18,7 @@
 	Declined
 	// Broken is a connection or an answer that broke off.
 	Broken
-	// Overdue is an answer that takes many times as long as usual. It may still arrive.
+	// Overdue is an answer that takes many times as long as typical. It may still arrive.
 	Overdue
 	// Unreachable is a connection that could not be established: nothing was sent.
 	Unreachable
--- a/coordination/health/health.go
+++ b/coordination/health/health.go
@@ -233,7 +233,7 @@
 
 // Unresponsive reports whether a server was ejected because it does not answer, after the given
 // request was sent there, so that the request need not wait any longer. A request sent later is the
-// server's trial or has no other server: it gets the usual time, or else a slow service would never
+// server's trial or has no other server: it gets the typical time, or else a slow service would never
 // return.
 func (t *Tracker) Unresponsive(server string, sent time.Duration) bool {
 	rec := t.servers[server]
@@ -431,7 +431,7 @@
 	r.evidence, r.evidenceAt = 0, now
 }
 
-// repeatEjection ejects a server for as long as before: its trial failed in a way that is usual at
+// repeatEjection ejects a server for as long as before: its trial failed in a way that is typical of
 // its service, or was declined because the server is full or in a changeover.
 func (r *record) repeatEjection(now time.Duration) {
 	evidence := r.evidence
--- a/coordination/health/health_test.go
+++ b/coordination/health/health_test.go
@@ -198,7 +198,7 @@
 	assert.InDelta(t, baseEjection, s.tracker.View("s0", s.now).Remaining, 1)
 }
 
-// A trial that fails with a failure that is usual at the service does not extend the next ejection.
+// A trial that fails with a failure typical of the service does not extend the next ejection.
 func TestTrialFailureAtBaselineRate(t *testing.T) {
 	s := newScript(t, 4).observe("s0", Errored, Errored)
 	for request := range 60 {
--- a/coordination/silence/silence.go
+++ b/coordination/silence/silence.go
@@ -21,7 +21,7 @@
 	// single loss is repaired before.
 	UnacknowledgedLimit = 250 * time.Millisecond
 	// minOverdue and overdueFactor set how long an answer is awaited until it counts as overdue, as
-	// a time and as a multiple of the usual wait.
+	// a time and as a multiple of the typical wait.
 	minOverdue    = 250 * time.Millisecond
 	overdueFactor = 3
 	// minOverdueAnswers is the number of overdue answers, at minServers servers, from which
@@ -65,7 +65,7 @@
 	Repeatable bool
 	// LastRead is when the last byte was read, or Opened before the first one.
 	LastRead time.Duration
-	// TypicalWait is how long the next byte usually takes.
+	// TypicalWait is how long the next byte typically takes.
 	TypicalWait time.Duration
 	// ExpectedWait is how long the last answer was expected to take to begin.
 	ExpectedWait time.Duration
--- a/coordination/silence/silence_test.go
+++ b/coordination/silence/silence_test.go
@@ -238,7 +238,7 @@
 			}
 			expected := 60 * ms
 			for id := 1; id <= 3; id++ {
-				f.send(id) // heavy: 1 s of work, where 60 ms is usual
+				f.send(id) // heavy: 1 s of work, where 60 ms is typical
 				if repeatable {
 					f.sendRepeatable(id)
 					expected = 40 * ms
