--- a/coordination/dispatch/restarted_test.go
+++ b/coordination/dispatch/restarted_test.go
@@ -11,7 +11,7 @@
 )
 
 // bears lists a server as one that has started again, with what it tells of itself then.
-func (s *script) bears(id string, born incarnation.Born, change func(*Server)) []Change {
+func (s *script) bears(id string, born incarnation.StartTime, change func(*Server)) []Change {
 	for index := range s.fleet.Servers {
 		if one := &s.fleet.Servers[index]; one.ID == id {
 			one.Born = born
@@ -79,7 +79,7 @@
 
 // A list and an agent that go on telling different births keep no server from being used for long.
 func TestBirthsThatNeverAgreeKeepNoServerOut(t *testing.T) {
-	for _, told := range []incarnation.Born{50, 200} {
+	for _, told := range []incarnation.StartTime{50, 200} {
 		s := newScript(t, "a1")
 		s.bears("a1", 100, nil)
 		for second := range 13 {
@@ -104,7 +104,7 @@
 	}
 	assert.Equal(t, health.Ejected, s.core.health.State("a1", s.core.since(s.now)))
 	s.bears("a1", 200, nil)
-	assert.Equal(t, health.InOrder, s.core.health.State("a1", s.core.since(s.now)))
+	assert.Equal(t, health.Healthy, s.core.health.State("a1", s.core.since(s.now)))
 }
 
 // Two lives between two words, and births that tell nothing: one that is not told, or in the same
--- a/coordination/health/benchmark_test.go
+++ b/coordination/health/benchmark_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// BenchmarkChoice is what a choice among 60 servers asks, and an attempt that is served.
-func BenchmarkChoice(b *testing.B) {
+// BenchmarkSelection measures the state queries for a selection among 60 servers and the recording
+// of one served attempt.
+func BenchmarkSelection(b *testing.B) {
 	tracker := New("e0")
 	ids := names("s", 60)
 	tracker.SetServers("service", ids)
@@ -16,7 +17,7 @@
 	for index := 0; b.Loop(); index++ {
 		now += ms
 		for _, id := range ids {
-			if tracker.State(id, now) != InOrder {
+			if tracker.State(id, now) != Healthy {
 				b.Fatal(id)
 			}
 		}
@@ -24,20 +25,20 @@
 	}
 }
 
-// BenchmarkMayTry looks through 60 servers of which half are on trial, at an entry of 15.
-func BenchmarkMayTry(b *testing.B) {
+// BenchmarkMayBeginTrial queries 60 servers, half of them on trial, at one of 15 entries.
+func BenchmarkMayBeginTrial(b *testing.B) {
 	tracker := New("e0")
 	servers := names("s", 60)
 	tracker.SetServers("service", servers)
 	tracker.SetMembers(names("e", 15))
 	for _, server := range servers[:30] {
 		for range 2 {
-			tracker.Observe(Attempt{Server: server, Outcome: Unreached, Sent: time.Second}, time.Second)
+			tracker.Observe(Attempt{Server: server, Outcome: Unreachable, Sent: time.Second}, time.Second)
 		}
 	}
 	for b.Loop() {
 		for _, server := range servers {
-			tracker.MayTry(server, true, 2*time.Second)
+			tracker.MayBeginTrial(server, true, 2*time.Second)
 		}
 	}
 }
