--- a/coordination/dispatch/asked.go
+++ b/coordination/dispatch/asked.go
@@ -16,31 +16,31 @@
 	restUntil time.Time
 }
 
-// SawLeaving notes that an answer has said that its server is about to end, and returns what that changes.
-func (c *Core) SawLeaving(k *Candidate) (change Change, news bool) {
+// RecordLeaving notes that an answer has said that its server is about to end, and returns what that changes.
+func (c *Core) RecordLeaving(k *Candidate) (change Change, news bool) {
 	news = !c.Leaving(k)
 	k.asked.leaving = true
 	return Change{Kind: ServerLeaving, Candidate: k, InFlight: k.sends.inFlight}, news
 }
 
-// SawRest notes that a server which has turned a request away wants nothing from this entry for a while, and
+// RecordBackoff notes that a server which has turned a request away wants nothing from this entry for a while, and
 // reports whether it wanted something until now. A shorter rest asked for later does not end a longer one:
 // answers overtake each other.
-func (c *Core) SawRest(k *Candidate, lasts time.Duration, now time.Time) (news bool) {
+func (c *Core) RecordBackoff(k *Candidate, lasts time.Duration, now time.Time) (news bool) {
 	news = !k.asked.rests(now)
 	k.asked.restUntil = later(k.asked.restUntil, now.Add(lasts))
 	return news
 }
 
-// Unwilling reports whether a server wants nothing more from this entry, for good or for now.
-func (c *Core) Unwilling(k *Candidate, now time.Time) bool {
+// Unavailable reports whether a server wants nothing more from this entry, for good or for now.
+func (c *Core) Unavailable(k *Candidate, now time.Time) bool {
 	return c.Leaving(k) || k.asked.rests(now)
 }
 
-// Ask is what a server asks of all entries in its answers, as these tell each other.
-type Ask struct {
-	Server string
-	Born   incarnation.Born
+// ServerNotice is what a server asks of all entries in its answers, as these tell each other.
+type ServerNotice struct {
+	Server    string
+	StartTime incarnation.Born
 	// Leaving is set when the server is about to end.
 	Leaving bool
 	// Limited is set while the server names a rate, PerSecond.
@@ -48,46 +48,46 @@
 	PerSecond float64
 }
 
-// AskOf is what a server asks of all entries now.
-func (c *Core) AskOf(k *Candidate) Ask {
-	return Ask{
-		Server: k.ID, Born: k.listing.server.Born, Leaving: k.asked.leaving, Limited: k.limit.inForce(), PerSecond: k.limit.perSecond,
+// NoticeOf is what a server asks of all entries now.
+func (c *Core) NoticeOf(k *Candidate) ServerNotice {
+	return ServerNotice{
+		Server: k.ID, StartTime: k.listing.server.StartTime, Leaving: k.asked.leaving, Limited: k.limit.inForce(), PerSecond: k.limit.perSecond,
 	}
 }
 
-// HearAsk takes in what a server has asked of another entry at a time. One on a server that is not listed is kept
+// ApplyNotice takes in what a server has asked of another entry at a time. One on a server that is not listed is kept
 // until it is: an entry that starts may hear it before the list.
-func (c *Core) HearAsk(ask Ask, at, now time.Time) (limit LimitNews, leaving bool) {
+func (c *Core) ApplyNotice(ask ServerNotice, at, now time.Time) (limit RateLimitChange, leaving bool) {
 	k := c.byID[ask.Server]
 	switch {
 	case k == nil:
 		c.keepAsk(ask, at, now)
-		return LimitNews{}, false
-	case k.listing.server.Born.Differs(ask.Born):
-		return LimitNews{}, false
+		return RateLimitChange{}, false
+	case k.listing.server.StartTime.Differs(ask.StartTime):
+		return RateLimitChange{}, false
 	}
 	return c.takeAsk(k, ask, at, now)
 }
 
 // takeAsk notes a word on a server. One that it leaves says nothing of its limit, which the teller may not know.
-func (c *Core) takeAsk(k *Candidate, ask Ask, at, now time.Time) (limit LimitNews, leaving bool) {
+func (c *Core) takeAsk(k *Candidate, ask ServerNotice, at, now time.Time) (limit RateLimitChange, leaving bool) {
 	switch {
 	case ask.Leaving:
-		_, leaving = c.SawLeaving(k)
-		return LimitNews{}, leaving
+		_, leaving = c.RecordLeaving(k)
+		return RateLimitChange{}, leaving
 	case ask.Limited:
-		return c.SawLimit(k, ask.PerSecond, at, now), false
+		return c.RecordRateLimit(k, ask.PerSecond, at, now), false
 	}
-	return c.SawNoLimit(k, at, now), false
+	return c.RecordNoRateLimit(k, at, now), false
 }
 
 // keepAsk holds a word on a server that is not listed yet, or no more.
-func (c *Core) keepAsk(ask Ask, at, now time.Time) {
+func (c *Core) keepAsk(ask ServerNotice, at, now time.Time) {
 	held, found := c.kept[ask.Server]
 	if !found {
-		held = keptServer{born: ask.Born, sent: *admission.NewWindow(admission.LimitSpan)}
+		held = keptServer{born: ask.StartTime, sent: *admission.NewWindow(admission.LimitSpan)}
 	}
-	if held.born.Differs(ask.Born) {
+	if held.born.Differs(ask.StartTime) {
 		return
 	}
 	unlisted := &Candidate{ID: ask.Server, limit: held.limit, asked: held.asked}
@@ -102,8 +102,8 @@
 // restLeft is how much longer a server wants nothing from this entry.
 func (k *Candidate) restLeft(now time.Time) time.Duration { return max(0, k.asked.restUntil.Sub(now)) }
 
-// RestingServers is how many servers want nothing from this entry now.
-func (c *Core) RestingServers(now time.Time) int {
+// BackingOffServers is how many servers want nothing from this entry now.
+func (c *Core) BackingOffServers(now time.Time) int {
 	count := 0
 	for _, known := range c.byID {
 		if known.asked.rests(now) {
@@ -123,7 +123,7 @@
 }
 
 // asked reports whether a server is not sent a request only because of what it has asked for.
-func (f Fitness) asked() bool { return f == unfitResting || f == unfitLimited }
+func (f Eligibility) asked() bool { return f == unfitResting || f == unfitLimited }
 
 // anyAsked reports whether there is such a server.
 func (r *Refusal) anyAsked() bool { return r.Servers[unfitResting]+r.Servers[unfitLimited] > 0 }
--- a/coordination/dispatch/asked_test.go
+++ b/coordination/dispatch/asked_test.go
@@ -14,10 +14,10 @@
 func TestServerThatSaysItLeavesGetsNothing(t *testing.T) {
 	s := newScript(t, "a1", "a2")
 	s.core.bounded.started = epoch.Add(-time.Minute)
-	change, news := s.core.SawLeaving(s.candidate("a1"))
+	change, news := s.core.RecordLeaving(s.candidate("a1"))
 	assert.True(t, news)
 	assert.Equal(t, Change{Kind: ServerLeaving, Candidate: s.candidate("a1")}, change)
-	_, news = s.core.SawLeaving(s.candidate("a1"))
+	_, news = s.core.RecordLeaving(s.candidate("a1"))
 	assert.False(t, news, "known already")
 	for range 20 {
 		s.served(s.request(), "a2")
@@ -32,9 +32,9 @@
 	assert.True(t, s.core.Leaving(s.candidate("a1")), "its line lapsed and came again")
 	s.fleet.Servers[0].Draining = true
 	assert.Empty(t, s.update(), "no news")
-	s.fleet.Servers[0] = Server{ID: "a1", Service: "s", Address: "a1:1", Zone: "a", Slots: 16, Version: 1, HoldsModel: true, Born: 7}
+	s.fleet.Servers[0] = Server{ID: "a1", Service: "s", Address: "a1:1", Zone: "a", Slots: 16, Version: 1, HoldsModel: true, StartTime: 7}
 	s.update()
-	s.fleet.Servers[0].Born = 9
+	s.fleet.Servers[0].StartTime = 9
 	s.update()
 	assert.False(t, s.core.Leaving(s.candidate("a1")), "another life")
 }
@@ -43,7 +43,7 @@
 func TestServiceWhoseServersAllLeave(t *testing.T) {
 	s := newScript(t, "a1", "a2")
 	for _, id := range []string{"a1", "a2"} {
-		s.core.SawLeaving(s.candidate(id))
+		s.core.RecordLeaving(s.candidate(id))
 	}
 	assert.Equal(t, 2, s.refused(s.request(), RefusedNoServer).Servers[unfitLeaving])
 }
@@ -53,9 +53,9 @@
 func TestServerThatAsksForRestGetsNothing(t *testing.T) {
 	s := newScript(t, "a1", "a2")
 	s.core.bounded.started = epoch.Add(-time.Minute)
-	assert.True(t, s.core.SawRest(s.candidate("a1"), 3*time.Second, s.now))
+	assert.True(t, s.core.RecordBackoff(s.candidate("a1"), 3*time.Second, s.now))
 	s.at(time.Second)
-	assert.False(t, s.core.SawRest(s.candidate("a1"), time.Second, s.now), "it rests already")
+	assert.False(t, s.core.RecordBackoff(s.candidate("a1"), time.Second, s.now), "it rests already")
 	s.at(2900 * time.Millisecond)
 	for range 20 {
 		s.served(s.request(), "a2")
@@ -72,7 +72,7 @@
 // A server that rests is no candidate for the want of another either: not as an ejected one, nor for its trial.
 func TestRestGoesBeforeHealth(t *testing.T) {
 	s := newScript(t, "a1")
-	s.core.SawRest(s.candidate("a1"), time.Second, s.now)
+	s.core.RecordBackoff(s.candidate("a1"), time.Second, s.now)
 	assert.Equal(t, 1, s.refused(s.request(), RefusedNoServer).Servers[unfitResting])
 }
 
@@ -82,18 +82,18 @@
 	k := s.candidate("a1")
 	at := func(after time.Duration) time.Time { return epoch.Add(after) }
 	s.at(2 * time.Second)
-	limit, _ := s.core.HearAsk(Ask{Server: "a1", Limited: true, PerSecond: 2}, at(time.Second), s.now)
+	limit, _ := s.core.ApplyNotice(ServerNotice{Server: "a1", Limited: true, PerSecond: 2}, at(time.Second), s.now)
 	assert.True(t, limit.Changed)
 	s.at(4 * time.Second)
-	s.core.HearAsk(Ask{Server: "a1"}, at(3*time.Second), s.now)
+	s.core.ApplyNotice(ServerNotice{Server: "a1"}, at(3*time.Second), s.now)
 	assert.False(t, k.limit.inForce(), "over")
-	s.core.HearAsk(Ask{Server: "a1", Limited: true, PerSecond: 2}, at(1500*time.Millisecond), s.now)
+	s.core.ApplyNotice(ServerNotice{Server: "a1", Limited: true, PerSecond: 2}, at(1500*time.Millisecond), s.now)
 	assert.False(t, k.limit.inForce(), "an older word by a longer way")
-	s.core.HearAsk(Ask{Server: "a1", Limited: true, PerSecond: 2}, at(3500*time.Millisecond), s.now)
+	s.core.ApplyNotice(ServerNotice{Server: "a1", Limited: true, PerSecond: 2}, at(3500*time.Millisecond), s.now)
 	assert.True(t, k.limit.inForce(), "a newer one")
-	_, leaving := s.core.HearAsk(Ask{Server: "a1", Leaving: true, Limited: true, PerSecond: 2}, at(3900*time.Millisecond), s.now)
+	_, leaving := s.core.ApplyNotice(ServerNotice{Server: "a1", Leaving: true, Limited: true, PerSecond: 2}, at(3900*time.Millisecond), s.now)
 	assert.True(t, leaving)
-	_, leaving = s.core.HearAsk(Ask{Server: "a1", Limited: true, PerSecond: 2}, at(3950*time.Millisecond), s.now)
+	_, leaving = s.core.ApplyNotice(ServerNotice{Server: "a1", Limited: true, PerSecond: 2}, at(3950*time.Millisecond), s.now)
 	assert.False(t, leaving)
 	assert.True(t, s.core.Leaving(k), "not taken back by an entry that has not heard of it")
 }
@@ -102,16 +102,16 @@
 func TestWordsOnServersThatAreNotListedYet(t *testing.T) {
 	s := newScript(t)
 	s.core.bounded.started = epoch.Add(-time.Minute)
-	s.core.HearAsk(Ask{Server: "a1", Born: 5, Leaving: true}, s.now, s.now)
-	s.core.HearAsk(Ask{Server: "a2", Born: 5, Leaving: true}, s.now, s.now)
-	s.core.HearAsk(Ask{Server: "a3", Limited: true, PerSecond: 1}, s.now, s.now)
+	s.core.ApplyNotice(ServerNotice{Server: "a1", StartTime: 5, Leaving: true}, s.now, s.now)
+	s.core.ApplyNotice(ServerNotice{Server: "a2", StartTime: 5, Leaving: true}, s.now, s.now)
+	s.core.ApplyNotice(ServerNotice{Server: "a3", Limited: true, PerSecond: 1}, s.now, s.now)
 	for id, born := range map[string]incarnation.Born{"a1": 5, "a2": 6, "a3": 0} {
-		s.fleet.Servers = append(s.fleet.Servers, Server{ID: id, Service: "s", Address: id + ":1", Zone: "a", Slots: 16, Version: 1, HoldsModel: true, Born: born})
+		s.fleet.Servers = append(s.fleet.Servers, Server{ID: id, Service: "s", Address: id + ":1", Zone: "a", Slots: 16, Version: 1, HoldsModel: true, StartTime: born})
 	}
 	s.update()
 	assert.True(t, s.core.Leaving(s.candidate("a1")))
 	assert.False(t, s.core.Leaving(s.candidate("a2")))
 	assert.True(t, s.candidate("a3").limit.inForce())
-	s.core.HearAsk(Ask{Server: "a2", Born: 5, Leaving: true}, s.now, s.now)
+	s.core.ApplyNotice(ServerNotice{Server: "a2", StartTime: 5, Leaving: true}, s.now, s.now)
 	assert.False(t, s.core.Leaving(s.candidate("a2")))
 }
--- a/coordination/dispatch/asking.go
+++ b/coordination/dispatch/asking.go
@@ -22,9 +22,9 @@
 	unansweredCost = 200 * time.Millisecond
 )
 
-// ToAsk picks the servers whose agents to ask: the most promising of a few, without those
+// QueryTargets picks the servers whose agents to ask: the most promising of a few, without those
 // that were asked before.
-func (c *Core) ToAsk(request *Request, before []*Candidate, now time.Time) []*Candidate {
+func (c *Core) QueryTargets(request *Request, before []*Candidate, now time.Time) []*Candidate {
 	c.findLeastMissing(now)
 	c.findScarcity(request, now)
 	if len(before) > 0 {
@@ -53,14 +53,14 @@
 	return chosen
 }
 
-// TakeAnswers takes over what asked agents have told, and returns their servers.
-func (c *Core) TakeAnswers(asked []*Candidate, answers []Word, now time.Time) []*Candidate {
+// ApplyQueryReplies takes over what asked agents have told, and returns their servers.
+func (c *Core) ApplyQueryReplies(asked []*Candidate, answers []LoadReport, now time.Time) []*Candidate {
 	for _, word := range answers {
-		c.TakeWord(word, now)
+		c.ApplyReport(word, now)
 	}
 	var answered []*Candidate
 	for _, one := range asked {
-		if slices.ContainsFunc(answers, func(word Word) bool { return word.Address == one.Address }) {
+		if slices.ContainsFunc(answers, func(word LoadReport) bool { return word.Address == one.Address }) {
 			one.word.answeredAt = now
 			answered = append(answered, one)
 		} else {
@@ -72,7 +72,7 @@
 
 // AnyAdmits reports whether one of the asked servers may be sent the request, by how long it would wait there.
 func (c *Core) AnyAdmits(request *Request, now time.Time) bool {
-	return slices.ContainsFunc(request.Asked, func(k *Candidate) bool {
-		return c.fitness(k, request, now) == Fit && c.admits(k, request, now)
+	return slices.ContainsFunc(request.Queried, func(k *Candidate) bool {
+		return c.fitness(k, request, now) == Eligible && c.admits(k, request, now)
 	})
 }
--- a/coordination/dispatch/candidate.go
+++ b/coordination/dispatch/candidate.go
@@ -81,14 +81,14 @@
 	a.firstMean += time.Duration(firstMeanWeight * float64(took-a.firstMean))
 }
 
-// SawFirstEvent notes how long a stream's first event took.
-func (c *Core) SawFirstEvent(k *Candidate, took time.Duration) { k.answers.sawFirst(took) }
+// RecordFirstEvent notes how long a stream's first event took.
+func (c *Core) RecordFirstEvent(k *Candidate, took time.Duration) { k.answers.sawFirst(took) }
 
-// UsualWait is how long the first byte of an answer usually takes: as the last ones did, or as
+// TypicalWait is how long the first byte of an answer usually takes: as the last ones did, or as
 // predicted, whichever is longer. What a server on trial has delayed lately does not count: one that
 // answers nothing would have the time of its first victims ten times over, which is more than
 // callers wait.
-func (c *Core) UsualWait(decision Decision, request *Request) time.Duration {
+func (c *Core) TypicalWait(decision Decision, request *Request) time.Duration {
 	usual := c.usualAnswer(decision.Candidate, request)
 	if decision.Trial {
 		return max(usual, decision.byLoad)
@@ -139,9 +139,9 @@
 	InFlight    int
 	Outstanding int
 	// Version is the newest that the server itself has told.
-	Version uint64
-	Health  health.View
-	WordAge time.Duration
+	Version   uint64
+	Health    health.View
+	ReportAge time.Duration
 	// MeanMilliseconds is the moving mean time of whole answers.
 	MeanMilliseconds float64
 	// ColdFor is how much longer the server counts as cold; Evacuated servers are sent
@@ -149,10 +149,10 @@
 	ColdFor   time.Duration
 	Evacuated bool
 	// Limit is the rate that the server has named, RestLeft for how much longer it wants nothing.
-	Limit    LimitView
-	RestLeft time.Duration
-	// SaidLeaving is set when an answer has said that the server is about to end.
-	SaidLeaving bool
+	Limit       RateLimitStatus
+	BackoffLeft time.Duration
+	// AnnouncedLeaving is set when an answer has said that the server is about to end.
+	AnnouncedLeaving bool
 }
 
 // Describe tells what is known of each server, in no order.
@@ -161,13 +161,13 @@
 	for _, known := range c.byID {
 		descriptions = append(descriptions, Description{
 			Server: known.listing.server, InFlight: known.sends.inFlight, Outstanding: known.outstanding(now), Version: known.version,
-			Health: c.health.View(known.ID, c.since(now)), WordAge: known.word.age(now),
+			Health: c.health.View(known.ID, c.since(now)), ReportAge: known.word.age(now),
 			MeanMilliseconds: known.answers.meanMilliseconds,
 			ColdFor:          max(0, known.coldUntil().Sub(now)),
 			Evacuated:        c.Evacuated(known.Zone),
 			Limit:            c.limitView(known, now),
-			RestLeft:         known.restLeft(now),
-			SaidLeaving:      known.asked.leaving,
+			BackoffLeft:      known.restLeft(now),
+			AnnouncedLeaving: known.asked.leaving,
 		})
 	}
 	return descriptions
--- a/coordination/dispatch/choice.go
+++ b/coordination/dispatch/choice.go
@@ -34,7 +34,7 @@
 	}
 	var best *Candidate
 	least := time.Duration(math.MaxInt64)
-	for _, candidate := range c.sample(usable, max(c.policy.SampleSize, len(request.Asked))) {
+	for _, candidate := range c.sample(usable, max(c.policy.SampleSize, len(request.Queried))) {
 		if score := c.score(candidate, request, now); score < least {
 			best, least = candidate, score
 		}
@@ -50,17 +50,17 @@
 func (c *Core) send(k *Candidate, request *Request, considered int, now time.Time) Decision {
 	decision := Decision{
 		Candidate: k, Considered: considered, Outstanding: k.outstanding(now), Load: c.load(k, request, now),
-		Expected: c.firstEvent(k, request, now), byLoad: c.byLoad(k, request, now), WordAge: k.word.age(now), Version: k.servedVersion(now),
+		Expected: c.firstEvent(k, request, now), byLoad: c.byLoad(k, request, now), ReportAge: k.word.age(now), Version: k.servedVersion(now),
 		Admission: c.admission(k, request, now),
 	}
 	wait, firstAttempts := decision.Admission.Wait, c.firstAttemptWait(k, request)
 	decision.Send = &Send{
 		candidate: k, service: request.Service, engine: request.Engine, target: request.Target,
 		sentAt: now, due: now.Add(decision.Expected), prompt: request.Prompt, nearLimit: wait >= firstAttempts/2,
-		idle: decision.Outstanding == 0 && decision.WordAge != NoWord,
+		idle: decision.Outstanding == 0 && decision.ReportAge != NoReport,
 	}
 	if c.lost(k, now) {
-		decision.Patience = c.lostTrialPatience(k, request, now)
+		decision.OverdueAfter = c.lostTrialPatience(k, request, now)
 	}
 	c.noteFull(request, wait, firstAttempts, now)
 	k.sends.add(decision.Send)
@@ -74,7 +74,7 @@
 func askedOf(usable []*Candidate, request *Request) []*Candidate {
 	var asked []*Candidate
 	for _, candidate := range usable {
-		if slices.Contains(request.Asked, candidate) {
+		if slices.Contains(request.Queried, candidate) {
 			asked = append(asked, candidate)
 		}
 	}
--- a/coordination/dispatch/cold.go
+++ b/coordination/dispatch/cold.go
@@ -30,7 +30,7 @@
 
 // noteCold notes until when a server is cold, if its requests are bounded then.
 func (c *Core) noteCold(k *Candidate) {
-	if c.fleet.Services[k.listing.server.Service].ColdLimit > 0 {
+	if c.fleet.Services[k.listing.server.Service].ColdRate > 0 {
 		c.boundedTill = later(c.boundedTill, k.coldUntil())
 	}
 }
@@ -50,11 +50,11 @@
 	return until
 }
 
-// SawCold notes what an answer has said of how much longer its server is cold. Requests that
+// RecordCold notes what an answer has said of how much longer its server is cold. Requests that
 // callers send to a service's health path are the only health checks there are: entries and
 // agents make none, because they are priced. A faulty answer makes a server cold for no longer
 // than a start does.
-func (c *Core) SawCold(k *Candidate, left time.Duration, now time.Time) {
+func (c *Core) RecordCold(k *Candidate, left time.Duration, now time.Time) {
 	if left > 0 {
 		k.answeredColdUntil = now.Add(min(left, k.coldTime))
 		c.noteCold(k)
@@ -71,7 +71,7 @@
 	if !k.cold(now) {
 		return false
 	}
-	limit := c.fleet.Services[k.listing.server.Service].ColdLimit
+	limit := c.fleet.Services[k.listing.server.Service].ColdRate
 	if limit <= 0 {
 		return false
 	}
--- a/coordination/dispatch/cold_test.go
+++ b/coordination/dispatch/cold_test.go
@@ -12,7 +12,7 @@
 // server is made for 26 requests a second, and may receive 1.5 times that and 5.
 func coldFleet(coldUntil time.Time, evacuated ...string) Fleet {
 	return Fleet{
-		Services: map[string]Service{"s": {ColdLimit: 1.5*26 + 5, ColdTime: 3 * time.Second}},
+		Services: map[string]Service{"s": {ColdRate: 1.5*26 + 5, ColdTime: 3 * time.Second}},
 		Servers: []Server{
 			{ID: "a", Service: "s", Address: "10.0.0.1:1", Zone: "za", Slots: 4, ColdUntil: coldUntil},
 			{ID: "b", Service: "s", Address: "10.0.0.2:1", Zone: "zb", Slots: 4},
@@ -31,7 +31,7 @@
 		}
 	}
 	core.bounded = newMembers(self, epoch.Add(-2*settleTime))
-	core.TakeEntries(names, epoch)
+	core.SetEntries(names, epoch)
 	return core
 }
 
@@ -125,22 +125,22 @@
 	now := epoch
 	core := testCore("za", nil)
 	core.Update(coldFleet(time.Time{}), now)
-	assert.False(t, core.EntriesDue(now))
+	assert.False(t, core.EntryLookupDue(now))
 	core.Update(coldFleet(now.Add(time.Second)), now)
-	assert.True(t, core.EntriesDue(now))
-	core.TakeEntries([]string{"entry-1"}, now)
-	assert.False(t, core.EntriesDue(now.Add(membersPeriod-1)))
-	assert.True(t, core.EntriesDue(now.Add(membersPeriod)))
-	assert.False(t, core.EntriesDue(now.Add(time.Second)), "warm again")
+	assert.True(t, core.EntryLookupDue(now))
+	core.SetEntries([]string{"entry-1"}, now)
+	assert.False(t, core.EntryLookupDue(now.Add(membersPeriod-1)))
+	assert.True(t, core.EntryLookupDue(now.Add(membersPeriod)))
+	assert.False(t, core.EntryLookupDue(now.Add(time.Second)), "warm again")
 
 	later := now.Add(time.Minute)
-	core.TakeWord(Word{Address: "10.0.0.2:1", Reachable: true, ColdFor: time.Second}, later)
-	assert.True(t, core.EntriesDue(later), "by the word of an agent")
-	assert.False(t, core.EntriesDue(later.Add(time.Second)))
+	core.ApplyReport(LoadReport{Address: "10.0.0.2:1", Reachable: true, ColdFor: time.Second}, later)
+	assert.True(t, core.EntryLookupDue(later), "by the word of an agent")
+	assert.False(t, core.EntryLookupDue(later.Add(time.Second)))
 	later = now.Add(2 * time.Minute)
-	core.SawCold(core.byID["b"], time.Second, later)
-	assert.True(t, core.EntriesDue(later), "by an answer")
-	assert.False(t, core.EntriesDue(later.Add(time.Second)))
+	core.RecordCold(core.byID["b"], time.Second, later)
+	assert.True(t, core.EntryLookupDue(later), "by an answer")
+	assert.False(t, core.EntryLookupDue(later.Add(time.Second)))
 }
 
 // FAILBACK: an entry that has not heard of a server's line hears from the server's agent that
@@ -159,7 +159,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			core := coldCore("entry-0", 4)
 			core.Update(coldFleet(time.Time{}, "zb"), now)
-			core.TakeWord(Word{Address: "10.0.0.1:1", Reachable: true, ColdFor: time.Second, Received: tc.received}, now)
+			core.ApplyReport(LoadReport{Address: "10.0.0.1:1", Reachable: true, ColdFor: time.Second, Received: tc.received}, now)
 			assert.True(t, core.byID["a"].cold(now))
 			assert.InDelta(t, tc.sent, chosenServers(core, 60, now.Add(10*time.Millisecond))["a"], 1)
 			assert.False(t, core.byID["a"].cold(now.Add(time.Second)), "for as long as the agent says")
@@ -174,12 +174,12 @@
 	core := coldCore("entry-0", 1)
 	core.Update(coldFleet(time.Time{}), now)
 	server := core.byID["a"]
-	core.SawCold(server, 0, now)
+	core.RecordCold(server, 0, now)
 	assert.False(t, server.cold(now))
-	core.SawCold(server, 800*time.Millisecond, now)
+	core.RecordCold(server, 800*time.Millisecond, now)
 	assert.True(t, server.cold(now.Add(799*time.Millisecond)))
 	assert.False(t, server.cold(now.Add(800*time.Millisecond)))
-	core.SawCold(server, time.Hour, now)
+	core.RecordCold(server, time.Hour, now)
 	assert.True(t, server.cold(now.Add(2999*time.Millisecond)))
 	assert.False(t, server.cold(now.Add(3*time.Second)))
 }
--- a/coordination/dispatch/cold_words_test.go
+++ b/coordination/dispatch/cold_words_test.go
@@ -15,7 +15,7 @@
 	now := epoch
 	core := coldCore("entry-0", 4)
 	core.Update(coldFleet(now.Add(time.Minute), "zb"), now)
-	core.TakeWord(Word{Address: "10.0.0.1:1", Reachable: true, ColdFor: time.Minute, Received: 39}, now)
+	core.ApplyReport(LoadReport{Address: "10.0.0.1:1", Reachable: true, ColdFor: time.Minute, Received: 39}, now)
 	assert.Zero(t, chosenServers(core, 20, now.Add(10*time.Millisecond))["a"])
 	assert.Positive(t, chosenServers(core, 20, now.Add(admission.ColdSpan+10*time.Millisecond))["a"])
 }
@@ -25,6 +25,6 @@
 	now := epoch
 	core := coldCore("entry-0", 1)
 	core.Update(coldFleet(time.Time{}), now)
-	core.TakeWord(Word{Address: "10.0.0.1:1", Reachable: true, ColdFor: 24 * time.Hour}, now)
+	core.ApplyReport(LoadReport{Address: "10.0.0.1:1", Reachable: true, ColdFor: 24 * time.Hour}, now)
 	assert.False(t, core.byID["a"].cold(now.Add(time.Hour)))
 }
--- a/coordination/dispatch/evacuation.go
+++ b/coordination/dispatch/evacuation.go
@@ -39,9 +39,9 @@
 	e.since[zone] = now
 }
 
-// Emptied returns the evacuated zones in which the last request of this entry has ended since it
+// NewlyIdleZones returns the evacuated zones in which the last request of this entry has ended since it
 // was asked before. Requests at servers that are listed no more are not counted.
-func (c *Core) Emptied(now time.Time) []Change {
+func (c *Core) NewlyIdleZones(now time.Time) []Change {
 	var emptied []Change
 	for zone, since := range c.emptying.since {
 		servers, inFlight := c.zoneCounts(zone)
@@ -50,7 +50,7 @@
 		}
 		delete(c.emptying.since, zone)
 		c.emptying.took[zone] = now.Sub(since)
-		emptied = append(emptied, Change{Kind: ZoneIdle, Zone: zone, Servers: servers, After: now.Sub(since)})
+		emptied = append(emptied, Change{Kind: ZoneIdle, Zone: zone, Servers: servers, IdleAfter: now.Sub(since)})
 	}
 	return emptied
 }
--- a/coordination/dispatch/fitness.go
+++ b/coordination/dispatch/fitness.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// Fitness is whether a server may be sent a request, and why not.
-type Fitness string
+// Eligibility is whether a server may be sent a request, and why not.
+type Eligibility string
 
 // Reasons for which a server is not sent a request.
 const (
-	Fit            Fitness = "usable"
-	unfitLeaving   Fitness = "leaving"
-	unfitTried     Fitness = "tried before"
-	unfitAvoided   Fitness = "runs another suspect"
-	unfitEvacuated Fitness = "zone evacuated"
-	unfitRegion    Fitness = "outside the allowed regions"
-	unfitCold      Fitness = "cold, and has its share"
-	unfitLimited   Fitness = "names a limit, and has its share"
-	unfitResting   Fitness = "has asked for rest"
+	Eligible       Eligibility = "usable"
+	unfitLeaving   Eligibility = "leaving"
+	unfitTried     Eligibility = "tried before"
+	unfitAvoided   Eligibility = "runs another suspect"
+	unfitEvacuated Eligibility = "zone evacuated"
+	unfitRegion    Eligibility = "outside the allowed regions"
+	unfitCold      Eligibility = "cold, and has its share"
+	unfitLimited   Eligibility = "names a limit, and has its share"
+	unfitResting   Eligibility = "has asked for rest"
 	// Those below are of model servers.
-	unfitUnreachable Fitness = "unreachable"
-	unfitEmpty       Fitness = "serves nothing"
-	unfitChanging    Fitness = "changing over"
-	unfitVersion     Fitness = "other version"
-	unfitBound       Fitness = "would begin after the version's bound"
+	unfitUnreachable Eligibility = "unreachable"
+	unfitEmpty       Eligibility = "serves nothing"
+	unfitChanging    Eligibility = "changing over"
+	unfitVersion     Eligibility = "other version"
+	unfitBound       Eligibility = "would begin after the version's bound"
 )
 
 // switchMargin is how long before its switch a server is sent nothing more.
 const switchMargin = 150 * time.Millisecond
 
 // fitness returns whether a server may be sent the request.
-func (c *Core) fitness(k *Candidate, request *Request, now time.Time) Fitness {
+func (c *Core) fitness(k *Candidate, request *Request, now time.Time) Eligibility {
 	switch {
 	case !c.Allowed(k.Zone, request.Residency):
 		return unfitRegion
@@ -41,11 +41,11 @@
 		return unfitEvacuated
 	case slices.Contains(request.Tried, k):
 		return unfitTried
-	case slices.Contains(request.Avoided, k.ID):
+	case slices.Contains(request.Excluded, k.ID):
 		return unfitAvoided
 	}
 	if request.Engine != nil {
-		if reason := c.modelFitness(k, request, now); reason != Fit {
+		if reason := c.modelFitness(k, request, now); reason != Eligible {
 			return reason
 		}
 	}
@@ -63,7 +63,7 @@
 }
 
 // modelFitness returns whether a model server serves a fitting version now.
-func (c *Core) modelFitness(k *Candidate, request *Request, now time.Time) Fitness {
+func (c *Core) modelFitness(k *Candidate, request *Request, now time.Time) Eligibility {
 	version := k.servedVersion(now)
 	if k.word.current(now) {
 		switch {
@@ -77,13 +77,13 @@
 	} else if !k.listing.server.HoldsModel {
 		return unfitEmpty
 	}
-	if (request.Exactly != 0 && version != request.Exactly) || version < request.AtLeast {
+	if (request.ExactVersion != 0 && version != request.ExactVersion) || version < request.MinVersion {
 		return unfitVersion
 	}
-	if bound, limited := request.Bounds.Of(version); limited && c.beyondBound(k, request, now, bound) {
+	if bound, limited := request.VersionDeadlines.For(version); limited && c.beyondBound(k, request, now, bound) {
 		return unfitBound
 	}
-	return Fit
+	return Eligible
 }
 
 // usable lists the servers that may be sent the request.
--- a/coordination/dispatch/fitness_test.go
+++ b/coordination/dispatch/fitness_test.go
@@ -21,7 +21,7 @@
 	core := testCore("z", nil)
 	core.health.SetServers("s", []string{"i-1", "i-2"})
 	eject(core, ejected, now)
-	for want, server := range map[Fitness]*Candidate{
+	for want, server := range map[Eligibility]*Candidate{
 		unfitChanging: changing, unfitEmpty: empty, unfitUnreachable: unreachable, unfitLeaving: leaving, unfitEjected: ejected,
 	} {
 		assert.Equal(t, want, core.fitness(server, wanted, now))
--- a/coordination/dispatch/health.go
+++ b/coordination/dispatch/health.go
@@ -10,13 +10,13 @@
 
 // Reasons of servers' health for which they are not sent a request.
 const (
-	unfitEjected Fitness = "ejected"
-	unfitOnTrial Fitness = "on trial"
+	unfitEjected Eligibility = "ejected"
+	unfitOnTrial Eligibility = "on trial"
 	// unfitSuspect leaves a server out for requests that must not run twice, or have failed
 	// before, as long as there are others.
-	unfitSuspect Fitness = "suspect"
+	unfitSuspect Eligibility = "suspect"
 	// fitForTrial is no reason against: the request is the server's trial.
-	fitForTrial Fitness = "to be tried"
+	fitForTrial Eligibility = "to be tried"
 )
 
 // suspectCost is what using a suspect server weighs in the choice: about what a request loses
@@ -27,7 +27,7 @@
 func (c *Core) since(moment time.Time) time.Duration { return moment.Sub(c.started) }
 
 // healthFitness returns whether a server's health lets it be sent a request.
-func (c *Core) healthFitness(k *Candidate, request *Request, now time.Time) Fitness {
+func (c *Core) healthFitness(k *Candidate, request *Request, now time.Time) Eligibility {
 	if c.lost(k, now) {
 		// It was left out before but for its trial.
 		return fitForTrial
@@ -41,15 +41,15 @@
 		}
 		return fitForTrial
 	case health.Suspect:
-		if len(request.Tried) > 0 || request.RunsOnce {
+		if len(request.Tried) > 0 || request.AtMostOnce {
 			return unfitSuspect
 		}
 	}
-	return Fit
+	return Eligible
 }
 
 // repeatable reports whether another attempt would follow one that fails.
-func (r *Request) repeatable() bool { return !r.RunsOnce && !r.LastAttempt }
+func (r *Request) repeatable() bool { return !r.AtMostOnce && !r.LastAttempt }
 
 // byHealth are the servers that a request may be sent to but for their health, by what that says.
 type byHealth struct {
@@ -57,9 +57,9 @@
 }
 
 // add takes in a server; one that is left out for another reason is none of them.
-func (b *byHealth) add(k *Candidate, reason Fitness) {
+func (b *byHealth) add(k *Candidate, reason Eligibility) {
 	switch reason {
-	case Fit:
+	case Eligible:
 		b.fit = append(b.fit, k)
 	case unfitSuspect:
 		b.suspect = append(b.suspect, k)
@@ -155,7 +155,7 @@
 // lostTrialPatience is the silence after which a lost server's trial is given up: the target, where no
 // answer has shown what is usual.
 func (c *Core) lostTrialPatience(k *Candidate, request *Request, now time.Time) time.Duration {
-	patience := max(request.Patience, lostTrialFactor*c.byLoad(k, request, now))
+	patience := max(request.MinOverdueTime, lostTrialFactor*c.byLoad(k, request, now))
 	if seen := c.seenAnswer(k, request); seen > 0 {
 		return max(patience, lostTrialFactor*seen)
 	}
@@ -170,7 +170,7 @@
 // leavesTime reports whether a trial of a lost server that stays silent leaves its request the time that
 // an answer usually takes elsewhere.
 func (c *Core) leavesTime(k *Candidate, request *Request, now time.Time) bool {
-	return request.Left <= 0 || c.lostTrialPatience(k, request, now)+c.usualTrial(k, request, now) <= request.Left
+	return request.TimeLeft <= 0 || c.lostTrialPatience(k, request, now)+c.usualTrial(k, request, now) <= request.TimeLeft
 }
 
 // updateHealth takes over which servers there are.
@@ -187,16 +187,16 @@
 	}
 }
 
-// HealthNews is what has changed with servers' health, and what the zone's other entries are to
+// HealthUpdates is what has changed with servers' health, and what the zone's other entries are to
 // be told.
-type HealthNews struct {
+type HealthUpdates struct {
 	Changes []health.Change
-	Words   []health.Word
+	Reports []health.Word
 }
 
-// TakeHealthNews returns the news since the last call.
-func (c *Core) TakeHealthNews() HealthNews {
-	news := HealthNews{Changes: c.healthChanges, Words: c.health.TakeWords()}
+// TakeHealthUpdates returns the news since the last call.
+func (c *Core) TakeHealthUpdates() HealthUpdates {
+	news := HealthUpdates{Changes: c.healthChanges, Reports: c.health.TakeWords()}
 	c.healthChanges = nil
 	return news
 }
@@ -213,8 +213,8 @@
 	// Class groups requests that are alike, such as those of one route.
 	Class  string
 	SentAt time.Time
-	// Repeated is set when the same request had failed elsewhere before.
-	Repeated bool
+	// Retried is set when the same request had failed elsewhere before.
+	Retried bool
 }
 
 // Observe notes what an attempt has shown of its server.
@@ -224,7 +224,7 @@
 		return
 	}
 	c.noteHealth(c.health.Observe(health.Attempt{
-		Server: k.ID, Class: outcome.Class, Outcome: outcome.Outcome, Sent: c.since(outcome.SentAt), Repeated: outcome.Repeated,
+		Server: k.ID, Class: outcome.Class, Outcome: outcome.Outcome, Sent: c.since(outcome.SentAt), Repeated: outcome.Retried,
 		Lost: k.word.current(now) && !k.word.Reachable, LostAt: c.since(k.word.lostAt),
 	}, c.since(now)))
 }
@@ -237,16 +237,16 @@
 	}
 }
 
-// HearHealth takes in what another entry of the zone said of a server at a time.
-func (c *Core) HearHealth(word health.Word, at, now time.Time) {
+// ApplyHealthReport takes in what another entry of the zone said of a server at a time.
+func (c *Core) ApplyHealthReport(word health.Word, at, now time.Time) {
 	c.noteHealth(c.health.Hear(word, c.since(at), c.since(now)))
 }
 
-// TakeZone takes over which other entries the zone has: they take turns with trials.
-func (c *Core) TakeZone(entries []string) { c.health.SetMembers(entries) }
+// SetZoneEntries takes over which other entries the zone has: they take turns with trials.
+func (c *Core) SetZoneEntries(entries []string) { c.health.SetMembers(entries) }
 
 // EjectedServers is how many servers are ejected or on trial.
 func (c *Core) EjectedServers() int { return len(c.health.Ejected()) }
 
-// SawWhole notes how long a whole answer took.
-func (c *Core) SawWhole(k *Candidate, took time.Duration) { k.answers.sawWhole(took) }
+// RecordAnswerTime notes how long a whole answer took.
+func (c *Core) RecordAnswerTime(k *Candidate, took time.Duration) { k.answers.sawWhole(took) }
--- a/coordination/dispatch/health_test.go
+++ b/coordination/dispatch/health_test.go
@@ -24,21 +24,21 @@
 // weighs more for others.
 func TestSuspectServersAreSparedRequestsThatMustNotFail(t *testing.T) {
 	s := newScript(t, "a1", "a2", "a3")
-	s.hear("a1", 0, Word{Version: 1})
-	s.hear("a2", 0, Word{Version: 1, Running: 14})
-	s.hear("a3", 0, Word{Version: 1, Running: 14})
+	s.hear("a1", 0, LoadReport{Version: 1})
+	s.hear("a2", 0, LoadReport{Version: 1, Running: 14})
+	s.hear("a3", 0, LoadReport{Version: 1, Running: 14})
 	s.core.Observe(s.candidate("a1"), Outcome{Outcome: health.Broken, SentAt: s.now}, s.now)
-	s.hear("a2", 0, Word{Version: 1, Running: 16, Waiting: 30})
-	s.hear("a3", 0, Word{Version: 1, Running: 16, Waiting: 30})
+	s.hear("a2", 0, LoadReport{Version: 1, Running: 16, Waiting: 30})
+	s.hear("a3", 0, LoadReport{Version: 1, Running: 16, Waiting: 30})
 	s.served(s.request(), "a1")
 	again := s.request()
 	again.Tried = []*Candidate{s.candidate("a2")}
 	s.served(again, "a3")
 	again.Tried = append(again.Tried, s.candidate("a3"))
 	s.served(again, "a1")
-	s.hear("a3", 0, Word{Version: 1})
+	s.hear("a3", 0, LoadReport{Version: 1})
 	once := s.request()
-	once.RunsOnce = true
+	once.AtMostOnce = true
 	s.served(once, "a3")
 }
 
@@ -47,13 +47,13 @@
 func TestServerReturnsByATrial(t *testing.T) {
 	s := newScript(t, "a1", "a2")
 	lost := s.candidate("a1")
-	s.hear("a1", 0, Word{Version: 1})
-	s.hear("a2", 0, Word{Version: 1, Running: 8})
+	s.hear("a1", 0, LoadReport{Version: 1})
+	s.hear("a2", 0, LoadReport{Version: 1, Running: 8})
 	assert.Equal(t, ejectTime, eject(s.core, lost, s.now))
 	s.served(s.request(), "a2")
 	s.at(ejectTime)
 	once, again := s.request(), s.request()
-	once.RunsOnce = true
+	once.AtMostOnce = true
 	s.served(once, "a2")
 	again.Tried = []*Candidate{lost}
 	s.served(again, "a2")
@@ -64,27 +64,27 @@
 	s.ends(trial)
 	open := s.goesTo(s.request(), "a1")
 	assert.False(t, open.Trial)
-	s.core.TakeWord(Word{Address: "a1:1", Version: 1}, s.now)
+	s.core.ApplyReport(LoadReport{Address: "a1:1", Version: 1}, s.now)
 	s.served(s.request(), "a2") // What it answered before its agent lost it says nothing.
 	s.at(ejectTime + 100*time.Millisecond)
 	s.core.Observe(lost, Outcome{Outcome: health.Served, SentAt: open.Send.sentAt}, s.now)
 	s.ends(open)
 	s.served(s.request(), "a1")
-	s.core.TakeWord(Word{Address: "a1:1", Version: 1}, s.now)
+	s.core.ApplyReport(LoadReport{Address: "a1:1", Version: 1}, s.now)
 	s.served(s.request(), "a1")
-	s.core.TakeWord(Word{Address: "a1:1", Version: 1, Reachable: true}, s.now)
-	s.core.TakeWord(Word{Address: "a1:1", Version: 1}, s.now)
+	s.core.ApplyReport(LoadReport{Address: "a1:1", Version: 1, Reachable: true}, s.now)
+	s.core.ApplyReport(LoadReport{Address: "a1:1", Version: 1}, s.now)
 	s.served(s.request(), "a2") // It has lost it anew.
 	s.at(ejectTime + 2200*time.Millisecond)
-	s.core.TakeWord(Word{Address: "a1:1", Version: 1}, s.now)
-	s.hear("a2", 0, Word{Version: 1})
+	s.core.ApplyReport(LoadReport{Address: "a1:1", Version: 1}, s.now)
+	s.hear("a2", 0, LoadReport{Version: 1})
 	s.served(s.request(), "a2")
 }
 
 // A request that goes to the only server beside its trial does not end that; the trial does.
 func TestOnlyTheTrialEndsTheTrial(t *testing.T) {
 	s := newScript(t, "a1")
-	s.hear("a1", 0, Word{Version: 1})
+	s.hear("a1", 0, LoadReport{Version: 1})
 	eject(s.core, s.candidate("a1"), s.now)
 	s.at(ejectTime + 50*time.Millisecond)
 	trial, beside := s.goesTo(s.request(), "a1"), s.goesTo(s.request(), "a1")
@@ -102,7 +102,7 @@
 	s.fleet.Servers[0].Address = "other:1"
 	s.update()
 	eject(s.core, former, s.now)
-	assert.Equal(t, Fit, s.core.fitness(s.candidate("a1"), s.request(), s.now))
+	assert.Equal(t, Eligible, s.core.fitness(s.candidate("a1"), s.request(), s.now))
 }
 
 // A request need not wait on at a server that is out and answers nothing, if it was sent before the
@@ -112,7 +112,7 @@
 	before := s.now
 	s.at(100 * time.Millisecond)
 	eject(s.core, s.candidate("a1"), s.now)
-	suspect := func(sentAt time.Time) bool { return s.core.Suspect(s.candidate("a1"), sentAt, s.now) }
+	suspect := func(sentAt time.Time) bool { return s.core.FailureSuspected(s.candidate("a1"), sentAt, s.now) }
 	assert.True(t, suspect(before))
 	assert.False(t, suspect(s.now), "sent for want of others")
 	s.at(100*time.Millisecond + ejectTime)
--- a/coordination/dispatch/health_trial_test.go
+++ b/coordination/dispatch/health_trial_test.go
@@ -14,15 +14,15 @@
 func TestAgentLosesAServerAfterItsLastAnswer(t *testing.T) {
 	s := newScript(t, "a1", "a2")
 	lost := s.candidate("a1")
-	s.hear("a1", 0, Word{Version: 1})
-	s.hear("a2", 0, Word{Version: 1, Running: 8})
+	s.hear("a1", 0, LoadReport{Version: 1})
+	s.hear("a2", 0, LoadReport{Version: 1, Running: 8})
 	s.core.Observe(lost, Outcome{Outcome: health.Served, SentAt: s.now.Add(-100 * time.Millisecond)}, s.now)
 	for _, after := range []time.Duration{100, 500, 1000, 1900} {
 		s.at(after * time.Millisecond)
-		s.core.TakeWord(Word{Address: "a1:1", Version: 1}, s.now)
-		s.hear("a2", 0, Word{Version: 1, Running: 8})
+		s.core.ApplyReport(LoadReport{Address: "a1:1", Version: 1}, s.now)
+		s.hear("a2", 0, LoadReport{Version: 1, Running: 8})
 		once := s.request()
-		once.RunsOnce = true
+		once.AtMostOnce = true
 		s.served(once, "a2")
 	}
 }
@@ -31,10 +31,10 @@
 // request goes there because there is no other.
 func TestOnlyServerHasOneTrialAtATime(t *testing.T) {
 	s := newScript(t, "a1")
-	s.hear("a1", 0, Word{Version: 1})
+	s.hear("a1", 0, LoadReport{Version: 1})
 	eject(s.core, s.candidate("a1"), s.now)
 	s.at(ejectTime + 50*time.Millisecond)
-	s.core.TakeHealthNews()
+	s.core.TakeHealthUpdates()
 	trials := 0
 	for range 10 {
 		if s.goesTo(s.request(), "a1").Trial {
@@ -42,18 +42,18 @@
 		}
 	}
 	assert.Equal(t, 1, trials)
-	assert.LessOrEqual(t, len(s.core.TakeHealthNews().Words), 1)
+	assert.LessOrEqual(t, len(s.core.TakeHealthUpdates().Reports), 1)
 }
 
 // A trial does not cost a request that another server would begin in time.
 func TestTrialThatWouldBeLateIsNotMade(t *testing.T) {
 	s := newScript(t, "a1", "a2")
-	s.hear("a1", 0, Word{Version: 1})
-	s.hear("a2", 0, Word{Version: 1})
+	s.hear("a1", 0, LoadReport{Version: 1})
+	s.hear("a2", 0, LoadReport{Version: 1})
 	eject(s.core, s.candidate("a1"), s.now)
 	s.at(ejectTime)
-	s.hear("a1", 0, Word{Version: 1, Running: 2, UnreadTokens: 60000})
-	s.hear("a2", 0, Word{Version: 1, Running: 2})
+	s.hear("a1", 0, LoadReport{Version: 1, Running: 2, UnreadTokens: 60000})
+	s.hear("a2", 0, LoadReport{Version: 1, Running: 2})
 	s.served(s.request(), "a2")
 }
 
@@ -63,7 +63,7 @@
 	eject(s.core, s.candidate("a1"), s.now)
 	s.fleet.Servers[0].Address = "other:1"
 	s.update()
-	assert.Equal(t, Fit, s.core.fitness(s.candidate("a1"), s.request(), s.now))
+	assert.Equal(t, Eligible, s.core.fitness(s.candidate("a1"), s.request(), s.now))
 }
 
 // A trial goes nowhere that an ordinary request may not go.
@@ -73,8 +73,8 @@
 	s.at(ejectTime)
 	s.fleet.Evacuated = []string{"b"}
 	s.update()
-	s.hear("a1", 0, Word{Version: 1})
-	s.hear("b1", 0, Word{Version: 1})
+	s.hear("a1", 0, LoadReport{Version: 1})
+	s.hear("b1", 0, LoadReport{Version: 1})
 	s.served(s.request(), "a1")
 }
 
@@ -82,17 +82,17 @@
 // 4 s would wait there for its whole time.
 func TestTrialDoesNotWaitForWhatAMuteServerHasTaken(t *testing.T) {
 	s := newScript(t, "a1", "a2")
-	s.hear("a1", 0, Word{Version: 1})
-	s.hear("a2", 0, Word{Version: 1, Running: 8})
+	s.hear("a1", 0, LoadReport{Version: 1})
+	s.hear("a2", 0, LoadReport{Version: 1, Running: 8})
 	mute := s.candidate("a1")
 	for range 10 {
-		s.core.SawFirstEvent(mute, 20*time.Millisecond)
+		s.core.RecordFirstEvent(mute, 20*time.Millisecond)
 	}
 	waiting := s.goesTo(s.request(), "a1")
 	s.at(time.Second)
-	s.hear("a1", 0, Word{Version: 1})
-	s.hear("a2", 0, Word{Version: 1, Running: 8})
-	s.core.PromptRead(waiting.Send, false, s.now)
+	s.hear("a1", 0, LoadReport{Version: 1})
+	s.hear("a2", 0, LoadReport{Version: 1, Running: 8})
+	s.core.EndPrefill(waiting.Send, false, s.now)
 	s.core.Release(waiting.Send)
 	eject(s.core, mute, s.now)
 	s.at(time.Second + ejectTime)
@@ -100,14 +100,14 @@
 	trial := s.goesTo(request, "a1")
 	assert.True(t, trial.Trial)
 	assert.Greater(t, trial.Expected, 400*time.Millisecond)
-	assert.Less(t, s.core.UsualWait(trial, request), 100*time.Millisecond)
+	assert.Less(t, s.core.TypicalWait(trial, request), 100*time.Millisecond)
 }
 
 // A request that would be lost at a server that fails is no trial, as long as others come.
 func TestLastAttemptIsNoTrial(t *testing.T) {
 	s := newScript(t, "a1", "a2")
-	s.hear("a1", 0, Word{Version: 1})
-	s.hear("a2", 0, Word{Version: 1, Running: 8})
+	s.hear("a1", 0, LoadReport{Version: 1})
+	s.hear("a2", 0, LoadReport{Version: 1, Running: 8})
 	eject(s.core, s.candidate("a1"), s.now)
 	s.at(ejectTime)
 	last := s.request()
@@ -121,11 +121,11 @@
 	s := newScript(t, "a1", "a2", "a3")
 	streaming, whole := s.request(), s.request()
 	whole.Streaming = false
-	assert.Equal(t, streaming.Target, s.core.UsualWait(Decision{Candidate: s.candidate("a1")}, streaming))
+	assert.Equal(t, streaming.Target, s.core.TypicalWait(Decision{Candidate: s.candidate("a1")}, streaming))
 	for _, id := range []string{"a2", "a3"} {
-		s.core.SawFirstEvent(s.candidate(id), 20*time.Millisecond)
-		s.core.SawWhole(s.candidate(id), 30*time.Millisecond)
+		s.core.RecordFirstEvent(s.candidate(id), 20*time.Millisecond)
+		s.core.RecordAnswerTime(s.candidate(id), 30*time.Millisecond)
 	}
-	assert.Equal(t, 20*time.Millisecond, s.core.UsualWait(Decision{Candidate: s.candidate("a1")}, streaming))
-	assert.Equal(t, 30*time.Millisecond, s.core.UsualWait(Decision{Candidate: s.candidate("a1")}, whole))
+	assert.Equal(t, 20*time.Millisecond, s.core.TypicalWait(Decision{Candidate: s.candidate("a1")}, streaming))
+	assert.Equal(t, 30*time.Millisecond, s.core.TypicalWait(Decision{Candidate: s.candidate("a1")}, whole))
 }
--- a/coordination/dispatch/kept.go
+++ b/coordination/dispatch/kept.go
@@ -31,14 +31,14 @@
 
 // keep holds what bounds a server whose line has gone.
 func (c *Core) keep(known *Candidate, now time.Time) {
-	c.kept[known.ID] = keptServer{born: known.listing.server.Born, at: now, sent: known.sent, limit: known.limit, asked: known.asked}
+	c.kept[known.ID] = keptServer{born: known.listing.server.StartTime, at: now, sent: known.sent, limit: known.limit, asked: known.asked}
 }
 
 // restore gives a newly listed server what was held of it, unless that was another life of it.
 func (c *Core) restore(known *Candidate, server Server) {
 	held, found := c.kept[server.ID]
 	delete(c.kept, server.ID)
-	if !found || held.born.Differs(server.Born) {
+	if !found || held.born.Differs(server.StartTime) {
 		known.sent = *admission.NewWindow(admission.LimitSpan)
 		return
 	}
--- a/coordination/dispatch/limit.go
+++ b/coordination/dispatch/limit.go
@@ -40,34 +40,34 @@
 // tellAgain is how often the others are told of a rate that holds on, for entries that have started since.
 const tellAgain = 5 * time.Minute
 
-// LimitNews is what an answer has changed of its server's limit.
-type LimitNews struct {
+// RateLimitChange is what an answer has changed of its server's limit.
+type RateLimitChange struct {
 	Changed bool
-	// Tell is set when the other entries are to be told.
-	Tell bool
+	// Announce is set when the other entries are to be told.
+	Announce bool
 	// InForce is whether there is a limit now, PerSecond the rate, Former the one before.
-	InForce           bool
-	PerSecond, Former float64
+	InForce             bool
+	PerSecond, Previous float64
 	// Share is what this entry may send in admission.LimitSpan, Entries how many share.
 	Share, Entries int
 }
 
-// LimitView is a server's limit, for people.
-type LimitView struct {
+// RateLimitStatus is a server's limit, for people.
+type RateLimitStatus struct {
 	InForce   bool
 	PerSecond float64
-	// Named is how long ago an answer last named it.
-	Named time.Duration
-	Share int
+	// SinceNamed is how long ago an answer last named it.
+	SinceNamed time.Duration
+	Share      int
 }
 
-// SawLimit notes the rate that an answer has named, whose request was sent at a time. Answers overtake each
+// RecordRateLimit notes the rate that an answer has named, whose request was sent at a time. Answers overtake each
 // other: one to a request that was sent before the present rate was first named can lower the rate only, and
 // one to a request that was sent before the limit ended can't bring it back.
-func (c *Core) SawLimit(k *Candidate, perSecond float64, sentAt, now time.Time) LimitNews {
+func (c *Core) RecordRateLimit(k *Candidate, perSecond float64, sentAt, now time.Time) RateLimitChange {
 	held := &k.limit
 	if sentAt.Before(held.endedAt) || (held.inForce() && sentAt.Before(held.since) && perSecond > held.perSecond) {
-		return LimitNews{}
+		return RateLimitChange{}
 	}
 	former, changed := held.perSecond, !held.inForce() || held.perSecond != perSecond
 	if changed {
@@ -82,21 +82,21 @@
 	if tell {
 		held.toldAt = now
 	}
-	return LimitNews{Changed: changed, Tell: tell, InForce: true, PerSecond: perSecond, Former: former, Share: c.limitShare(k, now), Entries: c.bounded.count(now)}
+	return RateLimitChange{Changed: changed, Announce: tell, InForce: true, PerSecond: perSecond, Previous: former, Share: c.limitShare(k, now), Entries: c.bounded.count(now)}
 }
 
-// SawNoLimit notes that an answer has named no rate. One to a request that was sent before the rate was
+// RecordNoRateLimit notes that an answer has named no rate. One to a request that was sent before the rate was
 // last named may be older than that.
-func (c *Core) SawNoLimit(k *Candidate, sentAt, now time.Time) LimitNews {
+func (c *Core) RecordNoRateLimit(k *Candidate, sentAt, now time.Time) RateLimitChange {
 	if sentAt.After(k.limit.endedAt) {
 		k.limit.endedAt = sentAt
 	}
 	if !k.limit.inForce() || !sentAt.After(k.limit.namedAt) {
-		return LimitNews{}
+		return RateLimitChange{}
 	}
 	former := k.limit.perSecond
 	k.limit = namedLimit{endedAt: sentAt}
-	return LimitNews{Changed: true, Tell: true, Former: former}
+	return RateLimitChange{Changed: true, Announce: true, Previous: former}
 }
 
 // noteLimited notes until when the other entries matter for a server's limit: what was known of them then
@@ -159,8 +159,8 @@
 	}
 }
 
-// LimitCounts returns how many servers name a limit, and how many requests were sent to such.
-func (c *Core) LimitCounts() (servers int, sent uint64) {
+// RateLimitCounts returns how many servers name a limit, and how many requests were sent to such.
+func (c *Core) RateLimitCounts() (servers int, sent uint64) {
 	for _, known := range c.byID {
 		if known.limit.inForce() {
 			servers++
@@ -169,11 +169,11 @@
 	return servers, c.limitedSent
 }
 
-func (c *Core) limitView(k *Candidate, now time.Time) LimitView {
+func (c *Core) limitView(k *Candidate, now time.Time) RateLimitStatus {
 	if !k.limit.inForce() {
-		return LimitView{}
+		return RateLimitStatus{}
 	}
-	return LimitView{InForce: true, PerSecond: k.limit.perSecond, Named: now.Sub(k.limit.namedAt), Share: c.limitShare(k, now)}
+	return RateLimitStatus{InForce: true, PerSecond: k.limit.perSecond, SinceNamed: now.Sub(k.limit.namedAt), Share: c.limitShare(k, now)}
 }
 
 func later(a, b time.Time) time.Time {
--- a/coordination/dispatch/limit_test.go
+++ b/coordination/dispatch/limit_test.go
@@ -33,7 +33,7 @@
 // named has every entry hear that the server names a rate.
 func (f *limitedFleet) named(perSecond float64) {
 	for _, core := range f.entries {
-		core.SawLimit(core.byID["only"], perSecond, f.now, f.now)
+		core.RecordRateLimit(core.byID["only"], perSecond, f.now, f.now)
 	}
 }
 
@@ -49,10 +49,10 @@
 			f.arrived = append(f.arrived, f.now)
 			core.Release(decision.Send)
 			if perSecond < 0 {
-				core.SawNoLimit(decision.Candidate, f.now, f.now.Add(time.Microsecond))
+				core.RecordNoRateLimit(decision.Candidate, f.now, f.now.Add(time.Microsecond))
 				continue
 			}
-			core.SawLimit(decision.Candidate, perSecond, f.now, f.now)
+			core.RecordRateLimit(decision.Candidate, perSecond, f.now, f.now)
 		}
 	}
 }
@@ -100,7 +100,7 @@
 	for range 8 {
 		s.served(s.request(), "a1")
 	}
-	s.core.SawLimit(s.candidate("a1"), 1.5, s.now, s.now)
+	s.core.RecordRateLimit(s.candidate("a1"), 1.5, s.now, s.now)
 	s.at(4 * time.Second)
 	refusal := s.refused(s.request(), RefusedNoServer)
 	assert.Equal(t, 1, refusal.Servers[unfitLimited])
@@ -115,16 +115,16 @@
 	s := newScript(t, "a1")
 	k := s.candidate("a1")
 	s.at(time.Second)
-	require.True(t, s.core.SawLimit(k, 2, s.now, s.now).Changed)
+	require.True(t, s.core.RecordRateLimit(k, 2, s.now, s.now).Changed)
 	s.at(1100 * time.Millisecond)
-	s.core.SawNoLimit(k, epoch.Add(900*time.Millisecond), s.now)
+	s.core.RecordNoRateLimit(k, epoch.Add(900*time.Millisecond), s.now)
 	assert.True(t, k.limit.inForce(), "sent before")
-	s.core.SawLimit(k, 9, epoch.Add(900*time.Millisecond), s.now)
+	s.core.RecordRateLimit(k, 9, epoch.Add(900*time.Millisecond), s.now)
 	assert.InDelta(t, 2, k.limit.perSecond, 0, "an older rate")
-	s.core.SawLimit(k, 1, epoch.Add(900*time.Millisecond), s.now)
+	s.core.RecordRateLimit(k, 1, epoch.Add(900*time.Millisecond), s.now)
 	assert.InDelta(t, 1, k.limit.perSecond, 0, "a lower one holds: whether it is older can't be told")
 	s.at(2 * time.Second)
-	news := s.core.SawNoLimit(k, epoch.Add(1900*time.Millisecond), s.now)
+	news := s.core.RecordNoRateLimit(k, epoch.Add(1900*time.Millisecond), s.now)
 	assert.True(t, news.Changed)
 	assert.False(t, k.limit.inForce())
 }
@@ -134,7 +134,7 @@
 func TestLimitOutlastsItsServersLine(t *testing.T) {
 	s := newScript(t, "a1")
 	s.core.bounded.started = epoch.Add(-time.Minute)
-	s.core.SawLimit(s.candidate("a1"), 0.25, s.now, s.now)
+	s.core.RecordRateLimit(s.candidate("a1"), 0.25, s.now, s.now)
 	s.served(s.request(), "a1")
 	lines := s.fleet.Servers
 	s.fleet.Servers = nil
@@ -143,9 +143,9 @@
 	s.fleet.Servers = lines
 	s.update()
 	assert.Equal(t, 1, s.refused(s.request(), RefusedNoServer).Servers[unfitLimited])
-	s.fleet.Servers[0].Born = 5
+	s.fleet.Servers[0].StartTime = 5
 	s.update()
-	s.fleet.Servers[0].Born = 6
+	s.fleet.Servers[0].StartTime = 6
 	s.update()
 	s.served(s.request(), "a1")
 	assert.False(t, s.candidate("a1").limit.inForce())
@@ -180,7 +180,7 @@
 			continue
 		}
 		core.bounded = newMembers(fmt.Sprintf("entry-%d", index), f.now)
-		core.SawLimit(core.byID["only"], rate, f.now, f.now)
+		core.RecordRateLimit(core.byID["only"], rate, f.now, f.now)
 		f.entries = append(f.entries, core)
 	}
 	f.asks(time.Second, 20*time.Millisecond, rate)
@@ -217,6 +217,6 @@
 				others = append(others, other.bounded.self)
 			}
 		}
-		core.TakeEntries(others, f.now)
+		core.SetEntries(others, f.now)
 	}
 }
--- a/coordination/dispatch/list.go
+++ b/coordination/dispatch/list.go
@@ -13,8 +13,8 @@
 const (
 	// ServerLeaving: the server is to be sent nothing new.
 	ServerLeaving ChangeKind = iota
-	// ServerGone: the server is listed no more.
-	ServerGone
+	// ServerRemoved: the server is listed no more.
+	ServerRemoved
 	// ServerRestarted: the server has started again under its ID; Candidate is its former incarnation.
 	ServerRestarted
 	// AddressTaken: a newer server is listed at the server's address, so that it has ended.
@@ -36,8 +36,8 @@
 	// Servers are those of the zone, InFlight this entry's requests there, or at the server.
 	Servers  int
 	InFlight int
-	// After is how long after the evacuation was heard of the zone became idle.
-	After time.Duration
+	// IdleAfter is how long after the evacuation was heard of the zone became idle.
+	IdleAfter time.Duration
 }
 
 // Update takes over a new published fleet, and returns what has changed.
@@ -53,14 +53,14 @@
 		present[server.ID] = true
 		if known := c.byID[server.ID]; known != nil && known.elsewhere(server) {
 			ended := c.forget(known, now)
-			if known.listing.server.Born.Differs(server.Born) {
+			if known.listing.server.StartTime.Differs(server.StartTime) {
 				ended.Kind = ServerRestarted
 			}
 			changes = append(changes, ended)
 			c.health.Renew(server.ID, c.since(now))
 			// What its former incarnation was sent, and what was told of that, is over.
 			delete(c.kept, server.ID)
-			if c.words[server.Address].Born != server.Born {
+			if c.words[server.Address].StartTime != server.StartTime {
 				delete(c.words, server.Address)
 			}
 		}
@@ -81,7 +81,7 @@
 	changes = append(changes, c.noteEvacuations(old, now)...)
 	c.findBoundedTill()
 	c.countRegions()
-	return append(changes, c.Emptied(now)...)
+	return append(changes, c.NewlyIdleZones(now)...)
 }
 
 // Leaving reports whether a server is to be sent nothing more, because its line or an answer has said so, it is
@@ -93,7 +93,7 @@
 // elsewhere reports whether a line is that of another server with the same name, or of another life
 // of the server.
 func (k *Candidate) elsewhere(server Server) bool {
-	return k.Zone != server.Zone || k.Address != server.Address || k.listing.server.Born.Differs(server.Born)
+	return k.Zone != server.Zone || k.Address != server.Address || k.listing.server.StartTime.Differs(server.StartTime)
 }
 
 // drop forgets the servers that are not listed any more.
@@ -113,7 +113,7 @@
 	known.listing.gone = true
 	c.keep(known, now)
 	delete(c.byID, known.ID)
-	return Change{Kind: ServerGone, Candidate: known, InFlight: known.sends.inFlight}
+	return Change{Kind: ServerRemoved, Candidate: known, InFlight: known.sends.inFlight}
 }
 
 // candidateOf returns what is known of a listed server.
@@ -125,7 +125,7 @@
 	known = &Candidate{ID: server.ID, Address: server.Address, Zone: server.Zone, listing: listing{since: now}}
 	c.restore(known, server)
 	c.byID[server.ID] = known
-	if told, heard := c.words[server.Address]; heard && !told.Born.Before(server.Born) {
+	if told, heard := c.words[server.Address]; heard && !told.StartTime.Before(server.StartTime) {
 		known.word.heardWord = told
 	}
 	return known
@@ -145,7 +145,7 @@
 		return nil
 	}
 	known.listing.gone = true
-	if told, heard := c.words[holder.Address]; heard && holder.word.at.IsZero() && !told.Born.Before(holder.listing.server.Born) {
+	if told, heard := c.words[holder.Address]; heard && holder.word.at.IsZero() && !told.StartTime.Before(holder.listing.server.StartTime) {
 		holder.word.heardWord = told
 	}
 	return known
--- a/coordination/dispatch/lost_test.go
+++ b/coordination/dispatch/lost_test.go
@@ -21,16 +21,16 @@
 
 // agents has the agent of a1 say that it does not reach its server, and that of a2 that it does.
 func (s *script) agents() {
-	s.core.TakeWord(Word{Address: "a1:1", Version: 1}, s.now)
-	s.hear("a2", 0, Word{Version: 1, Running: 8})
+	s.core.ApplyReport(LoadReport{Address: "a1:1", Version: 1}, s.now)
+	s.hear("a2", 0, LoadReport{Version: 1, Running: 8})
 }
 
 // lostScript is a script of two servers, of which the agent of a1 has lost its own after that
 // answered, with nothing under way there.
 func lostScript(t *testing.T) *script {
 	s := newScript(t, "a1", "a2")
-	s.hear("a1", 0, Word{Version: 1})
-	s.hear("a2", 0, Word{Version: 1, Running: 8})
+	s.hear("a1", 0, LoadReport{Version: 1})
+	s.hear("a2", 0, LoadReport{Version: 1, Running: 8})
 	s.answersOf("a1", attemptsBefore)
 	s.at(10 * time.Millisecond)
 	s.agents()
@@ -45,7 +45,7 @@
 	s.at(300 * time.Millisecond)
 	s.agents()
 	once, again := s.request(), s.request()
-	once.RunsOnce = true
+	once.AtMostOnce = true
 	s.served(once, "a2")
 	again.Tried = []*Candidate{s.candidate("a1")}
 	s.served(again, "a2")
@@ -58,7 +58,7 @@
 		s.at(after)
 		s.agents()
 		once = s.request()
-		once.RunsOnce = true
+		once.AtMostOnce = true
 		open := s.goesTo(once, "a1")
 		assert.False(t, open.Trial)
 		s.answersOf("a1", 1)
@@ -72,7 +72,7 @@
 	s.at(100 * time.Millisecond)
 	s.answersOf("a1", 1)
 	s.served(s.request(), "a1")
-	s.hear("a1", 0, Word{Version: 1})
+	s.hear("a1", 0, LoadReport{Version: 1})
 	s.at(110 * time.Millisecond)
 	s.agents()
 	s.served(s.request(), "a2")
@@ -103,8 +103,8 @@
 	s.at(300 * time.Millisecond)
 	s.agents()
 	s.goesTo(s.request(), "a1")
-	assert.True(t, s.core.Suspect(s.candidate("a1"), before, s.now))
-	assert.False(t, s.core.Suspect(s.candidate("a1"), s.now, s.now))
+	assert.True(t, s.core.FailureSuspected(s.candidate("a1"), before, s.now))
+	assert.False(t, s.core.FailureSuspected(s.candidate("a1"), s.now, s.now))
 }
 
 // The trial of a lost server that answers nothing leaves its caller time for another attempt, also where
@@ -112,24 +112,24 @@
 func TestTrialOfAMuteLostServerAtASlowService(t *testing.T) {
 	s := lostScript(t)
 	for range 20 {
-		s.core.SawFirstEvent(s.candidate("a2"), 500*time.Millisecond)
+		s.core.RecordFirstEvent(s.candidate("a2"), 500*time.Millisecond)
 	}
 	s.at(300 * time.Millisecond)
 	s.agents()
 	request := s.request()
-	request.Patience = time.Second
-	request.Left = 2 * time.Second
+	request.MinOverdueTime = time.Second
+	request.TimeLeft = 2 * time.Second
 	s.served(request, "a2")
-	request.Left = 4 * time.Second
+	request.TimeLeft = 4 * time.Second
 	trial := s.goesTo(request, "a1")
 	assert.True(t, trial.Trial)
-	usual := s.core.UsualWait(trial, request)
-	assert.Positive(t, trial.Patience)
-	assert.LessOrEqual(t, trial.Patience+usual, request.Left)
-	assert.GreaterOrEqual(t, trial.Patience, 4*usual, "nor is a server that serves given up early")
+	usual := s.core.TypicalWait(trial, request)
+	assert.Positive(t, trial.OverdueAfter)
+	assert.LessOrEqual(t, trial.OverdueAfter+usual, request.TimeLeft)
+	assert.GreaterOrEqual(t, trial.OverdueAfter, 4*usual, "nor is a server that serves given up early")
 	s.ends(trial)
 	ordinary := s.goesTo(request, "a2")
-	assert.Zero(t, ordinary.Patience)
+	assert.Zero(t, ordinary.OverdueAfter)
 }
 
 // Where all servers of a service are lost no attempts come that would allow trials: the servers are tried
@@ -138,14 +138,14 @@
 	for name, attempts := range map[string]int{"entry just started": 0, "entry has served": attemptsBefore} {
 		t.Run(name, func(t *testing.T) {
 			s := newScript(t, "a1", "a2")
-			s.hear("a1", 0, Word{Version: 1})
-			s.hear("a2", 0, Word{Version: 1})
+			s.hear("a1", 0, LoadReport{Version: 1})
+			s.hear("a2", 0, LoadReport{Version: 1})
 			s.answersOf("a1", attempts)
 			trials := 0
 			for after := 10 * time.Millisecond; after < 60*time.Second; after += 50 * time.Millisecond {
 				s.at(after)
-				s.core.TakeWord(Word{Address: "a1:1", Version: 1}, s.now)
-				s.core.TakeWord(Word{Address: "a2:1", Version: 1}, s.now)
+				s.core.ApplyReport(LoadReport{Address: "a1:1", Version: 1}, s.now)
+				s.core.ApplyReport(LoadReport{Address: "a2:1", Version: 1}, s.now)
 				decision, refusal := s.core.Choose(s.request(), s.now)
 				if refusal != nil {
 					continue
@@ -165,16 +165,16 @@
 func TestLostServerBesideAProvenOneIsTriedByCount(t *testing.T) {
 	for attempts, tried := range map[int]bool{attemptsBefore - 1: false, attemptsBefore: true} {
 		s := newScript(t, "a1", "a2")
-		s.hear("a1", 0, Word{Version: 1})
-		s.hear("a2", 0, Word{Version: 1})
+		s.hear("a1", 0, LoadReport{Version: 1})
+		s.hear("a2", 0, LoadReport{Version: 1})
 		s.at(10 * time.Millisecond)
 		for _, address := range []string{"a1:1", "a2:1"} {
-			s.core.TakeWord(Word{Address: address, Version: 1}, s.now)
+			s.core.ApplyReport(LoadReport{Address: address, Version: 1}, s.now)
 		}
 		s.at(300 * time.Millisecond)
 		s.answersOf("a2", attempts)
 		for _, address := range []string{"a1:1", "a2:1"} {
-			s.core.TakeWord(Word{Address: address, Version: 1}, s.now)
+			s.core.ApplyReport(LoadReport{Address: address, Version: 1}, s.now)
 		}
 		decision, refusal := s.core.Choose(s.request(), s.now)
 		assert.Nil(t, refusal)
@@ -209,18 +209,18 @@
 // the target, which answers keep to, and not for a multiple of it.
 func TestLostServersOfAnEntryWithoutAnswersAreTried(t *testing.T) {
 	s := newScript(t, "a1")
-	s.hear("a1", 0, Word{Version: 1})
+	s.hear("a1", 0, LoadReport{Version: 1})
 	s.at(10 * time.Millisecond)
-	s.core.TakeWord(Word{Address: "a1:1", Version: 1}, s.now)
+	s.core.ApplyReport(LoadReport{Address: "a1:1", Version: 1}, s.now)
 	s.at(300 * time.Millisecond)
-	s.core.TakeWord(Word{Address: "a1:1", Version: 1}, s.now)
+	s.core.ApplyReport(LoadReport{Address: "a1:1", Version: 1}, s.now)
 	request := s.request()
-	request.Left, request.Patience = 2*request.Target-1, 100*time.Millisecond
+	request.TimeLeft, request.MinOverdueTime = 2*request.Target-1, 100*time.Millisecond
 	s.refused(request, RefusedNoServer)
-	request.Left = 2 * request.Target
+	request.TimeLeft = 2 * request.Target
 	trial := s.goesTo(request, "a1")
 	assert.True(t, trial.Trial)
-	assert.Equal(t, request.Target, trial.Patience)
+	assert.Equal(t, request.Target, trial.OverdueAfter)
 }
 
 // A lost server that does not answer is never sent a request for want of others, nor tried while
@@ -246,12 +246,12 @@
 	s := lostScript(t)
 	s.at(50 * time.Millisecond)
 	s.answersOf("a1", 1)
-	s.core.TakeWord(Word{Address: "a1:1", Version: 1, Running: 14, Waiting: 3}, s.now)
+	s.core.ApplyReport(LoadReport{Address: "a1:1", Version: 1, Running: 14, Waiting: 3}, s.now)
 	request := s.request()
-	request.Others = 19
+	request.OtherEntries = 19
 	assert.Zero(t, s.core.load(s.candidate("a1"), request, s.now).Running)
 	first := s.goesTo(request, "a1")
-	s.core.PromptRead(first.Send, true, s.now)
+	s.core.EndPrefill(first.Send, true, s.now)
 	assert.Equal(t, 20, s.core.load(s.candidate("a1"), request, s.now).Running)
 	s.served(request, "a2")
 	s.core.Release(first.Send)
--- a/coordination/dispatch/members.go
+++ b/coordination/dispatch/members.go
@@ -90,14 +90,14 @@
 	return rank
 }
 
-// EntriesDue reports whether the entries known are to be told anew, by TakeEntries: from time to
+// EntryLookupDue reports whether the entries known are to be told anew, by TakeEntries: from time to
 // time as long as a server is cold or names a limit, and no one asks for them already.
-func (c *Core) EntriesDue(now time.Time) bool {
+func (c *Core) EntryLookupDue(now time.Time) bool {
 	return !c.bounded.asking && now.Sub(c.bounded.lookedAt) >= membersPeriod && now.Before(c.boundedTill)
 }
 
-// BeginEntries notes that the entries known are being asked for, until TakeEntries.
-func (c *Core) BeginEntries() { c.bounded.asking = true }
+// BeginEntryLookup notes that the entries known are being asked for, until TakeEntries.
+func (c *Core) BeginEntryLookup() { c.bounded.asking = true }
 
-// TakeEntries takes over which other entries are lately known.
-func (c *Core) TakeEntries(known []string, now time.Time) { c.bounded.look(known, now) }
+// SetEntries takes over which other entries are lately known.
+func (c *Core) SetEntries(known []string, now time.Time) { c.bounded.look(known, now) }
--- a/coordination/dispatch/messages.go
+++ b/coordination/dispatch/messages.go
@@ -26,17 +26,17 @@
 	ColdUntil time.Time
 	// Revision orders the lines: of two with the same address the higher is the newer.
 	Revision uint64
-	// Born tells this life of the server from others under its ID.
-	Born incarnation.Born
+	// StartTime tells this life of the server from others under its ID.
+	StartTime incarnation.Born
 }
 
 // Service is what is published of a service.
 type Service struct {
 	// ColdTime is how long a server is cold after a start.
 	ColdTime time.Duration
-	// ColdLimit is how many requests a cold server may receive in any second, over the whole
+	// ColdRate is how many requests a cold server may receive in any second, over the whole
 	// fleet; 0 when there is no bound.
-	ColdLimit float64
+	ColdRate float64
 }
 
 // Fleet is what is published, as far as decisions need it.
@@ -53,16 +53,16 @@
 	Published balance.Server
 	// Pieces is of how many pieces a version consists; 0 when that is not known.
 	Pieces int
-	// MostPrompt is the largest prompt that a server can hold, in tokens.
-	MostPrompt int
+	// MaxPrompt is the largest prompt that a server can hold, in tokens.
+	MaxPrompt int
 	// CopyTime is how long one copy of a version takes over a link like the origin's.
 	CopyTime time.Duration
-	// Warm is the time to take a staged version into service.
-	Warm time.Duration
+	// ActivationTime is the time to take a staged version into service.
+	ActivationTime time.Duration
 }
 
-// Word is what the agent beside a model server tells of it.
-type Word struct {
+// LoadReport is what the agent beside a model server tells of it.
+type LoadReport struct {
 	Address string
 	// Reachable is false while the server does not answer its own machine.
 	Reachable bool
@@ -79,20 +79,20 @@
 	// means that it is changing.
 	SwitchPlanned bool
 	SwitchIn      time.Duration
-	// Wanted and Missing tell of the version being fetched, and its pieces to come.
-	Wanted  uint64
-	Missing int
-	// Link is how long a message over the machine's link and back takes; 0 while that is
+	// FetchingVersion and Missing tell of the version being fetched, and its pieces to come.
+	FetchingVersion uint64
+	MissingPieces   int
+	// LinkRTT is how long a message over the machine's link and back takes; 0 while that is
 	// not known.
-	Link time.Duration
+	LinkRTT time.Duration
 	// ColdFor is how much longer the server is cold; 0 when it is warm, as far as the agent
 	// knows.
 	ColdFor time.Duration
 	// Received counts the requests that all entries have announced to the server in the last
 	// admission.ColdSpan.
 	Received int
-	// Born is that of the server that the word is on.
-	Born incarnation.Born
+	// StartTime is that of the server that the word is on.
+	StartTime incarnation.Born
 }
 
 // Request is what a request wants of a server.
@@ -109,49 +109,49 @@
 	Target time.Duration
 	// Streaming requests are answered in events.
 	Streaming bool
-	// RunsOnce is set when the request must not be run twice.
-	RunsOnce bool
+	// AtMostOnce is set when the request must not be run twice.
+	AtMostOnce bool
 	// LastAttempt is set when no other attempt would follow one that fails, for want of time, of
 	// attempts or of the retry budget.
 	LastAttempt bool
-	// Left is what is left of the caller's time; 0 when it has no end.
-	Left time.Duration
-	// Patience is the least silence after which an answer can be overdue.
-	Patience time.Duration
-	// Others is how many other entries may be sending to the service's servers.
-	Others int
+	// TimeLeft is what is left of the caller's time; 0 when it has no end.
+	TimeLeft time.Duration
+	// MinOverdueTime is the least silence after which an answer can be overdue.
+	MinOverdueTime time.Duration
+	// OtherEntries is how many other entries may be sending to the service's servers.
+	OtherEntries int
 	// Prompt and Answer are sizes in tokens.
 	Prompt int
 	Answer int
 	// Tried are the servers that the request was sent to before.
 	Tried []*Candidate
-	// Avoided are the IDs of servers that must not get the request though others may use them.
-	Avoided []string
-	// Asked are the servers whose agents have just been asked; without any, all are candidates.
-	Asked []*Candidate
-	// AtLeast and Exactly bound the version; zero does not.
-	AtLeast uint64
-	Exactly uint64
-	// Bounds end the time of older versions.
-	Bounds VersionBounds
+	// Excluded are the IDs of servers that must not get the request though others may use them.
+	Excluded []string
+	// Queried are the servers whose agents have just been asked; without any, all are candidates.
+	Queried []*Candidate
+	// MinVersion and Exactly bound the version; zero does not.
+	MinVersion   uint64
+	ExactVersion uint64
+	// VersionDeadlines end the time of older versions.
+	VersionDeadlines VersionDeadlines
 	// Residency bounds the regions of the servers.
 	Residency residency.Residency
 	// Resumed requests are not refused for load: they have been admitted before.
 	Resumed bool
 }
 
-// VersionBound is until when a server with a version older than a named one may begin requests.
-type VersionBound struct {
+// VersionDeadline is until when a server with a version older than a named one may begin requests.
+type VersionDeadline struct {
 	Version uint64
 	Until   time.Time
 }
 
-// VersionBounds are the bounds of the named versions of a model, the newest last.
-type VersionBounds []VersionBound
+// VersionDeadlines are the bounds of the named versions of a model, the newest last.
+type VersionDeadlines []VersionDeadline
 
-// Of returns until when a server with a version may begin requests; false when no newer version
+// For returns until when a server with a version may begin requests; false when no newer version
 // is named.
-func (b VersionBounds) Of(version uint64) (time.Time, bool) {
+func (b VersionDeadlines) For(version uint64) (time.Time, bool) {
 	for _, one := range b {
 		if one.Version > version {
 			return one.Until, true
@@ -167,8 +167,8 @@
 	Send        *Send
 	Outstanding int
 	Load        balance.Load
-	// WordAge is the age of the agent's word; NoWord when none came.
-	WordAge time.Duration
+	// ReportAge is the age of the agent's word; NoWord when none came.
+	ReportAge time.Duration
 	// Considered is how many servers were fit.
 	Considered int
 	// Expected is the predicted time until the request begins to be answered.
@@ -180,21 +180,21 @@
 	// Trial is set when the request is to show whether a server serves that was ejected, or that the
 	// agent beside it does not reach.
 	Trial bool
-	// Patience is the silence after which the answer is overdue, before it has begun; 0 leaves it to the
+	// OverdueAfter is the silence after which the answer is overdue, before it has begun; 0 leaves it to the
 	// caller.
-	Patience  time.Duration
-	Admission Admission
+	OverdueAfter time.Duration
+	Admission    Admission
 }
 
 // Admission is what a request was admitted or refused by at the chosen or soonest server.
 type Admission struct {
-	// Alone is when the server would begin the request if it were idle.
-	Alone time.Duration
+	// IdleDelay is when the server would begin the request if it were idle.
+	IdleDelay time.Duration
 	// Wait is how long the request would wait for others there, and Late the part of that by which the server has
 	// lately begun others late; MostWait is how long it may.
 	Wait     time.Duration
-	Late     time.Duration
-	MostWait time.Duration
+	Lateness time.Duration
+	MaxWait  time.Duration
 	// Margin is what is learned of late beginnings, as a share of the target.
 	Margin float64
 }
@@ -218,11 +218,11 @@
 	// RetryAfter is the earliest time at which the request may be served.
 	RetryAfter time.Duration
 	// Servers counts the service's servers by why they were left out.
-	Servers map[Fitness]int
+	Servers map[Eligibility]int
 	// Admission tells what the soonest of the fit servers would have it wait; zero unless overloaded.
 	Admission Admission
-	// OldestWord is the age of the oldest word of an agent.
-	OldestWord time.Duration
+	// OldestReport is the age of the oldest word of an agent.
+	OldestReport time.Duration
 	// opensIn is when the first of the servers is open that only what they have asked for keeps from the request.
 	opensIn time.Duration
 }
--- a/coordination/dispatch/prediction.go
+++ b/coordination/dispatch/prediction.go
@@ -39,7 +39,7 @@
 // assumed is the load of a server that its agent does not reach: what that has counted is from before,
 // and each other entry is taken to have as much there as this one.
 func (c *Core) assumed(own balance.Load, request *Request) balance.Load {
-	factor := 1 + c.policy.UnseenLoad*float64(request.Others)
+	factor := 1 + c.policy.UnseenLoad*float64(request.OtherEntries)
 	own.Running = int(math.Round(factor * float64(own.Running)))
 	own.Waiting = int(math.Round(factor * float64(own.Waiting)))
 	own.Unread *= factor
@@ -50,7 +50,7 @@
 // as this one has. A server that has just become idle draws all entries at the same
 // time, and none sees the others' requests before the next word.
 func (c *Core) addUnseen(load *balance.Load, k *Candidate, request *Request) {
-	weight := c.policy.UnseenLoad * float64(request.Others)
+	weight := c.policy.UnseenLoad * float64(request.OtherEntries)
 	if weight == 0 {
 		return
 	}
@@ -105,7 +105,7 @@
 func (c *Core) delay(k *Candidate, now time.Time) time.Duration {
 	late := time.Duration(c.policy.Lateness * float64(k.lateBy(now)))
 	if k.word.current(now) {
-		late = max(late, k.word.Link)
+		late = max(late, k.word.LinkRTT)
 	}
 	return late
 }
--- a/coordination/dispatch/prediction_test.go
+++ b/coordination/dispatch/prediction_test.go
@@ -18,7 +18,7 @@
 	core.byService["s"] = []*Candidate{server}
 	core.byAddress["10.0.0.1:1"] = server
 	engine := &Engine{Published: balance.Server{Slots: 16, StepMilliseconds: 7, Stride: 6, ReadPerSecond: 30000, UsualPrompt: 1000, UsualAnswer: 100}}
-	return core, server, withFigures(Request{Service: "s", Others: others, Prompt: 1000, Target: 400 * time.Millisecond}, engine)
+	return core, server, withFigures(Request{Service: "s", OtherEntries: others, Prompt: 1000, Target: 400 * time.Millisecond}, engine)
 }
 
 // A server that has just become idle draws all entries at the same time: what this one
@@ -33,7 +33,7 @@
 		}
 	}
 	assert.Equal(t, 2, sent, "nine entries with two requests each make 600 ms of reading")
-	core.TakeWord(Word{Address: "10.0.0.1:1", Reachable: true, Version: 1, Running: 2}, now)
+	core.ApplyReport(LoadReport{Address: "10.0.0.1:1", Reachable: true, Version: 1, Running: 2}, now)
 	require.Equal(t, server.word.at, now)
 	_, refusal := core.Choose(wanted, now)
 	assert.Nil(t, refusal, "the next word tells how much it was")
@@ -46,7 +46,7 @@
 	core, server, wanted := idleServer(now, 0)
 	_, refusal := core.Choose(wanted, now)
 	require.Nil(t, refusal)
-	core.TakeWord(Word{Address: "10.0.0.1:1", Reachable: true, Version: 1, Waiting: 3}, now.Add(-10*time.Millisecond))
+	core.ApplyReport(LoadReport{Address: "10.0.0.1:1", Reachable: true, Version: 1, Waiting: 3}, now.Add(-10*time.Millisecond))
 	assert.Equal(t, 4, core.load(server, wanted, now).Waiting, "three of others and the own one")
 }
 
@@ -57,7 +57,7 @@
 	core := testCore("z", nil)
 	wanted := withFigures(Request{}, &Engine{Published: balance.Server{ReadPerSecond: 20000}})
 	sound, narrow := modelServer(now, 0), modelServer(now, 0)
-	narrow.word.Link = 900 * time.Millisecond
+	narrow.word.LinkRTT = 900 * time.Millisecond
 	assert.Equal(t, 900*time.Millisecond, core.firstEvent(narrow, wanted, now)-core.firstEvent(sound, wanted, now))
 }
 
@@ -69,7 +69,7 @@
 	waiting := &Send{candidate: server, engine: &Engine{}, due: now.Add(-2 * time.Second)}
 	server.sends.add(waiting)
 	assert.InDelta(t, 2, server.lateBy(now).Seconds(), 0.01)
-	core.PromptRead(waiting, false, now)
+	core.EndPrefill(waiting, false, now)
 	first := server.lateBy(now)
 	assert.Greater(t, first, 500*time.Millisecond)
 	assert.InDelta(t, first.Seconds()/2, server.lateBy(now.Add(latenessHalfLife)).Seconds(), 0.01)
--- a/coordination/dispatch/property_test.go
+++ b/coordination/dispatch/property_test.go
@@ -53,14 +53,14 @@
 		Zone: "a", Regions: map[string]string{"a": "north", "b": "south"}, Policy: testPolicy(), Self: "entry-0",
 		Started: epoch.Add(-time.Minute), Random: random.Float64, Shuffle: random.Shuffle,
 	})
-	g.core.TakeEntries([]string{"entry-1"}, g.now)
+	g.core.SetEntries([]string{"entry-1"}, g.now)
 	g.drawFleet()
 	return g
 }
 
 // drawFleet draws a list of servers, evacuations, and which servers are cold.
 func (g *generated) drawFleet() {
-	g.fleet = Fleet{Services: map[string]Service{"s": {ColdLimit: drawnColdLimit, ColdTime: time.Second}}}
+	g.fleet = Fleet{Services: map[string]Service{"s": {ColdRate: drawnColdLimit, ColdTime: time.Second}}}
 	for number := range drawnServers {
 		if rapid.IntRange(0, 5).Draw(g.T, "listed") == 0 {
 			continue
@@ -88,18 +88,18 @@
 
 // drawWord tells a word of a server, which may be old.
 func (g *generated) drawWord() {
-	word := Word{
+	word := LoadReport{
 		Address: fmt.Sprintf("10.0.0.%d:1", rapid.IntRange(0, drawnServers-1).Draw(g.T, "told")), Reachable: rapid.IntRange(0, 4).Draw(g.T, "reachable") > 0,
 		Version: uint64(rapid.IntRange(0, 3).Draw(g.T, "version")), Running: rapid.IntRange(0, 4).Draw(g.T, "running"), Waiting: rapid.IntRange(0, 2).Draw(g.T, "waiting"),
 		SwitchPlanned: rapid.IntRange(0, 4).Draw(g.T, "switch") == 0, SwitchIn: time.Duration(rapid.IntRange(0, 1000).Draw(g.T, "in")) * time.Millisecond,
 	}
 	at := g.now.Add(-time.Duration(rapid.IntRange(0, 300).Draw(g.T, "age")) * time.Millisecond)
-	g.core.TakeWord(word, at)
+	g.core.ApplyReport(word, at)
 	if !g.words[word.Address].at.After(at) {
 		if before, heard := g.words[word.Address]; !word.Reachable && (!heard || before.Reachable) {
 			g.lostAt[word.Address] = at
 		}
-		g.words[word.Address] = heardWord{Word: word, at: at}
+		g.words[word.Address] = heardWord{LoadReport: word, at: at}
 	}
 }
 
@@ -107,7 +107,7 @@
 func (g *generated) drawRequest() *Request {
 	request := &Request{
 		Service: "s", Engine: scriptEngine, Figures: g.core.Figures("s", scriptEngine), Target: 400 * time.Millisecond, Streaming: true,
-		Prompt: rapid.IntRange(1, 4000).Draw(g.T, "prompt"), Answer: 100, Others: 1,
+		Prompt: rapid.IntRange(1, 4000).Draw(g.T, "prompt"), Answer: 100, OtherEntries: 1,
 	}
 	for _, lists := range [][]string{{"north"}, {"south", "north"}, {"nowhere"}} {
 		if rapid.IntRange(0, 4).Draw(g.T, "list") == 0 {
@@ -115,7 +115,7 @@
 		}
 	}
 	if rapid.Bool().Draw(g.T, "bounded") {
-		request.Bounds = VersionBounds{{Version: 2, Until: epoch.Add(2 * time.Second)}, {Version: 3, Until: epoch.Add(4 * time.Second)}}
+		request.VersionDeadlines = VersionDeadlines{{Version: 2, Until: epoch.Add(2 * time.Second)}, {Version: 3, Until: epoch.Add(4 * time.Second)}}
 	}
 	for _, one := range g.core.Candidates("s") {
 		if rapid.IntRange(0, 5).Draw(g.T, "tried") == 0 {
@@ -128,18 +128,18 @@
 // decide decides a request and judges the decision.
 func (g *generated) decide() {
 	request := g.drawRequest()
-	request.RunsOnce = rapid.IntRange(0, 3).Draw(g.T, "once") == 0
-	for _, asked := range g.core.ToAsk(request, nil, g.now) {
+	request.AtMostOnce = rapid.IntRange(0, 3).Draw(g.T, "once") == 0
+	for _, asked := range g.core.QueryTargets(request, nil, g.now) {
 		g.judge(request, asked)
 	}
 	decision, refusal := g.core.Choose(request, g.now)
 	if refusal != nil {
 		assert.Positive(g, refusal.RetryAfter)
 		if refusal.Reason == RefusedOverload {
-			assert.Greater(g, refusal.Admission.Wait, refusal.Admission.MostWait)
+			assert.Greater(g, refusal.Admission.Wait, refusal.Admission.MaxWait)
 			assert.Empty(g, request.Tried, "it had been admitted")
 		} else {
-			assert.Zero(g, refusal.Servers[Fit], "refused though a server is fit")
+			assert.Zero(g, refusal.Servers[Eligible], "refused though a server is fit")
 		}
 		return
 	}
@@ -178,7 +178,7 @@
 	}
 	assert.NotZero(g, told.Version)
 	assert.False(g, told.SwitchPlanned && told.SwitchIn-g.now.Sub(told.at) < switchMargin)
-	for _, bound := range request.Bounds {
+	for _, bound := range request.VersionDeadlines {
 		if told.Version < bound.Version {
 			assert.Less(g, g.now, bound.Until)
 		}
@@ -190,7 +190,7 @@
 // may, or any where no other server gets requests, on its first, if it may be repeated, a while after the
 // loss, and one at a time.
 func (g *generated) judgeTrial(request *Request, chosen *Candidate, lostAt time.Time) {
-	assert.False(g, request.RunsOnce)
+	assert.False(g, request.AtMostOnce)
 	assert.Empty(g, request.Tried)
 	if g.otherServes(chosen) {
 		assert.GreaterOrEqual(g, g.sinceTrial, 20)
@@ -234,13 +234,13 @@
 func (g *generated) end(at int, begun bool) {
 	decision := g.open[at]
 	g.open = slices.Delete(g.open, at, at+1)
-	g.core.PromptRead(decision.Send, begun, g.now)
+	g.core.EndPrefill(decision.Send, begun, g.now)
 	g.core.Release(decision.Send)
 	g.sinceTrial++
 	if begun {
 		g.core.Observe(decision.Candidate, Outcome{Outcome: health.Served, SentAt: decision.Send.sentAt}, g.now)
 		g.answeredAt[decision.Candidate.ID] = g.now
-		g.core.SawWhole(decision.Candidate, 500*time.Millisecond)
+		g.core.RecordAnswerTime(decision.Candidate, 500*time.Millisecond)
 	} else {
 		failure := rapid.SampledFrom([]health.Outcome{health.Errored, health.Declined, health.Broken, health.Overdue, health.Unreached}).Draw(g.T, "failure")
 		g.core.Observe(decision.Candidate, Outcome{Outcome: failure, SentAt: decision.Send.sentAt}, g.now)
--- a/coordination/dispatch/refusal.go
+++ b/coordination/dispatch/refusal.go
@@ -52,7 +52,7 @@
 	}
 	refusal := c.refuse(RefusedOverload, request, now)
 	refusal.Admission = c.admission(best, request, now)
-	refusal.RetryAfter = shedding.Return(refusal.Admission.Wait, refusal.Admission.MostWait, refusalRetryFloor, refusalRetryCap, request.Arrival)
+	refusal.RetryAfter = shedding.Return(refusal.Admission.Wait, refusal.Admission.MaxWait, refusalRetryFloor, refusalRetryCap, request.Arrival)
 	held(c.pressures, request.Service).Refused(now.Sub(c.started), request.Arrival)
 	return nil, refusal
 }
@@ -60,8 +60,8 @@
 // admission tells what a request is admitted or refused by at a server.
 func (c *Core) admission(k *Candidate, request *Request, now time.Time) Admission {
 	return Admission{
-		Alone: k.model(request).Alone(request.Prompt), Wait: c.wait(k, request, now), Late: c.delay(k, now),
-		MostWait: c.mostWait(k, request, now), Margin: c.marginOf(request.Service).Share(),
+		IdleDelay: k.model(request).Alone(request.Prompt), Wait: c.wait(k, request, now), Lateness: c.delay(k, now),
+		MaxWait: c.mostWait(k, request, now), Margin: c.marginOf(request.Service).Share(),
 	}
 }
 
@@ -79,14 +79,14 @@
 // refuse tells which servers fall out for which reason, and when the first is open of those that only what
 // they have asked for keeps from the request.
 func (c *Core) refuse(reason RefusalReason, request *Request, now time.Time) *Refusal {
-	refusal := &Refusal{Reason: reason, Servers: map[Fitness]int{}, opensIn: longestClosed}
+	refusal := &Refusal{Reason: reason, Servers: map[Eligibility]int{}, opensIn: longestClosed}
 	for _, candidate := range c.byService[request.Service] {
 		unfit := c.fitness(candidate, request, now)
 		refusal.Servers[unfit]++
 		if unfit.asked() {
 			refusal.opensIn = min(refusal.opensIn, c.opensIn(candidate, now))
 		}
-		refusal.OldestWord = max(refusal.OldestWord, candidate.word.age(now))
+		refusal.OldestReport = max(refusal.OldestReport, candidate.word.age(now))
 	}
 	return refusal
 }
@@ -121,8 +121,8 @@
 		if !told.Reachable || now.Sub(told.at) > wordCurrent || !c.allowedAt(told.Address, request.Residency) {
 			continue
 		}
-		left := engine.CopyTime * time.Duration(told.Missing) / time.Duration(engine.Pieces)
-		soonest = min(soonest, left+engine.Warm+changeTime/2)
+		left := engine.CopyTime * time.Duration(told.MissingPieces) / time.Duration(engine.Pieces)
+		soonest = min(soonest, left+engine.ActivationTime+changeTime/2)
 	}
 	return max(soonest, refusalRetryFloor)
 }
--- a/coordination/dispatch/regionfleet_test.go
+++ b/coordination/dispatch/regionfleet_test.go
@@ -74,7 +74,7 @@
 	entries []*Core
 	servers []*regionServer
 	byID    map[string]*regionServer
-	words   map[time.Time][]Word
+	words   map[time.Time][]LoadReport
 	returns map[time.Time][]*regionRequest
 	free    regionCount
 	boundTo regionCount
@@ -87,7 +87,7 @@
 func newRegionFleet(day regionDay, policy Policy) *regionFleet {
 	f := &regionFleet{
 		regionDay: day, random: rand.New(rand.NewPCG(day.seed, 7)), now: epoch,
-		byID: map[string]*regionServer{}, words: map[time.Time][]Word{}, returns: map[time.Time][]*regionRequest{},
+		byID: map[string]*regionServer{}, words: map[time.Time][]LoadReport{}, returns: map[time.Time][]*regionRequest{},
 	}
 	regions := map[string]string{"a": "a", "b": "b"}
 	var published Fleet
@@ -150,14 +150,14 @@
 func (f *regionFleet) hear() {
 	for _, word := range f.words[f.now] {
 		for _, entry := range f.entries {
-			entry.TakeWord(word, f.now.Add(-f.wordAge))
+			entry.ApplyReport(word, f.now.Add(-f.wordAge))
 		}
 	}
 	delete(f.words, f.now)
 }
 
-func (s *regionServer) wordNow() Word {
-	word := Word{Address: s.id + ":1", Reachable: true, Version: 1, Running: len(s.running), Waiting: len(s.waiting) + len(s.reading)}
+func (s *regionServer) wordNow() LoadReport {
+	word := LoadReport{Address: s.id + ":1", Reachable: true, Version: 1, Running: len(s.running), Waiting: len(s.waiting) + len(s.reading)}
 	for _, group := range [][]*regionRequest{s.waiting, s.reading} {
 		for _, one := range group {
 			word.UnreadTokens += one.prompt
@@ -199,9 +199,9 @@
 	}
 	request := &Request{
 		Service: "s", Route: route, Engine: scriptEngine, Figures: scriptEngine.Published, Target: regionTarget, Streaming: true,
-		Others: len(f.entries) - 1, Prompt: one.prompt, Answer: 100,
+		OtherEntries: len(f.entries) - 1, Prompt: one.prompt, Answer: 100,
 	}
-	request.Arrival = entry.Arrived(request, regionDeadline-f.now.Sub(one.askedAt), f.now)
+	request.Arrival = entry.RecordArrival(request, regionDeadline-f.now.Sub(one.askedAt), f.now)
 	if one.bound {
 		request.Residency = request.Residency.With(residency.AllowedRegions{"a"})
 	}
@@ -228,13 +228,13 @@
 func (f *regionFleet) ask(entry *Core, request *Request) {
 	var asked []*Candidate
 	for range 2 {
-		next := entry.ToAsk(request, asked, f.now)
+		next := entry.QueryTargets(request, asked, f.now)
 		asked = append(asked, next...)
-		var answers []Word
+		var answers []LoadReport
 		for _, one := range next {
 			answers = append(answers, f.byID[one.ID].wordNow())
 		}
-		request.Asked = append(request.Asked, entry.TakeAnswers(next, answers, f.now)...)
+		request.Queried = append(request.Queried, entry.ApplyQueryReplies(next, answers, f.now)...)
 		if len(next) == 0 || entry.AnyAdmits(request, f.now) {
 			return
 		}
@@ -243,7 +243,7 @@
 
 // refuse tells a caller when to come back, which it does once.
 func (f *regionFleet) refuse(one *regionRequest, entry *Core, request *Request, refusal *Refusal) {
-	entry.Refused(request, f.now)
+	entry.RecordRefusal(request, f.now)
 	count := f.countOf(one)
 	count.refusals++
 	if !one.bound && f.anyHolds(0) {
@@ -300,7 +300,7 @@
 }
 
 func (f *regionFleet) begin(one *regionRequest) {
-	one.entry.PromptRead(one.sent, true, f.now)
+	one.entry.EndPrefill(one.sent, true, f.now)
 	count := f.countOf(one)
 	if f.now.Sub(one.askedAt)+2*regionWay <= regionTarget {
 		count.inTime++
--- a/coordination/dispatch/restarted_test.go
+++ b/coordination/dispatch/restarted_test.go
@@ -14,7 +14,7 @@
 func (s *script) bears(id string, born incarnation.Born, change func(*Server)) []Change {
 	for index := range s.fleet.Servers {
 		if one := &s.fleet.Servers[index]; one.ID == id {
-			one.Born = born
+			one.StartTime = born
 			one.Revision++
 			if change != nil {
 				change(one)
@@ -29,7 +29,7 @@
 func TestRestartedServerIsKnownByItsOwnWordsAlone(t *testing.T) {
 	s := newScript(t, "a1", "a2")
 	s.bears("a1", 100, nil)
-	s.hear("a1", 0, Word{Version: 2, Running: 9, Waiting: 5, Born: 100, ColdFor: time.Second})
+	s.hear("a1", 0, LoadReport{Version: 2, Running: 9, Waiting: 5, StartTime: 100, ColdFor: time.Second})
 	decision := s.core.send(s.candidate("a1"), s.request(), 1, s.now)
 	assert.EqualValues(t, 2, s.candidate("a1").servedVersion(s.now))
 	former := s.candidate("a1")
@@ -40,7 +40,7 @@
 	assert.NotSame(t, former, fresh)
 	assert.EqualValues(t, 1, fresh.servedVersion(s.now), "an older version")
 	assert.Zero(t, fresh.sends.inFlight, "requests under way at the former incarnation")
-	assert.Equal(t, NoWord, fresh.word.age(s.now), "load and cold as the agent told them")
+	assert.Equal(t, NoReport, fresh.word.age(s.now), "load and cold as the agent told them")
 	assert.False(t, fresh.cold(s.now))
 	s.ends(decision)
 	assert.Zero(t, fresh.sends.inFlight, "they end at the former incarnation")
@@ -50,14 +50,14 @@
 func TestLateWordOnAFormerIncarnationIsDropped(t *testing.T) {
 	s := newScript(t, "a1")
 	s.bears("a1", 100, nil)
-	s.hear("a1", 0, Word{Version: 2, Born: 100})
+	s.hear("a1", 0, LoadReport{Version: 2, StartTime: 100})
 	s.bears("a1", 200, func(server *Server) { server.Version = 1 })
 	s.at(100 * time.Millisecond)
-	s.hear("a1", 0, Word{Version: 2, Running: 3, Born: 100})
-	assert.Equal(t, NoWord, s.candidate("a1").word.age(s.now))
-	s.hear("a1", 0, Word{Version: 1, Running: 1, Born: 200})
+	s.hear("a1", 0, LoadReport{Version: 2, Running: 3, StartTime: 100})
+	assert.Equal(t, NoReport, s.candidate("a1").word.age(s.now))
+	s.hear("a1", 0, LoadReport{Version: 1, Running: 1, StartTime: 200})
 	s.at(200 * time.Millisecond)
-	s.hear("a1", 0, Word{Version: 2, Running: 3, Born: 100})
+	s.hear("a1", 0, LoadReport{Version: 2, Running: 3, StartTime: 100})
 	assert.EqualValues(t, 1, s.candidate("a1").servedVersion(s.now))
 	assert.Equal(t, 1, s.candidate("a1").word.Running)
 }
@@ -67,10 +67,10 @@
 func TestAgentTellsOfANewIncarnationBeforeTheList(t *testing.T) {
 	s := newScript(t, "a1", "b1")
 	s.bears("a1", 100, nil)
-	s.hear("a1", 0, Word{Version: 1, Born: 100})
+	s.hear("a1", 0, LoadReport{Version: 1, StartTime: 100})
 	s.served(s.request(), "a1")
 	s.at(100 * time.Millisecond)
-	s.hear("a1", 0, Word{Version: 1, Running: 2, Born: 200})
+	s.hear("a1", 0, LoadReport{Version: 1, Running: 2, StartTime: 200})
 	s.served(s.request(), "b1")
 	s.bears("a1", 200, nil)
 	assert.Equal(t, 2, s.candidate("a1").word.Running)
@@ -84,7 +84,7 @@
 		s.bears("a1", 100, nil)
 		for second := range 13 {
 			s.at(time.Duration(second) * time.Second)
-			s.hear("a1", 0, Word{Version: 1, Born: told})
+			s.hear("a1", 0, LoadReport{Version: 1, StartTime: told})
 		}
 		s.served(s.request(), "a1")
 		assert.Zero(t, s.candidate("a1").word.age(s.now))
@@ -111,7 +111,7 @@
 // millisecond.
 func TestBirthsThatAreNotToldChangeNothing(t *testing.T) {
 	s := newScript(t, "a1")
-	s.hear("a1", 0, Word{Version: 1, Running: 4})
+	s.hear("a1", 0, LoadReport{Version: 1, Running: 4})
 	same := s.candidate("a1")
 	s.bears("a1", 100, nil)
 	assert.Same(t, same, s.candidate("a1"), "a birth that is told for the first time")
@@ -120,6 +120,6 @@
 	s.bears("a1", 300, nil)
 	assert.NotSame(t, same, s.candidate("a1"))
 	s.at(time.Second)
-	s.hear("a1", 0, Word{Version: 1, Running: 4, Born: 200})
-	assert.Equal(t, NoWord, s.candidate("a1").word.age(s.now), "the life between")
+	s.hear("a1", 0, LoadReport{Version: 1, Running: 4, StartTime: 200})
+	assert.Equal(t, NoReport, s.candidate("a1").word.age(s.now), "the life between")
 }
--- a/coordination/dispatch/returns.go
+++ b/coordination/dispatch/returns.go
@@ -7,15 +7,15 @@
 	"pinevane.example/pinevane/coordination/shedding"
 )
 
-// Arrived notes a request whose caller waits for a time left, 0 for one that does not say, and tells whether
+// RecordArrival notes a request whose caller waits for a time left, 0 for one that does not say, and tells whether
 // it came back after a refusal.
-func (c *Core) Arrived(request *Request, left time.Duration, now time.Time) shedding.Arrival {
+func (c *Core) RecordArrival(request *Request, left time.Duration, now time.Time) shedding.Arrival {
 	held(c.targets, request.Service).Arrived(request.Target)
 	return shedding.Arrival{Left: left, Elapsed: held(c.usual, request.Route).Arrived(now.Sub(c.started), left)}
 }
 
-// Refused notes that a request's caller was refused, and may come back.
-func (c *Core) Refused(request *Request, now time.Time) { c.returnsMayCome(request, now) }
+// RecordRefusal notes that a request's caller was refused, and may come back.
+func (c *Core) RecordRefusal(request *Request, now time.Time) { c.returnsMayCome(request, now) }
 
 // fullShare is the part of the longest wait beyond which an expected one shows that servers are full:
 // other entries refuse callers then, who may come back to this one.
@@ -41,8 +41,8 @@
 	held(c.usual, request.Route).Refused(now.Sub(c.started), request.Arrival.Left)
 }
 
-// KeepRoutes drops what was learned of the callers of other routes.
-func (c *Core) KeepRoutes(kept map[string]bool) {
+// RetainRoutes drops what was learned of the callers of other routes.
+func (c *Core) RetainRoutes(kept map[string]bool) {
 	maps.DeleteFunc(c.usual, func(route string, _ *shedding.Usual) bool { return !kept[route] })
 }
 
--- a/coordination/dispatch/returns_test.go
+++ b/coordination/dispatch/returns_test.go
@@ -18,13 +18,13 @@
 	now := epoch.Add(time.Minute)
 	core, server, wanted := idleServer(now, 0)
 	for i := range 40 {
-		core.Arrived(&Request{Service: "s", Route: "r"}, 6*time.Second, epoch.Add(time.Duration(i)*time.Second))
+		core.RecordArrival(&Request{Service: "s", Route: "r"}, 6*time.Second, epoch.Add(time.Duration(i)*time.Second))
 	}
 	if refused {
 		held(core.pressures, "s").Refused(now.Sub(epoch), shedding.Arrival{})
 	}
 	server.word.Running = 16
-	wanted.Route, wanted.Arrival = "r", core.Arrived(&Request{Service: "s", Route: "r"}, left, now)
+	wanted.Route, wanted.Arrival = "r", core.RecordArrival(&Request{Service: "s", Route: "r"}, left, now)
 	return core, server, wanted, now
 }
 
@@ -45,7 +45,7 @@
 	} {
 		core, server, wanted, now := returning(one.left, !one.calm)
 		core.policy.LateShare = one.lateShare
-		wanted.Asked = []*Candidate{server}
+		wanted.Queried = []*Candidate{server}
 		assert.Equal(t, !one.refused, core.AnyAdmits(wanted, now), name)
 		_, refusal := core.Choose(wanted, now)
 		assert.Equal(t, one.refused, refusal != nil, name)
@@ -76,11 +76,11 @@
 // While a refused caller may be coming back, times left are not taken for usual ones.
 func TestRefusedCallersAreNotLearnedFrom(t *testing.T) {
 	core, _, wanted, now := returning(6*time.Second, false)
-	core.Refused(wanted, now)
+	core.RecordRefusal(wanted, now)
 	for i := range 60 {
-		core.Arrived(&Request{Service: "s", Route: "r"}, 4500*time.Millisecond, now.Add(time.Duration(i)*20*time.Millisecond))
+		core.RecordArrival(&Request{Service: "s", Route: "r"}, 4500*time.Millisecond, now.Add(time.Duration(i)*20*time.Millisecond))
 	}
-	assert.Equal(t, 1500*time.Millisecond, core.Arrived(&Request{Service: "s", Route: "r"}, 4500*time.Millisecond, now.Add(2*time.Second)).Elapsed)
+	assert.Equal(t, 1500*time.Millisecond, core.RecordArrival(&Request{Service: "s", Route: "r"}, 4500*time.Millisecond, now.Add(2*time.Second)).Elapsed)
 }
 
 // Long prompts are granted the time in which an idle server would begin them, also late ones.
@@ -95,8 +95,8 @@
 // What was learned of routes is dropped with them.
 func TestRemovedRoutesAreForgotten(t *testing.T) {
 	core, _, _, now := returning(6*time.Second, false)
-	core.Arrived(&Request{Service: "s", Route: "removed"}, 6*time.Second, now)
-	core.KeepRoutes(map[string]bool{"r": true})
+	core.RecordArrival(&Request{Service: "s", Route: "removed"}, 6*time.Second, now)
+	core.RetainRoutes(map[string]bool{"r": true})
 	assert.Len(t, core.usual, 1)
 	assert.Contains(t, core.usual, "r")
 }
@@ -112,9 +112,9 @@
 			server.sends = ownSends{}
 			_, refusal := core.Choose(wanted, now)
 			require.Nil(t, refusal, name)
-			core.Arrived(&Request{Service: "s", Route: "r"}, 4500*time.Millisecond, now)
+			core.RecordArrival(&Request{Service: "s", Route: "r"}, 4500*time.Millisecond, now)
 		}
-		elapsed := core.Arrived(&Request{Service: "s", Route: "r"}, 4500*time.Millisecond, now).Elapsed
+		elapsed := core.RecordArrival(&Request{Service: "s", Route: "r"}, 4500*time.Millisecond, now).Elapsed
 		if name == "full" {
 			assert.Equal(t, 1500*time.Millisecond, elapsed)
 		} else {
@@ -135,7 +135,7 @@
 		require.Nil(t, refusal)
 	}
 	late := *wanted
-	late.Arrival = core.Arrived(&Request{Service: "s", Route: "r"}, 4500*time.Millisecond, now)
+	late.Arrival = core.RecordArrival(&Request{Service: "s", Route: "r"}, 4500*time.Millisecond, now)
 	server.sends = ownSends{}
 	_, refusal := core.Choose(&late, now)
 	require.NotNil(t, refusal)
--- a/coordination/dispatch/scarcity.go
+++ b/coordination/dispatch/scarcity.go
@@ -109,7 +109,7 @@
 			continue
 		}
 		// Each entry sees its own part of the requests, taken to be an even one.
-		entries := float64(request.Others + 1)
+		entries := float64(request.OtherEntries + 1)
 		bound := min(1, entries*demand.Servers(c.since(now))/float64(count))
 		room := min(1, float64(all-count)/float64(all)/roomElsewhere)
 		c.scarce[region] = c.policy.Scarcity * bound * room * room
@@ -148,21 +148,21 @@
 	return scarce
 }
 
-// BoundLoad is what this entry's requests that only one region may serve ask of a service's
+// SingleRegionLoad is what this entry's requests that only one region may serve ask of a service's
 // servers there: its part, which adds up over the entries.
-type BoundLoad struct {
+type SingleRegionLoad struct {
 	Service string
 	Region  string
-	// Share is the part of the servers that they keep busy.
-	Share float64
+	// Utilization is the part of the servers that they keep busy.
+	Utilization float64
 }
 
-// BoundLoads lists the bound load of each service and region that has had any, in no order.
-func (c *Core) BoundLoads(now time.Time) []BoundLoad {
-	loads := make([]BoundLoad, 0, len(c.demands))
+// SingleRegionLoads lists the bound load of each service and region that has had any, in no order.
+func (c *Core) SingleRegionLoads(now time.Time) []SingleRegionLoad {
+	loads := make([]SingleRegionLoad, 0, len(c.demands))
 	for key, demand := range c.demands {
 		share := demand.Servers(c.since(now)) / float64(max(1, c.regionServers[key.service][key.region]))
-		loads = append(loads, BoundLoad{Service: key.service, Region: key.region, Share: share})
+		loads = append(loads, SingleRegionLoad{Service: key.service, Region: key.region, Utilization: share})
 	}
 	return loads
 }
--- a/coordination/dispatch/script_test.go
+++ b/coordination/dispatch/script_test.go
@@ -21,7 +21,7 @@
 
 // Sizes of the scripts' fleets. A copy of a version takes 2.5 s.
 var scriptEngine = &Engine{
-	Pieces: 100, CopyTime: 2500 * time.Millisecond, Warm: 100 * time.Millisecond,
+	Pieces: 100, CopyTime: 2500 * time.Millisecond, ActivationTime: 100 * time.Millisecond,
 	Published: balance.Server{Slots: 16, StepMilliseconds: 7, Stride: 6, ReadPerSecond: 30000, UsualPrompt: 1000, UsualAnswer: 100},
 }
 
@@ -45,9 +45,9 @@
 func (s *script) at(after time.Duration) { s.now = epoch.Add(after) }
 
 // hear tells a word that was said some time ago, of a server that is reachable.
-func (s *script) hear(id string, ago time.Duration, word Word) {
+func (s *script) hear(id string, ago time.Duration, word LoadReport) {
 	word.Address, word.Reachable = id+":1", true
-	s.core.TakeWord(word, s.now.Add(-ago))
+	s.core.ApplyReport(word, s.now.Add(-ago))
 }
 
 // request is one for a model server.
@@ -80,7 +80,7 @@
 
 // ends tells that a request has begun and ended.
 func (s *script) ends(decision Decision) {
-	s.core.PromptRead(decision.Send, true, s.now)
+	s.core.EndPrefill(decision.Send, true, s.now)
 	s.core.Release(decision.Send)
 }
 
@@ -97,25 +97,25 @@
 // whose agent has fallen silent: it is used only without another.
 func TestStaleWords(t *testing.T) {
 	s := newScript(t, "a1", "a2")
-	s.hear("a1", 0, Word{Version: 1})
-	s.hear("a2", 0, Word{Version: 1, Running: 10})
+	s.hear("a1", 0, LoadReport{Version: 1})
+	s.hear("a2", 0, LoadReport{Version: 1, Running: 10})
 	s.served(s.request(), "a1")
 
 	s.at(time.Second)
-	s.hear("a2", 0, Word{Version: 1, Running: 10})
-	s.hear("a2", 100*time.Millisecond, Word{Version: 1, Running: 16, Waiting: 9}) // By a longer way, later.
+	s.hear("a2", 0, LoadReport{Version: 1, Running: 10})
+	s.hear("a2", 100*time.Millisecond, LoadReport{Version: 1, Running: 16, Waiting: 9}) // By a longer way, later.
 	assert.Equal(t, 10, s.candidate("a2").outstanding(s.now), "an older word changes nothing")
 
 	s.at(1300 * time.Millisecond)
 	decision := s.goesTo(s.request(), "a2")
-	assert.Equal(t, 300*time.Millisecond, decision.WordAge)
+	assert.Equal(t, 300*time.Millisecond, decision.ReportAge)
 	tried := s.request()
 	tried.Tried = []*Candidate{s.candidate("a2")}
 	decision = s.goesTo(tried, "a1")
-	assert.Equal(t, 1300*time.Millisecond, decision.WordAge)
-	assert.True(t, s.core.Suspect(s.candidate("a1"), s.now, s.now))
+	assert.Equal(t, 1300*time.Millisecond, decision.ReportAge)
+	assert.True(t, s.core.FailureSuspected(s.candidate("a1"), s.now, s.now))
 
-	s.hear("a1", 0, Word{Version: 1, SwitchPlanned: true})
+	s.hear("a1", 0, LoadReport{Version: 1, SwitchPlanned: true})
 	assert.Equal(t, 1, s.refused(tried, RefusedNoServer).Servers[unfitChanging])
 	s.at(1300*time.Millisecond + wordCurrent)
 	s.goesTo(tried, "a1") // By the version on the list, as nobody knows better.
@@ -125,23 +125,23 @@
 func TestAnswersDecideBetweenTheAsked(t *testing.T) {
 	s := newScript(t, "a1", "a2", "a3", "a4")
 	for _, server := range s.fleet.Servers {
-		s.hear(server.ID, 300*time.Millisecond, Word{Version: 1})
+		s.hear(server.ID, 300*time.Millisecond, LoadReport{Version: 1})
 	}
 	request := s.request()
-	asked := s.core.ToAsk(request, nil, s.now)
+	asked := s.core.QueryTargets(request, nil, s.now)
 	require.Len(t, asked, askedAtOnce)
 	free := asked[1]
-	answers := []Word{
+	answers := []LoadReport{
 		{Address: asked[0].Address, Reachable: true, Version: 1, Running: 16, Waiting: 6, UnreadTokens: 6000},
 		{Address: free.Address, Reachable: true, Version: 1, Running: 2},
 	}
 	s.at(10 * time.Millisecond)
-	request.Asked = s.core.TakeAnswers(asked, answers, s.now)
-	assert.Equal(t, asked[:2], request.Asked, "the third agent has not answered")
+	request.Queried = s.core.ApplyQueryReplies(asked, answers, s.now)
+	assert.Equal(t, asked[:2], request.Queried, "the third agent has not answered")
 	assert.True(t, s.core.AnyAdmits(request, s.now))
 	s.goesTo(request, free.ID)
-	assert.NotContains(t, s.core.ToAsk(request, asked, s.now), asked[2], "nobody is asked twice for a request")
-	again := s.core.ToAsk(s.request(), nil, s.now)
+	assert.NotContains(t, s.core.QueryTargets(request, asked, s.now), asked[2], "nobody is asked twice for a request")
+	again := s.core.QueryTargets(s.request(), nil, s.now)
 	assert.Equal(t, asked[2], again[askedAtOnce-1], "an agent that has just not answered is asked last")
 }
 
@@ -149,13 +149,13 @@
 // the server is tried again after its ejection. Its end is told by the list, an answer or a word.
 func TestServerLostBetweenWordAndUse(t *testing.T) {
 	s := newScript(t, "a1", "a2")
-	s.hear("a1", 0, Word{Version: 1})
-	s.hear("a2", 0, Word{Version: 1, Running: 8})
+	s.hear("a1", 0, LoadReport{Version: 1})
+	s.hear("a2", 0, LoadReport{Version: 1, Running: 8})
 	s.at(50 * time.Millisecond)
 	request := s.request()
 	lost := s.goesTo(request, "a1")
 	s.core.Release(lost.Send)
-	s.core.PromptRead(lost.Send, false, s.now)
+	s.core.EndPrefill(lost.Send, false, s.now)
 	assert.Equal(t, ejectTime, eject(s.core, lost.Candidate, s.now))
 	request.Tried = []*Candidate{lost.Candidate}
 	s.served(request, "a2")
@@ -164,9 +164,9 @@
 	s.at(100*time.Millisecond + ejectTime)
 	s.served(s.request(), "a1")
 
-	s.core.TakeWord(Word{Address: "a1:1", Version: 1}, s.now)
+	s.core.ApplyReport(LoadReport{Address: "a1:1", Version: 1}, s.now)
 	s.served(s.request(), "a2")
-	s.hear("a1", -time.Millisecond, Word{Version: 1})
+	s.hear("a1", -time.Millisecond, LoadReport{Version: 1})
 	assert.True(t, s.core.Supersede(s.candidate("a1")))
 	s.goesTo(s.request(), "a2")
 }
@@ -175,7 +175,7 @@
 // becomes of its requests: they change no later server of the same name.
 func TestServerReplacedAtItsAddress(t *testing.T) {
 	s := newScript(t, "a1")
-	s.hear("a1", 0, Word{Version: 1})
+	s.hear("a1", 0, LoadReport{Version: 1})
 	open := s.goesTo(s.request(), "a1")
 	s.fleet.Servers = append(s.fleet.Servers, Server{ID: "a9", Service: "s", Address: "a1:1", Zone: "a", Slots: 16, Version: 1, HoldsModel: true, Revision: 7})
 	changes := s.update()
@@ -184,14 +184,14 @@
 	s.goesTo(s.request(), "a9")
 	tried := s.request()
 	tried.Tried = []*Candidate{s.candidate("a9")}
-	assert.Equal(t, map[Fitness]int{unfitLeaving: 1, unfitTried: 1}, s.refused(tried, RefusedNoServer).Servers)
+	assert.Equal(t, map[Eligibility]int{unfitLeaving: 1, unfitTried: 1}, s.refused(tried, RefusedNoServer).Servers)
 
 	s.fleet.Servers = s.fleet.Servers[1:]
 	changes = s.update()
-	assert.Equal(t, []Change{{Kind: ServerGone, Candidate: open.Candidate, InFlight: 1}}, changes)
+	assert.Equal(t, []Change{{Kind: ServerRemoved, Candidate: open.Candidate, InFlight: 1}}, changes)
 	s.fleet.Servers = append(s.fleet.Servers, Server{ID: "a1", Service: "s", Address: "a2:1", Zone: "a", Slots: 16, Version: 1, HoldsModel: true})
 	s.update()
-	s.core.PromptRead(open.Send, true, s.now)
+	s.core.EndPrefill(open.Send, true, s.now)
 	s.core.Release(open.Send)
 	assert.Zero(t, s.candidate("a1").sends.inFlight)
 
@@ -200,7 +200,7 @@
 	last := s.goesTo(s.request(), "a1").Candidate
 
 	asked := s.request()
-	asked.Asked = []*Candidate{last}
+	asked.Queried = []*Candidate{last}
 	assert.True(t, s.core.AnyAdmits(asked, s.now))
 	s.fleet.Servers = nil
 	s.update()
@@ -211,12 +211,12 @@
 // sent there.
 func TestServerThatIsListedElsewhereIsAnother(t *testing.T) {
 	s := newScript(t, "a1")
-	s.hear("a1", 0, Word{Version: 1})
+	s.hear("a1", 0, LoadReport{Version: 1})
 	request := s.request()
 	request.Residency = request.Residency.With([]string{"a"})
 	open := s.goesTo(request, "a1")
 	s.fleet.Servers[0].Zone = "b"
-	assert.Equal(t, []Change{{Kind: ServerGone, Candidate: open.Candidate, InFlight: 1}}, s.update())
+	assert.Equal(t, []Change{{Kind: ServerRemoved, Candidate: open.Candidate, InFlight: 1}}, s.update())
 	s.refused(request, RefusedResidency)
 	s.ends(open)
 	assert.Zero(t, s.candidate("a1").sends.inFlight)
@@ -229,15 +229,15 @@
 func TestTwoVersionsInSuccession(t *testing.T) {
 	const apply = 8 * time.Second
 	s := newScript(t, "a1", "a2", "a3")
-	bounds := VersionBounds{{Version: 2, Until: epoch.Add(apply)}, {Version: 3, Until: epoch.Add(2*time.Second + apply)}}
+	bounds := VersionDeadlines{{Version: 2, Until: epoch.Add(apply)}, {Version: 3, Until: epoch.Add(2*time.Second + apply)}}
 	served := map[string]uint64{"a1": 1, "a2": 2, "a3": 3}
 	usable := func(after time.Duration, changing ...string) []string {
 		s.at(after)
 		for id, version := range served {
-			s.hear(id, 0, Word{Version: version, Wanted: 3, SwitchPlanned: len(changing) > 0 && id == changing[0]})
+			s.hear(id, 0, LoadReport{Version: version, FetchingVersion: 3, SwitchPlanned: len(changing) > 0 && id == changing[0]})
 		}
 		request := s.request()
-		request.Bounds = bounds
+		request.VersionDeadlines = bounds
 		var ids []string
 		for _, one := range s.core.usable(request, s.now) {
 			ids = append(ids, one.ID)
@@ -251,26 +251,26 @@
 	assert.Empty(t, usable(9100*time.Millisecond, "a3"))
 
 	request := s.request()
-	request.Bounds = bounds
-	s.hear("a1", 0, Word{Version: 1, Wanted: 3, Missing: 40})
-	s.hear("a2", 0, Word{Version: 2, Wanted: 3, Missing: 20})
-	s.hear("a3", 0, Word{Version: 3, SwitchPlanned: true, Missing: 80})
+	request.VersionDeadlines = bounds
+	s.hear("a1", 0, LoadReport{Version: 1, FetchingVersion: 3, MissingPieces: 40})
+	s.hear("a2", 0, LoadReport{Version: 2, FetchingVersion: 3, MissingPieces: 20})
+	s.hear("a3", 0, LoadReport{Version: 3, SwitchPlanned: true, MissingPieces: 80})
 	refusal := s.refused(request, RefusedNoServer)
-	assert.Equal(t, map[Fitness]int{unfitBound: 2, unfitChanging: 1}, refusal.Servers)
-	assert.Equal(t, 500*time.Millisecond+scriptEngine.Warm+changeTime/2, refusal.RetryAfter)
+	assert.Equal(t, map[Eligibility]int{unfitBound: 2, unfitChanging: 1}, refusal.Servers)
+	assert.Equal(t, 500*time.Millisecond+scriptEngine.ActivationTime+changeTime/2, refusal.RetryAfter)
 
 	resumed := s.request()
-	resumed.Bounds, resumed.Exactly, resumed.Resumed = bounds, 1, true
+	resumed.VersionDeadlines, resumed.ExactVersion, resumed.Resumed = bounds, 1, true
 	refusal = s.refused(resumed, RefusedNoServer)
-	assert.Equal(t, map[Fitness]int{unfitBound: 1, unfitVersion: 1, unfitChanging: 1}, refusal.Servers, "a stream goes on only at its own version")
+	assert.Equal(t, map[Eligibility]int{unfitBound: 1, unfitVersion: 1, unfitChanging: 1}, refusal.Servers, "a stream goes on only at its own version")
 }
 
 // A request whose answer would last into a change-over goes to a server that does not change, as
 // long as that costs it less than the change-over is put off.
 func TestLongAnswersKeepAwayFromAPlannedChange(t *testing.T) {
 	s := newScript(t, "a1", "a2")
-	s.hear("a1", 0, Word{Version: 1, SwitchPlanned: true, SwitchIn: 400 * time.Millisecond})
-	s.hear("a2", 0, Word{Version: 1, Running: 10})
+	s.hear("a1", 0, LoadReport{Version: 1, SwitchPlanned: true, SwitchIn: 400 * time.Millisecond})
+	s.hear("a2", 0, LoadReport{Version: 1, Running: 10})
 	s.goesTo(s.request(), "a2")
 	short := s.request()
 	short.Answer = 5
@@ -282,20 +282,20 @@
 func TestResidencyWithContradictingLists(t *testing.T) {
 	s := newScript(t, "a1", "b1", "c1")
 	for _, server := range s.fleet.Servers {
-		s.hear(server.ID, 0, Word{Version: 1})
+		s.hear(server.ID, 0, LoadReport{Version: 1})
 	}
 	request := s.request()
 	request.Residency = request.Residency.With([]string{"b", "c"}).With([]string{"b"})
 	s.goesTo(request, "b1")
 	eject(s.core, s.candidate("b1"), s.now)
 	s.goesTo(request, "b1")
-	assert.Equal(t, []*Candidate{s.candidate("b1")}, s.core.ToAsk(request, nil, s.now))
+	assert.Equal(t, []*Candidate{s.candidate("b1")}, s.core.QueryTargets(request, nil, s.now))
 
 	request.Residency = request.Residency.With([]string{"a", "c"})
 	refusal := s.refused(request, RefusedResidency)
 	assert.Equal(t, noRegionRetry, refusal.RetryAfter)
-	assert.Equal(t, map[Fitness]int{unfitRegion: 3}, refusal.Servers)
-	assert.Empty(t, s.core.ToAsk(request, nil, s.now))
+	assert.Equal(t, map[Eligibility]int{unfitRegion: 3}, refusal.Servers)
+	assert.Empty(t, s.core.QueryTargets(request, nil, s.now))
 
 	request.Residency = nil
 	s.goesTo(request, "a1")
@@ -306,15 +306,15 @@
 func TestColdShareOfOneEntry(t *testing.T) {
 	s := newScript(t, "a1", "b1")
 	s.core.bounded.started = epoch.Add(-time.Minute)
-	s.core.TakeEntries([]string{"entry-1", "entry-2"}, s.now)
-	s.fleet.Services = map[string]Service{"s": {ColdLimit: 10, ColdTime: 3 * time.Second}}
+	s.core.SetEntries([]string{"entry-1", "entry-2"}, s.now)
+	s.fleet.Services = map[string]Service{"s": {ColdRate: 10, ColdTime: 3 * time.Second}}
 	s.fleet.Servers[0].ColdUntil = epoch.Add(3 * time.Second)
 	s.update()
 	const share = 3 // A third of nine tenths of ten.
 	sends := func() (near int) {
 		for range 20 {
-			s.hear("a1", 0, Word{Version: 1})
-			s.hear("b1", 0, Word{Version: 1})
+			s.hear("a1", 0, LoadReport{Version: 1})
+			s.hear("b1", 0, LoadReport{Version: 1})
 			decision, refusal := s.core.Choose(s.request(), s.now)
 			require.Nil(t, refusal)
 			if decision.Candidate.ID == "a1" {
@@ -341,17 +341,17 @@
 func TestEvacuationAndItsReturn(t *testing.T) {
 	s := newScript(t, "a1", "b1")
 	s.core.bounded.started = epoch.Add(-time.Minute)
-	s.fleet.Services = map[string]Service{"s": {ColdLimit: 3, ColdTime: 3 * time.Second}}
+	s.fleet.Services = map[string]Service{"s": {ColdRate: 3, ColdTime: 3 * time.Second}}
 	s.update()
-	s.hear("a1", 0, Word{Version: 1})
-	s.hear("b1", 0, Word{Version: 1, Running: 5})
+	s.hear("a1", 0, LoadReport{Version: 1})
+	s.hear("b1", 0, LoadReport{Version: 1, Running: 5})
 	open := s.goesTo(s.request(), "a1")
 
 	s.fleet.Evacuated = []string{"a"}
 	assert.Equal(t, []Change{{Kind: ZoneEvacuated, Zone: "a", Servers: 1, InFlight: 1}}, s.update())
 	assert.Empty(t, s.update(), "it is told once")
 	s.served(s.request(), "b1")
-	assert.Equal(t, []*Candidate{s.candidate("b1")}, s.core.ToAsk(s.request(), nil, s.now))
+	assert.Equal(t, []*Candidate{s.candidate("b1")}, s.core.QueryTargets(s.request(), nil, s.now))
 	failed := s.request()
 	failed.Tried = []*Candidate{s.candidate("b1")}
 	assert.Equal(t, 1, s.refused(failed, RefusedNoServer).Servers[unfitEvacuated])
@@ -360,13 +360,13 @@
 	s.at(time.Second)
 	s.fleet.Evacuated = nil
 	assert.Equal(t, []Change{{Kind: ZoneReadmitted, Zone: "a", Servers: 1}}, s.update())
-	s.core.TakeEntries(nil, s.now)
-	s.hear("a1", 0, Word{Version: 1})
-	s.hear("b1", 0, Word{Version: 1, Running: 10})
+	s.core.SetEntries(nil, s.now)
+	s.hear("a1", 0, LoadReport{Version: 1})
+	s.hear("b1", 0, LoadReport{Version: 1, Running: 10})
 	s.served(s.request(), "a1")
 	s.served(s.request(), "b1") // One was sent within the second before, as long as the zone was in use.
 	s.at(1200 * time.Millisecond)
-	s.hear("a1", 0, Word{Version: 1})
+	s.hear("a1", 0, LoadReport{Version: 1})
 	s.goesTo(s.request(), "a1")
 	s.at(4 * time.Second)
 	assert.Zero(t, s.core.Describe(s.now)[0].ColdFor)
@@ -377,14 +377,14 @@
 func TestOverloadIsRefusedWithItsFigures(t *testing.T) {
 	s := newScript(t, "a1", "a2", "a3", "a4", "a5", "a6")
 	for _, server := range s.fleet.Servers {
-		s.hear(server.ID, 200*time.Millisecond, Word{Version: 1, Running: 16, Waiting: 6})
+		s.hear(server.ID, 200*time.Millisecond, LoadReport{Version: 1, Running: 16, Waiting: 6})
 	}
 	refusal := s.refused(s.request(), RefusedOverload)
-	assert.Greater(t, refusal.Admission.Wait, refusal.Admission.MostWait)
-	assert.Equal(t, scriptEngine.Published.MostWait(440*time.Millisecond), refusal.Admission.MostWait)
-	assert.Equal(t, 200*time.Millisecond, refusal.OldestWord)
-	assert.Equal(t, min(refusal.Admission.Wait-refusal.Admission.MostWait/2, refusalRetryCap), refusal.RetryAfter)
-	s.hear("a6", 0, Word{Version: 1})
+	assert.Greater(t, refusal.Admission.Wait, refusal.Admission.MaxWait)
+	assert.Equal(t, scriptEngine.Published.MostWait(440*time.Millisecond), refusal.Admission.MaxWait)
+	assert.Equal(t, 200*time.Millisecond, refusal.OldestReport)
+	assert.Equal(t, min(refusal.Admission.Wait-refusal.Admission.MaxWait/2, refusalRetryCap), refusal.RetryAfter)
+	s.hear("a6", 0, LoadReport{Version: 1})
 	s.goesTo(s.request(), "a6")
 	resumed := s.request()
 	resumed.Resumed = true
@@ -398,10 +398,10 @@
 func coldScript(t *testing.T) *script {
 	s := newScript(t, "a1")
 	s.core.bounded.started = epoch.Add(-time.Minute)
-	s.fleet.Services = map[string]Service{"s": {ColdLimit: 3, ColdTime: 3 * time.Second}}
+	s.fleet.Services = map[string]Service{"s": {ColdRate: 3, ColdTime: 3 * time.Second}}
 	s.fleet.Servers[0].ColdUntil = epoch.Add(5 * time.Second)
 	s.update()
-	s.hear("a1", 0, Word{Version: 1})
+	s.hear("a1", 0, LoadReport{Version: 1})
 	return s
 }
 
@@ -418,9 +418,9 @@
 	s.at(600 * time.Millisecond)
 	s.fleet.Servers = listed
 	s.update()
-	assert.Equal(t, map[Fitness]int{unfitCold: 1}, s.refused(s.request(), RefusedNoServer).Servers)
+	assert.Equal(t, map[Eligibility]int{unfitCold: 1}, s.refused(s.request(), RefusedNoServer).Servers)
 	s.at(admission.ColdSpan)
-	s.hear("a1", 0, Word{Version: 1})
+	s.hear("a1", 0, LoadReport{Version: 1})
 	s.served(s.request(), "a1")
 }
 
@@ -431,5 +431,5 @@
 	for range 2 {
 		s.served(s.request(), "a1")
 	}
-	assert.Equal(t, map[Fitness]int{unfitCold: 1}, s.refused(s.request(), RefusedNoServer).Servers)
+	assert.Equal(t, map[Eligibility]int{unfitCold: 1}, s.refused(s.request(), RefusedNoServer).Servers)
 }
--- a/coordination/dispatch/sends.go
+++ b/coordination/dispatch/sends.go
@@ -82,9 +82,9 @@
 // first event has come, which PromptRead notes.
 func (c *Core) Release(send *Send) { send.candidate.sends.inFlight-- }
 
-// PromptRead takes a request's prompt off its server's unread ones, because it has begun, or
+// EndPrefill takes a request's prompt off its server's unread ones, because it has begun, or
 // has ended without that.
-func (c *Core) PromptRead(send *Send, begun bool, now time.Time) {
+func (c *Core) EndPrefill(send *Send, begun bool, now time.Time) {
 	k := send.candidate
 	if !k.sends.begun(send) {
 		return
--- a/coordination/dispatch/sizes_test.go
+++ b/coordination/dispatch/sizes_test.go
@@ -18,7 +18,7 @@
 	}
 	for _, prompt := range []int{100, 1000, 4000, 16000} {
 		for _, elapsed := range []time.Duration{0, time.Second} {
-			s.hear("a1", 0, Word{Version: 1})
+			s.hear("a1", 0, LoadReport{Version: 1})
 			request := s.request()
 			request.Prompt, request.Arrival.Elapsed = prompt, elapsed
 			decision, refusal := s.core.Choose(request, s.now)
@@ -34,7 +34,7 @@
 	refusedFrom := func(prompt int) (waiting int) {
 		for ; waiting < 100; waiting++ {
 			s := newScript(t, "a1")
-			s.hear("a1", 0, Word{Version: 1, Running: 16, Waiting: waiting})
+			s.hear("a1", 0, LoadReport{Version: 1, Running: 16, Waiting: waiting})
 			request := s.request()
 			request.Prompt = prompt
 			if _, refusal := s.core.Choose(request, s.now); refusal != nil {
@@ -67,7 +67,7 @@
 	assert.Zero(t, s.core.firstAttemptWait(s.candidate("a1"), request()))
 	for step := range 400 {
 		s.at(time.Duration(step) * 100 * time.Millisecond)
-		s.hear("a1", 0, Word{Version: 1})
+		s.hear("a1", 0, LoadReport{Version: 1})
 		decision := s.goesTo(request(), "a1")
 		s.at(time.Duration(step)*100*time.Millisecond + decision.Expected)
 		s.ends(decision)
--- a/coordination/dispatch/smallfleet_test.go
+++ b/coordination/dispatch/smallfleet_test.go
@@ -51,8 +51,8 @@
 }
 
 // word is what its agent says; a mute server tells the agent of no request.
-func (s *smallServer) word(mute, tellsOfRequests bool) Word {
-	word := Word{Address: s.address, Reachable: true, Version: 1}
+func (s *smallServer) word(mute, tellsOfRequests bool) LoadReport {
+	word := LoadReport{Address: s.address, Reachable: true, Version: 1}
 	if mute && !tellsOfRequests {
 		return word
 	}
@@ -107,7 +107,7 @@
 			server.advance(now, number == muteServer, f)
 			if after%wordPeriod == 0 {
 				for _, entry := range f.entries {
-					entry.TakeWord(server.word(number == muteServer, f.tells), now)
+					entry.ApplyReport(server.word(number == muteServer, f.tells), now)
 				}
 			}
 		}
@@ -122,15 +122,15 @@
 func (f *smallFleet) send(entry *Core, now time.Time) {
 	request := &Request{
 		Service: "s", Engine: scriptEngine, Figures: scriptEngine.Published, Target: smallTarget, Streaming: true,
-		Others: smallEntries - 1, Prompt: 1000, Answer: 100,
+		OtherEntries: smallEntries - 1, Prompt: 1000, Answer: 100,
 	}
-	asked := entry.ToAsk(request, nil, now)
-	var answers []Word
+	asked := entry.QueryTargets(request, nil, now)
+	var answers []LoadReport
 	for _, one := range asked {
 		number := f.numberOf(one)
 		answers = append(answers, f.servers[number].word(number == muteServer, f.tells))
 	}
-	request.Asked = entry.TakeAnswers(asked, answers, now)
+	request.Queried = entry.ApplyQueryReplies(asked, answers, now)
 	f.sent++
 	decision, refusal := entry.Choose(request, now)
 	if refusal != nil {
@@ -172,14 +172,14 @@
 			return !now.Before(one.givenUp) && f.giveUp(one, now)
 		case !one.begun && !now.Before(one.begins):
 			one.begun = true
-			one.entry.PromptRead(one.sent, true, now)
+			one.entry.EndPrefill(one.sent, true, now)
 			if now.Sub(one.sent.sentAt) > smallTarget {
 				f.late++
 			}
 		case one.begun && !now.Before(one.ends):
 			one.entry.Release(one.sent)
 			one.entry.Observe(one.sent.candidate, Outcome{Outcome: health.Served, SentAt: one.sent.sentAt}, now)
-			one.entry.SawWhole(one.sent.candidate, answerTime)
+			one.entry.RecordAnswerTime(one.sent.candidate, answerTime)
 			return true
 		}
 		return false
@@ -189,7 +189,7 @@
 // giveUp ends a request that has not begun; one that would be sent again counts against its
 // server.
 func (f *smallFleet) giveUp(one *smallRequest, now time.Time) bool {
-	one.entry.PromptRead(one.sent, false, now)
+	one.entry.EndPrefill(one.sent, false, now)
 	one.entry.Release(one.sent)
 	if f.repeat {
 		one.entry.Observe(one.sent.candidate, Outcome{Outcome: health.Overdue, SentAt: one.sent.sentAt}, now)
--- a/coordination/dispatch/smallregion_test.go
+++ b/coordination/dispatch/smallregion_test.go
@@ -99,7 +99,7 @@
 	}
 	for range 100 {
 		s.at(s.now.Sub(epoch) + 100*time.Millisecond)
-		s.hear("a1", 0, Word{Version: 1})
+		s.hear("a1", 0, LoadReport{Version: 1})
 		s.served(bound(), "a1")
 	}
 	return s, bound
@@ -109,21 +109,21 @@
 // others are full: nothing is refused beside an idle server.
 func TestFreeRequestTakesTheScarceServerRatherThanNone(t *testing.T) {
 	s, bound := regionScript(t)
-	s.hear("a1", 0, Word{Version: 1, Running: 8})
-	s.hear("b1", 0, Word{Version: 1, Running: 8})
+	s.hear("a1", 0, LoadReport{Version: 1, Running: 8})
+	s.hear("b1", 0, LoadReport{Version: 1, Running: 8})
 	s.served(s.request(), "b1")
 	s.served(bound(), "a1")
 	several := s.request()
 	several.Residency = several.Residency.With(residency.AllowedRegions{"a", "b"})
 	s.served(several, "b1")
 
-	s.hear("a1", 0, Word{Version: 1})
+	s.hear("a1", 0, LoadReport{Version: 1})
 	s.served(s.request(), "a1")
-	s.hear("b1", 0, Word{Version: 1, Running: 16, Waiting: 9, UnreadTokens: 9000})
+	s.hear("b1", 0, LoadReport{Version: 1, Running: 16, Waiting: 9, UnreadTokens: 9000})
 	s.served(s.request(), "a1")
-	s.hear("a1", 0, Word{Version: 1, Running: 15})
+	s.hear("a1", 0, LoadReport{Version: 1, Running: 15})
 	s.served(s.request(), "a1")
-	s.hear("a1", 0, Word{Version: 1, Running: 16, Waiting: 9, UnreadTokens: 9000})
+	s.hear("a1", 0, LoadReport{Version: 1, Running: 16, Waiting: 9, UnreadTokens: 9000})
 	s.refused(s.request(), RefusedOverload)
 }
 
@@ -131,18 +131,18 @@
 // forgotten; requests that several regions may serve are not bound.
 func TestBoundLoad(t *testing.T) {
 	s, _ := regionScript(t)
-	loads := s.core.BoundLoads(s.now)
+	loads := s.core.SingleRegionLoads(s.now)
 	require.Len(t, loads, 1)
 	assert.Equal(t, "a", loads[0].Region)
-	assert.InDelta(t, 0.63, loads[0].Share, 0.05, "77 ms of each 100 ms, and not yet all of it seen")
+	assert.InDelta(t, 0.63, loads[0].Utilization, 0.05, "77 ms of each 100 ms, and not yet all of it seen")
 
 	s.fleet.Servers = append(s.fleet.Servers, Server{ID: "a2", Service: "s", Address: "a2:1", Zone: "a", Slots: 16, Version: 1, HoldsModel: true})
 	s.update()
-	assert.InDelta(t, loads[0].Share/2, s.core.BoundLoads(s.now)[0].Share, 0.001)
-	assert.Less(t, s.core.BoundLoads(s.now.Add(time.Minute))[0].Share, 0.001)
+	assert.InDelta(t, loads[0].Utilization/2, s.core.SingleRegionLoads(s.now)[0].Utilization, 0.001)
+	assert.Less(t, s.core.SingleRegionLoads(s.now.Add(time.Minute))[0].Utilization, 0.001)
 
 	s.core.SetRegions(map[string]string{"a": "b", "b": "b"})
-	assert.Empty(t, s.core.BoundLoads(s.now), "a region without zones")
+	assert.Empty(t, s.core.SingleRegionLoads(s.now), "a region without zones")
 	several := s.request()
 	several.Residency = several.Residency.With(residency.AllowedRegions{"a", "b"})
 	_, isBound := s.core.onlyRegion(several)
@@ -158,8 +158,8 @@
 	request := s.request()
 	request.Residency = request.Residency.With(residency.AllowedRegions{"a"})
 	s.served(request, "a1")
-	once := s.core.BoundLoads(s.now)[0].Share
+	once := s.core.SingleRegionLoads(s.now)[0].Utilization
 	request.Prompt = int(3 * scriptEngine.Published.UsualPrompt)
 	s.served(request, "a1")
-	assert.InDelta(t, 4*once, s.core.BoundLoads(s.now)[0].Share, 0.001)
+	assert.InDelta(t, 4*once, s.core.SingleRegionLoads(s.now)[0].Utilization, 0.001)
 }
--- a/coordination/dispatch/versions.go
+++ b/coordination/dispatch/versions.go
@@ -6,8 +6,8 @@
 	"pinevane.example/pinevane/coordination/turnover"
 )
 
-// SawVersion notes the version that an answer of a server named; 0 for none.
-func (c *Core) SawVersion(k *Candidate, version uint64) { k.version = max(k.version, version) }
+// RecordVersion notes the version that an answer of a server named; 0 for none.
+func (c *Core) RecordVersion(k *Candidate, version uint64) { k.version = max(k.version, version) }
 
 // servedVersion is the version that a server is known to have: by its agent's word,
 // or else by what it has told itself.
@@ -39,8 +39,8 @@
 // narrow reports whether a server's link seems narrow: messages take long over it,
 // or its pieces come much later than others'.
 func (c *Core) narrow(k *Candidate) bool {
-	least, known := c.leastMissing[k.word.Wanted]
-	return k.word.Link >= narrowLink || (known && k.word.Missing-least >= laggingPieces)
+	least, known := c.leastMissing[k.word.FetchingVersion]
+	return k.word.LinkRTT >= narrowLink || (known && k.word.MissingPieces-least >= laggingPieces)
 }
 
 // findLeastMissing looks how far the best prepared machines are.
@@ -50,9 +50,9 @@
 		if !told.Reachable || now.Sub(told.at) >= wordCurrent {
 			continue
 		}
-		least, known := c.leastMissing[told.Wanted]
-		if !known || told.Missing < least {
-			c.leastMissing[told.Wanted] = told.Missing
+		least, known := c.leastMissing[told.FetchingVersion]
+		if !known || told.MissingPieces < least {
+			c.leastMissing[told.FetchingVersion] = told.MissingPieces
 		}
 	}
 }
@@ -70,10 +70,10 @@
 		return true
 	}
 	engine := request.Engine
-	if engine.Pieces == 0 || k.word.Missing == 0 || !c.narrow(k) {
+	if engine.Pieces == 0 || k.word.MissingPieces == 0 || !c.narrow(k) {
 		return false
 	}
-	left := engine.CopyTime * time.Duration(k.word.Missing) / time.Duration(engine.Pieces)
+	left := engine.CopyTime * time.Duration(k.word.MissingPieces) / time.Duration(engine.Pieces)
 	return now.Add(left + orderTime + soundLinkMargin).After(bound)
 }
 
--- a/coordination/dispatch/versions_test.go
+++ b/coordination/dispatch/versions_test.go
@@ -15,26 +15,26 @@
 	now := epoch
 	core := testCore("z", nil)
 	at := func(left time.Duration) *Request {
-		return withFigures(Request{Bounds: VersionBounds{{Version: 2, Until: now.Add(left)}}, Prompt: 1000}, copiedEngine())
+		return withFigures(Request{VersionDeadlines: VersionDeadlines{{Version: 2, Until: now.Add(left)}}, Prompt: 1000}, copiedEngine())
 	}
 	for _, one := range []struct {
 		missing int
 		link    time.Duration
 		left    time.Duration
-		want    Fitness
+		want    Eligibility
 	}{
-		{missing: 80, link: narrowLink, left: 5 * time.Second, want: Fit},
+		{missing: 80, link: narrowLink, left: 5 * time.Second, want: Eligible},
 		{missing: 80, link: narrowLink, left: 3200 * time.Millisecond, want: unfitBound},
-		{missing: 20, link: narrowLink, left: 3200 * time.Millisecond, want: Fit},
+		{missing: 20, link: narrowLink, left: 3200 * time.Millisecond, want: Eligible},
 		{missing: 20, link: narrowLink, left: 1400 * time.Millisecond, want: unfitBound},
 		{missing: 0, link: narrowLink, left: 1400 * time.Millisecond, want: unfitBound},
-		{missing: 96, link: 20 * time.Millisecond, left: 1400 * time.Millisecond, want: Fit},
+		{missing: 96, link: 20 * time.Millisecond, left: 1400 * time.Millisecond, want: Eligible},
 		{missing: 96, link: 20 * time.Millisecond, left: 900 * time.Millisecond, want: unfitBound},
-		{missing: 0, left: 1400 * time.Millisecond, want: Fit},
+		{missing: 0, left: 1400 * time.Millisecond, want: Eligible},
 		{missing: 0, left: 900 * time.Millisecond, want: unfitBound},
 	} {
 		server := modelServer(now, one.missing)
-		server.word.Link = one.link
+		server.word.LinkRTT = one.link
 		assert.Equal(t, one.want, core.fitness(server, at(one.left), now), "%d missing, link %s, %s left", one.missing, one.link, one.left)
 	}
 }
@@ -44,14 +44,14 @@
 func TestEachServerIsBoundByTheFirstVersionItLacks(t *testing.T) {
 	now := epoch
 	core := testCore("z", nil)
-	wanted := &Request{Engine: &Engine{}, Bounds: VersionBounds{
+	wanted := &Request{Engine: &Engine{}, VersionDeadlines: VersionDeadlines{
 		{Version: 2, Until: now.Add(900 * time.Millisecond)}, {Version: 3, Until: now.Add(2900 * time.Millisecond)},
 	}}
 	oldest, middle, newest := modelServer(now, 0), modelServer(now, 0), modelServer(now, 0)
 	middle.word.Version, newest.word.Version = 2, 3
 	assert.Equal(t, unfitBound, core.fitness(oldest, wanted, now))
-	assert.Equal(t, Fit, core.fitness(middle, wanted, now))
-	assert.Equal(t, Fit, core.fitness(newest, wanted, now))
+	assert.Equal(t, Eligible, core.fitness(middle, wanted, now))
+	assert.Equal(t, Eligible, core.fitness(newest, wanted, now))
 }
 
 // VERSION: a server whose pieces come much later than others' is on a narrow link, also
@@ -59,10 +59,10 @@
 func TestServerThatLagsBehindTheOthersIsOnANarrowLink(t *testing.T) {
 	now := epoch
 	core := testCore("z", nil)
-	wanted := withFigures(Request{Bounds: VersionBounds{{Version: 2, Until: now.Add(3 * time.Second)}}, Prompt: 1000}, copiedEngine())
+	wanted := withFigures(Request{VersionDeadlines: VersionDeadlines{{Version: 2, Until: now.Add(3 * time.Second)}}, Prompt: 1000}, copiedEngine())
 	lagging := modelServer(now, 80)
-	for othersMissing, want := range map[int]Fitness{70: Fit, 0: unfitBound} {
-		core.TakeWord(Word{Address: "10.0.0.9:1", Reachable: true, Missing: othersMissing}, now)
+	for othersMissing, want := range map[int]Eligibility{70: Eligible, 0: unfitBound} {
+		core.ApplyReport(LoadReport{Address: "10.0.0.9:1", Reachable: true, MissingPieces: othersMissing}, now)
 		core.findLeastMissing(now)
 		assert.Equal(t, want, core.fitness(lagging, wanted, now), "others lack %d", othersMissing)
 	}
--- a/coordination/dispatch/waiting_test.go
+++ b/coordination/dispatch/waiting_test.go
@@ -12,6 +12,6 @@
 func TestSwitchToAWholeOlderVersionCounts(t *testing.T) {
 	s := newScript(t, "a1", "b1")
 	s.at(time.Second)
-	s.hear("a1", 550*time.Millisecond, Word{Version: 1, Wanted: 3, Missing: 50, SwitchPlanned: true, SwitchIn: 600 * time.Millisecond})
+	s.hear("a1", 550*time.Millisecond, LoadReport{Version: 1, FetchingVersion: 3, MissingPieces: 50, SwitchPlanned: true, SwitchIn: 600 * time.Millisecond})
 	assert.Equal(t, unfitChanging, s.core.fitness(s.candidate("a1"), s.request(), s.now))
 }
--- a/coordination/dispatch/word.go
+++ b/coordination/dispatch/word.go
@@ -12,12 +12,12 @@
 // from other zones usually are old.
 const wordCurrent = 1200 * time.Millisecond
 
-// NoWord is the age of an agent's word that never came.
-const NoWord = -time.Second
+// NoReport is the age of an agent's word that never came.
+const NoReport = -time.Second
 
 // heardWord is a word and when it was said.
 type heardWord struct {
-	Word
+	LoadReport
 	at time.Time
 	// lostAt is when it was first said that the server is not reached, of the words in a row that say so.
 	lostAt time.Time
@@ -51,7 +51,7 @@
 
 func (w *agentWord) age(now time.Time) time.Duration {
 	if w.at.IsZero() {
-		return NoWord
+		return NoReport
 	}
 	return now.Sub(w.at)
 }
@@ -59,9 +59,9 @@
 // untilSwitch is the time until the server changes over; it counts only when that is planned.
 func (w *agentWord) untilSwitch(now time.Time) time.Duration { return w.SwitchIn - now.Sub(w.at) }
 
-// TakeWord notes an agent's word on its server and when it was said. It reports whether the word
+// ApplyReport notes an agent's word on its server and when it was said. It reports whether the word
 // is news, and returns the server if it tells another version, or another reachability, of it.
-func (c *Core) TakeWord(word Word, at time.Time) (news bool, changed *Candidate) {
+func (c *Core) ApplyReport(word LoadReport, at time.Time) (news bool, changed *Candidate) {
 	if c.words[word.Address].at.After(at) {
 		// An answer to a question overtakes what is told all the time.
 		return false, nil
@@ -74,10 +74,10 @@
 		word.Waiting, word.UnreadTokens = 0, 0
 	}
 	former, heard := c.words[word.Address]
-	fresh := heardWord{Word: word, at: at}
+	fresh := heardWord{LoadReport: word, at: at}
 	if !word.Reachable {
 		fresh.lostAt = at
-		if heard && !former.Reachable && !former.Born.Differs(word.Born) {
+		if heard && !former.Reachable && !former.StartTime.Differs(word.StartTime) {
 			fresh.lostAt = former.lostAt
 		}
 	}
@@ -112,29 +112,29 @@
 
 // onFormerIncarnation reports whether a word is on a life of its server that is over, by what the list or a
 // later word has lately told.
-func (c *Core) onFormerIncarnation(word Word, at time.Time) bool {
-	if held := c.words[word.Address]; word.Born.Before(held.Born) && at.Sub(held.at) < formerWordTime {
+func (c *Core) onFormerIncarnation(word LoadReport, at time.Time) bool {
+	if held := c.words[word.Address]; word.StartTime.Before(held.StartTime) && at.Sub(held.at) < formerWordTime {
 		return true
 	}
 	known := c.byAddress[word.Address]
-	return known != nil && word.Born.Before(known.listing.server.Born) && at.Sub(known.listing.since) < formerWordTime
+	return known != nil && word.StartTime.Before(known.listing.server.StartTime) && at.Sub(known.listing.since) < formerWordTime
 }
 
 // aheadOfList reports whether a word is on an incarnation that the list does not name yet. The one that it
 // names gets nothing until the list follows, or has had the time for that.
-func (k *Candidate) aheadOfList(word Word, at time.Time) bool {
-	if !k.listing.server.Born.Before(word.Born) {
+func (k *Candidate) aheadOfList(word LoadReport, at time.Time) bool {
+	if !k.listing.server.StartTime.Before(word.StartTime) {
 		return false
 	}
-	if k.listing.next != word.Born {
-		k.listing.next, k.listing.endedTill = word.Born, at.Add(aheadTime)
+	if k.listing.next != word.StartTime {
+		k.listing.next, k.listing.endedTill = word.StartTime, at.Add(aheadTime)
 	}
 	return at.Before(k.listing.endedTill)
 }
 
-// Suspect reports whether there is evidence against a server beside its own silence, for a request
+// FailureSuspected reports whether there is evidence against a server beside its own silence, for a request
 // that was sent there at a time.
-func (c *Core) Suspect(k *Candidate, sentAt, now time.Time) bool {
+func (c *Core) FailureSuspected(k *Candidate, sentAt, now time.Time) bool {
 	onTrial := c.health.OnLostTrial(k.ID, c.since(sentAt), c.since(k.word.lostAt))
 	return k.word.silent(now) || (c.lost(k, now) && !onTrial) ||
 		(c.health.Mute(k.ID, c.since(sentAt)) && c.hasOther(k, now))
--- a/internal/catalog/asks.go
+++ b/internal/catalog/asks.go
@@ -49,27 +49,27 @@
 }
 
 // AskFunction is told what a server has asked of another entry, and when.
-type AskFunction func(ask dispatch.Ask, entry string, at time.Time)
+type AskFunction func(ask dispatch.ServerNotice, entry string, at time.Time)
 
 // serverAsks are the words of all entries. The catalog's mutex guards it.
 type serverAsks struct {
-	heldWords[dispatch.Ask]
+	heldWords[dispatch.ServerNotice]
 	onWord AskFunction
 	// fresh is signalled when there is something to pass on.
 	fresh chan struct{}
 }
 
 func newServerAsks(started time.Time) serverAsks {
-	return serverAsks{heldWords: newHeldWords[dispatch.Ask](started, askMemory, mostAsks), fresh: make(chan struct{}, 1)}
+	return serverAsks{heldWords: newHeldWords[dispatch.ServerNotice](started, askMemory, mostAsks), fresh: make(chan struct{}, 1)}
 }
 
 // OnAsk registers a function that is called with each word of another entry. It must be registered before Run.
 func (c *Catalog) OnAsk(function AskFunction) { c.asks.onWord = function }
 
 // TellAsk has the other entries told at once what a server has asked of this one at a time.
-func (c *Catalog) TellAsk(ask dispatch.Ask, at time.Time) {
+func (c *Catalog) TellAsk(ask dispatch.ServerNotice, at time.Time) {
 	c.mutex.Lock()
-	word := heldWord[dispatch.Ask]{word: ask, at: at, number: c.asks.nextNumber()}
+	word := heldWord[dispatch.ServerNotice]{word: ask, at: at, number: c.asks.nextNumber()}
 	c.asks.hold(wordKey{entry: c.options.Self, server: ask.Server}, word, time.Now())
 	c.mutex.Unlock()
 	c.passAsksSoon()
@@ -110,7 +110,7 @@
 
 // freshAsk is a word that is news here, and who has told it.
 type freshAsk struct {
-	heldWord[dispatch.Ask]
+	heldWord[dispatch.ServerNotice]
 	entry string
 }
 
@@ -133,17 +133,17 @@
 }
 
 // held is a word that was received at a time.
-func (t toldAsk) held(now time.Time) heldWord[dispatch.Ask] {
-	return heldWord[dispatch.Ask]{
-		word: dispatch.Ask{Server: t.Server, Born: t.Born, Leaving: t.Leaving, Limited: t.Limited, PerSecond: t.PerSecond},
+func (t toldAsk) held(now time.Time) heldWord[dispatch.ServerNotice] {
+	return heldWord[dispatch.ServerNotice]{
+		word: dispatch.ServerNotice{Server: t.Server, StartTime: t.Born, Leaving: t.Leaving, Limited: t.Limited, PerSecond: t.PerSecond},
 		at:   now.Add(-time.Duration(t.AgeMilliseconds) * time.Millisecond), number: t.Number,
 	}
 }
 
 // toldAskOf is an entry's word as it is passed on at a time.
-func toldAskOf(entry string, held heldWord[dispatch.Ask], now time.Time) toldAsk {
+func toldAskOf(entry string, held heldWord[dispatch.ServerNotice], now time.Time) toldAsk {
 	return toldAsk{
-		Server: held.word.Server, Entry: entry, Number: held.number, AgeMilliseconds: max(0, now.Sub(held.at).Milliseconds()), Born: held.word.Born,
+		Server: held.word.Server, Entry: entry, Number: held.number, AgeMilliseconds: max(0, now.Sub(held.at).Milliseconds()), Born: held.word.StartTime,
 		Leaving: held.word.Leaving, Limited: held.word.Limited, PerSecond: held.word.PerSecond,
 	}
 }
--- a/internal/catalog/asks_test.go
+++ b/internal/catalog/asks_test.go
@@ -16,7 +16,7 @@
 // A word is the same when another process has it, with its age.
 func TestWordsOnWhatServersAskAreToldWhole(t *testing.T) {
 	said := time.Unix(1000, 0)
-	one := heldWord[dispatch.Ask]{word: dispatch.Ask{Server: "i-1", Born: 7, Leaving: true, Limited: true, PerSecond: 1.4}, at: said, number: 3}
+	one := heldWord[dispatch.ServerNotice]{word: dispatch.ServerNotice{Server: "i-1", StartTime: 7, Leaving: true, Limited: true, PerSecond: 1.4}, at: said, number: 3}
 	sent, err := cbor.Marshal(toldAskOf("10.0.0.1", one, said.Add(2*time.Second)))
 	require.NoError(t, err)
 	var told toldAsk
@@ -51,7 +51,7 @@
 	asks := newServerAsks(time.Unix(0, 0))
 	now := time.Unix(0, 0)
 	hold := func(entry, server string, number uint64) bool {
-		return asks.hold(wordKey{entry: entry, server: server}, heldWord[dispatch.Ask]{at: time.Unix(int64(number), 0), number: number}, now)
+		return asks.hold(wordKey{entry: entry, server: server}, heldWord[dispatch.ServerNotice]{at: time.Unix(int64(number), 0), number: number}, now)
 	}
 	assert.True(t, hold("a", "i-1", 2))
 	assert.False(t, hold("a", "i-1", 1), "an older one")
--- a/internal/forward/asked.go
+++ b/internal/forward/asked.go
@@ -14,7 +14,7 @@
 // AskSource is what entries tell each other of what servers ask in their answers.
 type AskSource interface {
 	// TellAsk has the others told what a server has asked at a time.
-	TellAsk(ask dispatch.Ask, at time.Time)
+	TellAsk(ask dispatch.ServerNotice, at time.Time)
 }
 
 // sawAsked notes what an answer says its server asks for. An answer of another server says nothing of this
@@ -34,7 +34,7 @@
 	switch {
 	case head.Rest.For > 0:
 		t.rests.Inc()
-		if t.core.SawRest(k.Candidate, head.Rest.For, now) {
+		if t.core.RecordBackoff(k.Candidate, head.Rest.For, now) {
 			t.log.Log(logging.ServerRests, zap.String("server", k.ID), zap.Duration("for", head.Rest.For))
 		}
 	case head.Rest.Unreadable:
@@ -47,18 +47,18 @@
 func (t *targets) sawLimit(k *target, head fleet.AnswerHeader, sentAt, now time.Time) {
 	switch {
 	case head.Limit.Word == fleet.LimitNamed:
-		t.noteLimit(k, t.core.SawLimit(k.Candidate, head.Limit.PerSecond, sentAt, now), now)
+		t.noteLimit(k, t.core.RecordRateLimit(k.Candidate, head.Limit.PerSecond, sentAt, now), now)
 	case head.Limit.Word == fleet.LimitUnreadable:
 		t.logUnreadable(k, "limit")
 	case head.Signed:
-		t.noteLimit(k, t.core.SawNoLimit(k.Candidate, sentAt, now), sentAt)
+		t.noteLimit(k, t.core.RecordNoRateLimit(k.Candidate, sentAt, now), sentAt)
 	}
 }
 
 // sawLeaving notes that a server has said that it is about to end; the mutex is held. Its resting connections are
 // closed: nothing more goes there.
 func (t *targets) sawLeaving(k *target, now time.Time) {
-	change, news := t.core.SawLeaving(k.Candidate)
+	change, news := t.core.RecordLeaving(k.Candidate)
 	if news {
 		k.pool.close()
 		t.log.Log(logging.ServerSaidLeaving, zap.String("server", k.ID), zap.Int("in_flight", change.InFlight))
@@ -68,16 +68,16 @@
 
 // noteLimit logs what an answer has changed of its server's limit, and has the others told of what it said at
 // a time; the mutex is held.
-func (t *targets) noteLimit(k *target, news dispatch.LimitNews, at time.Time) {
+func (t *targets) noteLimit(k *target, news dispatch.RateLimitChange, at time.Time) {
 	t.logLimit(k.ID, news, "")
-	if news.Tell {
+	if news.Announce {
 		t.toTell(k, at)
 	}
 }
 
 // askNews is what a server has asked at a time, for the other entries.
 type askNews struct {
-	ask dispatch.Ask
+	ask dispatch.ServerNotice
 	at  time.Time
 }
 
@@ -86,15 +86,15 @@
 	if t.asks == nil {
 		return
 	}
-	t.news.add(askNews{ask: t.core.AskOf(k.Candidate), at: at})
+	t.news.add(askNews{ask: t.core.NoticeOf(k.Candidate), at: at})
 }
 
 // HearAsk takes in what a server has asked of another entry, and when.
-func (f *Forwarder) HearAsk(ask dispatch.Ask, entry string, at time.Time) {
+func (f *Forwarder) HearAsk(ask dispatch.ServerNotice, entry string, at time.Time) {
 	t := f.targets
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	limit, leaving := t.core.HearAsk(ask, at, time.Now())
+	limit, leaving := t.core.ApplyNotice(ask, at, time.Now())
 	t.logLimit(ask.Server, limit, entry)
 	if leaving {
 		t.log.Log(logging.ServerSaidLeaving, zap.String("server", ask.Server), zap.String("entry", entry))
@@ -106,7 +106,7 @@
 func (t *targets) unwilling(k *target) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.core.Unwilling(k.Candidate, time.Now())
+	return t.core.Unavailable(k.Candidate, time.Now())
 }
 
 // logUnreadable logs once a server and field that an answer says what can't be meant; the mutex is held.
@@ -123,25 +123,25 @@
 type unreadableField struct{ server, field string }
 
 // logLimit tells what has changed of a server's limit, by an answer or by the word of another entry.
-func (t *targets) logLimit(server string, news dispatch.LimitNews, entry string) {
+func (t *targets) logLimit(server string, news dispatch.RateLimitChange, entry string) {
 	if !news.Changed {
 		return
 	}
 	t.log.Log(logging.ServerLimit, zap.String("server", server), zap.String("entry", entry), zap.Bool("in_force", news.InForce), zap.Float64("per_second", news.PerSecond),
-		zap.Float64("former", news.Former), zap.Int("share", news.Share), zap.Int("entries", news.Entries))
+		zap.Float64("former", news.Previous), zap.Int("share", news.Share), zap.Int("entries", news.Entries))
 }
 
 // limitCounts returns how many servers name a limit, and how many requests were sent to such.
 func (t *targets) limitCounts() (servers int, sent uint64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.core.LimitCounts()
+	return t.core.RateLimitCounts()
 }
 
 func (t *targets) restingServers() int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.core.RestingServers(time.Now())
+	return t.core.BackingOffServers(time.Now())
 }
 
 func newRestsCounter() prometheus.Counter {
--- a/internal/forward/asking.go
+++ b/internal/forward/asking.go
@@ -29,7 +29,7 @@
 // answered as the candidates for the next attempt. Without any answer the choice goes by
 // what agents have told before.
 func (w *work) askLoads(ctx context.Context) {
-	w.wanted.Asked = nil
+	w.wanted.Queried = nil
 	if w.options.Loads == nil || w.wanted.Engine == nil {
 		return
 	}
@@ -44,7 +44,7 @@
 		answered := w.targets.takeAnswers(next, answers)
 		w.metrics.loadQueries.WithLabelValues(queryAnswered).Add(float64(len(answered)))
 		w.metrics.loadQueries.WithLabelValues(queryMissed).Add(float64(len(next) - len(answered)))
-		w.wanted.Asked = append(w.wanted.Asked, answered...)
+		w.wanted.Queried = append(w.wanted.Queried, answered...)
 		if ctx.Err() != nil || w.targets.anyAdmits(&w.wanted) {
 			return
 		}
@@ -70,7 +70,7 @@
 func (t *targets) toAsk(wanted *dispatch.Request, before []*dispatch.Candidate) []*dispatch.Candidate {
 	now := t.lockWithMembers()
 	defer t.mutex.Unlock()
-	return t.core.ToAsk(wanted, before, now)
+	return t.core.QueryTargets(wanted, before, now)
 }
 
 // takeAnswers takes over what the asked agents have told, and returns their servers.
@@ -80,7 +80,7 @@
 	for _, status := range answers {
 		t.told[status.Address] = status
 	}
-	return t.core.TakeAnswers(asked, wordsOf(answers), time.Now())
+	return t.core.ApplyQueryReplies(asked, wordsOf(answers), time.Now())
 }
 
 // anyAdmits reports whether one of the asked servers may be sent the request, by how long it would wait there.
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -28,8 +28,8 @@
 	}
 	view := w.targets.currentView()
 	apply := w.targets.bounds.Load().VersionApply
-	w.wanted.Bounds = boundsOf(view.Versions[w.request.Call.Model], apply)
-	w.wanted.AtLeast = view.Due(w.request.Call.Model, apply-versionMargin, time.Now())
+	w.wanted.VersionDeadlines = boundsOf(view.Versions[w.request.Call.Model], apply)
+	w.wanted.MinVersion = view.Due(w.request.Call.Model, apply-versionMargin, time.Now())
 }
 
 // expectedVersion is the version that a server is asked to check. Once the bound of
@@ -37,10 +37,10 @@
 // it is not turned away for having a newer one.
 func (w *work) expectedVersion(serving uint64) uint64 {
 	switch {
-	case w.wanted.Exactly != 0:
-		return w.wanted.Exactly
-	case w.wanted.AtLeast != 0:
-		return max(serving, w.wanted.AtLeast)
+	case w.wanted.ExactVersion != 0:
+		return w.wanted.ExactVersion
+	case w.wanted.MinVersion != 0:
+		return max(serving, w.wanted.MinVersion)
 	}
 	return 0
 }
@@ -54,7 +54,7 @@
 	w.bindVersion()
 	w.bindResidency()
 	w.wanted.LastAttempt = w.lastAttempt()
-	w.wanted.Left, w.wanted.Patience = time.Until(w.request.Deadline), patienceOf(w.request.Route)
+	w.wanted.TimeLeft, w.wanted.MinOverdueTime = time.Until(w.request.Deadline), patienceOf(w.request.Route)
 	w.askLoads(ctx)
 	chosen, refusal := w.choose()
 	if refusal != nil {
@@ -76,12 +76,12 @@
 		zap.String("server", target.ID), zap.String("zone", target.Zone), zap.Stringer("content", w.request.Content), zap.Int("outstanding", chosen.Outstanding),
 		zap.Int("running", chosen.Load.Running), zap.Int("waiting", chosen.Load.Waiting), zap.Int("unread_tokens", int(chosen.Load.Unread)),
 		zap.Int("prompt_tokens", w.wanted.Prompt),
-		zap.Duration("time_left", send.Deadline), zap.Duration("since_first_attempt", w.wanted.Arrival.Elapsed), zap.Duration("expected", chosen.Expected), zap.Duration("status_age", chosen.WordAge), zap.Int("candidates", chosen.Considered), zap.Uint64("version", send.Version),
+		zap.Duration("time_left", send.Deadline), zap.Duration("since_first_attempt", w.wanted.Arrival.Elapsed), zap.Duration("expected", chosen.Expected), zap.Duration("status_age", chosen.ReportAge), zap.Int("candidates", chosen.Considered), zap.Uint64("version", send.Version),
 		zap.String("resume_after", send.LastEventID))
 	began := time.Now()
 	w.sentAt = began
 	w.request.usual = w.targets.usualWait(chosen, &w.wanted)
-	w.patience = chosen.Patience
+	w.patience = chosen.OverdueAfter
 	started, failed := w.open(ctx, w.request, send, target, w.silence(target, chosen.Version))
 	if failed == nil {
 		failed = w.judge(started, send.Version)
--- a/internal/forward/choice.go
+++ b/internal/forward/choice.go
@@ -56,12 +56,12 @@
 func (t *targets) lockWithMembers() time.Time {
 	t.mutex.Lock()
 	now := time.Now()
-	entriesDue, zoneDue := t.core.EntriesDue(now), t.zoneDue(now)
+	entriesDue, zoneDue := t.core.EntryLookupDue(now), t.zoneDue(now)
 	if !entriesDue && !zoneDue {
 		return now
 	}
 	if entriesDue {
-		t.core.BeginEntries()
+		t.core.BeginEntryLookup()
 	}
 	if zoneDue {
 		t.health.lookedAt = now
@@ -77,10 +77,10 @@
 	t.mutex.Lock()
 	now = time.Now()
 	if entriesDue {
-		t.core.TakeEntries(entries, now)
+		t.core.SetEntries(entries, now)
 	}
 	if zoneDue {
-		t.core.TakeZone(zone)
+		t.core.SetZoneEntries(zone)
 	}
 	return now
 }
@@ -89,9 +89,9 @@
 // reason, and how long the soonest of the others would have the request wait.
 func (t *targets) logRefusal(w *work, refusal *dispatch.Refusal) {
 	t.log.Log(logging.NoServerChosen, zap.String("request", w.request.Call.RequestID), zap.String("service", w.wanted.Service),
-		zap.Any("servers", refusal.Servers), zap.Duration("oldest_status", refusal.OldestWord),
+		zap.Any("servers", refusal.Servers), zap.Duration("oldest_status", refusal.OldestReport),
 		zap.Int("prompt_tokens", w.wanted.Prompt), zap.Inline(admissionFields(refusal.Admission)),
-		zap.Duration("since_first_attempt", w.wanted.Arrival.Elapsed), zap.Uint64("at_least_version", w.wanted.AtLeast), zap.Uint64("exactly_version", w.wanted.Exactly),
+		zap.Duration("since_first_attempt", w.wanted.Arrival.Elapsed), zap.Uint64("at_least_version", w.wanted.MinVersion), zap.Uint64("exactly_version", w.wanted.ExactVersion),
 		regionsField(w.wanted.Residency))
 }
 
@@ -102,7 +102,7 @@
 	wanted.Engine = t.engines[wanted.Service]
 	if wanted.Engine != nil {
 		wanted.Figures = t.core.Figures(wanted.Service, wanted.Engine)
-		wanted.Prompt = fleet.KnownTokens(wanted.Prompt, wanted.Engine.MostPrompt)
+		wanted.Prompt = fleet.KnownTokens(wanted.Prompt, wanted.Engine.MaxPrompt)
 	}
 }
 
@@ -110,7 +110,7 @@
 func (t *targets) usualWait(chosen choice, wanted *dispatch.Request) time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.core.UsualWait(chosen.Decision, wanted)
+	return t.core.TypicalWait(chosen.Decision, wanted)
 }
 
 // evacuated reports whether a server's zone is to be sent nothing new.
@@ -134,7 +134,7 @@
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.core.SawCold(k.Candidate, left, time.Now())
+	t.core.RecordCold(k.Candidate, left, time.Now())
 }
 
 // evacuationCounts tells how many requests are open in evacuated zones, and how long the last
--- a/internal/forward/choice_test.go
+++ b/internal/forward/choice_test.go
@@ -14,7 +14,7 @@
 	for _, one := range []struct{ exactly, atLeast, serving, want uint64 }{
 		{want: 0, serving: 2}, {atLeast: 2, serving: 2, want: 2}, {atLeast: 2, serving: 3, want: 3}, {exactly: 2, atLeast: 2, serving: 3, want: 2},
 	} {
-		w := &work{wanted: dispatch.Request{Exactly: one.exactly, AtLeast: one.atLeast}}
+		w := &work{wanted: dispatch.Request{ExactVersion: one.exactly, MinVersion: one.atLeast}}
 		assert.Equal(t, one.want, w.expectedVersion(one.serving))
 	}
 }
--- a/internal/forward/convert.go
+++ b/internal/forward/convert.go
@@ -22,7 +22,7 @@
 	if view.Configuration != nil {
 		for name, service := range view.Configuration.Services {
 			limit, _ := bounds.ColdLimit(service)
-			published.Services[name] = dispatch.Service{ColdTime: service.ColdTime, ColdLimit: limit}
+			published.Services[name] = dispatch.Service{ColdTime: service.ColdTime, ColdRate: limit}
 		}
 	}
 	published.Evacuated = slices.Sorted(maps.Keys(view.Evacuations))
@@ -32,7 +32,7 @@
 func serverOf(server fleet.Server) dispatch.Server {
 	listed := dispatch.Server{
 		ID: server.ID, Service: server.Service, Address: server.Address, Zone: server.Zone, Slots: server.Slots, Draining: server.Draining,
-		HoldsModel: len(server.Models) > 0, ColdUntil: server.ColdUntil, Revision: server.Revision, Born: server.Born,
+		HoldsModel: len(server.Models) > 0, ColdUntil: server.ColdUntil, Revision: server.Revision, StartTime: server.Born,
 	}
 	for _, model := range server.Models {
 		listed.Version = max(listed.Version, model.Version)
@@ -49,26 +49,26 @@
 	for name, service := range configuration.Services {
 		if engine := service.Engine; engine != nil {
 			engines[name] = &dispatch.Engine{
-				Published: engine.Figures(), Pieces: engine.Pieces, CopyTime: engine.CopyTime(configuration.OriginRate()), Warm: engine.Warm,
-				MostPrompt: engine.MostPrompt(),
+				Published: engine.Figures(), Pieces: engine.Pieces, CopyTime: engine.CopyTime(configuration.OriginRate()), ActivationTime: engine.Warm,
+				MaxPrompt: engine.MostPrompt(),
 			}
 		}
 	}
 	return engines
 }
 
-func wordOf(status fleet.MachineStatus) dispatch.Word {
-	return dispatch.Word{
+func wordOf(status fleet.MachineStatus) dispatch.LoadReport {
+	return dispatch.LoadReport{
 		Address: status.Address, Reachable: status.Reachable, Version: status.Version, Running: status.Running, Waiting: status.Waiting,
 		UnreadTokens: status.UnreadTokens, Pace: status.Pace,
 		SwitchPlanned: status.SwitchMilliseconds != fleet.NoSwitch, SwitchIn: time.Duration(status.SwitchMilliseconds) * time.Millisecond,
-		Wanted: status.Wanted, Missing: status.Missing, Link: time.Duration(status.LinkMilliseconds) * time.Millisecond,
-		ColdFor: status.ColdFor(), Received: status.Received, Born: status.Born,
+		FetchingVersion: status.Wanted, MissingPieces: status.Missing, LinkRTT: time.Duration(status.LinkMilliseconds) * time.Millisecond,
+		ColdFor: status.ColdFor(), Received: status.Received, StartTime: status.Born,
 	}
 }
 
-func wordsOf(statuses []fleet.MachineStatus) []dispatch.Word {
-	words := make([]dispatch.Word, 0, len(statuses))
+func wordsOf(statuses []fleet.MachineStatus) []dispatch.LoadReport {
+	words := make([]dispatch.LoadReport, 0, len(statuses))
 	for _, status := range statuses {
 		words = append(words, wordOf(status))
 	}
@@ -77,10 +77,10 @@
 
 // boundsOf tells until when servers with older versions than the named ones may begin requests,
 // where each is to be in force some time after its naming.
-func boundsOf(notices []catalog.Notice, apply time.Duration) dispatch.VersionBounds {
-	bounds := make(dispatch.VersionBounds, 0, len(notices))
+func boundsOf(notices []catalog.Notice, apply time.Duration) dispatch.VersionDeadlines {
+	bounds := make(dispatch.VersionDeadlines, 0, len(notices))
 	for _, notice := range notices {
-		bounds = append(bounds, dispatch.VersionBound{Version: notice.Version, Until: notice.Since.Add(apply)})
+		bounds = append(bounds, dispatch.VersionDeadline{Version: notice.Version, Until: notice.Since.Add(apply)})
 	}
 	return bounds
 }
--- a/internal/forward/decision_benchmark_test.go
+++ b/internal/forward/decision_benchmark_test.go
@@ -68,7 +68,7 @@
 
 func decideOnce(b *testing.B, f *Forwarder, route *fleet.Route) {
 	w := &work{Forwarder: f, request: &Request{Route: route}}
-	w.wanted = dispatch.Request{Service: "s", Target: route.Target, Streaming: true, Others: 8, Prompt: 1000, Answer: 100}
+	w.wanted = dispatch.Request{Service: "s", Target: route.Target, Streaming: true, OtherEntries: 8, Prompt: 1000, Answer: 100}
 	f.targets.describe(&w.wanted)
 	w.bindVersion()
 	if len(f.targets.toAsk(&w.wanted, nil)) == 0 {
--- a/internal/forward/dump.go
+++ b/internal/forward/dump.go
@@ -73,13 +73,13 @@
 		view := ServerView{
 			ID: server.ID, Service: server.Service, Address: server.Address, Zone: server.Zone,
 			Draining: server.Draining, InFlight: one.InFlight, Outstanding: one.Outstanding, Version: one.Version,
-			EjectedFor: one.Health.Left.Seconds(), Health: healthView(one.Health), StatusAge: one.WordAge.Seconds(), MeanMillisecond: one.MeanMilliseconds,
-			ColdFor: one.ColdFor.Seconds(), Evacuated: one.Evacuated, RestLeft: one.RestLeft.Seconds(), SaidLeaving: one.SaidLeaving,
+			EjectedFor: one.Health.Left.Seconds(), Health: healthView(one.Health), StatusAge: one.ReportAge.Seconds(), MeanMillisecond: one.MeanMilliseconds,
+			ColdFor: one.ColdFor.Seconds(), Evacuated: one.Evacuated, RestLeft: one.BackoffLeft.Seconds(), SaidLeaving: one.AnnouncedLeaving,
 		}
 		if one.Limit.InForce {
-			view.Limit = &LimitView{PerSecond: one.Limit.PerSecond, Age: one.Limit.Named.Seconds(), Share: one.Limit.Share}
+			view.Limit = &LimitView{PerSecond: one.Limit.PerSecond, Age: one.Limit.SinceNamed.Seconds(), Share: one.Limit.Share}
 		}
-		if one.WordAge != dispatch.NoWord {
+		if one.ReportAge != dispatch.NoReport {
 			view.Status = t.told[server.Address]
 		}
 		views = append(views, view)
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -210,7 +210,7 @@
 	w := &work{Forwarder: f, request: request, writer: writer, lastEvent: request.Call.LastEventID}
 	w.wanted = dispatch.Request{
 		Service: service, Route: request.Route.Name, Target: request.Route.Target, Streaming: w.isStream(),
-		RunsOnce: !request.Route.MayRepeat(), Others: f.options.Peers(),
+		AtMostOnce: !request.Route.MayRepeat(), OtherEntries: f.options.Peers(),
 		Prompt: request.Call.PromptTokens, Answer: expectedAnswer(request.Call),
 	}
 	w.wanted.Arrival = f.noteArrival(&w.wanted, request.Call.Deadline)
--- a/internal/forward/health.go
+++ b/internal/forward/health.go
@@ -89,12 +89,12 @@
 // reportHealth logs and counts what has changed with servers' health now, and keeps what the zone is
 // to be told of that; the mutex is held.
 func (t *targets) reportHealth(now time.Time) {
-	news := t.core.TakeHealthNews()
+	news := t.core.TakeHealthUpdates()
 	for _, change := range news.Changes {
 		t.logHealth(change)
 	}
-	if t.health.source != nil && len(news.Words) > 0 {
-		t.health.findings.add(finding{words: news.Words, at: now})
+	if t.health.source != nil && len(news.Reports) > 0 {
+		t.health.findings.add(finding{words: news.Reports, at: now})
 	}
 }
 
@@ -124,7 +124,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := time.Now()
-	t.core.HearHealth(word, at, now)
+	t.core.ApplyHealthReport(word, at, now)
 	t.reportHealth(now)
 }
 
@@ -136,7 +136,7 @@
 	defer t.mutex.Unlock()
 	now := time.Now()
 	t.core.Observe(k.Candidate, dispatch.Outcome{
-		Outcome: outcome, Class: w.request.Route.Name, SentAt: w.sentAt, Repeated: len(w.wanted.Tried) > 1,
+		Outcome: outcome, Class: w.request.Route.Name, SentAt: w.sentAt, Retried: len(w.wanted.Tried) > 1,
 	}, now)
 	t.reportHealth(now)
 }
--- a/internal/forward/health_test.go
+++ b/internal/forward/health_test.go
@@ -36,7 +36,7 @@
 	}
 	f.Update(view)
 	w := &work{Forwarder: f, request: &Request{Route: &fleet.Route{Name: "r", Kind: kind, Target: time.Second, Attempts: 3}}, sentAt: time.Now()}
-	w.wanted = dispatch.Request{Service: "s", Target: time.Second, RunsOnce: kind == fleet.AtMostOnce}
+	w.wanted = dispatch.Request{Service: "s", Target: time.Second, AtMostOnce: kind == fleet.AtMostOnce}
 	return f, w
 }
 
--- a/internal/forward/metrics.go
+++ b/internal/forward/metrics.go
@@ -111,7 +111,7 @@
 // Collect implements prometheus.Collector.
 func (c *boundLoadCollector) Collect(collected chan<- prometheus.Metric) {
 	for _, one := range c.targets.boundLoads() {
-		collected <- prometheus.MustNewConstMetric(c.share, prometheus.GaugeValue, one.Share, one.Service, one.Region)
+		collected <- prometheus.MustNewConstMetric(c.share, prometheus.GaugeValue, one.Utilization, one.Service, one.Region)
 	}
 }
 
--- a/internal/forward/outbox_test.go
+++ b/internal/forward/outbox_test.go
@@ -18,11 +18,11 @@
 	begun   chan struct{}
 	proceed chan struct{}
 	mutex   sync.Mutex
-	told    []dispatch.Ask
+	told    []dispatch.ServerNotice
 }
 
 // TellAsk implements AskSource.
-func (s *slowAsks) TellAsk(ask dispatch.Ask, _ time.Time) {
+func (s *slowAsks) TellAsk(ask dispatch.ServerNotice, _ time.Time) {
 	if !s.later.Swap(true) {
 		close(s.begun)
 		<-s.proceed
@@ -48,5 +48,5 @@
 	f.targets.sawAsked(listed, fleet.AnswerHeader{Signed: true}, time.Now().Add(time.Second))
 	close(source.proceed)
 	first.Wait()
-	assert.Equal(t, []dispatch.Ask{{Server: "i-1", Limited: true, PerSecond: 2}, {Server: "i-1"}}, source.told)
+	assert.Equal(t, []dispatch.ServerNotice{{Server: "i-1", Limited: true, PerSecond: 2}, {Server: "i-1"}}, source.told)
 }
--- a/internal/forward/outcome.go
+++ b/internal/forward/outcome.go
@@ -12,21 +12,21 @@
 func (t *targets) succeed(k *target, took time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.core.SawWhole(k.Candidate, took)
+	t.core.RecordAnswerTime(k.Candidate, took)
 }
 
 // sawFirst notes how long a stream's first event took.
 func (t *targets) sawFirst(k *target, took time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.core.SawFirstEvent(k.Candidate, took)
+	t.core.RecordFirstEvent(k.Candidate, took)
 }
 
 // sawVersion notes the version that an answer named.
 func (t *targets) sawVersion(k *target, version uint64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.core.SawVersion(k.Candidate, version)
+	t.core.RecordVersion(k.Candidate, version)
 }
 
 // release takes a request off its server's count.
@@ -34,7 +34,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.core.Release(send)
-	for _, change := range t.core.Emptied(time.Now()) {
+	for _, change := range t.core.NewlyIdleZones(time.Now()) {
 		t.follow(change)
 	}
 }
@@ -43,14 +43,14 @@
 func (t *targets) readPrompt(send *dispatch.Send, begun bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.core.PromptRead(send, begun, time.Now())
+	t.core.EndPrefill(send, begun, time.Now())
 }
 
 // suspect reports whether there is evidence against a server, for a request sent at a time.
 func (t *targets) suspect(k *target, sentAt time.Time) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.core.Suspect(k.Candidate, sentAt, time.Now())
+	return t.core.FailureSuspected(k.Candidate, sentAt, time.Now())
 }
 
 // unsent takes an attempt that gave nothing, or a whole answer, off the server's counts.
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -132,14 +132,14 @@
 func (w *work) admitContent() *fault.Refusal {
 	w.endSuspect()
 	verdict := w.contents.admit(w.request.Content)
-	w.wanted.Avoided = nil
+	w.wanted.Excluded = nil
 	refusal := (*fault.Refusal)(nil)
 	switch verdict.State {
 	case quarantine.Free:
 		return nil
 	case quarantine.Suspected:
 		w.suspect = true
-		w.wanted.Avoided = w.contents.occupied()
+		w.wanted.Excluded = w.contents.occupied()
 		return nil
 	case quarantine.InQuarantine:
 		refusal = fault.NotRun(fault.ReasonQuarantined, "servers have ended under requests with this content")
--- a/internal/forward/residency.go
+++ b/internal/forward/residency.go
@@ -65,10 +65,10 @@
 }
 
 // boundLoads tells what bound requests of this entry ask of regions.
-func (t *targets) boundLoads() []dispatch.BoundLoad {
+func (t *targets) boundLoads() []dispatch.SingleRegionLoad {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.core.BoundLoads(time.Now())
+	return t.core.SingleRegionLoads(time.Now())
 }
 
 // regionsField tells the log which regions are allowed; it is left out where all are. An
--- a/internal/forward/residency_test.go
+++ b/internal/forward/residency_test.go
@@ -167,7 +167,7 @@
 			c.work.wanted.Tried = append(c.work.wanted.Tried, server)
 		}
 		if d.below(4) == 0 {
-			c.work.wanted.Asked = append(c.work.wanted.Asked, server)
+			c.work.wanted.Queried = append(c.work.wanted.Queried, server)
 		}
 	}
 	return c
--- a/internal/forward/shedding.go
+++ b/internal/forward/shedding.go
@@ -28,7 +28,7 @@
 func (f *Forwarder) noteArrival(wanted *dispatch.Request, left time.Duration) shedding.Arrival {
 	f.targets.mutex.Lock()
 	defer f.targets.mutex.Unlock()
-	arrival := f.targets.core.Arrived(wanted, left, time.Now())
+	arrival := f.targets.core.RecordArrival(wanted, left, time.Now())
 	f.metrics.arrivals.WithLabelValues(attemptOf(arrival)).Inc()
 	return arrival
 }
@@ -43,7 +43,7 @@
 	w.metrics.told.WithLabelValues(attemptOf(w.wanted.Arrival), string(refusal.Reason)).Observe(refusal.RetryAfter.Seconds())
 	w.targets.mutex.Lock()
 	defer w.targets.mutex.Unlock()
-	w.targets.core.Refused(&w.wanted, time.Now())
+	w.targets.core.RecordRefusal(&w.wanted, time.Now())
 }
 
 // rank is the rank told to the server: at full servers, a request that is late in any case
--- a/internal/forward/shedding_test.go
+++ b/internal/forward/shedding_test.go
@@ -21,7 +21,7 @@
 	w := asking(&agentsOfTest{}, "10.0.0.1:1")
 	now := time.Now()
 	for i := range 40 {
-		w.targets.core.Arrived(&dispatch.Request{Service: "s", Route: "r"}, 6*time.Second, now.Add(time.Duration(i)*time.Second))
+		w.targets.core.RecordArrival(&dispatch.Request{Service: "s", Route: "r"}, 6*time.Second, now.Add(time.Duration(i)*time.Second))
 	}
 	w.request = &Request{Route: &fleet.Route{Name: "r"}, Call: fleet.CallHeader{Deadline: left}, Deadline: now.Add(left)}
 	w.wanted.Route = "r"
--- a/internal/forward/sizing.go
+++ b/internal/forward/sizing.go
@@ -23,10 +23,10 @@
 
 // MarshalLogObject implements zapcore.ObjectMarshaler.
 func (a admissionFields) MarshalLogObject(encoder zapcore.ObjectEncoder) error {
-	encoder.AddDuration("alone", a.Alone)
+	encoder.AddDuration("alone", a.IdleDelay)
 	encoder.AddDuration("wait", a.Wait)
-	encoder.AddDuration("late", a.Late)
-	encoder.AddDuration("most_wait", a.MostWait)
+	encoder.AddDuration("late", a.Lateness)
+	encoder.AddDuration("most_wait", a.MaxWait)
 	encoder.AddFloat64("margin", a.Margin)
 	return nil
 }
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -43,7 +43,7 @@
 		}
 		if w.begun {
 			w.wanted.Resumed = true
-			w.wanted.Exactly = w.version
+			w.wanted.ExactVersion = w.version
 			w.log.Log(logging.StreamResumed, zap.String("request", w.request.Call.RequestID), zap.String("after", w.lastEvent),
 				zap.Uint64("version", w.version))
 		} else {
--- a/internal/forward/targets.go
+++ b/internal/forward/targets.go
@@ -79,7 +79,7 @@
 		t.engines = enginesOf(view.Configuration)
 	}
 	if names != nil {
-		t.core.KeepRoutes(names)
+		t.core.RetainRoutes(names)
 	}
 	t.view = view
 	now := time.Now()
@@ -97,20 +97,20 @@
 		t.log.Log(logging.ServerLeaving, zap.String("server", change.Candidate.ID), zap.Int("in_flight", change.InFlight))
 	case dispatch.AddressTaken, dispatch.ServerRestarted:
 		t.ended = append(t.ended, change.Candidate.ID)
-	case dispatch.ServerGone:
+	case dispatch.ServerRemoved:
 		t.log.Log(logging.ServerGone, zap.String("server", change.Candidate.ID), zap.Int("in_flight", change.InFlight))
 	case dispatch.ZoneEvacuated:
 		t.log.Log(logging.ZoneEvacuated, zap.String("zone", change.Zone), zap.Int("servers", change.Servers), zap.Int("in_flight", change.InFlight),
 			zap.Duration("bound", t.bounds.Load().Evacuate))
 	case dispatch.ZoneIdle:
-		t.log.Log(logging.ZoneIdle, zap.String("zone", change.Zone), zap.Duration("after", change.After))
+		t.log.Log(logging.ZoneIdle, zap.String("zone", change.Zone), zap.Duration("after", change.IdleAfter))
 	case dispatch.ZoneReadmitted:
 		t.log.Log(logging.ZoneReadmitted, zap.String("zone", change.Zone), zap.Int("servers", change.Servers))
 	}
 	if known := t.known[change.Candidate]; known != nil {
 		known.pool.close()
 	}
-	if change.Kind == dispatch.ServerGone || change.Kind == dispatch.ServerRestarted {
+	if change.Kind == dispatch.ServerRemoved || change.Kind == dispatch.ServerRestarted {
 		delete(t.known, change.Candidate)
 		maps.DeleteFunc(t.unreadable, func(one unreadableField, _ bool) bool { return one.server == change.Candidate.ID })
 	}
@@ -150,7 +150,7 @@
 func (t *targets) takeStatus(status fleet.MachineStatus, at time.Time, direct bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	news, changed := t.core.TakeWord(wordOf(status), at)
+	news, changed := t.core.ApplyReport(wordOf(status), at)
 	if news {
 		t.told[status.Address] = status
 	}
