--- a/coordination/dispatch/asked.go
+++ b/coordination/dispatch/asked.go
@@ -7,19 +7,19 @@
 	"pinevane.example/pinevane/coordination/incarnation"
 )
 
-// asked is what a server has asked for in its answers, beside a rate.
-type asked struct {
+// notices is what a server has asked for in its answers, beside a rate.
+type notices struct {
 	// leaving is set once an answer has said that the server is about to end. It holds for that life of the
 	// server: neither an older line nor a later answer takes it back.
 	leaving bool
-	// restUntil is until when it wants nothing from this entry.
-	restUntil time.Time
+	// backoffUntil is until when it wants nothing from this entry.
+	backoffUntil time.Time
 }
 
 // RecordLeaving notes that an answer has said that its server is about to end, and returns what that changes.
 func (c *Core) RecordLeaving(k *Candidate) (change Change, news bool) {
 	news = !c.Leaving(k)
-	k.asked.leaving = true
+	k.notices.leaving = true
 	return Change{Kind: ServerLeaving, Candidate: k, InFlight: k.sends.inFlight}, news
 }
 
@@ -27,14 +27,14 @@
 // reports whether it wanted something until now. A shorter rest asked for later does not end a longer one:
 // answers overtake each other.
 func (c *Core) RecordBackoff(k *Candidate, lasts time.Duration, now time.Time) (news bool) {
-	news = !k.asked.rests(now)
-	k.asked.restUntil = later(k.asked.restUntil, now.Add(lasts))
+	news = !k.notices.backingOff(now)
+	k.notices.backoffUntil = later(k.notices.backoffUntil, now.Add(lasts))
 	return news
 }
 
 // Unavailable reports whether a server wants nothing more from this entry, for good or for now.
 func (c *Core) Unavailable(k *Candidate, now time.Time) bool {
-	return c.Leaving(k) || k.asked.rests(now)
+	return c.Leaving(k) || k.notices.backingOff(now)
 }
 
 // ServerNotice is what a server asks of all entries in its answers, as these tell each other.
@@ -51,7 +51,7 @@
 // NoticeOf is what a server asks of all entries now.
 func (c *Core) NoticeOf(k *Candidate) ServerNotice {
 	return ServerNotice{
-		Server: k.ID, StartTime: k.listing.server.StartTime, Leaving: k.asked.leaving, Limited: k.limit.inForce(), PerSecond: k.limit.perSecond,
+		Server: k.ID, StartTime: k.listing.server.StartTime, Leaving: k.notices.leaving, Limited: k.rateLimit.inForce(), PerSecond: k.rateLimit.perSecond,
 	}
 }
 
@@ -61,16 +61,16 @@
 	k := c.byID[ask.Server]
 	switch {
 	case k == nil:
-		c.keepAsk(ask, at, now)
+		c.retainNotice(ask, at, now)
 		return RateLimitChange{}, false
 	case k.listing.server.StartTime.Differs(ask.StartTime):
 		return RateLimitChange{}, false
 	}
-	return c.takeAsk(k, ask, at, now)
+	return c.recordNotice(k, ask, at, now)
 }
 
-// takeAsk notes a word on a server. One that it leaves says nothing of its limit, which the teller may not know.
-func (c *Core) takeAsk(k *Candidate, ask ServerNotice, at, now time.Time) (limit RateLimitChange, leaving bool) {
+// recordNotice notes a word on a server. One that it leaves says nothing of its limit, which the teller may not know.
+func (c *Core) recordNotice(k *Candidate, ask ServerNotice, at, now time.Time) (limit RateLimitChange, leaving bool) {
 	switch {
 	case ask.Leaving:
 		_, leaving = c.RecordLeaving(k)
@@ -81,49 +81,55 @@
 	return c.RecordNoRateLimit(k, at, now), false
 }
 
-// keepAsk holds a word on a server that is not listed yet, or no more.
-func (c *Core) keepAsk(ask ServerNotice, at, now time.Time) {
-	held, found := c.kept[ask.Server]
+// retainNotice holds a word on a server that is not listed yet, or no more.
+func (c *Core) retainNotice(ask ServerNotice, at, now time.Time) {
+	held, found := c.retained[ask.Server]
 	if !found {
-		held = keptServer{born: ask.StartTime, sent: *admission.NewWindow(admission.LimitSpan)}
+		held = retainedServer{born: ask.StartTime, sent: *admission.NewWindow(admission.LimitSpan)}
 	}
 	if held.born.Differs(ask.StartTime) {
 		return
 	}
-	unlisted := &Candidate{ID: ask.Server, limit: held.limit, asked: held.asked}
-	c.takeAsk(unlisted, ask, at, now)
-	held.at, held.limit, held.asked = now, unlisted.limit, unlisted.asked
-	c.kept[ask.Server] = held
+	unlisted := &Candidate{ID: ask.Server, rateLimit: held.limit, notices: held.asked}
+	c.recordNotice(unlisted, ask, at, now)
+	held.at, held.limit, held.asked = now, unlisted.rateLimit, unlisted.notices
+	c.retained[ask.Server] = held
 }
 
-// rests reports whether a server wants nothing from this entry now.
-func (a *asked) rests(now time.Time) bool { return !a.restUntil.IsZero() && now.Before(a.restUntil) }
+// backingOff reports whether a server wants nothing from this entry now.
+func (a *notices) backingOff(now time.Time) bool {
+	return !a.backoffUntil.IsZero() && now.Before(a.backoffUntil)
+}
 
-// restLeft is how much longer a server wants nothing from this entry.
-func (k *Candidate) restLeft(now time.Time) time.Duration { return max(0, k.asked.restUntil.Sub(now)) }
+// backoffLeft is how much longer a server wants nothing from this entry.
+func (k *Candidate) backoffLeft(now time.Time) time.Duration {
+	return max(0, k.notices.backoffUntil.Sub(now))
+}
 
 // BackingOffServers is how many servers want nothing from this entry now.
 func (c *Core) BackingOffServers(now time.Time) int {
 	count := 0
 	for _, known := range c.byID {
-		if known.asked.rests(now) {
+		if known.notices.backingOff(now) {
 			count++
 		}
 	}
 	return count
 }
 
-// longestClosed bounds when a server counts as open that has asked for something: another entry may have a share, or not
+// maxClosedTime bounds when a server counts as open that has asked for something: another entry may have a share, or not
 // be asked for rest, so that a caller is not told to wait for longer than shares last.
-const longestClosed = admission.LimitSpan
+const maxClosedTime = admission.LimitSpan
 
 // opensIn is when a server may be sent a request that only what it has asked for keeps from it; 0 is now.
 func (c *Core) opensIn(k *Candidate, now time.Time) time.Duration {
-	return max(k.restLeft(now), c.limitOpensIn(k, now))
+	return max(k.backoffLeft(now), c.limitOpensIn(k, now))
 }
 
-// asked reports whether a server is not sent a request only because of what it has asked for.
-func (f Eligibility) asked() bool { return f == unfitResting || f == unfitLimited }
+// byNotice reports whether a server is not sent a request only because of what it has asked for.
+func (f Eligibility) byNotice() bool { return f == excludedBackoff || f == excludedRateLimited }
 
-// anyAsked reports whether there is such a server.
-func (r *Refusal) anyAsked() bool { return r.Servers[unfitResting]+r.Servers[unfitLimited] > 0 }
+// anyByNotice reports whether there is such a server.
+func (r *Refusal) anyByNotice() bool {
+	return r.Servers[excludedBackoff]+r.Servers[excludedRateLimited] > 0
+}
--- a/coordination/dispatch/asked_test.go
+++ b/coordination/dispatch/asked_test.go
@@ -13,7 +13,7 @@
 // of it is.
 func TestServerThatSaysItLeavesGetsNothing(t *testing.T) {
 	s := newScript(t, "a1", "a2")
-	s.core.bounded.started = epoch.Add(-time.Minute)
+	s.core.members.started = epoch.Add(-time.Minute)
 	change, news := s.core.RecordLeaving(s.candidate("a1"))
 	assert.True(t, news)
 	assert.Equal(t, Change{Kind: ServerLeaving, Candidate: s.candidate("a1")}, change)
@@ -45,14 +45,14 @@
 	for _, id := range []string{"a1", "a2"} {
 		s.core.RecordLeaving(s.candidate(id))
 	}
-	assert.Equal(t, 2, s.refused(s.request(), RefusedNoServer).Servers[unfitLeaving])
+	assert.Equal(t, 2, s.refused(s.request(), RefusedNoServer).Servers[excludedLeaving])
 }
 
 // BUDGET: a server that has asked for rest is sent nothing until that is over, and no shorter rest asked for later
 // ends it. What it is asked at the end of it is an ordinary request.
 func TestServerThatAsksForRestGetsNothing(t *testing.T) {
 	s := newScript(t, "a1", "a2")
-	s.core.bounded.started = epoch.Add(-time.Minute)
+	s.core.members.started = epoch.Add(-time.Minute)
 	assert.True(t, s.core.RecordBackoff(s.candidate("a1"), 3*time.Second, s.now))
 	s.at(time.Second)
 	assert.False(t, s.core.RecordBackoff(s.candidate("a1"), time.Second, s.now), "it rests already")
@@ -63,7 +63,7 @@
 	tried := s.request()
 	tried.Tried = []*Candidate{s.candidate("a2")}
 	refusal := s.refused(tried, RefusedNoServer)
-	assert.Equal(t, 1, refusal.Servers[unfitResting])
+	assert.Equal(t, 1, refusal.Servers[excludedBackoff])
 	assert.Equal(t, 100*time.Millisecond, refusal.RetryAfter, "the rest of the rest")
 	s.at(3 * time.Second)
 	s.served(tried, "a1")
@@ -73,7 +73,7 @@
 func TestRestGoesBeforeHealth(t *testing.T) {
 	s := newScript(t, "a1")
 	s.core.RecordBackoff(s.candidate("a1"), time.Second, s.now)
-	assert.Equal(t, 1, s.refused(s.request(), RefusedNoServer).Servers[unfitResting])
+	assert.Equal(t, 1, s.refused(s.request(), RefusedNoServer).Servers[excludedBackoff])
 }
 
 // What another entry tells holds like an answer of one's own, in the order in which servers have said it.
@@ -86,11 +86,11 @@
 	assert.True(t, limit.Changed)
 	s.at(4 * time.Second)
 	s.core.ApplyNotice(ServerNotice{Server: "a1"}, at(3*time.Second), s.now)
-	assert.False(t, k.limit.inForce(), "over")
+	assert.False(t, k.rateLimit.inForce(), "over")
 	s.core.ApplyNotice(ServerNotice{Server: "a1", Limited: true, PerSecond: 2}, at(1500*time.Millisecond), s.now)
-	assert.False(t, k.limit.inForce(), "an older word by a longer way")
+	assert.False(t, k.rateLimit.inForce(), "an older word by a longer way")
 	s.core.ApplyNotice(ServerNotice{Server: "a1", Limited: true, PerSecond: 2}, at(3500*time.Millisecond), s.now)
-	assert.True(t, k.limit.inForce(), "a newer one")
+	assert.True(t, k.rateLimit.inForce(), "a newer one")
 	_, leaving := s.core.ApplyNotice(ServerNotice{Server: "a1", Leaving: true, Limited: true, PerSecond: 2}, at(3900*time.Millisecond), s.now)
 	assert.True(t, leaving)
 	_, leaving = s.core.ApplyNotice(ServerNotice{Server: "a1", Limited: true, PerSecond: 2}, at(3950*time.Millisecond), s.now)
@@ -101,7 +101,7 @@
 // An entry that starts hears what servers ask before it has the list; words on another life of a server say nothing.
 func TestWordsOnServersThatAreNotListedYet(t *testing.T) {
 	s := newScript(t)
-	s.core.bounded.started = epoch.Add(-time.Minute)
+	s.core.members.started = epoch.Add(-time.Minute)
 	s.core.ApplyNotice(ServerNotice{Server: "a1", StartTime: 5, Leaving: true}, s.now, s.now)
 	s.core.ApplyNotice(ServerNotice{Server: "a2", StartTime: 5, Leaving: true}, s.now, s.now)
 	s.core.ApplyNotice(ServerNotice{Server: "a3", Limited: true, PerSecond: 1}, s.now, s.now)
@@ -111,7 +111,7 @@
 	s.update()
 	assert.True(t, s.core.Leaving(s.candidate("a1")))
 	assert.False(t, s.core.Leaving(s.candidate("a2")))
-	assert.True(t, s.candidate("a3").limit.inForce())
+	assert.True(t, s.candidate("a3").rateLimit.inForce())
 	s.core.ApplyNotice(ServerNotice{Server: "a2", StartTime: 5, Leaving: true}, s.now, s.now)
 	assert.False(t, s.core.Leaving(s.candidate("a2")))
 }
--- a/coordination/dispatch/candidate.go
+++ b/coordination/dispatch/candidate.go
@@ -16,18 +16,18 @@
 	Zone    string
 
 	listing listing
-	asked   asked
-	// limit is the rate that the server names in its answers.
-	limit    namedLimit
-	sends    ownSends
-	word     agentWord
-	lateness lateness
-	answers  answers
+	notices notices
+	// rateLimit is the rate that the server names in its answers.
+	rateLimit   rateLimit
+	sends       ownSends
+	report      agentReport
+	lateness    lateness
+	answerTimes answerTimes
 	// version is the newest that the server itself has told, in an answer or on the
 	// list of servers.
 	version uint64
-	// sent are the requests that this entry has sent here in the last admission.LimitSpan.
-	sent admission.Window
+	// sentWindow are the requests that this entry has sent here in the last admission.LimitSpan.
+	sentWindow admission.Window
 	// coldTime is how long a server of its service is cold after a start.
 	coldTime time.Duration
 	// readmittedUntil is until when the server counts as cold because an evacuation of its
@@ -40,20 +40,20 @@
 // listing is what the list of servers tells of a server.
 type listing struct {
 	server Server
-	// gone servers are not sent anything any more.
-	gone bool
+	// removed servers are not sent anything any more.
+	removed bool
 	// superseded servers have ended for good: another has answered at their address.
 	superseded bool
-	// since is when the list first named this incarnation.
-	since time.Time
-	// next is the incarnation that the agent has told and the list has not; until endedTill this one
+	// firstListed is when the list first named this incarnation.
+	firstListed time.Time
+	// nextStart is the incarnation that the agent has told and the list has not; until endedTill this one
 	// counts as ended for that.
-	next      incarnation.Born
-	endedTill time.Time
+	nextStart  incarnation.Born
+	endedUntil time.Time
 }
 
-// answers is how long a server's answers have taken lately.
-type answers struct {
+// answerTimes is how long a server's answers have taken lately.
+type answerTimes struct {
 	// meanMilliseconds is the moving mean time of whole answers.
 	meanMilliseconds float64
 	// firstMean is the moving mean time to the first event of streams.
@@ -66,7 +66,7 @@
 	firstMeanWeight = 0.1
 )
 
-func (a *answers) sawWhole(took time.Duration) {
+func (a *answerTimes) addWhole(took time.Duration) {
 	value := float64(took) / float64(time.Millisecond)
 	if a.meanMilliseconds == 0 {
 		a.meanMilliseconds = value
@@ -74,7 +74,7 @@
 	a.meanMilliseconds += wholeMeanWeight * (value - a.meanMilliseconds)
 }
 
-func (a *answers) sawFirst(took time.Duration) {
+func (a *answerTimes) addFirst(took time.Duration) {
 	if a.firstMean == 0 {
 		a.firstMean = took
 	}
@@ -82,37 +82,37 @@
 }
 
 // RecordFirstEvent notes how long a stream's first event took.
-func (c *Core) RecordFirstEvent(k *Candidate, took time.Duration) { k.answers.sawFirst(took) }
+func (c *Core) RecordFirstEvent(k *Candidate, took time.Duration) { k.answerTimes.addFirst(took) }
 
 // TypicalWait is how long the first byte of an answer usually takes: as the last ones did, or as
 // predicted, whichever is longer. What a server on trial has delayed lately does not count: one that
 // answers nothing would have the time of its first victims ten times over, which is more than
 // callers wait.
 func (c *Core) TypicalWait(decision Decision, request *Request) time.Duration {
-	usual := c.usualAnswer(decision.Candidate, request)
+	usual := c.typicalAnswer(decision.Candidate, request)
 	if decision.Trial {
-		return max(usual, decision.byLoad)
+		return max(usual, decision.startByLoad)
 	}
 	return max(usual, decision.Expected)
 }
 
-// usualAnswer is how long a server's answers to such requests have taken, or those of the service's
+// typicalAnswer is how long a server's answers to such requests have taken, or those of the service's
 // others if it has given this entry none, or else the target.
-func (c *Core) usualAnswer(k *Candidate, request *Request) time.Duration {
-	if seen := c.seenAnswer(k, request); seen > 0 {
+func (c *Core) typicalAnswer(k *Candidate, request *Request) time.Duration {
+	if seen := c.observedAnswer(k, request); seen > 0 {
 		return seen
 	}
 	return request.Target
 }
 
-// seenAnswer is usualAnswer, but 0 if this entry has seen no answer of the service.
-func (c *Core) seenAnswer(k *Candidate, request *Request) time.Duration {
-	if own := k.answers.usual(request.Streaming); own > 0 {
+// observedAnswer is usualAnswer, but 0 if this entry has seen no answer of the service.
+func (c *Core) observedAnswer(k *Candidate, request *Request) time.Duration {
+	if own := k.answerTimes.typical(request.Streaming); own > 0 {
 		return own
 	}
 	sum, count := time.Duration(0), 0
 	for _, other := range c.byService[request.Service] {
-		if usual := other.answers.usual(request.Streaming); usual > 0 {
+		if usual := other.answerTimes.typical(request.Streaming); usual > 0 {
 			sum, count = sum+usual, count+1
 		}
 	}
@@ -122,8 +122,8 @@
 	return sum / time.Duration(count)
 }
 
-// usual is how long answers have taken to begin; 0 while there was none.
-func (a *answers) usual(streaming bool) time.Duration {
+// typical is how long answers have taken to begin; 0 while there was none.
+func (a *answerTimes) typical(streaming bool) time.Duration {
 	if streaming {
 		return a.firstMean
 	}
@@ -161,13 +161,13 @@
 	for _, known := range c.byID {
 		descriptions = append(descriptions, Description{
 			Server: known.listing.server, InFlight: known.sends.inFlight, Outstanding: known.outstanding(now), Version: known.version,
-			Health: c.health.View(known.ID, c.since(now)), ReportAge: known.word.age(now),
-			MeanMilliseconds: known.answers.meanMilliseconds,
+			Health: c.health.View(known.ID, c.elapsed(now)), ReportAge: known.report.age(now),
+			MeanMilliseconds: known.answerTimes.meanMilliseconds,
 			ColdFor:          max(0, known.coldUntil().Sub(now)),
 			Evacuated:        c.Evacuated(known.Zone),
-			Limit:            c.limitView(known, now),
-			BackoffLeft:      known.restLeft(now),
-			AnnouncedLeaving: known.asked.leaving,
+			Limit:            c.rateLimitStatus(known, now),
+			BackoffLeft:      known.backoffLeft(now),
+			AnnouncedLeaving: known.notices.leaving,
 		})
 	}
 	return descriptions
--- a/coordination/dispatch/choice.go
+++ b/coordination/dispatch/choice.go
@@ -23,12 +23,12 @@
 // refusal is proof that nothing was sent.
 func (c *Core) Choose(request *Request, now time.Time) (Decision, *Refusal) {
 	if request.Engine != nil {
-		c.findLeastMissing(now)
+		c.computeMinMissing(now)
 	}
-	c.noteBound(request, now)
-	c.findScarcity(request, now)
+	c.recordDemand(request, now)
+	c.computeScarcity(request, now)
 	all := c.usable(request, now)
-	usable := askedOf(all, request)
+	usable := queriedOf(all, request)
 	if len(usable) == 0 {
 		return Decision{}, c.noServer(request, now)
 	}
@@ -50,19 +50,19 @@
 func (c *Core) send(k *Candidate, request *Request, considered int, now time.Time) Decision {
 	decision := Decision{
 		Candidate: k, Considered: considered, Outstanding: k.outstanding(now), Load: c.load(k, request, now),
-		Expected: c.firstEvent(k, request, now), byLoad: c.byLoad(k, request, now), ReportAge: k.word.age(now), Version: k.servedVersion(now),
+		Expected: c.firstEvent(k, request, now), startByLoad: c.startByLoad(k, request, now), ReportAge: k.report.age(now), Version: k.servedVersion(now),
 		Admission: c.admission(k, request, now),
 	}
 	wait, firstAttempts := decision.Admission.Wait, c.firstAttemptWait(k, request)
 	decision.Send = &Send{
 		candidate: k, service: request.Service, engine: request.Engine, target: request.Target,
-		sentAt: now, due: now.Add(decision.Expected), prompt: request.Prompt, nearLimit: wait >= firstAttempts/2,
+		sentAt: now, expectedAt: now.Add(decision.Expected), prompt: request.Prompt, nearLimit: wait >= firstAttempts/2,
 		idle: decision.Outstanding == 0 && decision.ReportAge != NoReport,
 	}
 	if c.lost(k, now) {
-		decision.OverdueAfter = c.lostTrialPatience(k, request, now)
+		decision.OverdueAfter = c.lostTrialTimeout(k, request, now)
 	}
-	c.noteFull(request, wait, firstAttempts, now)
+	c.recordFull(request, wait, firstAttempts, now)
 	k.sends.add(decision.Send)
 	c.countSent(k, now)
 	decision.Trial = c.beginTrial(k, now)
@@ -70,8 +70,8 @@
 	return decision
 }
 
-// askedOf keeps those of the usable servers whose agents were asked, as long as there is one.
-func askedOf(usable []*Candidate, request *Request) []*Candidate {
+// queriedOf keeps those of the usable servers whose agents were asked, as long as there is one.
+func queriedOf(usable []*Candidate, request *Request) []*Candidate {
 	var asked []*Candidate
 	for _, candidate := range usable {
 		if slices.Contains(request.Queried, candidate) {
@@ -91,7 +91,7 @@
 	if len(usable) <= sampleSize {
 		return usable
 	}
-	c.mix(usable)
+	c.shuffleServers(usable)
 	near, far := make([]*Candidate, 0, len(usable)), make([]*Candidate, 0, len(usable))
 	for _, candidate := range usable {
 		if candidate.Zone == c.zone {
@@ -106,16 +106,16 @@
 
 // score is the cost of sending the request to a server.
 func (c *Core) score(k *Candidate, request *Request, now time.Time) time.Duration {
-	score := c.firstEvent(k, request, now) + c.distance(k)
+	score := c.firstEvent(k, request, now) + c.distanceCost(k)
 	score += time.Duration(k.outstanding(now)) * runningCost
 	score += time.Duration(c.random() * float64(jitterCost))
-	if k.word.silent(now) {
+	if k.report.silent(now) {
 		score += silentCost
 	}
-	return score + c.delayedSwitch(k, request, now) + c.healthCost(k, now) + c.scarcityCost(k, request, now)
+	return score + c.switchCost(k, request, now) + c.healthCost(k, now) + c.scarcityCost(k, request, now)
 }
 
-func (c *Core) distance(k *Candidate) time.Duration {
+func (c *Core) distanceCost(k *Candidate) time.Duration {
 	switch {
 	case k.Zone == c.zone:
 		return 0
--- a/coordination/dispatch/cold.go
+++ b/coordination/dispatch/cold.go
@@ -8,30 +8,30 @@
 
 // Constants of the sharing of cold servers.
 const (
-	// countDelay is how long a request may be on its way to the count of the server's agent:
+	// reportCountDelay is how long a request may be on its way to the count of the server's agent:
 	// one way between regions, of 1 to 2.8 ms where this was measured, and the wait at both ends.
-	countDelay = 5 * time.Millisecond
-	// coldShare is the part of the bound that all entries together use; the rest is for
+	reportCountDelay = 5 * time.Millisecond
+	// coldRatio is the part of the bound that all entries together use; the rest is for
 	// entries that have lately come and are not known to all.
-	coldShare = 0.9
+	coldRatio = 0.9
 )
 
-// findBoundedTill looks until when the other entries matter, because a server is cold whose requests are
+// updateLimitsUntil looks until when the other entries matter, because a server is cold whose requests are
 // bounded then, or has lately named a limit.
-func (c *Core) findBoundedTill() {
-	c.boundedTill = time.Time{}
+func (c *Core) updateLimitsUntil() {
+	c.limitsUntil = time.Time{}
 	for _, servers := range c.byService {
 		for _, known := range servers {
-			c.noteCold(known)
-			c.noteLimited(known)
+			c.extendForCold(known)
+			c.extendForRateLimit(known)
 		}
 	}
 }
 
-// noteCold notes until when a server is cold, if its requests are bounded then.
-func (c *Core) noteCold(k *Candidate) {
+// extendForCold notes until when a server is cold, if its requests are bounded then.
+func (c *Core) extendForCold(k *Candidate) {
 	if c.fleet.Services[k.listing.server.Service].ColdRate > 0 {
-		c.boundedTill = later(c.boundedTill, k.coldUntil())
+		c.limitsUntil = later(c.limitsUntil, k.coldUntil())
 	}
 }
 
@@ -43,7 +43,7 @@
 // its own, or because its zone has just been readmitted. A faulty word makes a server cold for
 // no longer than a start does.
 func (k *Candidate) coldUntil() time.Time {
-	until := k.word.at.Add(min(k.word.ColdFor, k.coldTime))
+	until := k.report.at.Add(min(k.report.ColdFor, k.coldTime))
 	for _, other := range []time.Time{k.listing.server.ColdUntil, k.answeredColdUntil, k.readmittedUntil} {
 		until = later(until, other)
 	}
@@ -57,17 +57,17 @@
 func (c *Core) RecordCold(k *Candidate, left time.Duration, now time.Time) {
 	if left > 0 {
 		k.answeredColdUntil = now.Add(min(left, k.coldTime))
-		c.noteCold(k)
+		c.extendForCold(k)
 	}
 }
 
 // cold reports whether a server is cold.
 func (k *Candidate) cold(now time.Time) bool { return now.Before(k.coldUntil()) }
 
-// coldFull reports whether this entry has sent a cold server all that it may for now. A
+// coldShareUsed reports whether this entry has sent a cold server all that it may for now. A
 // server's requests are counted while it is warm too, because it may have become cold shortly
 // before that is known.
-func (c *Core) coldFull(k *Candidate, now time.Time) bool {
+func (c *Core) coldShareUsed(k *Candidate, now time.Time) bool {
 	if !k.cold(now) {
 		return false
 	}
@@ -75,18 +75,18 @@
 	if limit <= 0 {
 		return false
 	}
-	since := c.bounded.since(now)
-	if !k.sent.Open(admission.ColdSpan, since, c.bounded.share(k.ID, coldShare*limit, now)) {
+	since := c.members.elapsed(now)
+	if !k.sentWindow.Open(admission.ColdSpan, since, c.members.share(k.ID, coldRatio*limit, now)) {
 		return true
 	}
 	// Shares reckon with what each entry has sent itself. The agent's count has what all have
 	// sent, also before they heard that the server is cold.
-	return k.word.counts(now) && k.sent.Crowded(coldShare*limit, k.word.Received, c.bounded.since(k.word.at)-countDelay, since)
+	return k.report.receivedCurrent(now) && k.sentWindow.Crowded(coldRatio*limit, k.report.Received, c.members.elapsed(k.report.at)-reportCountDelay, since)
 }
 
 // countSent counts a request that is being sent to a server.
 func (c *Core) countSent(k *Candidate, now time.Time) {
-	k.sent.Add(c.bounded.since(now))
+	k.sentWindow.Add(c.members.elapsed(now))
 	if k.cold(now) {
 		c.coldSent++
 	}
--- a/coordination/dispatch/cold_test.go
+++ b/coordination/dispatch/cold_test.go
@@ -30,7 +30,7 @@
 			names = append(names, name)
 		}
 	}
-	core.bounded = newMembers(self, epoch.Add(-2*settleTime))
+	core.members = newMemberSet(self, epoch.Add(-2*settleTime))
 	core.SetEntries(names, epoch)
 	return core
 }
@@ -93,20 +93,20 @@
 func TestSharesOfUnknownAndSilentEntries(t *testing.T) {
 	now := epoch
 	core := coldCore("entry-0", 1)
-	core.bounded.started = now
+	core.members.started = now
 	core.Update(coldFleet(now.Add(time.Minute), "zb"), now)
-	assert.LessOrEqual(t, chosenServers(core, 60, now)["a"], 39/cautiousMembers+1)
+	assert.LessOrEqual(t, chosenServers(core, 60, now)["a"], 39/assumedMembers+1)
 
 	members := []string{"entry-1", "entry-2"}
-	cold := newMembers("entry-0", now.Add(-time.Minute))
+	cold := newMemberSet("entry-0", now.Add(-time.Minute))
 	share := func(at time.Time) int {
-		cold.look(members, at)
+		cold.update(members, at)
 		return cold.share("a", 39, at)
 	}
 	assert.Equal(t, 13, share(now))
 	members = nil
-	assert.Equal(t, 13, share(now.Add(memberMemory/2)))
-	assert.Equal(t, 39, share(now.Add(2*memberMemory)))
+	assert.Equal(t, 13, share(now.Add(memberTTL/2)))
+	assert.Equal(t, 39, share(now.Add(2*memberTTL)))
 }
 
 // Without a bound, cold servers are servers like others.
@@ -129,8 +129,8 @@
 	core.Update(coldFleet(now.Add(time.Second)), now)
 	assert.True(t, core.EntryLookupDue(now))
 	core.SetEntries([]string{"entry-1"}, now)
-	assert.False(t, core.EntryLookupDue(now.Add(membersPeriod-1)))
-	assert.True(t, core.EntryLookupDue(now.Add(membersPeriod)))
+	assert.False(t, core.EntryLookupDue(now.Add(lookupInterval-1)))
+	assert.True(t, core.EntryLookupDue(now.Add(lookupInterval)))
 	assert.False(t, core.EntryLookupDue(now.Add(time.Second)), "warm again")
 
 	later := now.Add(time.Minute)
@@ -187,15 +187,15 @@
 // Entries that are asked for after a long time are taken for as many as after a start: a request that
 // does not wait for the answer does not take a server's whole limit for its own entry's.
 func TestEntriesAskedForAfterLongAreManyAtTheLeast(t *testing.T) {
-	members := newMembers("entry-1", epoch)
+	members := newMemberSet("entry-1", epoch)
 	later := epoch.Add(time.Hour)
-	members.asking = true
+	members.lookupPending = true
 	cautious := members.share("a1", 32, later)
 	assert.LessOrEqual(t, cautious, 2)
-	members.look([]string{"entry-2"}, later)
+	members.update([]string{"entry-2"}, later)
 	known := members.share("a1", 32, later)
 	assert.Greater(t, known, cautious)
-	members.asking = true
-	assert.Equal(t, known, members.share("a1", 32, later.Add(memberMemory)))
-	assert.Equal(t, cautious, members.share("a1", 32, later.Add(memberMemory+1)))
+	members.lookupPending = true
+	assert.Equal(t, known, members.share("a1", 32, later.Add(memberTTL)))
+	assert.Equal(t, cautious, members.share("a1", 32, later.Add(memberTTL+1)))
 }
--- a/coordination/dispatch/core.go
+++ b/coordination/dispatch/core.go
@@ -71,11 +71,11 @@
 	byID      map[string]*Candidate
 	byService map[string][]*Candidate
 	byAddress map[string]*Candidate
-	// words keeps the agents' words by the address of their server.
-	words map[string]heardWord
-	// leastMissing is how many pieces the best prepared machine lacks of each version
+	// reports keeps the agents' words by the address of their server.
+	reports map[string]timedReport
+	// minMissing is how many pieces the best prepared machine lacks of each version
 	// that is being fetched, as of the last decision.
-	leastMissing map[uint64]int
+	minMissing map[uint64]int
 	// learned is what the answers of each service of model servers have shown.
 	learned map[string]*balance.Learned
 	// margins learn the limit of refusals of each service.
@@ -86,29 +86,29 @@
 	regionServers map[string]map[string]int
 	// scarce is, by region, the weight of a place there for the request that is being decided.
 	scarce map[string]float64
-	// usual learns what time callers of each route have left at first attempts, pressures
+	// retryDetectors learns what time callers of each route have left at first attempts, pressures
 	// whether each service is overloaded; both count time since started.
-	usual map[string]*shedding.Usual
+	retryDetectors map[string]*shedding.Usual
 	// targets learns the typical target of each service.
-	targets   map[string]*shedding.Targets
-	pressures map[string]*shedding.Pressure
-	started   time.Time
+	targets           map[string]*shedding.Targets
+	overloadDetectors map[string]*shedding.Pressure
+	started           time.Time
 
 	// health is what answers have shown of the servers' health, in time since started, and
 	// healthChanges what has not been told of it.
 	health        *health.Tracker
 	healthChanges []health.Change
 
-	// bounded are the entries that share what cold servers, and such that name a limit, may receive;
+	// members are the entries that share what cold servers, and such that name a limit, may receive;
 	// boundedTill is until when there is such a server. coldSent and limitedSent count this entry's
 	// requests to them.
-	bounded     *members
-	boundedTill time.Time
+	members     *memberSet
+	limitsUntil time.Time
 	coldSent    uint64
 	limitedSent uint64
-	// kept is what is held of servers that are not listed any more.
-	kept     map[string]keptServer
-	emptying emptying
+	// retained is what is held of servers that are not listed any more.
+	retained map[string]retainedServer
+	draining zoneDrain
 }
 
 // New returns a core that knows no servers yet.
@@ -116,11 +116,11 @@
 	return &Core{
 		zone: options.Zone, regions: options.Regions, policy: options.Policy, random: options.Random, shuffle: options.Shuffle,
 		byID: map[string]*Candidate{}, byService: map[string][]*Candidate{}, byAddress: map[string]*Candidate{},
-		words: map[string]heardWord{}, leastMissing: map[uint64]int{},
+		reports: map[string]timedReport{}, minMissing: map[uint64]int{},
 		learned: map[string]*balance.Learned{}, margins: map[string]*balance.Margin{},
 		demands: map[regionalService]*residency.Demand{}, scarce: map[string]float64{},
-		usual: map[string]*shedding.Usual{}, targets: map[string]*shedding.Targets{}, pressures: map[string]*shedding.Pressure{}, started: options.Started, health: health.New(options.Self),
-		bounded: newMembers(options.Self, options.Started), kept: map[string]keptServer{}, emptying: newEmptying(),
+		retryDetectors: map[string]*shedding.Usual{}, targets: map[string]*shedding.Targets{}, overloadDetectors: map[string]*shedding.Pressure{}, started: options.Started, health: health.New(options.Self),
+		members: newMemberSet(options.Self, options.Started), retained: map[string]retainedServer{}, draining: newZoneDrain(),
 	}
 }
 
--- a/coordination/dispatch/dispatch_test.go
+++ b/coordination/dispatch/dispatch_test.go
@@ -25,7 +25,7 @@
 func modelServer(now time.Time, missing int) *Candidate {
 	return &Candidate{
 		ID: "i-1", listing: listing{server: Server{Slots: 16}},
-		word: agentWord{heardWord: heardWord{LoadReport: LoadReport{Reachable: true, Version: 1, MissingPieces: missing}, at: now}},
+		report: agentReport{timedReport: timedReport{LoadReport: LoadReport{Reachable: true, Version: 1, MissingPieces: missing}, at: now}},
 	}
 }
 
--- a/coordination/dispatch/evacuation.go
+++ b/coordination/dispatch/evacuation.go
@@ -9,31 +9,31 @@
 // on to their end.
 func (c *Core) Evacuated(zone string) bool { return c.evacuated[zone] }
 
-// emptying follows how the zones that are evacuated become idle: the requests of this entry
+// zoneDrain follows how the zones that are evacuated become idle: the requests of this entry
 // that are open there run to their ends.
-type emptying struct {
+type zoneDrain struct {
 	// since tells when this entry heard of the evacuation of each zone in which it has requests
 	// open; the zone is left out once they have ended.
 	since map[string]time.Time
-	// took is how long the last such request of a zone took, as of its newest evacuation. Zones
+	// drainTimes is how long the last such request of a zone took, as of its newest evacuation. Zones
 	// that have no server when they are evacuated are left out, as misspelt ones, and a zone
 	// that is in use is dropped with its last server.
-	took map[string]time.Duration
+	drainTimes map[string]time.Duration
 }
 
-func newEmptying() emptying {
-	return emptying{since: map[string]time.Time{}, took: map[string]time.Duration{}}
+func newZoneDrain() zoneDrain {
+	return zoneDrain{since: map[string]time.Time{}, drainTimes: map[string]time.Duration{}}
 }
 
 // begin notes that a zone of a number of servers is evacuated in which a number of requests are
 // open.
-func (e *emptying) begin(zone string, servers, inFlight int, now time.Time) {
-	delete(e.took, zone)
+func (e *zoneDrain) begin(zone string, servers, inFlight int, now time.Time) {
+	delete(e.drainTimes, zone)
 	if servers == 0 {
 		return
 	}
 	if inFlight == 0 {
-		e.took[zone] = 0
+		e.drainTimes[zone] = 0
 		return
 	}
 	e.since[zone] = now
@@ -43,13 +43,13 @@
 // was asked before. Requests at servers that are listed no more are not counted.
 func (c *Core) NewlyIdleZones(now time.Time) []Change {
 	var emptied []Change
-	for zone, since := range c.emptying.since {
+	for zone, since := range c.draining.since {
 		servers, inFlight := c.zoneCounts(zone)
 		if inFlight > 0 {
 			continue
 		}
-		delete(c.emptying.since, zone)
-		c.emptying.took[zone] = now.Sub(since)
+		delete(c.draining.since, zone)
+		c.draining.drainTimes[zone] = now.Sub(since)
 		emptied = append(emptied, Change{Kind: ZoneIdle, Zone: zone, Servers: servers, IdleAfter: now.Sub(since)})
 	}
 	return emptied
@@ -62,12 +62,12 @@
 		_, inFlight := c.zoneCounts(zone)
 		open += inFlight
 	}
-	return open, maps.Clone(c.emptying.took)
+	return open, maps.Clone(c.draining.drainTimes)
 }
 
-// noteEvacuations returns which zones a new fleet evacuates, and takes the servers of those
+// updateEvacuations returns which zones a new fleet evacuates, and takes the servers of those
 // that it no longer evacuates for cold ones; the servers are those of the new fleet.
-func (c *Core) noteEvacuations(old Fleet, now time.Time) []Change {
+func (c *Core) updateEvacuations(old Fleet, now time.Time) []Change {
 	var changes []Change
 	before := c.evacuated
 	c.evacuated = make(map[string]bool, len(c.fleet.Evacuated))
@@ -75,26 +75,26 @@
 		c.evacuated[zone] = true
 		if !before[zone] {
 			servers, inFlight := c.zoneCounts(zone)
-			c.emptying.begin(zone, servers, inFlight, now)
+			c.draining.begin(zone, servers, inFlight, now)
 			changes = append(changes, Change{Kind: ZoneEvacuated, Zone: zone, Servers: servers, InFlight: inFlight})
 		}
 	}
 	for _, zone := range old.Evacuated {
 		if !c.evacuated[zone] {
-			delete(c.emptying.since, zone)
+			delete(c.draining.since, zone)
 			c.readmit(zone, now)
 			servers, inFlight := c.zoneCounts(zone)
 			changes = append(changes, Change{Kind: ZoneReadmitted, Zone: zone, Servers: servers, InFlight: inFlight})
 		}
 	}
-	c.dropTimesOfGoneZones()
+	c.dropRemovedZones()
 	return changes
 }
 
-// dropTimesOfGoneZones forgets how long zones took to become idle that are in use and have no
+// dropRemovedZones forgets how long zones took to become idle that are in use and have no
 // servers any more.
-func (c *Core) dropTimesOfGoneZones() {
-	maps.DeleteFunc(c.emptying.took, func(zone string, _ time.Duration) bool {
+func (c *Core) dropRemovedZones() {
+	maps.DeleteFunc(c.draining.drainTimes, func(zone string, _ time.Duration) bool {
 		servers, _ := c.zoneCounts(zone)
 		return servers == 0 && !c.evacuated[zone]
 	})
--- a/coordination/dispatch/fitness_test.go
+++ b/coordination/dispatch/fitness_test.go
@@ -13,17 +13,17 @@
 	now := epoch
 	wanted := &Request{Engine: &Engine{}}
 	changing, empty, unreachable, leaving, ejected := modelServer(now, 0), modelServer(now, 0), modelServer(now, 0), modelServer(now, 0), modelServer(now, 0)
-	changing.word.SwitchPlanned, changing.word.SwitchIn = true, 100*time.Millisecond
-	empty.word.Version = 0
-	unreachable.word.Reachable = false
+	changing.report.SwitchPlanned, changing.report.SwitchIn = true, 100*time.Millisecond
+	empty.report.Version = 0
+	unreachable.report.Reachable = false
 	leaving.listing.server.Draining = true
 	ejected.ID = "i-2"
 	core := testCore("z", nil)
 	core.health.SetServers("s", []string{"i-1", "i-2"})
 	eject(core, ejected, now)
 	for want, server := range map[Eligibility]*Candidate{
-		unfitChanging: changing, unfitEmpty: empty, unfitUnreachable: unreachable, unfitLeaving: leaving, unfitEjected: ejected,
+		excludedSwitching: changing, excludedEmpty: empty, excludedUnreachable: unreachable, excludedLeaving: leaving, excludedEjected: ejected,
 	} {
-		assert.Equal(t, want, core.fitness(server, wanted, now))
+		assert.Equal(t, want, core.eligibility(server, wanted, now))
 	}
 }
--- a/coordination/dispatch/health_test.go
+++ b/coordination/dispatch/health_test.go
@@ -17,7 +17,7 @@
 	for range 2 {
 		c.Observe(k, Outcome{Outcome: health.Unreached, SentAt: now}, now)
 	}
-	return c.health.View(k.ID, c.since(now)).Left
+	return c.health.View(k.ID, c.elapsed(now)).Left
 }
 
 // A suspect server is left out for requests that can't be repeated or have failed elsewhere, and
@@ -102,7 +102,7 @@
 	s.fleet.Servers[0].Address = "other:1"
 	s.update()
 	eject(s.core, former, s.now)
-	assert.Equal(t, Eligible, s.core.fitness(s.candidate("a1"), s.request(), s.now))
+	assert.Equal(t, Eligible, s.core.eligibility(s.candidate("a1"), s.request(), s.now))
 }
 
 // A request need not wait on at a server that is out and answers nothing, if it was sent before the
--- a/coordination/dispatch/health_trial_test.go
+++ b/coordination/dispatch/health_trial_test.go
@@ -63,7 +63,7 @@
 	eject(s.core, s.candidate("a1"), s.now)
 	s.fleet.Servers[0].Address = "other:1"
 	s.update()
-	assert.Equal(t, Eligible, s.core.fitness(s.candidate("a1"), s.request(), s.now))
+	assert.Equal(t, Eligible, s.core.eligibility(s.candidate("a1"), s.request(), s.now))
 }
 
 // A trial goes nowhere that an ordinary request may not go.
--- a/coordination/dispatch/lateness.go
+++ b/coordination/dispatch/lateness.go
@@ -25,18 +25,18 @@
 	excessAt time.Time
 }
 
-// faded is what is left of the past lateness, in nanoseconds.
-func (l *lateness) faded(now time.Time) float64 {
+// decayed is what is left of the past lateness, in nanoseconds.
+func (l *lateness) decayed(now time.Time) float64 {
 	if l.excessAt.IsZero() {
 		return 0
 	}
 	return float64(l.excess) * math.Exp2(-float64(now.Sub(l.excessAt))/float64(latenessHalfLife))
 }
 
-// noteBegun notes that a request has begun, or ended without that, which was expected to begin
+// recordStart notes that a request has begun, or ended without that, which was expected to begin
 // when due.
-func (l *lateness) noteBegun(due, now time.Time) {
-	past := l.faded(now)
+func (l *lateness) recordStart(due, now time.Time) {
+	past := l.decayed(now)
 	l.excess = time.Duration((1-latenessWeight)*past + latenessWeight*float64(max(0, now.Sub(due))))
 	l.excessAt = now
 }
@@ -44,9 +44,9 @@
 // lateBy is how much later than predicted the server begins requests: the
 // longest delay of one that is still waited for, or the faded mean of past ones.
 func (k *Candidate) lateBy(now time.Time) time.Duration {
-	late := time.Duration(k.lateness.faded(now))
-	for _, one := range k.sends.unbegun {
-		late = max(late, now.Sub(one.due))
+	late := time.Duration(k.lateness.decayed(now))
+	for _, one := range k.sends.pending {
+		late = max(late, now.Sub(one.expectedAt))
 	}
 	if late < latenessGrace {
 		return 0
--- a/coordination/dispatch/learning.go
+++ b/coordination/dispatch/learning.go
@@ -20,19 +20,19 @@
 
 // learnedOf returns what is learned of a service.
 func (c *Core) learnedOf(service string) *balance.Learned {
-	return held(c.learned, service)
+	return getOrCreate(c.learned, service)
 }
 
 // marginOf returns the margin of a service's refusals.
 func (c *Core) marginOf(service string) *balance.Margin {
-	return held(c.margins, service)
+	return getOrCreate(c.margins, service)
 }
 
 // learnMargin notes how much later than expected a request has begun, if it was expected
 // near the limit.
 func (c *Core) learnMargin(send *Send, now time.Time) {
 	if share := c.policy.InTimeShare; share > 0 && send.nearLimit {
-		c.marginOf(send.service).Observe(now.Sub(send.due), send.target, share)
+		c.marginOf(send.service).Observe(now.Sub(send.expectedAt), send.target, share)
 	}
 }
 
--- a/coordination/dispatch/limit_test.go
+++ b/coordination/dispatch/limit_test.go
@@ -83,9 +83,9 @@
 					tick = 100 * time.Millisecond
 				}
 				f.asks(40*time.Second, tick, rate)
-				most, used := f.mostIn(limitSeconds*time.Second), float64(len(f.arrived))/(40*rate)
+				most, used := f.mostIn(limitWindowSeconds*time.Second), float64(len(f.arrived))/(40*rate)
 				t.Logf("most in 4 s: %d, used: %.2f", most, used)
-				assert.LessOrEqual(t, float64(most), 1.5*limitSeconds*rate+5)
+				assert.LessOrEqual(t, float64(most), 1.5*limitWindowSeconds*rate+5)
 				assert.GreaterOrEqual(t, used, 0.7)
 				assert.LessOrEqual(t, used, 1.5)
 			})
@@ -96,14 +96,14 @@
 // What was sent before the limit was heard counts: the first seconds after it hold it too.
 func TestRequestsBeforeALimitWasNamedCount(t *testing.T) {
 	s := newScript(t, "a1")
-	s.core.bounded.started = epoch.Add(-time.Minute)
+	s.core.members.started = epoch.Add(-time.Minute)
 	for range 8 {
 		s.served(s.request(), "a1")
 	}
 	s.core.RecordRateLimit(s.candidate("a1"), 1.5, s.now, s.now)
 	s.at(4 * time.Second)
 	refusal := s.refused(s.request(), RefusedNoServer)
-	assert.Equal(t, 1, refusal.Servers[unfitLimited])
+	assert.Equal(t, 1, refusal.Servers[excludedRateLimited])
 	assert.Equal(t, 200*time.Millisecond, refusal.RetryAfter, "when the window has room")
 	s.at(4200 * time.Millisecond)
 	s.served(s.request(), "a1")
@@ -118,22 +118,22 @@
 	require.True(t, s.core.RecordRateLimit(k, 2, s.now, s.now).Changed)
 	s.at(1100 * time.Millisecond)
 	s.core.RecordNoRateLimit(k, epoch.Add(900*time.Millisecond), s.now)
-	assert.True(t, k.limit.inForce(), "sent before")
+	assert.True(t, k.rateLimit.inForce(), "sent before")
 	s.core.RecordRateLimit(k, 9, epoch.Add(900*time.Millisecond), s.now)
-	assert.InDelta(t, 2, k.limit.perSecond, 0, "an older rate")
+	assert.InDelta(t, 2, k.rateLimit.perSecond, 0, "an older rate")
 	s.core.RecordRateLimit(k, 1, epoch.Add(900*time.Millisecond), s.now)
-	assert.InDelta(t, 1, k.limit.perSecond, 0, "a lower one holds: whether it is older can't be told")
+	assert.InDelta(t, 1, k.rateLimit.perSecond, 0, "a lower one holds: whether it is older can't be told")
 	s.at(2 * time.Second)
 	news := s.core.RecordNoRateLimit(k, epoch.Add(1900*time.Millisecond), s.now)
 	assert.True(t, news.Changed)
-	assert.False(t, k.limit.inForce())
+	assert.False(t, k.rateLimit.inForce())
 }
 
 // The line of a server lapses and comes again: its limit and what it was sent hold on. Another life of the
 // server has neither.
 func TestLimitOutlastsItsServersLine(t *testing.T) {
 	s := newScript(t, "a1")
-	s.core.bounded.started = epoch.Add(-time.Minute)
+	s.core.members.started = epoch.Add(-time.Minute)
 	s.core.RecordRateLimit(s.candidate("a1"), 0.25, s.now, s.now)
 	s.served(s.request(), "a1")
 	lines := s.fleet.Servers
@@ -142,13 +142,13 @@
 	s.at(2 * time.Second)
 	s.fleet.Servers = lines
 	s.update()
-	assert.Equal(t, 1, s.refused(s.request(), RefusedNoServer).Servers[unfitLimited])
+	assert.Equal(t, 1, s.refused(s.request(), RefusedNoServer).Servers[excludedRateLimited])
 	s.fleet.Servers[0].StartTime = 5
 	s.update()
 	s.fleet.Servers[0].StartTime = 6
 	s.update()
 	s.served(s.request(), "a1")
-	assert.False(t, s.candidate("a1").limit.inForce())
+	assert.False(t, s.candidate("a1").rateLimit.inForce())
 }
 
 // A limit of nothing leaves one request in four seconds over all entries, which finds out when it is over;
@@ -158,10 +158,10 @@
 		f := newLimitedFleet(entries)
 		f.named(0)
 		f.asks(30*time.Second, 100*time.Millisecond, 0)
-		assert.LessOrEqual(t, f.mostIn(limitSeconds*time.Second), 5, "%d entries", entries)
-		f.asks(time.Duration(entries+1)*tryTurn(0), 500*time.Millisecond, -1)
+		assert.LessOrEqual(t, f.mostIn(limitWindowSeconds*time.Second), 5, "%d entries", entries)
+		f.asks(time.Duration(entries+1)*probeInterval(0), 500*time.Millisecond, -1)
 		for _, core := range f.entries {
-			assert.False(t, core.byID["only"].limit.inForce(), "%d entries", entries)
+			assert.False(t, core.byID["only"].rateLimit.inForce(), "%d entries", entries)
 		}
 	}
 }
@@ -179,7 +179,7 @@
 		if index < len(f.entries) {
 			continue
 		}
-		core.bounded = newMembers(fmt.Sprintf("entry-%d", index), f.now)
+		core.members = newMemberSet(fmt.Sprintf("entry-%d", index), f.now)
 		core.RecordRateLimit(core.byID["only"], rate, f.now, f.now)
 		f.entries = append(f.entries, core)
 	}
@@ -190,9 +190,9 @@
 	f.knowEachOther(f.entries[:6])
 	f.knowEachOther(f.entries[6:])
 	f.asks(30*time.Second, 20*time.Millisecond, rate)
-	most := f.mostIn(limitSeconds * time.Second)
+	most := f.mostIn(limitWindowSeconds * time.Second)
 	t.Logf("most in 4 s: %d", most)
-	assert.LessOrEqual(t, float64(most), 1.5*limitSeconds*rate+5)
+	assert.LessOrEqual(t, float64(most), 1.5*limitWindowSeconds*rate+5)
 }
 
 // Guards against a fleet of entries that hear of a limit before they know each other, as they do: who they are is
@@ -200,12 +200,12 @@
 func TestEntriesThatHearOfALimitBeforeTheyKnowEachOther(t *testing.T) {
 	f := newLimitedFleet(90)
 	for index, core := range f.entries {
-		core.bounded = newMembers(fmt.Sprintf("entry-%d", index), epoch.Add(-2*settleTime))
+		core.members = newMemberSet(fmt.Sprintf("entry-%d", index), epoch.Add(-2*settleTime))
 	}
 	f.named(1.4)
 	f.knowEachOther(f.entries)
 	f.asks(40*time.Second, 100*time.Millisecond, 1.4)
-	assert.LessOrEqual(t, f.mostIn(limitSeconds*time.Second), 13)
+	assert.LessOrEqual(t, f.mostIn(limitWindowSeconds*time.Second), 13)
 }
 
 // knowEachOther tells some entries of each other, and of no others.
@@ -214,7 +214,7 @@
 		var others []string
 		for _, other := range some {
 			if other != core {
-				others = append(others, other.bounded.self)
+				others = append(others, other.members.self)
 			}
 		}
 		core.SetEntries(others, f.now)
--- a/coordination/dispatch/list.go
+++ b/coordination/dispatch/list.go
@@ -44,42 +44,42 @@
 func (c *Core) Update(fleet Fleet, now time.Time) []Change {
 	old := c.fleet
 	c.fleet = fleet
-	c.expireKept(now)
+	c.expireRetained(now)
 	var changes []Change
 	present := make(map[string]bool, len(fleet.Servers))
 	c.byService = map[string][]*Candidate{}
 	c.byAddress = make(map[string]*Candidate, len(fleet.Servers))
 	for _, server := range fleet.Servers {
 		present[server.ID] = true
-		if known := c.byID[server.ID]; known != nil && known.elsewhere(server) {
-			ended := c.forget(known, now)
+		if known := c.byID[server.ID]; known != nil && known.isOther(server) {
+			ended := c.remove(known, now)
 			if known.listing.server.StartTime.Differs(server.StartTime) {
 				ended.Kind = ServerRestarted
 			}
 			changes = append(changes, ended)
-			c.health.Renew(server.ID, c.since(now))
+			c.health.Renew(server.ID, c.elapsed(now))
 			// What its former incarnation was sent, and what was told of that, is over.
-			delete(c.kept, server.ID)
-			if c.words[server.Address].StartTime != server.StartTime {
-				delete(c.words, server.Address)
+			delete(c.retained, server.ID)
+			if c.reports[server.Address].StartTime != server.StartTime {
+				delete(c.reports, server.Address)
 			}
 		}
 		known := c.candidateOf(server, now)
-		if !known.listing.server.Draining && !known.asked.leaving && server.Draining {
+		if !known.listing.server.Draining && !known.notices.leaving && server.Draining {
 			changes = append(changes, Change{Kind: ServerLeaving, Candidate: known, InFlight: known.sends.inFlight})
 		}
 		known.listing.server = server
 		known.coldTime = c.coldTime(server.Service)
 		known.version = max(known.version, server.Version)
 		c.byService[server.Service] = append(c.byService[server.Service], known)
-		if ended := c.holdAddress(known); ended != nil {
+		if ended := c.claimAddress(known); ended != nil {
 			changes = append(changes, Change{Kind: AddressTaken, Candidate: ended, InFlight: ended.sends.inFlight})
 		}
 	}
-	changes = append(changes, c.drop(present, now)...)
+	changes = append(changes, c.dropUnlisted(present, now)...)
 	c.updateHealth(old)
-	changes = append(changes, c.noteEvacuations(old, now)...)
-	c.findBoundedTill()
+	changes = append(changes, c.updateEvacuations(old, now)...)
+	c.updateLimitsUntil()
 	c.countRegions()
 	return append(changes, c.NewlyIdleZones(now)...)
 }
@@ -87,31 +87,31 @@
 // Leaving reports whether a server is to be sent nothing more, because its line or an answer has said so, it is
 // listed no more, or has ended.
 func (c *Core) Leaving(k *Candidate) bool {
-	return k.listing.server.Draining || k.asked.leaving || k.listing.gone
+	return k.listing.server.Draining || k.notices.leaving || k.listing.removed
 }
 
-// elsewhere reports whether a line is that of another server with the same name, or of another life
+// isOther reports whether a line is that of another server with the same name, or of another life
 // of the server.
-func (k *Candidate) elsewhere(server Server) bool {
+func (k *Candidate) isOther(server Server) bool {
 	return k.Zone != server.Zone || k.Address != server.Address || k.listing.server.StartTime.Differs(server.StartTime)
 }
 
-// drop forgets the servers that are not listed any more.
-func (c *Core) drop(present map[string]bool, now time.Time) []Change {
+// dropUnlisted forgets the servers that are not listed any more.
+func (c *Core) dropUnlisted(present map[string]bool, now time.Time) []Change {
 	var gone []Change
 	for id, known := range c.byID {
 		if !present[id] {
-			gone = append(gone, c.forget(known, now))
+			gone = append(gone, c.remove(known, now))
 		}
 	}
 	slices.SortFunc(gone, func(a, b Change) int { return cmp.Compare(a.Candidate.ID, b.Candidate.ID) })
 	return gone
 }
 
-// forget drops one server.
-func (c *Core) forget(known *Candidate, now time.Time) Change {
-	known.listing.gone = true
-	c.keep(known, now)
+// remove drops one server.
+func (c *Core) remove(known *Candidate, now time.Time) Change {
+	known.listing.removed = true
+	c.retain(known, now)
 	delete(c.byID, known.ID)
 	return Change{Kind: ServerRemoved, Candidate: known, InFlight: known.sends.inFlight}
 }
@@ -122,31 +122,31 @@
 	if known != nil {
 		return known
 	}
-	known = &Candidate{ID: server.ID, Address: server.Address, Zone: server.Zone, listing: listing{since: now}}
+	known = &Candidate{ID: server.ID, Address: server.Address, Zone: server.Zone, listing: listing{firstListed: now}}
 	c.restore(known, server)
 	c.byID[server.ID] = known
-	if told, heard := c.words[server.Address]; heard && !told.StartTime.Before(server.StartTime) {
-		known.word.heardWord = told
+	if told, heard := c.reports[server.Address]; heard && !told.StartTime.Before(server.StartTime) {
+		known.report.timedReport = told
 	}
 	return known
 }
 
-// holdAddress notes who has an address now: of several servers that are listed with
+// claimAddress notes who has an address now: of several servers that are listed with
 // it, the one whose line is the newest. The others have ended, and the list will
 // drop them; one that is found so is returned.
-func (c *Core) holdAddress(known *Candidate) (ended *Candidate) {
+func (c *Core) claimAddress(known *Candidate) (ended *Candidate) {
 	holder := c.byAddress[known.Address]
 	if holder == nil || holder.listing.server.Revision < known.listing.server.Revision {
 		c.byAddress[known.Address] = known
-		known.listing.gone = known.listing.superseded
+		known.listing.removed = known.listing.superseded
 		holder, known = known, holder
 	}
 	if known == nil {
 		return nil
 	}
-	known.listing.gone = true
-	if told, heard := c.words[holder.Address]; heard && holder.word.at.IsZero() && !told.StartTime.Before(holder.listing.server.StartTime) {
-		holder.word.heardWord = told
+	known.listing.removed = true
+	if told, heard := c.reports[holder.Address]; heard && holder.report.at.IsZero() && !told.StartTime.Before(holder.listing.server.StartTime) {
+		holder.report.timedReport = told
 	}
 	return known
 }
@@ -154,7 +154,7 @@
 // Supersede notes that another server has answered at a server's address, and reports whether
 // that is news.
 func (c *Core) Supersede(k *Candidate) bool {
-	news := !k.listing.gone
-	k.listing.gone, k.listing.superseded = true, true
+	news := !k.listing.removed
+	k.listing.removed, k.listing.superseded = true, true
 	return news
 }
--- a/coordination/dispatch/lost_test.go
+++ b/coordination/dispatch/lost_test.go
@@ -232,11 +232,11 @@
 	eject(s.core, s.candidate("a1"), s.now)
 	failed := s.request()
 	failed.Tried = []*Candidate{s.candidate("a2")}
-	assert.Equal(t, 1, s.refused(failed, RefusedNoServer).Servers[unfitUnreachable])
+	assert.Equal(t, 1, s.refused(failed, RefusedNoServer).Servers[excludedUnreachable])
 	s.served(s.request(), "a2")
 	s.at(300*time.Millisecond + ejectTime)
 	s.agents()
-	assert.Equal(t, 1, s.refused(failed, RefusedNoServer).Servers[unfitUnreachable])
+	assert.Equal(t, 1, s.refused(failed, RefusedNoServer).Servers[excludedUnreachable])
 	assert.True(t, s.goesTo(s.request(), "a1").Trial)
 }
 
--- a/coordination/dispatch/messages.go
+++ b/coordination/dispatch/messages.go
@@ -173,8 +173,8 @@
 	Considered int
 	// Expected is the predicted time until the request begins to be answered.
 	Expected time.Duration
-	// byLoad is the part of it that the server's load explains.
-	byLoad time.Duration
+	// startByLoad is the part of it that the server's load explains.
+	startByLoad time.Duration
 	// Version is the one that the server is known to have; 0 when none is.
 	Version uint64
 	// Trial is set when the request is to show whether a server serves that was ejected, or that the
--- a/coordination/dispatch/prediction.go
+++ b/coordination/dispatch/prediction.go
@@ -14,31 +14,31 @@
 		return balance.Load{Running: own.inFlight}
 	}
 	load := balance.Load{Running: own.inFlight - own.unread, Waiting: own.unread, Unread: float64(own.unreadTokens)}
-	if !k.word.current(now) {
+	if !k.report.current(now) {
 		return load
 	}
-	if !k.word.Reachable {
-		return c.assumed(load, request)
+	if !k.report.Reachable {
+		return c.assumedLoad(load, request)
 	}
-	word := &k.word
-	othersWaiting := max(0, word.Waiting-word.seen.unread)
+	word := &k.report
+	othersWaiting := max(0, word.Waiting-word.ownCounts.unread)
 	load.Waiting += othersWaiting
 	if word.UnreadTokens > 0 {
-		load.Unread += max(0, float64(word.UnreadTokens-word.seen.unreadTokens))
+		load.Unread += max(0, float64(word.UnreadTokens-word.ownCounts.unreadTokens))
 	} else {
 		load.Unread += float64(othersWaiting) * request.Figures.UsualPrompt
 	}
 	load.Running = max(0, k.outstanding(now)-load.Waiting)
 	load.Pace = word.Pace
-	if now.Sub(word.answeredAt) >= answerCurrent {
+	if now.Sub(word.repliedAt) >= replyTTL {
 		c.addUnseen(&load, k, request)
 	}
 	return load
 }
 
-// assumed is the load of a server that its agent does not reach: what that has counted is from before,
+// assumedLoad is the load of a server that its agent does not reach: what that has counted is from before,
 // and each other entry is taken to have as much there as this one.
-func (c *Core) assumed(own balance.Load, request *Request) balance.Load {
+func (c *Core) assumedLoad(own balance.Load, request *Request) balance.Load {
 	factor := 1 + c.policy.UnseenLoad*float64(request.OtherEntries)
 	own.Running = int(math.Round(factor * float64(own.Running)))
 	own.Waiting = int(math.Round(factor * float64(own.Waiting)))
@@ -55,8 +55,8 @@
 		return
 	}
 	count, tokens := 0, 0
-	for _, one := range k.sends.unbegun {
-		if one.sentAt.After(k.word.at) {
+	for _, one := range k.sends.pending {
+		if one.sentAt.After(k.report.at) {
 			count++
 			tokens += one.prompt
 		}
@@ -65,14 +65,14 @@
 	load.Unread += weight * float64(tokens)
 }
 
-// answerCurrent is the age up to which an agent's answer to a question shows what all
+// replyTTL is the age up to which an agent's answer to a question shows what all
 // entries have sent: in it, one of the questions of others reaches a busy server.
-const answerCurrent = 20 * time.Millisecond
+const replyTTL = 20 * time.Millisecond
 
 // model describes the server to the predictions.
 func (k *Candidate) model(request *Request) balance.Server {
 	if request.Engine == nil {
-		return balance.Server{Slots: max(1, k.listing.server.Slots), WholeMilliseconds: max(k.answers.meanMilliseconds, leastMilliseconds)}
+		return balance.Server{Slots: max(1, k.listing.server.Slots), WholeMilliseconds: max(k.answerTimes.meanMilliseconds, minMilliseconds)}
 	}
 	server := request.Figures
 	if k.listing.server.Slots > 0 {
@@ -81,31 +81,31 @@
 	return server
 }
 
-// leastMilliseconds is assumed of a plain server that has answered nothing yet.
-const leastMilliseconds = 20
+// minMilliseconds is assumed of a plain server that has answered nothing yet.
+const minMilliseconds = 20
 
 // firstEvent predicts when the server would begin the request: what its load
 // says, and how much later than that it has lately begun others.
 func (c *Core) firstEvent(k *Candidate, request *Request, now time.Time) time.Duration {
-	return c.byLoad(k, request, now) + c.delay(k, now)
+	return c.startByLoad(k, request, now) + c.startDelay(k, now)
 }
 
 // wait predicts how long the server would have the request wait for others: by its load, and by how late it has lately
 // begun them.
 func (c *Core) wait(k *Candidate, request *Request, now time.Time) time.Duration {
-	return k.model(request).Wait(c.load(k, request, now)) + c.delay(k, now)
+	return k.model(request).Wait(c.load(k, request, now)) + c.startDelay(k, now)
 }
 
-// byLoad is when the server would begin the request by its load alone.
-func (c *Core) byLoad(k *Candidate, request *Request, now time.Time) time.Duration {
+// startByLoad is when the server would begin the request by its load alone.
+func (c *Core) startByLoad(k *Candidate, request *Request, now time.Time) time.Duration {
 	return k.model(request).FirstEvent(c.load(k, request, now), request.Prompt)
 }
 
-// delay is how much later than that the server has lately begun others, or the time of its link.
-func (c *Core) delay(k *Candidate, now time.Time) time.Duration {
+// startDelay is how much later than that the server has lately begun others, or the time of its link.
+func (c *Core) startDelay(k *Candidate, now time.Time) time.Duration {
 	late := time.Duration(c.policy.Lateness * float64(k.lateBy(now)))
-	if k.word.current(now) {
-		late = max(late, k.word.LinkRTT)
+	if k.report.current(now) {
+		late = max(late, k.report.LinkRTT)
 	}
 	return late
 }
--- a/coordination/dispatch/prediction_test.go
+++ b/coordination/dispatch/prediction_test.go
@@ -34,7 +34,7 @@
 	}
 	assert.Equal(t, 2, sent, "nine entries with two requests each make 600 ms of reading")
 	core.ApplyReport(LoadReport{Address: "10.0.0.1:1", Reachable: true, Version: 1, Running: 2}, now)
-	require.Equal(t, server.word.at, now)
+	require.Equal(t, server.report.at, now)
 	_, refusal := core.Choose(wanted, now)
 	assert.Nil(t, refusal, "the next word tells how much it was")
 }
@@ -57,7 +57,7 @@
 	core := testCore("z", nil)
 	wanted := withFigures(Request{}, &Engine{Published: balance.Server{ReadPerSecond: 20000}})
 	sound, narrow := modelServer(now, 0), modelServer(now, 0)
-	narrow.word.LinkRTT = 900 * time.Millisecond
+	narrow.report.LinkRTT = 900 * time.Millisecond
 	assert.Equal(t, 900*time.Millisecond, core.firstEvent(narrow, wanted, now)-core.firstEvent(sound, wanted, now))
 }
 
@@ -66,7 +66,7 @@
 func TestLatenessFades(t *testing.T) {
 	now := epoch
 	core, server := testCore("z", nil), modelServer(now, 0)
-	waiting := &Send{candidate: server, engine: &Engine{}, due: now.Add(-2 * time.Second)}
+	waiting := &Send{candidate: server, engine: &Engine{}, expectedAt: now.Add(-2 * time.Second)}
 	server.sends.add(waiting)
 	assert.InDelta(t, 2, server.lateBy(now).Seconds(), 0.01)
 	core.EndPrefill(waiting, false, now)
--- a/coordination/dispatch/property_test.go
+++ b/coordination/dispatch/property_test.go
@@ -31,7 +31,7 @@
 	core  *Core
 	now   time.Time
 	fleet Fleet
-	words map[string]heardWord
+	words map[string]timedReport
 	open  []Decision
 	// sentCold are the times of this entry's sends to each server while it was cold by its line.
 	sentCold map[string][]time.Time
@@ -48,7 +48,7 @@
 func newGenerated(t *rapid.T) *generated {
 	seed := rapid.Uint64().Draw(t, "seed")
 	random := rand.New(rand.NewPCG(seed, 1))
-	g := &generated{T: t, now: epoch, words: map[string]heardWord{}, sentCold: map[string][]time.Time{}, answeredAt: map[string]time.Time{}, lostAt: map[string]time.Time{}, triedAt: map[string]time.Time{}}
+	g := &generated{T: t, now: epoch, words: map[string]timedReport{}, sentCold: map[string][]time.Time{}, answeredAt: map[string]time.Time{}, lostAt: map[string]time.Time{}, triedAt: map[string]time.Time{}}
 	g.core = New(Options{
 		Zone: "a", Regions: map[string]string{"a": "north", "b": "south"}, Policy: testPolicy(), Self: "entry-0",
 		Started: epoch.Add(-time.Minute), Random: random.Float64, Shuffle: random.Shuffle,
@@ -99,7 +99,7 @@
 		if before, heard := g.words[word.Address]; !word.Reachable && (!heard || before.Reachable) {
 			g.lostAt[word.Address] = at
 		}
-		g.words[word.Address] = heardWord{LoadReport: word, at: at}
+		g.words[word.Address] = timedReport{LoadReport: word, at: at}
 	}
 }
 
@@ -166,7 +166,7 @@
 		assert.NotEmpty(g, region)
 	}
 	told, heard := g.words[server.Address]
-	if !heard || g.now.Sub(told.at) >= wordCurrent {
+	if !heard || g.now.Sub(told.at) >= reportTTL {
 		return false
 	}
 	// An answer of the server itself, since its agent has lost it, outweighs the agent for two seconds.
@@ -212,7 +212,7 @@
 		if one.ID == chosen.ID || one.Draining || slices.Contains(g.fleet.Evacuated, one.Zone) {
 			return false
 		}
-		if told, heard := g.words[one.Address]; heard && g.now.Sub(told.at) < wordCurrent {
+		if told, heard := g.words[one.Address]; heard && g.now.Sub(told.at) < reportTTL {
 			return told.Reachable && told.Version != 0
 		}
 		return one.HoldsModel
@@ -287,8 +287,8 @@
 		for _, one := range g.core.Describe(g.now) {
 			assert.Zero(t, one.InFlight)
 			known := g.core.byID[one.Server.ID]
-			assert.Equal(t, counts{}, counts{unread: known.sends.unread, unreadTokens: known.sends.unreadTokens, inFlight: known.sends.inFlight})
-			assert.Empty(t, known.sends.unbegun)
+			assert.Equal(t, loadCounts{}, loadCounts{unread: known.sends.unread, unreadTokens: known.sends.unreadTokens, inFlight: known.sends.inFlight})
+			assert.Empty(t, known.sends.pending)
 		}
 	})
 }
--- a/coordination/dispatch/refusal.go
+++ b/coordination/dispatch/refusal.go
@@ -21,17 +21,17 @@
 
 // Times until servers serve again.
 const (
-	// changeTime is how long a server takes to change over, as long as nobody knows
+	// switchTime is how long a server takes to change over, as long as nobody knows
 	// better.
-	changeTime = 800 * time.Millisecond
-	// emptyTime is told while no agent has said how its transfer goes.
-	emptyTime = 1500 * time.Millisecond
+	switchTime = 800 * time.Millisecond
+	// unknownTransferTime is told while no agent has said how its transfer goes.
+	unknownTransferTime = 1500 * time.Millisecond
 )
 
-// hasFreePlace reports whether a plain server could begin the request now. That its
+// hasFreeSlot reports whether a plain server could begin the request now. That its
 // last answers came late is then no reason to refuse: they may have been held up on
 // the way, and without further requests nothing would show that it is past.
-func (k *Candidate) hasFreePlace(request *Request) bool {
+func (k *Candidate) hasFreeSlot(request *Request) bool {
 	return request.Engine == nil && k.sends.inFlight < k.listing.server.Slots
 }
 
@@ -43,30 +43,30 @@
 	if request.Resumed || len(request.Tried) > 0 || c.admits(best, request, now) {
 		return best, nil
 	}
-	best = c.soonestOf(usable, request, now)
+	best = c.soonest(usable, request, now)
 	if c.admits(best, request, now) {
 		return best, nil
 	}
-	if scarce := c.soonestOf(c.scarceOf(all), request, now); scarce != nil && c.admits(scarce, request, now) {
+	if scarce := c.soonest(c.scarceOf(all), request, now); scarce != nil && c.admits(scarce, request, now) {
 		return scarce, nil
 	}
 	refusal := c.refuse(RefusedOverload, request, now)
 	refusal.Admission = c.admission(best, request, now)
 	refusal.RetryAfter = shedding.Return(refusal.Admission.Wait, refusal.Admission.MaxWait, refusalRetryFloor, refusalRetryCap, request.Arrival)
-	held(c.pressures, request.Service).Refused(now.Sub(c.started), request.Arrival)
+	getOrCreate(c.overloadDetectors, request.Service).Refused(now.Sub(c.started), request.Arrival)
 	return nil, refusal
 }
 
 // admission tells what a request is admitted or refused by at a server.
 func (c *Core) admission(k *Candidate, request *Request, now time.Time) Admission {
 	return Admission{
-		IdleDelay: k.model(request).Alone(request.Prompt), Wait: c.wait(k, request, now), Lateness: c.delay(k, now),
-		MaxWait: c.mostWait(k, request, now), Margin: c.marginOf(request.Service).Share(),
+		IdleDelay: k.model(request).Alone(request.Prompt), Wait: c.wait(k, request, now), Lateness: c.startDelay(k, now),
+		MaxWait: c.maxWait(k, request, now), Margin: c.marginOf(request.Service).Share(),
 	}
 }
 
-// soonestOf returns the first of some servers that would begin a request soonest; nil without any.
-func (c *Core) soonestOf(usable []*Candidate, request *Request, now time.Time) (best *Candidate) {
+// soonest returns the first of some servers that would begin a request soonest; nil without any.
+func (c *Core) soonest(usable []*Candidate, request *Request, now time.Time) (best *Candidate) {
 	var soonest time.Duration
 	for _, candidate := range usable {
 		if expected := c.firstEvent(candidate, request, now); best == nil || expected < soonest {
@@ -79,14 +79,14 @@
 // refuse tells which servers fall out for which reason, and when the first is open of those that only what
 // they have asked for keeps from the request.
 func (c *Core) refuse(reason RefusalReason, request *Request, now time.Time) *Refusal {
-	refusal := &Refusal{Reason: reason, Servers: map[Eligibility]int{}, opensIn: longestClosed}
+	refusal := &Refusal{Reason: reason, Servers: map[Eligibility]int{}, opensIn: maxClosedTime}
 	for _, candidate := range c.byService[request.Service] {
-		unfit := c.fitness(candidate, request, now)
+		unfit := c.eligibility(candidate, request, now)
 		refusal.Servers[unfit]++
-		if unfit.asked() {
+		if unfit.byNotice() {
 			refusal.opensIn = min(refusal.opensIn, c.opensIn(candidate, now))
 		}
-		refusal.OldestReport = max(refusal.OldestReport, candidate.word.age(now))
+		refusal.OldestReport = max(refusal.OldestReport, candidate.report.age(now))
 	}
 	return refusal
 }
@@ -95,12 +95,12 @@
 // the allowed regions is expected.
 func (c *Core) noServer(request *Request, now time.Time) *Refusal {
 	reason := RefusedNoServer
-	if c.residencyDecides(request, now) {
+	if c.residencyExcludes(request, now) {
 		reason = RefusedResidency
 	}
 	refusal := c.refuse(reason, request, now)
 	refusal.RetryAfter = c.soonestReady(request, now)
-	if refusal.anyAsked() {
+	if refusal.anyByNotice() {
 		refusal.RetryAfter = max(refusal.opensIn, refusalRetryFloor)
 	}
 	if !request.Residency.AnyOf(c.regions) {
@@ -116,13 +116,13 @@
 	if engine == nil || engine.Pieces == 0 {
 		return NoServerRetry
 	}
-	soonest := emptyTime + engine.CopyTime/2
-	for _, told := range c.words {
-		if !told.Reachable || now.Sub(told.at) > wordCurrent || !c.allowedAt(told.Address, request.Residency) {
+	soonest := unknownTransferTime + engine.CopyTime/2
+	for _, told := range c.reports {
+		if !told.Reachable || now.Sub(told.at) > reportTTL || !c.allowedAt(told.Address, request.Residency) {
 			continue
 		}
 		left := engine.CopyTime * time.Duration(told.MissingPieces) / time.Duration(engine.Pieces)
-		soonest = min(soonest, left+engine.ActivationTime+changeTime/2)
+		soonest = min(soonest, left+engine.ActivationTime+switchTime/2)
 	}
 	return max(soonest, refusalRetryFloor)
 }
--- a/coordination/dispatch/refusal_test.go
+++ b/coordination/dispatch/refusal_test.go
@@ -12,7 +12,7 @@
 func TestSlowAnswersOfAnIdlePlainServerAreNoOverload(t *testing.T) {
 	now := epoch
 	core := testCore("z", nil)
-	server := &Candidate{ID: "p-1", listing: listing{server: Server{Slots: 6}}, answers: answers{meanMilliseconds: 900}}
+	server := &Candidate{ID: "p-1", listing: listing{server: Server{Slots: 6}}, answerTimes: answerTimes{meanMilliseconds: 900}}
 	core.byService["plain"] = []*Candidate{server}
 	wanted := &Request{Service: "plain", Target: 120 * time.Millisecond}
 	_, refusal := core.Choose(wanted, now)
--- a/coordination/dispatch/residency.go
+++ b/coordination/dispatch/residency.go
@@ -26,8 +26,8 @@
 	return holder != nil && c.Allowed(holder.Zone, allowed)
 }
 
-// residencyDecides reports whether a server of another region would be sent the request.
-func (c *Core) residencyDecides(request *Request, now time.Time) bool {
+// residencyExcludes reports whether a server of another region would be sent the request.
+func (c *Core) residencyExcludes(request *Request, now time.Time) bool {
 	if !request.Residency.Restrict() {
 		return false
 	}
--- a/coordination/dispatch/restarted_test.go
+++ b/coordination/dispatch/restarted_test.go
@@ -40,7 +40,7 @@
 	assert.NotSame(t, former, fresh)
 	assert.EqualValues(t, 1, fresh.servedVersion(s.now), "an older version")
 	assert.Zero(t, fresh.sends.inFlight, "requests under way at the former incarnation")
-	assert.Equal(t, NoReport, fresh.word.age(s.now), "load and cold as the agent told them")
+	assert.Equal(t, NoReport, fresh.report.age(s.now), "load and cold as the agent told them")
 	assert.False(t, fresh.cold(s.now))
 	s.ends(decision)
 	assert.Zero(t, fresh.sends.inFlight, "they end at the former incarnation")
@@ -54,12 +54,12 @@
 	s.bears("a1", 200, func(server *Server) { server.Version = 1 })
 	s.at(100 * time.Millisecond)
 	s.hear("a1", 0, LoadReport{Version: 2, Running: 3, StartTime: 100})
-	assert.Equal(t, NoReport, s.candidate("a1").word.age(s.now))
+	assert.Equal(t, NoReport, s.candidate("a1").report.age(s.now))
 	s.hear("a1", 0, LoadReport{Version: 1, Running: 1, StartTime: 200})
 	s.at(200 * time.Millisecond)
 	s.hear("a1", 0, LoadReport{Version: 2, Running: 3, StartTime: 100})
 	assert.EqualValues(t, 1, s.candidate("a1").servedVersion(s.now))
-	assert.Equal(t, 1, s.candidate("a1").word.Running)
+	assert.Equal(t, 1, s.candidate("a1").report.Running)
 }
 
 // The agent knows before the list that its server has started again: the former incarnation gets nothing
@@ -73,7 +73,7 @@
 	s.hear("a1", 0, LoadReport{Version: 1, Running: 2, StartTime: 200})
 	s.served(s.request(), "b1")
 	s.bears("a1", 200, nil)
-	assert.Equal(t, 2, s.candidate("a1").word.Running)
+	assert.Equal(t, 2, s.candidate("a1").report.Running)
 	s.served(s.request(), "a1")
 }
 
@@ -87,7 +87,7 @@
 			s.hear("a1", 0, LoadReport{Version: 1, StartTime: told})
 		}
 		s.served(s.request(), "a1")
-		assert.Zero(t, s.candidate("a1").word.age(s.now))
+		assert.Zero(t, s.candidate("a1").report.age(s.now))
 	}
 }
 
@@ -102,9 +102,9 @@
 			s.core.Observe(s.candidate(id), Outcome{Outcome: health.Served, Class: "r", SentAt: s.now}, s.now)
 		}
 	}
-	assert.Equal(t, health.Ejected, s.core.health.State("a1", s.core.since(s.now)))
+	assert.Equal(t, health.Ejected, s.core.health.State("a1", s.core.elapsed(s.now)))
 	s.bears("a1", 200, nil)
-	assert.Equal(t, health.InOrder, s.core.health.State("a1", s.core.since(s.now)))
+	assert.Equal(t, health.InOrder, s.core.health.State("a1", s.core.elapsed(s.now)))
 }
 
 // Two lives between two words, and births that tell nothing: one that is not told, or in the same
@@ -121,5 +121,5 @@
 	assert.NotSame(t, same, s.candidate("a1"))
 	s.at(time.Second)
 	s.hear("a1", 0, LoadReport{Version: 1, Running: 4, StartTime: 200})
-	assert.Equal(t, NoReport, s.candidate("a1").word.age(s.now), "the life between")
+	assert.Equal(t, NoReport, s.candidate("a1").report.age(s.now), "the life between")
 }
--- a/coordination/dispatch/returns_test.go
+++ b/coordination/dispatch/returns_test.go
@@ -21,9 +21,9 @@
 		core.RecordArrival(&Request{Service: "s", Route: "r"}, 6*time.Second, epoch.Add(time.Duration(i)*time.Second))
 	}
 	if refused {
-		held(core.pressures, "s").Refused(now.Sub(epoch), shedding.Arrival{})
+		getOrCreate(core.overloadDetectors, "s").Refused(now.Sub(epoch), shedding.Arrival{})
 	}
-	server.word.Running = 16
+	server.report.Running = 16
 	wanted.Route, wanted.Arrival = "r", core.RecordArrival(&Request{Service: "s", Route: "r"}, left, now)
 	return core, server, wanted, now
 }
@@ -56,21 +56,21 @@
 // heeds, and its refusal shows that there is overload now.
 func TestRefusalForLoadIsPressure(t *testing.T) {
 	core, server, wanted, now := returning(6*time.Second, false)
-	server.word.Waiting = 6
+	server.report.Waiting = 6
 	_, refusal := core.Choose(wanted, now)
 	require.NotNil(t, refusal)
 	assert.Equal(t, RefusedOverload, refusal.Reason)
 	assert.Equal(t, time.Second, refusal.RetryAfter, "the queue alone would have come down sooner")
-	assert.InDelta(t, 0.15, held(core.pressures, "s").Share(now.Sub(epoch), 0.15), 1e-9)
+	assert.InDelta(t, 0.15, getOrCreate(core.overloadDetectors, "s").Share(now.Sub(epoch), 0.15), 1e-9)
 }
 
 // Without a server that could serve a request there is no overload.
 func TestRefusalWithoutAServerIsNoPressure(t *testing.T) {
 	core, server, wanted, now := returning(6*time.Second, false)
-	server.word.Version = 0
+	server.report.Version = 0
 	_, refusal := core.Choose(wanted, now)
 	require.NotNil(t, refusal)
-	assert.InDelta(t, 1, held(core.pressures, "s").Share(now.Sub(epoch), 0.15), 1e-9)
+	assert.InDelta(t, 1, getOrCreate(core.overloadDetectors, "s").Share(now.Sub(epoch), 0.15), 1e-9)
 }
 
 // While a refused caller may be coming back, times left are not taken for usual ones.
@@ -86,7 +86,7 @@
 // Long prompts are granted the time in which an idle server would begin them, also late ones.
 func TestLongPromptsOfLateCallersAreAdmittedAtIdleServers(t *testing.T) {
 	core, server, wanted, now := returning(5*time.Second, true)
-	server.word.Running, wanted.Prompt = 0, 9000
+	server.report.Running, wanted.Prompt = 0, 9000
 	require.Greater(t, wanted.Figures.FirstEvent(balance.Load{}, wanted.Prompt), 300*time.Millisecond)
 	_, refusal := core.Choose(wanted, now)
 	assert.Nil(t, refusal)
@@ -97,8 +97,8 @@
 	core, _, _, now := returning(6*time.Second, false)
 	core.RecordArrival(&Request{Service: "s", Route: "removed"}, 6*time.Second, now)
 	core.RetainRoutes(map[string]bool{"r": true})
-	assert.Len(t, core.usual, 1)
-	assert.Contains(t, core.usual, "r")
+	assert.Len(t, core.retryDetectors, 1)
+	assert.Contains(t, core.retryDetectors, "r")
 }
 
 // Other entries refuse callers while servers are full, and those may come back here: their times
@@ -108,7 +108,7 @@
 		core, server, wanted, now := returning(6*time.Second, false)
 		for range 20 {
 			now = now.Add(200 * time.Millisecond)
-			server.word.Running, server.word.at = running, now
+			server.report.Running, server.report.at = running, now
 			server.sends = ownSends{}
 			_, refusal := core.Choose(wanted, now)
 			require.Nil(t, refusal, name)
@@ -129,7 +129,7 @@
 	core, server, wanted, now := returning(6*time.Second, true)
 	for range 15 {
 		now = now.Add(200 * time.Millisecond)
-		server.word.Running, server.word.at = 19, now
+		server.report.Running, server.report.at = 19, now
 		server.sends = ownSends{}
 		_, refusal := core.Choose(wanted, now)
 		require.Nil(t, refusal)
--- a/coordination/dispatch/scarcity.go
+++ b/coordination/dispatch/scarcity.go
@@ -22,11 +22,11 @@
 // regionalService is a service's part in a region.
 type regionalService struct{ service, region string }
 
-// mostScarcity bounds the cost: well below silentCost, so that a server whose agent has fallen
+// maxScarcityCost bounds the cost: well below silentCost, so that a server whose agent has fallen
 // silent is no way out, however slow the model.
-const mostScarcity = silentCost / 2
+const maxScarcityCost = silentCost / 2
 
-// roomElsewhere is the part of a service's servers outside of a region from which on the region
+// elsewhereRatio is the part of a service's servers outside of a region from which on the region
 // counts as small, with the full cost; below it the cost falls with the square, as the few others
 // can't take what would leave the region. Other ways were played with two, five and eight of ten
 // servers in the region. Without the factor free requests lose 0.06 where eight are (0.94 instead of 0.99
@@ -34,7 +34,7 @@
 // ones lose 0.01 more where five are (0.98 instead of 1.00 at 0.95 of the places, 0.25 bound,
 // agents asked). With one from one half on bound ones gain nothing where five are (0.83 instead of
 // 0.97 at 0.7 of the places, 0.6 bound).
-const roomElsewhere = 0.8
+const elsewhereRatio = 0.8
 
 // onlyRegion is the one region with servers of the service in which a request may be served; false
 // when there are several, or none. Regions that are evacuated wholly count as without servers.
@@ -54,9 +54,9 @@
 	return only, bound
 }
 
-// noteBound notes a request that only one region may serve, when it is first to be sent. A caller
+// recordDemand notes a request that only one region may serve, when it is first to be sent. A caller
 // that comes back after a refusal was counted then.
-func (c *Core) noteBound(request *Request, now time.Time) {
+func (c *Core) recordDemand(request *Request, now time.Time) {
 	if request.Engine == nil || request.Resumed || len(request.Tried) > 0 || request.Arrival.Elapsed > 0 {
 		return
 	}
@@ -66,7 +66,7 @@
 	}
 	ofUsual := float64(request.Prompt) / max(1, request.Figures.UsualPrompt)
 	taken := time.Duration(ofUsual * float64(request.Figures.ServiceTime()))
-	held(c.demands, regionalService{service: request.Service, region: region}).Note(taken, c.since(now))
+	getOrCreate(c.demands, regionalService{service: request.Service, region: region}).Note(taken, c.elapsed(now))
 }
 
 // countRegions counts the servers that each service has in each region, and forgets the demand
@@ -87,10 +87,10 @@
 	})
 }
 
-// findScarcity works out which regions' servers a request had better leave to others, and what a
+// computeScarcity works out which regions' servers a request had better leave to others, and what a
 // place at a full server there weighs. Nothing is scarce for a request that has no choice of
 // regions.
-func (c *Core) findScarcity(request *Request, now time.Time) {
+func (c *Core) computeScarcity(request *Request, now time.Time) {
 	clear(c.scarce)
 	if c.policy.Scarcity == 0 || request.Engine == nil || len(c.demands) == 0 {
 		return
@@ -110,8 +110,8 @@
 		}
 		// Each entry sees its own part of the requests, taken to be an even one.
 		entries := float64(request.OtherEntries + 1)
-		bound := min(1, entries*demand.Servers(c.since(now))/float64(count))
-		room := min(1, float64(all-count)/float64(all)/roomElsewhere)
+		bound := min(1, entries*demand.Servers(c.elapsed(now))/float64(count))
+		room := min(1, float64(all-count)/float64(all)/elsewhereRatio)
 		c.scarce[region] = c.policy.Scarcity * bound * room * room
 	}
 }
@@ -126,8 +126,8 @@
 	model := k.model(request)
 	full := min(1, float64(k.outstanding(now))/float64(max(1, model.Slots)))
 	hold := float64(model.ServiceTime()) * float64(model.Slots)
-	most := mostScarcity
-	if limit := c.limit(request); limit > 0 {
+	most := maxScarcityCost
+	if limit := c.startLimit(request); limit > 0 {
 		most = min(most, limit)
 	}
 	return min(most, time.Duration(share*full*hold))
@@ -161,7 +161,7 @@
 func (c *Core) SingleRegionLoads(now time.Time) []SingleRegionLoad {
 	loads := make([]SingleRegionLoad, 0, len(c.demands))
 	for key, demand := range c.demands {
-		share := demand.Servers(c.since(now)) / float64(max(1, c.regionServers[key.service][key.region]))
+		share := demand.Servers(c.elapsed(now)) / float64(max(1, c.regionServers[key.service][key.region]))
 		loads = append(loads, SingleRegionLoad{Service: key.service, Region: key.region, Utilization: share})
 	}
 	return loads
--- a/coordination/dispatch/script_test.go
+++ b/coordination/dispatch/script_test.go
@@ -116,8 +116,8 @@
 	assert.True(t, s.core.FailureSuspected(s.candidate("a1"), s.now, s.now))
 
 	s.hear("a1", 0, LoadReport{Version: 1, SwitchPlanned: true})
-	assert.Equal(t, 1, s.refused(tried, RefusedNoServer).Servers[unfitChanging])
-	s.at(1300*time.Millisecond + wordCurrent)
+	assert.Equal(t, 1, s.refused(tried, RefusedNoServer).Servers[excludedSwitching])
+	s.at(1300*time.Millisecond + reportTTL)
 	s.goesTo(tried, "a1") // By the version on the list, as nobody knows better.
 }
 
@@ -129,7 +129,7 @@
 	}
 	request := s.request()
 	asked := s.core.QueryTargets(request, nil, s.now)
-	require.Len(t, asked, askedAtOnce)
+	require.Len(t, asked, queriesAtOnce)
 	free := asked[1]
 	answers := []LoadReport{
 		{Address: asked[0].Address, Reachable: true, Version: 1, Running: 16, Waiting: 6, UnreadTokens: 6000},
@@ -142,7 +142,7 @@
 	s.goesTo(request, free.ID)
 	assert.NotContains(t, s.core.QueryTargets(request, asked, s.now), asked[2], "nobody is asked twice for a request")
 	again := s.core.QueryTargets(s.request(), nil, s.now)
-	assert.Equal(t, asked[2], again[askedAtOnce-1], "an agent that has just not answered is asked last")
+	assert.Equal(t, asked[2], again[queriesAtOnce-1], "an agent that has just not answered is asked last")
 }
 
 // A server that is lost after its word: the first attempt fails, the next goes elsewhere, and
@@ -184,7 +184,7 @@
 	s.goesTo(s.request(), "a9")
 	tried := s.request()
 	tried.Tried = []*Candidate{s.candidate("a9")}
-	assert.Equal(t, map[Eligibility]int{unfitLeaving: 1, unfitTried: 1}, s.refused(tried, RefusedNoServer).Servers)
+	assert.Equal(t, map[Eligibility]int{excludedLeaving: 1, excludedTried: 1}, s.refused(tried, RefusedNoServer).Servers)
 
 	s.fleet.Servers = s.fleet.Servers[1:]
 	changes = s.update()
@@ -256,13 +256,13 @@
 	s.hear("a2", 0, LoadReport{Version: 2, FetchingVersion: 3, MissingPieces: 20})
 	s.hear("a3", 0, LoadReport{Version: 3, SwitchPlanned: true, MissingPieces: 80})
 	refusal := s.refused(request, RefusedNoServer)
-	assert.Equal(t, map[Eligibility]int{unfitBound: 2, unfitChanging: 1}, refusal.Servers)
-	assert.Equal(t, 500*time.Millisecond+scriptEngine.ActivationTime+changeTime/2, refusal.RetryAfter)
+	assert.Equal(t, map[Eligibility]int{excludedVersionDeadline: 2, excludedSwitching: 1}, refusal.Servers)
+	assert.Equal(t, 500*time.Millisecond+scriptEngine.ActivationTime+switchTime/2, refusal.RetryAfter)
 
 	resumed := s.request()
 	resumed.VersionDeadlines, resumed.ExactVersion, resumed.Resumed = bounds, 1, true
 	refusal = s.refused(resumed, RefusedNoServer)
-	assert.Equal(t, map[Eligibility]int{unfitBound: 1, unfitVersion: 1, unfitChanging: 1}, refusal.Servers, "a stream goes on only at its own version")
+	assert.Equal(t, map[Eligibility]int{excludedVersionDeadline: 1, excludedVersion: 1, excludedSwitching: 1}, refusal.Servers, "a stream goes on only at its own version")
 }
 
 // A request whose answer would last into a change-over goes to a server that does not change, as
@@ -294,7 +294,7 @@
 	request.Residency = request.Residency.With([]string{"a", "c"})
 	refusal := s.refused(request, RefusedResidency)
 	assert.Equal(t, noRegionRetry, refusal.RetryAfter)
-	assert.Equal(t, map[Eligibility]int{unfitRegion: 3}, refusal.Servers)
+	assert.Equal(t, map[Eligibility]int{excludedRegion: 3}, refusal.Servers)
 	assert.Empty(t, s.core.QueryTargets(request, nil, s.now))
 
 	request.Residency = nil
@@ -305,7 +305,7 @@
 // goes elsewhere, and the share is there again a second later; once warm it has no bound.
 func TestColdShareOfOneEntry(t *testing.T) {
 	s := newScript(t, "a1", "b1")
-	s.core.bounded.started = epoch.Add(-time.Minute)
+	s.core.members.started = epoch.Add(-time.Minute)
 	s.core.SetEntries([]string{"entry-1", "entry-2"}, s.now)
 	s.fleet.Services = map[string]Service{"s": {ColdRate: 10, ColdTime: 3 * time.Second}}
 	s.fleet.Servers[0].ColdUntil = epoch.Add(3 * time.Second)
@@ -340,7 +340,7 @@
 // nothing new begins, and afterwards its servers are cold by the entry's own word.
 func TestEvacuationAndItsReturn(t *testing.T) {
 	s := newScript(t, "a1", "b1")
-	s.core.bounded.started = epoch.Add(-time.Minute)
+	s.core.members.started = epoch.Add(-time.Minute)
 	s.fleet.Services = map[string]Service{"s": {ColdRate: 3, ColdTime: 3 * time.Second}}
 	s.update()
 	s.hear("a1", 0, LoadReport{Version: 1})
@@ -354,7 +354,7 @@
 	assert.Equal(t, []*Candidate{s.candidate("b1")}, s.core.QueryTargets(s.request(), nil, s.now))
 	failed := s.request()
 	failed.Tried = []*Candidate{s.candidate("b1")}
-	assert.Equal(t, 1, s.refused(failed, RefusedNoServer).Servers[unfitEvacuated])
+	assert.Equal(t, 1, s.refused(failed, RefusedNoServer).Servers[excludedEvacuated])
 	s.ends(open)
 
 	s.at(time.Second)
@@ -397,7 +397,7 @@
 // entry.
 func coldScript(t *testing.T) *script {
 	s := newScript(t, "a1")
-	s.core.bounded.started = epoch.Add(-time.Minute)
+	s.core.members.started = epoch.Add(-time.Minute)
 	s.fleet.Services = map[string]Service{"s": {ColdRate: 3, ColdTime: 3 * time.Second}}
 	s.fleet.Servers[0].ColdUntil = epoch.Add(5 * time.Second)
 	s.update()
@@ -418,7 +418,7 @@
 	s.at(600 * time.Millisecond)
 	s.fleet.Servers = listed
 	s.update()
-	assert.Equal(t, map[Eligibility]int{unfitCold: 1}, s.refused(s.request(), RefusedNoServer).Servers)
+	assert.Equal(t, map[Eligibility]int{excludedCold: 1}, s.refused(s.request(), RefusedNoServer).Servers)
 	s.at(admission.ColdSpan)
 	s.hear("a1", 0, LoadReport{Version: 1})
 	s.served(s.request(), "a1")
@@ -431,5 +431,5 @@
 	for range 2 {
 		s.served(s.request(), "a1")
 	}
-	assert.Equal(t, map[Eligibility]int{unfitCold: 1}, s.refused(s.request(), RefusedNoServer).Servers)
+	assert.Equal(t, map[Eligibility]int{excludedCold: 1}, s.refused(s.request(), RefusedNoServer).Servers)
 }
--- a/coordination/dispatch/sends.go
+++ b/coordination/dispatch/sends.go
@@ -12,9 +12,9 @@
 	engine    *Engine
 	target    time.Duration
 	sentAt    time.Time
-	// due is when the first event was expected to come.
-	due    time.Time
-	prompt int
+	// expectedAt is when the first event was expected to come.
+	expectedAt time.Time
+	prompt     int
 	// nearLimit is set when it was expected to wait for so long that the limit of refusals matters.
 	nearLimit bool
 	// idle is set when the server was known to have nothing else to do.
@@ -30,12 +30,12 @@
 	// come, unreadTokens their prompts.
 	unread       int
 	unreadTokens int
-	// unbegun holds these requests.
-	unbegun []*Send
+	// pending holds these requests.
+	pending []*Send
 }
 
-// counts are this entry's own part of a server's load.
-type counts struct {
+// loadCounts are this entry's own part of a server's load.
+type loadCounts struct {
 	inFlight     int
 	unread       int
 	unreadTokens int
@@ -47,28 +47,28 @@
 	if send.engine != nil {
 		s.unread++
 		s.unreadTokens += send.prompt
-		s.unbegun = append(s.unbegun, send)
+		s.pending = append(s.pending, send)
 	}
 }
 
-// begun takes a request off those whose first event is waited for, and reports whether it was
+// removePending takes a request off those whose first event is waited for, and reports whether it was
 // one of them.
-func (s *ownSends) begun(send *Send) bool {
-	at := slices.Index(s.unbegun, send)
+func (s *ownSends) removePending(send *Send) bool {
+	at := slices.Index(s.pending, send)
 	if at < 0 {
 		return false
 	}
-	s.unbegun = slices.Delete(s.unbegun, at, at+1)
+	s.pending = slices.Delete(s.pending, at, at+1)
 	s.unread--
 	s.unreadTokens -= send.prompt
 	return true
 }
 
-// seenAt is what an agent saw of the requests when it looked at a time: not those that were
+// countsAt is what an agent saw of the requests when it looked at a time: not those that were
 // sent later.
-func (s *ownSends) seenAt(at time.Time) counts {
-	seen := counts{inFlight: s.inFlight, unread: s.unread, unreadTokens: s.unreadTokens}
-	for _, one := range s.unbegun {
+func (s *ownSends) countsAt(at time.Time) loadCounts {
+	seen := loadCounts{inFlight: s.inFlight, unread: s.unread, unreadTokens: s.unreadTokens}
+	for _, one := range s.pending {
 		if one.sentAt.After(at) {
 			seen.inFlight--
 			seen.unread--
@@ -86,12 +86,12 @@
 // has ended without that.
 func (c *Core) EndPrefill(send *Send, begun bool, now time.Time) {
 	k := send.candidate
-	if !k.sends.begun(send) {
+	if !k.sends.removePending(send) {
 		return
 	}
 	if begun {
 		c.learnMargin(send, now)
 		c.learnFirstEvent(send, now)
 	}
-	k.lateness.noteBegun(send.due, now)
+	k.lateness.recordStart(send.expectedAt, now)
 }
--- a/coordination/dispatch/versions.go
+++ b/coordination/dispatch/versions.go
@@ -12,8 +12,8 @@
 // servedVersion is the version that a server is known to have: by its agent's word,
 // or else by what it has told itself.
 func (k *Candidate) servedVersion(now time.Time) uint64 {
-	if k.word.current(now) {
-		return k.word.Version
+	if k.report.current(now) {
+		return k.report.Version
 	}
 	return k.version
 }
@@ -24,8 +24,8 @@
 const (
 	soundLinkMargin  = turnover.SendsEnd
 	narrowLinkMargin = 1500 * time.Millisecond
-	// orderTime is what a server needs from its last piece to its order, generously.
-	orderTime = 900 * time.Millisecond
+	// activationOrderTime is what a server needs from its last piece to its order, generously.
+	activationOrderTime = 900 * time.Millisecond
 )
 
 // narrowLink is the time to an entry and back from which a machine's link counts as
@@ -36,54 +36,54 @@
 // to be taken for one on a narrow link.
 const laggingPieces = 16
 
-// narrow reports whether a server's link seems narrow: messages take long over it,
+// hasNarrowLink reports whether a server's link seems narrow: messages take long over it,
 // or its pieces come much later than others'.
-func (c *Core) narrow(k *Candidate) bool {
-	least, known := c.leastMissing[k.word.FetchingVersion]
-	return k.word.LinkRTT >= narrowLink || (known && k.word.MissingPieces-least >= laggingPieces)
+func (c *Core) hasNarrowLink(k *Candidate) bool {
+	least, known := c.minMissing[k.report.FetchingVersion]
+	return k.report.LinkRTT >= narrowLink || (known && k.report.MissingPieces-least >= laggingPieces)
 }
 
-// findLeastMissing looks how far the best prepared machines are.
-func (c *Core) findLeastMissing(now time.Time) {
-	clear(c.leastMissing)
-	for _, told := range c.words {
-		if !told.Reachable || now.Sub(told.at) >= wordCurrent {
+// computeMinMissing looks how far the best prepared machines are.
+func (c *Core) computeMinMissing(now time.Time) {
+	clear(c.minMissing)
+	for _, told := range c.reports {
+		if !told.Reachable || now.Sub(told.at) >= reportTTL {
 			continue
 		}
-		least, known := c.leastMissing[told.FetchingVersion]
+		least, known := c.minMissing[told.FetchingVersion]
 		if !known || told.MissingPieces < least {
-			c.leastMissing[told.FetchingVersion] = told.MissingPieces
+			c.minMissing[told.FetchingVersion] = told.MissingPieces
 		}
 	}
 }
 
-// beyondBound reports whether a server with an older version might begin the
+// missesVersionDeadline reports whether a server with an older version might begin the
 // request after that version's bound. Requests queue up on a narrow link: a server
 // on one whose pieces can't come in time any more gets nothing at all. Where the
 // link is sound the origin is what is slow, and the server serves on meanwhile.
-func (c *Core) beyondBound(k *Candidate, request *Request, now, bound time.Time) bool {
+func (c *Core) missesVersionDeadline(k *Candidate, request *Request, now, bound time.Time) bool {
 	margin := soundLinkMargin
-	if !k.word.current(now) || c.narrow(k) {
+	if !k.report.current(now) || c.hasNarrowLink(k) {
 		margin = narrowLinkMargin
 	}
 	if now.Add(c.firstEvent(k, request, now) + margin).After(bound) {
 		return true
 	}
 	engine := request.Engine
-	if engine.Pieces == 0 || k.word.MissingPieces == 0 || !c.narrow(k) {
+	if engine.Pieces == 0 || k.report.MissingPieces == 0 || !c.hasNarrowLink(k) {
 		return false
 	}
-	left := engine.CopyTime * time.Duration(k.word.MissingPieces) / time.Duration(engine.Pieces)
-	return now.Add(left + orderTime + soundLinkMargin).After(bound)
+	left := engine.CopyTime * time.Duration(k.report.MissingPieces) / time.Duration(engine.Pieces)
+	return now.Add(left + activationOrderTime + soundLinkMargin).After(bound)
 }
 
-// delayedSwitch is the cost of a request that would still run when its server is to
+// switchCost is the cost of a request that would still run when its server is to
 // change over: while it puts that off, the server does nothing else. At the full weight of 2
 // the last server serves the new version 0.4 s sooner than at 0.5, at the same worth.
-func (c *Core) delayedSwitch(k *Candidate, request *Request, now time.Time) time.Duration {
-	if request.Engine == nil || !k.word.current(now) || !k.word.SwitchPlanned {
+func (c *Core) switchCost(k *Candidate, request *Request, now time.Time) time.Duration {
+	if request.Engine == nil || !k.report.current(now) || !k.report.SwitchPlanned {
 		return 0
 	}
 	needed := k.model(request).Duration(c.load(k, request, now), request.Prompt, request.Answer)
-	return time.Duration(c.policy.SwitchWeight * float64(max(0, needed-k.word.untilSwitch(now))))
+	return time.Duration(c.policy.SwitchWeight * float64(max(0, needed-k.report.untilSwitch(now))))
 }
--- a/coordination/dispatch/versions_test.go
+++ b/coordination/dispatch/versions_test.go
@@ -24,18 +24,18 @@
 		want    Eligibility
 	}{
 		{missing: 80, link: narrowLink, left: 5 * time.Second, want: Eligible},
-		{missing: 80, link: narrowLink, left: 3200 * time.Millisecond, want: unfitBound},
+		{missing: 80, link: narrowLink, left: 3200 * time.Millisecond, want: excludedVersionDeadline},
 		{missing: 20, link: narrowLink, left: 3200 * time.Millisecond, want: Eligible},
-		{missing: 20, link: narrowLink, left: 1400 * time.Millisecond, want: unfitBound},
-		{missing: 0, link: narrowLink, left: 1400 * time.Millisecond, want: unfitBound},
+		{missing: 20, link: narrowLink, left: 1400 * time.Millisecond, want: excludedVersionDeadline},
+		{missing: 0, link: narrowLink, left: 1400 * time.Millisecond, want: excludedVersionDeadline},
 		{missing: 96, link: 20 * time.Millisecond, left: 1400 * time.Millisecond, want: Eligible},
-		{missing: 96, link: 20 * time.Millisecond, left: 900 * time.Millisecond, want: unfitBound},
+		{missing: 96, link: 20 * time.Millisecond, left: 900 * time.Millisecond, want: excludedVersionDeadline},
 		{missing: 0, left: 1400 * time.Millisecond, want: Eligible},
-		{missing: 0, left: 900 * time.Millisecond, want: unfitBound},
+		{missing: 0, left: 900 * time.Millisecond, want: excludedVersionDeadline},
 	} {
 		server := modelServer(now, one.missing)
-		server.word.LinkRTT = one.link
-		assert.Equal(t, one.want, core.fitness(server, at(one.left), now), "%d missing, link %s, %s left", one.missing, one.link, one.left)
+		server.report.LinkRTT = one.link
+		assert.Equal(t, one.want, core.eligibility(server, at(one.left), now), "%d missing, link %s, %s left", one.missing, one.link, one.left)
 	}
 }
 
@@ -48,10 +48,10 @@
 		{Version: 2, Until: now.Add(900 * time.Millisecond)}, {Version: 3, Until: now.Add(2900 * time.Millisecond)},
 	}}
 	oldest, middle, newest := modelServer(now, 0), modelServer(now, 0), modelServer(now, 0)
-	middle.word.Version, newest.word.Version = 2, 3
-	assert.Equal(t, unfitBound, core.fitness(oldest, wanted, now))
-	assert.Equal(t, Eligible, core.fitness(middle, wanted, now))
-	assert.Equal(t, Eligible, core.fitness(newest, wanted, now))
+	middle.report.Version, newest.report.Version = 2, 3
+	assert.Equal(t, excludedVersionDeadline, core.eligibility(oldest, wanted, now))
+	assert.Equal(t, Eligible, core.eligibility(middle, wanted, now))
+	assert.Equal(t, Eligible, core.eligibility(newest, wanted, now))
 }
 
 // VERSION: a server whose pieces come much later than others' is on a narrow link, also
@@ -61,9 +61,9 @@
 	core := testCore("z", nil)
 	wanted := withFigures(Request{VersionDeadlines: VersionDeadlines{{Version: 2, Until: now.Add(3 * time.Second)}}, Prompt: 1000}, copiedEngine())
 	lagging := modelServer(now, 80)
-	for othersMissing, want := range map[int]Eligibility{70: Eligible, 0: unfitBound} {
+	for othersMissing, want := range map[int]Eligibility{70: Eligible, 0: excludedVersionDeadline} {
 		core.ApplyReport(LoadReport{Address: "10.0.0.9:1", Reachable: true, MissingPieces: othersMissing}, now)
-		core.findLeastMissing(now)
-		assert.Equal(t, want, core.fitness(lagging, wanted, now), "others lack %d", othersMissing)
+		core.computeMinMissing(now)
+		assert.Equal(t, want, core.eligibility(lagging, wanted, now), "others lack %d", othersMissing)
 	}
 }
--- a/coordination/dispatch/waiting_test.go
+++ b/coordination/dispatch/waiting_test.go
@@ -13,5 +13,5 @@
 	s := newScript(t, "a1", "b1")
 	s.at(time.Second)
 	s.hear("a1", 550*time.Millisecond, LoadReport{Version: 1, FetchingVersion: 3, MissingPieces: 50, SwitchPlanned: true, SwitchIn: 600 * time.Millisecond})
-	assert.Equal(t, unfitChanging, s.core.fitness(s.candidate("a1"), s.request(), s.now))
+	assert.Equal(t, excludedSwitching, s.core.eligibility(s.candidate("a1"), s.request(), s.now))
 }
