--- a/coordination/dispatch/asked.go
+++ b/coordination/dispatch/asked.go
@@ -7,129 +7,133 @@
 	"pinevane.example/pinevane/coordination/incarnation"
 )
 
-// notices is what a server has asked for in its answers, beside a rate.
+// notices holds what a server requests in response headers, apart from a rate limit.
 type notices struct {
-	// leaving is set once an answer has said that the server is about to end. It holds for that life of the
-	// server: neither an older line nor a later answer takes it back.
+	// leaving is set once an answer announces that the server is about to stop. It holds for this
+	// incarnation: neither an older list entry nor a later answer clears it.
 	leaving bool
-	// backoffUntil is until when it wants nothing from this entry.
+	// backoffUntil is the end of the backoff that the server requested from this entry.
 	backoffUntil time.Time
 }
 
-// RecordLeaving notes that an answer has said that its server is about to end, and returns what that changes.
-func (c *Core) RecordLeaving(k *Candidate) (change Change, news bool) {
-	news = !c.Leaving(k)
+// RecordLeaving records that an answer announced the server's shutdown. isNew is false if it was already
+// known.
+func (c *Core) RecordLeaving(k *Candidate) (change Change, isNew bool) {
+	isNew = !c.Leaving(k)
 	k.notices.leaving = true
-	return Change{Kind: ServerLeaving, Candidate: k, InFlight: k.sends.inFlight}, news
+	return Change{Kind: ServerLeaving, Candidate: k, InFlight: k.sends.inFlight}, isNew
 }
 
-// RecordBackoff notes that a server which has turned a request away wants nothing from this entry for a while, and
-// reports whether it wanted something until now. A shorter rest asked for later does not end a longer one:
-// answers overtake each other.
-func (c *Core) RecordBackoff(k *Candidate, lasts time.Duration, now time.Time) (news bool) {
-	news = !k.notices.backingOff(now)
-	k.notices.backoffUntil = later(k.notices.backoffUntil, now.Add(lasts))
-	return news
+// RecordBackoff records that a server which rejected a request asked this entry to back off, and reports
+// whether the server was not backing off before. A shorter backoff does not cut a longer one short, because
+// answers may arrive out of order.
+func (c *Core) RecordBackoff(k *Candidate, duration time.Duration, now time.Time) (isNew bool) {
+	isNew = !k.notices.backingOff(now)
+	k.notices.backoffUntil = later(k.notices.backoffUntil, now.Add(duration))
+	return isNew
 }
 
-// Unavailable reports whether a server wants nothing more from this entry, for good or for now.
+// Unavailable reports whether a server is leaving or backing off.
 func (c *Core) Unavailable(k *Candidate, now time.Time) bool {
 	return c.Leaving(k) || k.notices.backingOff(now)
 }
 
-// ServerNotice is what a server asks of all entries in its answers, as these tell each other.
+// ServerNotice is what a server requests of all entries in its answers, as entries announce it to each other.
 type ServerNotice struct {
 	Server    string
 	StartTime incarnation.Born
-	// Leaving is set when the server is about to end.
+	// Leaving is set when the server is about to stop.
 	Leaving bool
-	// Limited is set while the server names a rate, PerSecond.
+	// Limited is set while the server names a rate limit, PerSecond.
 	Limited   bool
 	PerSecond float64
 }
 
-// NoticeOf is what a server asks of all entries now.
+// NoticeOf returns the notice that is in force for a server.
 func (c *Core) NoticeOf(k *Candidate) ServerNotice {
 	return ServerNotice{
 		Server: k.ID, StartTime: k.listing.server.StartTime, Leaving: k.notices.leaving, Limited: k.rateLimit.inForce(), PerSecond: k.rateLimit.perSecond,
 	}
 }
 
-// ApplyNotice takes in what a server has asked of another entry at a time. One on a server that is not listed is kept
-// until it is: an entry that starts may hear it before the list.
-func (c *Core) ApplyNotice(ask ServerNotice, at, now time.Time) (limit RateLimitChange, leaving bool) {
-	k := c.byID[ask.Server]
+// ApplyNotice applies a notice that another entry received from a server at the given time. A notice for a
+// server that is not listed is retained until it is: an entry that starts may receive the notice before the
+// list.
+func (c *Core) ApplyNotice(notice ServerNotice, at, now time.Time) (limit RateLimitChange, leaving bool) {
+	k := c.byID[notice.Server]
 	switch {
 	case k == nil:
-		c.retainNotice(ask, at, now)
+		c.retainNotice(notice, at, now)
 		return RateLimitChange{}, false
-	case k.listing.server.StartTime.Differs(ask.StartTime):
+	case k.listing.server.StartTime.Differs(notice.StartTime):
 		return RateLimitChange{}, false
 	}
-	return c.recordNotice(k, ask, at, now)
+	return c.recordNotice(k, notice, at, now)
 }
 
-// recordNotice notes a word on a server. One that it leaves says nothing of its limit, which the teller may not know.
-func (c *Core) recordNotice(k *Candidate, ask ServerNotice, at, now time.Time) (limit RateLimitChange, leaving bool) {
+// recordNotice records a notice on a server. A notice that the server is leaving says nothing about its rate
+// limit, which the reporting entry may not know.
+func (c *Core) recordNotice(k *Candidate, notice ServerNotice, at, now time.Time) (limit RateLimitChange, leaving bool) {
 	switch {
-	case ask.Leaving:
+	case notice.Leaving:
 		_, leaving = c.RecordLeaving(k)
 		return RateLimitChange{}, leaving
-	case ask.Limited:
-		return c.RecordRateLimit(k, ask.PerSecond, at, now), false
+	case notice.Limited:
+		return c.RecordRateLimit(k, notice.PerSecond, at, now), false
 	}
 	return c.RecordNoRateLimit(k, at, now), false
 }
 
-// retainNotice holds a word on a server that is not listed yet, or no more.
-func (c *Core) retainNotice(ask ServerNotice, at, now time.Time) {
-	held, found := c.retained[ask.Server]
+// retainNotice retains a notice for a server that is not on the list yet, or no longer.
+func (c *Core) retainNotice(notice ServerNotice, at, now time.Time) {
+	retained, found := c.retained[notice.Server]
 	if !found {
-		held = retainedServer{born: ask.StartTime, sent: *admission.NewWindow(admission.LimitSpan)}
+		retained = retainedServer{startTime: notice.StartTime, sentWindow: *admission.NewWindow(admission.LimitSpan)}
 	}
-	if held.born.Differs(ask.StartTime) {
+	if retained.startTime.Differs(notice.StartTime) {
 		return
 	}
-	unlisted := &Candidate{ID: ask.Server, rateLimit: held.limit, notices: held.asked}
-	c.recordNotice(unlisted, ask, at, now)
-	held.at, held.limit, held.asked = now, unlisted.rateLimit, unlisted.notices
-	c.retained[ask.Server] = held
+	unlisted := &Candidate{ID: notice.Server, rateLimit: retained.rateLimit, notices: retained.notices}
+	c.recordNotice(unlisted, notice, at, now)
+	retained.at, retained.rateLimit, retained.notices = now, unlisted.rateLimit, unlisted.notices
+	c.retained[notice.Server] = retained
 }
 
-// backingOff reports whether a server wants nothing from this entry now.
-func (a *notices) backingOff(now time.Time) bool {
-	return !a.backoffUntil.IsZero() && now.Before(a.backoffUntil)
+// backingOff reports whether the server has requested that this entry send it nothing now.
+func (n *notices) backingOff(now time.Time) bool {
+	return !n.backoffUntil.IsZero() && now.Before(n.backoffUntil)
 }
 
-// backoffLeft is how much longer a server wants nothing from this entry.
+// backoffLeft returns how much longer the server is backing off.
 func (k *Candidate) backoffLeft(now time.Time) time.Duration {
 	return max(0, k.notices.backoffUntil.Sub(now))
 }
 
-// BackingOffServers is how many servers want nothing from this entry now.
+// BackingOffServers returns the number of servers that are backing off.
 func (c *Core) BackingOffServers(now time.Time) int {
 	count := 0
-	for _, known := range c.byID {
-		if known.notices.backingOff(now) {
+	for _, candidate := range c.byID {
+		if candidate.notices.backingOff(now) {
 			count++
 		}
 	}
 	return count
 }
 
-// maxClosedTime bounds when a server counts as open that has asked for something: another entry may have a share, or not
-// be asked for rest, so that a caller is not told to wait for longer than shares last.
+// maxClosedTime bounds how long a server that is excluded by its notices counts as closed: another entry may
+// have a share of the limit, or not be asked to back off, so a caller is not told to wait longer than the
+// window of the shares.
 const maxClosedTime = admission.LimitSpan
 
-// opensIn is when a server may be sent a request that only what it has asked for keeps from it; 0 is now.
+// opensIn returns the time until a server excluded only by its notices may be sent a request; 0 means now.
 func (c *Core) opensIn(k *Candidate, now time.Time) time.Duration {
 	return max(k.backoffLeft(now), c.limitOpensIn(k, now))
 }
 
-// byNotice reports whether a server is not sent a request only because of what it has asked for.
+// byNotice reports whether a server is excluded only because of its notices.
 func (f Eligibility) byNotice() bool { return f == excludedBackoff || f == excludedRateLimited }
 
-// anyByNotice reports whether there is such a server.
+// anyByNotice reports whether any server is excluded only because of its notices.
 func (r *Refusal) anyByNotice() bool {
 	return r.Servers[excludedBackoff]+r.Servers[excludedRateLimited] > 0
 }
--- a/coordination/dispatch/asking.go
+++ b/coordination/dispatch/asking.go
@@ -6,71 +6,71 @@
 	"time"
 )
 
-// Bounds of asking.
+// Parameters of load queries.
 const (
-	// querySampleSize is how many servers are drawn, among which the most promising are asked:
-	// were it all of them, every entry would ask the same.
+	// querySampleSize is the number of servers sampled, of which the best-scoring are queried. With all
+	// servers in the sample, every entry would query the same ones.
 	querySampleSize = 8
-	// queriesAtOnce is how many agents are asked at once. Asking six more as soon as none of
-	// the first would begin the request within half of the limit was worse, by 0.01 to 0.06
-	// of a day's worth: the few idle servers draw everybody.
+	// queriesAtOnce is the number of agents queried at the same time. Querying six more as soon as none of
+	// the first would begin the request within half of the limit lowered the value of a day's requests by
+	// 0.01 to 0.06: the few idle servers attract every entry.
 	queriesAtOnce = 3
-	// noReplyTime is how long an agent that has not answered is asked last, and
-	// unansweredCost what that weighs in the choice of whom to ask: its machine's link is
-	// full or cut, or the agent stands still.
+	// noReplyTime is how long an agent that did not reply is ranked last for queries, and noReplyCost is the
+	// penalty: its machine's link is full or cut, or the agent has stalled.
 	noReplyTime = time.Second
 	noReplyCost = 200 * time.Millisecond
 )
 
-// QueryTargets picks the servers whose agents to ask: the most promising of a few, without those
-// that were asked before.
-func (c *Core) QueryTargets(request *Request, before []*Candidate, now time.Time) []*Candidate {
+// QueryTargets selects the servers whose agents to query: the best-scoring of a sample, without those queried
+// before.
+func (c *Core) QueryTargets(request *Request, queried []*Candidate, now time.Time) []*Candidate {
 	c.computeMinMissing(now)
 	c.computeScarcity(request, now)
-	if len(before) > 0 {
-		// None of the others admits it: what is scarce is better than a refusal.
+	if len(queried) > 0 {
+		// None of the others admits the request: a scarce server is better than a refusal.
 		clear(c.scarce)
 	}
-	usable := slices.DeleteFunc(c.usable(request, now), func(k *Candidate) bool { return slices.Contains(before, k) })
-	type promise struct {
+	usable := slices.DeleteFunc(c.usable(request, now), func(k *Candidate) bool { return slices.Contains(queried, k) })
+	type scored struct {
 		candidate *Candidate
 		score     time.Duration
 	}
-	var drawn [querySampleSize]promise
-	promises := drawn[:0]
-	for _, one := range c.sample(usable, querySampleSize) {
-		score := c.score(one, request, now)
-		if now.Sub(one.report.noReplyAt) < noReplyTime {
+	var buffer [querySampleSize]scored
+	ranked := buffer[:0]
+	for _, candidate := range c.sample(usable, querySampleSize) {
+		score := c.score(candidate, request, now)
+		if now.Sub(candidate.report.noReplyAt) < noReplyTime {
 			score += noReplyCost
 		}
-		promises = append(promises, promise{candidate: one, score: score})
+		ranked = append(ranked, scored{candidate: candidate, score: score})
 	}
-	slices.SortFunc(promises, func(a, b promise) int { return cmp.Compare(a.score, b.score) })
+	slices.SortFunc(ranked, func(a, b scored) int { return cmp.Compare(a.score, b.score) })
 	chosen := make([]*Candidate, 0, queriesAtOnce)
-	for _, one := range promises[:min(queriesAtOnce, len(promises))] {
-		chosen = append(chosen, one.candidate)
+	for _, candidate := range ranked[:min(queriesAtOnce, len(ranked))] {
+		chosen = append(chosen, candidate.candidate)
 	}
 	return chosen
 }
 
-// ApplyQueryReplies takes over what asked agents have told, and returns their servers.
-func (c *Core) ApplyQueryReplies(asked []*Candidate, answers []LoadReport, now time.Time) []*Candidate {
-	for _, word := range answers {
-		c.ApplyReport(word, now)
+// ApplyQueryReplies applies the replies of the queried agents and returns the servers whose agents replied.
+func (c *Core) ApplyQueryReplies(queried []*Candidate, replies []LoadReport, now time.Time) []*Candidate {
+	for _, report := range replies {
+		c.ApplyReport(report, now)
 	}
-	var answered []*Candidate
-	for _, one := range asked {
-		if slices.ContainsFunc(answers, func(word LoadReport) bool { return word.Address == one.Address }) {
-			one.report.repliedAt = now
-			answered = append(answered, one)
+	var replied []*Candidate
+	for _, candidate := range queried {
+		if slices.ContainsFunc(replies, func(report LoadReport) bool { return report.Address == candidate.Address }) {
+			candidate.report.repliedAt = now
+			replied = append(replied, candidate)
 		} else {
-			one.report.noReplyAt = now
+			candidate.report.noReplyAt = now
 		}
 	}
-	return answered
+	return replied
 }
 
-// AnyAdmits reports whether one of the asked servers may be sent the request, by how long it would wait there.
+// AnyAdmits reports whether one of the queried servers is eligible and would begin the request within its
+// maximum wait.
 func (c *Core) AnyAdmits(request *Request, now time.Time) bool {
 	return slices.ContainsFunc(request.Queried, func(k *Candidate) bool {
 		return c.eligibility(k, request, now) == Eligible && c.admits(k, request, now)
--- a/coordination/dispatch/candidate.go
+++ b/coordination/dispatch/candidate.go
@@ -8,8 +8,8 @@
 	"pinevane.example/pinevane/coordination/incarnation"
 )
 
-// Candidate is one server as an entry knows it. Its name and place never change, so that they can
-// be read at any time.
+// Candidate is a server as this entry knows it. ID, Address and Zone never change, so they can be read at any
+// time.
 type Candidate struct {
 	ID      string
 	Address string
@@ -17,42 +17,42 @@
 
 	listing listing
 	notices notices
-	// rateLimit is the rate that the server names in its answers.
+	// rateLimit is the limit that the server names in its answers.
 	rateLimit   rateLimit
 	sends       ownSends
 	report      agentReport
 	lateness    lateness
 	answerTimes answerTimes
-	// version is the newest that the server itself has told, in an answer or on the
-	// list of servers.
+	// version is the newest version that the server itself has reported, in an answer or on the list of
+	// servers.
 	version uint64
-	// sentWindow are the requests that this entry has sent here in the last admission.LimitSpan.
+	// sentWindow counts the requests that this entry sent here within the rate limit's window.
 	sentWindow admission.Window
-	// coldTime is how long a server of its service is cold after a start.
+	// coldTime is how long a server of this service is cold after a start.
 	coldTime time.Duration
-	// readmittedUntil is until when the server counts as cold because an evacuation of its
-	// zone was taken back.
+	// readmittedUntil is the time until which the server counts as cold because the evacuation of its zone
+	// was revoked.
 	readmittedUntil time.Time
-	// answeredColdUntil is until when the server is cold by an answer of its own.
+	// answeredColdUntil is the time until which the server is cold according to its own answer.
 	answeredColdUntil time.Time
 }
 
-// listing is what the list of servers tells of a server.
+// listing holds what the list of servers says about a server.
 type listing struct {
 	server Server
-	// removed servers are not sent anything any more.
+	// removed servers are not sent any more requests.
 	removed bool
-	// superseded servers have ended for good: another has answered at their address.
+	// superseded servers have stopped for good: another server has answered at their address.
 	superseded bool
 	// firstListed is when the list first named this incarnation.
 	firstListed time.Time
-	// nextStart is the incarnation that the agent has told and the list has not; until endedTill this one
-	// counts as ended for that.
+	// nextStart is the start time of an incarnation that the agent reports and the list does not name yet;
+	// until endedUntil the listed one counts as ended.
 	nextStart  incarnation.Born
 	endedUntil time.Time
 }
 
-// answerTimes is how long a server's answers have taken lately.
+// answerTimes holds moving means of a server's answer times.
 type answerTimes struct {
 	// meanMilliseconds is the moving mean time of whole answers.
 	meanMilliseconds float64
@@ -60,60 +60,60 @@
 	firstMean time.Duration
 }
 
-// Weights of one more answer in the means.
+// Weights of a new sample in the moving means.
 const (
 	wholeMeanWeight = 0.1
 	firstMeanWeight = 0.1
 )
 
-func (a *answerTimes) addWhole(took time.Duration) {
-	value := float64(took) / float64(time.Millisecond)
+func (a *answerTimes) addWhole(elapsed time.Duration) {
+	value := float64(elapsed) / float64(time.Millisecond)
 	if a.meanMilliseconds == 0 {
 		a.meanMilliseconds = value
 	}
 	a.meanMilliseconds += wholeMeanWeight * (value - a.meanMilliseconds)
 }
 
-func (a *answerTimes) addFirst(took time.Duration) {
+func (a *answerTimes) addFirst(elapsed time.Duration) {
 	if a.firstMean == 0 {
-		a.firstMean = took
+		a.firstMean = elapsed
 	}
-	a.firstMean += time.Duration(firstMeanWeight * float64(took-a.firstMean))
+	a.firstMean += time.Duration(firstMeanWeight * float64(elapsed-a.firstMean))
 }
 
-// RecordFirstEvent notes how long a stream's first event took.
-func (c *Core) RecordFirstEvent(k *Candidate, took time.Duration) { k.answerTimes.addFirst(took) }
+// RecordFirstEvent records how long a stream's first event took.
+func (c *Core) RecordFirstEvent(k *Candidate, elapsed time.Duration) { k.answerTimes.addFirst(elapsed) }
 
-// TypicalWait is how long the first byte of an answer usually takes: as the last ones did, or as
-// predicted, whichever is longer. What a server on trial has delayed lately does not count: one that
-// answers nothing would have the time of its first victims ten times over, which is more than
-// callers wait.
+// TypicalWait returns how long the first byte of an answer typically takes: the mean of recent answers or the
+// prediction, whichever is longer. For a server on trial, its recent lateness does not count: a server that
+// never answers would be given ten times the wait of the first requests it failed, which is more than callers
+// wait.
 func (c *Core) TypicalWait(decision Decision, request *Request) time.Duration {
-	usual := c.typicalAnswer(decision.Candidate, request)
+	typical := c.typicalAnswer(decision.Candidate, request)
 	if decision.Trial {
-		return max(usual, decision.startByLoad)
+		return max(typical, decision.startByLoad)
 	}
-	return max(usual, decision.Expected)
+	return max(typical, decision.Expected)
 }
 
-// typicalAnswer is how long a server's answers to such requests have taken, or those of the service's
-// others if it has given this entry none, or else the target.
+// typicalAnswer returns how long a server's answers to such requests take, or those of the service's other
+// servers if it has given this entry none, or else the target.
 func (c *Core) typicalAnswer(k *Candidate, request *Request) time.Duration {
-	if seen := c.observedAnswer(k, request); seen > 0 {
-		return seen
+	if observed := c.observedAnswer(k, request); observed > 0 {
+		return observed
 	}
 	return request.Target
 }
 
-// observedAnswer is usualAnswer, but 0 if this entry has seen no answer of the service.
+// observedAnswer is typicalAnswer without the fallback: 0 if this entry has seen no answer of the service.
 func (c *Core) observedAnswer(k *Candidate, request *Request) time.Duration {
 	if own := k.answerTimes.typical(request.Streaming); own > 0 {
 		return own
 	}
 	sum, count := time.Duration(0), 0
 	for _, other := range c.byService[request.Service] {
-		if usual := other.answerTimes.typical(request.Streaming); usual > 0 {
-			sum, count = sum+usual, count+1
+		if typical := other.answerTimes.typical(request.Streaming); typical > 0 {
+			sum, count = sum+typical, count+1
 		}
 	}
 	if count == 0 {
@@ -122,7 +122,7 @@
 	return sum / time.Duration(count)
 }
 
-// typical is how long answers have taken to begin; 0 while there was none.
+// typical returns the mean time until answers begin, 0 without any sample.
 func (a *answerTimes) typical(streaming bool) time.Duration {
 	if streaming {
 		return a.firstMean
@@ -130,44 +130,43 @@
 	return time.Duration(a.meanMilliseconds * float64(time.Millisecond))
 }
 
-// Candidates lists the servers of a service.
+// Candidates returns the servers of a service.
 func (c *Core) Candidates(service string) []*Candidate { return c.byService[service] }
 
-// Description is what is known of one server, for people.
+// Description is a human-readable view of one server.
 type Description struct {
 	Server      Server
 	InFlight    int
 	Outstanding int
-	// Version is the newest that the server itself has told.
+	// Version is the newest version that the server itself has reported.
 	Version   uint64
 	Health    health.View
 	ReportAge time.Duration
 	// MeanMilliseconds is the moving mean time of whole answers.
 	MeanMilliseconds float64
-	// ColdFor is how much longer the server counts as cold; Evacuated servers are sent
-	// nothing new.
+	// ColdFor is how much longer the server counts as cold. Evacuated servers are sent no new requests.
 	ColdFor   time.Duration
 	Evacuated bool
-	// Limit is the rate that the server has named, RestLeft for how much longer it wants nothing.
+	// Limit is the rate limit that the server names, BackoffLeft how much longer it is backing off.
 	Limit       RateLimitStatus
 	BackoffLeft time.Duration
-	// AnnouncedLeaving is set when an answer has said that the server is about to end.
+	// AnnouncedLeaving is set when an answer has announced that the server is about to stop.
 	AnnouncedLeaving bool
 }
 
-// Describe tells what is known of each server, in no order.
+// Describe returns a view of each server, in no particular order.
 func (c *Core) Describe(now time.Time) []Description {
 	descriptions := make([]Description, 0, len(c.byID))
-	for _, known := range c.byID {
+	for _, candidate := range c.byID {
 		descriptions = append(descriptions, Description{
-			Server: known.listing.server, InFlight: known.sends.inFlight, Outstanding: known.outstanding(now), Version: known.version,
-			Health: c.health.View(known.ID, c.elapsed(now)), ReportAge: known.report.age(now),
-			MeanMilliseconds: known.answerTimes.meanMilliseconds,
-			ColdFor:          max(0, known.coldUntil().Sub(now)),
-			Evacuated:        c.Evacuated(known.Zone),
-			Limit:            c.rateLimitStatus(known, now),
-			BackoffLeft:      known.backoffLeft(now),
-			AnnouncedLeaving: known.notices.leaving,
+			Server: candidate.listing.server, InFlight: candidate.sends.inFlight, Outstanding: candidate.outstanding(now), Version: candidate.version,
+			Health: c.health.View(candidate.ID, c.elapsed(now)), ReportAge: candidate.report.age(now),
+			MeanMilliseconds: candidate.answerTimes.meanMilliseconds,
+			ColdFor:          max(0, candidate.coldUntil().Sub(now)),
+			Evacuated:        c.Evacuated(candidate.Zone),
+			Limit:            c.rateLimitStatus(candidate, now),
+			BackoffLeft:      candidate.backoffLeft(now),
+			AnnouncedLeaving: candidate.notices.leaving,
 		})
 	}
 	return descriptions
--- a/coordination/dispatch/choice.go
+++ b/coordination/dispatch/choice.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Weights of the choice.
+// Terms of the score that selects a server.
 const (
-	// otherZoneCost and otherRegionCost are what a longer way is worth.
+	// otherZoneCost and otherRegionCost are the penalties for servers in another zone or region.
 	otherZoneCost   = 20 * time.Millisecond
 	otherRegionCost = 100 * time.Millisecond
-	// runningCost spreads requests over servers that would begin them equally soon.
+	// runningCost spreads requests over servers with the same predicted start.
 	runningCost = 3 * time.Millisecond
-	// jitterCost spreads the choices of entries that see the same figures.
+	// jitterCost spreads the choices of entries that see the same load figures.
 	jitterCost = 15 * time.Millisecond
-	// silentCost keeps requests from servers whose agent has fallen silent.
+	// silentCost keeps requests away from servers whose agent is silent.
 	silentCost = 2 * time.Second
 )
 
-// Choose picks the server for a request and counts the request as in flight. A
-// refusal is proof that nothing was sent.
+// Choose selects the server for a request and counts the request as in flight. A refusal guarantees that
+// nothing was sent.
 func (c *Core) Choose(request *Request, now time.Time) (Decision, *Refusal) {
 	if request.Engine != nil {
 		c.computeMinMissing(now)
@@ -33,10 +33,10 @@
 		return Decision{}, c.noServer(request, now)
 	}
 	var best *Candidate
-	least := time.Duration(math.MaxInt64)
+	lowest := time.Duration(math.MaxInt64)
 	for _, candidate := range c.sample(usable, max(c.policy.SampleSize, len(request.Queried))) {
-		if score := c.score(candidate, request, now); score < least {
-			best, least = candidate, score
+		if score := c.score(candidate, request, now); score < lowest {
+			best, lowest = candidate, score
 		}
 	}
 	best, refusal := c.admit(best, usable, all, request, now)
@@ -53,16 +53,16 @@
 		Expected: c.firstEvent(k, request, now), startByLoad: c.startByLoad(k, request, now), ReportAge: k.report.age(now), Version: k.servedVersion(now),
 		Admission: c.admission(k, request, now),
 	}
-	wait, firstAttempts := decision.Admission.Wait, c.firstAttemptWait(k, request)
+	wait, firstAttemptWait := decision.Admission.Wait, c.firstAttemptWait(k, request)
 	decision.Send = &Send{
 		candidate: k, service: request.Service, engine: request.Engine, target: request.Target,
-		sentAt: now, expectedAt: now.Add(decision.Expected), prompt: request.Prompt, nearLimit: wait >= firstAttempts/2,
+		sentAt: now, expectedAt: now.Add(decision.Expected), prompt: request.Prompt, nearLimit: wait >= firstAttemptWait/2,
 		idle: decision.Outstanding == 0 && decision.ReportAge != NoReport,
 	}
 	if c.lost(k, now) {
 		decision.OverdueAfter = c.lostTrialTimeout(k, request, now)
 	}
-	c.recordFull(request, wait, firstAttempts, now)
+	c.recordFull(request, wait, firstAttemptWait, now)
 	k.sends.add(decision.Send)
 	c.countSent(k, now)
 	decision.Trial = c.beginTrial(k, now)
@@ -70,23 +70,23 @@
 	return decision
 }
 
-// queriedOf keeps those of the usable servers whose agents were asked, as long as there is one.
+// queriedOf returns the usable servers whose agents were queried, or all usable ones if there are none.
 func queriedOf(usable []*Candidate, request *Request) []*Candidate {
-	var asked []*Candidate
+	var queried []*Candidate
 	for _, candidate := range usable {
 		if slices.Contains(request.Queried, candidate) {
-			asked = append(asked, candidate)
+			queried = append(queried, candidate)
 		}
 	}
-	if len(asked) == 0 {
+	if len(queried) == 0 {
 		return usable
 	}
-	return asked
+	return queried
 }
 
-// sample draws the servers to compare: half of them from the own zone, as long as
-// it has some. Figures are some hundred milliseconds old; were all compared, all
-// entries would send to the same server until the next figures come.
+// sample draws the servers to compare, half of them from the entry's own zone if it has enough. Load figures
+// are a few hundred milliseconds old: if all servers were compared, all entries would send to the same one
+// until the next figures arrive.
 func (c *Core) sample(usable []*Candidate, sampleSize int) []*Candidate {
 	if len(usable) <= sampleSize {
 		return usable
@@ -104,7 +104,7 @@
 	return append(near[:fromNear:fromNear], far[:sampleSize-fromNear]...)
 }
 
-// score is the cost of sending the request to a server.
+// score returns the cost of sending the request to a server.
 func (c *Core) score(k *Candidate, request *Request, now time.Time) time.Duration {
 	score := c.firstEvent(k, request, now) + c.distanceCost(k)
 	score += time.Duration(k.outstanding(now)) * runningCost
--- a/coordination/dispatch/cold.go
+++ b/coordination/dispatch/cold.go
@@ -6,42 +6,42 @@
 	"pinevane.example/pinevane/coordination/admission"
 )
 
-// Constants of the sharing of cold servers.
+// Parameters of the shares of cold servers.
 const (
-	// reportCountDelay is how long a request may be on its way to the count of the server's agent:
-	// one way between regions, of 1 to 2.8 ms where this was measured, and the wait at both ends.
+	// reportCountDelay is how long a request may take until the server's agent counts it: one way between
+	// regions, measured at 1 to 2.8 ms, and the queueing at both ends.
 	reportCountDelay = 5 * time.Millisecond
-	// coldRatio is the part of the bound that all entries together use; the rest is for
-	// entries that have lately come and are not known to all.
+	// coldRatio is the part of the cold rate that the known entries use together; the rest is for entries
+	// that started recently and are not known to all.
 	coldRatio = 0.9
 )
 
-// updateLimitsUntil looks until when the other entries matter, because a server is cold whose requests are
-// bounded then, or has lately named a limit.
+// updateLimitsUntil recomputes how long the other entries matter, because a server is cold with a limited
+// rate or has recently named a rate limit.
 func (c *Core) updateLimitsUntil() {
 	c.limitsUntil = time.Time{}
 	for _, servers := range c.byService {
-		for _, known := range servers {
-			c.extendForCold(known)
-			c.extendForRateLimit(known)
+		for _, candidate := range servers {
+			c.extendForCold(candidate)
+			c.extendForRateLimit(candidate)
 		}
 	}
 }
 
-// extendForCold notes until when a server is cold, if its requests are bounded then.
+// extendForCold extends limitsUntil to the time when a cold server is warm, if its rate is limited until
+// then.
 func (c *Core) extendForCold(k *Candidate) {
 	if c.fleet.Services[k.listing.server.Service].ColdRate > 0 {
 		c.limitsUntil = later(c.limitsUntil, k.coldUntil())
 	}
 }
 
-// coldTime is how long a server of a service is cold after a start.
+// coldTime returns how long a server of a service is cold after a start.
 func (c *Core) coldTime(service string) time.Duration { return c.fleet.Services[service].ColdTime }
 
-// coldUntil is when a server will be warm: by its own line, by its agent's word, which arrives
-// with the answer to a question when this entry has not heard of the line yet, by an answer of
-// its own, or because its zone has just been readmitted. A faulty word makes a server cold for
-// no longer than a start does.
+// coldUntil returns when a server will be warm: by its list entry, by its agent's report, which comes with
+// the reply to a load query when this entry has not received the list entry yet, by its own answer, or
+// because its zone was readmitted. A faulty report makes a server cold for no longer than a start does.
 func (k *Candidate) coldUntil() time.Time {
 	until := k.report.at.Add(min(k.report.ColdFor, k.coldTime))
 	for _, other := range []time.Time{k.listing.server.ColdUntil, k.answeredColdUntil, k.readmittedUntil} {
@@ -50,10 +50,9 @@
 	return until
 }
 
-// RecordCold notes what an answer has said of how much longer its server is cold. Requests that
-// callers send to a service's health path are the only health checks there are: entries and
-// agents make none, because they are priced. A faulty answer makes a server cold for no longer
-// than a start does.
+// RecordCold records how much longer a server is cold according to its answer. The only health checks are the
+// requests that callers send to a service's health path: entries and agents make none, because they are
+// billed. A faulty answer makes a server cold for no longer than a start does.
 func (c *Core) RecordCold(k *Candidate, left time.Duration, now time.Time) {
 	if left > 0 {
 		k.answeredColdUntil = now.Add(min(left, k.coldTime))
@@ -64,9 +63,8 @@
 // cold reports whether a server is cold.
 func (k *Candidate) cold(now time.Time) bool { return now.Before(k.coldUntil()) }
 
-// coldShareUsed reports whether this entry has sent a cold server all that it may for now. A
-// server's requests are counted while it is warm too, because it may have become cold shortly
-// before that is known.
+// coldShareUsed reports whether this entry has used up its share of a cold server's rate. Requests are also
+// counted while a server is warm, because it may have become cold shortly before this entry learns of it.
 func (c *Core) coldShareUsed(k *Candidate, now time.Time) bool {
 	if !k.cold(now) {
 		return false
@@ -75,13 +73,13 @@
 	if limit <= 0 {
 		return false
 	}
-	since := c.members.elapsed(now)
-	if !k.sentWindow.Open(admission.ColdSpan, since, c.members.share(k.ID, coldRatio*limit, now)) {
+	elapsed := c.members.elapsed(now)
+	if !k.sentWindow.Open(admission.ColdSpan, elapsed, c.members.share(k.ID, coldRatio*limit, now)) {
 		return true
 	}
-	// Shares reckon with what each entry has sent itself. The agent's count has what all have
-	// sent, also before they heard that the server is cold.
-	return k.report.receivedCurrent(now) && k.sentWindow.Crowded(coldRatio*limit, k.report.Received, c.members.elapsed(k.report.at)-reportCountDelay, since)
+	// Shares cover only what each entry has sent itself. The agent's count covers the requests of all
+	// entries, including those sent before they learned that the server is cold.
+	return k.report.receivedCurrent(now) && k.sentWindow.Crowded(coldRatio*limit, k.report.Received, c.members.elapsed(k.report.at)-reportCountDelay, elapsed)
 }
 
 // countSent counts a request that is being sent to a server.
@@ -93,10 +91,10 @@
 	c.countLimited(k, now)
 }
 
-// ColdCounts returns how many servers are cold, and how many requests were sent to cold ones.
+// ColdCounts returns the number of cold servers, and of requests sent to cold servers.
 func (c *Core) ColdCounts(now time.Time) (servers int, sent uint64) {
-	for _, known := range c.byID {
-		if known.cold(now) {
+	for _, candidate := range c.byID {
+		if candidate.cold(now) {
 			servers++
 		}
 	}
--- a/coordination/dispatch/core.go
+++ b/coordination/dispatch/core.go
@@ -1,9 +1,8 @@
-// Package dispatch decides which server gets a request, or that none is fit for it, from what
-// an entry knows: the list of servers, the words of the agents beside them with their ages, the
-// entry's own sends, what answers have shown, versions and their bounds. What is known comes in
-// as messages with the time; a decision with its reason and figures comes out. It does no I/O,
-// reads no clock, takes no lock and starts no goroutine; chance is injected. A Core is not safe
-// for use by several goroutines at a time.
+// Package dispatch selects the server for a request, or refuses the request, from what an entry knows: the
+// list of servers, the load reports of their agents with their ages, the entry's own requests in flight, the
+// results of answers, versions and their deadlines. Input arrives as messages with a timestamp; the output is
+// a decision with its reason and figures. The package does no I/O, reads no clock, takes no locks and starts
+// no goroutines; randomness is injected. A Core is not safe for concurrent use.
 package dispatch
 
 import (
@@ -15,50 +14,47 @@
 	"pinevane.example/pinevane/coordination/shedding"
 )
 
-// Options are what a core is made with.
+// Options configures a Core.
 type Options struct {
-	// Zone is the entry's own; Regions are the regions of the zones.
+	// Zone is the entry's own zone. Regions maps zones to regions.
 	Zone    string
 	Regions map[string]string
 	Policy  Policy
-	// Self is this entry's name among the entries.
+	// Self is the name of this entry among the entries.
 	Self string
-	// Started is when this entry began to hear of the others.
+	// Started is when this entry began to receive messages from the others.
 	Started time.Time
-	// Random returns a number from 0 to less than 1; Shuffle puts things in a random order.
+	// Random returns a number in [0, 1). Shuffle permutes elements randomly.
 	Random  func() float64
 	Shuffle func(count int, swap func(i, j int))
 }
 
-// Policy holds the weights of the mechanisms by which is decided, so that each can be measured
-// by switching it off.
+// Policy holds the weights of the decision's mechanisms. A weight that switches a mechanism off allows its
+// effect to be measured.
 type Policy struct {
-	// RefusalShare is the weight of the limit within which a request of usual size is to begin, which
-	// tells how long requests may wait for others; 0 never refuses.
+	// RefusalShare is the weight of the limit within which a request of usual size is to begin, from which
+	// the maximum wait follows; 0 never refuses.
 	RefusalShare float64
-	// InTimeShare is the share of the requests that wait for nearly as long as they may that are to
-	// begin in time; 0 keeps the limit fixed.
+	// InTimeShare is the ratio of requests with nearly the maximum wait that are to begin in time; 0 keeps
+	// the limit fixed.
 	InTimeShare float64
-	// LateShare is the share of what a first attempt may wait that is granted to a request
-	// whose answer is late in any case, while first attempts are refused; 1 makes no difference.
+	// LateShare is the fraction of a first attempt's maximum wait that is granted to a request whose answer
+	// is late in any case, while first attempts are refused; 1 makes no difference.
 	LateShare float64
-	// UnseenLoad is the weight of the load that other entries may have brought to a server
-	// since its agent's word.
+	// UnseenLoad is the weight of the load that other entries may have added since the agent's report.
 	UnseenLoad float64
-	// Lateness is the weight of how much later than predicted a server has begun requests
-	// lately.
+	// Lateness is the weight of how much later than predicted a server has recently begun requests.
 	Lateness float64
-	// SwitchWeight is the weight of the time by which a request would put off its server's
-	// change-over.
+	// SwitchWeight is the weight of the time by which a request would delay its server's version switch.
 	SwitchWeight float64
-	// Scarcity is the weight of what a request that may be served elsewhere takes from those
+	// Scarcity is the weight of the capacity that a request which other regions may serve takes from requests
 	// that only one region may serve.
 	Scarcity float64
-	// SampleSize is how many servers are compared for a request.
+	// SampleSize is the number of servers compared for a request.
 	SampleSize int
 }
 
-// Core is the set of servers as an entry knows it.
+// Core holds the state of all servers as this entry knows it.
 type Core struct {
 	zone    string
 	regions map[string]string
@@ -71,47 +67,46 @@
 	byID      map[string]*Candidate
 	byService map[string][]*Candidate
 	byAddress map[string]*Candidate
-	// reports keeps the agents' words by the address of their server.
+	// reports holds the agents' latest reports by server address.
 	reports map[string]timedReport
-	// minMissing is how many pieces the best prepared machine lacks of each version
-	// that is being fetched, as of the last decision.
+	// minMissing is, for each version being fetched, the number of pieces that the most advanced machine is
+	// missing, as of the last decision.
 	minMissing map[uint64]int
-	// learned is what the answers of each service of model servers have shown.
+	// learned holds the engine figures learned from the answers of each service of model servers.
 	learned map[string]*balance.Learned
-	// margins learn the limit of refusals of each service.
+	// margins holds the learned margin of each service's refusal limit.
 	margins map[string]*balance.Margin
-	// demands are what is asked of each service in a region by requests that may be served
-	// nowhere else, regionServers how many servers each service has in each region that has any.
+	// demands estimates, by service and region, the load of requests that no other region may serve.
+	// regionServers counts the servers of each service by region.
 	demands       map[regionalService]*residency.Demand
 	regionServers map[string]map[string]int
-	// scarce is, by region, the weight of a place there for the request that is being decided.
+	// scarce is, by region, the weight of a slot there for the request being decided.
 	scarce map[string]float64
-	// retryDetectors learns what time callers of each route have left at first attempts, pressures
-	// whether each service is overloaded; both count time since started.
+	// retryDetectors learns, by route, the time that callers have left at first attempts. overloadDetectors
+	// learns whether each service is overloaded. Both count time since started.
 	retryDetectors map[string]*shedding.Usual
 	// targets learns the typical target of each service.
 	targets           map[string]*shedding.Targets
 	overloadDetectors map[string]*shedding.Pressure
 	started           time.Time
 
-	// health is what answers have shown of the servers' health, in time since started, and
-	// healthChanges what has not been told of it.
+	// health tracks the health of the servers by their answers, in time since started. healthChanges holds
+	// the changes that have not been taken yet.
 	health        *health.Tracker
 	healthChanges []health.Change
 
-	// members are the entries that share what cold servers, and such that name a limit, may receive;
-	// boundedTill is until when there is such a server. coldSent and limitedSent count this entry's
-	// requests to them.
+	// members are the entries that share the rates of cold and rate-limited servers, and limitsUntil is how
+	// long there is such a server. coldSent and limitedSent count this entry's requests to them.
 	members     *memberSet
 	limitsUntil time.Time
 	coldSent    uint64
 	limitedSent uint64
-	// retained is what is held of servers that are not listed any more.
+	// retained holds the state of servers that are no longer listed.
 	retained map[string]retainedServer
 	draining zoneDrain
 }
 
-// New returns a core that knows no servers yet.
+// New returns a Core without any servers.
 func New(options Options) *Core {
 	return &Core{
 		zone: options.Zone, regions: options.Regions, policy: options.Policy, random: options.Random, shuffle: options.Shuffle,
@@ -124,10 +119,10 @@
 	}
 }
 
-// Regions are the regions of the zones.
+// Regions returns the regions by zone.
 func (c *Core) Regions() map[string]string { return c.regions }
 
-// SetRegions replaces the regions of the zones. The map is not changed afterwards.
+// SetRegions replaces the regions by zone. The map must not be changed afterwards.
 func (c *Core) SetRegions(regions map[string]string) {
 	c.regions = regions
 	c.countRegions()
--- a/coordination/dispatch/evacuation.go
+++ b/coordination/dispatch/evacuation.go
@@ -5,19 +5,17 @@
 	"time"
 )
 
-// Evacuated reports whether a zone is to be sent nothing new. Requests that are open there go
-// on to their end.
+// Evacuated reports whether a zone is to be sent no new requests. Requests in flight there run to completion.
 func (c *Core) Evacuated(zone string) bool { return c.evacuated[zone] }
 
-// zoneDrain follows how the zones that are evacuated become idle: the requests of this entry
-// that are open there run to their ends.
+// zoneDrain tracks how evacuated zones become idle as this entry's requests there complete.
 type zoneDrain struct {
-	// since tells when this entry heard of the evacuation of each zone in which it has requests
-	// open; the zone is left out once they have ended.
+	// since holds when this entry learned of the evacuation of each zone in which it has requests in flight;
+	// a zone is removed once they have completed.
 	since map[string]time.Time
-	// drainTimes is how long the last such request of a zone took, as of its newest evacuation. Zones
-	// that have no server when they are evacuated are left out, as misspelt ones, and a zone
-	// that is in use is dropped with its last server.
+	// drainTimes holds, by zone, how long the last such request took after the newest evacuation. Zones
+	// without servers at the evacuation, such as misspelled ones, are left out, and a zone that is not
+	// evacuated is dropped with its last server.
 	drainTimes map[string]time.Duration
 }
 
@@ -25,22 +23,21 @@
 	return zoneDrain{since: map[string]time.Time{}, drainTimes: map[string]time.Duration{}}
 }
 
-// begin notes that a zone of a number of servers is evacuated in which a number of requests are
-// open.
-func (e *zoneDrain) begin(zone string, servers, inFlight int, now time.Time) {
-	delete(e.drainTimes, zone)
+// begin records the evacuation of a zone with its numbers of servers and of requests in flight.
+func (d *zoneDrain) begin(zone string, servers, inFlight int, now time.Time) {
+	delete(d.drainTimes, zone)
 	if servers == 0 {
 		return
 	}
 	if inFlight == 0 {
-		e.drainTimes[zone] = 0
+		d.drainTimes[zone] = 0
 		return
 	}
-	e.since[zone] = now
+	d.since[zone] = now
 }
 
-// NewlyIdleZones returns the evacuated zones in which the last request of this entry has ended since it
-// was asked before. Requests at servers that are listed no more are not counted.
+// NewlyIdleZones returns the evacuated zones in which this entry's last request has completed since the
+// previous call. Requests at servers that are no longer listed are not counted.
 func (c *Core) NewlyIdleZones(now time.Time) []Change {
 	var emptied []Change
 	for zone, since := range c.draining.since {
@@ -55,9 +52,9 @@
 	return emptied
 }
 
-// EvacuationCounts tells how many requests of this entry are open in evacuated zones, and by zone
-// how long after it heard of the newest evacuation the last one there had ended.
-func (c *Core) EvacuationCounts() (open int, took map[string]time.Duration) {
+// EvacuationCounts returns the number of this entry's requests in flight in evacuated zones, and by zone how
+// long the last one took after the newest evacuation.
+func (c *Core) EvacuationCounts() (open int, drainTimes map[string]time.Duration) {
 	for zone := range c.evacuated {
 		_, inFlight := c.zoneCounts(zone)
 		open += inFlight
@@ -65,8 +62,8 @@
 	return open, maps.Clone(c.draining.drainTimes)
 }
 
-// updateEvacuations returns which zones a new fleet evacuates, and takes the servers of those
-// that it no longer evacuates for cold ones; the servers are those of the new fleet.
+// updateEvacuations returns the changes of the evacuated zones against the old fleet, and treats the servers
+// of zones that are no longer evacuated as cold. c.fleet is already the new fleet.
 func (c *Core) updateEvacuations(old Fleet, now time.Time) []Change {
 	var changes []Change
 	before := c.evacuated
@@ -91,8 +88,7 @@
 	return changes
 }
 
-// dropRemovedZones forgets how long zones took to become idle that are in use and have no
-// servers any more.
+// dropRemovedZones drops the drain times of zones that are not evacuated and have no servers left.
 func (c *Core) dropRemovedZones() {
 	maps.DeleteFunc(c.draining.drainTimes, func(zone string, _ time.Duration) bool {
 		servers, _ := c.zoneCounts(zone)
@@ -102,24 +98,24 @@
 
 // zoneCounts counts the servers of a zone and this entry's requests there.
 func (c *Core) zoneCounts(zone string) (servers, inFlight int) {
-	for _, known := range c.byID {
-		if known.Zone == zone {
+	for _, candidate := range c.byID {
+		if candidate.Zone == zone {
 			servers++
-			inFlight += known.sends.inFlight
+			inFlight += candidate.sends.inFlight
 		}
 	}
 	return servers, inFlight
 }
 
-// readmit takes the servers of a zone for cold from now on: they may have become so while
-// they had nothing to do, and their lines tell it up to a heartbeat later. Where they are
-// warm, their share of requests is well within what cold ones bear, and this costs nothing.
+// readmit treats the servers of a zone as cold from now on: they may have become cold while they had nothing
+// to do, and the list says so up to a heartbeat later. Where they are warm, their part of the requests is
+// well within the cold rate, so this costs nothing.
 func (c *Core) readmit(zone string, now time.Time) {
 	for service, servers := range c.byService {
 		until := now.Add(c.coldTime(service))
-		for _, known := range servers {
-			if known.Zone == zone {
-				known.readmittedUntil = until
+		for _, candidate := range servers {
+			if candidate.Zone == zone {
+				candidate.readmittedUntil = until
 			}
 		}
 	}
--- a/coordination/dispatch/fitness.go
+++ b/coordination/dispatch/fitness.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Eligibility is whether a server may be sent a request, and why not.
+// Eligibility says whether a server may be sent a request, and why not.
 type Eligibility string
 
-// Reasons for which a server is not sent a request.
+// Eligibility values.
 const (
 	Eligible            Eligibility = "usable"
 	excludedLeaving     Eligibility = "leaving"
@@ -19,7 +19,7 @@
 	excludedCold        Eligibility = "cold, and has its share"
 	excludedRateLimited Eligibility = "names a limit, and has its share"
 	excludedBackoff     Eligibility = "has asked for rest"
-	// Those below are of model servers.
+	// The following apply to model servers only.
 	excludedUnreachable     Eligibility = "unreachable"
 	excludedEmpty           Eligibility = "serves nothing"
 	excludedSwitching       Eligibility = "changing over"
@@ -27,7 +27,7 @@
 	excludedVersionDeadline Eligibility = "would begin after the version's bound"
 )
 
-// switchMargin is how long before its switch a server is sent nothing more.
+// switchMargin is how long before its switch a server is sent no more requests.
 const switchMargin = 150 * time.Millisecond
 
 // eligibility returns whether a server may be sent the request.
@@ -58,11 +58,11 @@
 	if k.rateLimit.inForce() && c.limitOpensIn(k, now) > 0 {
 		return excludedRateLimited
 	}
-	// Last, because servers that their health leaves out are taken when there is no other.
+	// Checked last: servers excluded by their health are used when there are no others.
 	return c.healthEligibility(k, request, now)
 }
 
-// modelEligibility returns whether a model server serves a fitting version now.
+// modelEligibility returns whether a model server serves a suitable version now.
 func (c *Core) modelEligibility(k *Candidate, request *Request, now time.Time) Eligibility {
 	version := k.servedVersion(now)
 	if k.report.current(now) {
@@ -80,13 +80,13 @@
 	if (request.ExactVersion != 0 && version != request.ExactVersion) || version < request.MinVersion {
 		return excludedVersion
 	}
-	if bound, limited := request.VersionDeadlines.For(version); limited && c.missesVersionDeadline(k, request, now, bound) {
+	if deadline, found := request.VersionDeadlines.For(version); found && c.missesVersionDeadline(k, request, now, deadline) {
 		return excludedVersionDeadline
 	}
 	return Eligible
 }
 
-// usable lists the servers that may be sent the request.
+// usable returns the servers that may be sent the request.
 func (c *Core) usable(request *Request, now time.Time) []*Candidate {
 	all := c.byService[request.Service]
 	candidates := healthGroups{fit: make([]*Candidate, 0, len(all))}
--- a/coordination/dispatch/health.go
+++ b/coordination/dispatch/health.go
@@ -8,28 +8,28 @@
 	"pinevane.example/pinevane/coordination/health"
 )
 
-// Reasons of servers' health for which they are not sent a request.
+// Eligibility values that depend on a server's health.
 const (
 	excludedEjected Eligibility = "ejected"
 	excludedOnTrial Eligibility = "on trial"
-	// excludedSuspect leaves a server out for requests that must not run twice, or have failed
-	// before, as long as there are others.
+	// excludedSuspect excludes a server from requests that must run at most once or have failed before, as
+	// long as there are others.
 	excludedSuspect Eligibility = "suspect"
-	// eligibleForTrial is no reason against: the request is the server's trial.
+	// eligibleForTrial does not exclude the server: the request is its trial.
 	eligibleForTrial Eligibility = "to be tried"
 )
 
-// suspectCost is what using a suspect server weighs in the choice: about what a request loses
-// that fails there and begins anew elsewhere, at the share of failures that is looked for.
+// suspectCost is the penalty of a suspect server: about the time lost by a request that fails there and is
+// retried elsewhere, at the failure ratio that makes a server suspect.
 const suspectCost = 50 * time.Millisecond
 
-// elapsed is a moment as the health of servers counts time.
+// elapsed converts a time to the health tracker's time, which counts from the start.
 func (c *Core) elapsed(moment time.Time) time.Duration { return moment.Sub(c.started) }
 
-// healthEligibility returns whether a server's health lets it be sent a request.
+// healthEligibility returns whether a server's health allows it to be sent a request.
 func (c *Core) healthEligibility(k *Candidate, request *Request, now time.Time) Eligibility {
 	if c.lost(k, now) {
-		// It was left out before but for its trial.
+		// Without a trial due it was excluded before.
 		return eligibleForTrial
 	}
 	switch c.health.State(k.ID, c.elapsed(now)) {
@@ -48,57 +48,57 @@
 	return Eligible
 }
 
-// retryable reports whether another attempt would follow one that fails.
+// retryable reports whether another attempt would follow a failed one.
 func (r *Request) retryable() bool { return !r.AtMostOnce && !r.LastAttempt }
 
-// healthGroups are the servers that a request may be sent to but for their health, by what that says.
+// healthGroups groups the servers that are eligible apart from their health by what their health allows.
 type healthGroups struct {
 	fit, suspect, forTrial, onTrial, ejected []*Candidate
 }
 
-// add takes in a server; one that is left out for another reason is none of them.
-func (b *healthGroups) add(k *Candidate, reason Eligibility) {
+// add adds a server to its group. A server excluded for another reason is in none.
+func (g *healthGroups) add(k *Candidate, reason Eligibility) {
 	switch reason {
 	case Eligible:
-		b.fit = append(b.fit, k)
+		g.fit = append(g.fit, k)
 	case excludedSuspect:
-		b.suspect = append(b.suspect, k)
+		g.suspect = append(g.suspect, k)
 	case eligibleForTrial:
-		b.forTrial = append(b.forTrial, k)
+		g.forTrial = append(g.forTrial, k)
 	case excludedOnTrial:
-		b.onTrial = append(b.onTrial, k)
+		g.onTrial = append(g.onTrial, k)
 	case excludedEjected:
-		b.ejected = append(b.ejected, k)
+		g.ejected = append(g.ejected, k)
 	}
 }
 
-// selectByHealth picks among servers by their health: the one that the request is a trial of, if it
-// would begin there in time, or else those in order, suspect ones only when there is no other, and
-// ejected ones only when there is none of these.
+// selectByHealth selects servers by their health: the one that the request is a trial of, if it would begin
+// there in time; otherwise healthy servers, suspect ones only without healthy ones, and ejected ones only
+// without any others.
 func (c *Core) selectByHealth(candidates *healthGroups, request *Request, now time.Time) []*Candidate {
 	if len(candidates.forTrial) > 1 {
-		// Where trials are rare, none is passed over for those before it on the list.
+		// Where trials are rare, no server is passed over for those before it on the list.
 		c.shuffleServers(candidates.forTrial)
 	}
-	for _, one := range candidates.forTrial {
-		if c.admits(one, request, now) {
-			return []*Candidate{one}
+	for _, candidate := range candidates.forTrial {
+		if c.admits(candidate, request, now) {
+			return []*Candidate{candidate}
 		}
 	}
-	for _, some := range [...][]*Candidate{candidates.fit, candidates.suspect, candidates.forTrial, candidates.onTrial} {
-		if len(some) > 0 {
-			return some
+	for _, group := range [...][]*Candidate{candidates.fit, candidates.suspect, candidates.forTrial, candidates.onTrial} {
+		if len(group) > 0 {
+			return group
 		}
 	}
 	return candidates.ejected
 }
 
-// shuffleServers puts servers in a random order.
+// shuffleServers puts servers in random order.
 func (c *Core) shuffleServers(servers []*Candidate) {
 	c.shuffle(len(servers), func(i, j int) { servers[i], servers[j] = servers[j], servers[i] })
 }
 
-// healthCost is what a server's health weighs in the choice.
+// healthCost returns the penalty for a server's health.
 func (c *Core) healthCost(k *Candidate, now time.Time) time.Duration {
 	if c.health.State(k.ID, c.elapsed(now)) == health.Suspect {
 		return suspectCost
@@ -106,7 +106,7 @@
 	return 0
 }
 
-// beginTrial notes that a request is being sent to a server on trial, and reports whether it is.
+// beginTrial records that a request is being sent to a server on trial, and reports whether it is a trial.
 func (c *Core) beginTrial(k *Candidate, now time.Time) bool {
 	if c.lost(k, now) {
 		c.health.BeginLostTrial(k.ID, c.elapsed(now))
@@ -115,7 +115,7 @@
 	return c.health.BeginTrial(k.ID, c.elapsed(now))
 }
 
-// lost reports whether the agent beside a server does not reach it, and no answer outweighs that.
+// lost reports whether the agent cannot reach its server and no answer of the server outweighs that.
 func (c *Core) lost(k *Candidate, now time.Time) bool {
 	return k.report.current(now) && !k.report.Reachable && !c.health.Proven(k.ID, c.elapsed(k.report.unreachableSince), c.elapsed(now))
 }
@@ -132,8 +132,8 @@
 	return due(k.ID, c.elapsed(k.report.unreachableSince), c.elapsed(now)) && c.leavesTimeForRetry(k, request, now)
 }
 
-// otherServes reports whether the service of a model server has another one that gets requests, if only
-// for want of others, so that attempts are counted there.
+// otherServes reports whether the service of a model server has another one that gets requests, if only for
+// lack of others, so that attempts are counted there.
 func (c *Core) otherServes(k *Candidate, now time.Time) bool {
 	return slices.ContainsFunc(c.byService[k.listing.server.Service], func(other *Candidate) bool {
 		switch {
@@ -146,34 +146,34 @@
 	})
 }
 
-// lostTrialFactor is how many times the usual time a lost server's trial waits for its answer: as long
-// as silence takes to count as evidence elsewhere. Its agent is the second witness, so that it need not
-// be waited for as long as at other servers, which at a service whose answers take 0.5 s would be the
-// 5 s that many callers have in all (TestTrialOfAMuteLostServerAtASlowService).
+// lostTrialFactor is the timeout of a lost server's trial as a multiple of its typical time: the multiple at
+// which silence counts as evidence elsewhere. The agent's report is a second witness, so the wait can be
+// shorter than at other servers, where it would be 5 s for a service with answers of 0.5 s, which is all that
+// many callers have (TestTrialOfAMuteLostServerAtASlowService).
 const lostTrialFactor = 4
 
-// lostTrialTimeout is the silence after which a lost server's trial is given up: the target, where no
-// answer has shown what is usual.
+// lostTrialTimeout returns the silence after which a lost server's trial is abandoned. It falls back to the
+// target while no answer has been observed.
 func (c *Core) lostTrialTimeout(k *Candidate, request *Request, now time.Time) time.Duration {
-	patience := max(request.MinOverdueTime, lostTrialFactor*c.startByLoad(k, request, now))
-	if seen := c.observedAnswer(k, request); seen > 0 {
-		return max(patience, lostTrialFactor*seen)
+	timeout := max(request.MinOverdueTime, lostTrialFactor*c.startByLoad(k, request, now))
+	if observed := c.observedAnswer(k, request); observed > 0 {
+		return max(timeout, lostTrialFactor*observed)
 	}
-	return max(patience, request.Target)
+	return max(timeout, request.Target)
 }
 
-// typicalTrial is how long the answer to a trial usually takes to begin.
+// typicalTrial returns how long the answer to a trial typically takes to begin.
 func (c *Core) typicalTrial(k *Candidate, request *Request, now time.Time) time.Duration {
 	return max(c.typicalAnswer(k, request), c.startByLoad(k, request, now))
 }
 
-// leavesTimeForRetry reports whether a trial of a lost server that stays silent leaves its request the time that
-// an answer usually takes elsewhere.
+// leavesTimeForRetry reports whether a lost server's trial that times out leaves the request the time that an
+// answer typically takes elsewhere.
 func (c *Core) leavesTimeForRetry(k *Candidate, request *Request, now time.Time) bool {
 	return request.TimeLeft <= 0 || c.lostTrialTimeout(k, request, now)+c.typicalTrial(k, request, now) <= request.TimeLeft
 }
 
-// updateHealth takes over which servers there are.
+// updateHealth passes the listed servers to the health tracker.
 func (c *Core) updateHealth(old Fleet) {
 	listed := map[string][]string{}
 	for _, server := range old.Servers {
@@ -187,18 +187,17 @@
 	}
 }
 
-// HealthUpdates is what has changed with servers' health, and what the zone's other entries are to
-// be told.
+// HealthUpdates holds the changes of servers' health, and the reports to send to the zone's other entries.
 type HealthUpdates struct {
 	Changes []health.Change
 	Reports []health.Word
 }
 
-// TakeHealthUpdates returns the news since the last call.
+// TakeHealthUpdates returns the updates since the previous call.
 func (c *Core) TakeHealthUpdates() HealthUpdates {
-	news := HealthUpdates{Changes: c.healthChanges, Reports: c.health.TakeWords()}
+	updates := HealthUpdates{Changes: c.healthChanges, Reports: c.health.TakeWords()}
 	c.healthChanges = nil
-	return news
+	return updates
 }
 
 func (c *Core) recordHealth(change health.Change, changed bool) {
@@ -207,20 +206,20 @@
 	}
 }
 
-// Outcome is what an attempt at a server has shown.
+// Outcome is the result of an attempt at a server.
 type Outcome struct {
 	health.Outcome
-	// Class groups requests that are alike, such as those of one route.
+	// Class groups similar requests, such as those of one route.
 	Class  string
 	SentAt time.Time
-	// Retried is set when the same request had failed elsewhere before.
+	// Retried is set when the same request has failed at another server before.
 	Retried bool
 }
 
-// Observe notes what an attempt has shown of its server.
+// Observe records the outcome of an attempt for its server.
 func (c *Core) Observe(k *Candidate, outcome Outcome, now time.Time) {
 	if current := c.byID[k.ID]; current != nil && current != k {
-		// Another server has its name now.
+		// The ID belongs to another server now.
 		return
 	}
 	c.recordHealth(c.health.Observe(health.Attempt{
@@ -229,24 +228,24 @@
 	}, c.elapsed(now)))
 }
 
-// EndTrial notes that an attempt has ended that says nothing of its server; it ends the server's
-// trial if it was that.
+// EndTrial records the end of an attempt that says nothing about its server. If it was the server's trial,
+// the trial ends.
 func (c *Core) EndTrial(send *Send, now time.Time) {
 	if send != nil && send.trial && c.byID[send.candidate.ID] == send.candidate {
 		c.health.EndTrial(send.candidate.ID, c.elapsed(now))
 	}
 }
 
-// ApplyHealthReport takes in what another entry of the zone said of a server at a time.
-func (c *Core) ApplyHealthReport(word health.Word, at, now time.Time) {
-	c.recordHealth(c.health.Hear(word, c.elapsed(at), c.elapsed(now)))
+// ApplyHealthReport applies a health report that another entry of the zone sent at the given time.
+func (c *Core) ApplyHealthReport(report health.Word, at, now time.Time) {
+	c.recordHealth(c.health.Hear(report, c.elapsed(at), c.elapsed(now)))
 }
 
-// SetZoneEntries takes over which other entries the zone has: they take turns with trials.
+// SetZoneEntries sets the zone's other entries, with which this one takes turns at trials.
 func (c *Core) SetZoneEntries(entries []string) { c.health.SetMembers(entries) }
 
-// EjectedServers is how many servers are ejected or on trial.
+// EjectedServers returns the number of servers that are ejected or on trial.
 func (c *Core) EjectedServers() int { return len(c.health.Ejected()) }
 
-// RecordAnswerTime notes how long a whole answer took.
-func (c *Core) RecordAnswerTime(k *Candidate, took time.Duration) { k.answerTimes.addWhole(took) }
+// RecordAnswerTime records how long a whole answer took.
+func (c *Core) RecordAnswerTime(k *Candidate, elapsed time.Duration) { k.answerTimes.addWhole(elapsed) }
--- a/coordination/dispatch/kept.go
+++ b/coordination/dispatch/kept.go
@@ -7,40 +7,41 @@
 	"pinevane.example/pinevane/coordination/incarnation"
 )
 
-// retentionTime is how long it is held what a server was sent, and has said of itself, after its line has
-// gone: lines lapse while the store is away, and come again.
+// retentionTime is how long the state of a server is retained after its list entry was removed: entries
+// expire while the store is unavailable, and return afterwards.
 const retentionTime = 10 * time.Minute
 
-// retainedServer is what is held of a server whose line has gone.
+// retainedServer is the retained state of a server that is no longer listed.
 type retainedServer struct {
-	born  incarnation.Born
-	at    time.Time
-	sent  admission.Window
-	limit rateLimit
-	asked notices
+	startTime  incarnation.Born
+	at         time.Time
+	sentWindow admission.Window
+	rateLimit  rateLimit
+	notices    notices
 }
 
-// expireRetained drops what has been held for too long, once a list: the lines of all servers may go at once.
+// expireRetained drops expired state. It runs once per list update, because all servers may be removed at
+// once.
 func (c *Core) expireRetained(now time.Time) {
-	for id, one := range c.retained {
-		if now.Sub(one.at) > retentionTime {
+	for id, server := range c.retained {
+		if now.Sub(server.at) > retentionTime {
 			delete(c.retained, id)
 		}
 	}
 }
 
-// retain holds what bounds a server whose line has gone.
-func (c *Core) retain(known *Candidate, now time.Time) {
-	c.retained[known.ID] = retainedServer{born: known.listing.server.StartTime, at: now, sent: known.sentWindow, limit: known.rateLimit, asked: known.notices}
+// retain keeps the state that limits a server when its list entry is removed.
+func (c *Core) retain(candidate *Candidate, now time.Time) {
+	c.retained[candidate.ID] = retainedServer{startTime: candidate.listing.server.StartTime, at: now, sentWindow: candidate.sentWindow, rateLimit: candidate.rateLimit, notices: candidate.notices}
 }
 
-// restore gives a newly listed server what was held of it, unless that was another life of it.
-func (c *Core) restore(known *Candidate, server Server) {
-	held, found := c.retained[server.ID]
+// restore applies the retained state to a newly listed server, unless it is of another incarnation.
+func (c *Core) restore(candidate *Candidate, server Server) {
+	retained, found := c.retained[server.ID]
 	delete(c.retained, server.ID)
-	if !found || held.born.Differs(server.StartTime) {
-		known.sentWindow = *admission.NewWindow(admission.LimitSpan)
+	if !found || retained.startTime.Differs(server.StartTime) {
+		candidate.sentWindow = *admission.NewWindow(admission.LimitSpan)
 		return
 	}
-	known.sentWindow, known.rateLimit, known.notices = held.sent, held.limit, held.asked
+	candidate.sentWindow, candidate.rateLimit, candidate.notices = retained.sentWindow, retained.rateLimit, retained.notices
 }
--- a/coordination/dispatch/learning.go
+++ b/coordination/dispatch/learning.go
@@ -6,38 +6,36 @@
 	"pinevane.example/pinevane/coordination/balance"
 )
 
-// Figures returns the figures to predict a service's model servers with: the
-// published ones, completed and corrected by what its answers have shown.
+// Figures returns the figures for predictions of a service's model servers: the published ones, completed and
+// corrected by observed answers.
 func (c *Core) Figures(service string, engine *Engine) balance.Server {
 	return c.learnedOf(service).Complete(engine.Published)
 }
 
-// LearnStream notes a stream that one server of a service has written from its first event to
-// its last.
+// LearnStream records the time that a server took to write a stream from its first event to its last.
 func (c *Core) LearnStream(service string, prompt, events int, writing time.Duration) {
 	c.learnedOf(service).Stream(prompt, events, writing)
 }
 
-// learnedOf returns what is learned of a service.
+// learnedOf returns the learned figures of a service.
 func (c *Core) learnedOf(service string) *balance.Learned {
 	return getOrCreate(c.learned, service)
 }
 
-// marginOf returns the margin of a service's refusals.
+// marginOf returns the margin of a service's refusal limit.
 func (c *Core) marginOf(service string) *balance.Margin {
 	return getOrCreate(c.margins, service)
 }
 
-// learnMargin notes how much later than expected a request has begun, if it was expected
-// near the limit.
+// learnMargin records how much later than expected a request has begun, if its expected wait was near the
+// limit.
 func (c *Core) learnMargin(send *Send, now time.Time) {
-	if share := c.policy.InTimeShare; share > 0 && send.nearLimit {
-		c.marginOf(send.service).Observe(now.Sub(send.expectedAt), send.target, share)
+	if ratio := c.policy.InTimeShare; ratio > 0 && send.nearLimit {
+		c.marginOf(send.service).Observe(now.Sub(send.expectedAt), send.target, ratio)
 	}
 }
 
-// learnFirstEvent notes when a request's first event came, if the server had nothing
-// else to do.
+// learnFirstEvent records the time to a request's first event, if the server was idle.
 func (c *Core) learnFirstEvent(send *Send, now time.Time) {
 	if send.idle {
 		c.learnedOf(send.service).IdleFirstEvent(send.engine.Published, send.prompt, now.Sub(send.sentAt))
--- a/coordination/dispatch/limit.go
+++ b/coordination/dispatch/limit.go
@@ -7,86 +7,86 @@
 	"pinevane.example/pinevane/coordination/admission"
 )
 
-// A server in need names in its answers how many requests a second it takes from all entries together.
-// The entries share that as they share what cold servers may receive, by ranks and without a message: a
-// server that says it is in need can't be asked for grants.
+// A server under load names in its answers the requests per second that it accepts from all entries together.
+// The entries share this rate as they share the rate of cold servers, by rank and without exchanging
+// messages: a server that reports overload can't be asked for grants.
 
-// limitWindowSeconds is over how many seconds servers judge what they get, and an entry spreads its share: over one
-// second a rate below the number of entries leaves most of them nothing.
+// limitWindowSeconds is the window over which servers measure their rate and an entry spreads its share.
+// Within one second, a rate below the number of entries leaves most of them with nothing.
 const limitWindowSeconds = 4
 
-// turns is how many spans of the window lie between two tries of entries without a share; scarceTurns where the limit
-// leaves one request a span or none.
+// probeTurns is the number of windows between two probes of entries without a share, sparseProbeTurns where
+// the limit allows at most one request per window.
 const (
 	probeTurns       = 2
 	sparseProbeTurns = 5
 )
 
-// rateLimit is the rate that a server names.
+// rateLimit is the rate limit that a server names.
 type rateLimit struct {
 	perSecond float64
-	// inForceSince is when a limit was first heard of, since when this rate was, namedAt when one was last; all are zero
-	// while no limit is in force.
+	// inForceSince is when a limit was first received, rateSince when the present rate was first received,
+	// lastNamedAt when a limit was last received. All are zero while no limit is in force.
 	inForceSince, rateSince, lastNamedAt time.Time
-	// endedAt is when the last request was sent whose answer has named none, toldAt when the others were last
-	// told of the rate.
+	// endedAt is when the last request was sent whose answer named no limit, announcedAt when the rate was
+	// last announced to the other entries.
 	endedAt, announcedAt time.Time
-	// lastSentAt is when this entry last sent a request under the limit; zero if it has not.
+	// lastSentAt is when this entry last sent a request under the limit, zero if it has not.
 	lastSentAt time.Time
 }
 
 func (l *rateLimit) inForce() bool { return !l.lastNamedAt.IsZero() }
 
-// reannounceInterval is how often the others are told of a rate that holds on, for entries that have started since.
+// reannounceInterval is how often an unchanged rate is announced again, for entries that have started since.
 const reannounceInterval = 5 * time.Minute
 
-// RateLimitChange is what an answer has changed of its server's limit.
+// RateLimitChange is the effect of an answer on its server's rate limit.
 type RateLimitChange struct {
 	Changed bool
-	// Announce is set when the other entries are to be told.
+	// Announce is set when the change is to be announced to the other entries.
 	Announce bool
-	// InForce is whether there is a limit now, PerSecond the rate, Former the one before.
+	// InForce says whether there is a limit now. PerSecond is its rate, Previous the one before.
 	InForce             bool
 	PerSecond, Previous float64
-	// Share is what this entry may send in admission.LimitSpan, Entries how many share.
+	// Share is how many requests this entry may send per window, Entries how many entries share the limit.
 	Share, Entries int
 }
 
-// RateLimitStatus is a server's limit, for people.
+// RateLimitStatus is a human-readable view of a server's rate limit.
 type RateLimitStatus struct {
 	InForce   bool
 	PerSecond float64
-	// SinceNamed is how long ago an answer last named it.
+	// SinceNamed is the time since an answer last named the limit.
 	SinceNamed time.Duration
 	Share      int
 }
 
-// RecordRateLimit notes the rate that an answer has named, whose request was sent at a time. Answers overtake each
-// other: one to a request that was sent before the present rate was first named can lower the rate only, and
-// one to a request that was sent before the limit ended can't bring it back.
+// RecordRateLimit records the rate named by the answer to a request sent at sentAt. Answers may arrive out of
+// order: the answer to a request sent before the present rate was first named can only lower the rate, and
+// the answer to one sent before the limit ended can't restore it.
 func (c *Core) RecordRateLimit(k *Candidate, perSecond float64, sentAt, now time.Time) RateLimitChange {
-	held := &k.rateLimit
-	if sentAt.Before(held.endedAt) || (held.inForce() && sentAt.Before(held.rateSince) && perSecond > held.perSecond) {
+	limit := &k.rateLimit
+	if sentAt.Before(limit.endedAt) || (limit.inForce() && sentAt.Before(limit.rateSince) && perSecond > limit.perSecond) {
 		return RateLimitChange{}
 	}
-	former, changed := held.perSecond, !held.inForce() || held.perSecond != perSecond
+	previous, changed := limit.perSecond, !limit.inForce() || limit.perSecond != perSecond
 	if changed {
-		held.rateSince = now
+		limit.rateSince = now
 	}
-	if !held.inForce() {
-		held.inForceSince = now
+	if !limit.inForce() {
+		limit.inForceSince = now
 	}
-	held.perSecond, held.lastNamedAt = perSecond, now
+	limit.perSecond, limit.lastNamedAt = perSecond, now
 	c.extendForRateLimit(k)
-	tell := changed || now.Sub(held.announcedAt) >= reannounceInterval
-	if tell {
-		held.announcedAt = now
+	announce := changed || now.Sub(limit.announcedAt) >= reannounceInterval
+	if announce {
+		limit.announcedAt = now
 	}
-	return RateLimitChange{Changed: changed, Announce: tell, InForce: true, PerSecond: perSecond, Previous: former, Share: c.limitShare(k, now), Entries: c.members.count(now)}
+	return RateLimitChange{Changed: changed, Announce: announce, InForce: true, PerSecond: perSecond, Previous: previous, Share: c.limitShare(k, now), Entries: c.members.count(now)}
 }
 
-// RecordNoRateLimit notes that an answer has named no rate. One to a request that was sent before the rate was
-// last named may be older than that.
+// RecordNoRateLimit records that the answer to a request sent at sentAt named no rate limit. The answer to a
+// request sent before the limit was last named may be outdated and is ignored.
 func (c *Core) RecordNoRateLimit(k *Candidate, sentAt, now time.Time) RateLimitChange {
 	if sentAt.After(k.rateLimit.endedAt) {
 		k.rateLimit.endedAt = sentAt
@@ -94,32 +94,33 @@
 	if !k.rateLimit.inForce() || !sentAt.After(k.rateLimit.lastNamedAt) {
 		return RateLimitChange{}
 	}
-	former := k.rateLimit.perSecond
+	previous := k.rateLimit.perSecond
 	k.rateLimit = rateLimit{endedAt: sentAt}
-	return RateLimitChange{Changed: true, Announce: true, Previous: former}
+	return RateLimitChange{Changed: true, Announce: true, Previous: previous}
 }
 
-// extendForRateLimit notes until when the other entries matter for a server's limit: what was known of them then
-// is used after that.
+// extendForRateLimit extends limitsUntil for a server with a rate limit; after that the entries known by then
+// are used.
 func (c *Core) extendForRateLimit(k *Candidate) {
 	if k.rateLimit.inForce() {
 		c.limitsUntil = later(c.limitsUntil, k.rateLimit.lastNamedAt.Add(memberTTL))
 	}
 }
 
-// limitShare is how many requests this entry may send a server in admission.LimitSpan.
+// limitShare returns how many requests this entry may send a server per window.
 func (c *Core) limitShare(k *Candidate, now time.Time) int {
 	return c.members.share(k.ID, float64(sharedTotal(k.rateLimit.perSecond)), now)
 }
 
-// sharedTotal is what the entries that have a share of a limit may send in admission.LimitSpan: the whole number
-// of requests that comes nearest to the rate, and one at least. Without any nobody would hear that the limit is over.
+// sharedTotal returns how many requests per window the entries with a share may send together: the rate
+// rounded to a whole number, and at least one. With none, no entry would learn that the limit has ended.
 func sharedTotal(perSecond float64) int {
 	return max(1, int(math.Round(perSecond*admission.LimitSpan.Seconds())))
 }
 
-// probeInterval is how far apart entries without a share of a limit send one request each, to find out whether it is still
-// in force. It comes on top of the rate, so that it is rarer where that is low.
+// probeInterval returns the time between probes of entries without a share, each of which sends one request
+// to find out whether the limit is still in force. Probes come on top of the rate, so they are rarer where it
+// is low.
 func probeInterval(perSecond float64) time.Duration {
 	if sharedTotal(perSecond) > 1 {
 		return probeTurns * admission.LimitSpan
@@ -127,18 +128,19 @@
 	return sparseProbeTurns * admission.LimitSpan
 }
 
-// nextProbeAt is when such an entry may do so: they take turns by their ranks from when they have heard of the limit, and
-// each comes again after all others.
+// nextProbeAt returns when an entry without a share may probe. Entries take turns by rank from the time at
+// which they learned of the limit, and each probes again after all others.
 func (c *Core) nextProbeAt(k *Candidate, now time.Time) time.Time {
-	turn := probeInterval(k.rateLimit.perSecond)
+	interval := probeInterval(k.rateLimit.perSecond)
 	if !k.rateLimit.lastSentAt.IsZero() {
-		return k.rateLimit.lastSentAt.Add(time.Duration(c.members.count(now)) * turn)
+		return k.rateLimit.lastSentAt.Add(time.Duration(c.members.count(now)) * interval)
 	}
-	place := c.members.rank(k.ID) - sharedTotal(k.rateLimit.perSecond) + 1
-	return k.rateLimit.inForceSince.Add(time.Duration(max(1, place)) * turn)
+	position := c.members.rank(k.ID) - sharedTotal(k.rateLimit.perSecond) + 1
+	return k.rateLimit.inForceSince.Add(time.Duration(max(1, position)) * interval)
 }
 
-// limitOpensIn is when this entry may send a server the next request under its limit; 0 is now.
+// limitOpensIn returns the time until this entry may send a server the next request under its limit; 0 means
+// now.
 func (c *Core) limitOpensIn(k *Candidate, now time.Time) time.Duration {
 	if !k.rateLimit.inForce() {
 		return 0
@@ -147,11 +149,11 @@
 	if share == 0 {
 		return max(0, c.nextProbeAt(k, now).Sub(now))
 	}
-	since, inASecond := c.members.elapsed(now), (share+limitWindowSeconds-1)/limitWindowSeconds
-	return max(k.sentWindow.OpensIn(admission.LimitSpan, since, share), k.sentWindow.OpensIn(admission.ColdSpan, since, inASecond))
+	elapsed, perSecond := c.members.elapsed(now), (share+limitWindowSeconds-1)/limitWindowSeconds
+	return max(k.sentWindow.OpensIn(admission.LimitSpan, elapsed, share), k.sentWindow.OpensIn(admission.ColdSpan, elapsed, perSecond))
 }
 
-// countLimited notes that a request is being sent to a server under its limit.
+// countLimited records that a request is being sent to a server under its limit.
 func (c *Core) countLimited(k *Candidate, now time.Time) {
 	if k.rateLimit.inForce() {
 		c.limitedSent++
@@ -159,10 +161,10 @@
 	}
 }
 
-// RateLimitCounts returns how many servers name a limit, and how many requests were sent to such.
+// RateLimitCounts returns the number of servers with a rate limit, and of requests sent to such servers.
 func (c *Core) RateLimitCounts() (servers int, sent uint64) {
-	for _, known := range c.byID {
-		if known.rateLimit.inForce() {
+	for _, candidate := range c.byID {
+		if candidate.rateLimit.inForce() {
 			servers++
 		}
 	}
--- a/coordination/dispatch/list.go
+++ b/coordination/dispatch/list.go
@@ -6,41 +6,42 @@
 	"time"
 )
 
-// ChangeKind is what has changed with a published fleet.
+// ChangeKind is the kind of a change of the published fleet.
 type ChangeKind int
 
-// The kinds of changes.
+// Kinds of changes.
 const (
-	// ServerLeaving: the server is to be sent nothing new.
+	// ServerLeaving: the server is to be sent no new requests.
 	ServerLeaving ChangeKind = iota
-	// ServerRemoved: the server is listed no more.
+	// ServerRemoved: the server is no longer listed.
 	ServerRemoved
-	// ServerRestarted: the server has started again under its ID; Candidate is its former incarnation.
+	// ServerRestarted: the server has restarted under its ID; Candidate is its former incarnation.
 	ServerRestarted
-	// AddressTaken: a newer server is listed at the server's address, so that it has ended.
+	// AddressTaken: a newer server is listed at the server's address, so the server has stopped.
 	AddressTaken
-	// ZoneEvacuated: the zone is to be sent nothing new.
+	// ZoneEvacuated: the zone is to be sent no new requests.
 	ZoneEvacuated
-	// ZoneReadmitted: it is no longer.
+	// ZoneReadmitted: the zone is no longer evacuated.
 	ZoneReadmitted
-	// ZoneIdle: the last request of this entry that was open in an evacuated zone has ended.
+	// ZoneIdle: this entry's last request in an evacuated zone has completed.
 	ZoneIdle
 )
 
-// Change is one change of the published fleet that the entry has to act on or to log.
+// Change is a change of the published fleet that the entry has to act on or to log.
 type Change struct {
 	Kind ChangeKind
-	// Candidate is the server, Zone the zone that has changed.
+	// Candidate is the server that changed, Zone the zone.
 	Candidate *Candidate
 	Zone      string
-	// Servers are those of the zone, InFlight this entry's requests there, or at the server.
+	// Servers is the number of servers in the zone. InFlight is the number of this entry's requests in the
+	// zone or at the server.
 	Servers  int
 	InFlight int
-	// IdleAfter is how long after the evacuation was heard of the zone became idle.
+	// IdleAfter is the time from when the entry learned of the evacuation until the zone was idle.
 	IdleAfter time.Duration
 }
 
-// Update takes over a new published fleet, and returns what has changed.
+// Update applies a new published fleet and returns the changes.
 func (c *Core) Update(fleet Fleet, now time.Time) []Change {
 	old := c.fleet
 	c.fleet = fleet
@@ -51,28 +52,28 @@
 	c.byAddress = make(map[string]*Candidate, len(fleet.Servers))
 	for _, server := range fleet.Servers {
 		present[server.ID] = true
-		if known := c.byID[server.ID]; known != nil && known.isOther(server) {
-			ended := c.remove(known, now)
-			if known.listing.server.StartTime.Differs(server.StartTime) {
+		if candidate := c.byID[server.ID]; candidate != nil && candidate.isOther(server) {
+			ended := c.remove(candidate, now)
+			if candidate.listing.server.StartTime.Differs(server.StartTime) {
 				ended.Kind = ServerRestarted
 			}
 			changes = append(changes, ended)
 			c.health.Renew(server.ID, c.elapsed(now))
-			// What its former incarnation was sent, and what was told of that, is over.
+			// Requests sent to the former incarnation and reports about it no longer apply.
 			delete(c.retained, server.ID)
 			if c.reports[server.Address].StartTime != server.StartTime {
 				delete(c.reports, server.Address)
 			}
 		}
-		known := c.candidateOf(server, now)
-		if !known.listing.server.Draining && !known.notices.leaving && server.Draining {
-			changes = append(changes, Change{Kind: ServerLeaving, Candidate: known, InFlight: known.sends.inFlight})
+		candidate := c.candidateOf(server, now)
+		if !candidate.listing.server.Draining && !candidate.notices.leaving && server.Draining {
+			changes = append(changes, Change{Kind: ServerLeaving, Candidate: candidate, InFlight: candidate.sends.inFlight})
 		}
-		known.listing.server = server
-		known.coldTime = c.coldTime(server.Service)
-		known.version = max(known.version, server.Version)
-		c.byService[server.Service] = append(c.byService[server.Service], known)
-		if ended := c.claimAddress(known); ended != nil {
+		candidate.listing.server = server
+		candidate.coldTime = c.coldTime(server.Service)
+		candidate.version = max(candidate.version, server.Version)
+		c.byService[server.Service] = append(c.byService[server.Service], candidate)
+		if ended := c.claimAddress(candidate); ended != nil {
 			changes = append(changes, Change{Kind: AddressTaken, Candidate: ended, InFlight: ended.sends.inFlight})
 		}
 	}
@@ -84,77 +85,75 @@
 	return append(changes, c.NewlyIdleZones(now)...)
 }
 
-// Leaving reports whether a server is to be sent nothing more, because its line or an answer has said so, it is
-// listed no more, or has ended.
+// Leaving reports whether a server is to be sent no more requests, because its list entry or an answer says
+// so, it is no longer listed, or it has stopped.
 func (c *Core) Leaving(k *Candidate) bool {
 	return k.listing.server.Draining || k.notices.leaving || k.listing.removed
 }
 
-// isOther reports whether a line is that of another server with the same name, or of another life
-// of the server.
+// isOther reports whether a list entry belongs to another server with the same ID, or to another incarnation.
 func (k *Candidate) isOther(server Server) bool {
 	return k.Zone != server.Zone || k.Address != server.Address || k.listing.server.StartTime.Differs(server.StartTime)
 }
 
-// dropUnlisted forgets the servers that are not listed any more.
+// dropUnlisted removes the servers that are no longer listed.
 func (c *Core) dropUnlisted(present map[string]bool, now time.Time) []Change {
-	var gone []Change
-	for id, known := range c.byID {
+	var removed []Change
+	for id, candidate := range c.byID {
 		if !present[id] {
-			gone = append(gone, c.remove(known, now))
+			removed = append(removed, c.remove(candidate, now))
 		}
 	}
-	slices.SortFunc(gone, func(a, b Change) int { return cmp.Compare(a.Candidate.ID, b.Candidate.ID) })
-	return gone
+	slices.SortFunc(removed, func(a, b Change) int { return cmp.Compare(a.Candidate.ID, b.Candidate.ID) })
+	return removed
 }
 
-// remove drops one server.
-func (c *Core) remove(known *Candidate, now time.Time) Change {
-	known.listing.removed = true
-	c.retain(known, now)
-	delete(c.byID, known.ID)
-	return Change{Kind: ServerRemoved, Candidate: known, InFlight: known.sends.inFlight}
+// remove removes one server.
+func (c *Core) remove(candidate *Candidate, now time.Time) Change {
+	candidate.listing.removed = true
+	c.retain(candidate, now)
+	delete(c.byID, candidate.ID)
+	return Change{Kind: ServerRemoved, Candidate: candidate, InFlight: candidate.sends.inFlight}
 }
 
-// candidateOf returns what is known of a listed server.
+// candidateOf returns the Candidate of a listed server, creating it if needed.
 func (c *Core) candidateOf(server Server, now time.Time) *Candidate {
-	known := c.byID[server.ID]
-	if known != nil {
-		return known
+	candidate := c.byID[server.ID]
+	if candidate != nil {
+		return candidate
 	}
-	known = &Candidate{ID: server.ID, Address: server.Address, Zone: server.Zone, listing: listing{firstListed: now}}
-	c.restore(known, server)
-	c.byID[server.ID] = known
-	if told, heard := c.reports[server.Address]; heard && !told.StartTime.Before(server.StartTime) {
-		known.report.timedReport = told
+	candidate = &Candidate{ID: server.ID, Address: server.Address, Zone: server.Zone, listing: listing{firstListed: now}}
+	c.restore(candidate, server)
+	c.byID[server.ID] = candidate
+	if reported, found := c.reports[server.Address]; found && !reported.StartTime.Before(server.StartTime) {
+		candidate.report.timedReport = reported
 	}
-	return known
+	return candidate
 }
 
-// claimAddress notes who has an address now: of several servers that are listed with
-// it, the one whose line is the newest. The others have ended, and the list will
-// drop them; one that is found so is returned.
-func (c *Core) claimAddress(known *Candidate) (ended *Candidate) {
-	holder := c.byAddress[known.Address]
-	if holder == nil || holder.listing.server.Revision < known.listing.server.Revision {
-		c.byAddress[known.Address] = known
-		known.listing.removed = known.listing.superseded
-		holder, known = known, holder
+// claimAddress gives an address to the server with the newest list entry among those listed with it. The
+// others have stopped, and the list will drop them; if one is found here, it is returned.
+func (c *Core) claimAddress(candidate *Candidate) (ended *Candidate) {
+	holder := c.byAddress[candidate.Address]
+	if holder == nil || holder.listing.server.Revision < candidate.listing.server.Revision {
+		c.byAddress[candidate.Address] = candidate
+		candidate.listing.removed = candidate.listing.superseded
+		holder, candidate = candidate, holder
 	}
-	if known == nil {
+	if candidate == nil {
 		return nil
 	}
-	known.listing.removed = true
-	if told, heard := c.reports[holder.Address]; heard && holder.report.at.IsZero() && !told.StartTime.Before(holder.listing.server.StartTime) {
-		holder.report.timedReport = told
+	candidate.listing.removed = true
+	if reported, found := c.reports[holder.Address]; found && holder.report.at.IsZero() && !reported.StartTime.Before(holder.listing.server.StartTime) {
+		holder.report.timedReport = reported
 	}
-	return known
+	return candidate
 }
 
-// Supersede notes that another server has answered at a server's address, and reports whether
-// that is news.
+// Supersede records that another server has answered at a server's address, and reports whether the server
+// was in use until now.
 func (c *Core) Supersede(k *Candidate) bool {
-	news := !k.listing.removed
+	isNew := !k.listing.removed
 	k.listing.removed, k.listing.superseded = true, true
-	return news
+	return isNew
 }
--- a/coordination/dispatch/members.go
+++ b/coordination/dispatch/members.go
@@ -7,36 +7,34 @@
 	"pinevane.example/pinevane/coordination/placement"
 )
 
-// Constants of the entries that share bounds on servers.
+// Parameters of the entries that share limits.
 const (
-	// memberTTL is how long an entry that is heard of no more keeps its share: one that is
-	// cut off from the others still sends.
+	// memberTTL is how long an entry keeps its share after it was last seen: an entry that is cut off from
+	// the others still sends requests.
 	memberTTL = time.Minute
-	// lookupInterval is how often the entries known are looked through.
+	// lookupInterval is how often the known entries are looked up.
 	lookupInterval = 250 * time.Millisecond
-	// assumedMembers is how many entries are assumed until the others are known, settleTime
-	// after the start, and while they are asked for after memberMemory without a look.
+	// assumedMembers is the minimum number of entries assumed during settleTime after the start, and while a
+	// lookup is pending and the last one is older than memberTTL.
 	assumedMembers = 16
 	// settleTime is how long after the start the number of entries is uncertain.
 	settleTime = 3 * time.Second
 )
 
-// memberSet are the entries that share what cold servers, and such that name a limit, may receive.
-// They agree on the shares without a message: each ranks all entries for a server by the same
-// hashing. Where a server may receive fewer requests than there are entries, the first in its rank
-// have one each. Shares that are handed out by the server's agent as they are asked for would
-// follow the callers more closely; they depend on the server's link, which is narrow, at the
-// moment when its machine is starting.
+// memberSet holds the entries that share the rates of cold and rate-limited servers. They agree on shares
+// without exchanging messages: each ranks all entries for a server by the same hash. Where a server may
+// receive fewer requests than there are entries, the first by rank get one each. Shares granted by the
+// server's agent on request would follow demand more closely, but would depend on the server's link, which is
+// narrow while its machine is starting.
 type memberSet struct {
 	self string
-	// lastSeen tells when an entry was last known.
+	// lastSeen holds when each entry was last known.
 	lastSeen  map[string]time.Time
 	updatedAt time.Time
-	// lookupPending is set while the entries known are asked for, which requests do not wait for.
+	// lookupPending is set while the known entries are being looked up; requests do not wait for this.
 	lookupPending bool
 	started       time.Time
-	// ranks are this entry's ranks for servers, by their names, since the entries were last
-	// looked through.
+	// ranks caches this entry's rank by server ID since the last lookup.
 	ranks map[string]int
 }
 
@@ -44,7 +42,7 @@
 	return &memberSet{self: self, lastSeen: map[string]time.Time{}, ranks: map[string]int{}, started: started}
 }
 
-// update takes over which entries are known.
+// update applies the result of a lookup.
 func (m *memberSet) update(known []string, now time.Time) {
 	m.updatedAt, m.lookupPending = now, false
 	clear(m.ranks)
@@ -58,12 +56,12 @@
 	}
 }
 
-// share is how many requests this entry may send a server of a limit for all.
+// share returns how many requests of a server's common limit this entry may send.
 func (m *memberSet) share(server string, limit float64, now time.Time) int {
 	return admission.Share(limit, m.rank(server), m.count(now))
 }
 
-// count is how many entries share, this one included.
+// count returns the number of entries that share limits, this one included.
 func (m *memberSet) count(now time.Time) int {
 	count := len(m.lastSeen) + 1
 	if now.Sub(m.started) < settleTime || (m.lookupPending && now.Sub(m.updatedAt) > memberTTL) {
@@ -72,10 +70,10 @@
 	return count
 }
 
-// elapsed is a moment as windows of what was sent count time.
+// elapsed converts a time to the time of the request windows, which counts from the start.
 func (m *memberSet) elapsed(now time.Time) time.Duration { return now.Sub(m.started) }
 
-// rank is how many of the other entries come before this one for a server.
+// rank returns the number of other entries that rank before this one for a server.
 func (m *memberSet) rank(server string) int {
 	if rank, known := m.ranks[server]; known {
 		return rank
@@ -90,14 +88,14 @@
 	return rank
 }
 
-// EntryLookupDue reports whether the entries known are to be told anew, by TakeEntries: from time to
-// time as long as a server is cold or names a limit, and no one asks for them already.
+// EntryLookupDue reports whether the known entries should be looked up and passed to SetEntries: periodically
+// while a server is cold or rate limited, unless a lookup is pending.
 func (c *Core) EntryLookupDue(now time.Time) bool {
 	return !c.members.lookupPending && now.Sub(c.members.updatedAt) >= lookupInterval && now.Before(c.limitsUntil)
 }
 
-// BeginEntryLookup notes that the entries known are being asked for, until TakeEntries.
+// BeginEntryLookup marks a lookup as pending until SetEntries is called.
 func (c *Core) BeginEntryLookup() { c.members.lookupPending = true }
 
-// SetEntries takes over which other entries are lately known.
+// SetEntries sets the other entries that are currently known.
 func (c *Core) SetEntries(known []string, now time.Time) { c.members.update(known, now) }
--- a/coordination/dispatch/prediction.go
+++ b/coordination/dispatch/prediction.go
@@ -7,7 +7,7 @@
 	"pinevane.example/pinevane/coordination/balance"
 )
 
-// load is what is known of the server's work now.
+// load estimates the server's current load.
 func (c *Core) load(k *Candidate, request *Request, now time.Time) balance.Load {
 	own := &k.sends
 	if request.Engine == nil {
@@ -20,24 +20,24 @@
 	if !k.report.Reachable {
 		return c.assumedLoad(load, request)
 	}
-	word := &k.report
-	othersWaiting := max(0, word.Waiting-word.ownCounts.unread)
+	report := &k.report
+	othersWaiting := max(0, report.Waiting-report.ownCounts.unread)
 	load.Waiting += othersWaiting
-	if word.UnreadTokens > 0 {
-		load.Unread += max(0, float64(word.UnreadTokens-word.ownCounts.unreadTokens))
+	if report.UnreadTokens > 0 {
+		load.Unread += max(0, float64(report.UnreadTokens-report.ownCounts.unreadTokens))
 	} else {
 		load.Unread += float64(othersWaiting) * request.Figures.UsualPrompt
 	}
 	load.Running = max(0, k.outstanding(now)-load.Waiting)
-	load.Pace = word.Pace
-	if now.Sub(word.repliedAt) >= replyTTL {
+	load.Pace = report.Pace
+	if now.Sub(report.repliedAt) >= replyTTL {
 		c.addUnseen(&load, k, request)
 	}
 	return load
 }
 
-// assumedLoad is the load of a server that its agent does not reach: what that has counted is from before,
-// and each other entry is taken to have as much there as this one.
+// assumedLoad estimates the load of a server that its agent cannot reach: the agent's counts are outdated, so
+// each other entry is assumed to have as many requests there as this one.
 func (c *Core) assumedLoad(own balance.Load, request *Request) balance.Load {
 	factor := 1 + c.policy.UnseenLoad*float64(request.OtherEntries)
 	own.Running = int(math.Round(factor * float64(own.Running)))
@@ -46,30 +46,30 @@
 	return own
 }
 
-// addUnseen adds what other entries may have sent since the agent's word: as much each
-// as this one has. A server that has just become idle draws all entries at the same
-// time, and none sees the others' requests before the next word.
+// addUnseen adds the load that other entries may have sent since the agent's report, assuming as much from
+// each as from this one. A server that has just become idle attracts all entries at once, and none sees the
+// others' requests before the next report.
 func (c *Core) addUnseen(load *balance.Load, k *Candidate, request *Request) {
 	weight := c.policy.UnseenLoad * float64(request.OtherEntries)
 	if weight == 0 {
 		return
 	}
-	count, tokens := 0, 0
-	for _, one := range k.sends.pending {
-		if one.sentAt.After(k.report.at) {
-			count++
-			tokens += one.prompt
+	requests, tokens := 0, 0
+	for _, send := range k.sends.pending {
+		if send.sentAt.After(k.report.at) {
+			requests++
+			tokens += send.prompt
 		}
 	}
-	load.Waiting += int(math.Round(weight * float64(count)))
+	load.Waiting += int(math.Round(weight * float64(requests)))
 	load.Unread += weight * float64(tokens)
 }
 
-// replyTTL is the age up to which an agent's answer to a question shows what all
-// entries have sent: in it, one of the questions of others reaches a busy server.
+// replyTTL is the maximum age at which an agent's reply to a load query still covers what all entries have
+// sent: within it, a busy server gets one query of the others.
 const replyTTL = 20 * time.Millisecond
 
-// model describes the server to the predictions.
+// model returns the server's figures for predictions.
 func (k *Candidate) model(request *Request) balance.Server {
 	if request.Engine == nil {
 		return balance.Server{Slots: max(1, k.listing.server.Slots), WholeMilliseconds: max(k.answerTimes.meanMilliseconds, minMilliseconds)}
@@ -81,27 +81,26 @@
 	return server
 }
 
-// minMilliseconds is assumed of a plain server that has answered nothing yet.
+// minMilliseconds is assumed for a plain server without any answer yet.
 const minMilliseconds = 20
 
-// firstEvent predicts when the server would begin the request: what its load
-// says, and how much later than that it has lately begun others.
+// firstEvent predicts when the server would begin the request: by its load, plus its recent lateness.
 func (c *Core) firstEvent(k *Candidate, request *Request, now time.Time) time.Duration {
 	return c.startByLoad(k, request, now) + c.startDelay(k, now)
 }
 
-// wait predicts how long the server would have the request wait for others: by its load, and by how late it has lately
-// begun them.
+// wait predicts how long the request would queue at the server: by its load, plus its recent lateness.
 func (c *Core) wait(k *Candidate, request *Request, now time.Time) time.Duration {
 	return k.model(request).Wait(c.load(k, request, now)) + c.startDelay(k, now)
 }
 
-// startByLoad is when the server would begin the request by its load alone.
+// startByLoad predicts when the server would begin the request by its load alone.
 func (c *Core) startByLoad(k *Candidate, request *Request, now time.Time) time.Duration {
 	return k.model(request).FirstEvent(c.load(k, request, now), request.Prompt)
 }
 
-// startDelay is how much later than that the server has lately begun others, or the time of its link.
+// startDelay returns the weighted recent lateness of the server, or its link's round-trip time if that is
+// longer.
 func (c *Core) startDelay(k *Candidate, now time.Time) time.Duration {
 	late := time.Duration(c.policy.Lateness * float64(k.lateBy(now)))
 	if k.report.current(now) {
--- a/coordination/dispatch/refusal.go
+++ b/coordination/dispatch/refusal.go
@@ -6,39 +6,36 @@
 	"pinevane.example/pinevane/coordination/shedding"
 )
 
-// Bounds of refusals.
+// Bounds of the retry times sent with refusals.
 const (
 	refusalRetryFloor = 100 * time.Millisecond
 	refusalRetryCap   = 1500 * time.Millisecond
-	// NoServerRetry is told when there is no server at all.
+	// NoServerRetry is sent when there is no server at all.
 	NoServerRetry = 700 * time.Millisecond
-	// noRegionRetry is told when no zone of the fleet is in an allowed region: only another
-	// configuration helps. Deployments give a published one 2 to 3 s to be in force everywhere;
-	// the rest is for an operator to write it, which is a guess. Callers that come back sooner
-	// are refused again.
+	// noRegionRetry is sent when no zone of the fleet is in an allowed region: only a configuration change
+	// helps. A published configuration takes 2 to 3 s to be in force everywhere; the rest is an estimate of
+	// the time an operator needs to write it. Callers that come back sooner are refused again.
 	noRegionRetry = 5 * time.Second
 )
 
-// Times until servers serve again.
+// Estimates of when servers are ready again.
 const (
-	// switchTime is how long a server takes to change over, as long as nobody knows
-	// better.
+	// switchTime is how long a version switch takes, without a better estimate.
 	switchTime = 800 * time.Millisecond
-	// unknownTransferTime is told while no agent has said how its transfer goes.
+	// unknownTransferTime is the estimate while no agent has reported its transfer's progress.
 	unknownTransferTime = 1500 * time.Millisecond
 )
 
-// hasFreeSlot reports whether a plain server could begin the request now. That its
-// last answers came late is then no reason to refuse: they may have been held up on
-// the way, and without further requests nothing would show that it is past.
+// hasFreeSlot reports whether a plain server could begin the request now. Recent late answers are then no
+// reason to refuse: they may have been delayed on the way, and without further requests nothing would show
+// that the delay is over.
 func (k *Candidate) hasFreeSlot(request *Request) bool {
 	return request.Engine == nil && k.sends.inFlight < k.listing.server.Slots
 }
 
-// admit refuses a request that would wait for others for too long at every server. When
-// only at the drawn ones it would, the soonest of all is taken. One that was sent to a
-// server before has been admitted: it is not refused any more. Servers that were not asked because
-// they are left to others count before a refusal.
+// admit refuses a request that would queue too long at every server. If it would do so only at the sampled
+// ones, the soonest of all is used. A request that was sent to a server before has been admitted and is not
+// refused any more. Scarce servers that were not queried are considered before a refusal.
 func (c *Core) admit(best *Candidate, usable, all []*Candidate, request *Request, now time.Time) (*Candidate, *Refusal) {
 	if request.Resumed || len(request.Tried) > 0 || c.admits(best, request, now) {
 		return best, nil
@@ -57,7 +54,7 @@
 	return nil, refusal
 }
 
-// admission tells what a request is admitted or refused by at a server.
+// admission returns the figures by which a request is admitted or refused at a server.
 func (c *Core) admission(k *Candidate, request *Request, now time.Time) Admission {
 	return Admission{
 		IdleDelay: k.model(request).Alone(request.Prompt), Wait: c.wait(k, request, now), Lateness: c.startDelay(k, now),
@@ -65,7 +62,7 @@
 	}
 }
 
-// soonest returns the first of some servers that would begin a request soonest; nil without any.
+// soonest returns the first of the servers that would begin a request soonest, nil if there are none.
 func (c *Core) soonest(usable []*Candidate, request *Request, now time.Time) (best *Candidate) {
 	var soonest time.Duration
 	for _, candidate := range usable {
@@ -76,8 +73,8 @@
 	return best
 }
 
-// refuse tells which servers fall out for which reason, and when the first is open of those that only what
-// they have asked for keeps from the request.
+// refuse counts the servers by eligibility, and finds when the first of those opens that are excluded only by
+// their notices.
 func (c *Core) refuse(reason RefusalReason, request *Request, now time.Time) *Refusal {
 	refusal := &Refusal{Reason: reason, Servers: map[Eligibility]int{}, opensIn: maxClosedTime}
 	for _, candidate := range c.byService[request.Service] {
@@ -91,8 +88,8 @@
 	return refusal
 }
 
-// noServer refuses a request that no server may be sent now, with the time until one of
-// the allowed regions is expected.
+// noServer refuses a request for which no server is eligible, with the time until one in the allowed regions
+// is expected.
 func (c *Core) noServer(request *Request, now time.Time) *Refusal {
 	reason := RefusedNoServer
 	if c.residencyExcludes(request, now) {
@@ -109,20 +106,20 @@
 	return refusal
 }
 
-// soonestReady estimates when a server will be able to take the request, from what
-// the agents say of their transfers.
+// soonestReady estimates when a server will be able to take the request, from the transfers that the agents
+// report.
 func (c *Core) soonestReady(request *Request, now time.Time) time.Duration {
 	engine := request.Engine
 	if engine == nil || engine.Pieces == 0 {
 		return NoServerRetry
 	}
-	soonest := unknownTransferTime + engine.CopyTime/2
-	for _, told := range c.reports {
-		if !told.Reachable || now.Sub(told.at) > reportTTL || !c.allowedAt(told.Address, request.Residency) {
+	earliest := unknownTransferTime + engine.CopyTime/2
+	for _, reported := range c.reports {
+		if !reported.Reachable || now.Sub(reported.at) > reportTTL || !c.allowedAt(reported.Address, request.Residency) {
 			continue
 		}
-		left := engine.CopyTime * time.Duration(told.MissingPieces) / time.Duration(engine.Pieces)
-		soonest = min(soonest, left+engine.ActivationTime+switchTime/2)
+		left := engine.CopyTime * time.Duration(reported.MissingPieces) / time.Duration(engine.Pieces)
+		earliest = min(earliest, left+engine.ActivationTime+switchTime/2)
 	}
-	return max(soonest, refusalRetryFloor)
+	return max(earliest, refusalRetryFloor)
 }
--- a/coordination/dispatch/residency.go
+++ b/coordination/dispatch/residency.go
@@ -6,18 +6,18 @@
 	"pinevane.example/pinevane/coordination/residency"
 )
 
-// Data residency: a request is sent only to servers in the regions that its route and its
-// tenant allow. Every way to a server goes through Core.fitness, which asks here: the
-// choice, whom to ask for the load, what follows a failed attempt, the continuation of a
-// stream, and the ejected servers that are taken when no sound one is left.
+// Data residency: a request is sent only to servers in the regions that its route and its tenant allow. Every
+// path to a server goes through Core.eligibility, which checks this: the selection, the load queries, retries
+// after a failed attempt, the continuation of a stream, and the ejected servers used when no healthy one is
+// left.
 
-// Allowed reports whether a server of a zone may be sent a request with a residency. A zone
-// that the settings do not name has no region, and is in none that is allowed.
+// Allowed reports whether the residency allows servers of a zone. A zone that the settings do not name has no
+// region, and so is in no allowed one.
 func (c *Core) Allowed(zone string, allowed residency.Residency) bool {
 	return !allowed.Restrict() || allowed.Allow(c.regions[zone])
 }
 
-// allowedAt is the same for the server at an address; one that is not listed is nowhere.
+// allowedAt is Allowed for the server at an address; an address that is not listed is in no region.
 func (c *Core) allowedAt(address string, allowed residency.Residency) bool {
 	if !allowed.Restrict() {
 		return true
@@ -26,7 +26,7 @@
 	return holder != nil && c.Allowed(holder.Zone, allowed)
 }
 
-// residencyExcludes reports whether a server of another region would be sent the request.
+// residencyExcludes reports whether the request could be served if every region were allowed.
 func (c *Core) residencyExcludes(request *Request, now time.Time) bool {
 	if !request.Residency.Restrict() {
 		return false
--- a/coordination/dispatch/returns.go
+++ b/coordination/dispatch/returns.go
@@ -7,26 +7,26 @@
 	"pinevane.example/pinevane/coordination/shedding"
 )
 
-// RecordArrival notes a request whose caller waits for a time left, 0 for one that does not say, and tells whether
-// it came back after a refusal.
+// RecordArrival records a request whose caller has the given time left, 0 if not specified, and returns
+// whether it came back after a refusal.
 func (c *Core) RecordArrival(request *Request, left time.Duration, now time.Time) shedding.Arrival {
 	getOrCreate(c.targets, request.Service).Arrived(request.Target)
 	return shedding.Arrival{Left: left, Elapsed: getOrCreate(c.retryDetectors, request.Route).Arrived(now.Sub(c.started), left)}
 }
 
-// RecordRefusal notes that a request's caller was refused, and may come back.
+// RecordRefusal records that a request was refused, so that its caller may come back.
 func (c *Core) RecordRefusal(request *Request, now time.Time) { c.pauseLearning(request, now) }
 
-// fullRatio is the part of the longest wait beyond which an expected one shows that servers are full:
-// other entries refuse callers then, who may come back to this one.
+// fullRatio is the fraction of the maximum wait above which an expected wait shows that servers are full:
+// other entries then refuse callers, who may come back to this one.
 const fullRatio = 0.8
 
-// recordFull has nothing learned of a route's callers while servers are full, by how long a request is to wait
-// and first attempts may, and lets an overload go on. Each of many entries refuses a few callers a second only; between its own refusals it
-// took the returns of the others' callers for first attempts, which hid them, or let them in as if
-// the overload were over.
-func (c *Core) recordFull(request *Request, wait, firstAttempts time.Duration, now time.Time) {
-	if request.Engine == nil || float64(wait) <= fullRatio*float64(firstAttempts) {
+// recordFull pauses the learning of a route's callers while servers are full, and keeps an overload in force.
+// Each of many entries refuses only a few callers per second. Without this, an entry took the retries of
+// callers refused by others for first attempts between its own refusals, which hid them or admitted them as
+// if the overload had ended.
+func (c *Core) recordFull(request *Request, wait, firstAttemptWait time.Duration, now time.Time) {
+	if request.Engine == nil || float64(wait) <= fullRatio*float64(firstAttemptWait) {
 		return
 	}
 	c.pauseLearning(request, now)
@@ -35,8 +35,8 @@
 	}
 }
 
-// pauseLearning has nothing learned of a route's callers for as long as those refused now may
-// take to come back.
+// pauseLearning pauses the learning of a route's callers for as long as those refused now may take to come
+// back.
 func (c *Core) pauseLearning(request *Request, now time.Time) {
 	getOrCreate(c.retryDetectors, request.Route).Refused(now.Sub(c.started), request.Arrival.Left)
 }
@@ -46,30 +46,31 @@
 	maps.DeleteFunc(c.retryDetectors, func(route string, _ *shedding.Usual) bool { return !kept[route] })
 }
 
-// startLimit is the latest predicted beginning of a request of usual size; 0 or less where none is refused for load.
+// startLimit returns the latest predicted start of a request of usual size; at 0 or less, no request is
+// refused for load.
 func (c *Core) startLimit(request *Request) time.Duration {
 	target := getOrCreate(c.targets, request.Service).Common(request.Target)
 	return time.Duration(c.policy.RefusalShare * float64(c.marginOf(request.Service).Limit(target)))
 }
 
-// firstAttemptWait is how long a first attempt may wait for others at a server.
+// firstAttemptWait returns how long a first attempt may queue at a server.
 func (c *Core) firstAttemptWait(k *Candidate, request *Request) time.Duration {
 	return k.model(request).MostWait(c.startLimit(request))
 }
 
-// maxWait is how long a request may wait for others at a server.
+// maxWait returns how long a request may queue at a server.
 func (c *Core) maxWait(k *Candidate, request *Request, now time.Time) time.Duration {
-	share := getOrCreate(c.overloadDetectors, request.Service).Share(now.Sub(c.started), c.policy.LateShare)
-	return shedding.Wait(c.firstAttemptWait(k, request), request.Arrival, share)
+	fraction := getOrCreate(c.overloadDetectors, request.Service).Share(now.Sub(c.started), c.policy.LateShare)
+	return shedding.Wait(c.firstAttemptWait(k, request), request.Arrival, fraction)
 }
 
-// admits reports whether a server would have the request wait for others no longer than it may. It goes by the wait
-// alone: see shedding.Wait.
+// admits reports whether the request would queue at a server no longer than it may. Only the wait counts, not
+// the request's own processing time.
 func (c *Core) admits(k *Candidate, request *Request, now time.Time) bool {
 	return c.startLimit(request) <= 0 || k.hasFreeSlot(request) || c.wait(k, request, now) <= c.maxWait(k, request, now)
 }
 
-// getOrCreate returns what is kept of a name, and begins with nothing known.
+// getOrCreate returns the value of a key, adding an empty one if there is none.
 func getOrCreate[K comparable, V any](kept map[K]*V, name K) *V {
 	known := kept[name]
 	if known == nil {
--- a/coordination/dispatch/scarcity.go
+++ b/coordination/dispatch/scarcity.go
@@ -7,38 +7,38 @@
 	"pinevane.example/pinevane/coordination/residency"
 )
 
-// Scarcity: places in a region that is the only allowed one of some requests are left to these, as
-// long as there are others. A request that may go elsewhere sees a server there as later, by the
-// share of the region's servers that the bound requests keep busy, times how full the server is,
-// times how long a request holds a place there, less where few servers are outside of the region. Nothing
-// is refused for it: refusals go by how long a server has the request wait, without this cost, agents are asked
-// once without it before a refusal, and a scarce server that was not asked counts by its last word. What it is
-// worth stands in docs/design/residency.md.
+// Scarcity: slots in a region that is the only allowed one for some requests are left to these, as long as
+// there are others. For a request that may go elsewhere, a server there gets a penalty: the fraction of the
+// region's servers that the single-region requests keep busy, times how full the server is, times how long a
+// request holds a slot there, reduced where few servers are outside the region. No request is refused because
+// of it: refusals depend on the wait at a server without this penalty, agents are queried once without it
+// before a refusal, and a scarce server that was not queried is considered by its last report. Its effect is
+// described in docs/design/residency.md.
 //
-// Each entry sees its own requests, and takes the bound ones to come evenly to all entries. Where they come
-// to the entries of their region only, these see too many and the others none, which send as if
-// nothing were bound there.
+// Each entry sees only its own requests, and assumes that single-region requests arrive evenly at all
+// entries. Where they arrive only at the entries of their region, these overestimate the demand and the
+// others see none, and send as if no request were tied to that region.
 
-// regionalService is a service's part in a region.
+// regionalService identifies the servers of a service in one region.
 type regionalService struct{ service, region string }
 
-// maxScarcityCost bounds the cost: well below silentCost, so that a server whose agent has fallen
-// silent is no way out, however slow the model.
+// maxScarcityCost bounds the penalty well below silentCost, so that a server whose agent is silent is no way
+// around it, however slow the model.
 const maxScarcityCost = silentCost / 2
 
-// elsewhereRatio is the part of a service's servers outside of a region from which on the region
-// counts as small, with the full cost; below it the cost falls with the square, as the few others
-// can't take what would leave the region. Other ways were played with two, five and eight of ten
-// servers in the region. Without the factor free requests lose 0.06 where eight are (0.94 instead of 0.99
-// at 0.8 of the places, 0.6 bound). With a cost that falls in proportion, from one half on, free
-// ones lose 0.01 more where five are (0.98 instead of 1.00 at 0.95 of the places, 0.25 bound,
-// agents asked). With one from one half on bound ones gain nothing where five are (0.83 instead of
-// 0.97 at 0.7 of the places, 0.6 bound).
+// elsewhereRatio is the fraction of a service's servers outside a region above which the region counts as
+// small, with the full penalty. Below it the penalty falls with the square, because the few other servers
+// can't take the requests that would leave the region. Alternatives were simulated with two, five and eight
+// of ten servers in the region. Without this factor, free requests lose 0.06 where eight are (0.94 instead of
+// 0.99 at 0.8 of the slots, 0.6 bound to the region). With a penalty that falls linearly, and is full from
+// one half on, free requests lose 0.01 more where five are (0.98 instead of 1.00 at 0.95 of the slots, 0.25
+// bound, agents queried). With one that is full from one half on, bound requests gain nothing where five are
+// (0.83 instead of 0.97 at 0.7 of the slots, 0.6 bound).
 const elsewhereRatio = 0.8
 
-// onlyRegion is the one region with servers of the service in which a request may be served; false
-// when there are several, or none. Regions that are evacuated wholly count as without servers.
-func (c *Core) onlyRegion(request *Request) (only string, bound bool) {
+// onlyRegion returns the one region with servers of the service in which a request may be served, and false
+// if there are several or none. Regions evacuated completely count as having no servers.
+func (c *Core) onlyRegion(request *Request) (only string, found bool) {
 	if !request.Residency.Restrict() {
 		return "", false
 	}
@@ -46,38 +46,37 @@
 		if !request.Residency.Allow(region) {
 			continue
 		}
-		if bound {
+		if found {
 			return "", false
 		}
-		only, bound = region, true
+		only, found = region, true
 	}
-	return only, bound
+	return only, found
 }
 
-// recordDemand notes a request that only one region may serve, when it is first to be sent. A caller
-// that comes back after a refusal was counted then.
+// recordDemand records a request that only one region may serve, on its first attempt. A caller that comes
+// back after a refusal was already counted.
 func (c *Core) recordDemand(request *Request, now time.Time) {
 	if request.Engine == nil || request.Resumed || len(request.Tried) > 0 || request.Arrival.Elapsed > 0 {
 		return
 	}
-	region, bound := c.onlyRegion(request)
-	if !bound {
+	region, found := c.onlyRegion(request)
+	if !found {
 		return
 	}
-	ofUsual := float64(request.Prompt) / max(1, request.Figures.UsualPrompt)
-	taken := time.Duration(ofUsual * float64(request.Figures.ServiceTime()))
-	getOrCreate(c.demands, regionalService{service: request.Service, region: region}).Note(taken, c.elapsed(now))
+	relativeSize := float64(request.Prompt) / max(1, request.Figures.UsualPrompt)
+	serviceTime := time.Duration(relativeSize * float64(request.Figures.ServiceTime()))
+	getOrCreate(c.demands, regionalService{service: request.Service, region: region}).Note(serviceTime, c.elapsed(now))
 }
 
-// countRegions counts the servers that each service has in each region, and forgets the demand
-// where there are none.
+// countRegions counts the servers of each service by region, and drops the demand where there are none.
 func (c *Core) countRegions() {
 	c.regionServers = map[string]map[string]int{}
 	for service, servers := range c.byService {
 		counts := map[string]int{}
-		for _, one := range servers {
-			if !c.Leaving(one) && !c.Evacuated(one.Zone) {
-				counts[c.regions[one.Zone]]++
+		for _, server := range servers {
+			if !c.Leaving(server) && !c.Evacuated(server.Zone) {
+				counts[c.regions[server.Zone]]++
 			}
 		}
 		c.regionServers[service] = counts
@@ -87,15 +86,14 @@
 	})
 }
 
-// computeScarcity works out which regions' servers a request had better leave to others, and what a
-// place at a full server there weighs. Nothing is scarce for a request that has no choice of
-// regions.
+// computeScarcity computes in which regions a request should leave servers to others, and the weight of a
+// slot at a full server there. Nothing is scarce for a request that can be served in one region only.
 func (c *Core) computeScarcity(request *Request, now time.Time) {
 	clear(c.scarce)
 	if c.policy.Scarcity == 0 || request.Engine == nil || len(c.demands) == 0 {
 		return
 	}
-	if _, bound := c.onlyRegion(request); bound {
+	if _, found := c.onlyRegion(request); found {
 		return
 	}
 	counts := c.regionServers[request.Service]
@@ -108,61 +106,61 @@
 		if demand == nil {
 			continue
 		}
-		// Each entry sees its own part of the requests, taken to be an even one.
+		// Each entry sees its own part of the requests, assumed to be an even one.
 		entries := float64(request.OtherEntries + 1)
-		bound := min(1, entries*demand.Servers(c.elapsed(now))/float64(count))
-		room := min(1, float64(all-count)/float64(all)/elsewhereRatio)
-		c.scarce[region] = c.policy.Scarcity * bound * room * room
+		usedRatio := min(1, entries*demand.Servers(c.elapsed(now))/float64(count))
+		elsewhere := min(1, float64(all-count)/float64(all)/elsewhereRatio)
+		c.scarce[region] = c.policy.Scarcity * usedRatio * elsewhere * elsewhere
 	}
 }
 
-// scarcityCost is what a request that may be served elsewhere takes from those that may not, by
-// what findScarcity has found for it.
+// scarcityCost returns the penalty of a server for a request that may be served elsewhere, from the weights
+// of computeScarcity.
 func (c *Core) scarcityCost(k *Candidate, request *Request, now time.Time) time.Duration {
-	share := c.scarce[c.regions[k.Zone]]
-	if share == 0 {
+	weight := c.scarce[c.regions[k.Zone]]
+	if weight == 0 {
 		return 0
 	}
 	model := k.model(request)
-	full := min(1, float64(k.outstanding(now))/float64(max(1, model.Slots)))
-	hold := float64(model.ServiceTime()) * float64(model.Slots)
-	most := maxScarcityCost
+	fullness := min(1, float64(k.outstanding(now))/float64(max(1, model.Slots)))
+	holdTime := float64(model.ServiceTime()) * float64(model.Slots)
+	maximum := maxScarcityCost
 	if limit := c.startLimit(request); limit > 0 {
-		most = min(most, limit)
+		maximum = min(maximum, limit)
 	}
-	return min(most, time.Duration(share*full*hold))
+	return min(maximum, time.Duration(weight*fullness*holdTime))
 }
 
-// scarceOf keeps those of some servers that the request that is being decided had better leave to
-// others.
+// scarceOf returns those of the servers that the request being decided should leave to others.
 func (c *Core) scarceOf(servers []*Candidate) []*Candidate {
 	if len(c.scarce) == 0 {
 		return nil
 	}
 	var scarce []*Candidate
-	for _, one := range servers {
-		if c.scarce[c.regions[one.Zone]] > 0 {
-			scarce = append(scarce, one)
+	for _, server := range servers {
+		if c.scarce[c.regions[server.Zone]] > 0 {
+			scarce = append(scarce, server)
 		}
 	}
 	return scarce
 }
 
-// SingleRegionLoad is what this entry's requests that only one region may serve ask of a service's
-// servers there: its part, which adds up over the entries.
+// SingleRegionLoad is the load on a service's servers in a region by this entry's requests that no other
+// region may serve. The loads of all entries add up.
 type SingleRegionLoad struct {
 	Service string
 	Region  string
-	// Utilization is the part of the servers that they keep busy.
+	// Utilization is the fraction of the servers that these requests keep busy.
 	Utilization float64
 }
 
-// SingleRegionLoads lists the bound load of each service and region that has had any, in no order.
+// SingleRegionLoads returns the single-region load of each service and region that has had any, in no
+// particular order.
 func (c *Core) SingleRegionLoads(now time.Time) []SingleRegionLoad {
 	loads := make([]SingleRegionLoad, 0, len(c.demands))
 	for key, demand := range c.demands {
-		share := demand.Servers(c.elapsed(now)) / float64(max(1, c.regionServers[key.service][key.region]))
-		loads = append(loads, SingleRegionLoad{Service: key.service, Region: key.region, Utilization: share})
+		utilization := demand.Servers(c.elapsed(now)) / float64(max(1, c.regionServers[key.service][key.region]))
+		loads = append(loads, SingleRegionLoad{Service: key.service, Region: key.region, Utilization: utilization})
 	}
 	return loads
 }
--- a/coordination/dispatch/sends.go
+++ b/coordination/dispatch/sends.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// Send is one request at one server.
+// Send is a request that was sent to a server.
 type Send struct {
 	candidate *Candidate
 	service   string
 	engine    *Engine
 	target    time.Duration
 	sentAt    time.Time
-	// expectedAt is when the first event was expected to come.
+	// expectedAt is when the first event was expected.
 	expectedAt time.Time
 	prompt     int
-	// nearLimit is set when it was expected to wait for so long that the limit of refusals matters.
+	// nearLimit is set when the expected wait was long enough for the refusal limit to matter.
 	nearLimit bool
-	// idle is set when the server was known to have nothing else to do.
+	// idle is set when the server was known to have no other work.
 	idle bool
-	// trial is set when it is the trial of its server.
+	// trial is set when the request is the trial of its server.
 	trial bool
 }
 
-// ownSends are this entry's own requests at a server.
+// ownSends holds this entry's own requests at a server.
 type ownSends struct {
 	inFlight int
-	// unread counts the requests sent to a model server whose first event has not
-	// come, unreadTokens their prompts.
+	// unread counts the requests at a model server whose first event has not arrived, unreadTokens the tokens
+	// of their prompts.
 	unread       int
 	unreadTokens int
 	// pending holds these requests.
 	pending []*Send
 }
 
-// loadCounts are this entry's own part of a server's load.
+// loadCounts is this entry's own part of a server's load.
 type loadCounts struct {
 	inFlight     int
 	unread       int
@@ -51,8 +51,8 @@
 	}
 }
 
-// removePending takes a request off those whose first event is waited for, and reports whether it was
-// one of them.
+// removePending removes a request from those whose first event is pending, and reports whether it was one of
+// them.
 func (s *ownSends) removePending(send *Send) bool {
 	at := slices.Index(s.pending, send)
 	if at < 0 {
@@ -64,26 +64,26 @@
 	return true
 }
 
-// countsAt is what an agent saw of the requests when it looked at a time: not those that were
-// sent later.
+// countsAt returns the part of these requests that an agent can have counted at a time: it excludes pending
+// ones that were sent later.
 func (s *ownSends) countsAt(at time.Time) loadCounts {
-	seen := loadCounts{inFlight: s.inFlight, unread: s.unread, unreadTokens: s.unreadTokens}
-	for _, one := range s.pending {
-		if one.sentAt.After(at) {
-			seen.inFlight--
-			seen.unread--
-			seen.unreadTokens -= one.prompt
+	counted := loadCounts{inFlight: s.inFlight, unread: s.unread, unreadTokens: s.unreadTokens}
+	for _, send := range s.pending {
+		if send.sentAt.After(at) {
+			counted.inFlight--
+			counted.unread--
+			counted.unreadTokens -= send.prompt
 		}
 	}
-	return seen
+	return counted
 }
 
-// Release takes a request off a server's count. Its prompt counts as read once the
-// first event has come, which PromptRead notes.
+// Release removes a request from its server's requests in flight. Its prompt is removed separately, by
+// EndPrefill.
 func (c *Core) Release(send *Send) { send.candidate.sends.inFlight-- }
 
-// EndPrefill takes a request's prompt off its server's unread ones, because it has begun, or
-// has ended without that.
+// EndPrefill removes a request's prompt from its server's unread ones, because the answer has begun, or the
+// request has ended without that.
 func (c *Core) EndPrefill(send *Send, begun bool, now time.Time) {
 	k := send.candidate
 	if !k.sends.removePending(send) {
--- a/coordination/dispatch/versions.go
+++ b/coordination/dispatch/versions.go
@@ -6,11 +6,11 @@
 	"pinevane.example/pinevane/coordination/turnover"
 )
 
-// RecordVersion notes the version that an answer of a server named; 0 for none.
+// RecordVersion records the version that a server's answer named, 0 for none.
 func (c *Core) RecordVersion(k *Candidate, version uint64) { k.version = max(k.version, version) }
 
-// servedVersion is the version that a server is known to have: by its agent's word,
-// or else by what it has told itself.
+// servedVersion returns the version that a server is known to have: by its agent's report if that is current,
+// else the newest that the server itself has reported.
 func (k *Candidate) servedVersion(now time.Time) uint64 {
 	if k.report.current(now) {
 		return k.report.Version
@@ -18,55 +18,54 @@
 	return k.version
 }
 
-// Margins between the expected beginning of a request at a server with an older
-// version and the time from which it must not begin there: over a sound link, and over
-// one that is narrow or of which nothing is known.
+// Margins between the expected start of a request at a server with an older version and that version's
+// deadline, over a sound link and over one that is narrow or unknown.
 const (
 	soundLinkMargin  = turnover.SendsEnd
 	narrowLinkMargin = 1500 * time.Millisecond
-	// activationOrderTime is what a server needs from its last piece to its order, generously.
+	// activationOrderTime is an upper estimate of the time between a server's last piece and its activation
+	// order.
 	activationOrderTime = 900 * time.Millisecond
 )
 
-// narrowLink is the time to an entry and back from which a machine's link counts as
-// narrow.
+// narrowLink is the round-trip time to an entry from which a machine's link counts as narrow.
 const narrowLink = 250 * time.Millisecond
 
-// laggingPieces is how many more pieces than the best prepared machine one must lack
-// to be taken for one on a narrow link.
+// laggingPieces is how many more pieces than the most advanced machine one must be missing to count as on a
+// narrow link.
 const laggingPieces = 16
 
-// hasNarrowLink reports whether a server's link seems narrow: messages take long over it,
-// or its pieces come much later than others'.
+// hasNarrowLink reports whether a server's link seems narrow: its round-trip time is long, or its pieces
+// arrive much later than those of others.
 func (c *Core) hasNarrowLink(k *Candidate) bool {
-	least, known := c.minMissing[k.report.FetchingVersion]
-	return k.report.LinkRTT >= narrowLink || (known && k.report.MissingPieces-least >= laggingPieces)
+	lowest, known := c.minMissing[k.report.FetchingVersion]
+	return k.report.LinkRTT >= narrowLink || (known && k.report.MissingPieces-lowest >= laggingPieces)
 }
 
-// computeMinMissing looks how far the best prepared machines are.
+// computeMinMissing finds, by version, the number of pieces that the most advanced machine is missing.
 func (c *Core) computeMinMissing(now time.Time) {
 	clear(c.minMissing)
-	for _, told := range c.reports {
-		if !told.Reachable || now.Sub(told.at) >= reportTTL {
+	for _, reported := range c.reports {
+		if !reported.Reachable || now.Sub(reported.at) >= reportTTL {
 			continue
 		}
-		least, known := c.minMissing[told.FetchingVersion]
-		if !known || told.MissingPieces < least {
-			c.minMissing[told.FetchingVersion] = told.MissingPieces
+		lowest, known := c.minMissing[reported.FetchingVersion]
+		if !known || reported.MissingPieces < lowest {
+			c.minMissing[reported.FetchingVersion] = reported.MissingPieces
 		}
 	}
 }
 
-// missesVersionDeadline reports whether a server with an older version might begin the
-// request after that version's bound. Requests queue up on a narrow link: a server
-// on one whose pieces can't come in time any more gets nothing at all. Where the
-// link is sound the origin is what is slow, and the server serves on meanwhile.
-func (c *Core) missesVersionDeadline(k *Candidate, request *Request, now, bound time.Time) bool {
+// missesVersionDeadline reports whether a server with an older version might begin the request after that
+// version's deadline. Requests queue up on a narrow link: a server whose pieces can't arrive in time over one
+// gets no requests at all. Where the link is sound, the origin is the bottleneck, and the server keeps
+// serving meanwhile.
+func (c *Core) missesVersionDeadline(k *Candidate, request *Request, now, deadline time.Time) bool {
 	margin := soundLinkMargin
 	if !k.report.current(now) || c.hasNarrowLink(k) {
 		margin = narrowLinkMargin
 	}
-	if now.Add(c.firstEvent(k, request, now) + margin).After(bound) {
+	if now.Add(c.firstEvent(k, request, now) + margin).After(deadline) {
 		return true
 	}
 	engine := request.Engine
@@ -74,12 +73,12 @@
 		return false
 	}
 	left := engine.CopyTime * time.Duration(k.report.MissingPieces) / time.Duration(engine.Pieces)
-	return now.Add(left + activationOrderTime + soundLinkMargin).After(bound)
+	return now.Add(left + activationOrderTime + soundLinkMargin).After(deadline)
 }
 
-// switchCost is the cost of a request that would still run when its server is to
-// change over: while it puts that off, the server does nothing else. At the full weight of 2
-// the last server serves the new version 0.4 s sooner than at 0.5, at the same worth.
+// switchCost returns the penalty of a request that would still run when its server is to switch versions:
+// while the request delays the switch, the server does nothing else. At the full weight of 2 the last server
+// serves the new version 0.4 s sooner than at 0.5, with the same value of the requests served.
 func (c *Core) switchCost(k *Candidate, request *Request, now time.Time) time.Duration {
 	if request.Engine == nil || !k.report.current(now) || !k.report.SwitchPlanned {
 		return 0
--- a/coordination/dispatch/word.go
+++ b/coordination/dispatch/word.go
@@ -8,132 +8,133 @@
 	"pinevane.example/pinevane/coordination/health"
 )
 
-// reportTTL is the age up to which an agent's word is trusted: four times the 0.3 s that words
-// from other zones usually are old.
+// reportTTL is the age up to which a report is used: four times the 0.3 s that reports from other zones
+// usually are old.
 const reportTTL = 1200 * time.Millisecond
 
-// NoReport is the age of an agent's word that never came.
+// NoReport is the age of a report that never arrived.
 const NoReport = -time.Second
 
-// timedReport is a word and when it was said.
+// timedReport is a load report with its time.
 type timedReport struct {
 	LoadReport
 	at time.Time
-	// unreachableSince is when it was first said that the server is not reached, of the words in a row that say so.
+	// unreachableSince is the time of the first of the consecutive reports that the server is unreachable.
 	unreachableSince time.Time
 }
 
-// agentReport is what the agent beside a server has told of it.
+// agentReport holds the latest report of a server's agent.
 type agentReport struct {
 	timedReport
-	// ownCounts is this entry's own part of the load that the word tells.
+	// ownCounts is this entry's own part of the reported load.
 	ownCounts loadCounts
-	// repliedAt is when the agent last answered a question of this entry.
+	// repliedAt is when the agent last replied to a load query of this entry.
 	repliedAt time.Time
-	// noReplyAt is when the agent last did not answer a question.
+	// noReplyAt is when the agent last failed to reply to one.
 	noReplyAt time.Time
 }
 
-// current reports whether the agent's word is recent.
-func (w *agentReport) current(now time.Time) bool {
-	return !w.at.IsZero() && now.Sub(w.at) < reportTTL
+// current reports whether the report is recent enough to be used.
+func (r *agentReport) current(now time.Time) bool {
+	return !r.at.IsZero() && now.Sub(r.at) < reportTTL
 }
 
-// receivedCurrent reports whether what the agent counted can still be in the span that ends now.
-func (w *agentReport) receivedCurrent(now time.Time) bool {
-	return w.current(now) && now.Sub(w.at) < admission.ColdSpan
+// receivedCurrent reports whether requests that the agent counted can still be in the cold window that ends
+// now.
+func (r *agentReport) receivedCurrent(now time.Time) bool {
+	return r.current(now) && now.Sub(r.at) < admission.ColdSpan
 }
 
-// silent reports whether the server has an agent that has fallen silent.
-func (w *agentReport) silent(now time.Time) bool {
-	return !w.at.IsZero() && now.Sub(w.at) >= reportTTL
+// silent reports whether the server has an agent whose reports have stopped.
+func (r *agentReport) silent(now time.Time) bool {
+	return !r.at.IsZero() && now.Sub(r.at) >= reportTTL
 }
 
-func (w *agentReport) age(now time.Time) time.Duration {
-	if w.at.IsZero() {
+func (r *agentReport) age(now time.Time) time.Duration {
+	if r.at.IsZero() {
 		return NoReport
 	}
-	return now.Sub(w.at)
+	return now.Sub(r.at)
 }
 
-// untilSwitch is the time until the server changes over; it counts only when that is planned.
-func (w *agentReport) untilSwitch(now time.Time) time.Duration { return w.SwitchIn - now.Sub(w.at) }
+// untilSwitch returns the time until the server switches versions; valid only when a switch is planned.
+func (r *agentReport) untilSwitch(now time.Time) time.Duration { return r.SwitchIn - now.Sub(r.at) }
 
-// ApplyReport notes an agent's word on its server and when it was said. It reports whether the word
-// is news, and returns the server if it tells another version, or another reachability, of it.
-func (c *Core) ApplyReport(word LoadReport, at time.Time) (news bool, changed *Candidate) {
-	if c.reports[word.Address].at.After(at) {
-		// An answer to a question overtakes what is told all the time.
+// ApplyReport applies an agent's report on its server, made at the given time. It reports whether the report
+// was applied, and returns the server if its version or its reachability changed.
+func (c *Core) ApplyReport(report LoadReport, at time.Time) (applied bool, changed *Candidate) {
+	if c.reports[report.Address].at.After(at) {
+		// The reply to a load query has overtaken this periodic report.
 		return false, nil
 	}
-	if c.fromFormerIncarnation(word, at) {
+	if c.fromFormerIncarnation(report, at) {
 		return false, nil
 	}
-	if !word.Reachable {
-		// The agent sees no request begin there: what waits could only grow.
-		word.Waiting, word.UnreadTokens = 0, 0
+	if !report.Reachable {
+		// The agent sees no request begin there, so the waiting ones could only grow.
+		report.Waiting, report.UnreadTokens = 0, 0
 	}
-	former, heard := c.reports[word.Address]
-	fresh := timedReport{LoadReport: word, at: at}
-	if !word.Reachable {
-		fresh.unreachableSince = at
-		if heard && !former.Reachable && !former.StartTime.Differs(word.StartTime) {
-			fresh.unreachableSince = former.unreachableSince
+	previous, found := c.reports[report.Address]
+	latest := timedReport{LoadReport: report, at: at}
+	if !report.Reachable {
+		latest.unreachableSince = at
+		if found && !previous.Reachable && !previous.StartTime.Differs(report.StartTime) {
+			latest.unreachableSince = previous.unreachableSince
 		}
 	}
-	c.reports[word.Address] = fresh
-	known := c.byAddress[word.Address]
-	if known == nil {
+	c.reports[report.Address] = latest
+	candidate := c.byAddress[report.Address]
+	if candidate == nil {
 		return true, nil
 	}
-	if known.aheadOfList(word, at) {
+	if candidate.aheadOfList(report, at) {
 		return true, nil
 	}
-	if known.report.Reachable != word.Reachable || known.report.Version != word.Version {
-		changed = known
+	if candidate.report.Reachable != report.Reachable || candidate.report.Version != report.Version {
+		changed = candidate
 	}
-	known.report.timedReport = fresh
-	known.report.ownCounts = known.sends.countsAt(at)
-	known.version = max(known.version, word.Version)
-	c.extendForCold(known)
+	candidate.report.timedReport = latest
+	candidate.report.ownCounts = candidate.sends.countsAt(at)
+	candidate.version = max(candidate.version, report.Version)
+	c.extendForCold(candidate)
 	return true, changed
 }
 
-// Bounds of trust in births: a list and agents that go on telling different ones must not keep a server
-// from being used.
+// Limits of trust in start times: a list and agents that keep reporting different ones must not exclude a
+// server for good.
 const (
-	// formerReportTime is how long words on a former incarnation may come late: as long as agents' words
-	// are passed on.
+	// formerReportTime is how long reports on a former incarnation may arrive late: as long as agents'
+	// reports are forwarded.
 	formerReportTime = 10 * time.Second
-	// aheadOfListTime is how long the list may take to name an incarnation that an agent knows: a line is
-	// written at the start, and reaches entries within a second.
+	// aheadOfListTime is how long the list may take to name an incarnation that an agent knows: the list
+	// entry is written at the start, and reaches entries within a second.
 	aheadOfListTime = 2 * time.Second
 )
 
-// fromFormerIncarnation reports whether a word is on a life of its server that is over, by what the list or a
-// later word has lately told.
-func (c *Core) fromFormerIncarnation(word LoadReport, at time.Time) bool {
-	if held := c.reports[word.Address]; word.StartTime.Before(held.StartTime) && at.Sub(held.at) < formerReportTime {
+// fromFormerIncarnation reports whether a report is on an incarnation of its server that has ended, by the
+// list or a recent later report.
+func (c *Core) fromFormerIncarnation(report LoadReport, at time.Time) bool {
+	if latest := c.reports[report.Address]; report.StartTime.Before(latest.StartTime) && at.Sub(latest.at) < formerReportTime {
 		return true
 	}
-	known := c.byAddress[word.Address]
-	return known != nil && word.StartTime.Before(known.listing.server.StartTime) && at.Sub(known.listing.firstListed) < formerReportTime
+	candidate := c.byAddress[report.Address]
+	return candidate != nil && report.StartTime.Before(candidate.listing.server.StartTime) && at.Sub(candidate.listing.firstListed) < formerReportTime
 }
 
-// aheadOfList reports whether a word is on an incarnation that the list does not name yet. The one that it
-// names gets nothing until the list follows, or has had the time for that.
-func (k *Candidate) aheadOfList(word LoadReport, at time.Time) bool {
-	if !k.listing.server.StartTime.Before(word.StartTime) {
+// aheadOfList reports whether a report is on an incarnation that the list does not name yet. The listed one
+// is sent nothing until the list catches up, or has had the time to.
+func (k *Candidate) aheadOfList(report LoadReport, at time.Time) bool {
+	if !k.listing.server.StartTime.Before(report.StartTime) {
 		return false
 	}
-	if k.listing.nextStart != word.StartTime {
-		k.listing.nextStart, k.listing.endedUntil = word.StartTime, at.Add(aheadOfListTime)
+	if k.listing.nextStart != report.StartTime {
+		k.listing.nextStart, k.listing.endedUntil = report.StartTime, at.Add(aheadOfListTime)
 	}
 	return at.Before(k.listing.endedUntil)
 }
 
-// FailureSuspected reports whether there is evidence against a server beside its own silence, for a request
-// that was sent there at a time.
+// FailureSuspected reports whether there is evidence against a server other than its silence, for a request
+// sent there at sentAt.
 func (c *Core) FailureSuspected(k *Candidate, sentAt, now time.Time) bool {
 	onTrial := c.health.OnLostTrial(k.ID, c.elapsed(sentAt), c.elapsed(k.report.unreachableSince))
 	return k.report.silent(now) || (c.lost(k, now) && !onTrial) ||
