--- a/coordination/dispatch/asking.go
+++ b/coordination/dispatch/asking.go
@@ -37,17 +37,17 @@
 	}
 	var buffer [querySampleSize]scored
 	ranked := buffer[:0]
-	for _, candidate := range c.sample(usable, querySampleSize) {
-		score := c.score(candidate, request, now)
-		if now.Sub(candidate.report.noReplyAt) < noReplyTime {
+	for _, server := range c.sample(usable, querySampleSize) {
+		score := c.score(server, request, now)
+		if now.Sub(server.report.noReplyAt) < noReplyTime {
 			score += noReplyCost
 		}
-		ranked = append(ranked, scored{candidate: candidate, score: score})
+		ranked = append(ranked, scored{candidate: server, score: score})
 	}
 	slices.SortFunc(ranked, func(a, b scored) int { return cmp.Compare(a.score, b.score) })
 	chosen := make([]*Candidate, 0, queriesAtOnce)
-	for _, candidate := range ranked[:min(queriesAtOnce, len(ranked))] {
-		chosen = append(chosen, candidate.candidate)
+	for _, selected := range ranked[:min(queriesAtOnce, len(ranked))] {
+		chosen = append(chosen, selected.candidate)
 	}
 	return chosen
 }
--- a/coordination/dispatch/cold_test.go
+++ b/coordination/dispatch/cold_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// coldFleet is what an entry knows of one service with a server in each of two zones. A cold
-// server is made for 26 requests a second, and may receive 1.5 times that and 5.
+// coldFleet returns a service with a server in each of two zones. Each has a capacity of 26 requests a
+// second; a cold one may receive 1.5 times that plus 5.
 func coldFleet(coldUntil time.Time, evacuated ...string) Fleet {
 	return Fleet{
 		Services: map[string]Service{"s": {ColdRate: 1.5*26 + 5, ColdTime: 3 * time.Second}},
@@ -21,7 +21,7 @@
 	}
 }
 
-// coldCore is the core of an entry among a number of entries, some time after its start.
+// coldCore returns the core of one of a number of entries, some time after its start.
 func coldCore(self string, members int) *Core {
 	core := testCore("za", nil)
 	var names []string
@@ -46,8 +46,7 @@
 	return servers
 }
 
-// EVAC: nothing is sent into an evacuated zone, and the zone's servers count as cold when
-// that is taken back.
+// EVAC: nothing is sent to an evacuated zone, and its servers count as cold when the evacuation is revoked.
 func TestEvacuatedZoneIsNotChosen(t *testing.T) {
 	now := epoch
 	core := coldCore("entry-0", 40)
@@ -62,8 +61,8 @@
 	assert.False(t, core.byID["b"].cold(now))
 }
 
-// FAILBACK: over all entries, a cold server is sent no more in a second than it bears, also
-// when there are more entries than it bears requests, and nearly that if all have some.
+// FAILBACK: all entries together send a cold server at most its cold rate, even with more entries than
+// requests in it, and nearly that much if all have requests.
 func TestEntriesShareAColdServer(t *testing.T) {
 	now := epoch
 	for _, entries := range []int{1, 3, 44, 300} {
@@ -74,11 +73,11 @@
 			total += chosenServers(core, 60, now)["a"]
 		}
 		assert.LessOrEqual(t, total, 44, "%d entries", entries)
-		assert.Equal(t, 39, total, "%d entries use nine tenths of the bound", entries)
+		assert.Equal(t, 39, total, "%d entries use nine tenths of the cold rate", entries)
 	}
 }
 
-// FAILBACK: what a server was sent just before it became cold counts.
+// FAILBACK: requests sent to a server just before it became cold count.
 func TestRequestsBeforeAServerBecameColdCount(t *testing.T) {
 	now := epoch
 	core := coldCore("entry-0", 1)
@@ -88,8 +87,8 @@
 	assert.Empty(t, chosenServers(core, 10, now))
 }
 
-// An entry that does not know the others yet takes a cautious share; one that is heard of no
-// more keeps its share for a while.
+// An entry that does not know the others yet takes a cautious share; an entry that is no longer seen keeps
+// its share for a while.
 func TestSharesOfUnknownAndSilentEntries(t *testing.T) {
 	now := epoch
 	core := coldCore("entry-0", 1)
@@ -109,19 +108,18 @@
 	assert.Equal(t, 39, share(now.Add(2*memberTTL)))
 }
 
-// Without a bound, cold servers are servers like others.
-func TestColdServersWithoutABound(t *testing.T) {
+// Without a cold rate, cold servers are treated like others.
+func TestColdServersWithoutAColdRate(t *testing.T) {
 	now := epoch
 	core := coldCore("entry-0", 10)
-	unbounded := coldFleet(now.Add(time.Minute), "zb")
-	unbounded.Services = map[string]Service{"s": {ColdTime: 3 * time.Second}}
-	core.Update(unbounded, now)
+	fleet := coldFleet(now.Add(time.Minute), "zb")
+	fleet.Services = map[string]Service{"s": {ColdTime: 3 * time.Second}}
+	core.Update(fleet, now)
 	assert.Equal(t, 60, chosenServers(core, 60, now)["a"])
 }
 
-// Who the other entries are matters only while a server is cold, and is told a few times a second
-// then.
-func TestEntriesAreToldWhileAServerIsCold(t *testing.T) {
+// The other entries matter only while a server is cold, and are looked up a few times a second then.
+func TestEntriesAreLookedUpWhileAServerIsCold(t *testing.T) {
 	now := epoch
 	core := testCore("za", nil)
 	core.Update(coldFleet(time.Time{}), now)
@@ -135,7 +133,7 @@
 
 	later := now.Add(time.Minute)
 	core.ApplyReport(LoadReport{Address: "10.0.0.2:1", Reachable: true, ColdFor: time.Second}, later)
-	assert.True(t, core.EntryLookupDue(later), "by the word of an agent")
+	assert.True(t, core.EntryLookupDue(later), "by an agent's report")
 	assert.False(t, core.EntryLookupDue(later.Add(time.Second)))
 	later = now.Add(2 * time.Minute)
 	core.RecordCold(core.byID["b"], time.Second, later)
@@ -143,9 +141,9 @@
 	assert.False(t, core.EntryLookupDue(later.Add(time.Second)))
 }
 
-// FAILBACK: an entry that has not heard of a server's line hears from the server's agent that
-// it is cold, and what all entries have sent it.
-func TestAgentTellsThatAServerIsCold(t *testing.T) {
+// FAILBACK: an entry without a server's list entry learns from the server's agent that it is cold, and how
+// much all entries have sent it.
+func TestAgentReportsThatAServerIsCold(t *testing.T) {
 	now := epoch
 	for _, tc := range []struct {
 		name     string
@@ -167,9 +165,9 @@
 	}
 }
 
-// A server's own answer says that it is cold, before its line is heard; a faulty one makes it
-// cold for no longer than a start does.
-func TestAnswersTellThatAServerIsCold(t *testing.T) {
+// A server's own answer says that it is cold before its list entry arrives. A faulty answer makes it cold for
+// no longer than a start does.
+func TestAnswersReportThatAServerIsCold(t *testing.T) {
 	now := epoch
 	core := coldCore("entry-0", 1)
 	core.Update(coldFleet(time.Time{}), now)
@@ -184,18 +182,18 @@
 	assert.False(t, server.cold(now.Add(3*time.Second)))
 }
 
-// Entries that are asked for after a long time are taken for as many as after a start: a request that
-// does not wait for the answer does not take a server's whole limit for its own entry's.
-func TestEntriesAskedForAfterLongAreManyAtTheLeast(t *testing.T) {
+// While entries are looked up after a long time, as many are assumed as after a start: requests do not wait
+// for the lookup, and one must not take a server's whole limit for its own entry's share.
+func TestPendingLookupAfterLongAssumesManyEntries(t *testing.T) {
 	members := newMemberSet("entry-1", epoch)
 	later := epoch.Add(time.Hour)
 	members.lookupPending = true
-	cautious := members.share("a1", 32, later)
-	assert.LessOrEqual(t, cautious, 2)
+	cautiousShare := members.share("a1", 32, later)
+	assert.LessOrEqual(t, cautiousShare, 2)
 	members.update([]string{"entry-2"}, later)
-	known := members.share("a1", 32, later)
-	assert.Greater(t, known, cautious)
+	knownShare := members.share("a1", 32, later)
+	assert.Greater(t, knownShare, cautiousShare)
 	members.lookupPending = true
-	assert.Equal(t, known, members.share("a1", 32, later.Add(memberTTL)))
-	assert.Equal(t, cautious, members.share("a1", 32, later.Add(memberTTL+1)))
+	assert.Equal(t, knownShare, members.share("a1", 32, later.Add(memberTTL)))
+	assert.Equal(t, cautiousShare, members.share("a1", 32, later.Add(memberTTL+1)))
 }
--- a/coordination/dispatch/cold_words_test.go
+++ b/coordination/dispatch/cold_words_test.go
@@ -9,9 +9,9 @@
 	"pinevane.example/pinevane/coordination/admission"
 )
 
-// What an agent counted longer ago than the span is in no span any more: a cold server that
-// nobody has sent anything since gets its share, also when its agent says nothing new.
-func TestCountsOlderThanTheirSpanAreForgotten(t *testing.T) {
+// An agent's count that is older than the cold window no longer counts: a cold server that nobody has sent
+// anything since gets its share, even without a new report of its agent.
+func TestCountsOlderThanTheirWindowAreIgnored(t *testing.T) {
 	now := epoch
 	core := coldCore("entry-0", 4)
 	core.Update(coldFleet(now.Add(time.Minute), "zb"), now)
@@ -20,7 +20,7 @@
 	assert.Positive(t, chosenServers(core, 20, now.Add(admission.ColdSpan+10*time.Millisecond))["a"])
 }
 
-// A faulty agent makes its server cold for no longer than a start does, as a faulty answer.
+// A faulty agent makes its server cold for no longer than a start does, like a faulty answer.
 func TestFaultyAgentDoesNotMakeItsServerColdForLong(t *testing.T) {
 	now := epoch
 	core := coldCore("entry-0", 1)
--- a/coordination/dispatch/dispatch_test.go
+++ b/coordination/dispatch/dispatch_test.go
@@ -7,21 +7,21 @@
 	"pinevane.example/pinevane/coordination/balance"
 )
 
-// epoch is when the tests begin.
+// epoch is the start time of the tests.
 var epoch = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// testPolicy is what an entry runs with.
+// testPolicy is the policy that entries run with.
 func testPolicy() Policy {
 	return Policy{RefusalShare: 1, InTimeShare: 0.7, LateShare: 0.15, UnseenLoad: 1, Lateness: 1, SwitchWeight: 2, Scarcity: 1, SampleSize: 4}
 }
 
-// testCore is a core in a zone, whose chance repeats.
+// testCore returns a core in a zone with a fixed random seed.
 func testCore(zone string, regions map[string]string) *Core {
 	random := rand.New(rand.NewPCG(1, 1))
 	return New(Options{Zone: zone, Regions: regions, Policy: testPolicy(), Self: "entry-0", Started: epoch, Random: random.Float64, Shuffle: random.Shuffle})
 }
 
-// modelServer is a server whose agent has just told that it serves version 1.
+// modelServer returns a server whose agent has just reported that it serves version 1.
 func modelServer(now time.Time, missing int) *Candidate {
 	return &Candidate{
 		ID: "i-1", listing: listing{server: Server{Slots: 16}},
@@ -29,13 +29,13 @@
 	}
 }
 
-// withFigures sets the engine of a request, of which nothing is learned.
+// withFigures sets the engine of a request, without learned figures.
 func withFigures(request Request, engine *Engine) *Request {
 	request.Engine, request.Figures = engine, engine.Published
 	return &request
 }
 
-// copiedEngine is one of whose versions a copy takes 2.5 s over a link like the origin's.
+// copiedEngine returns an engine for which a copy of a version takes 2.5 s over a link like the origin's.
 func copiedEngine() *Engine {
 	return &Engine{
 		Pieces: 100, CopyTime: 2500 * time.Millisecond,
--- a/coordination/dispatch/fitness_test.go
+++ b/coordination/dispatch/fitness_test.go
@@ -7,11 +7,11 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A server that changes over, serves nothing or has not answered its agent is left
-// out, and the log tells which.
-func TestWhyAServerIsLeftOut(t *testing.T) {
+// A server that switches versions, serves nothing or does not answer its agent is excluded, and the refusal
+// says which.
+func TestEligibilityReasons(t *testing.T) {
 	now := epoch
-	wanted := &Request{Engine: &Engine{}}
+	request := &Request{Engine: &Engine{}}
 	changing, empty, unreachable, leaving, ejected := modelServer(now, 0), modelServer(now, 0), modelServer(now, 0), modelServer(now, 0), modelServer(now, 0)
 	changing.report.SwitchPlanned, changing.report.SwitchIn = true, 100*time.Millisecond
 	empty.report.Version = 0
@@ -24,6 +24,6 @@
 	for want, server := range map[Eligibility]*Candidate{
 		excludedSwitching: changing, excludedEmpty: empty, excludedUnreachable: unreachable, excludedLeaving: leaving, excludedEjected: ejected,
 	} {
-		assert.Equal(t, want, core.eligibility(server, wanted, now))
+		assert.Equal(t, want, core.eligibility(server, request, now))
 	}
 }
--- a/coordination/dispatch/health.go
+++ b/coordination/dispatch/health.go
@@ -149,7 +149,7 @@
 // lostTrialFactor is the timeout of a lost server's trial as a multiple of its typical time: the multiple at
 // which silence counts as evidence elsewhere. The agent's report is a second witness, so the wait can be
 // shorter than at other servers, where it would be 5 s for a service with answers of 0.5 s, which is all that
-// many callers have (TestTrialOfAMuteLostServerAtASlowService).
+// many callers have (TestTrialOfAnUnresponsiveLostServerAtASlowService).
 const lostTrialFactor = 4
 
 // lostTrialTimeout returns the silence after which a lost server's trial is abandoned. It falls back to the
--- a/coordination/dispatch/health_move_test.go
+++ b/coordination/dispatch/health_move_test.go
@@ -10,8 +10,8 @@
 	"pinevane.example/pinevane/coordination/health"
 )
 
-// A server whose line moves to another service does not stop the entry, in whichever order the
-// services are told; each play draws the order anew.
+// Guards against a panic of the entry when a server moves to another service, in whichever order the services
+// are passed to the health tracker; each run draws the order anew.
 func TestServersThatMoveBetweenServices(t *testing.T) {
 	for range 20 {
 		s := newScript(t, "a1", "a2")
--- a/coordination/dispatch/lateness.go
+++ b/coordination/dispatch/lateness.go
@@ -18,7 +18,7 @@
 // accepts requests and never answers while its agent reaches it and reports it idle. Of 1000 requests in ten
 // seconds at six servers, such a server takes 30 to 40, and 46 to 66 without lateness, where requests are
 // retried after a second; where they wait for their deadline, it takes 4 to 12, and 15 to 47 without
-// (TestMuteServerIsLeft). On days without such a server it makes no difference.
+// (TestUnresponsiveServerIsAvoided). On days without such a server it makes no difference.
 type lateness struct {
 	// excess is the moving mean of the lateness as of excessAt.
 	excess   time.Duration
--- a/coordination/dispatch/limit_test.go
+++ b/coordination/dispatch/limit_test.go
@@ -9,16 +9,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// limitedFleet plays entries that ask the one server of a service at its limit, on a clock of its own.
+// limitedFleet simulates entries that send to the one server of a service at its rate limit, on its own
+// clock.
 type limitedFleet struct {
 	entries []*Core
 	now     time.Time
-	// arrived are the moments at which the server got a request.
-	arrived []time.Time
+	// arrivals holds when the server received each request.
+	arrivals []time.Time
 }
 
-// limitTarget is the time within which the service's requests are to be answered.
-const limitTarget = time.Second
+// rateLimitTarget is the target time of the service's answers.
+const rateLimitTarget = time.Second
 
 func newLimitedFleet(entries int) *limitedFleet {
 	f := &limitedFleet{now: epoch}
@@ -30,23 +31,23 @@
 	return f
 }
 
-// named has every entry hear that the server names a rate.
-func (f *limitedFleet) named(perSecond float64) {
+// recordRateLimit makes every entry record that the server names a rate.
+func (f *limitedFleet) recordRateLimit(perSecond float64) {
 	for _, core := range f.entries {
 		core.RecordRateLimit(core.byID["only"], perSecond, f.now, f.now)
 	}
 }
 
-// asks has every entry decide a request at each tick for a while; each request that is sent is answered at
-// once, by a server that names a rate, or none where it is negative.
-func (f *limitedFleet) asks(span, tick time.Duration, perSecond float64) {
-	for end := f.now.Add(span); f.now.Before(end); f.now = f.now.Add(tick) {
+// sendAll has every entry decide a request at each tick of a span. Each request sent is answered at once by a
+// server that names a rate, or none if it is negative.
+func (f *limitedFleet) sendAll(duration, tick time.Duration, perSecond float64) {
+	for end := f.now.Add(duration); f.now.Before(end); f.now = f.now.Add(tick) {
 		for _, core := range f.entries {
-			decision, refusal := core.Choose(&Request{Service: "s", Target: limitTarget}, f.now)
+			decision, refusal := core.Choose(&Request{Service: "s", Target: rateLimitTarget}, f.now)
 			if refusal != nil {
 				continue
 			}
-			f.arrived = append(f.arrived, f.now)
+			f.arrivals = append(f.arrivals, f.now)
 			core.Release(decision.Send)
 			if perSecond < 0 {
 				core.RecordNoRateLimit(decision.Candidate, f.now, f.now.Add(time.Microsecond))
@@ -57,35 +58,35 @@
 	}
 }
 
-// mostIn is the most arrivals within a span.
-func (f *limitedFleet) mostIn(span time.Duration) (most int) {
+// maxIn returns the maximum number of arrivals within any span.
+func (f *limitedFleet) maxIn(window time.Duration) (maximum int) {
 	first := 0
-	for last, at := range f.arrived {
-		for at.Sub(f.arrived[first]) >= span {
+	for last, at := range f.arrivals {
+		for at.Sub(f.arrivals[first]) >= window {
 			first++
 		}
-		most = max(most, last-first+1)
+		maximum = max(maximum, last-first+1)
 	}
-	return most
+	return maximum
 }
 
-// LIMIT: over all entries a server that names a rate gets no more in any four seconds than that allows,
-// and most of it, from 6 entries to 330, from rates below one request for all to some for each.
+// LIMIT: all entries together send a server with a rate limit no more in any four seconds than the limit
+// allows, and most of it, for 6 to 330 entries and rates from below one request for all to several for each.
 func TestEntriesShareANamedLimit(t *testing.T) {
 	for _, entries := range []int{6, 90, 330} {
 		for _, rate := range []float64{0.2, 0.25, 1.4, 7.9, 50} {
 			t.Run(fmt.Sprintf("%d entries, %v a second", entries, rate), func(t *testing.T) {
 				f := newLimitedFleet(entries)
-				f.named(rate)
+				f.recordRateLimit(rate)
 				tick := 20 * time.Millisecond
 				if entries > 6 {
-					// Each asks more often than its share lasts all the same.
+					// Each still sends more often than its share allows.
 					tick = 100 * time.Millisecond
 				}
-				f.asks(40*time.Second, tick, rate)
-				most, used := f.mostIn(limitWindowSeconds*time.Second), float64(len(f.arrived))/(40*rate)
-				t.Logf("most in 4 s: %d, used: %.2f", most, used)
-				assert.LessOrEqual(t, float64(most), 1.5*limitWindowSeconds*rate+5)
+				f.sendAll(40*time.Second, tick, rate)
+				maximum, used := f.maxIn(limitWindowSeconds*time.Second), float64(len(f.arrivals))/(40*rate)
+				t.Logf("maximum in 4 s: %d, used: %.2f", maximum, used)
+				assert.LessOrEqual(t, float64(maximum), 1.5*limitWindowSeconds*rate+5)
 				assert.GreaterOrEqual(t, used, 0.7)
 				assert.LessOrEqual(t, used, 1.5)
 			})
@@ -93,7 +94,7 @@
 	}
 }
 
-// What was sent before the limit was heard counts: the first seconds after it hold it too.
+// Requests sent before the limit was received count: the first seconds after it respect it too.
 func TestRequestsBeforeALimitWasNamedCount(t *testing.T) {
 	s := newScript(t, "a1")
 	s.core.members.started = epoch.Add(-time.Minute)
@@ -109,8 +110,8 @@
 	s.served(s.request(), "a1")
 }
 
-// A limit ends with an answer that names none to a request that was sent after it was last named. Older
-// answers that come late neither end it nor raise it.
+// A limit ends with an answer without one to a request that was sent after the limit was last named. Older
+// answers that arrive late neither end nor raise it.
 func TestLimitEndsWithANewerAnswer(t *testing.T) {
 	s := newScript(t, "a1")
 	k := s.candidate("a1")
@@ -122,16 +123,16 @@
 	s.core.RecordRateLimit(k, 9, epoch.Add(900*time.Millisecond), s.now)
 	assert.InDelta(t, 2, k.rateLimit.perSecond, 0, "an older rate")
 	s.core.RecordRateLimit(k, 1, epoch.Add(900*time.Millisecond), s.now)
-	assert.InDelta(t, 1, k.rateLimit.perSecond, 0, "a lower one holds: whether it is older can't be told")
+	assert.InDelta(t, 1, k.rateLimit.perSecond, 0, "a lower one is applied: whether it is older is unknown")
 	s.at(2 * time.Second)
-	news := s.core.RecordNoRateLimit(k, epoch.Add(1900*time.Millisecond), s.now)
-	assert.True(t, news.Changed)
+	change := s.core.RecordNoRateLimit(k, epoch.Add(1900*time.Millisecond), s.now)
+	assert.True(t, change.Changed)
 	assert.False(t, k.rateLimit.inForce())
 }
 
-// The line of a server lapses and comes again: its limit and what it was sent hold on. Another life of the
-// server has neither.
-func TestLimitOutlastsItsServersLine(t *testing.T) {
+// When a server's list entry expires and returns, its limit and the count of its requests persist. Another
+// incarnation has neither.
+func TestRateLimitOutlastsItsListEntry(t *testing.T) {
 	s := newScript(t, "a1")
 	s.core.members.started = epoch.Add(-time.Minute)
 	s.core.RecordRateLimit(s.candidate("a1"), 0.25, s.now, s.now)
@@ -151,28 +152,28 @@
 	assert.False(t, s.candidate("a1").rateLimit.inForce())
 }
 
-// A limit of nothing leaves one request in four seconds over all entries, which finds out when it is over;
-// entries without a share find out by themselves too, one by one.
-func TestEndOfALimitOfNothingIsFound(t *testing.T) {
+// A limit of zero leaves one request in four seconds over all entries, which detects its end. Entries without
+// a share detect it by themselves too, one after the other.
+func TestEndOfAZeroRateLimitIsDetected(t *testing.T) {
 	for _, entries := range []int{6, 90} {
 		f := newLimitedFleet(entries)
-		f.named(0)
-		f.asks(30*time.Second, 100*time.Millisecond, 0)
-		assert.LessOrEqual(t, f.mostIn(limitWindowSeconds*time.Second), 5, "%d entries", entries)
-		f.asks(time.Duration(entries+1)*probeInterval(0), 500*time.Millisecond, -1)
+		f.recordRateLimit(0)
+		f.sendAll(30*time.Second, 100*time.Millisecond, 0)
+		assert.LessOrEqual(t, f.maxIn(limitWindowSeconds*time.Second), 5, "%d entries", entries)
+		f.sendAll(time.Duration(entries+1)*probeInterval(0), 500*time.Millisecond, -1)
 		for _, core := range f.entries {
 			assert.False(t, core.byID["only"].rateLimit.inForce(), "%d entries", entries)
 		}
 	}
 }
 
-// As many entries again start, which know nobody for a second, and then two halves lose sight of each other for half a
-// minute: the limit holds meanwhile.
+// The limit holds while as many entries again start, which know no others for a second, and while two halves
+// of the entries then lose sight of each other for half a minute.
 func TestLimitHoldsWhileEntriesComeAndGo(t *testing.T) {
 	const rate = 1.4
 	f := newLimitedFleet(6)
-	f.named(rate)
-	f.asks(10*time.Second, 20*time.Millisecond, rate)
+	f.recordRateLimit(rate)
+	f.sendAll(10*time.Second, 20*time.Millisecond, rate)
 
 	grown := newLimitedFleet(12)
 	for index, core := range grown.entries {
@@ -183,33 +184,34 @@
 		core.RecordRateLimit(core.byID["only"], rate, f.now, f.now)
 		f.entries = append(f.entries, core)
 	}
-	f.asks(time.Second, 20*time.Millisecond, rate)
-	f.knowEachOther(f.entries)
-	f.asks(10*time.Second, 20*time.Millisecond, rate)
-
-	f.knowEachOther(f.entries[:6])
-	f.knowEachOther(f.entries[6:])
-	f.asks(30*time.Second, 20*time.Millisecond, rate)
-	most := f.mostIn(limitWindowSeconds * time.Second)
-	t.Logf("most in 4 s: %d", most)
-	assert.LessOrEqual(t, float64(most), 1.5*limitWindowSeconds*rate+5)
+	f.sendAll(time.Second, 20*time.Millisecond, rate)
+	f.setEntries(f.entries)
+	f.sendAll(10*time.Second, 20*time.Millisecond, rate)
+
+	f.setEntries(f.entries[:6])
+	f.setEntries(f.entries[6:])
+	f.sendAll(30*time.Second, 20*time.Millisecond, rate)
+	maximum := f.maxIn(limitWindowSeconds * time.Second)
+	t.Logf("maximum in 4 s: %d", maximum)
+	assert.LessOrEqual(t, float64(maximum), 1.5*limitWindowSeconds*rate+5)
 }
 
-// Guards against a fleet of entries that hear of a limit before they know each other, as they do: who they are is
-// asked for only while a limit is in force. All of them without a share sent their tries at the same moment.
-func TestEntriesThatHearOfALimitBeforeTheyKnowEachOther(t *testing.T) {
+// Guards against entries that receive a limit before they know each other, which is the usual order, because
+// the other entries are looked up only while a limit is in force. All entries without a share sent their
+// probes at the same moment.
+func TestRateLimitReceivedBeforeOtherEntriesAreKnown(t *testing.T) {
 	f := newLimitedFleet(90)
 	for index, core := range f.entries {
 		core.members = newMemberSet(fmt.Sprintf("entry-%d", index), epoch.Add(-2*settleTime))
 	}
-	f.named(1.4)
-	f.knowEachOther(f.entries)
-	f.asks(40*time.Second, 100*time.Millisecond, 1.4)
-	assert.LessOrEqual(t, f.mostIn(limitWindowSeconds*time.Second), 13)
+	f.recordRateLimit(1.4)
+	f.setEntries(f.entries)
+	f.sendAll(40*time.Second, 100*time.Millisecond, 1.4)
+	assert.LessOrEqual(t, f.maxIn(limitWindowSeconds*time.Second), 13)
 }
 
-// knowEachOther tells some entries of each other, and of no others.
-func (f *limitedFleet) knowEachOther(some []*Core) {
+// setEntries makes some entries known to each other, and no others.
+func (f *limitedFleet) setEntries(some []*Core) {
 	for _, core := range some {
 		var others []string
 		for _, other := range some {
--- a/coordination/dispatch/list_benchmark_test.go
+++ b/coordination/dispatch/list_benchmark_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// BenchmarkAllLinesLapse is what requests wait for when the store loses the lines of all servers, and they come again.
-func BenchmarkAllLinesLapse(b *testing.B) {
+// BenchmarkAllListEntriesExpire measures how long requests wait when the store loses the list entries of all
+// servers and they return.
+func BenchmarkAllListEntriesExpire(b *testing.B) {
 	core, now := testCore("a", nil), epoch
 	var fleet Fleet
 	for number := range 3000 {
--- a/coordination/dispatch/prediction_test.go
+++ b/coordination/dispatch/prediction_test.go
@@ -10,8 +10,8 @@
 	"pinevane.example/pinevane/coordination/balance"
 )
 
-// idleServer is a core with one model server that its agent has just called idle, and
-// what a request wants while other entries send too.
+// idleServer returns a core with one model server that its agent has just reported idle, and a request while
+// other entries send too.
 func idleServer(now time.Time, others int) (*Core, *Candidate, *Request) {
 	core := testCore("z", nil)
 	server := modelServer(now.Add(-20*time.Millisecond), 0)
@@ -21,49 +21,49 @@
 	return core, server, withFigures(Request{Service: "s", OtherEntries: others, Prompt: 1000, Target: 400 * time.Millisecond}, engine)
 }
 
-// A server that has just become idle draws all entries at the same time: what this one
-// has sent since the agent's word, each other may have sent as well.
-func TestOthersMayHaveSentAsMuchSinceTheWord(t *testing.T) {
+// A server that has just become idle attracts all entries at once: each of the others may have sent as much
+// since the agent's report as this entry.
+func TestOthersMayHaveSentAsMuchSinceTheReport(t *testing.T) {
 	now := epoch
-	core, server, wanted := idleServer(now, 8)
+	core, server, request := idleServer(now, 8)
 	sent := 0
 	for range 10 {
-		if _, refusal := core.Choose(wanted, now); refusal == nil {
+		if _, refusal := core.Choose(request, now); refusal == nil {
 			sent++
 		}
 	}
-	assert.Equal(t, 2, sent, "nine entries with two requests each make 600 ms of reading")
+	assert.Equal(t, 2, sent, "nine entries with two requests each make 600 ms of prefill")
 	core.ApplyReport(LoadReport{Address: "10.0.0.1:1", Reachable: true, Version: 1, Running: 2}, now)
 	require.Equal(t, server.report.at, now)
-	_, refusal := core.Choose(wanted, now)
-	assert.Nil(t, refusal, "the next word tells how much it was")
+	_, refusal := core.Choose(request, now)
+	assert.Nil(t, refusal, "the next report says how much it was")
 }
 
-// Requests that were sent after the agent looked are no part of what it saw: all that
-// it saw beyond those before is others'.
-func TestRequestsOnTheirWayAreNotTakenForSeen(t *testing.T) {
+// Requests sent after the agent's report are not part of it: all that it counts beyond those sent before
+// belongs to other entries.
+func TestRequestsInTransitAreNotInTheReport(t *testing.T) {
 	now := epoch
-	core, server, wanted := idleServer(now, 0)
-	_, refusal := core.Choose(wanted, now)
+	core, server, request := idleServer(now, 0)
+	_, refusal := core.Choose(request, now)
 	require.Nil(t, refusal)
 	core.ApplyReport(LoadReport{Address: "10.0.0.1:1", Reachable: true, Version: 1, Waiting: 3}, now.Add(-10*time.Millisecond))
-	assert.Equal(t, 4, core.load(server, wanted, now).Waiting, "three of others and the own one")
+	assert.Equal(t, 4, core.load(server, request, now).Waiting, "three of other entries and this entry's own")
 }
 
-// What a machine's agent tells of its link counts at every entry, also at one that has
-// sent nothing there yet.
+// The link's round-trip time that a machine's agent reports counts at every entry, even at one that has sent
+// nothing there yet.
 func TestNarrowLinkIsKnownBeforeTheFirstRequest(t *testing.T) {
 	now := epoch
 	core := testCore("z", nil)
-	wanted := withFigures(Request{}, &Engine{Published: balance.Server{ReadPerSecond: 20000}})
+	request := withFigures(Request{}, &Engine{Published: balance.Server{ReadPerSecond: 20000}})
 	sound, narrow := modelServer(now, 0), modelServer(now, 0)
 	narrow.report.LinkRTT = 900 * time.Millisecond
-	assert.Equal(t, 900*time.Millisecond, core.firstEvent(narrow, wanted, now)-core.firstEvent(sound, wanted, now))
+	assert.Equal(t, 900*time.Millisecond, core.firstEvent(narrow, request, now)-core.firstEvent(sound, request, now))
 }
 
-// A server that has begun requests later than predicted is expected to go on so for a
-// while, and is trusted again when that was long ago.
-func TestLatenessFades(t *testing.T) {
+// A server that has begun requests later than predicted is expected to do so for a while, and is trusted
+// again after a long time.
+func TestLatenessDecays(t *testing.T) {
 	now := epoch
 	core, server := testCore("z", nil), modelServer(now, 0)
 	waiting := &Send{candidate: server, engine: &Engine{}, expectedAt: now.Add(-2 * time.Second)}
--- a/coordination/dispatch/property_test.go
+++ b/coordination/dispatch/property_test.go
@@ -24,31 +24,32 @@
 	drawnColdLimit = 5.0
 )
 
-// generated is a core that hears drawn messages, with what the messages said kept beside it, from
-// which decisions are judged without the code that is tested.
+// generated is a core that receives generated messages, with their content kept beside it, by which its
+// decisions are checked independently of the code under test.
 type generated struct {
 	*rapid.T
-	core  *Core
-	now   time.Time
-	fleet Fleet
-	words map[string]timedReport
-	open  []Decision
-	// sentCold are the times of this entry's sends to each server while it was cold by its line.
+	core    *Core
+	now     time.Time
+	fleet   Fleet
+	reports map[string]timedReport
+	open    []Decision
+	// sentCold holds when this entry sent requests to each server while it was cold by its list entry.
 	sentCold map[string][]time.Time
-	// answeredAt is when each server has last answered.
+	// answeredAt holds when each server last answered.
 	answeredAt map[string]time.Time
-	// lostAt is when each address was first said not to be reached, of the words in a row that say so.
-	lostAt map[string]time.Time
-	// triedAt is when each server was last sent a request though it was lost and had not answered
-	// since, sinceTrial how many attempts have ended since the last such one.
-	triedAt    map[string]time.Time
+	// unreachableSince holds the time of the first of the consecutive reports that each address is
+	// unreachable.
+	unreachableSince map[string]time.Time
+	// trialAt holds when each server was last sent a request while it was lost and had not answered since,
+	// sinceTrial the number of attempts that have ended since the last such request.
+	trialAt    map[string]time.Time
 	sinceTrial int
 }
 
 func newGenerated(t *rapid.T) *generated {
 	seed := rapid.Uint64().Draw(t, "seed")
 	random := rand.New(rand.NewPCG(seed, 1))
-	g := &generated{T: t, now: epoch, words: map[string]timedReport{}, sentCold: map[string][]time.Time{}, answeredAt: map[string]time.Time{}, lostAt: map[string]time.Time{}, triedAt: map[string]time.Time{}}
+	g := &generated{T: t, now: epoch, reports: map[string]timedReport{}, sentCold: map[string][]time.Time{}, answeredAt: map[string]time.Time{}, unreachableSince: map[string]time.Time{}, trialAt: map[string]time.Time{}}
 	g.core = New(Options{
 		Zone: "a", Regions: map[string]string{"a": "north", "b": "south"}, Policy: testPolicy(), Self: "entry-0",
 		Started: epoch.Add(-time.Minute), Random: random.Float64, Shuffle: random.Shuffle,
@@ -58,7 +59,7 @@
 	return g
 }
 
-// drawFleet draws a list of servers, evacuations, and which servers are cold.
+// drawFleet generates a list of servers, evacuations, and which servers are cold.
 func (g *generated) drawFleet() {
 	g.fleet = Fleet{Services: map[string]Service{"s": {ColdRate: drawnColdLimit, ColdTime: time.Second}}}
 	for number := range drawnServers {
@@ -79,31 +80,31 @@
 			g.fleet.Evacuated = append(g.fleet.Evacuated, zone)
 		}
 	}
-	maps.DeleteFunc(g.triedAt, func(id string, _ time.Time) bool {
-		// One that is listed again begins anew.
+	maps.DeleteFunc(g.trialAt, func(id string, _ time.Time) bool {
+		// A server that is listed again starts afresh.
 		return !slices.ContainsFunc(g.fleet.Servers, func(one Server) bool { return one.ID == id })
 	})
 	g.core.Update(g.fleet, g.now)
 }
 
-// drawWord tells a word of a server, which may be old.
-func (g *generated) drawWord() {
-	word := LoadReport{
+// drawReport generates a report on a server, which may be old.
+func (g *generated) drawReport() {
+	report := LoadReport{
 		Address: fmt.Sprintf("10.0.0.%d:1", rapid.IntRange(0, drawnServers-1).Draw(g.T, "told")), Reachable: rapid.IntRange(0, 4).Draw(g.T, "reachable") > 0,
 		Version: uint64(rapid.IntRange(0, 3).Draw(g.T, "version")), Running: rapid.IntRange(0, 4).Draw(g.T, "running"), Waiting: rapid.IntRange(0, 2).Draw(g.T, "waiting"),
 		SwitchPlanned: rapid.IntRange(0, 4).Draw(g.T, "switch") == 0, SwitchIn: time.Duration(rapid.IntRange(0, 1000).Draw(g.T, "in")) * time.Millisecond,
 	}
 	at := g.now.Add(-time.Duration(rapid.IntRange(0, 300).Draw(g.T, "age")) * time.Millisecond)
-	g.core.ApplyReport(word, at)
-	if !g.words[word.Address].at.After(at) {
-		if before, heard := g.words[word.Address]; !word.Reachable && (!heard || before.Reachable) {
-			g.lostAt[word.Address] = at
+	g.core.ApplyReport(report, at)
+	if !g.reports[report.Address].at.After(at) {
+		if previous, found := g.reports[report.Address]; !report.Reachable && (!found || previous.Reachable) {
+			g.unreachableSince[report.Address] = at
 		}
-		g.words[word.Address] = timedReport{LoadReport: word, at: at}
+		g.reports[report.Address] = timedReport{LoadReport: report, at: at}
 	}
 }
 
-// drawRequest draws what a request wants.
+// drawRequest generates a request.
 func (g *generated) drawRequest() *Request {
 	request := &Request{
 		Service: "s", Engine: scriptEngine, Figures: g.core.Figures("s", scriptEngine), Target: 400 * time.Millisecond, Streaming: true,
@@ -125,35 +126,35 @@
 	return request
 }
 
-// decide decides a request and judges the decision.
+// decide decides a request and checks the decision.
 func (g *generated) decide() {
 	request := g.drawRequest()
 	request.AtMostOnce = rapid.IntRange(0, 3).Draw(g.T, "once") == 0
-	for _, asked := range g.core.QueryTargets(request, nil, g.now) {
-		g.judge(request, asked)
+	for _, queried := range g.core.QueryTargets(request, nil, g.now) {
+		g.check(request, queried)
 	}
 	decision, refusal := g.core.Choose(request, g.now)
 	if refusal != nil {
 		assert.Positive(g, refusal.RetryAfter)
 		if refusal.Reason == RefusedOverload {
 			assert.Greater(g, refusal.Admission.Wait, refusal.Admission.MaxWait)
-			assert.Empty(g, request.Tried, "it had been admitted")
+			assert.Empty(g, request.Tried, "it was admitted before")
 		} else {
-			assert.Zero(g, refusal.Servers[Eligible], "refused though a server is fit")
+			assert.Zero(g, refusal.Servers[Eligible], "refused though a server is eligible")
 		}
 		return
 	}
-	if g.judge(request, decision.Candidate) {
+	if g.check(request, decision.Candidate) {
 		assert.True(g, decision.Trial)
-		g.triedAt[decision.Candidate.ID], g.sinceTrial = g.now, 0
+		g.trialAt[decision.Candidate.ID], g.sinceTrial = g.now, 0
 	}
-	g.judgeCold(decision.Candidate)
+	g.checkCold(decision.Candidate)
 	g.open = append(g.open, decision)
 }
 
-// judge fails for a server that may not be sent a request, by the messages, and reports whether the
-// request would be the trial of a lost one.
-func (g *generated) judge(request *Request, chosen *Candidate) (trial bool) {
+// check fails for a server that may not be sent a request by the messages, and reports whether the request
+// would be the trial of a lost server.
+func (g *generated) check(request *Request, chosen *Candidate) (trial bool) {
 	at := slices.IndexFunc(g.fleet.Servers, func(one Server) bool { return one.ID == chosen.ID })
 	require.GreaterOrEqual(g, at, 0, "the server is listed")
 	server := g.fleet.Servers[at]
@@ -165,31 +166,31 @@
 		assert.Contains(g, list, region)
 		assert.NotEmpty(g, region)
 	}
-	told, heard := g.words[server.Address]
-	if !heard || g.now.Sub(told.at) >= reportTTL {
+	reported, found := g.reports[server.Address]
+	if !found || g.now.Sub(reported.at) >= reportTTL {
 		return false
 	}
-	// An answer of the server itself, since its agent has lost it, outweighs the agent for two seconds.
+	// An answer of the server after its agent has lost it outweighs the agent for two seconds.
 	answered, known := g.answeredAt[chosen.ID]
-	proven := known && answered.After(g.lostAt[server.Address]) && g.now.Sub(answered) <= 2*time.Second
-	if !told.Reachable && !proven {
+	confirmed := known && answered.After(g.unreachableSince[server.Address]) && g.now.Sub(answered) <= 2*time.Second
+	if !reported.Reachable && !confirmed {
 		trial = true
-		g.judgeTrial(request, chosen, g.lostAt[server.Address])
+		g.checkTrial(request, chosen, g.unreachableSince[server.Address])
 	}
-	assert.NotZero(g, told.Version)
-	assert.False(g, told.SwitchPlanned && told.SwitchIn-g.now.Sub(told.at) < switchMargin)
+	assert.NotZero(g, reported.Version)
+	assert.False(g, reported.SwitchPlanned && reported.SwitchIn-g.now.Sub(reported.at) < switchMargin)
 	for _, bound := range request.VersionDeadlines {
-		if told.Version < bound.Version {
+		if reported.Version < bound.Version {
 			assert.Less(g, g.now, bound.Until)
 		}
 	}
 	return trial
 }
 
-// judgeTrial fails for a request that may not be the trial of a lost server: one in twenty attempts
-// may, or any where no other server gets requests, on its first, if it may be repeated, a while after the
+// checkTrial fails for a request that may not be the trial of a lost server. One in twenty attempts may, or
+// any if no other server gets requests: on its first attempt, if it may be repeated, some time after the
 // loss, and one at a time.
-func (g *generated) judgeTrial(request *Request, chosen *Candidate, lostAt time.Time) {
+func (g *generated) checkTrial(request *Request, chosen *Candidate, lostAt time.Time) {
 	assert.False(g, request.AtMostOnce)
 	assert.Empty(g, request.Tried)
 	if g.otherServes(chosen) {
@@ -200,33 +201,33 @@
 	if served {
 		assert.GreaterOrEqual(g, g.now.Sub(answered), 250*time.Millisecond)
 	}
-	if tried, known := g.triedAt[chosen.ID]; known && !(served && !answered.Before(tried)) {
+	if tried, known := g.trialAt[chosen.ID]; known && !(served && !answered.Before(tried)) {
 		assert.GreaterOrEqual(g, g.now.Sub(tried), 1500*time.Millisecond)
 	}
 }
 
-// otherServes reports whether the messages name another server that gets requests, and that its agent
-// reaches if that has told anything lately.
+// otherServes reports whether the messages name another server that gets requests, and that its agent reaches
+// if it has reported recently.
 func (g *generated) otherServes(chosen *Candidate) bool {
 	return slices.ContainsFunc(g.fleet.Servers, func(one Server) bool {
 		if one.ID == chosen.ID || one.Draining || slices.Contains(g.fleet.Evacuated, one.Zone) {
 			return false
 		}
-		if told, heard := g.words[one.Address]; heard && g.now.Sub(told.at) < reportTTL {
-			return told.Reachable && told.Version != 0
+		if reported, found := g.reports[one.Address]; found && g.now.Sub(reported.at) < reportTTL {
+			return reported.Reachable && reported.Version != 0
 		}
 		return one.HoldsModel
 	})
 }
 
-// judgeCold counts what a cold server gets: this entry's share, one of two, in any second.
-func (g *generated) judgeCold(chosen *Candidate) {
+// checkCold checks that a cold server gets at most this entry's share, one of two, in any second.
+func (g *generated) checkCold(chosen *Candidate) {
 	at := slices.IndexFunc(g.fleet.Servers, func(one Server) bool { return one.ID == chosen.ID })
 	if !g.now.Before(g.fleet.Servers[at].ColdUntil) {
 		return
 	}
-	lately := slices.DeleteFunc(g.sentCold[chosen.ID], func(sent time.Time) bool { return g.now.Sub(sent) >= time.Second })
-	g.sentCold[chosen.ID] = append(lately, g.now)
+	recent := slices.DeleteFunc(g.sentCold[chosen.ID], func(sent time.Time) bool { return g.now.Sub(sent) >= time.Second })
+	g.sentCold[chosen.ID] = append(recent, g.now)
 	assert.LessOrEqual(g, float64(len(g.sentCold[chosen.ID])), drawnColdLimit/2)
 }
 
@@ -247,7 +248,7 @@
 	}
 }
 
-// serve has a server serve as many attempts as an entry sees before it tries a lost one.
+// serve makes a server serve as many attempts as an entry sees before it tries a lost one.
 func (g *generated) serve() {
 	candidates := g.core.Candidates("s")
 	if len(candidates) == 0 {
@@ -261,9 +262,9 @@
 	g.answeredAt[served.ID] = g.now
 }
 
-// Whatever is heard and decided in whatever order, no request goes, and no question, where the
-// messages forbid it; a refusal is grounded; and when all requests have ended none is counted.
-func TestDecisionsKeepToTheMessages(t *testing.T) {
+// In any order of messages and decisions, no request and no load query goes where the messages forbid it,
+// each refusal has a reason, and when all requests have ended, none is counted.
+func TestDecisionsFollowTheMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newGenerated(t)
 		for range rapid.IntRange(10, 160).Draw(t, "messages") {
@@ -272,7 +273,7 @@
 			case kind == 0:
 				g.drawFleet()
 			case kind <= 3:
-				g.drawWord()
+				g.drawReport()
 			case kind == 4 && rapid.IntRange(0, 3).Draw(t, "many") == 0:
 				g.serve()
 			case kind <= 5 && len(g.open) > 0:
--- a/coordination/dispatch/refusal_test.go
+++ b/coordination/dispatch/refusal_test.go
@@ -7,20 +7,20 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A plain server whose answers were held up for a while is not refused for that as long
-// as it has a free place: without requests nothing would show that the delay is past.
+// A plain server whose answers were delayed for a while is not refused for that as long as it has a free
+// slot: without requests nothing would show that the delay is over.
 func TestSlowAnswersOfAnIdlePlainServerAreNoOverload(t *testing.T) {
 	now := epoch
 	core := testCore("z", nil)
 	server := &Candidate{ID: "p-1", listing: listing{server: Server{Slots: 6}}, answerTimes: answerTimes{meanMilliseconds: 900}}
 	core.byService["plain"] = []*Candidate{server}
-	wanted := &Request{Service: "plain", Target: 120 * time.Millisecond}
-	_, refusal := core.Choose(wanted, now)
+	request := &Request{Service: "plain", Target: 120 * time.Millisecond}
+	_, refusal := core.Choose(request, now)
 	assert.Nil(t, refusal)
 	server.sends.inFlight = 7
-	_, refusal = core.Choose(wanted, now)
+	_, refusal = core.Choose(request, now)
 	assert.NotNil(t, refusal, "a full one is overloaded")
-	wanted.Tried = []*Candidate{{}}
-	_, refusal = core.Choose(wanted, now)
+	request.Tried = []*Candidate{{}}
+	_, refusal = core.Choose(request, now)
 	assert.Nil(t, refusal, "a request that was admitted once is not refused for load")
 }
--- a/coordination/dispatch/regionfleet_test.go
+++ b/coordination/dispatch/regionfleet_test.go
@@ -10,54 +10,55 @@
 	"pinevane.example/pinevane/coordination/residency"
 )
 
-// Sizes of the fleet of two regions. At a full server of scriptEngine a request takes a place for
-// 1.2 s and 77 ms of the server's time, so that the ten servers begin 130 requests a second.
+// Sizes of the fleet of two regions. At a full server of scriptEngine a request holds a slot for 1.2 s and
+// takes 77 ms of the server's time, so the ten servers begin 130 requests a second.
 const (
 	regionTarget   = 400 * time.Millisecond
 	regionDeadline = 6 * time.Second
-	regionCalm     = 2 * time.Second
+	regionWarmup   = 2 * time.Second
 	regionLength   = 12 * time.Second
-	// roomyServer is how many of its 16 places a server with room has in use at most.
-	roomyServer = 12
-	// regionWay is the way between an entry and a server.
-	regionWay = 5 * time.Millisecond
+	// maxRunningWithRoom is the maximum number of its 16 slots that a server with room has in use.
+	maxRunningWithRoom = 12
+	// regionOneWay is the one-way delay between an entry and a server.
+	regionOneWay = 5 * time.Millisecond
 )
 
 // regionDay is a load on the fleet of two regions.
 type regionDay struct {
-	// small and large are how many servers and entries the zones "a" and "b" have.
+	// small and large are the numbers of servers in zones "a" and "b", smallEntries and largeEntries of
+	// entries.
 	small, large, smallEntries, largeEntries int
-	// load is what comes, as a share of what all servers can begin, bound the share of the
-	// requests that only the small region may serve.
+	// load is the arrival rate as a ratio of what all servers can begin, bound the ratio of requests that
+	// only the small region may serve.
 	load, bound float64
-	// boundAtHome has bound requests come to the entries of the small region only.
-	boundAtHome bool
-	// wordAge is the age of words when they come; asks has entries ask agents as well.
-	wordAge time.Duration
-	asks    bool
-	seed    uint64
-	// seeds is how many are played; 0 leaves it to playRegions.
+	// boundLocalOnly sends bound requests only to the entries of the small region.
+	boundLocalOnly bool
+	// reportAge is the age of reports when they arrive. queries makes entries query agents as well.
+	reportAge time.Duration
+	queries   bool
+	seed      uint64
+	// seeds is the number of seeds to run; 0 leaves it to playRegions.
 	seeds int
 }
 
-// regionCount is what became of the requests of a kind.
-type regionCount struct{ asked, inTime, late, refusals, lost int }
+// regionCount counts the requests of a kind by outcome.
+type regionCount struct{ total, inTime, late, refusals, lost int }
 
 func (c *regionCount) add(other regionCount) {
-	c.asked, c.inTime, c.late = c.asked+other.asked, c.inTime+other.inTime, c.late+other.late
+	c.total, c.inTime, c.late = c.total+other.total, c.inTime+other.inTime, c.late+other.late
 	c.refusals, c.lost = c.refusals+other.refusals, c.lost+other.lost
 }
 
-func (c regionCount) share(part int) float64 { return float64(part) / float64(max(1, c.asked)) }
+func (c regionCount) ratio(part int) float64 { return float64(part) / float64(max(1, c.total)) }
 
 type regionRequest struct {
-	bound   bool
-	prompt  int
-	passes  int
-	tries   int
-	askedAt time.Time
-	entry   *Core
-	sent    *Send
+	bound     bool
+	prompt    int
+	passes    int
+	tries     int
+	arrivedAt time.Time
+	entry     *Core
+	sent      *Send
 }
 
 type regionServer struct {
@@ -66,7 +67,7 @@
 	passEnds                  time.Time
 }
 
-// regionFleet plays entries that send to servers of two regions, "a" and "b".
+// regionFleet simulates entries that send to servers of two regions, "a" and "b".
 type regionFleet struct {
 	regionDay
 	random  *rand.Rand
@@ -74,20 +75,20 @@
 	entries []*Core
 	servers []*regionServer
 	byID    map[string]*regionServer
-	words   map[time.Time][]LoadReport
+	reports map[time.Time][]LoadReport
 	returns map[time.Time][]*regionRequest
 	free    regionCount
 	boundTo regionCount
-	// besideIdle counts free requests that were refused while a server held nothing, besideRoom
-	// those while one had a quarter of its places free and nothing to begin, misplaced bound ones that
-	// were sent elsewhere, away free ones of the small region's entries that were sent to the other.
+	// besideIdle counts free requests refused while a server was idle, besideRoom those refused while a
+	// server had a quarter of its slots free and nothing waiting, misplaced bound requests sent to the other
+	// region, away free requests of the small region's entries sent to the other region.
 	besideIdle, besideRoom, misplaced, away int
 }
 
 func newRegionFleet(day regionDay, policy Policy) *regionFleet {
 	f := &regionFleet{
 		regionDay: day, random: rand.New(rand.NewPCG(day.seed, 7)), now: epoch,
-		byID: map[string]*regionServer{}, words: map[time.Time][]LoadReport{}, returns: map[time.Time][]*regionRequest{},
+		byID: map[string]*regionServer{}, reports: map[time.Time][]LoadReport{}, returns: map[time.Time][]*regionRequest{},
 	}
 	regions := map[string]string{"a": "a", "b": "b"}
 	var published Fleet
@@ -115,157 +116,157 @@
 	return f
 }
 
-// play has requests come until regionLength, and goes on until nobody waits any more.
+// play generates requests until regionLength, and continues until none is waiting.
 func (f *regionFleet) play() {
 	capacity := float64(f.small+f.large) / scriptEngine.Published.ServiceTime().Seconds()
-	due := 0.0
+	pending := 0.0
 	for number := 0; f.now.Before(epoch.Add(regionLength + regionDeadline)); number++ {
 		for at, one := range f.servers {
 			f.step(one)
-			if (number+at*3)%(int(wordPeriod/tick)) == 0 {
-				told := f.now.Add(f.wordAge)
-				f.words[told] = append(f.words[told], one.wordNow())
+			if (number+at*3)%(int(reportPeriod/tick)) == 0 {
+				arrivesAt := f.now.Add(f.reportAge)
+				f.reports[arrivesAt] = append(f.reports[arrivesAt], one.currentReport())
 			}
 		}
-		f.hear()
+		f.deliverReports()
 		for _, one := range f.returns[f.now] {
 			f.attempt(one)
 		}
 		delete(f.returns, f.now)
 		after := f.now.Sub(epoch)
 		load := f.load
-		if after < regionCalm {
+		if after < regionWarmup {
 			load = min(load, 0.55)
 		}
 		if after < regionLength {
-			due += load * capacity * tick.Seconds()
+			pending += load * capacity * tick.Seconds()
 		}
-		for ; due >= 1; due-- {
+		for ; pending >= 1; pending-- {
 			f.attempt(f.draw())
 		}
 		f.now = f.now.Add(tick)
 	}
 }
 
-func (f *regionFleet) hear() {
-	for _, word := range f.words[f.now] {
+func (f *regionFleet) deliverReports() {
+	for _, report := range f.reports[f.now] {
 		for _, entry := range f.entries {
-			entry.ApplyReport(word, f.now.Add(-f.wordAge))
+			entry.ApplyReport(report, f.now.Add(-f.reportAge))
 		}
 	}
-	delete(f.words, f.now)
+	delete(f.reports, f.now)
 }
 
-func (s *regionServer) wordNow() LoadReport {
-	word := LoadReport{Address: s.id + ":1", Reachable: true, Version: 1, Running: len(s.running), Waiting: len(s.waiting) + len(s.reading)}
+func (s *regionServer) currentReport() LoadReport {
+	report := LoadReport{Address: s.id + ":1", Reachable: true, Version: 1, Running: len(s.running), Waiting: len(s.waiting) + len(s.reading)}
 	for _, group := range [][]*regionRequest{s.waiting, s.reading} {
-		for _, one := range group {
-			word.UnreadTokens += one.prompt
+		for _, request := range group {
+			report.UnreadTokens += request.prompt
 		}
 	}
-	return word
+	return report
 }
 
-// draw makes a request of the usual sizes in the mean.
+// draw generates a request with the usual sizes as the mean.
 func (f *regionFleet) draw() *regionRequest {
 	size := func(spread float64) float64 { return math.Exp(spread*f.random.NormFloat64() - spread*spread/2) }
 	figures := scriptEngine.Published
 	one := &regionRequest{
 		bound:  f.random.Float64() < f.bound,
 		prompt: max(1, int(min(3, size(0.7))*figures.UsualPrompt)), passes: max(1, int(math.Round(size(0.6)*figures.UsualAnswer/float64(figures.Stride)))),
-		askedAt: f.now,
+		arrivedAt: f.now,
 	}
-	f.countOf(one).asked++
+	f.countOf(one).total++
 	return one
 }
 
-func (f *regionFleet) countOf(one *regionRequest) *regionCount {
-	if one.bound {
+func (f *regionFleet) countOf(request *regionRequest) *regionCount {
+	if request.bound {
 		return &f.boundTo
 	}
 	return &f.free
 }
 
-func (f *regionFleet) attempt(one *regionRequest) {
-	one.tries++
+func (f *regionFleet) attempt(caller *regionRequest) {
+	caller.tries++
 	number := f.random.IntN(len(f.entries))
-	if f.boundAtHome && one.bound {
+	if f.boundLocalOnly && caller.bound {
 		number = f.random.IntN(f.smallEntries)
 	}
 	entry := f.entries[number]
 	route := "free"
-	if one.bound {
+	if caller.bound {
 		route = "bound"
 	}
 	request := &Request{
 		Service: "s", Route: route, Engine: scriptEngine, Figures: scriptEngine.Published, Target: regionTarget, Streaming: true,
-		OtherEntries: len(f.entries) - 1, Prompt: one.prompt, Answer: 100,
+		OtherEntries: len(f.entries) - 1, Prompt: caller.prompt, Answer: 100,
 	}
-	request.Arrival = entry.RecordArrival(request, regionDeadline-f.now.Sub(one.askedAt), f.now)
-	if one.bound {
+	request.Arrival = entry.RecordArrival(request, regionDeadline-f.now.Sub(caller.arrivedAt), f.now)
+	if caller.bound {
 		request.Residency = request.Residency.With(residency.AllowedRegions{"a"})
 	}
-	if f.asks {
-		f.ask(entry, request)
+	if f.queries {
+		f.query(entry, request)
 	}
 	decision, refusal := entry.Choose(request, f.now)
 	if refusal != nil {
-		f.refuse(one, entry, request, refusal)
+		f.refuse(caller, entry, request, refusal)
 		return
 	}
-	if one.bound && decision.Candidate.Zone != "a" {
+	if caller.bound && decision.Candidate.Zone != "a" {
 		f.misplaced++
 	}
-	if !one.bound && number < f.smallEntries && decision.Candidate.Zone != "a" {
+	if !caller.bound && number < f.smallEntries && decision.Candidate.Zone != "a" {
 		f.away++
 	}
-	one.entry, one.sent = entry, decision.Send
+	caller.entry, caller.sent = entry, decision.Send
 	server := f.byID[decision.Candidate.ID]
-	server.waiting = append(server.waiting, one)
+	server.waiting = append(server.waiting, caller)
 }
 
-// ask asks agents as internal/forward does.
-func (f *regionFleet) ask(entry *Core, request *Request) {
-	var asked []*Candidate
+// query queries agents as internal/forward does.
+func (f *regionFleet) query(entry *Core, request *Request) {
+	var queried []*Candidate
 	for range 2 {
-		next := entry.QueryTargets(request, asked, f.now)
-		asked = append(asked, next...)
-		var answers []LoadReport
-		for _, one := range next {
-			answers = append(answers, f.byID[one.ID].wordNow())
+		next := entry.QueryTargets(request, queried, f.now)
+		queried = append(queried, next...)
+		var replies []LoadReport
+		for _, candidate := range next {
+			replies = append(replies, f.byID[candidate.ID].currentReport())
 		}
-		request.Queried = append(request.Queried, entry.ApplyQueryReplies(next, answers, f.now)...)
+		request.Queried = append(request.Queried, entry.ApplyQueryReplies(next, replies, f.now)...)
 		if len(next) == 0 || entry.AnyAdmits(request, f.now) {
 			return
 		}
 	}
 }
 
-// refuse tells a caller when to come back, which it does once.
-func (f *regionFleet) refuse(one *regionRequest, entry *Core, request *Request, refusal *Refusal) {
+// refuse schedules the caller's return, which happens once.
+func (f *regionFleet) refuse(caller *regionRequest, entry *Core, request *Request, refusal *Refusal) {
 	entry.RecordRefusal(request, f.now)
-	count := f.countOf(one)
+	count := f.countOf(caller)
 	count.refusals++
-	if !one.bound && f.anyHolds(0) {
+	if !caller.bound && f.anyHasRoom(0) {
 		f.besideIdle++
 	}
-	if !one.bound && f.anyHolds(roomyServer) {
+	if !caller.bound && f.anyHasRoom(maxRunningWithRoom) {
 		f.besideRoom++
 	}
-	if one.tries > 1 {
+	if caller.tries > 1 {
 		count.lost++
 		return
 	}
-	most := request.Arrival.Left / 3
-	earliest := min(refusal.RetryAfter, most)
-	at := f.now.Add((earliest + time.Duration(f.random.Float64()*float64(most-earliest))).Truncate(tick) + tick)
-	f.returns[at] = append(f.returns[at], one)
+	latest := request.Arrival.Left / 3
+	earliest := min(refusal.RetryAfter, latest)
+	at := f.now.Add((earliest + time.Duration(f.random.Float64()*float64(latest-earliest))).Truncate(tick) + tick)
+	f.returns[at] = append(f.returns[at], caller)
 }
 
-// anyHolds reports whether a server has nothing to begin and runs this many requests at most.
-func (f *regionFleet) anyHolds(most int) bool {
+// anyHasRoom reports whether a server has nothing waiting and runs at most this many requests.
+func (f *regionFleet) anyHasRoom(maxRunning int) bool {
 	return slices.ContainsFunc(f.servers, func(s *regionServer) bool {
-		return len(s.waiting)+len(s.reading) == 0 && len(s.running) <= most
+		return len(s.waiting)+len(s.reading) == 0 && len(s.running) <= maxRunning
 	})
 }
 
@@ -274,19 +275,19 @@
 	if f.now.Before(s.passEnds) {
 		return
 	}
-	for _, one := range s.reading {
-		f.begin(one)
+	for _, request := range s.reading {
+		f.begin(request)
 	}
 	s.running, s.reading = append(s.running, s.reading...), nil
-	kept := s.running[:0]
-	for _, one := range s.running {
-		if one.passes--; one.passes > 0 {
-			kept = append(kept, one)
+	running := s.running[:0]
+	for _, request := range s.running {
+		if request.passes--; request.passes > 0 {
+			running = append(running, request)
 			continue
 		}
-		one.entry.Release(one.sent)
+		request.entry.Release(request.sent)
 	}
-	s.running = kept
+	s.running = running
 	figures, tokens := scriptEngine.Published, 0
 	for len(s.waiting) > 0 && len(s.running)+len(s.reading) < 16 && tokens < 2000 {
 		s.reading = append(s.reading, s.waiting[0])
@@ -299,10 +300,10 @@
 	}
 }
 
-func (f *regionFleet) begin(one *regionRequest) {
-	one.entry.EndPrefill(one.sent, true, f.now)
-	count := f.countOf(one)
-	if f.now.Sub(one.askedAt)+2*regionWay <= regionTarget {
+func (f *regionFleet) begin(request *regionRequest) {
+	request.entry.EndPrefill(request.sent, true, f.now)
+	count := f.countOf(request)
+	if f.now.Sub(request.arrivedAt)+2*regionOneWay <= regionTarget {
 		count.inTime++
 		return
 	}
--- a/coordination/dispatch/returns_test.go
+++ b/coordination/dispatch/returns_test.go
@@ -11,12 +11,12 @@
 	"pinevane.example/pinevane/coordination/shedding"
 )
 
-// returning is a request of a caller that waits for some time, at an entry that has served
-// others of its route, all of which had six seconds left, and knows one full server, which has
-// a place soon. A first attempt, if one was refused, was refused just before.
-func returning(left time.Duration, refused bool) (*Core, *Candidate, *Request, time.Time) {
+// returningCaller returns the request of a caller with some time left, at an entry that has served others of
+// its route, all of which had six seconds left, and that knows one full server, which has a slot soon. If
+// refused is set, a first attempt was refused just before.
+func returningCaller(left time.Duration, refused bool) (*Core, *Candidate, *Request, time.Time) {
 	now := epoch.Add(time.Minute)
-	core, server, wanted := idleServer(now, 0)
+	core, server, request := idleServer(now, 0)
 	for i := range 40 {
 		core.RecordArrival(&Request{Service: "s", Route: "r"}, 6*time.Second, epoch.Add(time.Duration(i)*time.Second))
 	}
@@ -24,12 +24,12 @@
 		getOrCreate(core.overloadDetectors, "s").Refused(now.Sub(epoch), shedding.Arrival{})
 	}
 	server.report.Running = 16
-	wanted.Route, wanted.Arrival = "r", core.RecordArrival(&Request{Service: "s", Route: "r"}, left, now)
-	return core, server, wanted, now
+	request.Route, request.Arrival = "r", core.RecordArrival(&Request{Service: "s", Route: "r"}, left, now)
+	return core, server, request, now
 }
 
-// A full server that has a place soon is left to those whose answers can still be in time,
-// while some of these are refused; afterwards it takes late requests at once.
+// A full server that has a slot soon is left to requests that can still be answered in time while some of
+// these are refused; afterwards it takes late requests at once.
 func TestLateRequestsGoBehindInOverload(t *testing.T) {
 	for name, one := range map[string]struct {
 		left      time.Duration
@@ -43,74 +43,75 @@
 		"late where the mechanism is off":     {left: 5 * time.Second, lateShare: 1},
 		"back so soon that it can be in time": {left: 5950 * time.Millisecond, lateShare: 0.15},
 	} {
-		core, server, wanted, now := returning(one.left, !one.calm)
+		core, server, request, now := returningCaller(one.left, !one.calm)
 		core.policy.LateShare = one.lateShare
-		wanted.Queried = []*Candidate{server}
-		assert.Equal(t, !one.refused, core.AnyAdmits(wanted, now), name)
-		_, refusal := core.Choose(wanted, now)
+		request.Queried = []*Candidate{server}
+		assert.Equal(t, !one.refused, core.AnyAdmits(request, now), name)
+		_, refusal := core.Choose(request, now)
 		assert.Equal(t, one.refused, refusal != nil, name)
 	}
 }
 
-// A caller refused for load is asked to come back in the second half of the time that it
-// heeds, and its refusal shows that there is overload now.
-func TestRefusalForLoadIsPressure(t *testing.T) {
-	core, server, wanted, now := returning(6*time.Second, false)
+// A caller refused for load is asked to come back in the second half of the time within which callers follow
+// the advice, and its refusal shows that there is an overload.
+func TestRefusalForLoadShowsOverload(t *testing.T) {
+	core, server, request, now := returningCaller(6*time.Second, false)
 	server.report.Waiting = 6
-	_, refusal := core.Choose(wanted, now)
+	_, refusal := core.Choose(request, now)
 	require.NotNil(t, refusal)
 	assert.Equal(t, RefusedOverload, refusal.Reason)
-	assert.Equal(t, time.Second, refusal.RetryAfter, "the queue alone would have come down sooner")
+	assert.Equal(t, time.Second, refusal.RetryAfter, "the queue alone would have been shorter sooner")
 	assert.InDelta(t, 0.15, getOrCreate(core.overloadDetectors, "s").Share(now.Sub(epoch), 0.15), 1e-9)
 }
 
 // Without a server that could serve a request there is no overload.
-func TestRefusalWithoutAServerIsNoPressure(t *testing.T) {
-	core, server, wanted, now := returning(6*time.Second, false)
+func TestRefusalWithoutAServerShowsNoOverload(t *testing.T) {
+	core, server, request, now := returningCaller(6*time.Second, false)
 	server.report.Version = 0
-	_, refusal := core.Choose(wanted, now)
+	_, refusal := core.Choose(request, now)
 	require.NotNil(t, refusal)
 	assert.InDelta(t, 1, getOrCreate(core.overloadDetectors, "s").Share(now.Sub(epoch), 0.15), 1e-9)
 }
 
-// While a refused caller may be coming back, times left are not taken for usual ones.
+// While a refused caller may be coming back, the times left of arrivals are not learned as those of first
+// attempts.
 func TestRefusedCallersAreNotLearnedFrom(t *testing.T) {
-	core, _, wanted, now := returning(6*time.Second, false)
-	core.RecordRefusal(wanted, now)
+	core, _, request, now := returningCaller(6*time.Second, false)
+	core.RecordRefusal(request, now)
 	for i := range 60 {
 		core.RecordArrival(&Request{Service: "s", Route: "r"}, 4500*time.Millisecond, now.Add(time.Duration(i)*20*time.Millisecond))
 	}
 	assert.Equal(t, 1500*time.Millisecond, core.RecordArrival(&Request{Service: "s", Route: "r"}, 4500*time.Millisecond, now.Add(2*time.Second)).Elapsed)
 }
 
-// Long prompts are granted the time in which an idle server would begin them, also late ones.
+// Long prompts are granted the time in which an idle server would begin them, even for late callers.
 func TestLongPromptsOfLateCallersAreAdmittedAtIdleServers(t *testing.T) {
-	core, server, wanted, now := returning(5*time.Second, true)
-	server.report.Running, wanted.Prompt = 0, 9000
-	require.Greater(t, wanted.Figures.FirstEvent(balance.Load{}, wanted.Prompt), 300*time.Millisecond)
-	_, refusal := core.Choose(wanted, now)
+	core, server, request, now := returningCaller(5*time.Second, true)
+	server.report.Running, request.Prompt = 0, 9000
+	require.Greater(t, request.Figures.FirstEvent(balance.Load{}, request.Prompt), 300*time.Millisecond)
+	_, refusal := core.Choose(request, now)
 	assert.Nil(t, refusal)
 }
 
-// What was learned of routes is dropped with them.
+// What was learned of a route is dropped with the route.
 func TestRemovedRoutesAreForgotten(t *testing.T) {
-	core, _, _, now := returning(6*time.Second, false)
+	core, _, _, now := returningCaller(6*time.Second, false)
 	core.RecordArrival(&Request{Service: "s", Route: "removed"}, 6*time.Second, now)
 	core.RetainRoutes(map[string]bool{"r": true})
 	assert.Len(t, core.retryDetectors, 1)
 	assert.Contains(t, core.retryDetectors, "r")
 }
 
-// Other entries refuse callers while servers are full, and those may come back here: their times
-// left are not taken for those of first attempts, though this entry has refused nobody.
+// While servers are full, other entries refuse callers that may come back here: their times left are not
+// learned as those of first attempts, though this entry has refused nobody.
 func TestNothingIsLearnedOfCallersWhileServersAreFull(t *testing.T) {
 	for name, running := range map[string]int{"full": 19, "idle": 0} {
-		core, server, wanted, now := returning(6*time.Second, false)
+		core, server, request, now := returningCaller(6*time.Second, false)
 		for range 20 {
 			now = now.Add(200 * time.Millisecond)
 			server.report.Running, server.report.at = running, now
 			server.sends = ownSends{}
-			_, refusal := core.Choose(wanted, now)
+			_, refusal := core.Choose(request, now)
 			require.Nil(t, refusal, name)
 			core.RecordArrival(&Request{Service: "s", Route: "r"}, 4500*time.Millisecond, now)
 		}
@@ -118,23 +119,23 @@
 		if name == "full" {
 			assert.Equal(t, 1500*time.Millisecond, elapsed)
 		} else {
-			assert.Zero(t, elapsed, "callers with less time have come in a calm moment")
+			assert.Zero(t, elapsed, "callers with less time left arrived without overload")
 		}
 	}
 }
 
-// An overload that this entry has met goes on while first attempts are admitted to full servers,
-// also when it refuses nobody itself for seconds.
+// An overload that this entry has detected persists while first attempts are admitted to full servers, even
+// if the entry itself refuses nobody for seconds.
 func TestOverloadGoesOnWhileServersAreFull(t *testing.T) {
-	core, server, wanted, now := returning(6*time.Second, true)
+	core, server, request, now := returningCaller(6*time.Second, true)
 	for range 15 {
 		now = now.Add(200 * time.Millisecond)
 		server.report.Running, server.report.at = 19, now
 		server.sends = ownSends{}
-		_, refusal := core.Choose(wanted, now)
+		_, refusal := core.Choose(request, now)
 		require.Nil(t, refusal)
 	}
-	late := *wanted
+	late := *request
 	late.Arrival = core.RecordArrival(&Request{Service: "s", Route: "r"}, 4500*time.Millisecond, now)
 	server.sends = ownSends{}
 	_, refusal := core.Choose(&late, now)
--- a/coordination/dispatch/script_test.go
+++ b/coordination/dispatch/script_test.go
@@ -11,7 +11,7 @@
 	"pinevane.example/pinevane/coordination/balance"
 )
 
-// script plays what an entry hears, and asks for decisions between.
+// script plays a sequence of messages to an entry, with decisions in between.
 type script struct {
 	*testing.T
 	core  *Core
@@ -19,14 +19,14 @@
 	fleet Fleet
 }
 
-// Sizes of the scripts' fleets. A copy of a version takes 2.5 s.
+// scriptEngine is the engine of the scripts' fleets. A copy of a version takes 2.5 s.
 var scriptEngine = &Engine{
 	Pieces: 100, CopyTime: 2500 * time.Millisecond, ActivationTime: 100 * time.Millisecond,
 	Published: balance.Server{Slots: 16, StepMilliseconds: 7, Stride: 6, ReadPerSecond: 30000, UsualPrompt: 1000, UsualAnswer: 100},
 }
 
-// newScript begins with servers by their names, whose first letter is their zone and its region,
-// seen from zone a. All serve version 1 by the list.
+// newScript returns a script with the named servers, seen from zone a. The first letter of a name is the
+// server's zone and region. All serve version 1 by the list.
 func newScript(t *testing.T, servers ...string) *script {
 	s := &script{T: t, core: testCore("a", map[string]string{"a": "a", "b": "b", "c": "c"}), now: epoch}
 	for _, id := range servers {
@@ -38,19 +38,19 @@
 	return s
 }
 
-// update tells the fleet as it is now.
+// update applies the present fleet.
 func (s *script) update() []Change { return s.core.Update(s.fleet, s.now) }
 
-// at goes to a time after the beginning.
+// at sets the time since epoch.
 func (s *script) at(after time.Duration) { s.now = epoch.Add(after) }
 
-// hear tells a word that was said some time ago, of a server that is reachable.
-func (s *script) hear(id string, ago time.Duration, word LoadReport) {
-	word.Address, word.Reachable = id+":1", true
-	s.core.ApplyReport(word, s.now.Add(-ago))
+// report applies a report that was made some time ago on a reachable server.
+func (s *script) report(id string, ago time.Duration, report LoadReport) {
+	report.Address, report.Reachable = id+":1", true
+	s.core.ApplyReport(report, s.now.Add(-ago))
 }
 
-// request is one for a model server.
+// request returns a request for a model server.
 func (s *script) request() *Request {
 	request := &Request{Service: "s", Engine: scriptEngine, Target: 400 * time.Millisecond, Streaming: true, Prompt: 1000, Answer: 100}
 	request.Figures = s.core.Figures("s", scriptEngine)
@@ -63,7 +63,7 @@
 	return known
 }
 
-// goesTo decides a request, for which a server is expected.
+// goesTo decides a request and expects it to be sent to the given server.
 func (s *script) goesTo(request *Request, id string) Decision {
 	s.Helper()
 	decision, refusal := s.core.Choose(request, s.now)
@@ -72,19 +72,19 @@
 	return decision
 }
 
-// served is goesTo with the request's beginning and end at once.
+// served is goesTo for a request that begins and ends at once.
 func (s *script) served(request *Request, id string) {
 	s.Helper()
 	s.ends(s.goesTo(request, id))
 }
 
-// ends tells that a request has begun and ended.
+// ends records that a request has begun and ended.
 func (s *script) ends(decision Decision) {
 	s.core.EndPrefill(decision.Send, true, s.now)
 	s.core.Release(decision.Send)
 }
 
-// refused decides a request, for which a refusal is expected.
+// refused decides a request and expects a refusal.
 func (s *script) refused(request *Request, reason RefusalReason) *Refusal {
 	s.Helper()
 	decision, refusal := s.core.Choose(request, s.now)
@@ -93,18 +93,18 @@
 	return refusal
 }
 
-// A word of a server that has been idle is trusted for a while, then the server counts as one
-// whose agent has fallen silent: it is used only without another.
-func TestStaleWords(t *testing.T) {
+// A report that a server is idle is trusted for a while. Afterwards its agent counts as silent, and the
+// server is used only without an alternative.
+func TestStaleReports(t *testing.T) {
 	s := newScript(t, "a1", "a2")
-	s.hear("a1", 0, LoadReport{Version: 1})
-	s.hear("a2", 0, LoadReport{Version: 1, Running: 10})
+	s.report("a1", 0, LoadReport{Version: 1})
+	s.report("a2", 0, LoadReport{Version: 1, Running: 10})
 	s.served(s.request(), "a1")
 
 	s.at(time.Second)
-	s.hear("a2", 0, LoadReport{Version: 1, Running: 10})
-	s.hear("a2", 100*time.Millisecond, LoadReport{Version: 1, Running: 16, Waiting: 9}) // By a longer way, later.
-	assert.Equal(t, 10, s.candidate("a2").outstanding(s.now), "an older word changes nothing")
+	s.report("a2", 0, LoadReport{Version: 1, Running: 10})
+	s.report("a2", 100*time.Millisecond, LoadReport{Version: 1, Running: 16, Waiting: 9}) // Arrives later, by a longer path.
+	assert.Equal(t, 10, s.candidate("a2").outstanding(s.now), "an older report changes nothing")
 
 	s.at(1300 * time.Millisecond)
 	decision := s.goesTo(s.request(), "a2")
@@ -115,42 +115,42 @@
 	assert.Equal(t, 1300*time.Millisecond, decision.ReportAge)
 	assert.True(t, s.core.FailureSuspected(s.candidate("a1"), s.now, s.now))
 
-	s.hear("a1", 0, LoadReport{Version: 1, SwitchPlanned: true})
+	s.report("a1", 0, LoadReport{Version: 1, SwitchPlanned: true})
 	assert.Equal(t, 1, s.refused(tried, RefusedNoServer).Servers[excludedSwitching])
 	s.at(1300*time.Millisecond + reportTTL)
-	s.goesTo(tried, "a1") // By the version on the list, as nobody knows better.
+	s.goesTo(tried, "a1") // By the version on the list, for lack of a report.
 }
 
-// What the agents answer overtakes their words: the server that has filled up since is left.
-func TestAnswersDecideBetweenTheAsked(t *testing.T) {
+// Replies to load queries supersede the agents' reports: a server that has filled up since is avoided.
+func TestQueryRepliesDecide(t *testing.T) {
 	s := newScript(t, "a1", "a2", "a3", "a4")
 	for _, server := range s.fleet.Servers {
-		s.hear(server.ID, 300*time.Millisecond, LoadReport{Version: 1})
+		s.report(server.ID, 300*time.Millisecond, LoadReport{Version: 1})
 	}
 	request := s.request()
-	asked := s.core.QueryTargets(request, nil, s.now)
-	require.Len(t, asked, queriesAtOnce)
-	free := asked[1]
-	answers := []LoadReport{
-		{Address: asked[0].Address, Reachable: true, Version: 1, Running: 16, Waiting: 6, UnreadTokens: 6000},
+	queried := s.core.QueryTargets(request, nil, s.now)
+	require.Len(t, queried, queriesAtOnce)
+	free := queried[1]
+	replies := []LoadReport{
+		{Address: queried[0].Address, Reachable: true, Version: 1, Running: 16, Waiting: 6, UnreadTokens: 6000},
 		{Address: free.Address, Reachable: true, Version: 1, Running: 2},
 	}
 	s.at(10 * time.Millisecond)
-	request.Queried = s.core.ApplyQueryReplies(asked, answers, s.now)
-	assert.Equal(t, asked[:2], request.Queried, "the third agent has not answered")
+	request.Queried = s.core.ApplyQueryReplies(queried, replies, s.now)
+	assert.Equal(t, queried[:2], request.Queried, "the third agent has not replied")
 	assert.True(t, s.core.AnyAdmits(request, s.now))
 	s.goesTo(request, free.ID)
-	assert.NotContains(t, s.core.QueryTargets(request, asked, s.now), asked[2], "nobody is asked twice for a request")
+	assert.NotContains(t, s.core.QueryTargets(request, queried, s.now), queried[2], "no agent is queried twice for a request")
 	again := s.core.QueryTargets(s.request(), nil, s.now)
-	assert.Equal(t, asked[2], again[queriesAtOnce-1], "an agent that has just not answered is asked last")
+	assert.Equal(t, queried[2], again[queriesAtOnce-1], "an agent that has just not replied is queried last")
 }
 
-// A server that is lost after its word: the first attempt fails, the next goes elsewhere, and
-// the server is tried again after its ejection. Its end is told by the list, an answer or a word.
-func TestServerLostBetweenWordAndUse(t *testing.T) {
+// A server is lost after its report: the first attempt fails, the next goes elsewhere, and the server is
+// tried again after its ejection. The list, an answer or a report tells that it has stopped.
+func TestServerLostBetweenReportAndUse(t *testing.T) {
 	s := newScript(t, "a1", "a2")
-	s.hear("a1", 0, LoadReport{Version: 1})
-	s.hear("a2", 0, LoadReport{Version: 1, Running: 8})
+	s.report("a1", 0, LoadReport{Version: 1})
+	s.report("a2", 0, LoadReport{Version: 1, Running: 8})
 	s.at(50 * time.Millisecond)
 	request := s.request()
 	lost := s.goesTo(request, "a1")
@@ -166,16 +166,16 @@
 
 	s.core.ApplyReport(LoadReport{Address: "a1:1", Version: 1}, s.now)
 	s.served(s.request(), "a2")
-	s.hear("a1", -time.Millisecond, LoadReport{Version: 1})
+	s.report("a1", -time.Millisecond, LoadReport{Version: 1})
 	assert.True(t, s.core.Supersede(s.candidate("a1")))
 	s.goesTo(s.request(), "a2")
 }
 
-// A server's end on the list, by a newer line at its address or by its line's going, and what
-// becomes of its requests: they change no later server of the same name.
+// A server's removal by a newer list entry at its address, or by the removal of its own, and the effect on
+// its requests: they change no later server with the same ID.
 func TestServerReplacedAtItsAddress(t *testing.T) {
 	s := newScript(t, "a1")
-	s.hear("a1", 0, LoadReport{Version: 1})
+	s.report("a1", 0, LoadReport{Version: 1})
 	open := s.goesTo(s.request(), "a1")
 	s.fleet.Servers = append(s.fleet.Servers, Server{ID: "a9", Service: "s", Address: "a1:1", Zone: "a", Slots: 16, Version: 1, HoldsModel: true, Revision: 7})
 	changes := s.update()
@@ -199,19 +199,19 @@
 	assert.Equal(t, []Change{{Kind: ServerLeaving, Candidate: s.candidate("a9"), InFlight: 1}}, s.update())
 	last := s.goesTo(s.request(), "a1").Candidate
 
-	asked := s.request()
-	asked.Queried = []*Candidate{last}
-	assert.True(t, s.core.AnyAdmits(asked, s.now))
+	queried := s.request()
+	queried.Queried = []*Candidate{last}
+	assert.True(t, s.core.AnyAdmits(queried, s.now))
 	s.fleet.Servers = nil
 	s.update()
-	assert.False(t, s.core.AnyAdmits(asked, s.now))
+	assert.False(t, s.core.AnyAdmits(queried, s.now))
 }
 
-// HOME: a line that names another zone is that of another server, by whose region goes what may be
-// sent there.
+// HOME: a list entry that names another zone belongs to another server, whose region decides what may be sent
+// there.
 func TestServerThatIsListedElsewhereIsAnother(t *testing.T) {
 	s := newScript(t, "a1")
-	s.hear("a1", 0, LoadReport{Version: 1})
+	s.report("a1", 0, LoadReport{Version: 1})
 	request := s.request()
 	request.Residency = request.Residency.With([]string{"a"})
 	open := s.goesTo(request, "a1")
@@ -223,21 +223,21 @@
 	assert.Empty(t, s.update())
 }
 
-// VERSION: two versions are named within two seconds. Each server serves until shortly before the
-// first version that it lacks is in force; then only newer ones do, and when none is left the
-// refusal tells when the transfers end.
+// VERSION: two versions are announced within two seconds. Each server serves until shortly before the first
+// version that it lacks is in force; after that only newer ones do. When none is left, the refusal says when
+// the transfers end.
 func TestTwoVersionsInSuccession(t *testing.T) {
 	const apply = 8 * time.Second
 	s := newScript(t, "a1", "a2", "a3")
-	bounds := VersionDeadlines{{Version: 2, Until: epoch.Add(apply)}, {Version: 3, Until: epoch.Add(2*time.Second + apply)}}
+	deadlines := VersionDeadlines{{Version: 2, Until: epoch.Add(apply)}, {Version: 3, Until: epoch.Add(2*time.Second + apply)}}
 	served := map[string]uint64{"a1": 1, "a2": 2, "a3": 3}
 	usable := func(after time.Duration, changing ...string) []string {
 		s.at(after)
 		for id, version := range served {
-			s.hear(id, 0, LoadReport{Version: version, FetchingVersion: 3, SwitchPlanned: len(changing) > 0 && id == changing[0]})
+			s.report(id, 0, LoadReport{Version: version, FetchingVersion: 3, SwitchPlanned: len(changing) > 0 && id == changing[0]})
 		}
 		request := s.request()
-		request.VersionDeadlines = bounds
+		request.VersionDeadlines = deadlines
 		var ids []string
 		for _, one := range s.core.usable(request, s.now) {
 			ids = append(ids, one.ID)
@@ -251,38 +251,38 @@
 	assert.Empty(t, usable(9100*time.Millisecond, "a3"))
 
 	request := s.request()
-	request.VersionDeadlines = bounds
-	s.hear("a1", 0, LoadReport{Version: 1, FetchingVersion: 3, MissingPieces: 40})
-	s.hear("a2", 0, LoadReport{Version: 2, FetchingVersion: 3, MissingPieces: 20})
-	s.hear("a3", 0, LoadReport{Version: 3, SwitchPlanned: true, MissingPieces: 80})
+	request.VersionDeadlines = deadlines
+	s.report("a1", 0, LoadReport{Version: 1, FetchingVersion: 3, MissingPieces: 40})
+	s.report("a2", 0, LoadReport{Version: 2, FetchingVersion: 3, MissingPieces: 20})
+	s.report("a3", 0, LoadReport{Version: 3, SwitchPlanned: true, MissingPieces: 80})
 	refusal := s.refused(request, RefusedNoServer)
 	assert.Equal(t, map[Eligibility]int{excludedVersionDeadline: 2, excludedSwitching: 1}, refusal.Servers)
 	assert.Equal(t, 500*time.Millisecond+scriptEngine.ActivationTime+switchTime/2, refusal.RetryAfter)
 
 	resumed := s.request()
-	resumed.VersionDeadlines, resumed.ExactVersion, resumed.Resumed = bounds, 1, true
+	resumed.VersionDeadlines, resumed.ExactVersion, resumed.Resumed = deadlines, 1, true
 	refusal = s.refused(resumed, RefusedNoServer)
-	assert.Equal(t, map[Eligibility]int{excludedVersionDeadline: 1, excludedVersion: 1, excludedSwitching: 1}, refusal.Servers, "a stream goes on only at its own version")
+	assert.Equal(t, map[Eligibility]int{excludedVersionDeadline: 1, excludedVersion: 1, excludedSwitching: 1}, refusal.Servers, "a stream continues only at its own version")
 }
 
-// A request whose answer would last into a change-over goes to a server that does not change, as
-// long as that costs it less than the change-over is put off.
+// A request whose answer would last into a version switch goes to a server that does not switch, as long as
+// that costs it less time than the delay of the switch.
 func TestLongAnswersKeepAwayFromAPlannedChange(t *testing.T) {
 	s := newScript(t, "a1", "a2")
-	s.hear("a1", 0, LoadReport{Version: 1, SwitchPlanned: true, SwitchIn: 400 * time.Millisecond})
-	s.hear("a2", 0, LoadReport{Version: 1, Running: 10})
+	s.report("a1", 0, LoadReport{Version: 1, SwitchPlanned: true, SwitchIn: 400 * time.Millisecond})
+	s.report("a2", 0, LoadReport{Version: 1, Running: 10})
 	s.goesTo(s.request(), "a2")
 	short := s.request()
 	short.Answer = 5
 	s.goesTo(short, "a1")
 }
 
-// HOME: an ejected server in an allowed region goes before a sound one elsewhere, and lists that
-// contradict each other allow no server, with the time of an operator to come back.
+// HOME: an ejected server in an allowed region takes precedence over a healthy one elsewhere. Contradictory
+// lists of regions allow no server, and the retry time allows for an operator's change.
 func TestResidencyWithContradictingLists(t *testing.T) {
 	s := newScript(t, "a1", "b1", "c1")
 	for _, server := range s.fleet.Servers {
-		s.hear(server.ID, 0, LoadReport{Version: 1})
+		s.report(server.ID, 0, LoadReport{Version: 1})
 	}
 	request := s.request()
 	request.Residency = request.Residency.With([]string{"b", "c"}).With([]string{"b"})
@@ -301,8 +301,8 @@
 	s.goesTo(request, "a1")
 }
 
-// FAILBACK: a cold server gets this entry's share of a second's requests, what was refused there
-// goes elsewhere, and the share is there again a second later; once warm it has no bound.
+// FAILBACK: a cold server gets this entry's share of requests in a second, further ones go elsewhere, and the
+// share is available again a second later; a warm server has no limit.
 func TestColdShareOfOneEntry(t *testing.T) {
 	s := newScript(t, "a1", "b1")
 	s.core.members.started = epoch.Add(-time.Minute)
@@ -313,8 +313,8 @@
 	const share = 3 // A third of nine tenths of ten.
 	sends := func() (near int) {
 		for range 20 {
-			s.hear("a1", 0, LoadReport{Version: 1})
-			s.hear("b1", 0, LoadReport{Version: 1})
+			s.report("a1", 0, LoadReport{Version: 1})
+			s.report("b1", 0, LoadReport{Version: 1})
 			decision, refusal := s.core.Choose(s.request(), s.now)
 			require.Nil(t, refusal)
 			if decision.Candidate.ID == "a1" {
@@ -326,7 +326,7 @@
 	}
 	assert.Equal(t, share, sends())
 	s.at(time.Second)
-	assert.Zero(t, sends(), "what a connection takes belongs to the second")
+	assert.Zero(t, sends(), "requests sent up to the last instant count")
 	s.at(admission.ColdSpan)
 	assert.Equal(t, share, sends())
 	servers, sent := s.core.ColdCounts(s.now)
@@ -336,20 +336,20 @@
 	assert.Equal(t, 20, sends(), "warm")
 }
 
-// EVAC: a zone is evacuated with requests open there, and taken back: what is open ends there,
-// nothing new begins, and afterwards its servers are cold by the entry's own word.
+// EVAC: a zone with requests in flight is evacuated and readmitted: the requests in flight complete, no new
+// ones begin, and afterwards this entry treats the zone's servers as cold.
 func TestEvacuationAndItsReturn(t *testing.T) {
 	s := newScript(t, "a1", "b1")
 	s.core.members.started = epoch.Add(-time.Minute)
 	s.fleet.Services = map[string]Service{"s": {ColdRate: 3, ColdTime: 3 * time.Second}}
 	s.update()
-	s.hear("a1", 0, LoadReport{Version: 1})
-	s.hear("b1", 0, LoadReport{Version: 1, Running: 5})
+	s.report("a1", 0, LoadReport{Version: 1})
+	s.report("b1", 0, LoadReport{Version: 1, Running: 5})
 	open := s.goesTo(s.request(), "a1")
 
 	s.fleet.Evacuated = []string{"a"}
 	assert.Equal(t, []Change{{Kind: ZoneEvacuated, Zone: "a", Servers: 1, InFlight: 1}}, s.update())
-	assert.Empty(t, s.update(), "it is told once")
+	assert.Empty(t, s.update(), "it is reported once")
 	s.served(s.request(), "b1")
 	assert.Equal(t, []*Candidate{s.candidate("b1")}, s.core.QueryTargets(s.request(), nil, s.now))
 	failed := s.request()
@@ -361,30 +361,30 @@
 	s.fleet.Evacuated = nil
 	assert.Equal(t, []Change{{Kind: ZoneReadmitted, Zone: "a", Servers: 1}}, s.update())
 	s.core.SetEntries(nil, s.now)
-	s.hear("a1", 0, LoadReport{Version: 1})
-	s.hear("b1", 0, LoadReport{Version: 1, Running: 10})
+	s.report("a1", 0, LoadReport{Version: 1})
+	s.report("b1", 0, LoadReport{Version: 1, Running: 10})
 	s.served(s.request(), "a1")
-	s.served(s.request(), "b1") // One was sent within the second before, as long as the zone was in use.
+	s.served(s.request(), "b1") // One was sent within the second before, while the zone was in use.
 	s.at(1200 * time.Millisecond)
-	s.hear("a1", 0, LoadReport{Version: 1})
+	s.report("a1", 0, LoadReport{Version: 1})
 	s.goesTo(s.request(), "a1")
 	s.at(4 * time.Second)
 	assert.Zero(t, s.core.Describe(s.now)[0].ColdFor)
 }
 
-// In overload the soonest of all servers is looked for before a refusal, which tells the figures
-// that it was decided by; a request that was admitted before is not refused.
+// In overload, the soonest of all servers is considered before a refusal, which carries the figures of its
+// decision. A request that was admitted before is not refused.
 func TestOverloadIsRefusedWithItsFigures(t *testing.T) {
 	s := newScript(t, "a1", "a2", "a3", "a4", "a5", "a6")
 	for _, server := range s.fleet.Servers {
-		s.hear(server.ID, 200*time.Millisecond, LoadReport{Version: 1, Running: 16, Waiting: 6})
+		s.report(server.ID, 200*time.Millisecond, LoadReport{Version: 1, Running: 16, Waiting: 6})
 	}
 	refusal := s.refused(s.request(), RefusedOverload)
 	assert.Greater(t, refusal.Admission.Wait, refusal.Admission.MaxWait)
 	assert.Equal(t, scriptEngine.Published.MostWait(440*time.Millisecond), refusal.Admission.MaxWait)
 	assert.Equal(t, 200*time.Millisecond, refusal.OldestReport)
 	assert.Equal(t, min(refusal.Admission.Wait-refusal.Admission.MaxWait/2, refusalRetryCap), refusal.RetryAfter)
-	s.hear("a6", 0, LoadReport{Version: 1})
+	s.report("a6", 0, LoadReport{Version: 1})
 	s.goesTo(s.request(), "a6")
 	resumed := s.request()
 	resumed.Resumed = true
@@ -393,19 +393,18 @@
 	assert.Nil(t, refusal)
 }
 
-// coldScript begins with one server, a1, that is cold and may be sent two requests a second by this
-// entry.
+// coldScript returns a script with one cold server, a1, that this entry may send two requests a second.
 func coldScript(t *testing.T) *script {
 	s := newScript(t, "a1")
 	s.core.members.started = epoch.Add(-time.Minute)
 	s.fleet.Services = map[string]Service{"s": {ColdRate: 3, ColdTime: 3 * time.Second}}
 	s.fleet.Servers[0].ColdUntil = epoch.Add(5 * time.Second)
 	s.update()
-	s.hear("a1", 0, LoadReport{Version: 1})
+	s.report("a1", 0, LoadReport{Version: 1})
 	return s
 }
 
-// FAILBACK: a cold server whose line goes and comes again at once has been sent what it was sent.
+// FAILBACK: the request count of a cold server is kept when its list entry is removed and returns at once.
 func TestServerListedAgainKeepsItsShareOfTheSecond(t *testing.T) {
 	s := coldScript(t)
 	for range 2 {
@@ -420,11 +419,11 @@
 	s.update()
 	assert.Equal(t, map[Eligibility]int{excludedCold: 1}, s.refused(s.request(), RefusedNoServer).Servers)
 	s.at(admission.ColdSpan)
-	s.hear("a1", 0, LoadReport{Version: 1})
+	s.report("a1", 0, LoadReport{Version: 1})
 	s.served(s.request(), "a1")
 }
 
-// FAILBACK: an ejected server that is taken because there is no other has its cold share too.
+// FAILBACK: the cold share also limits an ejected server that is used for lack of others.
 func TestEjectedServerKeepsToItsColdShare(t *testing.T) {
 	s := coldScript(t)
 	eject(s.core, s.candidate("a1"), s.now)
--- a/coordination/dispatch/sizes_test.go
+++ b/coordination/dispatch/sizes_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against large requests being left unserved: with the margin at its end, which others' late beginnings have
-// brought about, an idle server takes the longest prompt, whose own reading takes longer than the limit of what is
-// expected to begin.
+// Guards against large requests being left unserved. With the margin at its limit, because of other requests'
+// late starts, an idle server takes the longest prompt, whose own prefill takes longer than the limit on the
+// expected start.
 func TestIdleServerTakesTheLongestPrompt(t *testing.T) {
 	s := newScript(t, "a1")
 	for range 200 {
@@ -18,7 +18,7 @@
 	}
 	for _, prompt := range []int{100, 1000, 4000, 16000} {
 		for _, elapsed := range []time.Duration{0, time.Second} {
-			s.hear("a1", 0, LoadReport{Version: 1})
+			s.report("a1", 0, LoadReport{Version: 1})
 			request := s.request()
 			request.Prompt, request.Arrival.Elapsed = prompt, elapsed
 			decision, refusal := s.core.Choose(request, s.now)
@@ -28,13 +28,13 @@
 	}
 }
 
-// Guards against large requests being left unserved: whatever the size of its prompt, a request is admitted at the
-// same load of a server.
+// Guards against large requests being left unserved. A request is admitted at the same load of a server
+// whatever the size of its prompt.
 func TestLoadAtWhichARequestIsRefusedDoesNotDependOnItsSize(t *testing.T) {
 	refusedFrom := func(prompt int) (waiting int) {
 		for ; waiting < 100; waiting++ {
 			s := newScript(t, "a1")
-			s.hear("a1", 0, LoadReport{Version: 1, Running: 16, Waiting: waiting})
+			s.report("a1", 0, LoadReport{Version: 1, Running: 16, Waiting: waiting})
 			request := s.request()
 			request.Prompt = prompt
 			if _, refusal := s.core.Choose(request, s.now); refusal != nil {
@@ -51,8 +51,8 @@
 	}
 }
 
-// Guards against large requests being left unserved: a margin that leaves no time to wait comes back once servers begin
-// requests as predicted, though only idle ones are sent any.
+// Guards against large requests being left unserved. A margin that leaves no time to wait recovers once
+// servers begin requests as predicted, though only idle servers are sent any.
 func TestMarginComesBackWhenNobodyMayWait(t *testing.T) {
 	s := newScript(t, "a1")
 	const target = 100 * time.Millisecond
@@ -67,7 +67,7 @@
 	assert.Zero(t, s.core.firstAttemptWait(s.candidate("a1"), request()))
 	for step := range 400 {
 		s.at(time.Duration(step) * 100 * time.Millisecond)
-		s.hear("a1", 0, LoadReport{Version: 1})
+		s.report("a1", 0, LoadReport{Version: 1})
 		decision := s.goesTo(request(), "a1")
 		s.at(time.Duration(step)*100*time.Millisecond + decision.Expected)
 		s.ends(decision)
--- a/coordination/dispatch/smallfleet_test.go
+++ b/coordination/dispatch/smallfleet_test.go
@@ -9,8 +9,8 @@
 	"pinevane.example/pinevane/coordination/health"
 )
 
-// Sizes of the small fleet. Each entry sends a request every sendPeriod; a server reads prompts one
-// after the other, and a request holds a place for answerTime after that.
+// Sizes of the small fleet. Each entry sends a request every sendPeriod; a server processes prompts one after
+// the other, and a request holds a slot for answerTime after that.
 const (
 	smallEntries  = 4
 	smallServers  = 6
@@ -19,68 +19,68 @@
 	readTime      = 33 * time.Millisecond
 	passTime      = 42 * time.Millisecond
 	answerTime    = 700 * time.Millisecond
-	wordPeriod    = 100 * time.Millisecond
+	reportPeriod  = 100 * time.Millisecond
 	smallDuration = 10 * time.Second
 	smallTarget   = 400 * time.Millisecond
-	// A request that can be sent again is given up after smallPatience, another after
-	// smallDeadline.
+	// A request that can be retried is abandoned after smallPatience, any other after smallDeadline.
 	smallPatience = time.Second
 	smallDeadline = 8 * time.Second
 )
 
-// muteServer is the one that takes requests and never answers.
-const muteServer = 0
+// unresponsiveServer is the index of the server that accepts requests and never answers.
+const unresponsiveServer = 0
 
-// smallRequest is one at a server of the small fleet.
+// smallRequest is a request at a server of the small fleet.
 type smallRequest struct {
 	entry  *Core
 	sent   *Send
 	begins time.Time
 	ends   time.Time
 	begun  bool
-	// givenUp is when its entry gives it up if it has not begun.
-	givenUp time.Time
+	// giveUpAt is when its entry abandons it if it has not begun.
+	giveUpAt time.Time
 }
 
-// smallServer holds requests.
+// smallServer is a server with its open requests.
 type smallServer struct {
 	address string
 	open    []*smallRequest
-	// readTill is until when the prompts that have come are read.
-	readTill time.Time
+	// readUntil is when the prompts received so far are processed.
+	readUntil time.Time
 }
 
-// word is what its agent says; a mute server tells the agent of no request.
-func (s *smallServer) word(mute, tellsOfRequests bool) LoadReport {
-	word := LoadReport{Address: s.address, Reachable: true, Version: 1}
-	if mute && !tellsOfRequests {
-		return word
+// report returns the report of the server's agent; an unresponsive server reports its requests only if
+// tellsOfRequests is set.
+func (s *smallServer) report(unresponsive, reportsHeld bool) LoadReport {
+	report := LoadReport{Address: s.address, Reachable: true, Version: 1}
+	if unresponsive && !reportsHeld {
+		return report
 	}
-	for _, one := range s.open {
-		if one.begun {
-			word.Running++
+	for _, request := range s.open {
+		if request.begun {
+			report.Running++
 		} else {
-			word.Waiting++
+			report.Waiting++
 		}
 	}
-	return word
+	return report
 }
 
-// smallFleet plays entries that ask and send to servers, one of which is mute.
+// smallFleet simulates entries that query and send to servers, one of which is unresponsive.
 type smallFleet struct {
 	entries []*Core
 	servers []*smallServer
-	// repeat is set when a request that has not begun after patience is given up for another
-	// server; else it waits for its deadline.
-	repeat bool
-	// tells is set when the mute server tells its agent of the requests that it holds.
-	tells bool
-	// sent counts the requests, mute those to the mute server, late those that began after
-	// their target at another, refused those that were sent to none.
-	sent    int
-	mute    int
-	late    int
-	refused int
+	// retry is set when a request that has not begun after smallPatience is abandoned for another server;
+	// otherwise it waits for its deadline.
+	retry bool
+	// reportsHeld is set when the unresponsive server reports the requests that it holds to its agent.
+	reportsHeld bool
+	// sent counts all requests, toUnresponsive those sent to the unresponsive server, late those that began
+	// after their target at another one, refused those that were refused.
+	sent           int
+	toUnresponsive int
+	late           int
+	refused        int
 }
 
 func newSmallFleet(policy Policy, seed uint64) *smallFleet {
@@ -104,10 +104,10 @@
 	for now := epoch; now.Before(epoch.Add(smallDuration)); now = now.Add(tick) {
 		after := now.Sub(epoch)
 		for number, server := range f.servers {
-			server.advance(now, number == muteServer, f)
-			if after%wordPeriod == 0 {
+			server.advance(now, number == unresponsiveServer, f)
+			if after%reportPeriod == 0 {
 				for _, entry := range f.entries {
-					entry.ApplyReport(server.word(number == muteServer, f.tells), now)
+					entry.ApplyReport(server.report(number == unresponsiveServer, f.reportsHeld), now)
 				}
 			}
 		}
@@ -124,75 +124,74 @@
 		Service: "s", Engine: scriptEngine, Figures: scriptEngine.Published, Target: smallTarget, Streaming: true,
 		OtherEntries: smallEntries - 1, Prompt: 1000, Answer: 100,
 	}
-	asked := entry.QueryTargets(request, nil, now)
-	var answers []LoadReport
-	for _, one := range asked {
+	queried := entry.QueryTargets(request, nil, now)
+	var replies []LoadReport
+	for _, one := range queried {
 		number := f.numberOf(one)
-		answers = append(answers, f.servers[number].word(number == muteServer, f.tells))
+		replies = append(replies, f.servers[number].report(number == unresponsiveServer, f.reportsHeld))
 	}
-	request.Queried = entry.ApplyQueryReplies(asked, answers, now)
+	request.Queried = entry.ApplyQueryReplies(queried, replies, now)
 	f.sent++
 	decision, refusal := entry.Choose(request, now)
 	if refusal != nil {
 		f.refused++
 		return
 	}
-	one := &smallRequest{entry: entry, sent: decision.Send, givenUp: now.Add(smallDeadline)}
-	if f.repeat {
-		one.givenUp = now.Add(smallPatience)
+	one := &smallRequest{entry: entry, sent: decision.Send, giveUpAt: now.Add(smallDeadline)}
+	if f.retry {
+		one.giveUpAt = now.Add(smallPatience)
 	}
 	number := f.numberOf(decision.Candidate)
-	if number == muteServer {
-		f.mute++
+	if number == unresponsiveServer {
+		f.toUnresponsive++
 	}
-	f.servers[number].take(one, now)
+	f.servers[number].enqueue(one, now)
 }
 
-// numberOf finds a server by its address.
+// numberOf returns the index of a server by its address.
 func (f *smallFleet) numberOf(candidate *Candidate) int {
-	return slices.IndexFunc(f.servers, func(one *smallServer) bool { return one.address == candidate.Address })
+	return slices.IndexFunc(f.servers, func(server *smallServer) bool { return server.address == candidate.Address })
 }
 
-// take reads a request's prompt after those before it.
-func (s *smallServer) take(one *smallRequest, now time.Time) {
-	s.open = append(s.open, one)
-	if s.readTill.Before(now) {
-		s.readTill = now
+// enqueue queues a request's prompt after those before it.
+func (s *smallServer) enqueue(request *smallRequest, now time.Time) {
+	s.open = append(s.open, request)
+	if s.readUntil.Before(now) {
+		s.readUntil = now
 	}
-	s.readTill = s.readTill.Add(readTime)
-	one.begins = s.readTill.Add(2 * passTime)
-	one.ends = one.begins.Add(answerTime)
+	s.readUntil = s.readUntil.Add(readTime)
+	request.begins = s.readUntil.Add(2 * passTime)
+	request.ends = request.begins.Add(answerTime)
 }
 
-// advance begins and ends requests; a mute server's are given up.
-func (s *smallServer) advance(now time.Time, mute bool, f *smallFleet) {
-	s.open = slices.DeleteFunc(s.open, func(one *smallRequest) bool {
+// advance begins and ends requests; those of an unresponsive server are abandoned.
+func (s *smallServer) advance(now time.Time, unresponsive bool, f *smallFleet) {
+	s.open = slices.DeleteFunc(s.open, func(request *smallRequest) bool {
 		switch {
-		case mute:
-			return !now.Before(one.givenUp) && f.giveUp(one, now)
-		case !one.begun && !now.Before(one.begins):
-			one.begun = true
-			one.entry.EndPrefill(one.sent, true, now)
-			if now.Sub(one.sent.sentAt) > smallTarget {
+		case unresponsive:
+			return !now.Before(request.giveUpAt) && f.giveUp(request, now)
+		case !request.begun && !now.Before(request.begins):
+			request.begun = true
+			request.entry.EndPrefill(request.sent, true, now)
+			if now.Sub(request.sent.sentAt) > smallTarget {
 				f.late++
 			}
-		case one.begun && !now.Before(one.ends):
-			one.entry.Release(one.sent)
-			one.entry.Observe(one.sent.candidate, Outcome{Outcome: health.Served, SentAt: one.sent.sentAt}, now)
-			one.entry.RecordAnswerTime(one.sent.candidate, answerTime)
+		case request.begun && !now.Before(request.ends):
+			request.entry.Release(request.sent)
+			request.entry.Observe(request.sent.candidate, Outcome{Outcome: health.Served, SentAt: request.sent.sentAt}, now)
+			request.entry.RecordAnswerTime(request.sent.candidate, answerTime)
 			return true
 		}
 		return false
 	})
 }
 
-// giveUp ends a request that has not begun; one that would be sent again counts against its
-// server.
-func (f *smallFleet) giveUp(one *smallRequest, now time.Time) bool {
-	one.entry.EndPrefill(one.sent, false, now)
-	one.entry.Release(one.sent)
-	if f.repeat {
-		one.entry.Observe(one.sent.candidate, Outcome{Outcome: health.Overdue, SentAt: one.sent.sentAt}, now)
+// giveUp ends a request that has not begun. One that would be retried counts against its server.
+func (f *smallFleet) giveUp(request *smallRequest, now time.Time) bool {
+	request.entry.EndPrefill(request.sent, false, now)
+	request.entry.Release(request.sent)
+	if f.retry {
+		request.entry.Observe(request.sent.candidate, Outcome{Outcome: health.Overdue, SentAt: request.sent.sentAt}, now)
 	}
 	return true
 }
--- a/coordination/dispatch/smallregion_test.go
+++ b/coordination/dispatch/smallregion_test.go
@@ -10,8 +10,8 @@
 	"pinevane.example/pinevane/coordination/residency"
 )
 
-// regionSeeds of each load, which count together: the share of the bound requests that are answered
-// in time moves by 0.03 from one to the next.
+// regionSeeds is the number of seeds of each load, which count together: the ratio of bound requests answered
+// in time varies by 0.03 between seeds.
 const regionSeeds = 5
 
 type regionOutcome struct {
@@ -19,11 +19,11 @@
 	besideIdle, besideRoom, misplaced, away int
 }
 
-// inTime is the share of all requests that were answered in time.
+// inTime returns the ratio of all requests that were answered in time.
 func (o *regionOutcome) inTime() float64 {
 	all := o.free
 	all.add(o.bound)
-	return all.share(all.inTime)
+	return all.ratio(all.inTime)
 }
 
 func playRegions(day regionDay, scarcity float64) (sum regionOutcome) {
@@ -40,20 +40,20 @@
 	return sum
 }
 
-// Two servers of ten, and three entries of eight, are in a region that is the only one of some
-// requests. The floors are a little below what is reached, and above what is without the cost of
-// scarcity. Bound requests keep up to 0.83 of their servers busy where 0.15 of all are bound, 1.19
-// and 1.38 of them at 0.95 and 1.1 of the places where 0.25 are.
-func TestSmallRegionIsLeftToBoundRequests(t *testing.T) {
+// Two of ten servers, and three of eight entries, are in a region that is the only one allowed for some
+// requests. The floors are slightly below the measured ratios, and above those without the scarcity penalty.
+// Bound requests keep up to 0.83 of their servers busy where 0.15 of all are bound, 1.19 and 1.38 of them at
+// 0.95 and 1.1 of the slots where 0.25 are.
+func TestSmallRegionIsLeftToSingleRegionRequests(t *testing.T) {
 	for name, one := range map[string]struct {
 		load, bound float64
 		asks        bool
-		// atHome has bound requests come to the entries of their region only.
+		// atHome sends bound requests only to the entries of their region.
 		atHome bool
-		// floor is of the bound requests that are answered in time, mostLost how much less of all
-		// may be so than without.
+		// floor is the minimum ratio of bound requests answered in time, mostLost the maximum loss of the
+		// ratio of all requests against a run without the penalty.
 		floor, mostLost float64
-		// seeds, where more than regionSeeds are needed to tell the share to 0.01.
+		// seeds is set where more than regionSeeds are needed to resolve the ratio to 0.01.
 		seeds int
 	}{
 		"0.7 of the places, 0.15 bound":          {load: 0.7, bound: 0.15, floor: 0.95},
@@ -69,15 +69,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			day := regionDay{
-				small: 2, large: 8, smallEntries: 3, largeEntries: 5, load: one.load, bound: one.bound, wordAge: 300 * time.Millisecond, asks: one.asks, boundAtHome: one.atHome, seeds: one.seeds,
+				small: 2, large: 8, smallEntries: 3, largeEntries: 5, load: one.load, bound: one.bound, reportAge: 300 * time.Millisecond, queries: one.asks, boundLocalOnly: one.atHome, seeds: one.seeds,
 			}
 			with, without := playRegions(day, 1), playRegions(day, 0)
 			t.Logf("in time: bound %.3f, without %.3f; free %.3f, %.3f; all %.3f, %.3f. Refusals a request: bound %.3f, %.3f; free %.3f, %.3f. Free ones that left their region %d, %d of %d; refused beside room %d, %d",
-				with.bound.share(with.bound.inTime), without.bound.share(without.bound.inTime), with.free.share(with.free.inTime), without.free.share(without.free.inTime),
-				with.inTime(), without.inTime(), with.bound.share(with.bound.refusals), without.bound.share(without.bound.refusals),
-				with.free.share(with.free.refusals), without.free.share(without.free.refusals), with.away, without.away, with.free.asked, with.besideRoom, without.besideRoom)
-			assert.Greater(t, with.bound.share(with.bound.inTime), one.floor)
-			assert.Less(t, without.bound.share(without.bound.inTime), one.floor, "the floor says nothing")
+				with.bound.ratio(with.bound.inTime), without.bound.ratio(without.bound.inTime), with.free.ratio(with.free.inTime), without.free.ratio(without.free.inTime),
+				with.inTime(), without.inTime(), with.bound.ratio(with.bound.refusals), without.bound.ratio(without.bound.refusals),
+				with.free.ratio(with.free.refusals), without.free.ratio(without.free.refusals), with.away, without.away, with.free.total, with.besideRoom, without.besideRoom)
+			assert.Greater(t, with.bound.ratio(with.bound.inTime), one.floor)
+			assert.Less(t, without.bound.ratio(without.bound.inTime), one.floor, "the floor is reached without the penalty")
 			assert.Greater(t, with.inTime(), without.inTime()-one.mostLost)
 			assert.Zero(t, with.besideIdle, "free requests that were refused beside an idle server")
 			if one.asks {
@@ -88,8 +88,8 @@
 	}
 }
 
-// regionScript hears of one server of zone a, whose region is the only one of some requests, and
-// one of zone b, and has had requests that keep the first busy.
+// regionScript returns a script with a server in zone a, whose region is the only one allowed for some
+// requests, and one in zone b, after requests that keep the first busy.
 func regionScript(t *testing.T) (s *script, bound func() *Request) {
 	s = newScript(t, "a1", "b1")
 	bound = func() *Request {
@@ -99,42 +99,42 @@
 	}
 	for range 100 {
 		s.at(s.now.Sub(epoch) + 100*time.Millisecond)
-		s.hear("a1", 0, LoadReport{Version: 1})
+		s.report("a1", 0, LoadReport{Version: 1})
 		s.served(bound(), "a1")
 	}
 	return s, bound
 }
 
-// A request that may go elsewhere leaves a busy server to those that may not, and takes it when the
-// others are full: nothing is refused beside an idle server.
+// A request that may go elsewhere leaves a busy server to those that may not, and uses it when the others are
+// full: nothing is refused beside an idle server.
 func TestFreeRequestTakesTheScarceServerRatherThanNone(t *testing.T) {
 	s, bound := regionScript(t)
-	s.hear("a1", 0, LoadReport{Version: 1, Running: 8})
-	s.hear("b1", 0, LoadReport{Version: 1, Running: 8})
+	s.report("a1", 0, LoadReport{Version: 1, Running: 8})
+	s.report("b1", 0, LoadReport{Version: 1, Running: 8})
 	s.served(s.request(), "b1")
 	s.served(bound(), "a1")
 	several := s.request()
 	several.Residency = several.Residency.With(residency.AllowedRegions{"a", "b"})
 	s.served(several, "b1")
 
-	s.hear("a1", 0, LoadReport{Version: 1})
+	s.report("a1", 0, LoadReport{Version: 1})
 	s.served(s.request(), "a1")
-	s.hear("b1", 0, LoadReport{Version: 1, Running: 16, Waiting: 9, UnreadTokens: 9000})
+	s.report("b1", 0, LoadReport{Version: 1, Running: 16, Waiting: 9, UnreadTokens: 9000})
 	s.served(s.request(), "a1")
-	s.hear("a1", 0, LoadReport{Version: 1, Running: 15})
+	s.report("a1", 0, LoadReport{Version: 1, Running: 15})
 	s.served(s.request(), "a1")
-	s.hear("a1", 0, LoadReport{Version: 1, Running: 16, Waiting: 9, UnreadTokens: 9000})
+	s.report("a1", 0, LoadReport{Version: 1, Running: 16, Waiting: 9, UnreadTokens: 9000})
 	s.refused(s.request(), RefusedOverload)
 }
 
-// What is bound is a share of the servers that are sent requests, is told for operators, and is
-// forgotten; requests that several regions may serve are not bound.
-func TestBoundLoad(t *testing.T) {
+// The single-region load is a ratio of the servers that are sent requests, is available to operators, and
+// decays. Requests that several regions may serve do not count.
+func TestSingleRegionLoad(t *testing.T) {
 	s, _ := regionScript(t)
 	loads := s.core.SingleRegionLoads(s.now)
 	require.Len(t, loads, 1)
 	assert.Equal(t, "a", loads[0].Region)
-	assert.InDelta(t, 0.63, loads[0].Utilization, 0.05, "77 ms of each 100 ms, and not yet all of it seen")
+	assert.InDelta(t, 0.63, loads[0].Utilization, 0.05, "77 ms of each 100 ms, not yet averaged fully")
 
 	s.fleet.Servers = append(s.fleet.Servers, Server{ID: "a2", Service: "s", Address: "a2:1", Zone: "a", Slots: 16, Version: 1, HoldsModel: true})
 	s.update()
@@ -152,8 +152,8 @@
 	assert.False(t, isBound)
 }
 
-// A request as large as several takes as much of its region's servers as these.
-func TestBoundLoadCountsPrompts(t *testing.T) {
+// A request as large as several takes as much of its region's servers as they do.
+func TestSingleRegionLoadCountsPrompts(t *testing.T) {
 	s := newScript(t, "a1", "b1")
 	request := s.request()
 	request.Residency = request.Residency.With(residency.AllowedRegions{"a"})
--- a/coordination/dispatch/versions_test.go
+++ b/coordination/dispatch/versions_test.go
@@ -7,10 +7,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// VERSION: a server on a narrow link whose agent lacks more pieces than can come in time
-// is sent nothing more on the old version; one that will be prepared, and one whose
-// pieces are late for another reason, is, also after two versions in
-// quick succession, until shortly before the bound.
+// VERSION: a server on a narrow link that is missing more pieces than can arrive in time is sent no more
+// requests on the old version. One that will be ready, or whose pieces are late for another reason, still is
+// until shortly before the deadline, even after two versions in quick succession.
 func TestUnpreparedServerIsLeftOutInTime(t *testing.T) {
 	now := epoch
 	core := testCore("z", nil)
@@ -39,31 +38,31 @@
 	}
 }
 
-// VERSION: after two versions in quick succession a server on the oldest is bound by the
-// first of them, one on the second by the third.
-func TestEachServerIsBoundByTheFirstVersionItLacks(t *testing.T) {
+// VERSION: after two versions in quick succession, a server on the oldest version is limited by the deadline
+// of the first of them, and one on the second version by that of the third.
+func TestDeadlineIsThatOfTheFirstVersionAServerLacks(t *testing.T) {
 	now := epoch
 	core := testCore("z", nil)
-	wanted := &Request{Engine: &Engine{}, VersionDeadlines: VersionDeadlines{
+	request := &Request{Engine: &Engine{}, VersionDeadlines: VersionDeadlines{
 		{Version: 2, Until: now.Add(900 * time.Millisecond)}, {Version: 3, Until: now.Add(2900 * time.Millisecond)},
 	}}
 	oldest, middle, newest := modelServer(now, 0), modelServer(now, 0), modelServer(now, 0)
 	middle.report.Version, newest.report.Version = 2, 3
-	assert.Equal(t, excludedVersionDeadline, core.eligibility(oldest, wanted, now))
-	assert.Equal(t, Eligible, core.eligibility(middle, wanted, now))
-	assert.Equal(t, Eligible, core.eligibility(newest, wanted, now))
+	assert.Equal(t, excludedVersionDeadline, core.eligibility(oldest, request, now))
+	assert.Equal(t, Eligible, core.eligibility(middle, request, now))
+	assert.Equal(t, Eligible, core.eligibility(newest, request, now))
 }
 
-// VERSION: a server whose pieces come much later than others' is on a narrow link, also
-// while messages pass it quickly; where nobody has them the origin is what is slow.
+// VERSION: a server whose pieces arrive much later than those of others is on a narrow link, even if messages
+// pass it quickly. Where no server has the pieces, the origin is the bottleneck.
 func TestServerThatLagsBehindTheOthersIsOnANarrowLink(t *testing.T) {
 	now := epoch
 	core := testCore("z", nil)
-	wanted := withFigures(Request{VersionDeadlines: VersionDeadlines{{Version: 2, Until: now.Add(3 * time.Second)}}, Prompt: 1000}, copiedEngine())
+	request := withFigures(Request{VersionDeadlines: VersionDeadlines{{Version: 2, Until: now.Add(3 * time.Second)}}, Prompt: 1000}, copiedEngine())
 	lagging := modelServer(now, 80)
 	for othersMissing, want := range map[int]Eligibility{70: Eligible, 0: excludedVersionDeadline} {
 		core.ApplyReport(LoadReport{Address: "10.0.0.9:1", Reachable: true, MissingPieces: othersMissing}, now)
 		core.computeMinMissing(now)
-		assert.Equal(t, want, core.eligibility(lagging, wanted, now), "others lack %d", othersMissing)
+		assert.Equal(t, want, core.eligibility(lagging, request, now), "others lack %d", othersMissing)
 	}
 }
