--- a/coordination/dispatch/script_test.go
+++ b/coordination/dispatch/script_test.go
@@ -326,7 +326,7 @@
 	}
 	assert.Equal(t, share, sends())
 	s.at(time.Second)
-	assert.Zero(t, sends(), "requests sent up to the last instant count")
+	assert.Zero(t, sends(), "the window includes the time to connect")
 	s.at(admission.ColdSpan)
 	assert.Equal(t, share, sends())
 	servers, sent := s.core.ColdCounts(s.now)
