--- a/coordination/dispatch/candidate.go
+++ b/coordination/dispatch/candidate.go
@@ -89,24 +89,25 @@
 // never answers would be given ten times the wait of the first requests it failed, which is more than callers
 // wait.
 func (c *Core) TypicalWait(decision Decision, request *Request) time.Duration {
-	typical := c.typicalAnswer(decision.Candidate, request)
+	typical := c.typicalAnswerTime(decision.Candidate, request)
 	if decision.Trial {
 		return max(typical, decision.startByLoad)
 	}
 	return max(typical, decision.Expected)
 }
 
-// typicalAnswer returns how long a server's answers to such requests take, or those of the service's other
+// typicalAnswerTime returns how long a server's answers to such requests take, or those of the service's other
 // servers if it has given this entry none, or else the target.
-func (c *Core) typicalAnswer(k *Candidate, request *Request) time.Duration {
-	if observed := c.observedAnswer(k, request); observed > 0 {
+func (c *Core) typicalAnswerTime(k *Candidate, request *Request) time.Duration {
+	if observed := c.observedAnswerTime(k, request); observed > 0 {
 		return observed
 	}
 	return request.Target
 }
 
-// observedAnswer is typicalAnswer without the fallback: 0 if this entry has seen no answer of the service.
-func (c *Core) observedAnswer(k *Candidate, request *Request) time.Duration {
+// observedAnswerTime is typicalAnswerTime without the fallback: 0 if this entry has seen no answer of the
+// service.
+func (c *Core) observedAnswerTime(k *Candidate, request *Request) time.Duration {
 	if own := k.answerTimes.typical(request.Streaming); own > 0 {
 		return own
 	}
--- a/coordination/dispatch/choice.go
+++ b/coordination/dispatch/choice.go
@@ -50,7 +50,7 @@
 func (c *Core) send(k *Candidate, request *Request, considered int, now time.Time) Decision {
 	decision := Decision{
 		Candidate: k, Considered: considered, Outstanding: k.outstanding(now), Load: c.load(k, request, now),
-		Expected: c.firstEvent(k, request, now), startByLoad: c.startByLoad(k, request, now), ReportAge: k.report.age(now), Version: k.servedVersion(now),
+		Expected: c.timeToFirstEvent(k, request, now), startByLoad: c.startByLoad(k, request, now), ReportAge: k.report.age(now), Version: k.servedVersion(now),
 		Admission: c.admission(k, request, now),
 	}
 	wait, firstAttemptWait := decision.Admission.Wait, c.firstAttemptWait(k, request)
@@ -106,7 +106,7 @@
 
 // score returns the cost of sending the request to a server.
 func (c *Core) score(k *Candidate, request *Request, now time.Time) time.Duration {
-	score := c.firstEvent(k, request, now) + c.distanceCost(k)
+	score := c.timeToFirstEvent(k, request, now) + c.distanceCost(k)
 	score += time.Duration(k.outstanding(now)) * runningCost
 	score += time.Duration(c.random() * float64(jitterCost))
 	if k.report.silent(now) {
--- a/coordination/dispatch/health.go
+++ b/coordination/dispatch/health.go
@@ -156,21 +156,21 @@
 // target while no answer has been observed.
 func (c *Core) lostTrialTimeout(k *Candidate, request *Request, now time.Time) time.Duration {
 	timeout := max(request.MinOverdueTime, lostTrialFactor*c.startByLoad(k, request, now))
-	if observed := c.observedAnswer(k, request); observed > 0 {
+	if observed := c.observedAnswerTime(k, request); observed > 0 {
 		return max(timeout, lostTrialFactor*observed)
 	}
 	return max(timeout, request.Target)
 }
 
-// typicalTrial returns how long the answer to a trial typically takes to begin.
-func (c *Core) typicalTrial(k *Candidate, request *Request, now time.Time) time.Duration {
-	return max(c.typicalAnswer(k, request), c.startByLoad(k, request, now))
+// typicalTrialTime returns how long the answer to a trial typically takes to begin.
+func (c *Core) typicalTrialTime(k *Candidate, request *Request, now time.Time) time.Duration {
+	return max(c.typicalAnswerTime(k, request), c.startByLoad(k, request, now))
 }
 
 // leavesTimeForRetry reports whether a lost server's trial that times out leaves the request the time that an
 // answer typically takes elsewhere.
 func (c *Core) leavesTimeForRetry(k *Candidate, request *Request, now time.Time) bool {
-	return request.TimeLeft <= 0 || c.lostTrialTimeout(k, request, now)+c.typicalTrial(k, request, now) <= request.TimeLeft
+	return request.TimeLeft <= 0 || c.lostTrialTimeout(k, request, now)+c.typicalTrialTime(k, request, now) <= request.TimeLeft
 }
 
 // updateHealth passes the listed servers to the health tracker.
--- a/coordination/dispatch/limit_test.go
+++ b/coordination/dispatch/limit_test.go
@@ -137,11 +137,11 @@
 	s.core.members.started = epoch.Add(-time.Minute)
 	s.core.RecordRateLimit(s.candidate("a1"), 0.25, s.now, s.now)
 	s.served(s.request(), "a1")
-	lines := s.fleet.Servers
+	listed := s.fleet.Servers
 	s.fleet.Servers = nil
 	s.update()
 	s.at(2 * time.Second)
-	s.fleet.Servers = lines
+	s.fleet.Servers = listed
 	s.update()
 	assert.Equal(t, 1, s.refused(s.request(), RefusedNoServer).Servers[excludedRateLimited])
 	s.fleet.Servers[0].StartTime = 5
--- a/coordination/dispatch/prediction.go
+++ b/coordination/dispatch/prediction.go
@@ -84,8 +84,8 @@
 // minMilliseconds is assumed for a plain server without any answer yet.
 const minMilliseconds = 20
 
-// firstEvent predicts when the server would begin the request: by its load, plus its recent lateness.
-func (c *Core) firstEvent(k *Candidate, request *Request, now time.Time) time.Duration {
+// timeToFirstEvent predicts when the server would begin the request: by its load, plus its recent lateness.
+func (c *Core) timeToFirstEvent(k *Candidate, request *Request, now time.Time) time.Duration {
 	return c.startByLoad(k, request, now) + c.startDelay(k, now)
 }
 
--- a/coordination/dispatch/prediction_test.go
+++ b/coordination/dispatch/prediction_test.go
@@ -58,7 +58,7 @@
 	request := withFigures(Request{}, &Engine{Published: balance.Server{ReadPerSecond: 20000}})
 	sound, narrow := modelServer(now, 0), modelServer(now, 0)
 	narrow.report.LinkRTT = 900 * time.Millisecond
-	assert.Equal(t, 900*time.Millisecond, core.firstEvent(narrow, request, now)-core.firstEvent(sound, request, now))
+	assert.Equal(t, 900*time.Millisecond, core.timeToFirstEvent(narrow, request, now)-core.timeToFirstEvent(sound, request, now))
 }
 
 // A server that has begun requests later than predicted is expected to do so for a while, and is trusted
--- a/coordination/dispatch/property_test.go
+++ b/coordination/dispatch/property_test.go
@@ -179,9 +179,9 @@
 	}
 	assert.NotZero(g, reported.Version)
 	assert.False(g, reported.SwitchPlanned && reported.SwitchIn-g.now.Sub(reported.at) < switchMargin)
-	for _, bound := range request.VersionDeadlines {
-		if reported.Version < bound.Version {
-			assert.Less(g, g.now, bound.Until)
+	for _, deadline := range request.VersionDeadlines {
+		if reported.Version < deadline.Version {
+			assert.Less(g, g.now, deadline.Until)
 		}
 	}
 	return trial
--- a/coordination/dispatch/refusal.go
+++ b/coordination/dispatch/refusal.go
@@ -66,7 +66,7 @@
 func (c *Core) soonest(usable []*Candidate, request *Request, now time.Time) (best *Candidate) {
 	var soonest time.Duration
 	for _, candidate := range usable {
-		if expected := c.firstEvent(candidate, request, now); best == nil || expected < soonest {
+		if expected := c.timeToFirstEvent(candidate, request, now); best == nil || expected < soonest {
 			best, soonest = candidate, expected
 		}
 	}
--- a/coordination/dispatch/regionfleet_test.go
+++ b/coordination/dispatch/regionfleet_test.go
@@ -28,11 +28,11 @@
 	// small and large are the numbers of servers in zones "a" and "b", smallEntries and largeEntries of
 	// entries.
 	small, large, smallEntries, largeEntries int
-	// load is the arrival rate as a ratio of what all servers can begin, bound the ratio of requests that
-	// only the small region may serve.
-	load, bound float64
-	// boundLocalOnly sends bound requests only to the entries of the small region.
-	boundLocalOnly bool
+	// load is the arrival rate as a ratio of what all servers can begin, singleRegion the ratio of requests
+	// that only the small region may serve.
+	load, singleRegion float64
+	// singleRegionLocal sends single-region requests only to the entries of the small region.
+	singleRegionLocal bool
 	// reportAge is the age of reports when they arrive. queries makes entries query agents as well.
 	reportAge time.Duration
 	queries   bool
@@ -52,13 +52,13 @@
 func (c regionCount) ratio(part int) float64 { return float64(part) / float64(max(1, c.total)) }
 
 type regionRequest struct {
-	bound     bool
-	prompt    int
-	passes    int
-	tries     int
-	arrivedAt time.Time
-	entry     *Core
-	sent      *Send
+	singleRegion bool
+	prompt       int
+	passes       int
+	tries        int
+	arrivedAt    time.Time
+	entry        *Core
+	sent         *Send
 }
 
 type regionServer struct {
@@ -70,25 +70,25 @@
 // regionFleet simulates entries that send to servers of two regions, "a" and "b".
 type regionFleet struct {
 	regionDay
-	random  *rand.Rand
-	now     time.Time
-	entries []*Core
-	servers []*regionServer
-	byID    map[string]*regionServer
-	reports map[time.Time][]LoadReport
-	returns map[time.Time][]*regionRequest
-	free    regionCount
-	boundTo regionCount
+	random            *rand.Rand
+	now               time.Time
+	entries           []*Core
+	servers           []*regionServer
+	byID              map[string]*regionServer
+	reports           map[time.Time][]LoadReport
+	retries           map[time.Time][]*regionRequest
+	free              regionCount
+	singleRegionCount regionCount
 	// besideIdle counts free requests refused while a server was idle, besideRoom those refused while a
-	// server had a quarter of its slots free and nothing waiting, misplaced bound requests sent to the other
-	// region, away free requests of the small region's entries sent to the other region.
+	// server had a quarter of its slots free and nothing waiting, misplaced single-region requests sent to
+	// the other region, away free requests of the small region's entries sent to the other region.
 	besideIdle, besideRoom, misplaced, away int
 }
 
 func newRegionFleet(day regionDay, policy Policy) *regionFleet {
 	f := &regionFleet{
 		regionDay: day, random: rand.New(rand.NewPCG(day.seed, 7)), now: epoch,
-		byID: map[string]*regionServer{}, reports: map[time.Time][]LoadReport{}, returns: map[time.Time][]*regionRequest{},
+		byID: map[string]*regionServer{}, reports: map[time.Time][]LoadReport{}, retries: map[time.Time][]*regionRequest{},
 	}
 	regions := map[string]string{"a": "a", "b": "b"}
 	var published Fleet
@@ -96,8 +96,8 @@
 	for _, zone := range []string{"a", "b"} {
 		for number := range zones[zone] {
 			id := fmt.Sprintf("%s%d", zone, number)
-			one := &regionServer{id: id}
-			f.servers, f.byID[id] = append(f.servers, one), one
+			server := &regionServer{id: id}
+			f.servers, f.byID[id] = append(f.servers, server), server
 			published.Servers = append(published.Servers, Server{
 				ID: id, Service: "s", Address: id + ":1", Zone: zone, Slots: 16, Version: 1, HoldsModel: true,
 			})
@@ -121,18 +121,18 @@
 	capacity := float64(f.small+f.large) / scriptEngine.Published.ServiceTime().Seconds()
 	pending := 0.0
 	for number := 0; f.now.Before(epoch.Add(regionLength + regionDeadline)); number++ {
-		for at, one := range f.servers {
-			f.step(one)
+		for at, server := range f.servers {
+			f.step(server)
 			if (number+at*3)%(int(reportPeriod/tick)) == 0 {
 				arrivesAt := f.now.Add(f.reportAge)
-				f.reports[arrivesAt] = append(f.reports[arrivesAt], one.currentReport())
+				f.reports[arrivesAt] = append(f.reports[arrivesAt], server.currentReport())
 			}
 		}
 		f.deliverReports()
-		for _, one := range f.returns[f.now] {
-			f.attempt(one)
+		for _, request := range f.retries[f.now] {
+			f.attempt(request)
 		}
-		delete(f.returns, f.now)
+		delete(f.retries, f.now)
 		after := f.now.Sub(epoch)
 		load := f.load
 		if after < regionWarmup {
@@ -142,7 +142,7 @@
 			pending += load * capacity * tick.Seconds()
 		}
 		for ; pending >= 1; pending-- {
-			f.attempt(f.draw())
+			f.attempt(f.generate())
 		}
 		f.now = f.now.Add(tick)
 	}
@@ -167,13 +167,13 @@
 	return report
 }
 
-// draw generates a request with the usual sizes as the mean.
-func (f *regionFleet) draw() *regionRequest {
+// generate generates a request with the usual sizes as the mean.
+func (f *regionFleet) generate() *regionRequest {
 	size := func(spread float64) float64 { return math.Exp(spread*f.random.NormFloat64() - spread*spread/2) }
 	figures := scriptEngine.Published
 	one := &regionRequest{
-		bound:  f.random.Float64() < f.bound,
-		prompt: max(1, int(min(3, size(0.7))*figures.UsualPrompt)), passes: max(1, int(math.Round(size(0.6)*figures.UsualAnswer/float64(figures.Stride)))),
+		singleRegion: f.random.Float64() < f.singleRegion,
+		prompt:       max(1, int(min(3, size(0.7))*figures.UsualPrompt)), passes: max(1, int(math.Round(size(0.6)*figures.UsualAnswer/float64(figures.Stride)))),
 		arrivedAt: f.now,
 	}
 	f.countOf(one).total++
@@ -181,8 +181,8 @@
 }
 
 func (f *regionFleet) countOf(request *regionRequest) *regionCount {
-	if request.bound {
-		return &f.boundTo
+	if request.singleRegion {
+		return &f.singleRegionCount
 	}
 	return &f.free
 }
@@ -190,12 +190,12 @@
 func (f *regionFleet) attempt(caller *regionRequest) {
 	caller.tries++
 	number := f.random.IntN(len(f.entries))
-	if f.boundLocalOnly && caller.bound {
+	if f.singleRegionLocal && caller.singleRegion {
 		number = f.random.IntN(f.smallEntries)
 	}
 	entry := f.entries[number]
 	route := "free"
-	if caller.bound {
+	if caller.singleRegion {
 		route = "bound"
 	}
 	request := &Request{
@@ -203,7 +203,7 @@
 		OtherEntries: len(f.entries) - 1, Prompt: caller.prompt, Answer: 100,
 	}
 	request.Arrival = entry.RecordArrival(request, regionDeadline-f.now.Sub(caller.arrivedAt), f.now)
-	if caller.bound {
+	if caller.singleRegion {
 		request.Residency = request.Residency.With(residency.AllowedRegions{"a"})
 	}
 	if f.queries {
@@ -214,10 +214,10 @@
 		f.refuse(caller, entry, request, refusal)
 		return
 	}
-	if caller.bound && decision.Candidate.Zone != "a" {
+	if caller.singleRegion && decision.Candidate.Zone != "a" {
 		f.misplaced++
 	}
-	if !caller.bound && number < f.smallEntries && decision.Candidate.Zone != "a" {
+	if !caller.singleRegion && number < f.smallEntries && decision.Candidate.Zone != "a" {
 		f.away++
 	}
 	caller.entry, caller.sent = entry, decision.Send
@@ -247,10 +247,10 @@
 	entry.RecordRefusal(request, f.now)
 	count := f.countOf(caller)
 	count.refusals++
-	if !caller.bound && f.anyHasRoom(0) {
+	if !caller.singleRegion && f.anyHasRoom(0) {
 		f.besideIdle++
 	}
-	if !caller.bound && f.anyHasRoom(maxRunningWithRoom) {
+	if !caller.singleRegion && f.anyHasRoom(maxRunningWithRoom) {
 		f.besideRoom++
 	}
 	if caller.tries > 1 {
@@ -260,7 +260,7 @@
 	latest := request.Arrival.Left / 3
 	earliest := min(refusal.RetryAfter, latest)
 	at := f.now.Add((earliest + time.Duration(f.random.Float64()*float64(latest-earliest))).Truncate(tick) + tick)
-	f.returns[at] = append(f.returns[at], caller)
+	f.retries[at] = append(f.retries[at], caller)
 }
 
 // anyHasRoom reports whether a server has nothing waiting and runs at most this many requests.
--- a/coordination/dispatch/scarcity.go
+++ b/coordination/dispatch/scarcity.go
@@ -30,10 +30,10 @@
 // small, with the full penalty. Below it the penalty falls with the square, because the few other servers
 // can't take the requests that would leave the region. Alternatives were simulated with two, five and eight
 // of ten servers in the region. Without this factor, free requests lose 0.06 where eight are (0.94 instead of
-// 0.99 at 0.8 of the slots, 0.6 bound to the region). With a penalty that falls linearly, and is full from
-// one half on, free requests lose 0.01 more where five are (0.98 instead of 1.00 at 0.95 of the slots, 0.25
-// bound, agents queried). With one that is full from one half on, bound requests gain nothing where five are
-// (0.83 instead of 0.97 at 0.7 of the slots, 0.6 bound).
+// 0.99 at 0.8 of the slots, 0.6 of the requests single-region). With a penalty that falls linearly, and is
+// full from one half on, free requests lose 0.01 more where five are (0.98 instead of 1.00 at 0.95 of the
+// slots, 0.25 single-region, agents queried). With one that is full from one half on, single-region requests
+// gain nothing where five are (0.83 instead of 0.97 at 0.7 of the slots, 0.6 single-region).
 const elsewhereRatio = 0.8
 
 // onlyRegion returns the one region with servers of the service in which a request may be served, and false
--- a/coordination/dispatch/scarcity_test.go
+++ b/coordination/dispatch/scarcity_test.go
@@ -10,20 +10,20 @@
 	"pinevane.example/pinevane/coordination/shedding"
 )
 
-func boundTo(request *Request, regions ...string) *Request {
+func allowedIn(request *Request, regions ...string) *Request {
 	request.Residency = request.Residency.With(regions)
 	return request
 }
 
-// chooseQueried decides a free request with one server in a region that bound requests keep busy, and seven
-// others. The reports say that all have room; the agents of the others reply that they have none.
+// chooseQueried decides a free request with one server in a region that single-region requests keep busy, and
+// seven others. The reports say that all have room; the agents of the others reply that they have none.
 func chooseQueried(t *testing.T, weight float64, scarce LoadReport) *Refusal {
 	s := newScript(t, "a1", "b1", "b2", "b3", "b4", "b5", "b6", "b7")
 	s.core.policy.Scarcity = weight
 	for range 100 {
 		s.at(s.now.Sub(epoch) + 80*time.Millisecond)
 		s.report("a1", 0, LoadReport{Version: 1})
-		s.served(boundTo(s.request(), "a"), "a1")
+		s.served(allowedIn(s.request(), "a"), "a1")
 	}
 	s.at(s.now.Sub(epoch) + time.Second)
 	s.report("a1", 300*time.Millisecond, LoadReport{Version: 1, Running: 10})
@@ -71,7 +71,7 @@
 // A caller that comes back counts as one request.
 func TestSingleRegionLoadCountsReturningCallersOnce(t *testing.T) {
 	s := newScript(t, "a1", "b1")
-	request := boundTo(s.request(), "a")
+	request := allowedIn(s.request(), "a")
 	s.report("a1", 0, LoadReport{Version: 1, Running: 16, Waiting: 9, UnreadTokens: 9000})
 	s.refused(request, RefusedOverload)
 	once := s.core.SingleRegionLoads(s.now)[0].Utilization
@@ -85,13 +85,13 @@
 // A region without servers of the service, or whose zones are all evacuated, is not an alternative.
 func TestRegionsWithoutServersAreNoChoice(t *testing.T) {
 	s := newScript(t, "a1", "b1")
-	s.served(boundTo(s.request(), "a", "c"), "a1")
+	s.served(allowedIn(s.request(), "a", "c"), "a1")
 	assert.NotEmpty(t, s.core.SingleRegionLoads(s.now))
 
 	s = newScript(t, "a1", "b1", "c1")
 	s.fleet.Evacuated = []string{"b"}
 	s.update()
-	s.served(boundTo(s.request(), "a", "b"), "a1")
+	s.served(allowedIn(s.request(), "a", "b"), "a1")
 	assert.NotEmpty(t, s.core.SingleRegionLoads(s.now))
 }
 
@@ -111,7 +111,7 @@
 	for range 100 {
 		s.at(s.now.Sub(epoch) + 50*time.Millisecond)
 		s.report("a1", 0, LoadReport{Version: 1})
-		s.served(boundTo(request(), "a"), "a1")
+		s.served(allowedIn(request(), "a"), "a1")
 	}
 	s.report("a1", 0, LoadReport{Version: 1, Running: 15})
 	decision, refusal := s.core.Choose(request(), s.now)
@@ -124,24 +124,24 @@
 	s := newScript(t, "a1", "b1")
 	s.fleet.Evacuated = []string{"a"}
 	s.update()
-	_, _ = s.core.Choose(boundTo(s.request(), "a"), s.now) // Refused: no server may serve it.
+	_, _ = s.core.Choose(allowedIn(s.request(), "a"), s.now) // Refused: no server may serve it.
 	assert.Empty(t, s.core.SingleRegionLoads(s.now))
 }
 
-// Where most servers are in the region of the bound requests, the others have few slots for the requests that
-// would leave it: free requests lose next to nothing by the penalty, and neither do all requests together.
-// Ratios vary by 0.01 between sets of seeds.
+// Where most servers are in the region of the single-region requests, the others have few slots for the
+// requests that would leave it: free requests lose next to nothing by the penalty, and neither do all
+// requests together. Ratios vary by 0.01 between sets of seeds.
 func TestLargeRegionIsSharedWithFreeRequests(t *testing.T) {
 	for _, queries := range []bool{false, true} {
 		for _, load := range []float64{0.5, 0.7, 0.8, 0.9, 0.95} {
-			for _, bound := range []float64{0.3, 0.6} {
-				t.Run(fmt.Sprintf("%v of the places, %v bound, agents asked %v", load, bound, queries), func(t *testing.T) {
-					day := regionDay{small: 8, large: 2, smallEntries: 6, largeEntries: 2, load: load, bound: bound, reportAge: 300 * time.Millisecond, queries: queries}
+			for _, singleRegion := range []float64{0.3, 0.6} {
+				t.Run(fmt.Sprintf("%v of the slots, %v single-region, agents queried %v", load, singleRegion, queries), func(t *testing.T) {
+					day := regionDay{small: 8, large: 2, smallEntries: 6, largeEntries: 2, load: load, singleRegion: singleRegion, reportAge: 300 * time.Millisecond, queries: queries}
 					with, without := playRegions(day, 1), playRegions(day, 0)
-					t.Logf("in time: bound %.3f, without %.3f; free %.3f, %.3f; all %.3f, %.3f", with.bound.ratio(with.bound.inTime), without.bound.ratio(without.bound.inTime),
+					t.Logf("in time: single-region %.3f, without %.3f; free %.3f, %.3f; all %.3f, %.3f", with.singleRegion.ratio(with.singleRegion.inTime), without.singleRegion.ratio(without.singleRegion.inTime),
 						with.free.ratio(with.free.inTime), without.free.ratio(without.free.inTime), with.inTime(), without.inTime())
 					assert.Greater(t, with.free.ratio(with.free.inTime), without.free.ratio(without.free.inTime)-0.02)
-					assert.Greater(t, with.bound.ratio(with.bound.inTime), without.bound.ratio(without.bound.inTime)-0.02)
+					assert.Greater(t, with.singleRegion.ratio(with.singleRegion.inTime), without.singleRegion.ratio(without.singleRegion.inTime)-0.02)
 					assert.Greater(t, with.inTime(), without.inTime()-0.015)
 				})
 			}
--- a/coordination/dispatch/versions.go
+++ b/coordination/dispatch/versions.go
@@ -65,7 +65,7 @@
 	if !k.report.current(now) || c.hasNarrowLink(k) {
 		margin = narrowLinkMargin
 	}
-	if now.Add(c.firstEvent(k, request, now) + margin).After(deadline) {
+	if now.Add(c.timeToFirstEvent(k, request, now) + margin).After(deadline) {
 		return true
 	}
 	engine := request.Engine
