--- a/coordination/dispatch/learning.go
+++ b/coordination/dispatch/learning.go
@@ -12,8 +12,8 @@
 	return c.learnedOf(service).Complete(engine.Published)
 }
 
-// LearnStream records the time that a server took to write a stream from its first event to its last.
-func (c *Core) LearnStream(service string, prompt, events int, writing time.Duration) {
+// RecordStream records the time that a server took to write a stream from its first event to its last.
+func (c *Core) RecordStream(service string, prompt, events int, writing time.Duration) {
 	c.learnedOf(service).Stream(prompt, events, writing)
 }
 
--- a/coordination/dispatch/messages.go
+++ b/coordination/dispatch/messages.go
@@ -183,8 +183,8 @@
 
 // Admission holds the figures by which a request was admitted or refused at the chosen or soonest server.
 type Admission struct {
-	// IdleDelay is when the server would begin the request if it were idle.
-	IdleDelay time.Duration
+	// IdleTimeToFirstEvent is when the server would begin the request if it were idle.
+	IdleTimeToFirstEvent time.Duration
 	// Wait is how long the request would queue there, Lateness the part of it due to the server's recent late
 	// starts, and MaxWait its limit.
 	Wait     time.Duration
--- a/coordination/dispatch/refusal.go
+++ b/coordination/dispatch/refusal.go
@@ -57,7 +57,7 @@
 // admission returns the figures by which a request is admitted or refused at a server.
 func (c *Core) admission(k *Candidate, request *Request, now time.Time) Admission {
 	return Admission{
-		IdleDelay: k.model(request).Alone(request.Prompt), Wait: c.wait(k, request, now), Lateness: c.startDelay(k, now),
+		IdleTimeToFirstEvent: k.model(request).Alone(request.Prompt), Wait: c.wait(k, request, now), Lateness: c.startDelay(k, now),
 		MaxWait: c.maxWait(k, request, now), Margin: c.marginOf(request.Service).Share(),
 	}
 }
--- a/internal/forward/outcome.go
+++ b/internal/forward/outcome.go
@@ -70,5 +70,5 @@
 	writing := w.eventAt.Sub(w.request.Arrived.Add(w.firstAfter))
 	w.targets.mutex.Lock()
 	defer w.targets.mutex.Unlock()
-	w.targets.core.LearnStream(w.wanted.Service, w.wanted.Prompt, w.events, writing)
+	w.targets.core.RecordStream(w.wanted.Service, w.wanted.Prompt, w.events, writing)
 }
--- a/internal/forward/sizing.go
+++ b/internal/forward/sizing.go
@@ -23,7 +23,7 @@
 
 // MarshalLogObject implements zapcore.ObjectMarshaler.
 func (a admissionFields) MarshalLogObject(encoder zapcore.ObjectEncoder) error {
-	encoder.AddDuration("alone", a.IdleDelay)
+	encoder.AddDuration("alone", a.IdleTimeToFirstEvent)
 	encoder.AddDuration("wait", a.Wait)
 	encoder.AddDuration("late", a.Lateness)
 	encoder.AddDuration("most_wait", a.MaxWait)
