--- a/coordination/dispatch/fitness.go
+++ b/coordination/dispatch/fitness.go
@@ -89,7 +89,7 @@
 // usable returns the servers that may be sent the request.
 func (c *Core) usable(request *Request, now time.Time) []*Candidate {
 	all := c.byService[request.Service]
-	candidates := healthGroups{fit: make([]*Candidate, 0, len(all))}
+	candidates := healthGroups{healthy: make([]*Candidate, 0, len(all))}
 	for _, candidate := range all {
 		candidates.add(candidate, c.eligibility(candidate, request, now))
 	}
--- a/coordination/dispatch/health.go
+++ b/coordination/dispatch/health.go
@@ -53,14 +53,14 @@
 
 // healthGroups groups the servers that are eligible apart from their health by what their health allows.
 type healthGroups struct {
-	fit, suspect, forTrial, onTrial, ejected []*Candidate
+	healthy, suspect, forTrial, onTrial, ejected []*Candidate
 }
 
 // add adds a server to its group. A server excluded for another reason is in none.
 func (g *healthGroups) add(k *Candidate, reason Eligibility) {
 	switch reason {
 	case Eligible:
-		g.fit = append(g.fit, k)
+		g.healthy = append(g.healthy, k)
 	case excludedSuspect:
 		g.suspect = append(g.suspect, k)
 	case eligibleForTrial:
@@ -85,7 +85,7 @@
 			return []*Candidate{candidate}
 		}
 	}
-	for _, group := range [...][]*Candidate{candidates.fit, candidates.suspect, candidates.forTrial, candidates.onTrial} {
+	for _, group := range [...][]*Candidate{candidates.healthy, candidates.suspect, candidates.forTrial, candidates.onTrial} {
 		if len(group) > 0 {
 			return group
 		}
--- a/coordination/dispatch/refusal.go
+++ b/coordination/dispatch/refusal.go
@@ -13,8 +13,8 @@
 	// NoServerRetry is sent when there is no server at all.
 	NoServerRetry = 700 * time.Millisecond
 	// noRegionRetry is sent when no zone of the fleet is in an allowed region: only a configuration change
-	// helps. A published configuration takes 2 to 3 s to be in force everywhere; the rest is an estimate of
-	// the time an operator needs to write it. Callers that come back sooner are refused again.
+	// helps. A published configuration takes 2 to 3 s to be in force everywhere; the rest is a guess at the
+	// time an operator needs to write it. Callers that come back sooner are refused again.
 	noRegionRetry = 5 * time.Second
 )
 
@@ -78,9 +78,9 @@
 func (c *Core) refuse(reason RefusalReason, request *Request, now time.Time) *Refusal {
 	refusal := &Refusal{Reason: reason, Servers: map[Eligibility]int{}, opensIn: maxClosedTime}
 	for _, candidate := range c.byService[request.Service] {
-		unfit := c.eligibility(candidate, request, now)
-		refusal.Servers[unfit]++
-		if unfit.byNotice() {
+		eligibility := c.eligibility(candidate, request, now)
+		refusal.Servers[eligibility]++
+		if eligibility.byNotice() {
 			refusal.opensIn = min(refusal.opensIn, c.opensIn(candidate, now))
 		}
 		refusal.OldestReport = max(refusal.OldestReport, candidate.report.age(now))
--- a/coordination/dispatch/returns.go
+++ b/coordination/dispatch/returns.go
@@ -23,8 +23,8 @@
 
 // recordFull pauses the learning of a route's callers while servers are full, and keeps an overload in force.
 // Each of many entries refuses only a few callers per second. Without this, an entry took the retries of
-// callers refused by others for first attempts between its own refusals, which hid them or admitted them as
-// if the overload had ended.
+// callers refused by other entries for first attempts between its own refusals; it then no longer recognized
+// retries, or admitted them as if the overload had ended.
 func (c *Core) recordFull(request *Request, wait, firstAttemptWait time.Duration, now time.Time) {
 	if request.Engine == nil || float64(wait) <= fullRatio*float64(firstAttemptWait) {
 		return
@@ -42,8 +42,8 @@
 }
 
 // RetainRoutes drops what was learned of the callers of other routes.
-func (c *Core) RetainRoutes(kept map[string]bool) {
-	maps.DeleteFunc(c.retryDetectors, func(route string, _ *shedding.Usual) bool { return !kept[route] })
+func (c *Core) RetainRoutes(retained map[string]bool) {
+	maps.DeleteFunc(c.retryDetectors, func(route string, _ *shedding.Usual) bool { return !retained[route] })
 }
 
 // startLimit returns the latest predicted start of a request of usual size; at 0 or less, no request is
@@ -65,17 +65,17 @@
 }
 
 // admits reports whether the request would queue at a server no longer than it may. Only the wait counts, not
-// the request's own processing time.
+// the request's own processing time: a limit on both would leave large requests unserved in overload.
 func (c *Core) admits(k *Candidate, request *Request, now time.Time) bool {
 	return c.startLimit(request) <= 0 || k.hasFreeSlot(request) || c.wait(k, request, now) <= c.maxWait(k, request, now)
 }
 
 // getOrCreate returns the value of a key, adding an empty one if there is none.
-func getOrCreate[K comparable, V any](kept map[K]*V, name K) *V {
-	known := kept[name]
-	if known == nil {
-		known = new(V)
-		kept[name] = known
+func getOrCreate[K comparable, V any](values map[K]*V, key K) *V {
+	value := values[key]
+	if value == nil {
+		value = new(V)
+		values[key] = value
 	}
-	return known
+	return value
 }
