--- a/coordination/dispatch/asked.go
+++ b/coordination/dispatch/asked.go
@@ -7,123 +7,133 @@
 	"pinevane.example/pinevane/coordination/incarnation"
 )
 
-// asked is what a server has asked for in its answers, beside a rate.
-type asked struct {
-	// leaving is set once an answer has said that the server is about to end. It holds for that life of the
-	// server: neither an older line nor a later answer takes it back.
+// notices holds what a server requests in response headers, apart from a rate limit.
+type notices struct {
+	// leaving is set once an answer announces that the server is about to stop. It holds for this
+	// incarnation: neither an older list entry nor a later answer clears it.
 	leaving bool
-	// restUntil is until when it wants nothing from this entry.
-	restUntil time.Time
+	// backoffUntil is the end of the backoff that the server requested from this entry.
+	backoffUntil time.Time
 }
 
-// SawLeaving notes that an answer has said that its server is about to end, and returns what that changes.
-func (c *Core) SawLeaving(k *Candidate) (change Change, news bool) {
-	news = !c.Leaving(k)
-	k.asked.leaving = true
-	return Change{Kind: ServerLeaving, Candidate: k, InFlight: k.sends.inFlight}, news
+// RecordLeaving records that an answer announced the server's shutdown. isNew is false if it was already
+// known.
+func (c *Core) RecordLeaving(k *Candidate) (change Change, isNew bool) {
+	isNew = !c.Leaving(k)
+	k.notices.leaving = true
+	return Change{Kind: ServerLeaving, Candidate: k, InFlight: k.sends.inFlight}, isNew
 }
 
-// SawRest notes that a server which has turned a request away wants nothing from this entry for a while, and
-// reports whether it wanted something until now. A shorter rest asked for later does not end a longer one:
-// answers overtake each other.
-func (c *Core) SawRest(k *Candidate, lasts time.Duration, now time.Time) (news bool) {
-	news = !k.asked.rests(now)
-	k.asked.restUntil = later(k.asked.restUntil, now.Add(lasts))
-	return news
+// RecordBackoff records that a server which rejected a request asked this entry to back off, and reports
+// whether the server was not backing off before. A shorter backoff does not cut a longer one short, because
+// answers may arrive out of order.
+func (c *Core) RecordBackoff(k *Candidate, duration time.Duration, now time.Time) (isNew bool) {
+	isNew = !k.notices.backingOff(now)
+	k.notices.backoffUntil = later(k.notices.backoffUntil, now.Add(duration))
+	return isNew
 }
 
-// Unwilling reports whether a server wants nothing more from this entry, for good or for now.
-func (c *Core) Unwilling(k *Candidate, now time.Time) bool {
-	return c.Leaving(k) || k.asked.rests(now)
+// Unavailable reports whether a server is leaving or backing off.
+func (c *Core) Unavailable(k *Candidate, now time.Time) bool {
+	return c.Leaving(k) || k.notices.backingOff(now)
 }
 
-// Ask is what a server asks of all entries in its answers, as these tell each other.
-type Ask struct {
-	Server string
-	Born   incarnation.StartTime
-	// Leaving is set when the server is about to end.
+// ServerNotice is what a server requests of all entries in its answers, as entries announce it to each other.
+type ServerNotice struct {
+	Server    string
+	StartTime incarnation.StartTime
+	// Leaving is set when the server is about to stop.
 	Leaving bool
-	// Limited is set while the server names a rate, PerSecond.
+	// Limited is set while the server names a rate limit, PerSecond.
 	Limited   bool
 	PerSecond float64
 }
 
-// AskOf is what a server asks of all entries now.
-func (c *Core) AskOf(k *Candidate) Ask {
-	return Ask{
-		Server: k.ID, Born: k.listing.server.Born, Leaving: k.asked.leaving, Limited: k.limit.inForce(), PerSecond: k.limit.perSecond,
+// NoticeOf returns the notice that is in force for a server.
+func (c *Core) NoticeOf(k *Candidate) ServerNotice {
+	return ServerNotice{
+		Server: k.ID, StartTime: k.listing.server.StartTime, Leaving: k.notices.leaving, Limited: k.rateLimit.inForce(), PerSecond: k.rateLimit.perSecond,
 	}
 }
 
-// HearAsk takes in what a server has asked of another entry at a time. One on a server that is not listed is kept
-// until it is: an entry that starts may hear it before the list.
-func (c *Core) HearAsk(ask Ask, at, now time.Time) (limit LimitNews, leaving bool) {
-	k := c.byID[ask.Server]
+// ApplyNotice applies a notice that another entry received from a server at the given time. A notice for a
+// server that is not listed is retained until it is: an entry that starts may receive the notice before the
+// list.
+func (c *Core) ApplyNotice(notice ServerNotice, at, now time.Time) (limit RateLimitChange, leaving bool) {
+	k := c.byID[notice.Server]
 	switch {
 	case k == nil:
-		c.keepAsk(ask, at, now)
-		return LimitNews{}, false
-	case k.listing.server.Born.Differs(ask.Born):
-		return LimitNews{}, false
+		c.retainNotice(notice, at, now)
+		return RateLimitChange{}, false
+	case k.listing.server.StartTime.Differs(notice.StartTime):
+		return RateLimitChange{}, false
 	}
-	return c.takeAsk(k, ask, at, now)
+	return c.recordNotice(k, notice, at, now)
 }
 
-// takeAsk notes a word on a server. One that it leaves says nothing of its limit, which the teller may not know.
-func (c *Core) takeAsk(k *Candidate, ask Ask, at, now time.Time) (limit LimitNews, leaving bool) {
+// recordNotice records a notice on a server. A notice that the server is leaving says nothing about its rate
+// limit, which the reporting entry may not know.
+func (c *Core) recordNotice(k *Candidate, notice ServerNotice, at, now time.Time) (limit RateLimitChange, leaving bool) {
 	switch {
-	case ask.Leaving:
-		_, leaving = c.SawLeaving(k)
-		return LimitNews{}, leaving
-	case ask.Limited:
-		return c.SawLimit(k, ask.PerSecond, at, now), false
+	case notice.Leaving:
+		_, leaving = c.RecordLeaving(k)
+		return RateLimitChange{}, leaving
+	case notice.Limited:
+		return c.RecordRateLimit(k, notice.PerSecond, at, now), false
 	}
-	return c.SawNoLimit(k, at, now), false
+	return c.RecordNoRateLimit(k, at, now), false
 }
 
-// keepAsk holds a word on a server that is not listed yet, or no more.
-func (c *Core) keepAsk(ask Ask, at, now time.Time) {
-	held, found := c.kept[ask.Server]
+// retainNotice retains a notice for a server that is not on the list yet, or no longer.
+func (c *Core) retainNotice(notice ServerNotice, at, now time.Time) {
+	retained, found := c.retained[notice.Server]
 	if !found {
-		held = keptServer{born: ask.Born, sent: *admission.NewWindow(admission.LimitSpan)}
+		retained = retainedServer{startTime: notice.StartTime, sentWindow: *admission.NewWindow(admission.LimitSpan)}
 	}
-	if held.born.Differs(ask.Born) {
+	if retained.startTime.Differs(notice.StartTime) {
 		return
 	}
-	unlisted := &Candidate{ID: ask.Server, limit: held.limit, asked: held.asked}
-	c.takeAsk(unlisted, ask, at, now)
-	held.at, held.limit, held.asked = now, unlisted.limit, unlisted.asked
-	c.kept[ask.Server] = held
+	unlisted := &Candidate{ID: notice.Server, rateLimit: retained.rateLimit, notices: retained.notices}
+	c.recordNotice(unlisted, notice, at, now)
+	retained.at, retained.rateLimit, retained.notices = now, unlisted.rateLimit, unlisted.notices
+	c.retained[notice.Server] = retained
 }
 
-// rests reports whether a server wants nothing from this entry now.
-func (a *asked) rests(now time.Time) bool { return !a.restUntil.IsZero() && now.Before(a.restUntil) }
+// backingOff reports whether the server has requested that this entry send it nothing now.
+func (n *notices) backingOff(now time.Time) bool {
+	return !n.backoffUntil.IsZero() && now.Before(n.backoffUntil)
+}
 
-// restLeft is how much longer a server wants nothing from this entry.
-func (k *Candidate) restLeft(now time.Time) time.Duration { return max(0, k.asked.restUntil.Sub(now)) }
+// backoffLeft returns how much longer the server is backing off.
+func (k *Candidate) backoffLeft(now time.Time) time.Duration {
+	return max(0, k.notices.backoffUntil.Sub(now))
+}
 
-// RestingServers is how many servers want nothing from this entry now.
-func (c *Core) RestingServers(now time.Time) int {
+// BackingOffServers returns the number of servers that are backing off.
+func (c *Core) BackingOffServers(now time.Time) int {
 	count := 0
-	for _, known := range c.byID {
-		if known.asked.rests(now) {
+	for _, candidate := range c.byID {
+		if candidate.notices.backingOff(now) {
 			count++
 		}
 	}
 	return count
 }
 
-// longestClosed bounds when a server counts as open that has asked for something: another entry may have a share, or not
-// be asked for rest, so that a caller is not told to wait for longer than shares last.
-const longestClosed = admission.LimitSpan
+// maxClosedTime bounds how long a server that is excluded by its notices counts as closed: another entry may
+// have a share of the limit, or not be asked to back off, so a caller is not told to wait longer than the
+// window of the shares.
+const maxClosedTime = admission.LimitSpan
 
-// opensIn is when a server may be sent a request that only what it has asked for keeps from it; 0 is now.
+// opensIn returns the time until a server excluded only by its notices may be sent a request; 0 means now.
 func (c *Core) opensIn(k *Candidate, now time.Time) time.Duration {
-	return max(k.restLeft(now), c.limitOpensIn(k, now))
+	return max(k.backoffLeft(now), c.limitOpensIn(k, now))
 }
 
-// asked reports whether a server is not sent a request only because of what it has asked for.
-func (f Fitness) asked() bool { return f == unfitResting || f == unfitLimited }
+// byNotice reports whether a server is excluded only because of its notices.
+func (f Eligibility) byNotice() bool { return f == excludedBackoff || f == excludedRateLimited }
 
-// anyAsked reports whether there is such a server.
-func (r *Refusal) anyAsked() bool { return r.Servers[unfitResting]+r.Servers[unfitLimited] > 0 }
+// anyByNotice reports whether any server is excluded only because of its notices.
+func (r *Refusal) anyByNotice() bool {
+	return r.Servers[excludedBackoff]+r.Servers[excludedRateLimited] > 0
+}
--- a/coordination/dispatch/candidate.go
+++ b/coordination/dispatch/candidate.go
@@ -8,112 +8,113 @@
 	"pinevane.example/pinevane/coordination/incarnation"
 )
 
-// Candidate is one server as an entry knows it. Its name and place never change, so that they can
-// be read at any time.
+// Candidate is a server as this entry knows it. ID, Address and Zone never change, so they can be read at any
+// time.
 type Candidate struct {
 	ID      string
 	Address string
 	Zone    string
 
 	listing listing
-	asked   asked
-	// limit is the rate that the server names in its answers.
-	limit    namedLimit
-	sends    ownSends
-	word     agentWord
-	lateness lateness
-	answers  answers
-	// version is the newest that the server itself has told, in an answer or on the
-	// list of servers.
+	notices notices
+	// rateLimit is the limit that the server names in its answers.
+	rateLimit   rateLimit
+	sends       ownSends
+	report      agentReport
+	lateness    lateness
+	answerTimes answerTimes
+	// version is the newest version that the server itself has reported, in an answer or on the list of
+	// servers.
 	version uint64
-	// sent are the requests that this entry has sent here in the last admission.LimitSpan.
-	sent admission.Window
-	// coldTime is how long a server of its service is cold after a start.
+	// sentWindow counts the requests that this entry sent here within the rate limit's window.
+	sentWindow admission.Window
+	// coldTime is how long a server of this service is cold after a start.
 	coldTime time.Duration
-	// readmittedUntil is until when the server counts as cold because an evacuation of its
-	// zone was taken back.
+	// readmittedUntil is the time until which the server counts as cold because the evacuation of its zone
+	// was revoked.
 	readmittedUntil time.Time
-	// answeredColdUntil is until when the server is cold by an answer of its own.
+	// answeredColdUntil is the time until which the server is cold according to its own answer.
 	answeredColdUntil time.Time
 }
 
-// listing is what the list of servers tells of a server.
+// listing holds what the list of servers says about a server.
 type listing struct {
 	server Server
-	// gone servers are not sent anything any more.
-	gone bool
-	// superseded servers have ended for good: another has answered at their address.
+	// removed servers are not sent any more requests.
+	removed bool
+	// superseded servers have stopped for good: another server has answered at their address.
 	superseded bool
-	// since is when the list first named this incarnation.
-	since time.Time
-	// next is the incarnation that the agent has told and the list has not; until endedTill this one
-	// counts as ended for that.
-	next      incarnation.StartTime
-	endedTill time.Time
+	// firstListed is when the list first named this incarnation.
+	firstListed time.Time
+	// nextStart is the start time of an incarnation that the agent reports and the list does not name yet;
+	// until endedUntil the listed one counts as ended.
+	nextStart  incarnation.StartTime
+	endedUntil time.Time
 }
 
-// answers is how long a server's answers have taken lately.
-type answers struct {
+// answerTimes holds moving means of a server's answer times.
+type answerTimes struct {
 	// meanMilliseconds is the moving mean time of whole answers.
 	meanMilliseconds float64
 	// firstMean is the moving mean time to the first event of streams.
 	firstMean time.Duration
 }
 
-// Weights of one more answer in the means.
+// Weights of a new sample in the moving means.
 const (
 	wholeMeanWeight = 0.1
 	firstMeanWeight = 0.1
 )
 
-func (a *answers) sawWhole(took time.Duration) {
-	value := float64(took) / float64(time.Millisecond)
+func (a *answerTimes) addWhole(elapsed time.Duration) {
+	value := float64(elapsed) / float64(time.Millisecond)
 	if a.meanMilliseconds == 0 {
 		a.meanMilliseconds = value
 	}
 	a.meanMilliseconds += wholeMeanWeight * (value - a.meanMilliseconds)
 }
 
-func (a *answers) sawFirst(took time.Duration) {
+func (a *answerTimes) addFirst(elapsed time.Duration) {
 	if a.firstMean == 0 {
-		a.firstMean = took
+		a.firstMean = elapsed
 	}
-	a.firstMean += time.Duration(firstMeanWeight * float64(took-a.firstMean))
+	a.firstMean += time.Duration(firstMeanWeight * float64(elapsed-a.firstMean))
 }
 
-// SawFirstEvent notes how long a stream's first event took.
-func (c *Core) SawFirstEvent(k *Candidate, took time.Duration) { k.answers.sawFirst(took) }
+// RecordFirstEvent records how long a stream's first event took.
+func (c *Core) RecordFirstEvent(k *Candidate, elapsed time.Duration) { k.answerTimes.addFirst(elapsed) }
 
-// UsualWait is how long the first byte of an answer usually takes: as the last ones did, or as
-// predicted, whichever is longer. What a server on trial has delayed lately does not count: one that
-// answers nothing would have the time of its first victims ten times over, which is more than
-// callers wait.
-func (c *Core) UsualWait(decision Decision, request *Request) time.Duration {
-	usual := c.usualAnswer(decision.Candidate, request)
+// TypicalWait returns how long the first byte of an answer typically takes: the mean of recent answers or the
+// prediction, whichever is longer. For a server on trial, its recent lateness does not count: a server that
+// never answers would be given ten times the wait of the first requests it failed, which is more than callers
+// wait.
+func (c *Core) TypicalWait(decision Decision, request *Request) time.Duration {
+	typical := c.typicalAnswerTime(decision.Candidate, request)
 	if decision.Trial {
-		return max(usual, decision.byLoad)
+		return max(typical, decision.startByLoad)
 	}
-	return max(usual, decision.Expected)
+	return max(typical, decision.Expected)
 }
 
-// usualAnswer is how long a server's answers to such requests have taken, or those of the service's
-// others if it has given this entry none, or else the target.
-func (c *Core) usualAnswer(k *Candidate, request *Request) time.Duration {
-	if seen := c.seenAnswer(k, request); seen > 0 {
-		return seen
+// typicalAnswerTime returns how long a server's answers to such requests take, or those of the service's other
+// servers if it has given this entry none, or else the target.
+func (c *Core) typicalAnswerTime(k *Candidate, request *Request) time.Duration {
+	if observed := c.observedAnswerTime(k, request); observed > 0 {
+		return observed
 	}
 	return request.Target
 }
 
-// seenAnswer is usualAnswer, but 0 if this entry has seen no answer of the service.
-func (c *Core) seenAnswer(k *Candidate, request *Request) time.Duration {
-	if own := k.answers.usual(request.Streaming); own > 0 {
+// observedAnswerTime is typicalAnswerTime without the fallback: 0 if this entry has seen no answer of the
+// service.
+func (c *Core) observedAnswerTime(k *Candidate, request *Request) time.Duration {
+	if own := k.answerTimes.typical(request.Streaming); own > 0 {
 		return own
 	}
 	sum, count := time.Duration(0), 0
 	for _, other := range c.byService[request.Service] {
-		if usual := other.answers.usual(request.Streaming); usual > 0 {
-			sum, count = sum+usual, count+1
+		if typical := other.answerTimes.typical(request.Streaming); typical > 0 {
+			sum, count = sum+typical, count+1
 		}
 	}
 	if count == 0 {
@@ -122,52 +123,51 @@
 	return sum / time.Duration(count)
 }
 
-// usual is how long answers have taken to begin; 0 while there was none.
-func (a *answers) usual(streaming bool) time.Duration {
+// typical returns the mean time until answers begin, 0 without any sample.
+func (a *answerTimes) typical(streaming bool) time.Duration {
 	if streaming {
 		return a.firstMean
 	}
 	return time.Duration(a.meanMilliseconds * float64(time.Millisecond))
 }
 
-// Candidates lists the servers of a service.
+// Candidates returns the servers of a service.
 func (c *Core) Candidates(service string) []*Candidate { return c.byService[service] }
 
-// Description is what is known of one server, for people.
+// Description is a human-readable view of one server.
 type Description struct {
 	Server      Server
 	InFlight    int
 	Outstanding int
-	// Version is the newest that the server itself has told.
-	Version uint64
-	Health  health.View
-	WordAge time.Duration
+	// Version is the newest version that the server itself has reported.
+	Version   uint64
+	Health    health.View
+	ReportAge time.Duration
 	// MeanMilliseconds is the moving mean time of whole answers.
 	MeanMilliseconds float64
-	// ColdFor is how much longer the server counts as cold; Evacuated servers are sent
-	// nothing new.
+	// ColdFor is how much longer the server counts as cold. Evacuated servers are sent no new requests.
 	ColdFor   time.Duration
 	Evacuated bool
-	// Limit is the rate that the server has named, RestLeft for how much longer it wants nothing.
-	Limit    LimitView
-	RestLeft time.Duration
-	// SaidLeaving is set when an answer has said that the server is about to end.
-	SaidLeaving bool
+	// Limit is the rate limit that the server names, BackoffLeft how much longer it is backing off.
+	Limit       RateLimitStatus
+	BackoffLeft time.Duration
+	// AnnouncedLeaving is set when an answer has announced that the server is about to stop.
+	AnnouncedLeaving bool
 }
 
-// Describe tells what is known of each server, in no order.
+// Describe returns a view of each server, in no particular order.
 func (c *Core) Describe(now time.Time) []Description {
 	descriptions := make([]Description, 0, len(c.byID))
-	for _, known := range c.byID {
+	for _, candidate := range c.byID {
 		descriptions = append(descriptions, Description{
-			Server: known.listing.server, InFlight: known.sends.inFlight, Outstanding: known.outstanding(now), Version: known.version,
-			Health: c.health.View(known.ID, c.since(now)), WordAge: known.word.age(now),
-			MeanMilliseconds: known.answers.meanMilliseconds,
-			ColdFor:          max(0, known.coldUntil().Sub(now)),
-			Evacuated:        c.Evacuated(known.Zone),
-			Limit:            c.limitView(known, now),
-			RestLeft:         known.restLeft(now),
-			SaidLeaving:      known.asked.leaving,
+			Server: candidate.listing.server, InFlight: candidate.sends.inFlight, Outstanding: candidate.outstanding(now), Version: candidate.version,
+			Health: c.health.View(candidate.ID, c.elapsed(now)), ReportAge: candidate.report.age(now),
+			MeanMilliseconds: candidate.answerTimes.meanMilliseconds,
+			ColdFor:          max(0, candidate.coldUntil().Sub(now)),
+			Evacuated:        c.Evacuated(candidate.Zone),
+			Limit:            c.rateLimitStatus(candidate, now),
+			BackoffLeft:      candidate.backoffLeft(now),
+			AnnouncedLeaving: candidate.notices.leaving,
 		})
 	}
 	return descriptions
--- a/coordination/dispatch/choice.go
+++ b/coordination/dispatch/choice.go
@@ -6,37 +6,37 @@
 	"time"
 )
 
-// Weights of the choice.
+// Terms of the score that selects a server.
 const (
-	// otherZoneCost and otherRegionCost are what a longer way is worth.
+	// otherZoneCost and otherRegionCost are the penalties for servers in another zone or region.
 	otherZoneCost   = 20 * time.Millisecond
 	otherRegionCost = 100 * time.Millisecond
-	// runningCost spreads requests over servers that would begin them equally soon.
+	// runningCost spreads requests over servers with the same predicted start.
 	runningCost = 3 * time.Millisecond
-	// jitterCost spreads the choices of entries that see the same figures.
+	// jitterCost spreads the choices of entries that see the same load figures.
 	jitterCost = 15 * time.Millisecond
-	// silentCost keeps requests from servers whose agent has fallen silent.
+	// silentCost keeps requests away from servers whose agent is silent.
 	silentCost = 2 * time.Second
 )
 
-// Choose picks the server for a request and counts the request as in flight. A
-// refusal is proof that nothing was sent.
+// Choose selects the server for a request and counts the request as in flight. A refusal guarantees that
+// nothing was sent.
 func (c *Core) Choose(request *Request, now time.Time) (Decision, *Refusal) {
 	if request.Engine != nil {
-		c.findLeastMissing(now)
+		c.computeMinMissing(now)
 	}
-	c.noteBound(request, now)
-	c.findScarcity(request, now)
+	c.recordDemand(request, now)
+	c.computeScarcity(request, now)
 	all := c.usable(request, now)
-	usable := askedOf(all, request)
+	usable := queriedOf(all, request)
 	if len(usable) == 0 {
 		return Decision{}, c.noServer(request, now)
 	}
 	var best *Candidate
-	least := time.Duration(math.MaxInt64)
-	for _, candidate := range c.sample(usable, max(c.policy.SampleSize, len(request.Asked))) {
-		if score := c.score(candidate, request, now); score < least {
-			best, least = candidate, score
+	lowest := time.Duration(math.MaxInt64)
+	for _, candidate := range c.sample(usable, max(c.policy.SampleSize, len(request.Queried))) {
+		if score := c.score(candidate, request, now); score < lowest {
+			best, lowest = candidate, score
 		}
 	}
 	best, refusal := c.admit(best, usable, all, request, now)
@@ -50,19 +50,19 @@
 func (c *Core) send(k *Candidate, request *Request, considered int, now time.Time) Decision {
 	decision := Decision{
 		Candidate: k, Considered: considered, Outstanding: k.outstanding(now), Load: c.load(k, request, now),
-		Expected: c.firstEvent(k, request, now), byLoad: c.byLoad(k, request, now), WordAge: k.word.age(now), Version: k.servedVersion(now),
+		Expected: c.timeToFirstEvent(k, request, now), startByLoad: c.startByLoad(k, request, now), ReportAge: k.report.age(now), Version: k.servedVersion(now),
 		Admission: c.admission(k, request, now),
 	}
-	wait, firstAttempts := decision.Admission.Wait, c.firstAttemptWait(k, request)
+	wait, firstAttemptWait := decision.Admission.Wait, c.firstAttemptWait(k, request)
 	decision.Send = &Send{
 		candidate: k, service: request.Service, engine: request.Engine, target: request.Target,
-		sentAt: now, due: now.Add(decision.Expected), prompt: request.Prompt, nearLimit: wait >= firstAttempts/2,
-		idle: decision.Outstanding == 0 && decision.WordAge != NoWord,
+		sentAt: now, expectedAt: now.Add(decision.Expected), prompt: request.Prompt, nearLimit: wait >= firstAttemptWait/2,
+		idle: decision.Outstanding == 0 && decision.ReportAge != NoReport,
 	}
 	if c.lost(k, now) {
-		decision.Patience = c.lostTrialPatience(k, request, now)
+		decision.OverdueAfter = c.lostTrialTimeout(k, request, now)
 	}
-	c.noteFull(request, wait, firstAttempts, now)
+	c.recordFull(request, wait, firstAttemptWait, now)
 	k.sends.add(decision.Send)
 	c.countSent(k, now)
 	decision.Trial = c.beginTrial(k, now)
@@ -70,28 +70,28 @@
 	return decision
 }
 
-// askedOf keeps those of the usable servers whose agents were asked, as long as there is one.
-func askedOf(usable []*Candidate, request *Request) []*Candidate {
-	var asked []*Candidate
+// queriedOf returns the usable servers whose agents were queried, or all usable ones if there are none.
+func queriedOf(usable []*Candidate, request *Request) []*Candidate {
+	var queried []*Candidate
 	for _, candidate := range usable {
-		if slices.Contains(request.Asked, candidate) {
-			asked = append(asked, candidate)
+		if slices.Contains(request.Queried, candidate) {
+			queried = append(queried, candidate)
 		}
 	}
-	if len(asked) == 0 {
+	if len(queried) == 0 {
 		return usable
 	}
-	return asked
+	return queried
 }
 
-// sample draws the servers to compare: half of them from the own zone, as long as
-// it has some. Figures are some hundred milliseconds old; were all compared, all
-// entries would send to the same server until the next figures come.
+// sample draws the servers to compare, half of them from the entry's own zone if it has enough. Load figures
+// are a few hundred milliseconds old: if all servers were compared, all entries would send to the same one
+// until the next figures arrive.
 func (c *Core) sample(usable []*Candidate, sampleSize int) []*Candidate {
 	if len(usable) <= sampleSize {
 		return usable
 	}
-	c.mix(usable)
+	c.shuffleServers(usable)
 	near, far := make([]*Candidate, 0, len(usable)), make([]*Candidate, 0, len(usable))
 	for _, candidate := range usable {
 		if candidate.Zone == c.zone {
@@ -104,18 +104,18 @@
 	return append(near[:fromNear:fromNear], far[:sampleSize-fromNear]...)
 }
 
-// score is the cost of sending the request to a server.
+// score returns the cost of sending the request to a server.
 func (c *Core) score(k *Candidate, request *Request, now time.Time) time.Duration {
-	score := c.firstEvent(k, request, now) + c.distance(k)
+	score := c.timeToFirstEvent(k, request, now) + c.distanceCost(k)
 	score += time.Duration(k.outstanding(now)) * runningCost
 	score += time.Duration(c.random() * float64(jitterCost))
-	if k.word.silent(now) {
+	if k.report.silent(now) {
 		score += silentCost
 	}
-	return score + c.delayedSwitch(k, request, now) + c.healthCost(k, now) + c.scarcityCost(k, request, now)
+	return score + c.switchCost(k, request, now) + c.healthCost(k, now) + c.scarcityCost(k, request, now)
 }
 
-func (c *Core) distance(k *Candidate) time.Duration {
+func (c *Core) distanceCost(k *Candidate) time.Duration {
 	switch {
 	case k.Zone == c.zone:
 		return 0
--- a/coordination/dispatch/fitness.go
+++ b/coordination/dispatch/fitness.go
@@ -5,93 +5,93 @@
 	"time"
 )
 
-// Fitness is whether a server may be sent a request, and why not.
-type Fitness string
+// Eligibility says whether a server may be sent a request, and why not.
+type Eligibility string
 
-// Reasons for which a server is not sent a request.
+// Eligibility values.
 const (
-	Fit            Fitness = "usable"
-	unfitLeaving   Fitness = "leaving"
-	unfitTried     Fitness = "tried before"
-	unfitAvoided   Fitness = "runs another suspect"
-	unfitEvacuated Fitness = "zone evacuated"
-	unfitRegion    Fitness = "outside the allowed regions"
-	unfitCold      Fitness = "cold, and has its share"
-	unfitLimited   Fitness = "names a limit, and has its share"
-	unfitResting   Fitness = "has asked for rest"
-	// Those below are of model servers.
-	unfitUnreachable Fitness = "unreachable"
-	unfitEmpty       Fitness = "serves nothing"
-	unfitChanging    Fitness = "changing over"
-	unfitVersion     Fitness = "other version"
-	unfitBound       Fitness = "would begin after the version's bound"
+	Eligible            Eligibility = "usable"
+	excludedLeaving     Eligibility = "leaving"
+	excludedTried       Eligibility = "tried before"
+	excludedByRequest   Eligibility = "runs another suspect"
+	excludedEvacuated   Eligibility = "zone evacuated"
+	excludedRegion      Eligibility = "outside the allowed regions"
+	excludedCold        Eligibility = "cold, and has its share"
+	excludedRateLimited Eligibility = "names a limit, and has its share"
+	excludedBackoff     Eligibility = "has asked for rest"
+	// The following apply to model servers only.
+	excludedUnreachable     Eligibility = "unreachable"
+	excludedEmpty           Eligibility = "serves nothing"
+	excludedSwitching       Eligibility = "changing over"
+	excludedVersion         Eligibility = "other version"
+	excludedVersionDeadline Eligibility = "would begin after the version's bound"
 )
 
-// switchMargin is how long before its switch a server is sent nothing more.
+// switchMargin is how long before its switch a server is sent no more requests.
 const switchMargin = 150 * time.Millisecond
 
-// fitness returns whether a server may be sent the request.
-func (c *Core) fitness(k *Candidate, request *Request, now time.Time) Fitness {
+// eligibility returns whether a server may be sent the request.
+func (c *Core) eligibility(k *Candidate, request *Request, now time.Time) Eligibility {
 	switch {
 	case !c.Allowed(k.Zone, request.Residency):
-		return unfitRegion
-	case c.Leaving(k), now.Before(k.listing.endedTill):
-		return unfitLeaving
+		return excludedRegion
+	case c.Leaving(k), now.Before(k.listing.endedUntil):
+		return excludedLeaving
 	case c.Evacuated(k.Zone):
-		return unfitEvacuated
+		return excludedEvacuated
 	case slices.Contains(request.Tried, k):
-		return unfitTried
-	case slices.Contains(request.Avoided, k.ID):
-		return unfitAvoided
+		return excludedTried
+	case slices.Contains(request.Excluded, k.ID):
+		return excludedByRequest
 	}
 	if request.Engine != nil {
-		if reason := c.modelFitness(k, request, now); reason != Fit {
+		if reason := c.modelEligibility(k, request, now); reason != Eligible {
 			return reason
 		}
 	}
-	if c.coldFull(k, now) {
-		return unfitCold
+	if c.coldShareUsed(k, now) {
+		return excludedCold
 	}
-	if k.asked.rests(now) {
-		return unfitResting
+	if k.notices.backingOff(now) {
+		return excludedBackoff
 	}
-	if k.limit.inForce() && c.limitOpensIn(k, now) > 0 {
-		return unfitLimited
+	if k.rateLimit.inForce() && c.limitOpensIn(k, now) > 0 {
+		return excludedRateLimited
 	}
-	// Last, because servers that their health leaves out are taken when there is no other.
-	return c.healthFitness(k, request, now)
+	// Checked last: servers excluded by their health are used when there are no others.
+	return c.healthEligibility(k, request, now)
 }
 
-// modelFitness returns whether a model server serves a fitting version now.
-func (c *Core) modelFitness(k *Candidate, request *Request, now time.Time) Fitness {
+// modelEligibility returns whether a model server serves a suitable version now.
+func (c *Core) modelEligibility(k *Candidate, request *Request, now time.Time) Eligibility {
 	version := k.servedVersion(now)
-	if k.word.current(now) {
+	if k.report.current(now) {
 		switch {
 		case c.lost(k, now) && !c.mayTryLost(k, request, now):
-			return unfitUnreachable
-		case k.word.SwitchPlanned && k.word.untilSwitch(now) < switchMargin:
-			return unfitChanging
-		case k.word.Version == 0:
-			return unfitEmpty
+			return excludedUnreachable
+		case k.report.SwitchPlanned && k.report.untilSwitch(now) < switchMargin:
+			return excludedSwitching
+		case k.report.Version == 0:
+			return excludedEmpty
 		}
 	} else if !k.listing.server.HoldsModel {
-		return unfitEmpty
+		return excludedEmpty
 	}
-	if (request.Exactly != 0 && version != request.Exactly) || version < request.AtLeast {
-		return unfitVersion
+	if (request.ExactVersion != 0 && version != request.ExactVersion) || version < request.MinVersion {
+		return excludedVersion
 	}
-	if bound, limited := request.Bounds.Of(version); limited && c.beyondBound(k, request, now, bound) {
-		return unfitBound
+	if deadline, found := request.VersionDeadlines.For(version); found && c.missesVersionDeadline(k, request, now, deadline) {
+		return excludedVersionDeadline
 	}
-	return Fit
+	return Eligible
 }
 
-// usable lists the servers that may be sent the request.
+// usable returns the servers that may be sent the request.
 func (c *Core) usable(request *Request, now time.Time) []*Candidate {
 	all := c.byService[request.Service]
-	candidates := byHealth{fit: make([]*Candidate, 0, len(all))}
+	candidates := healthGroups{healthy: make([]*Candidate, 0, len(all))}
 	for _, candidate := range all {
-		candidates.add(candidate, c.fitness(candidate, request, now))
+		candidates.add(candidate, c.eligibility(candidate, request, now))
 	}
-	return c.pickByHealth(&candidates, request, now)
+	return c.selectByHealth(&candidates, request, now)
 }
--- a/coordination/dispatch/fitness_test.go
+++ b/coordination/dispatch/fitness_test.go
@@ -7,23 +7,23 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A server that changes over, serves nothing or has not answered its agent is left
-// out, and the log tells which.
-func TestWhyAServerIsLeftOut(t *testing.T) {
+// A server that switches versions, serves nothing or does not answer its agent is excluded, and the refusal
+// says which.
+func TestEligibilityReasons(t *testing.T) {
 	now := epoch
-	wanted := &Request{Engine: &Engine{}}
+	request := &Request{Engine: &Engine{}}
 	changing, empty, unreachable, leaving, ejected := modelServer(now, 0), modelServer(now, 0), modelServer(now, 0), modelServer(now, 0), modelServer(now, 0)
-	changing.word.SwitchPlanned, changing.word.SwitchIn = true, 100*time.Millisecond
-	empty.word.Version = 0
-	unreachable.word.Reachable = false
+	changing.report.SwitchPlanned, changing.report.SwitchIn = true, 100*time.Millisecond
+	empty.report.Version = 0
+	unreachable.report.Reachable = false
 	leaving.listing.server.Draining = true
 	ejected.ID = "i-2"
 	core := testCore("z", nil)
 	core.health.SetServers("s", []string{"i-1", "i-2"})
 	eject(core, ejected, now)
-	for want, server := range map[Fitness]*Candidate{
-		unfitChanging: changing, unfitEmpty: empty, unfitUnreachable: unreachable, unfitLeaving: leaving, unfitEjected: ejected,
+	for want, server := range map[Eligibility]*Candidate{
+		excludedSwitching: changing, excludedEmpty: empty, excludedUnreachable: unreachable, excludedLeaving: leaving, excludedEjected: ejected,
 	} {
-		assert.Equal(t, want, core.fitness(server, wanted, now))
+		assert.Equal(t, want, core.eligibility(server, request, now))
 	}
 }
--- a/coordination/dispatch/health.go
+++ b/coordination/dispatch/health.go
@@ -8,172 +8,172 @@
 	"pinevane.example/pinevane/coordination/health"
 )
 
-// Reasons of servers' health for which they are not sent a request.
+// Eligibility values that depend on a server's health.
 const (
-	unfitEjected Fitness = "ejected"
-	unfitOnTrial Fitness = "on trial"
-	// unfitSuspect leaves a server out for requests that must not run twice, or have failed
-	// before, as long as there are others.
-	unfitSuspect Fitness = "suspect"
-	// fitForTrial is no reason against: the request is the server's trial.
-	fitForTrial Fitness = "to be tried"
+	excludedEjected Eligibility = "ejected"
+	excludedOnTrial Eligibility = "on trial"
+	// excludedSuspect excludes a server from requests that must run at most once or have failed before, as
+	// long as there are others.
+	excludedSuspect Eligibility = "suspect"
+	// eligibleForTrial does not exclude the server: the request is its trial.
+	eligibleForTrial Eligibility = "to be tried"
 )
 
-// suspectCost is what using a suspect server weighs in the choice: about what a request loses
-// that fails there and begins anew elsewhere, at the share of failures that is looked for.
+// suspectCost is the penalty of a suspect server: about the time lost by a request that fails there and is
+// retried elsewhere, at the failure ratio that makes a server suspect.
 const suspectCost = 50 * time.Millisecond
 
-// since is a moment as the health of servers counts time.
-func (c *Core) since(moment time.Time) time.Duration { return moment.Sub(c.started) }
+// elapsed converts a time to the health tracker's time, which counts from the start.
+func (c *Core) elapsed(moment time.Time) time.Duration { return moment.Sub(c.started) }
 
-// healthFitness returns whether a server's health lets it be sent a request.
-func (c *Core) healthFitness(k *Candidate, request *Request, now time.Time) Fitness {
+// healthEligibility returns whether a server's health allows it to be sent a request.
+func (c *Core) healthEligibility(k *Candidate, request *Request, now time.Time) Eligibility {
 	if c.lost(k, now) {
-		// It was left out before but for its trial.
-		return fitForTrial
+		// Without a trial due it was excluded before.
+		return eligibleForTrial
 	}
-	switch c.health.State(k.ID, c.since(now)) {
+	switch c.health.State(k.ID, c.elapsed(now)) {
 	case health.Ejected:
-		return unfitEjected
+		return excludedEjected
 	case health.OnTrial:
-		if len(request.Tried) > 0 || !c.health.MayBeginTrial(k.ID, request.repeatable(), c.since(now)) {
-			return unfitOnTrial
+		if len(request.Tried) > 0 || !c.health.MayBeginTrial(k.ID, request.retryable(), c.elapsed(now)) {
+			return excludedOnTrial
 		}
-		return fitForTrial
+		return eligibleForTrial
 	case health.Suspect:
-		if len(request.Tried) > 0 || request.RunsOnce {
-			return unfitSuspect
+		if len(request.Tried) > 0 || request.AtMostOnce {
+			return excludedSuspect
 		}
 	}
-	return Fit
+	return Eligible
 }
 
-// repeatable reports whether another attempt would follow one that fails.
-func (r *Request) repeatable() bool { return !r.RunsOnce && !r.LastAttempt }
+// retryable reports whether another attempt would follow a failed one.
+func (r *Request) retryable() bool { return !r.AtMostOnce && !r.LastAttempt }
 
-// byHealth are the servers that a request may be sent to but for their health, by what that says.
-type byHealth struct {
-	fit, suspect, forTrial, onTrial, ejected []*Candidate
+// healthGroups groups the servers that are eligible apart from their health by what their health allows.
+type healthGroups struct {
+	healthy, suspect, forTrial, onTrial, ejected []*Candidate
 }
 
-// add takes in a server; one that is left out for another reason is none of them.
-func (b *byHealth) add(k *Candidate, reason Fitness) {
+// add adds a server to its group. A server excluded for another reason is in none.
+func (g *healthGroups) add(k *Candidate, reason Eligibility) {
 	switch reason {
-	case Fit:
-		b.fit = append(b.fit, k)
-	case unfitSuspect:
-		b.suspect = append(b.suspect, k)
-	case fitForTrial:
-		b.forTrial = append(b.forTrial, k)
-	case unfitOnTrial:
-		b.onTrial = append(b.onTrial, k)
-	case unfitEjected:
-		b.ejected = append(b.ejected, k)
-	}
-}
-
-// pickByHealth picks among servers by their health: the one that the request is a trial of, if it
-// would begin there in time, or else those in order, suspect ones only when there is no other, and
-// ejected ones only when there is none of these.
-func (c *Core) pickByHealth(candidates *byHealth, request *Request, now time.Time) []*Candidate {
+	case Eligible:
+		g.healthy = append(g.healthy, k)
+	case excludedSuspect:
+		g.suspect = append(g.suspect, k)
+	case eligibleForTrial:
+		g.forTrial = append(g.forTrial, k)
+	case excludedOnTrial:
+		g.onTrial = append(g.onTrial, k)
+	case excludedEjected:
+		g.ejected = append(g.ejected, k)
+	}
+}
+
+// selectByHealth selects servers by their health: the one that the request is a trial of, if it would begin
+// there in time; otherwise healthy servers, suspect ones only without healthy ones, and ejected ones only
+// without any others.
+func (c *Core) selectByHealth(candidates *healthGroups, request *Request, now time.Time) []*Candidate {
 	if len(candidates.forTrial) > 1 {
-		// Where trials are rare, none is passed over for those before it on the list.
-		c.mix(candidates.forTrial)
+		// Where trials are rare, no server is passed over for those before it on the list.
+		c.shuffleServers(candidates.forTrial)
 	}
-	for _, one := range candidates.forTrial {
-		if c.admits(one, request, now) {
-			return []*Candidate{one}
+	for _, candidate := range candidates.forTrial {
+		if c.admits(candidate, request, now) {
+			return []*Candidate{candidate}
 		}
 	}
-	for _, some := range [...][]*Candidate{candidates.fit, candidates.suspect, candidates.forTrial, candidates.onTrial} {
-		if len(some) > 0 {
-			return some
+	for _, group := range [...][]*Candidate{candidates.healthy, candidates.suspect, candidates.forTrial, candidates.onTrial} {
+		if len(group) > 0 {
+			return group
 		}
 	}
 	return candidates.ejected
 }
 
-// mix puts servers in a random order.
-func (c *Core) mix(servers []*Candidate) {
+// shuffleServers puts servers in random order.
+func (c *Core) shuffleServers(servers []*Candidate) {
 	c.shuffle(len(servers), func(i, j int) { servers[i], servers[j] = servers[j], servers[i] })
 }
 
-// healthCost is what a server's health weighs in the choice.
+// healthCost returns the penalty for a server's health.
 func (c *Core) healthCost(k *Candidate, now time.Time) time.Duration {
-	if c.health.State(k.ID, c.since(now)) == health.Suspect {
+	if c.health.State(k.ID, c.elapsed(now)) == health.Suspect {
 		return suspectCost
 	}
 	return 0
 }
 
-// beginTrial notes that a request is being sent to a server on trial, and reports whether it is.
+// beginTrial records that a request is being sent to a server on trial, and reports whether it is a trial.
 func (c *Core) beginTrial(k *Candidate, now time.Time) bool {
 	if c.lost(k, now) {
-		c.health.BeginLostTrial(k.ID, c.since(now))
+		c.health.BeginLostTrial(k.ID, c.elapsed(now))
 		return true
 	}
-	return c.health.BeginTrial(k.ID, c.since(now))
+	return c.health.BeginTrial(k.ID, c.elapsed(now))
 }
 
-// lost reports whether the agent beside a server does not reach it, and no answer outweighs that.
+// lost reports whether the agent cannot reach its server and no answer of the server outweighs that.
 func (c *Core) lost(k *Candidate, now time.Time) bool {
-	return k.word.current(now) && !k.word.Reachable && !c.health.Confirmed(k.ID, c.since(k.word.lostAt), c.since(now))
+	return k.report.current(now) && !k.report.Reachable && !c.health.Confirmed(k.ID, c.elapsed(k.report.unreachableSince), c.elapsed(now))
 }
 
 // mayTryLost reports whether a request may be the trial of a lost server.
 func (c *Core) mayTryLost(k *Candidate, request *Request, now time.Time) bool {
-	if !request.repeatable() || len(request.Tried) > 0 || k.word.lostAt.IsZero() {
+	if !request.retryable() || len(request.Tried) > 0 || k.report.unreachableSince.IsZero() {
 		return false
 	}
 	due := c.health.MayBeginLostTrial
 	if !c.otherServes(k, now) {
 		due = c.health.MayBeginLostTrialUnlimited
 	}
-	return due(k.ID, c.since(k.word.lostAt), c.since(now)) && c.leavesTime(k, request, now)
+	return due(k.ID, c.elapsed(k.report.unreachableSince), c.elapsed(now)) && c.leavesTimeForRetry(k, request, now)
 }
 
-// otherServes reports whether the service of a model server has another one that gets requests, if only
-// for want of others, so that attempts are counted there.
+// otherServes reports whether the service of a model server has another one that gets requests, if only for
+// lack of others, so that attempts are counted there.
 func (c *Core) otherServes(k *Candidate, now time.Time) bool {
 	return slices.ContainsFunc(c.byService[k.listing.server.Service], func(other *Candidate) bool {
 		switch {
 		case other == k || c.Leaving(other) || c.Evacuated(other.Zone) || c.lost(other, now):
 			return false
-		case other.word.current(now):
-			return other.word.Version != 0
+		case other.report.current(now):
+			return other.report.Version != 0
 		}
 		return other.listing.server.HoldsModel
 	})
 }
 
-// lostTrialFactor is how many times the usual time a lost server's trial waits for its answer: as long
-// as silence takes to count as evidence elsewhere. Its agent is the second witness, so that it need not
-// be waited for as long as at other servers, which at a service whose answers take 0.5 s would be the
-// 5 s that many callers have in all (TestTrialOfAMuteLostServerAtASlowService).
+// lostTrialFactor is the timeout of a lost server's trial as a multiple of its typical time: the multiple at
+// which silence counts as evidence elsewhere. The agent's report is a second witness, so the wait can be
+// shorter than at other servers, where it would be 5 s for a service with answers of 0.5 s, which is all that
+// many callers have (TestTrialOfAnUnresponsiveLostServerAtASlowService).
 const lostTrialFactor = 4
 
-// lostTrialPatience is the silence after which a lost server's trial is given up: the target, where no
-// answer has shown what is usual.
-func (c *Core) lostTrialPatience(k *Candidate, request *Request, now time.Time) time.Duration {
-	patience := max(request.Patience, lostTrialFactor*c.byLoad(k, request, now))
-	if seen := c.seenAnswer(k, request); seen > 0 {
-		return max(patience, lostTrialFactor*seen)
+// lostTrialTimeout returns the silence after which a lost server's trial is abandoned. It falls back to the
+// target while no answer has been observed.
+func (c *Core) lostTrialTimeout(k *Candidate, request *Request, now time.Time) time.Duration {
+	timeout := max(request.MinOverdueTime, lostTrialFactor*c.startByLoad(k, request, now))
+	if observed := c.observedAnswerTime(k, request); observed > 0 {
+		return max(timeout, lostTrialFactor*observed)
 	}
-	return max(patience, request.Target)
+	return max(timeout, request.Target)
 }
 
-// usualTrial is how long the answer to a trial usually takes to begin.
-func (c *Core) usualTrial(k *Candidate, request *Request, now time.Time) time.Duration {
-	return max(c.usualAnswer(k, request), c.byLoad(k, request, now))
+// typicalTrialTime returns how long the answer to a trial typically takes to begin.
+func (c *Core) typicalTrialTime(k *Candidate, request *Request, now time.Time) time.Duration {
+	return max(c.typicalAnswerTime(k, request), c.startByLoad(k, request, now))
 }
 
-// leavesTime reports whether a trial of a lost server that stays silent leaves its request the time that
-// an answer usually takes elsewhere.
-func (c *Core) leavesTime(k *Candidate, request *Request, now time.Time) bool {
-	return request.Left <= 0 || c.lostTrialPatience(k, request, now)+c.usualTrial(k, request, now) <= request.Left
+// leavesTimeForRetry reports whether a lost server's trial that times out leaves the request the time that an
+// answer typically takes elsewhere.
+func (c *Core) leavesTimeForRetry(k *Candidate, request *Request, now time.Time) bool {
+	return request.TimeLeft <= 0 || c.lostTrialTimeout(k, request, now)+c.typicalTrialTime(k, request, now) <= request.TimeLeft
 }
 
-// updateHealth takes over which servers there are.
+// updateHealth passes the listed servers to the health tracker.
 func (c *Core) updateHealth(old Fleet) {
 	listed := map[string][]string{}
 	for _, server := range old.Servers {
@@ -187,66 +187,65 @@
 	}
 }
 
-// HealthNews is what has changed with servers' health, and what the zone's other entries are to
-// be told.
-type HealthNews struct {
+// HealthUpdates holds the changes of servers' health, and the reports to send to the zone's other entries.
+type HealthUpdates struct {
 	Changes []health.Change
-	Words   []health.Report
+	Reports []health.Report
 }
 
-// TakeHealthNews returns the news since the last call.
-func (c *Core) TakeHealthNews() HealthNews {
-	news := HealthNews{Changes: c.healthChanges, Words: c.health.TakeReports()}
+// TakeHealthUpdates returns the updates since the previous call.
+func (c *Core) TakeHealthUpdates() HealthUpdates {
+	updates := HealthUpdates{Changes: c.healthChanges, Reports: c.health.TakeReports()}
 	c.healthChanges = nil
-	return news
+	return updates
 }
 
-func (c *Core) noteHealth(change health.Change, changed bool) {
+func (c *Core) recordHealth(change health.Change, changed bool) {
 	if changed {
 		c.healthChanges = append(c.healthChanges, change)
 	}
 }
 
-// Outcome is what an attempt at a server has shown.
+// Outcome is the result of an attempt at a server.
 type Outcome struct {
 	health.Outcome
-	// Class groups requests that are alike, such as those of one route.
+	// Class groups similar requests, such as those of one route.
 	Class  string
 	SentAt time.Time
-	// Repeated is set when the same request had failed elsewhere before.
-	Repeated bool
+	// Retried is set when the same request has failed at another server before.
+	Retried bool
 }
 
-// Observe notes what an attempt has shown of its server.
+// Observe records the outcome of an attempt for its server.
 func (c *Core) Observe(k *Candidate, outcome Outcome, now time.Time) {
 	if current := c.byID[k.ID]; current != nil && current != k {
-		// Another server has its name now.
+		// The ID belongs to another server now.
 		return
 	}
-	c.noteHealth(c.health.Observe(health.Attempt{
-		Server: k.ID, Class: outcome.Class, Outcome: outcome.Outcome, Sent: c.since(outcome.SentAt), Retry: outcome.Repeated,
-		Lost: k.word.current(now) && !k.word.Reachable, LostAt: c.since(k.word.lostAt),
-	}, c.since(now)))
+	c.recordHealth(c.health.Observe(health.Attempt{
+		Server: k.ID, Class: outcome.Class, Outcome: outcome.Outcome, Sent: c.elapsed(outcome.SentAt), Retry: outcome.Retried,
+		Lost: k.report.current(now) && !k.report.Reachable, LostAt: c.elapsed(k.report.unreachableSince),
+	}, c.elapsed(now)))
 }
 
-// EndTrial notes that an attempt has ended that says nothing of its server; it ends the server's
-// trial if it was that.
+// EndTrial records the end of an attempt that says nothing about its server. If it was the server's trial,
+// the trial ends.
 func (c *Core) EndTrial(send *Send, now time.Time) {
 	if send != nil && send.trial && c.byID[send.candidate.ID] == send.candidate {
-		c.health.EndTrial(send.candidate.ID, c.since(now))
+		c.health.EndTrial(send.candidate.ID, c.elapsed(now))
 	}
 }
 
-// HearHealth takes in what another entry of the zone said of a server at a time.
-func (c *Core) HearHealth(word health.Report, at, now time.Time) {
-	c.noteHealth(c.health.ApplyReport(word, c.since(at), c.since(now)))
+// ApplyHealthReport applies a health report that another entry of the zone sent at the given time.
+func (c *Core) ApplyHealthReport(report health.Report, at, now time.Time) {
+	c.recordHealth(c.health.ApplyReport(report, c.elapsed(at), c.elapsed(now)))
 }
 
-// TakeZone takes over which other entries the zone has: they take turns with trials.
-func (c *Core) TakeZone(entries []string) { c.health.SetMembers(entries) }
+// SetZoneEntries sets the zone's other entries, with which this one takes turns at trials.
+func (c *Core) SetZoneEntries(entries []string) { c.health.SetMembers(entries) }
 
-// EjectedServers is how many servers are ejected or on trial.
+// EjectedServers returns the number of servers that are ejected or on trial.
 func (c *Core) EjectedServers() int { return len(c.health.Ejected()) }
 
-// SawWhole notes how long a whole answer took.
-func (c *Core) SawWhole(k *Candidate, took time.Duration) { k.answers.sawWhole(took) }
+// RecordAnswerTime records how long a whole answer took.
+func (c *Core) RecordAnswerTime(k *Candidate, elapsed time.Duration) { k.answerTimes.addWhole(elapsed) }
--- a/coordination/dispatch/kept.go
+++ b/coordination/dispatch/kept.go
@@ -7,40 +7,41 @@
 	"pinevane.example/pinevane/coordination/incarnation"
 )
 
-// keptMemory is how long it is held what a server was sent, and has said of itself, after its line has
-// gone: lines lapse while the store is away, and come again.
-const keptMemory = 10 * time.Minute
+// retentionTime is how long the state of a server is retained after its list entry was removed: entries
+// expire while the store is unavailable, and return afterwards.
+const retentionTime = 10 * time.Minute
 
-// keptServer is what is held of a server whose line has gone.
-type keptServer struct {
-	born  incarnation.StartTime
-	at    time.Time
-	sent  admission.Window
-	limit namedLimit
-	asked asked
+// retainedServer is the retained state of a server that is no longer listed.
+type retainedServer struct {
+	startTime  incarnation.StartTime
+	at         time.Time
+	sentWindow admission.Window
+	rateLimit  rateLimit
+	notices    notices
 }
 
-// expireKept drops what has been held for too long, once a list: the lines of all servers may go at once.
-func (c *Core) expireKept(now time.Time) {
-	for id, one := range c.kept {
-		if now.Sub(one.at) > keptMemory {
-			delete(c.kept, id)
+// expireRetained drops expired state. It runs once per list update, because all servers may be removed at
+// once.
+func (c *Core) expireRetained(now time.Time) {
+	for id, server := range c.retained {
+		if now.Sub(server.at) > retentionTime {
+			delete(c.retained, id)
 		}
 	}
 }
 
-// keep holds what bounds a server whose line has gone.
-func (c *Core) keep(known *Candidate, now time.Time) {
-	c.kept[known.ID] = keptServer{born: known.listing.server.Born, at: now, sent: known.sent, limit: known.limit, asked: known.asked}
+// retain keeps the state that limits a server when its list entry is removed.
+func (c *Core) retain(candidate *Candidate, now time.Time) {
+	c.retained[candidate.ID] = retainedServer{startTime: candidate.listing.server.StartTime, at: now, sentWindow: candidate.sentWindow, rateLimit: candidate.rateLimit, notices: candidate.notices}
 }
 
-// restore gives a newly listed server what was held of it, unless that was another life of it.
-func (c *Core) restore(known *Candidate, server Server) {
-	held, found := c.kept[server.ID]
-	delete(c.kept, server.ID)
-	if !found || held.born.Differs(server.Born) {
-		known.sent = *admission.NewWindow(admission.LimitSpan)
+// restore applies the retained state to a newly listed server, unless it is of another incarnation.
+func (c *Core) restore(candidate *Candidate, server Server) {
+	retained, found := c.retained[server.ID]
+	delete(c.retained, server.ID)
+	if !found || retained.startTime.Differs(server.StartTime) {
+		candidate.sentWindow = *admission.NewWindow(admission.LimitSpan)
 		return
 	}
-	known.sent, known.limit, known.asked = held.sent, held.limit, held.asked
+	candidate.sentWindow, candidate.rateLimit, candidate.notices = retained.sentWindow, retained.rateLimit, retained.notices
 }
--- a/coordination/dispatch/members.go
+++ b/coordination/dispatch/members.go
@@ -7,81 +7,79 @@
 	"pinevane.example/pinevane/coordination/placement"
 )
 
-// Constants of the entries that share bounds on servers.
+// Parameters of the entries that share limits.
 const (
-	// memberMemory is how long an entry that is heard of no more keeps its share: one that is
-	// cut off from the others still sends.
-	memberMemory = time.Minute
-	// membersPeriod is how often the entries known are looked through.
-	membersPeriod = 250 * time.Millisecond
-	// cautiousMembers is how many entries are assumed until the others are known, settleTime
-	// after the start, and while they are asked for after memberMemory without a look.
-	cautiousMembers = 16
+	// memberTTL is how long an entry keeps its share after it was last seen: an entry that is cut off from
+	// the others still sends requests.
+	memberTTL = time.Minute
+	// lookupInterval is how often the known entries are looked up.
+	lookupInterval = 250 * time.Millisecond
+	// assumedMembers is the minimum number of entries assumed during settleTime after the start, and while a
+	// lookup is pending and the last one is older than memberTTL.
+	assumedMembers = 16
 	// settleTime is how long after the start the number of entries is uncertain.
 	settleTime = 3 * time.Second
 )
 
-// members are the entries that share what cold servers, and such that name a limit, may receive.
-// They agree on the shares without a message: each ranks all entries for a server by the same
-// hashing. Where a server may receive fewer requests than there are entries, the first in its rank
-// have one each. Shares that are handed out by the server's agent as they are asked for would
-// follow the callers more closely; they depend on the server's link, which is narrow, at the
-// moment when its machine is starting.
-type members struct {
+// memberSet holds the entries that share the rates of cold and rate-limited servers. They agree on shares
+// without exchanging messages: each ranks all entries for a server by the same hash. Where a server may
+// receive fewer requests than there are entries, the first by rank get one each. Shares granted by the
+// server's agent on request would follow demand more closely, but would depend on the server's link, which is
+// narrow while its machine is starting.
+type memberSet struct {
 	self string
-	// seen tells when an entry was last known.
-	seen     map[string]time.Time
-	lookedAt time.Time
-	// asking is set while the entries known are asked for, which requests do not wait for.
-	asking  bool
-	started time.Time
-	// ranks are this entry's ranks for servers, by their names, since the entries were last
-	// looked through.
+	// lastSeen holds when each entry was last known.
+	lastSeen  map[string]time.Time
+	updatedAt time.Time
+	// lookupPending is set while the known entries are being looked up; requests do not wait for this.
+	lookupPending bool
+	started       time.Time
+	// ranks caches this entry's rank by server ID since the last lookup.
 	ranks map[string]int
 }
 
-func newMembers(self string, started time.Time) *members {
-	return &members{self: self, seen: map[string]time.Time{}, ranks: map[string]int{}, started: started}
+func newMemberSet(self string, started time.Time) *memberSet {
+	return &memberSet{self: self, lastSeen: map[string]time.Time{}, ranks: map[string]int{}, started: started}
 }
 
-// look takes over which entries are known.
-func (m *members) look(known []string, now time.Time) {
-	m.lookedAt, m.asking = now, false
+// update applies the result of a lookup.
+func (m *memberSet) update(known []string, now time.Time) {
+	m.updatedAt, m.lookupPending = now, false
 	clear(m.ranks)
 	for _, member := range known {
-		m.seen[member] = now
+		m.lastSeen[member] = now
 	}
-	for member, at := range m.seen {
-		if now.Sub(at) > memberMemory {
-			delete(m.seen, member)
+	for member, at := range m.lastSeen {
+		if now.Sub(at) > memberTTL {
+			delete(m.lastSeen, member)
 		}
 	}
 }
 
-// share is how many requests this entry may send a server of a limit for all.
-func (m *members) share(server string, limit float64, now time.Time) int {
+// share returns how many requests of a server's common limit this entry may send.
+func (m *memberSet) share(server string, limit float64, now time.Time) int {
 	return admission.Share(limit, m.rank(server), m.count(now))
 }
 
-// count is how many entries share, this one included.
-func (m *members) count(now time.Time) int {
-	count := len(m.seen) + 1
-	if now.Sub(m.started) < settleTime || (m.asking && now.Sub(m.lookedAt) > memberMemory) {
-		return max(count, cautiousMembers)
+// count returns the number of entries that share limits, this one included.
+func (m *memberSet) count(now time.Time) int {
+	count := len(m.lastSeen) + 1
+	if now.Sub(m.started) < settleTime || (m.lookupPending && now.Sub(m.updatedAt) > memberTTL) {
+		return max(count, assumedMembers)
 	}
 	return count
 }
 
-// since is a moment as windows of what was sent count time.
-func (m *members) since(now time.Time) time.Duration { return now.Sub(m.started) }
+// elapsed converts a time to the time of the request windows, which counts from the start.
+func (m *memberSet) elapsed(now time.Time) time.Duration { return now.Sub(m.started) }
 
-// rank is how many of the other entries come before this one for a server.
-func (m *members) rank(server string) int {
+// rank returns the number of other entries that rank before this one for a server.
+func (m *memberSet) rank(server string) int {
 	if rank, known := m.ranks[server]; known {
 		return rank
 	}
 	rank, own := 0, placement.Score(server, m.self)
-	for member := range m.seen {
+	for member := range m.lastSeen {
 		if placement.Score(server, member) > own {
 			rank++
 		}
@@ -90,14 +88,14 @@
 	return rank
 }
 
-// EntriesDue reports whether the entries known are to be told anew, by TakeEntries: from time to
-// time as long as a server is cold or names a limit, and no one asks for them already.
-func (c *Core) EntriesDue(now time.Time) bool {
-	return !c.bounded.asking && now.Sub(c.bounded.lookedAt) >= membersPeriod && now.Before(c.boundedTill)
+// EntryLookupDue reports whether the known entries should be looked up and passed to SetEntries: periodically
+// while a server is cold or rate limited, unless a lookup is pending.
+func (c *Core) EntryLookupDue(now time.Time) bool {
+	return !c.members.lookupPending && now.Sub(c.members.updatedAt) >= lookupInterval && now.Before(c.limitsUntil)
 }
 
-// BeginEntries notes that the entries known are being asked for, until TakeEntries.
-func (c *Core) BeginEntries() { c.bounded.asking = true }
+// BeginEntryLookup marks a lookup as pending until SetEntries is called.
+func (c *Core) BeginEntryLookup() { c.members.lookupPending = true }
 
-// TakeEntries takes over which other entries are lately known.
-func (c *Core) TakeEntries(known []string, now time.Time) { c.bounded.look(known, now) }
+// SetEntries sets the other entries that are currently known.
+func (c *Core) SetEntries(known []string, now time.Time) { c.members.update(known, now) }
--- a/coordination/dispatch/sends.go
+++ b/coordination/dispatch/sends.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// Send is one request at one server.
+// Send is a request that was sent to a server.
 type Send struct {
 	candidate *Candidate
 	service   string
 	engine    *Engine
 	target    time.Duration
 	sentAt    time.Time
-	// due is when the first event was expected to come.
-	due    time.Time
-	prompt int
-	// nearLimit is set when it was expected to wait for so long that the limit of refusals matters.
+	// expectedAt is when the first event was expected.
+	expectedAt time.Time
+	prompt     int
+	// nearLimit is set when the expected wait was long enough for the refusal limit to matter.
 	nearLimit bool
-	// idle is set when the server was known to have nothing else to do.
+	// idle is set when the server was known to have no other work.
 	idle bool
-	// trial is set when it is the trial of its server.
+	// trial is set when the request is the trial of its server.
 	trial bool
 }
 
-// ownSends are this entry's own requests at a server.
+// ownSends holds this entry's own requests at a server.
 type ownSends struct {
 	inFlight int
-	// unread counts the requests sent to a model server whose first event has not
-	// come, unreadTokens their prompts.
+	// unread counts the requests at a model server whose first event has not arrived, unreadTokens the tokens
+	// of their prompts.
 	unread       int
 	unreadTokens int
-	// unbegun holds these requests.
-	unbegun []*Send
+	// pending holds these requests.
+	pending []*Send
 }
 
-// counts are this entry's own part of a server's load.
-type counts struct {
+// loadCounts is this entry's own part of a server's load.
+type loadCounts struct {
 	inFlight     int
 	unread       int
 	unreadTokens int
@@ -47,51 +47,51 @@
 	if send.engine != nil {
 		s.unread++
 		s.unreadTokens += send.prompt
-		s.unbegun = append(s.unbegun, send)
+		s.pending = append(s.pending, send)
 	}
 }
 
-// begun takes a request off those whose first event is waited for, and reports whether it was
-// one of them.
-func (s *ownSends) begun(send *Send) bool {
-	at := slices.Index(s.unbegun, send)
+// removePending removes a request from those whose first event is pending, and reports whether it was one of
+// them.
+func (s *ownSends) removePending(send *Send) bool {
+	at := slices.Index(s.pending, send)
 	if at < 0 {
 		return false
 	}
-	s.unbegun = slices.Delete(s.unbegun, at, at+1)
+	s.pending = slices.Delete(s.pending, at, at+1)
 	s.unread--
 	s.unreadTokens -= send.prompt
 	return true
 }
 
-// seenAt is what an agent saw of the requests when it looked at a time: not those that were
-// sent later.
-func (s *ownSends) seenAt(at time.Time) counts {
-	seen := counts{inFlight: s.inFlight, unread: s.unread, unreadTokens: s.unreadTokens}
-	for _, one := range s.unbegun {
-		if one.sentAt.After(at) {
-			seen.inFlight--
-			seen.unread--
-			seen.unreadTokens -= one.prompt
+// countsAt returns the part of these requests that an agent can have counted at a time: it excludes pending
+// ones that were sent later.
+func (s *ownSends) countsAt(at time.Time) loadCounts {
+	counted := loadCounts{inFlight: s.inFlight, unread: s.unread, unreadTokens: s.unreadTokens}
+	for _, send := range s.pending {
+		if send.sentAt.After(at) {
+			counted.inFlight--
+			counted.unread--
+			counted.unreadTokens -= send.prompt
 		}
 	}
-	return seen
+	return counted
 }
 
-// Release takes a request off a server's count. Its prompt counts as read once the
-// first event has come, which PromptRead notes.
+// Release removes a request from its server's requests in flight. Its prompt is removed separately, by
+// EndPrefill.
 func (c *Core) Release(send *Send) { send.candidate.sends.inFlight-- }
 
-// PromptRead takes a request's prompt off its server's unread ones, because it has begun, or
-// has ended without that.
-func (c *Core) PromptRead(send *Send, begun bool, now time.Time) {
+// EndPrefill removes a request's prompt from its server's unread ones, because the answer has begun, or the
+// request has ended without that.
+func (c *Core) EndPrefill(send *Send, begun bool, now time.Time) {
 	k := send.candidate
-	if !k.sends.begun(send) {
+	if !k.sends.removePending(send) {
 		return
 	}
 	if begun {
 		c.learnMargin(send, now)
 		c.learnFirstEvent(send, now)
 	}
-	k.lateness.noteBegun(send.due, now)
+	k.lateness.recordStart(send.expectedAt, now)
 }
--- a/coordination/dispatch/versions_test.go
+++ b/coordination/dispatch/versions_test.go
@@ -7,63 +7,62 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// VERSION: a server on a narrow link whose agent lacks more pieces than can come in time
-// is sent nothing more on the old version; one that will be prepared, and one whose
-// pieces are late for another reason, is, also after two versions in
-// quick succession, until shortly before the bound.
+// VERSION: a server on a narrow link that is missing more pieces than can arrive in time is sent no more
+// requests on the old version. One that will be ready, or whose pieces are late for another reason, still is
+// until shortly before the deadline, even after two versions in quick succession.
 func TestUnpreparedServerIsLeftOutInTime(t *testing.T) {
 	now := epoch
 	core := testCore("z", nil)
 	at := func(left time.Duration) *Request {
-		return withFigures(Request{Bounds: VersionBounds{{Version: 2, Until: now.Add(left)}}, Prompt: 1000}, copiedEngine())
+		return withFigures(Request{VersionDeadlines: VersionDeadlines{{Version: 2, Until: now.Add(left)}}, Prompt: 1000}, copiedEngine())
 	}
 	for _, one := range []struct {
 		missing int
 		link    time.Duration
 		left    time.Duration
-		want    Fitness
+		want    Eligibility
 	}{
-		{missing: 80, link: narrowLink, left: 5 * time.Second, want: Fit},
-		{missing: 80, link: narrowLink, left: 3200 * time.Millisecond, want: unfitBound},
-		{missing: 20, link: narrowLink, left: 3200 * time.Millisecond, want: Fit},
-		{missing: 20, link: narrowLink, left: 1400 * time.Millisecond, want: unfitBound},
-		{missing: 0, link: narrowLink, left: 1400 * time.Millisecond, want: unfitBound},
-		{missing: 96, link: 20 * time.Millisecond, left: 1400 * time.Millisecond, want: Fit},
-		{missing: 96, link: 20 * time.Millisecond, left: 900 * time.Millisecond, want: unfitBound},
-		{missing: 0, left: 1400 * time.Millisecond, want: Fit},
-		{missing: 0, left: 900 * time.Millisecond, want: unfitBound},
+		{missing: 80, link: narrowLink, left: 5 * time.Second, want: Eligible},
+		{missing: 80, link: narrowLink, left: 3200 * time.Millisecond, want: excludedVersionDeadline},
+		{missing: 20, link: narrowLink, left: 3200 * time.Millisecond, want: Eligible},
+		{missing: 20, link: narrowLink, left: 1400 * time.Millisecond, want: excludedVersionDeadline},
+		{missing: 0, link: narrowLink, left: 1400 * time.Millisecond, want: excludedVersionDeadline},
+		{missing: 96, link: 20 * time.Millisecond, left: 1400 * time.Millisecond, want: Eligible},
+		{missing: 96, link: 20 * time.Millisecond, left: 900 * time.Millisecond, want: excludedVersionDeadline},
+		{missing: 0, left: 1400 * time.Millisecond, want: Eligible},
+		{missing: 0, left: 900 * time.Millisecond, want: excludedVersionDeadline},
 	} {
 		server := modelServer(now, one.missing)
-		server.word.Link = one.link
-		assert.Equal(t, one.want, core.fitness(server, at(one.left), now), "%d missing, link %s, %s left", one.missing, one.link, one.left)
+		server.report.LinkRTT = one.link
+		assert.Equal(t, one.want, core.eligibility(server, at(one.left), now), "%d missing, link %s, %s left", one.missing, one.link, one.left)
 	}
 }
 
-// VERSION: after two versions in quick succession a server on the oldest is bound by the
-// first of them, one on the second by the third.
-func TestEachServerIsBoundByTheFirstVersionItLacks(t *testing.T) {
+// VERSION: after two versions in quick succession, a server on the oldest version is limited by the deadline
+// of the first of them, and one on the second version by that of the third.
+func TestDeadlineIsThatOfTheFirstVersionAServerLacks(t *testing.T) {
 	now := epoch
 	core := testCore("z", nil)
-	wanted := &Request{Engine: &Engine{}, Bounds: VersionBounds{
+	request := &Request{Engine: &Engine{}, VersionDeadlines: VersionDeadlines{
 		{Version: 2, Until: now.Add(900 * time.Millisecond)}, {Version: 3, Until: now.Add(2900 * time.Millisecond)},
 	}}
 	oldest, middle, newest := modelServer(now, 0), modelServer(now, 0), modelServer(now, 0)
-	middle.word.Version, newest.word.Version = 2, 3
-	assert.Equal(t, unfitBound, core.fitness(oldest, wanted, now))
-	assert.Equal(t, Fit, core.fitness(middle, wanted, now))
-	assert.Equal(t, Fit, core.fitness(newest, wanted, now))
+	middle.report.Version, newest.report.Version = 2, 3
+	assert.Equal(t, excludedVersionDeadline, core.eligibility(oldest, request, now))
+	assert.Equal(t, Eligible, core.eligibility(middle, request, now))
+	assert.Equal(t, Eligible, core.eligibility(newest, request, now))
 }
 
-// VERSION: a server whose pieces come much later than others' is on a narrow link, also
-// while messages pass it quickly; where nobody has them the origin is what is slow.
+// VERSION: a server whose pieces arrive much later than those of others is on a narrow link, even if messages
+// pass it quickly. Where no server has the pieces, the origin is the bottleneck.
 func TestServerThatLagsBehindTheOthersIsOnANarrowLink(t *testing.T) {
 	now := epoch
 	core := testCore("z", nil)
-	wanted := withFigures(Request{Bounds: VersionBounds{{Version: 2, Until: now.Add(3 * time.Second)}}, Prompt: 1000}, copiedEngine())
+	request := withFigures(Request{VersionDeadlines: VersionDeadlines{{Version: 2, Until: now.Add(3 * time.Second)}}, Prompt: 1000}, copiedEngine())
 	lagging := modelServer(now, 80)
-	for othersMissing, want := range map[int]Fitness{70: Fit, 0: unfitBound} {
-		core.TakeWord(Word{Address: "10.0.0.9:1", Reachable: true, Missing: othersMissing}, now)
-		core.findLeastMissing(now)
-		assert.Equal(t, want, core.fitness(lagging, wanted, now), "others lack %d", othersMissing)
+	for othersMissing, want := range map[int]Eligibility{70: Eligible, 0: excludedVersionDeadline} {
+		core.ApplyReport(LoadReport{Address: "10.0.0.9:1", Reachable: true, MissingPieces: othersMissing}, now)
+		core.computeMinMissing(now)
+		assert.Equal(t, want, core.eligibility(lagging, request, now), "others lack %d", othersMissing)
 	}
 }
--- a/coordination/dispatch/word.go
+++ b/coordination/dispatch/word.go
@@ -8,151 +8,152 @@
 	"pinevane.example/pinevane/coordination/health"
 )
 
-// wordCurrent is the age up to which an agent's word is trusted: four times the 0.3 s that words
-// from other zones usually are old.
-const wordCurrent = 1200 * time.Millisecond
+// reportTTL is the age up to which a report is used: four times the 0.3 s that reports from other zones
+// usually are old.
+const reportTTL = 1200 * time.Millisecond
 
-// NoWord is the age of an agent's word that never came.
-const NoWord = -time.Second
+// NoReport is the age of a report that never arrived.
+const NoReport = -time.Second
 
-// heardWord is a word and when it was said.
-type heardWord struct {
-	Word
+// timedReport is a load report with its time.
+type timedReport struct {
+	LoadReport
 	at time.Time
-	// lostAt is when it was first said that the server is not reached, of the words in a row that say so.
-	lostAt time.Time
+	// unreachableSince is the time of the first of the consecutive reports that the server is unreachable.
+	unreachableSince time.Time
 }
 
-// agentWord is what the agent beside a server has told of it.
-type agentWord struct {
-	heardWord
-	// seen is this entry's own part of the load that the word tells.
-	seen counts
-	// answeredAt is when the agent last answered a question of this entry.
-	answeredAt time.Time
-	// unansweredAt is when the agent last did not answer a question.
-	unansweredAt time.Time
+// agentReport holds the latest report of a server's agent.
+type agentReport struct {
+	timedReport
+	// ownCounts is this entry's own part of the reported load.
+	ownCounts loadCounts
+	// repliedAt is when the agent last replied to a load query of this entry.
+	repliedAt time.Time
+	// noReplyAt is when the agent last failed to reply to one.
+	noReplyAt time.Time
 }
 
-// current reports whether the agent's word is recent.
-func (w *agentWord) current(now time.Time) bool {
-	return !w.at.IsZero() && now.Sub(w.at) < wordCurrent
+// current reports whether the report is recent enough to be used.
+func (r *agentReport) current(now time.Time) bool {
+	return !r.at.IsZero() && now.Sub(r.at) < reportTTL
 }
 
-// counts reports whether what the agent counted can still be in the span that ends now.
-func (w *agentWord) counts(now time.Time) bool {
-	return w.current(now) && now.Sub(w.at) < admission.ColdSpan
+// receivedCurrent reports whether requests that the agent counted can still be in the cold window that ends
+// now.
+func (r *agentReport) receivedCurrent(now time.Time) bool {
+	return r.current(now) && now.Sub(r.at) < admission.ColdSpan
 }
 
-// silent reports whether the server has an agent that has fallen silent.
-func (w *agentWord) silent(now time.Time) bool {
-	return !w.at.IsZero() && now.Sub(w.at) >= wordCurrent
+// silent reports whether the server has an agent whose reports have stopped.
+func (r *agentReport) silent(now time.Time) bool {
+	return !r.at.IsZero() && now.Sub(r.at) >= reportTTL
 }
 
-func (w *agentWord) age(now time.Time) time.Duration {
-	if w.at.IsZero() {
-		return NoWord
+func (r *agentReport) age(now time.Time) time.Duration {
+	if r.at.IsZero() {
+		return NoReport
 	}
-	return now.Sub(w.at)
+	return now.Sub(r.at)
 }
 
-// untilSwitch is the time until the server changes over; it counts only when that is planned.
-func (w *agentWord) untilSwitch(now time.Time) time.Duration { return w.SwitchIn - now.Sub(w.at) }
+// untilSwitch returns the time until the server switches versions; valid only when a switch is planned.
+func (r *agentReport) untilSwitch(now time.Time) time.Duration { return r.SwitchIn - now.Sub(r.at) }
 
-// TakeWord notes an agent's word on its server and when it was said. It reports whether the word
-// is news, and returns the server if it tells another version, or another reachability, of it.
-func (c *Core) TakeWord(word Word, at time.Time) (news bool, changed *Candidate) {
-	if c.words[word.Address].at.After(at) {
-		// An answer to a question overtakes what is told all the time.
+// ApplyReport applies an agent's report on its server, made at the given time. It reports whether the report
+// was applied, and returns the server if its version or its reachability changed.
+func (c *Core) ApplyReport(report LoadReport, at time.Time) (applied bool, changed *Candidate) {
+	if c.reports[report.Address].at.After(at) {
+		// The reply to a load query has overtaken this periodic report.
 		return false, nil
 	}
-	if c.onFormerIncarnation(word, at) {
+	if c.fromFormerIncarnation(report, at) {
 		return false, nil
 	}
-	if !word.Reachable {
-		// The agent sees no request begin there: what waits could only grow.
-		word.Waiting, word.UnreadTokens = 0, 0
+	if !report.Reachable {
+		// The agent sees no request begin there, so the waiting ones could only grow.
+		report.Waiting, report.UnreadTokens = 0, 0
 	}
-	former, heard := c.words[word.Address]
-	fresh := heardWord{Word: word, at: at}
-	if !word.Reachable {
-		fresh.lostAt = at
-		if heard && !former.Reachable && !former.Born.Differs(word.Born) {
-			fresh.lostAt = former.lostAt
+	previous, found := c.reports[report.Address]
+	latest := timedReport{LoadReport: report, at: at}
+	if !report.Reachable {
+		latest.unreachableSince = at
+		if found && !previous.Reachable && !previous.StartTime.Differs(report.StartTime) {
+			latest.unreachableSince = previous.unreachableSince
 		}
 	}
-	c.words[word.Address] = fresh
-	known := c.byAddress[word.Address]
-	if known == nil {
+	c.reports[report.Address] = latest
+	candidate := c.byAddress[report.Address]
+	if candidate == nil {
 		return true, nil
 	}
-	if known.aheadOfList(word, at) {
+	if candidate.aheadOfList(report, at) {
 		return true, nil
 	}
-	if known.word.Reachable != word.Reachable || known.word.Version != word.Version {
-		changed = known
+	if candidate.report.Reachable != report.Reachable || candidate.report.Version != report.Version {
+		changed = candidate
 	}
-	known.word.heardWord = fresh
-	known.word.seen = known.sends.seenAt(at)
-	known.version = max(known.version, word.Version)
-	c.noteCold(known)
+	candidate.report.timedReport = latest
+	candidate.report.ownCounts = candidate.sends.countsAt(at)
+	candidate.version = max(candidate.version, report.Version)
+	c.extendForCold(candidate)
 	return true, changed
 }
 
-// Bounds of trust in births: a list and agents that go on telling different ones must not keep a server
-// from being used.
+// Limits of trust in start times: a list and agents that keep reporting different ones must not exclude a
+// server for good.
 const (
-	// formerWordTime is how long words on a former incarnation may come late: as long as agents' words
-	// are passed on.
-	formerWordTime = 10 * time.Second
-	// aheadTime is how long the list may take to name an incarnation that an agent knows: a line is
-	// written at the start, and reaches entries within a second.
-	aheadTime = 2 * time.Second
+	// formerReportTime is how long reports on a former incarnation may arrive late: as long as agents'
+	// reports are forwarded.
+	formerReportTime = 10 * time.Second
+	// aheadOfListTime is how long the list may take to name an incarnation that an agent knows: the list
+	// entry is written at the start, and reaches entries within a second.
+	aheadOfListTime = 2 * time.Second
 )
 
-// onFormerIncarnation reports whether a word is on a life of its server that is over, by what the list or a
-// later word has lately told.
-func (c *Core) onFormerIncarnation(word Word, at time.Time) bool {
-	if held := c.words[word.Address]; word.Born.Before(held.Born) && at.Sub(held.at) < formerWordTime {
+// fromFormerIncarnation reports whether a report is on an incarnation of its server that has ended, by the
+// list or a recent later report.
+func (c *Core) fromFormerIncarnation(report LoadReport, at time.Time) bool {
+	if latest := c.reports[report.Address]; report.StartTime.Before(latest.StartTime) && at.Sub(latest.at) < formerReportTime {
 		return true
 	}
-	known := c.byAddress[word.Address]
-	return known != nil && word.Born.Before(known.listing.server.Born) && at.Sub(known.listing.since) < formerWordTime
+	candidate := c.byAddress[report.Address]
+	return candidate != nil && report.StartTime.Before(candidate.listing.server.StartTime) && at.Sub(candidate.listing.firstListed) < formerReportTime
 }
 
-// aheadOfList reports whether a word is on an incarnation that the list does not name yet. The one that it
-// names gets nothing until the list follows, or has had the time for that.
-func (k *Candidate) aheadOfList(word Word, at time.Time) bool {
-	if !k.listing.server.Born.Before(word.Born) {
+// aheadOfList reports whether a report is on an incarnation that the list does not name yet. The listed one
+// is sent nothing until the list catches up, or has had the time to.
+func (k *Candidate) aheadOfList(report LoadReport, at time.Time) bool {
+	if !k.listing.server.StartTime.Before(report.StartTime) {
 		return false
 	}
-	if k.listing.next != word.Born {
-		k.listing.next, k.listing.endedTill = word.Born, at.Add(aheadTime)
+	if k.listing.nextStart != report.StartTime {
+		k.listing.nextStart, k.listing.endedUntil = report.StartTime, at.Add(aheadOfListTime)
 	}
-	return at.Before(k.listing.endedTill)
+	return at.Before(k.listing.endedUntil)
 }
 
-// Suspect reports whether there is evidence against a server beside its own silence, for a request
-// that was sent there at a time.
-func (c *Core) Suspect(k *Candidate, sentAt, now time.Time) bool {
-	onTrial := c.health.IsLostTrial(k.ID, c.since(sentAt), c.since(k.word.lostAt))
-	return k.word.silent(now) || (c.lost(k, now) && !onTrial) ||
-		(c.health.Unresponsive(k.ID, c.since(sentAt)) && c.hasOther(k, now))
+// FailureSuspected reports whether there is evidence against a server other than its silence, for a request
+// sent there at sentAt.
+func (c *Core) FailureSuspected(k *Candidate, sentAt, now time.Time) bool {
+	onTrial := c.health.IsLostTrial(k.ID, c.elapsed(sentAt), c.elapsed(k.report.unreachableSince))
+	return k.report.silent(now) || (c.lost(k, now) && !onTrial) ||
+		(c.health.Unresponsive(k.ID, c.elapsed(sentAt)) && c.hasAlternative(k, now))
 }
 
-// hasOther reports whether the service of a server has another one that is sent ordinary requests.
-func (c *Core) hasOther(k *Candidate, now time.Time) bool {
+// hasAlternative reports whether the service of a server has another one that is sent ordinary requests.
+func (c *Core) hasAlternative(k *Candidate, now time.Time) bool {
 	return slices.ContainsFunc(c.byService[k.listing.server.Service], func(other *Candidate) bool {
-		state := c.health.State(other.ID, c.since(now))
+		state := c.health.State(other.ID, c.elapsed(now))
 		return other != k && !c.Leaving(other) && (state == health.Healthy || state == health.Suspect)
 	})
 }
 
 // outstanding estimates how many requests the server holds.
 func (k *Candidate) outstanding(now time.Time) int {
-	if !k.word.current(now) || !k.word.Reachable {
+	if !k.report.current(now) || !k.report.Reachable {
 		return k.sends.inFlight
 	}
-	others := max(0, k.word.Running+k.word.Waiting-k.word.seen.inFlight)
+	others := max(0, k.report.Running+k.report.Waiting-k.report.ownCounts.inFlight)
 	return others + k.sends.inFlight
 }
