--- a/internal/catalog/ages.go
+++ b/internal/catalog/ages.go
@@ -228,8 +228,8 @@
 
 // withNaming returns notices, the newest last, with one that a peer has told, and reports whether
 // they differ. A version newer than all held ones comes with its record and is left to that.
-func withNaming(notices []Notice, told naming, since time.Time) ([]Notice, bool) {
-	index, held := slices.BinarySearchFunc(notices, told.Version, func(notice Notice, version uint64) int {
+func withNaming(notices []VersionAnnouncement, told naming, since time.Time) ([]VersionAnnouncement, bool) {
+	index, held := slices.BinarySearchFunc(notices, told.Version, func(notice VersionAnnouncement, version uint64) int {
 		return cmp.Compare(notice.Version, version)
 	})
 	switch {
@@ -240,7 +240,7 @@
 		differs := changed[index].Revision == told.Revision && changed[index].tighten(since)
 		return changed, differs
 	}
-	return slices.Insert(slices.Clone(notices), index, Notice{Version: told.Version, Revision: told.Revision, Since: since}), true
+	return slices.Insert(slices.Clone(notices), index, VersionAnnouncement{Version: told.Version, Revision: told.Revision, Since: since}), true
 }
 
 // Stamp is this process's stamp of now, for messages whose way back is to be measured.
--- a/internal/catalog/asks.go
+++ b/internal/catalog/asks.go
@@ -48,13 +48,13 @@
 	Asks []toldAsk `cbor:"1,keyasint"`
 }
 
-// AskFunction is told what a server has asked of another entry, and when.
-type AskFunction func(ask dispatch.Ask, entry string, at time.Time)
+// ServerNoticeHandler is told what a server has asked of another entry, and when.
+type ServerNoticeHandler func(ask dispatch.Ask, entry string, at time.Time)
 
 // serverAsks are the words of all entries. The catalog's mutex guards it.
 type serverAsks struct {
 	heldWords[dispatch.Ask]
-	onWord AskFunction
+	onWord ServerNoticeHandler
 	// fresh is signalled when there is something to pass on.
 	fresh chan struct{}
 }
@@ -63,11 +63,11 @@
 	return serverAsks{heldWords: newHeldWords[dispatch.Ask](started, askMemory, mostAsks), fresh: make(chan struct{}, 1)}
 }
 
-// OnAsk registers a function that is called with each word of another entry. It must be registered before Run.
-func (c *Catalog) OnAsk(function AskFunction) { c.asks.onWord = function }
+// OnServerNotice registers a function that is called with each word of another entry. It must be registered before Run.
+func (c *Catalog) OnServerNotice(function ServerNoticeHandler) { c.asks.onWord = function }
 
-// TellAsk has the other entries told at once what a server has asked of this one at a time.
-func (c *Catalog) TellAsk(ask dispatch.Ask, at time.Time) {
+// AnnounceServerNotice has the other entries told at once what a server has asked of this one at a time.
+func (c *Catalog) AnnounceServerNotice(ask dispatch.Ask, at time.Time) {
 	c.mutex.Lock()
 	word := heldWord[dispatch.Ask]{word: ask, at: at, number: c.asks.nextNumber()}
 	c.asks.hold(wordKey{entry: c.options.Self, server: ask.Server}, word, time.Now())
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -114,7 +114,7 @@
 
 	statuses       map[string]heldStatus
 	statusSequence uint64
-	onStatus       StatusFunction
+	onStatus       StatusHandler
 	// hastened is set when statuses are to be passed on soon, of which haste tells; hasteAll when
 	// they are to all entries; hastenedAt is when that was last done.
 	hastened   bool
@@ -153,7 +153,7 @@
 		}),
 	}
 	c.health, c.quarantine, c.asks = newHealthWords(c.started), newQuarantineWords(), newServerAsks(c.started)
-	c.view.Store(&View{Servers: map[string][]fleet.Server{}, Versions: map[string][]Notice{}})
+	c.view.Store(&View{Servers: map[string][]fleet.Server{}, Versions: map[string][]VersionAnnouncement{}})
 	options.Hub.Handle(topicUpdate, c.handleUpdate)
 	options.Hub.Handle(topicPull, c.handlePull)
 	options.Hub.Handle(fleet.TopicMachineStatus, c.handleStatus)
@@ -173,11 +173,11 @@
 // must be registered before Run.
 func (c *Catalog) OnChange(function func(*View)) { c.callbacks = append(c.callbacks, function) }
 
-// Calls returns how many calls the store was sent.
-func (c *Catalog) Calls() int64 { return c.calls.Load() }
+// StoreCalls returns how many calls the store was sent.
+func (c *Catalog) StoreCalls() int64 { return c.calls.Load() }
 
-// Fresh returns when the copy was last known to be current.
-func (c *Catalog) Fresh() time.Time {
+// FreshAt returns when the copy was last known to be current.
+func (c *Catalog) FreshAt() time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.fresh
@@ -432,11 +432,11 @@
 
 // Status is the catalog's part of a state dump.
 type Status struct {
-	ConfigurationVersion uint64              `json:"configuration_version"`
-	ConfigurationAge     float64             `json:"configuration_age_seconds"`
-	FreshAge             float64             `json:"fresh_age_seconds"`
-	Servers              int                 `json:"servers"`
-	Versions             map[string][]Notice `json:"versions"`
+	ConfigurationVersion uint64                           `json:"configuration_version"`
+	ConfigurationAge     float64                          `json:"configuration_age_seconds"`
+	FreshAge             float64                          `json:"fresh_age_seconds"`
+	Servers              int                              `json:"servers"`
+	Versions             map[string][]VersionAnnouncement `json:"versions"`
 	// EvacuatedZones are sent nothing new.
 	EvacuatedZones []string `json:"evacuated_zones"`
 	// FaultyRecords are some of the servers' records that can't be used, with the reason.
@@ -448,7 +448,7 @@
 // Status describes what is held and how old it is.
 func (c *Catalog) Status() Status {
 	view := c.View()
-	status := Status{Versions: maps.Clone(view.Versions), EvacuatedZones: slices.Sorted(maps.Keys(view.Evacuations)), StoreCalls: c.Calls(), FreshAge: time.Since(c.Fresh()).Seconds()}
+	status := Status{Versions: maps.Clone(view.Versions), EvacuatedZones: slices.Sorted(maps.Keys(view.Evacuations)), StoreCalls: c.StoreCalls(), FreshAge: time.Since(c.FreshAt()).Seconds()}
 	if view.Configuration != nil {
 		status.ConfigurationVersion = view.Configuration.Version
 		status.ConfigurationAge = time.Since(view.ConfigurationSince).Seconds()
--- a/internal/catalog/entries.go
+++ b/internal/catalog/entries.go
@@ -154,8 +154,8 @@
 	return ids
 }
 
-// Peers returns how many other entries were heard of lately.
-func (c *Catalog) Peers() int {
+// EntryCount returns how many other entries were heard of lately.
+func (c *Catalog) EntryCount() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.overlay.Count()
--- a/internal/catalog/health.go
+++ b/internal/catalog/health.go
@@ -58,13 +58,13 @@
 // heldHealth is the newest word of an entry on a server.
 type heldHealth = heldWord[health.Word]
 
-// HealthFunction is told what another entry of the zone has said of a server, and when.
-type HealthFunction func(word health.Word, at time.Time)
+// HealthHandler is told what another entry of the zone has said of a server, and when.
+type HealthHandler func(word health.Word, at time.Time)
 
 // healthWords are what the zone's entries have said of servers. The catalog's mutex guards it.
 type healthWords struct {
 	heldWords[health.Word]
-	onWord HealthFunction
+	onWord HealthHandler
 }
 
 func newHealthWords(started time.Time) healthWords {
@@ -73,10 +73,10 @@
 
 // OnHealth registers a function that is called with each word of another entry. It must be
 // registered before Run.
-func (c *Catalog) OnHealth(function HealthFunction) { c.health.onWord = function }
+func (c *Catalog) OnHealth(function HealthHandler) { c.health.onWord = function }
 
-// TellHealth has the zone's other entries told what this one has found out at a time, at the next pace.
-func (c *Catalog) TellHealth(words []health.Word, at time.Time) {
+// AnnounceHealth has the zone's other entries told what this one has found out at a time, at the next pace.
+func (c *Catalog) AnnounceHealth(words []health.Word, at time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := time.Now()
--- a/internal/catalog/horizon_test.go
+++ b/internal/catalog/horizon_test.go
@@ -408,9 +408,9 @@
 func TestNoticesAreKeptAsLongAsTheyBind(t *testing.T) {
 	const apply = 8 * time.Second
 	now := time.Unix(1000, 0)
-	var notices []Notice
+	var notices []VersionAnnouncement
 	for version := uint64(2); version < 12; version++ {
-		notices = append(notices, Notice{Version: version, Since: now.Add(time.Duration(version) * time.Second)})
+		notices = append(notices, VersionAnnouncement{Version: version, Since: now.Add(time.Duration(version) * time.Second)})
 	}
 	kept := stillBinding(notices, apply, now.Add(11*time.Second))
 	assert.Equal(t, uint64(2), kept[0].Version, "version 3 is not in force yet")
--- a/internal/catalog/large_configuration_test.go
+++ b/internal/catalog/large_configuration_test.go
@@ -37,7 +37,7 @@
 	}()
 	<-decoder.begun
 	asked := make(chan int, 1)
-	go func() { asked <- c.Peers() }()
+	go func() { asked <- c.EntryCount() }()
 	select {
 	case <-asked:
 	case <-time.After(time.Second):
--- a/internal/catalog/packing.go
+++ b/internal/catalog/packing.go
@@ -17,8 +17,8 @@
 const (
 	// packingProtocol reads statusBatch.Packed and update.Bundle.
 	packingProtocol = 1
-	// OwnProtocol is what processes of this build tell of themselves with peering.Hello.
-	OwnProtocol = packingProtocol
+	// ProtocolVersion is what processes of this build tell of themselves with peering.Hello.
+	ProtocolVersion = packingProtocol
 )
 
 // readsPacked reports whether the other end of a link reads compressed messages.
--- a/internal/catalog/packing_test.go
+++ b/internal/catalog/packing_test.go
@@ -74,11 +74,11 @@
 	}
 	c.takeWatched(records)
 	sizes := map[int]int{}
-	for _, protocol := range []int{0, OwnProtocol} {
+	for _, protocol := range []int{0, ProtocolVersion} {
 		peer := &peerLink{link: linkToProtocol(t, c, protocol), compared: true}
 		key, due := c.nextBatch(peer, true, now)
 		assert.True(t, due)
-		assert.Equal(t, protocol == OwnProtocol, key.packed)
+		assert.Equal(t, protocol == ProtocolVersion, key.packed)
 		message := c.compose(peer)
 		encoded, err := cbor.Marshal(message)
 		require.NoError(t, err)
@@ -87,7 +87,7 @@
 		require.NoError(t, err)
 		assert.Len(t, told, servers)
 	}
-	assert.Less(t, 10*sizes[OwnProtocol], sizes[0], "%v", sizes)
+	assert.Less(t, 10*sizes[ProtocolVersion], sizes[0], "%v", sizes)
 }
 
 // linkToProtocol links to another entry that tells a protocol.
--- a/internal/catalog/quarantine.go
+++ b/internal/catalog/quarantine.go
@@ -62,13 +62,13 @@
 	Words []toldWord `cbor:"1,keyasint"`
 }
 
-// QuarantineFunction is told what another process has found out. The word's moment counts from a time.
-type QuarantineFunction func(word quarantine.Word, from time.Time)
+// QuarantineHandler is told what another process has found out. The word's moment counts from a time.
+type QuarantineHandler func(word quarantine.Word, from time.Time)
 
 // quarantineWords are the words of all entries. The catalog's mutex guards the archive.
 type quarantineWords struct {
 	archive *quarantine.Archive
-	onWord  QuarantineFunction
+	onWord  QuarantineHandler
 	// fresh is signalled when there is something to pass on.
 	fresh chan struct{}
 }
@@ -79,11 +79,11 @@
 
 // OnQuarantine registers a function that is called with each word of another process. It must be
 // registered before Run.
-func (c *Catalog) OnQuarantine(function QuarantineFunction) { c.quarantine.onWord = function }
+func (c *Catalog) OnQuarantine(function QuarantineHandler) { c.quarantine.onWord = function }
 
-// TellQuarantine has all other processes told at once what this one has found out. The words' moments
+// AnnounceQuarantine has all other processes told at once what this one has found out. The words' moments
 // count from a time.
-func (c *Catalog) TellQuarantine(words []quarantine.Word, from time.Time) {
+func (c *Catalog) AnnounceQuarantine(words []quarantine.Word, from time.Time) {
 	c.mutex.Lock()
 	for _, word := range words {
 		word.At += from.Sub(c.started)
--- a/internal/catalog/reader.go
+++ b/internal/catalog/reader.go
@@ -117,7 +117,7 @@
 	if at.at == 0 {
 		return min(time.Until(c.listTime(at, rank)), rankCheck)
 	}
-	return min(mayAge(rank, zoneRank)-time.Since(c.Fresh()), rankCheck)
+	return min(mayAge(rank, zoneRank)-time.Since(c.FreshAt()), rankCheck)
 }
 
 // mayAge is the age of its copy at which an entry reads the store, by its rank in its
--- a/internal/catalog/statuses.go
+++ b/internal/catalog/statuses.go
@@ -73,13 +73,13 @@
 	late bool
 }
 
-// StatusFunction is told an agent's word, when the agent said it, and whether it said
+// StatusHandler is told an agent's word, when the agent said it, and whether it said
 // so to this process itself.
-type StatusFunction func(status fleet.MachineStatus, at time.Time, direct bool)
+type StatusHandler func(status fleet.MachineStatus, at time.Time, direct bool)
 
 // OnStatus registers a function that is called with each newer word of an agent. It
 // must be registered before Run.
-func (c *Catalog) OnStatus(function StatusFunction) { c.onStatus = function }
+func (c *Catalog) OnStatus(function StatusHandler) { c.onStatus = function }
 
 func (c *Catalog) handleStatus(link *peering.Link, received *message.Message) {
 	status, err := peering.Decode[fleet.MachineStatus](received)
--- a/internal/catalog/view.go
+++ b/internal/catalog/view.go
@@ -17,8 +17,8 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// Notice is a named version.
-type Notice struct {
+// VersionAnnouncement is a named version.
+type VersionAnnouncement struct {
 	Version  uint64 `json:"version"`
 	Revision uint64 `json:"revision"`
 	// Since is the earliest moment at which the version can have been named: the last one
@@ -31,7 +31,7 @@
 
 // tighten takes over another earliest moment of the naming where that is later, or the one
 // held is a guess, and reports whether it did.
-func (n *Notice) tighten(since time.Time) bool {
+func (n *VersionAnnouncement) tighten(since time.Time) bool {
 	if !n.Assumed && !since.After(n.Since) {
 		return false
 	}
@@ -48,7 +48,7 @@
 	// Servers lists every listed server by its service.
 	Servers map[string][]fleet.Server
 	// Versions holds the named versions of each model, the newest last.
-	Versions map[string][]Notice
+	Versions map[string][]VersionAnnouncement
 	// Evacuations are the evacuated zones, and since when this process knows; the map is
 	// never changed.
 	Evacuations map[string]time.Time
@@ -63,7 +63,7 @@
 // stillBinding drops the notices of versions that bind nothing any more: the oldest one, for as
 // long as a newer one is in force too. Until then it is the oldest that ends the time of the
 // versions before it.
-func stillBinding(notices []Notice, apply time.Duration, now time.Time) []Notice {
+func stillBinding(notices []VersionAnnouncement, apply time.Duration, now time.Time) []VersionAnnouncement {
 	for len(notices) > 1 && (len(notices) > maximumNotices || now.Sub(notices[1].Since) > apply) {
 		notices = notices[1:]
 	}
@@ -71,17 +71,17 @@
 }
 
 // Newest returns the newest named version of a model.
-func (v *View) Newest(model string) (Notice, bool) {
+func (v *View) Newest(model string) (VersionAnnouncement, bool) {
 	notices := v.Versions[model]
 	if len(notices) == 0 {
-		return Notice{}, false
+		return VersionAnnouncement{}, false
 	}
 	return notices[len(notices)-1], true
 }
 
-// Due returns the newest version of a model that was named longer ago than an
+// NewestOlderThan returns the newest version of a model that was named longer ago than an
 // age, or 0.
-func (v *View) Due(model string, age time.Duration, now time.Time) uint64 {
+func (v *View) NewestOlderThan(model string, age time.Duration, now time.Time) uint64 {
 	due := uint64(0)
 	for _, notice := range v.Versions[model] {
 		if now.Sub(notice.Since) > age {
@@ -92,18 +92,18 @@
 }
 
 // FirstAfter returns the earliest remembered notice of a version newer than one.
-func (v *View) FirstAfter(model string, version uint64) (Notice, bool) {
+func (v *View) FirstAfter(model string, version uint64) (VersionAnnouncement, bool) {
 	return FirstAfter(v.Versions[model], version)
 }
 
 // FirstAfter returns the earliest notice of a version newer than one.
-func FirstAfter(notices []Notice, version uint64) (Notice, bool) {
+func FirstAfter(notices []VersionAnnouncement, version uint64) (VersionAnnouncement, bool) {
 	for _, notice := range notices {
 		if notice.Version > version {
 			return notice, true
 		}
 	}
-	return Notice{}, false
+	return VersionAnnouncement{}, false
 }
 
 // Evacuated reports whether a zone is to be sent nothing new.
@@ -216,7 +216,7 @@
 		return
 	}
 	age := c.ages[record.Key]
-	notice := Notice{Version: named.Version, Revision: record.Revision, Since: time.Now().Add(-age.age), Assumed: age.assumed}
+	notice := VersionAnnouncement{Version: named.Version, Revision: record.Revision, Since: time.Now().Add(-age.age), Assumed: age.assumed}
 	notices := append(slices.Clone(next.Versions[named.Model]), notice)
 	notices = stillBinding(notices, c.options.VersionApply, time.Now())
 	next.Versions = maps.Clone(next.Versions)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -87,7 +87,7 @@
 	d.WatchSilence(options.Store)
 	settings := options.Settings
 	d.settings.Store(&settings)
-	hello := peering.Hello{ID: settings.IP, Incarnation: uint64(d.started.UnixNano()), Role: options.Role, Zone: settings.Zone, Protocol: catalog.OwnProtocol}
+	hello := peering.Hello{ID: settings.IP, Incarnation: uint64(d.started.UnixNano()), Role: options.Role, Zone: settings.Zone, Protocol: catalog.ProtocolVersion}
 	d.Hub = peering.NewHub(hello, options.Log, peering.NewCounters(d.Registry))
 	d.Catalog = catalog.New(catalog.Options{
 		Self: settings.IP, Role: options.Role, Zone: settings.Zone, InternalPort: settings.InternalPort, Seeds: settings.Seeds, IsSeed: settings.IsSeed,
@@ -116,7 +116,7 @@
 			func(s catalog.Status) float64 { return float64(len(s.EvacuatedZones)) }),
 		newFaultyCollector(d.Catalog),
 		prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "pinevane_store_calls_total", Help: "Calls to the platform's store."},
-			func() float64 { return float64(d.Catalog.Calls()) }),
+			func() float64 { return float64(d.Catalog.StoreCalls()) }),
 	)
 }
 
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -29,7 +29,7 @@
 	view := w.targets.currentView()
 	apply := w.targets.bounds.Load().VersionApply
 	w.wanted.Bounds = boundsOf(view.Versions[w.request.Call.Model], apply)
-	w.wanted.AtLeast = view.Due(w.request.Call.Model, apply-versionMargin, time.Now())
+	w.wanted.AtLeast = view.NewestOlderThan(w.request.Call.Model, apply-versionMargin, time.Now())
 }
 
 // expectedVersion is the version that a server is asked to check. Once the bound of
--- a/internal/forward/convert.go
+++ b/internal/forward/convert.go
@@ -77,7 +77,7 @@
 
 // boundsOf tells until when servers with older versions than the named ones may begin requests,
 // where each is to be in force some time after its naming.
-func boundsOf(notices []catalog.Notice, apply time.Duration) dispatch.VersionBounds {
+func boundsOf(notices []catalog.VersionAnnouncement, apply time.Duration) dispatch.VersionBounds {
 	bounds := make(dispatch.VersionBounds, 0, len(notices))
 	for _, notice := range notices {
 		bounds = append(bounds, dispatch.VersionBound{Version: notice.Version, Until: notice.Since.Add(apply)})
--- a/internal/forward/exchange_test.go
+++ b/internal/forward/exchange_test.go
@@ -245,7 +245,7 @@
 		request := testRequest("late", "b")
 		f.targets.bounds.Store(&fleet.Bounds{VersionApply: 8 * time.Second})
 		request.Call.Model = "m"
-		f.targets.update(&catalog.View{Versions: map[string][]catalog.Notice{"m": {{Version: 2, Since: time.Now().Add(-7 * time.Second)}}}})
+		f.targets.update(&catalog.View{Versions: map[string][]catalog.VersionAnnouncement{"m": {{Version: 2, Since: time.Now().Add(-7 * time.Second)}}}})
 		w := &work{Forwarder: f, request: request, wanted: dispatch.Request{Engine: &dispatch.Engine{}}}
 		judge := w.silence(server, 1)
 		w.attemptBegun = begun
@@ -274,7 +274,7 @@
 	w.request.Call.Model = "m"
 	judge := w.silence(&target{}, 1)
 	require.NoError(t, judge(time.Millisecond, time.Second))
-	f.targets.update(&catalog.View{Versions: map[string][]catalog.Notice{"m": {{Version: 2, Since: time.Now().Add(-7800 * time.Millisecond)}}}})
+	f.targets.update(&catalog.View{Versions: map[string][]catalog.VersionAnnouncement{"m": {{Version: 2, Since: time.Now().Add(-7800 * time.Millisecond)}}}})
 	assert.ErrorIs(t, judge(time.Millisecond, time.Second), errBound)
 }
 
@@ -291,7 +291,7 @@
 	w := &work{Forwarder: f, request: testRequest("late", "b"), wanted: dispatch.Request{Engine: &dispatch.Engine{}}}
 	w.request.Call.Model = "m"
 	judge := w.silence(server, 1)
-	f.targets.update(&catalog.View{Versions: map[string][]catalog.Notice{"m": {{Version: 2, Since: time.Now().Add(-7800 * time.Millisecond)}}}})
+	f.targets.update(&catalog.View{Versions: map[string][]catalog.VersionAnnouncement{"m": {{Version: 2, Since: time.Now().Add(-7800 * time.Millisecond)}}}})
 	_, failed := f.open(context.Background(), w.request, fleet.SendHeader{Deadline: time.Second, Instance: "i-1"}, server, judge)
 	require.NotNil(t, failed)
 	assert.Equal(t, fault.ReasonVersionBound, failed.reason)
--- a/internal/forward/health.go
+++ b/internal/forward/health.go
@@ -25,8 +25,8 @@
 
 // HealthSource is what entries of a zone tell each other of servers.
 type HealthSource interface {
-	// TellHealth has the others told what was found out at a time: ages in the words are those of then.
-	TellHealth(words []health.Word, at time.Time)
+	// AnnounceHealth has the others told what was found out at a time: ages in the words are those of then.
+	AnnounceHealth(words []health.Word, at time.Time)
 	// ZoneEntries lists the others.
 	ZoneEntries() []string
 }
@@ -100,7 +100,7 @@
 
 // tellZone has the zone told what was found out; the mutex is not held.
 func (t *targets) tellZone() {
-	t.health.findings.deliver(&t.mutex, func(one finding) { t.health.source.TellHealth(one.words, one.at) })
+	t.health.findings.deliver(&t.mutex, func(one finding) { t.health.source.AnnounceHealth(one.words, one.at) })
 }
 
 func (t *targets) logHealth(change health.Change) {
--- a/internal/forward/health_lock_test.go
+++ b/internal/forward/health_lock_test.go
@@ -31,7 +31,7 @@
 	s.forwarder.targets.mutex.Unlock()
 }
 
-func (s *lockedSource) TellHealth(words []health.Word, _ time.Time) {
+func (s *lockedSource) AnnounceHealth(words []health.Word, _ time.Time) {
 	s.note("tell")
 	s.words = append(s.words, words...)
 }
--- a/internal/forward/outbox_test.go
+++ b/internal/forward/outbox_test.go
@@ -21,8 +21,8 @@
 	told    []dispatch.Ask
 }
 
-// TellAsk implements AskSource.
-func (s *slowAsks) TellAsk(ask dispatch.Ask, _ time.Time) {
+// AnnounceServerNotice implements AskSource.
+func (s *slowAsks) AnnounceServerNotice(ask dispatch.Ask, _ time.Time) {
 	if !s.later.Swap(true) {
 		close(s.begun)
 		<-s.proceed
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -35,8 +35,8 @@
 
 // QuarantineSource passes on what entries have found out of contents that end servers.
 type QuarantineSource interface {
-	// TellQuarantine has the other processes told; the words' moments count from a time.
-	TellQuarantine(words []quarantine.Word, from time.Time)
+	// AnnounceQuarantine has the other processes told; the words' moments count from a time.
+	AnnounceQuarantine(words []quarantine.Word, from time.Time)
 }
 
 // contents keeps contents that end servers from these.
@@ -84,7 +84,7 @@
 		c.report(change)
 	}
 	if len(words) > 0 && c.source != nil {
-		c.source.TellQuarantine(words, c.started)
+		c.source.AnnounceQuarantine(words, c.started)
 	}
 }
 
