--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -63,79 +63,79 @@
 	mirror *mirror.Mirror
 	// changes orders the records that are passed on to others.
 	changes *mirror.Changes
-	// urgent is the sequence of the last change that others are told of at once.
-	urgent uint64
-	// closeWatch follows that servers in use turn cold.
-	closeWatch closeWatch
+	// urgentSequence is the sequence of the last change that others are told of at once.
+	urgentSequence uint64
+	// watchPacer follows that servers in use turn cold.
+	watchPacer watchPacer
 	// heads are the revisions held of large records, which others ask for; pulls are the
 	// last questions of this process for them.
 	heads map[string]uint64
 	// servicesRevision is that of the configuration whose services entries have told this
 	// agent.
 	servicesRevision uint64
-	pulls            map[string]pull
-	packs            packs
-	// bundle is the one that was sent last.
-	bundle bundle
+	pulls            map[string]pendingPull
+	packs            packCache
+	// lastBundle is the one that was sent last.
+	lastBundle bundle
 	// servers are the listed servers by the keys of their records, in order of key.
 	servers    map[string]fleet.Server
 	serverKeys []string
 	faulty     faultyRecords
 	// formerIncarnations are the births of lines that were taken for late ones of a former incarnation, by key.
 	formerIncarnations map[string]incarnation.Born
-	// ages tells how long ago records of versions were named, by key.
-	ages map[string]versionAge
-	// fresh is when the copy was last known to be current; regained is when that was
+	// versionAges tells how long ago records of versions were named, by key.
+	versionAges map[string]versionAge
+	// freshAt is when the copy was last known to be current; regained is when that was
 	// known again after an outage of the store.
-	fresh    time.Time
-	regained time.Time
-	// known is up to when the copy surely holds every change of the store. It trails fresh,
+	freshAt    time.Time
+	regainedAt time.Time
+	// watermark is up to when the copy surely holds every change of the store. It trails fresh,
 	// which counts an answer of the store from its arrival.
-	known horizon
-	// outUntil is the newest moment at which the store was out for all: see noteRefused.
-	outUntil time.Time
+	watermark watermark
+	// storeOutUntil is the newest moment at which the store was out for all: see noteRefused.
+	storeOutUntil time.Time
 	// freshSequence counts how often others were to be told at once that the copy is
 	// fresh, freshFromStore is that of the last answer of the store to this process.
-	freshSequence  uint64
-	freshFromStore uint64
-	// complete is the store's revision up to which every change has been heard of;
+	freshSequence      uint64
+	storeFreshSequence uint64
+	// completeRevision is the store's revision up to which every change has been heard of;
 	// toldAt is when another process last said anything.
-	complete uint64
-	toldAt   time.Time
-	started  time.Time
-	// agentOffset spreads the agents that begin to read for themselves.
-	agentOffset time.Duration
-	// lapsed holds servers that were lost from the list around an outage, by ID.
-	lapsed map[string]lapsedServer
+	completeRevision uint64
+	lastUpdateAt     time.Time
+	started          time.Time
+	// agentReadDelay spreads the agents that begin to read for themselves.
+	agentReadDelay time.Duration
+	// expired holds servers that were lost from the list around an outage, by ID.
+	expired map[string]expiredServer
 	// storeSuspectedAt is when the store's connections were last suspected to be silent.
 	storeSuspectedAt time.Time
-	// calls counts the calls to the store.
-	calls atomic.Int64
+	// storeCalls counts the calls to the store.
+	storeCalls atomic.Int64
 
 	statuses       map[string]heldStatus
 	statusSequence uint64
 	onStatus       StatusHandler
-	// hastened is set when statuses are to be passed on soon, of which haste tells; hasteAll when
+	// flushScheduled is set when statuses are to be passed on soon, of which haste tells; hasteAll when
 	// they are to all entries; hastenedAt is when that was last done.
-	hastened   bool
-	hasteAll   bool
-	hastenedAt time.Time
-	haste      chan struct{}
+	flushScheduled bool
+	flushAll       bool
+	flushedAt      time.Time
+	flush          chan struct{}
 
-	health     healthWords
-	quarantine quarantineWords
-	asks       serverAsks
+	health     healthReports
+	quarantine quarantineReports
+	notices    serverNotices
 
 	// overlay tells whom this entry speaks with; links are what it has of that, and
 	// those that others made, by IP address.
 	overlay *overlay.Overlay
 	links   map[string]*peerLink
-	pause   pause
+	pauses  pauseDetector
 	// backupOf are the entries that have this agent's words from another one too.
-	backupOf  map[string]bool
-	callbacks []func(*View)
-	notify    sync.Mutex
-	kick      chan struct{}
+	backupOf    map[string]bool
+	callbacks   []func(*View)
+	notifyMutex sync.Mutex
+	wake        chan struct{}
 }
 
 // New returns an empty catalog and registers its handlers with the hub.
@@ -144,15 +144,15 @@
 		options.OnSilent = func(string, time.Duration) {}
 	}
 	c := &Catalog{
-		options: options, started: time.Now(), agentOffset: rand.N(agentSpread), mirror: mirror.New(), changes: mirror.NewChanges(), heads: map[string]uint64{}, pulls: map[string]pull{},
-		servers: map[string]fleet.Server{}, formerIncarnations: map[string]incarnation.Born{}, faulty: newFaultyRecords(), ages: map[string]versionAge{}, lapsed: map[string]lapsedServer{},
-		statuses: map[string]heldStatus{}, links: map[string]*peerLink{}, backupOf: map[string]bool{}, kick: make(chan struct{}, 1), haste: make(chan struct{}, 1),
+		options: options, started: time.Now(), agentReadDelay: rand.N(agentReadJitter), mirror: mirror.New(), changes: mirror.NewChanges(), heads: map[string]uint64{}, pulls: map[string]pendingPull{},
+		servers: map[string]fleet.Server{}, formerIncarnations: map[string]incarnation.Born{}, faulty: newFaultyRecords(), versionAges: map[string]versionAge{}, expired: map[string]expiredServer{},
+		statuses: map[string]heldStatus{}, links: map[string]*peerLink{}, backupOf: map[string]bool{}, wake: make(chan struct{}, 1), flush: make(chan struct{}, 1),
 		overlay: overlay.New(overlay.Options{
 			Self: options.Self, Zone: options.Zone, Relays: relaysPerZone, Gates: gatesPerZone, Feeders: feedersPerAgent,
-			Recent: entryRecent, Memory: entryMemory, Capacity: capacityOf(options.LinkBytesPerSecond),
+			Recent: entryTimeout, Memory: entryTTL, Capacity: capacityClass(options.LinkBytesPerSecond),
 		}),
 	}
-	c.health, c.quarantine, c.asks = newHealthWords(c.started), newQuarantineWords(), newServerAsks(c.started)
+	c.health, c.quarantine, c.notices = newHealthReports(c.started), newQuarantineReports(), newServerNotices(c.started)
 	c.view.Store(&View{Servers: map[string][]fleet.Server{}, Versions: map[string][]VersionAnnouncement{}})
 	options.Hub.Handle(topicUpdate, c.handleUpdate)
 	options.Hub.Handle(topicPull, c.handlePull)
@@ -160,9 +160,9 @@
 	options.Hub.Handle(topicStatuses, c.handleStatuses)
 	options.Hub.Handle(topicHealth, c.handleHealth)
 	options.Hub.Handle(topicQuarantine, c.handleQuarantine)
-	options.Hub.Handle(topicAsks, c.handleAsks)
+	options.Hub.Handle(topicServerNotices, c.handleServerNotices)
 	options.Hub.OnOpen(c.linkOpened)
-	options.Hub.OnOpen(c.greetQuarantine)
+	options.Hub.OnOpen(c.sendHeldQuarantine)
 	return c
 }
 
@@ -174,13 +174,13 @@
 func (c *Catalog) OnChange(function func(*View)) { c.callbacks = append(c.callbacks, function) }
 
 // StoreCalls returns how many calls the store was sent.
-func (c *Catalog) StoreCalls() int64 { return c.calls.Load() }
+func (c *Catalog) StoreCalls() int64 { return c.storeCalls.Load() }
 
 // FreshAt returns when the copy was last known to be current.
 func (c *Catalog) FreshAt() time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.fresh
+	return c.freshAt
 }
 
 // Run reads the store and exchanges records until the context ends.
@@ -191,26 +191,26 @@
 	work.Wait()
 }
 
-// takeWatched merges records that a watch has brought. The versions among them were named
+// applyWatched merges records that a watch has brought. The versions among them were named
 // after the moment up to which the copy was complete, and no later: a watch that was silent,
 // or late at the store, brings them long after that.
-func (c *Catalog) takeWatched(records []mirror.Record) {
+func (c *Catalog) applyWatched(records []mirror.Record) {
 	c.apply(fromStore, func() []mirror.Record {
-		c.noteAges(records, func(mirror.Record) versionAge { return c.ageOfWatched() })
+		c.recordAges(records, func(mirror.Record) versionAge { return c.ageOfWatched() })
 		return c.mirror.Merge(records)
 	})
 }
 
-// takeTold merges records from a peer, which says how long ago the versions among
+// applyReceived merges records from a peer, which says how long ago the versions among
 // them were named, if it knows that.
-func (c *Catalog) takeTold(records []mirror.Record, ages map[string]word) {
+func (c *Catalog) applyReceived(records []mirror.Record, ages map[string]peerAge) {
 	c.apply(fromPeer, func() []mirror.Record {
-		c.noteAges(records, func(record mirror.Record) versionAge {
+		c.recordAges(records, func(record mirror.Record) versionAge {
 			told, known := ages[record.Key]
 			if !known {
 				return c.ageOfUnseen()
 			}
-			age, bounded := ageOfNews(told, c.surelyKnown().notBefore(c.outUntil), time.Now())
+			age, bounded := ageOfReceived(told, c.safeWatermark().atLeast(c.storeOutUntil), time.Now())
 			return versionAge{age: age, assumed: !bounded}
 		})
 		news := c.mirror.Merge(records)
@@ -219,13 +219,13 @@
 	})
 }
 
-// replace takes in a whole listing. It does not tell how old the versions are that a
+// applyListing takes in a whole listing. It does not tell how old the versions are that a
 // process meets in its first one; later, what is new to it was named since the copy was
 // last complete.
-func (c *Catalog) replace(prefix string, listing fleet.Listing) {
+func (c *Catalog) applyListing(prefix string, listing fleet.Listing) {
 	c.apply(fromStore, func() []mirror.Record {
 		age := c.ageOfUnseen()
-		c.noteAges(listing.Records, func(mirror.Record) versionAge { return age })
+		c.recordAges(listing.Records, func(mirror.Record) versionAge { return age })
 		return c.mirror.Replace(prefix, listing.Records, listing.At)
 	})
 }
@@ -241,33 +241,33 @@
 
 // apply changes the mirror and tells everyone when that made a difference.
 func (c *Catalog) apply(from source, change func() []mirror.Record) {
-	c.notify.Lock()
-	defer c.notify.Unlock()
+	c.notifyMutex.Lock()
+	defer c.notifyMutex.Unlock()
 	old := c.View()
 	c.mutex.Lock()
-	news, turnedCold := c.relevant(change())
-	c.noteChanges(from, news, turnedCold)
+	news, turnedCold := c.applyServers(change())
+	c.recordChanges(from, news, turnedCold)
 	c.mutex.Unlock()
 	decoded := c.decodeConfigurations(news)
 	c.mutex.Lock()
 	if len(news) > 0 {
-		c.rebuild(news, decoded)
+		c.rebuildView(news, decoded)
 	}
 	c.mutex.Unlock()
 	if c.View() == old {
 		return
 	}
-	c.kickExchange()
+	c.wakeExchange()
 	for _, callback := range c.callbacks {
 		callback(c.View())
 	}
 }
 
-// changeView publishes a changed copy of the view and tells everyone of it, unless the function
+// updateView publishes a changed copy of the view and tells everyone of it, unless the function
 // reports that nothing has changed.
-func (c *Catalog) changeView(change func(next *View) bool) {
-	c.notify.Lock()
-	defer c.notify.Unlock()
+func (c *Catalog) updateView(change func(next *View) bool) {
+	c.notifyMutex.Lock()
+	defer c.notifyMutex.Unlock()
 	c.mutex.Lock()
 	next := *c.View()
 	changed := change(&next)
@@ -283,12 +283,12 @@
 	}
 }
 
-// noteChanges notes what others are to be told. What the store has told this process
+// recordChanges notes what others are to be told. What the store has told this process
 // is urgent, since others depend on it; what a peer has told goes on with the next
 // update, unless it names weights, evacuates a zone, or says that a server in use has turned
 // cold: told with the next update, that reached a zone's last entry 0.2 s after its first and
 // agents 0.6 s after it, and both 0.02 s after it when told at once. The mutex is held.
-func (c *Catalog) noteChanges(from source, news []mirror.Record, turnedCold bool) {
+func (c *Catalog) recordChanges(from source, news []mirror.Record, turnedCold bool) {
 	for _, record := range news {
 		kind := c.options.Decoder.Kind(record.Key)
 		switch kind {
@@ -301,12 +301,12 @@
 			continue
 		}
 		if from == fromStore || kind == fleet.RecordVersion || kind == fleet.RecordEvacuation {
-			c.urgent = c.changes.Sequence()
+			c.urgentSequence = c.changes.Sequence()
 		}
 	}
 	if turnedCold {
-		c.urgent = c.changes.Sequence()
-		c.closeWatch.turnedCold(time.Now())
+		c.urgentSequence = c.changes.Sequence()
+		c.watchPacer.recordTurnedCold(time.Now())
 	}
 }
 
@@ -316,14 +316,14 @@
 func (c *Catalog) announceHeads(from source) {
 	c.freshSequence++
 	if from == fromStore {
-		c.freshFromStore = c.freshSequence
+		c.storeFreshSequence = c.freshSequence
 	}
 }
 
-// relevant takes over what records say of servers, and drops the records of those
+// applyServers takes over what records say of servers, and drops the records of those
 // that changed nothing but their counter. It reports whether one has turned cold that was
 // warm. The mutex is held.
-func (c *Catalog) relevant(news []mirror.Record) (kept []mirror.Record, turnedCold bool) {
+func (c *Catalog) applyServers(news []mirror.Record) (kept []mirror.Record, turnedCold bool) {
 	kept = news[:0]
 	now := time.Now()
 	for _, record := range news {
@@ -332,7 +332,7 @@
 			continue
 		}
 		old, known := c.servers[record.Key]
-		if c.takeServer(record) {
+		if c.applyServer(record) {
 			kept = append(kept, record)
 			turnedCold = turnedCold || (known && !now.Before(old.ColdUntil) && now.Before(c.servers[record.Key].ColdUntil))
 		}
@@ -340,20 +340,20 @@
 	return kept, turnedCold
 }
 
-// takeServer takes over the record of a server, and reports whether it says anything
+// applyServer takes over the record of a server, and reports whether it says anything
 // new. That a lapsed server is listed again is news, also where its line is the same:
 // it is not among the listed ones meanwhile.
-func (c *Catalog) takeServer(record mirror.Record) bool {
+func (c *Catalog) applyServer(record mirror.Record) bool {
 	old, known := c.servers[record.Key]
 	if record.Gone {
-		c.dropServer(record.Key)
+		c.removeServer(record.Key)
 		delete(c.faulty.reasons, record.Key)
 		return true
 	}
 	server, err := c.options.Decoder.Server(record, time.Now())
 	if err != nil {
-		c.dropServer(record.Key)
-		c.noteFaulty(record.Key, record.Revision, err)
+		c.removeServer(record.Key)
+		c.recordFaulty(record.Key, record.Revision, err)
 		return known
 	}
 	delete(c.faulty.reasons, record.Key)
@@ -392,7 +392,7 @@
 	return true
 }
 
-func (c *Catalog) dropServer(key string) {
+func (c *Catalog) removeServer(key string) {
 	delete(c.formerIncarnations, key)
 	delete(c.servers, key)
 	if index, listed := slices.BinarySearch(c.serverKeys, key); listed {
@@ -400,10 +400,10 @@
 	}
 }
 
-// coldStep is the difference up to which two words on when a server will be warm count as
+// coldTolerance is the difference up to which two words on when a server will be warm count as
 // the same: what a line takes from the server to here varies by less, and each heartbeat of
 // a cold server would make a view otherwise.
-const coldStep = 400 * time.Millisecond
+const coldTolerance = 400 * time.Millisecond
 
 // sameCold reports whether two times until which a server is cold are the same to those who
 // send requests there now.
@@ -412,7 +412,7 @@
 	if a.Before(now) && b.Before(now) {
 		return true
 	}
-	return !a.IsZero() && !b.IsZero() && a.Sub(b).Abs() < coldStep
+	return !a.IsZero() && !b.IsZero() && a.Sub(b).Abs() < coldTolerance
 }
 
 func sameServer(a, b fleet.Server) bool {
@@ -456,6 +456,6 @@
 	for _, servers := range view.Servers {
 		status.Servers += len(servers)
 	}
-	status.Entries, status.FaultyRecords = c.Entries(), c.toldFaulty()
+	status.Entries, status.FaultyRecords = c.Entries(), c.reportedFaulty()
 	return status
 }
--- a/internal/catalog/doubt_test.go
+++ b/internal/catalog/doubt_test.go
@@ -55,27 +55,27 @@
 func TestPeersDoNotUndoTheDoubtOfAForgottenHistory(t *testing.T) {
 	reader, peer := newTestCatalog(), newTestCatalog()
 	reader.options.Store = forgetfulStore{}
-	reader.known.advance(time.Now())
-	deliver(t, peer, update{KnownMilliseconds: 1, Digest: peer.changes.Digest()})
-	at := &position{prefix: "op/", at: 3}
-	reader.read(t.Context(), at, watchWait)
-	require.Zero(t, at.at, "the history is gone")
-	deliver(t, reader, update{KnownMilliseconds: 1, Digest: reader.changes.Digest()})
-	reader.read(t.Context(), at, watchWait)
-	assert.GreaterOrEqual(t, ageOfNewest(t, reader), forgottenDoubt, "listed")
+	reader.watermark.advance(time.Now())
+	deliver(t, peer, update{CompleteMilliseconds: 1, Digest: peer.changes.Digest()})
+	at := &watchPosition{prefix: "op/", revision: 3}
+	reader.readStore(t.Context(), at, watchWait)
+	require.Zero(t, at.revision, "the history is gone")
+	deliver(t, reader, update{CompleteMilliseconds: 1, Digest: reader.changes.Digest()})
+	reader.readStore(t.Context(), at, watchWait)
+	assert.GreaterOrEqual(t, ageOfNewest(t, reader), historyLossMargin, "listed")
 	deliver(t, peer, update{Records: []mirror.Record{version2}, AgesMilliseconds: map[string]int64{version2.Key: 1500}})
-	assert.GreaterOrEqual(t, ageOfNewest(t, peer), forgottenDoubt, "told")
-	reader.takeNamings(peer.namings(time.Now()), 0, time.Now())
-	assert.GreaterOrEqual(t, ageOfNewest(t, reader), forgottenDoubt, "told back")
+	assert.GreaterOrEqual(t, ageOfNewest(t, peer), historyLossMargin, "told")
+	reader.applyAnnouncements(peer.announcements(time.Now()), 0, time.Now())
+	assert.GreaterOrEqual(t, ageOfNewest(t, reader), historyLossMargin, "told back")
 }
 
 // A watch that brings a version shows that the store has not forgotten what was before it: no
 // doubt is added, at the reader or at those whom it tells.
 func TestAWatchedVersionIsNotDoubted(t *testing.T) {
 	reader, peer := newTestCatalog(), newTestCatalog()
-	reader.known.advance(time.Now().Add(-300 * time.Millisecond))
-	peer.known.advance(time.Now().Add(-300 * time.Millisecond))
-	reader.takeWatched([]mirror.Record{version2})
+	reader.watermark.advance(time.Now().Add(-300 * time.Millisecond))
+	peer.watermark.advance(time.Now().Add(-300 * time.Millisecond))
+	reader.applyWatched([]mirror.Record{version2})
 	assert.Less(t, ageOfNewest(t, reader), 500*time.Millisecond)
 	deliver(t, peer, update{Records: []mirror.Record{version2}, AgesMilliseconds: map[string]int64{version2.Key: 300}})
 	assert.Less(t, ageOfNewest(t, peer), 500*time.Millisecond)
@@ -117,18 +117,18 @@
 		{"500", status(http.StatusInternalServerError), outage, false},
 		{"reset", &fault.Unavailable{Target: "store", Cause: syscall.ECONNRESET}, outage, false},
 		{"silence", &fault.Unavailable{Target: "store", Cause: context.DeadlineExceeded}, outage, false},
-		{"turned away alone", status(http.StatusServiceUnavailable), commonOutage - time.Second, false},
+		{"turned away alone", status(http.StatusServiceUnavailable), fleetOutageAge - time.Second, false},
 	} {
 		for _, at := range []uint64{0, 3} {
 			c := newTestCatalog()
 			store := &refusingStore{err: one.err}
 			c.options.Store = store
-			c.known.advance(time.Now().Add(-outage))
-			c.fresh = time.Now().Add(-one.served)
-			stands := &position{prefix: "op/", at: at}
-			c.read(t.Context(), stands, watchWait)
+			c.watermark.advance(time.Now().Add(-outage))
+			c.freshAt = time.Now().Add(-one.served)
+			stands := &watchPosition{prefix: "op/", revision: at}
+			c.readStore(t.Context(), stands, watchWait)
 			store.err = nil
-			c.read(t.Context(), stands, watchWait)
+			c.readStore(t.Context(), stands, watchWait)
 			age := ageOfNewest(t, c)
 			if one.capped {
 				assert.Less(t, age, time.Second, one.name)
@@ -142,6 +142,6 @@
 // A process that has just started does not take the time until its first answer for an outage.
 func TestAStartIsNoOutage(t *testing.T) {
 	c := newTestCatalog()
-	c.noteRefused(time.Now(), &fault.Unavailable{Target: "store", Status: http.StatusServiceUnavailable})
-	assert.Zero(t, c.outUntil)
+	c.recordRefused(time.Now(), &fault.Unavailable{Target: "store", Status: http.StatusServiceUnavailable})
+	assert.Zero(t, c.storeOutUntil)
 }
--- a/internal/catalog/entries_test.go
+++ b/internal/catalog/entries_test.go
@@ -14,7 +14,7 @@
 func catalogAmong(entries int) *Catalog {
 	c := newTestCatalog()
 	for index := range entries {
-		c.hearEntry(fmt.Sprintf("10.1.%d.%d", index/250, index%250), entrySign{Zone: fmt.Sprintf("zone-%d", index%5), Capacity: 3})
+		c.recordEntry(fmt.Sprintf("10.1.%d.%d", index/250, index%250), entryHeartbeat{Zone: fmt.Sprintf("zone-%d", index%5), Capacity: 3})
 	}
 	c.overlay.Advance(time.Now())
 	return c
@@ -23,7 +23,7 @@
 // updateBytes is the size of an update with what is told of entries.
 func updateBytes(t *testing.T, c *Catalog, peer *peerLink) int {
 	now := time.Now()
-	message := c.compose(peer)
+	message := c.composeUpdate(peer)
 	c.addEntries(&message, peer, now, func() *roster { return rosterOf(c.overlay.Roster(now)) })
 	encoded, err := cbor.Marshal(message)
 	require.NoError(t, err)
@@ -36,7 +36,7 @@
 	sizes := map[int]int{}
 	for _, entries := range []int{30, 327, 1200} {
 		c := catalogAmong(entries)
-		sizes[entries] = updateBytes(t, c, &peerLink{roster: c.overlay.Digest()})
+		sizes[entries] = updateBytes(t, c, &peerLink{rosterDigest: c.overlay.Digest()})
 	}
 	assert.LessOrEqual(t, sizes[1200], sizes[30]+16, "bytes at 30 and 1,200 entries: %v", sizes)
 }
@@ -45,12 +45,12 @@
 // hears of all from it.
 func TestListGoesToWhoKnowsOthers(t *testing.T) {
 	c := catalogAmong(40)
-	for name, peer := range map[string]*peerLink{"others": {roster: 1}, "no roster": {}} {
+	for name, peer := range map[string]*peerLink{"others": {rosterDigest: 1}, "no roster": {}} {
 		now := time.Now()
-		message := c.compose(peer)
+		message := c.composeUpdate(peer)
 		c.addEntries(&message, peer, now, func() *roster { return rosterOf(c.overlay.Roster(now)) })
 		assert.Len(t, message.Entries, 40, name)
-		assert.Equal(t, entrySign{Zone: "zone-1", Capacity: 3, AgeMilliseconds: message.Entries["10.1.0.1"].AgeMilliseconds}, message.Entries["10.1.0.1"], name)
+		assert.Equal(t, entryHeartbeat{Zone: "zone-1", Capacity: 3, AgeMilliseconds: message.Entries["10.1.0.1"].AgeMilliseconds}, message.Entries["10.1.0.1"], name)
 		assert.Empty(t, message.Roster.AgesMilliseconds, name)
 	}
 }
@@ -58,9 +58,9 @@
 // Links of about the same rate are of one class, those of a much larger one of a higher.
 func TestCapacityOfLinks(t *testing.T) {
 	const megabit = 1e6 / 8
-	assert.Zero(t, capacityOf(0))
-	assert.Zero(t, capacityOf(40*megabit), "an ordinary link ranks like one that is not told")
-	assert.Equal(t, capacityOf(200*megabit), capacityOf(250*megabit))
-	assert.Less(t, capacityOf(40*megabit), capacityOf(200*megabit))
-	assert.Less(t, capacityOf(200*megabit), capacityOf(1000*megabit))
+	assert.Zero(t, capacityClass(0))
+	assert.Zero(t, capacityClass(40*megabit), "an ordinary link ranks like one that is not told")
+	assert.Equal(t, capacityClass(200*megabit), capacityClass(250*megabit))
+	assert.Less(t, capacityClass(40*megabit), capacityClass(200*megabit))
+	assert.Less(t, capacityClass(200*megabit), capacityClass(1000*megabit))
 }
--- a/internal/catalog/evacuations.go
+++ b/internal/catalog/evacuations.go
@@ -10,9 +10,9 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// takeEvacuation takes over that a zone is evacuated, or no more. A record with a fault that
+// applyEvacuation takes over that a zone is evacuated, or no more. A record with a fault that
 // names a zone is in force: it can only have been written to empty that zone.
-func (c *Catalog) takeEvacuation(next *View, record mirror.Record) {
+func (c *Catalog) applyEvacuation(next *View, record mirror.Record) {
 	evacuation, err := c.options.Decoder.Evacuation(record)
 	if err != nil {
 		c.options.Log.Log(logging.EvacuationFaulty, zap.String("key", record.Key), zap.Uint64("revision", record.Revision), zap.Error(err))
--- a/internal/catalog/evacuations_test.go
+++ b/internal/catalog/evacuations_test.go
@@ -20,24 +20,24 @@
 // others tell later of an older revision changes nothing.
 func TestEvacuationsAreTakenAndTakenBack(t *testing.T) {
 	c := newTestCatalog()
-	urgent := c.urgent
-	c.takeTold([]mirror.Record{evacuationRecord("a", 5), evacuationRecord("b", 6)}, nil)
+	urgent := c.urgentSequence
+	c.applyReceived([]mirror.Record{evacuationRecord("a", 5), evacuationRecord("b", 6)}, nil)
 	assert.Contains(t, c.View().Evacuations, "a")
 	assert.Contains(t, c.View().Evacuations, "b")
-	assert.Greater(t, c.urgent, urgent, "others are told at once, also by one who was told")
-	c.takeWatched([]mirror.Record{{Key: "op/evacuate/a", Revision: 8, Gone: true}})
-	c.takeTold([]mirror.Record{evacuationRecord("a", 5)}, nil)
+	assert.Greater(t, c.urgentSequence, urgent, "others are told at once, also by one who was told")
+	c.applyWatched([]mirror.Record{{Key: "op/evacuate/a", Revision: 8, Gone: true}})
+	c.applyReceived([]mirror.Record{evacuationRecord("a", 5)}, nil)
 	assert.NotContains(t, c.View().Evacuations, "a")
-	c.replace("", fleet.Listing{At: 12})
+	c.applyListing("", fleet.Listing{At: 12})
 	assert.Empty(t, c.View().Evacuations, "a listing without it takes it back")
 }
 
 // An evacuation is passed on to those who lack it, as other records are.
 func TestEvacuationsArePassedOn(t *testing.T) {
 	c := newTestCatalog()
-	c.takeWatched([]mirror.Record{evacuationRecord("a", 5)})
+	c.applyWatched([]mirror.Record{evacuationRecord("a", 5)})
 	c.mutex.Lock()
-	message := c.compose(&peerLink{compared: true})
+	message := c.composeUpdate(&peerLink{compared: true})
 	c.mutex.Unlock()
 	assert.True(t, slices.ContainsFunc(message.Records, func(r mirror.Record) bool { return r.Key == "op/evacuate/a" }))
 }
@@ -53,19 +53,19 @@
 	c := newTestCatalog()
 	views := 0
 	c.OnChange(func(*View) { views++ })
-	c.takeWatched([]mirror.Record{coldRecord(1, 0)})
-	c.takeWatched([]mirror.Record{coldRecord(2, 0)})
+	c.applyWatched([]mirror.Record{coldRecord(1, 0)})
+	c.applyWatched([]mirror.Record{coldRecord(2, 0)})
 	assert.Equal(t, 1, views)
-	c.takeWatched([]mirror.Record{coldRecord(3, 3*time.Second)})
+	c.applyWatched([]mirror.Record{coldRecord(3, 3*time.Second)})
 	assert.Equal(t, 2, views)
 	until := c.View().Servers["m"][0].ColdUntil
 	assert.WithinDuration(t, time.Now().Add(3*time.Second), until, time.Second)
-	c.takeWatched([]mirror.Record{coldRecord(4, 2900*time.Millisecond)})
+	c.applyWatched([]mirror.Record{coldRecord(4, 2900*time.Millisecond)})
 	assert.Equal(t, 2, views)
 	assert.Equal(t, until, c.servers["servers/s"].ColdUntil, "small differences do not add up")
-	c.takeWatched([]mirror.Record{coldRecord(5, 0)})
+	c.applyWatched([]mirror.Record{coldRecord(5, 0)})
 	assert.Equal(t, 3, views, "warm sooner than said")
-	c.takeWatched([]mirror.Record{coldRecord(6, 5*time.Second)})
+	c.applyWatched([]mirror.Record{coldRecord(6, 5*time.Second)})
 	assert.Equal(t, 4, views)
 }
 
@@ -74,9 +74,9 @@
 func TestServerThatTurnsColdIsUrgentNews(t *testing.T) {
 	c := newTestCatalog()
 	tell := func(record mirror.Record) bool {
-		before := c.urgent
-		c.takeTold([]mirror.Record{record}, nil)
-		return c.urgent > before
+		before := c.urgentSequence
+		c.applyReceived([]mirror.Record{record}, nil)
+		return c.urgentSequence > before
 	}
 	assert.False(t, tell(coldRecord(1, 0)), "a server that is new")
 	assert.True(t, tell(coldRecord(2, 3*time.Second)))
@@ -85,37 +85,37 @@
 	assert.True(t, tell(coldRecord(5, time.Second)))
 
 	other := newTestCatalog()
-	other.takeTold([]mirror.Record{coldRecord(1, 3*time.Second)}, nil)
-	assert.Zero(t, other.urgent, "nobody sends to a server before its line is heard")
+	other.applyReceived([]mirror.Record{coldRecord(1, 3*time.Second)}, nil)
+	assert.Zero(t, other.urgentSequence, "nobody sends to a server before its line is heard")
 }
 
 // The store is watched without a pause for a while after a server has turned cold: others of
 // its group do so too.
 func TestStoreIsWatchedCloselyWhenServersTurnCold(t *testing.T) {
 	c := newTestCatalog()
-	assert.Equal(t, watchPace, c.pace(time.Now()))
-	c.takeWatched([]mirror.Record{coldRecord(1, 0)})
-	assert.Equal(t, watchPace, c.pace(time.Now()))
-	c.takeWatched([]mirror.Record{coldRecord(2, 3*time.Second)})
-	assert.Equal(t, coldWatchPace, c.pace(time.Now()))
-	assert.Equal(t, watchPace, c.pace(time.Now().Add(coldNewsTime)))
+	assert.Equal(t, watchInterval, c.watchInterval(time.Now()))
+	c.applyWatched([]mirror.Record{coldRecord(1, 0)})
+	assert.Equal(t, watchInterval, c.watchInterval(time.Now()))
+	c.applyWatched([]mirror.Record{coldRecord(2, 3*time.Second)})
+	assert.Equal(t, coldWatchInterval, c.watchInterval(time.Now()))
+	assert.Equal(t, watchInterval, c.watchInterval(time.Now().Add(coldWatchDuration)))
 }
 
 // Servers that turn cold one after the other all the time do not have the store watched closely
 // all the time: each process calls it closely for a second of five at most.
 func TestStoreIsNotWatchedCloselyAllTheTime(t *testing.T) {
-	var watch closeWatch
+	var watch watchPacer
 	start := time.Now()
 	const step, steps = 10 * time.Millisecond, 3000
 	calls, close := 0, 0
 	var called time.Time
 	for index := range steps {
 		now := start.Add(time.Duration(index) * step)
-		watch.turnedCold(now)
-		if watch.pace(now) == coldWatchPace {
+		watch.recordTurnedCold(now)
+		if watch.interval(now) == coldWatchInterval {
 			close++
 		}
-		if now.Sub(called) >= watch.pace(now) {
+		if now.Sub(called) >= watch.interval(now) {
 			calls, called = calls+1, now
 		}
 	}
@@ -125,11 +125,11 @@
 
 // After a pause the next server that turns cold is news again.
 func TestStoreIsWatchedCloselyAgainAfterAPause(t *testing.T) {
-	var watch closeWatch
+	var watch watchPacer
 	start := time.Now()
-	watch.turnedCold(start)
-	watch.turnedCold(start.Add(coldNewsTime / 2))
-	assert.Equal(t, watchPace, watch.pace(start.Add(coldNewsTime)), "it is not prolonged")
-	watch.turnedCold(start.Add(coldNewsPeriod))
-	assert.Equal(t, coldWatchPace, watch.pace(start.Add(coldNewsPeriod)))
+	watch.recordTurnedCold(start)
+	watch.recordTurnedCold(start.Add(coldWatchDuration / 2))
+	assert.Equal(t, watchInterval, watch.interval(start.Add(coldWatchDuration)), "it is not prolonged")
+	watch.recordTurnedCold(start.Add(minColdWatchSpacing))
+	assert.Equal(t, coldWatchInterval, watch.interval(start.Add(minColdWatchSpacing)))
 }
--- a/internal/catalog/exchange.go
+++ b/internal/catalog/exchange.go
@@ -24,16 +24,16 @@
 
 // Times of the exchange.
 const (
-	// updatePeriod is the pace of updates between entries, which are signs of life too;
+	// updateInterval is the pace of updates between entries, which are signs of life too;
 	// agentUpdatePeriod that of updates to agents, which need to know of silence later.
 	// Urgent changes are sent at once.
-	updatePeriod      = 300 * time.Millisecond
-	agentUpdatePeriod = 600 * time.Millisecond
-	// listPeriod is how often the list of entries is sent on a link whose other end does not know
+	updateInterval      = 300 * time.Millisecond
+	agentUpdateInterval = 600 * time.Millisecond
+	// listInterval is how often the list of entries is sent on a link whose other end does not know
 	// the same ones.
-	listPeriod = 900 * time.Millisecond
-	// newListPause is the least time between two lists on a link while entries are new.
-	newListPause = 100 * time.Millisecond
+	listInterval = 900 * time.Millisecond
+	// minListInterval is the least time between two lists on a link while entries are new.
+	minListInterval = 100 * time.Millisecond
 )
 
 // update is the news of one process. Large records (configurations) are only
@@ -48,7 +48,7 @@
 	Heads map[string]uint64 `cbor:"4,keyasint,omitempty"`
 	// Entries maps the entries heard of to the zone and the age of their last sign;
 	// it is not in every update.
-	Entries map[string]entrySign `cbor:"5,keyasint,omitempty"`
+	Entries map[string]entryHeartbeat `cbor:"5,keyasint,omitempty"`
 	// Digest sums up the sender's records without the large ones; 0 when it does not
 	// say. A receiver whose own is the same need not send any.
 	Digest uint64 `cbor:"6,keyasint,omitempty"`
@@ -60,16 +60,16 @@
 	Complete uint64 `cbor:"8,keyasint,omitempty"`
 	// Packed are large records, compressed one by one.
 	Packed [][]byte `cbor:"9,keyasint,omitempty"`
-	// KnownMilliseconds is the time since the sender's copy was surely complete, cut up to
+	// CompleteMilliseconds is the time since the sender's copy was surely complete, cut up to
 	// a whole one; 0 when it does not know.
-	KnownMilliseconds int64 `cbor:"10,keyasint,omitempty"`
+	CompleteMilliseconds int64 `cbor:"10,keyasint,omitempty"`
 	// Stamp is the sender's stamp of the moment of sending. Echo is the newest stamp that it
 	// has of the receiver, 0 for none, and EchoHeld for how many milliseconds it has had it.
 	Stamp    int64 `cbor:"11,keyasint,omitempty"`
 	Echo     int64 `cbor:"12,keyasint,omitempty"`
 	EchoHeld int64 `cbor:"13,keyasint,omitempty"`
-	// Namings are the named versions that the sender knows.
-	Namings []naming `cbor:"14,keyasint,omitempty"`
+	// Announcements are the named versions that the sender knows.
+	Announcements []announcementMessage `cbor:"14,keyasint,omitempty"`
 	// Services tell an agent the part of the newest configuration that it acts on.
 	Services *publishedServices `cbor:"15,keyasint,omitempty"`
 	// Roster sums up the entries that the sender knows, in place of Entries between processes
@@ -88,37 +88,37 @@
 	}
 	c.mutex.Lock()
 	for _, seed := range c.options.Seeds {
-		c.hearEntry(seed, entrySign{})
+		c.recordEntry(seed, entryHeartbeat{})
 	}
 	c.mutex.Unlock()
-	ticker := time.NewTicker(updatePeriod)
+	ticker := time.NewTicker(updateInterval)
 	defer ticker.Stop()
-	statusTicker := time.NewTicker(statusPace)
+	statusTicker := time.NewTicker(statusInterval)
 	defer statusTicker.Stop()
-	linkTimer := time.NewTimer(linkLook)
+	linkTimer := time.NewTimer(linkCheckInterval)
 	defer linkTimer.Stop()
 	for {
-		c.keepLinks(ctx)
+		c.maintainLinks(ctx)
 		// First, so that an entry that starts hears of it before it has servers to send to.
-		c.passQuarantine()
-		c.passAsks()
+		c.sendPendingQuarantine()
+		c.sendPendingNotices()
 		c.sendUpdates()
 		for waiting := true; waiting; {
 			select {
 			case <-statusTicker.C:
-				c.passStatuses()
-				c.passHealth()
+				c.relayStatuses()
+				c.sendPendingHealth()
 			case <-linkTimer.C:
 				linkTimer.Reset(c.checkLinks(ctx))
-			case <-c.haste:
-				c.passHastened()
-			case <-c.quarantine.fresh:
-				c.passQuarantine()
-			case <-c.asks.fresh:
-				c.passAsks()
+			case <-c.flush:
+				c.flushStatuses()
+			case <-c.quarantine.pending:
+				c.sendPendingQuarantine()
+			case <-c.notices.pending:
+				c.sendPendingNotices()
 			case <-ticker.C:
 				waiting = false
-			case <-c.kick:
+			case <-c.wake:
 				waiting = false
 			case <-ctx.Done():
 				return
@@ -127,8 +127,8 @@
 	}
 }
 
-// kickExchange has the links looked after and the urgent news sent at once.
-func (c *Catalog) kickExchange() { signal(c.kick) }
+// wakeExchange has the links looked after and the urgent news sent at once.
+func (c *Catalog) wakeExchange() { signal(c.wake) }
 
 // signal wakes who waits on a channel of one place, once for any number of signals.
 func signal(channel chan<- struct{}) {
@@ -154,7 +154,7 @@
 		if peer.link == nil || peer.sending || !c.updateDue(peer, now) {
 			continue
 		}
-		message := c.compose(peer)
+		message := c.composeUpdate(peer)
 		if peer.isEntry() {
 			c.addEntries(&message, peer, now, aged)
 		} else {
@@ -163,10 +163,10 @@
 			message.Services = c.servicesFor(peer)
 		}
 		if peer.compared {
-			peer.sequence = c.changes.Sequence()
+			peer.sentSequence = c.changes.Sequence()
 		}
-		peer.sending, peer.updatedAt, peer.freshTold = true, now, c.freshSequence
-		go c.send(peer, peer.link, message)
+		peer.sending, peer.updatedAt, peer.freshSent = true, now, c.freshSequence
+		go c.sendUpdate(peer, peer.link, message)
 	}
 }
 
@@ -175,53 +175,53 @@
 // what the store has answered to this one, be it that nothing has changed, and everything
 // else at their pace. The mutex is held.
 func (c *Catalog) updateDue(peer *peerLink, now time.Time) bool {
-	period := updatePeriod
+	period := updateInterval
 	if !peer.isEntry() {
-		period = agentUpdatePeriod
+		period = agentUpdateInterval
 	}
 	// An update of which the timer is a little early is not put off by a whole tick.
-	if now.Sub(peer.updatedAt) >= period-updatePeriod/4 {
+	if now.Sub(peer.updatedAt) >= period-updateInterval/4 {
 		return true
 	}
 	if !peer.isEntry() {
-		return c.urgent > peer.sequence
+		return c.urgentSequence > peer.sentSequence
 	}
 	if peer.zone() != c.options.Zone {
-		return c.freshFromStore > peer.freshTold
+		return c.storeFreshSequence > peer.freshSent
 	}
-	return (peer.compared && c.urgent > peer.sequence) || c.freshSequence > peer.freshTold || c.newEntriesDue(peer, now)
+	return (peer.compared && c.urgentSequence > peer.sentSequence) || c.freshSequence > peer.freshSent || c.newEntriesDue(peer, now)
 }
 
-func (c *Catalog) send(peer *peerLink, link *peering.Link, message update) {
-	c.sent(peer, link, &peer.sending, peering.Send(link, topicUpdate, "", message))
+func (c *Catalog) sendUpdate(peer *peerLink, link *peering.Link, message update) {
+	c.finishSend(peer, link, &peer.sending, peering.Send(link, topicUpdate, "", message))
 }
 
-// sent notes that a send over a link has ended, of which a flag of the peer says that it was under
+// finishSend notes that a send over a link has ended, of which a flag of the peer says that it was under
 // way. A link that has failed is made anew.
-func (c *Catalog) sent(peer *peerLink, link *peering.Link, underWay *bool, err error) {
+func (c *Catalog) finishSend(peer *peerLink, link *peering.Link, underWay *bool, err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	*underWay = false
 	if err != nil && peer.link == link {
 		peer.link = nil
-		c.kickExchange()
+		c.wakeExchange()
 	}
 }
 
-// compose builds an update with every change that a link was not told, once it is
+// composeUpdate builds an update with every change that a link was not told, once it is
 // known how far the other process's records differ; the mutex is held.
-func (c *Catalog) compose(peer *peerLink) update {
+func (c *Catalog) composeUpdate(peer *peerLink) update {
 	now := time.Now()
-	message := update{FreshMilliseconds: now.Sub(c.fresh).Milliseconds(), Heads: maps.Clone(c.heads), Digest: c.changes.Digest(), Complete: c.complete}
+	message := update{FreshMilliseconds: now.Sub(c.freshAt).Milliseconds(), Heads: maps.Clone(c.heads), Digest: c.changes.Digest(), Complete: c.completeRevision}
 	message.Stamp = c.stamp(now)
 	message.Echo, message.EchoHeld = peer.stamps.echo(now)
-	if since, known := c.known.longest(now); known {
-		message.KnownMilliseconds = since.Milliseconds() + 1
+	if since, known := c.watermark.maxAge(now); known {
+		message.CompleteMilliseconds = since.Milliseconds() + 1
 	}
-	if c.fresh.IsZero() {
+	if c.freshAt.IsZero() {
 		message.FreshMilliseconds = int64(time.Hour / time.Millisecond)
 	}
-	message.Namings = c.namings(now)
+	message.Announcements = c.announcements(now)
 	if peer.compared {
 		c.addChanges(&message, peer)
 	}
@@ -231,7 +231,7 @@
 // addChanges adds the records that have changed since a link was last told; the mutex is held.
 func (c *Catalog) addChanges(message *update, peer *peerLink) {
 	var records []mirror.Record
-	for _, key := range c.changes.After(peer.sequence) {
+	for _, key := range c.changes.After(peer.sentSequence) {
 		record, known := c.mirror.Held(key)
 		if !known {
 			continue
@@ -241,7 +241,7 @@
 			c.addAge(message, record)
 		}
 	}
-	c.addRecords(message, peer.link, peer.sequence, records)
+	c.addRecords(message, peer.link, peer.sentSequence, records)
 }
 
 // addAge adds how long ago the version of a record was named, unless that is only
@@ -268,18 +268,18 @@
 		return
 	}
 	now := time.Now()
-	flight, flightKnown := flightOf(c.started, news.Echo, news.EchoHeld, now)
-	ages := map[string]word{}
+	flight, flightKnown := maxFlight(c.started, news.Echo, news.EchoHeld, now)
+	ages := map[string]peerAge{}
 	for key, age := range news.AgesMilliseconds {
-		ages[key] = word{age: time.Duration(age) * time.Millisecond, flight: flight, flightKnown: flightKnown, received: now}
+		ages[key] = peerAge{age: time.Duration(age) * time.Millisecond, flight: flight, flightKnown: flightKnown, receivedAt: now}
 	}
 	c.mutex.Lock()
-	c.noteStamp(link.Remote().ID, news.Stamp, now)
+	c.recordStamp(link.Remote().ID, news.Stamp, now)
 	c.backupOf[link.Remote().ID] = news.Backup
-	c.takeEntries(link.Remote(), news, now)
-	c.toldAt = time.Now()
-	c.noteToldFresh(link.Remote().Zone, c.toldAt.Add(-time.Duration(news.FreshMilliseconds)*time.Millisecond))
-	lacking := c.lacking(news.Heads)
+	c.applyEntries(link.Remote(), news, now)
+	c.lastUpdateAt = time.Now()
+	c.recordPeerFresh(link.Remote().Zone, c.lastUpdateAt.Add(-time.Duration(news.FreshMilliseconds)*time.Millisecond))
+	lacking := c.missingHeads(news.Heads)
 	c.mutex.Unlock()
 	if news.Records, err = news.unbundle(); err != nil {
 		c.options.Log.Log(logging.FrameRejected, zap.String("peer", link.Remote().ID), zap.Error(err))
@@ -293,17 +293,17 @@
 		news.Records = append(news.Records, record)
 	}
 	if len(news.Records) > 0 {
-		c.takeTold(news.Records, ages)
+		c.applyReceived(news.Records, ages)
 	}
 	if news.Services != nil {
-		c.takeServices(link, *news.Services)
+		c.applyServices(link, *news.Services)
 	}
 	if flightKnown {
-		c.takeNamings(news.Namings, flight, now)
+		c.applyAnnouncements(news.Announcements, flight, now)
 	}
-	if c.compare(link.Remote().ID, news) {
+	if c.compareRecords(link.Remote().ID, news) {
 		c.mutex.Lock()
-		c.noteToldKnown(news, flight, flightKnown, now)
+		c.recordPeerComplete(news, flight, flightKnown, now)
 		c.mutex.Unlock()
 	}
 	if len(lacking) > 0 {
@@ -311,41 +311,41 @@
 	}
 }
 
-// freshStep is the least progress of its freshness that the first entry of a zone passes
+// minFreshProgress is the least progress of its freshness that the first entry of a zone passes
 // on at once, when it hears of it from another zone.
-const freshStep = 200 * time.Millisecond
+const minFreshProgress = 200 * time.Millisecond
 
-// noteToldFresh notes how fresh the copy is by the word of an entry of a zone; the mutex
+// recordPeerFresh notes how fresh the copy is by the word of an entry of a zone; the mutex
 // is held.
-func (c *Catalog) noteToldFresh(zone string, at time.Time) {
-	progress := at.Sub(c.fresh)
-	c.noteFresh(at)
-	if zone != c.options.Zone && progress >= freshStep && c.overlay.Rank() == 0 {
+func (c *Catalog) recordPeerFresh(zone string, at time.Time) {
+	progress := at.Sub(c.freshAt)
+	c.recordFresh(at)
+	if zone != c.options.Zone && progress >= minFreshProgress && c.overlay.Rank() == 0 {
 		c.freshSequence++
-		c.kickExchange()
+		c.wakeExchange()
 	}
 }
 
-// compare notes whether another process holds the same records. If it does, it need
+// compareRecords notes whether another process holds the same records. If it does, it need
 // not be told what has changed, and this process has heard of every change that the
 // other has, which is reported; the first time that it does not, it is told everything.
-func (c *Catalog) compare(ip string, news update) (complete bool) {
+func (c *Catalog) compareRecords(ip string, news update) (complete bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	same := news.Digest == c.changes.Digest()
 	complete = same && len(c.newerHeads(news.Heads)) == 0
 	if complete {
-		c.complete = max(c.complete, news.Complete)
+		c.completeRevision = max(c.completeRevision, news.Complete)
 	}
 	peer, linked := c.links[ip]
 	if !linked {
 		return complete
 	}
 	if same {
-		peer.sequence = c.changes.Sequence()
+		peer.sentSequence = c.changes.Sequence()
 	} else if !peer.compared {
 		peer.updatedAt = time.Time{}
-		c.kickExchange()
+		c.wakeExchange()
 	}
 	peer.compared = true
 	return complete
--- /dev/null
+++ b/internal/catalog/expired.go
@@ -0,0 +1,103 @@
+package catalog
+
+import (
+	"slices"
+	"time"
+
+	"go.uber.org/zap"
+
+	"pinevane.example/pinevane/internal/fleet"
+	"pinevane.example/pinevane/internal/logging"
+)
+
+// Times around an outage of the store.
+const (
+	// outageAge is the age of the copy from which the store counts as out.
+	outageAge = 1200 * time.Millisecond
+	// expiryGrace is how long after an outage servers write their lines anew.
+	expiryGrace = 2 * time.Second
+	// expiryMargin is left of the time in which a server that has left may still be sent
+	// requests.
+	expiryMargin = 400 * time.Millisecond
+)
+
+// expiredServer is a server that the list has lost.
+type expiredServer struct {
+	server fleet.Server
+	until  time.Time
+}
+
+// recordFresh notes when the copy was current; the mutex is held.
+func (c *Catalog) recordFresh(at time.Time) {
+	if !at.After(c.freshAt) {
+		return
+	}
+	if !c.freshAt.IsZero() && at.Sub(c.freshAt) > outageAge {
+		c.regainedAt = at
+	}
+	c.freshAt = at
+}
+
+// retainExpired adds to a new view the servers that the list has just lost, for as long
+// as they may come back: their lines end with the heartbeats that an outage of the
+// store swallows, and are written anew after it. It returns how many there are; the
+// mutex is held.
+func (c *Catalog) retainExpired(next *View) int {
+	now := time.Now()
+	if now.Sub(c.regainedAt) < expiryGrace {
+		c.recordExpired(next, now)
+	}
+	count := 0
+	for id, one := range c.expired {
+		if !now.Before(one.until) {
+			delete(c.expired, id)
+			continue
+		}
+		next.Servers[one.server.Service] = append(next.Servers[one.server.Service], one.server)
+		count++
+	}
+	return count
+}
+
+// recordExpired finds the servers of the present view that a new one lacks; the mutex is
+// held.
+func (c *Catalog) recordExpired(next *View, now time.Time) {
+	grace := min(expiryGrace, c.options.Drain-expiryMargin)
+	for service, servers := range c.view.Load().Servers {
+		for _, server := range servers {
+			listed := slices.ContainsFunc(next.Servers[service], func(one fleet.Server) bool {
+				return one.ID == server.ID || one.Address == server.Address
+			})
+			_, known := c.expired[server.ID]
+			if listed || known || server.Draining || grace <= 0 || c.isUnreachable(server) {
+				continue
+			}
+			c.expired[server.ID] = expiredServer{server: server, until: now.Add(grace)}
+			c.options.Log.Log(logging.ServerLapsed, zap.String("server", server.ID), zap.Duration("kept_for", grace),
+				zap.Duration("store_back_for", now.Sub(c.regainedAt)))
+			time.AfterFunc(grace, c.removeExpired)
+		}
+	}
+}
+
+// isUnreachable reports whether a server's agent says that it does not answer; the mutex
+// is held.
+func (c *Catalog) isUnreachable(server fleet.Server) bool {
+	held, told := c.statuses[server.Address]
+	return told && !held.status.Reachable
+}
+
+// removeExpired makes a new view without the servers that have not come back.
+func (c *Catalog) removeExpired() {
+	c.notifyMutex.Lock()
+	defer c.notifyMutex.Unlock()
+	c.mutex.Lock()
+	next := *c.view.Load()
+	c.rebuildServers(&next)
+	next.collectAgents()
+	c.view.Store(&next)
+	c.mutex.Unlock()
+	for _, callback := range c.callbacks {
+		callback(c.View())
+	}
+}
--- a/internal/catalog/faulty.go
+++ b/internal/catalog/faulty.go
@@ -12,8 +12,8 @@
 // mostFaulty bounds the faulty records that are remembered, at some 100 KB; more of them are counted
 // alone. mostToldFaulty bounds those that the dump names.
 const (
-	mostFaulty     = 512
-	mostToldFaulty = 32
+	maxFaultyRecords  = 512
+	maxReportedFaulty = 32
 )
 
 // faultyRecords are the records of servers that can't be used now. The catalog's mutex guards it.
@@ -27,8 +27,8 @@
 	return faultyRecords{reasons: map[string]string{}, counts: map[fault.RecordFault]uint64{}}
 }
 
-// noteFaulty counts a faulty record, and logs it unless that is known. The mutex is held.
-func (c *Catalog) noteFaulty(key string, revision uint64, err error) {
+// recordFaulty counts a faulty record, and logs it unless that is known. The mutex is held.
+func (c *Catalog) recordFaulty(key string, revision uint64, err error) {
 	kind := fault.RecordUnreadable
 	var invalid *fault.InvalidRecord
 	if errors.As(err, &invalid) {
@@ -38,7 +38,7 @@
 	if c.faulty.reasons[key] == err.Error() {
 		return
 	}
-	if _, known := c.faulty.reasons[key]; !known && len(c.faulty.reasons) >= mostFaulty {
+	if _, known := c.faulty.reasons[key]; !known && len(c.faulty.reasons) >= maxFaultyRecords {
 		return
 	}
 	c.faulty.reasons[key] = err.Error()
@@ -56,13 +56,13 @@
 	return counts
 }
 
-// toldFaulty are the reasons of some of the records that can't be used now, by key.
-func (c *Catalog) toldFaulty() map[string]string {
+// reportedFaulty are the reasons of some of the records that can't be used now, by key.
+func (c *Catalog) reportedFaulty() map[string]string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	told := map[string]string{}
 	for key, reason := range c.faulty.reasons {
-		if len(told) >= mostToldFaulty {
+		if len(told) >= maxReportedFaulty {
 			break
 		}
 		told[key] = reason
--- a/internal/catalog/health.go
+++ b/internal/catalog/health.go
@@ -19,15 +19,15 @@
 
 // Bounds of what is held of servers' health.
 const (
-	// healthMemory is how long a word is kept for entries that are linked later: as long as an
+	// healthTTL is how long a word is kept for entries that are linked later: as long as an
 	// ejection and its trials usually last.
-	healthMemory = 10 * time.Second
-	// mostHealthWords bounds the words held; the oldest go first.
-	mostHealthWords = 2048
+	healthTTL = 10 * time.Second
+	// maxHealthReports bounds the words held; the oldest go first.
+	maxHealthReports = 2048
 )
 
-// toldHealth is an entry's word on a server as it is passed on.
-type toldHealth struct {
+// healthMessage is an entry's word on a server as it is passed on.
+type healthMessage struct {
 	Server   string  `cbor:"1,keyasint"`
 	Entry    string  `cbor:"2,keyasint"`
 	Ejected  bool    `cbor:"3,keyasint,omitempty"`
@@ -52,28 +52,28 @@
 
 // healthBatch is what one entry passes on at once.
 type healthBatch struct {
-	Words []toldHealth `cbor:"1,keyasint"`
+	Reports []healthMessage `cbor:"1,keyasint"`
 }
 
-// heldHealth is the newest word of an entry on a server.
-type heldHealth = heldWord[health.Word]
+// heldHealthReport is the newest word of an entry on a server.
+type heldHealthReport = heldReport[health.Word]
 
 // HealthHandler is told what another entry of the zone has said of a server, and when.
 type HealthHandler func(word health.Word, at time.Time)
 
-// healthWords are what the zone's entries have said of servers. The catalog's mutex guards it.
-type healthWords struct {
-	heldWords[health.Word]
-	onWord HealthHandler
+// healthReports are what the zone's entries have said of servers. The catalog's mutex guards it.
+type healthReports struct {
+	reportStore[health.Word]
+	onReport HealthHandler
 }
 
-func newHealthWords(started time.Time) healthWords {
-	return healthWords{heldWords: newHeldWords[health.Word](started, healthMemory, mostHealthWords)}
+func newHealthReports(started time.Time) healthReports {
+	return healthReports{reportStore: newReportStore[health.Word](started, healthTTL, maxHealthReports)}
 }
 
 // OnHealth registers a function that is called with each word of another entry. It must be
 // registered before Run.
-func (c *Catalog) OnHealth(function HealthHandler) { c.health.onWord = function }
+func (c *Catalog) OnHealth(function HealthHandler) { c.health.onReport = function }
 
 // AnnounceHealth has the zone's other entries told what this one has found out at a time, at the next pace.
 func (c *Catalog) AnnounceHealth(words []health.Word, at time.Time) {
@@ -81,13 +81,13 @@
 	defer c.mutex.Unlock()
 	now := time.Now()
 	for _, word := range words {
-		c.holdHealth(heldHealth{word: word, at: at, number: c.health.nextNumber()}, now)
+		c.addHealth(heldHealthReport{report: word, at: at, number: c.health.nextNumber()}, now)
 	}
 }
 
-// holdHealth keeps a word if it is newer than the one held; the mutex is held.
-func (c *Catalog) holdHealth(fresh heldHealth, now time.Time) bool {
-	return c.health.hold(wordKey{entry: fresh.word.Entry, server: fresh.word.Server}, fresh, now)
+// addHealth keeps a word if it is newer than the one held; the mutex is held.
+func (c *Catalog) addHealth(fresh heldHealthReport, now time.Time) bool {
+	return c.health.add(reportKey{entry: fresh.report.Entry, server: fresh.report.Server}, fresh, now)
 }
 
 func (c *Catalog) handleHealth(link *peering.Link, received *message.Message) {
@@ -100,33 +100,33 @@
 		return
 	}
 	now := time.Now()
-	var fresh []heldHealth
+	var fresh []heldHealthReport
 	c.mutex.Lock()
-	for _, told := range batch.Words {
-		held, err := told.checked(now)
+	for _, told := range batch.Reports {
+		held, err := told.validated(now)
 		if err != nil {
 			c.options.Log.Log(logging.FrameRejected, zap.String("peer", link.Remote().ID), zap.Error(err))
 			continue
 		}
-		if told.Entry != c.options.Self && c.holdHealth(held, now) {
+		if told.Entry != c.options.Self && c.addHealth(held, now) {
 			fresh = append(fresh, held)
 		}
 	}
 	c.mutex.Unlock()
-	if c.health.onWord == nil {
+	if c.health.onReport == nil {
 		return
 	}
 	for _, held := range fresh {
-		c.health.onWord(held.word, held.at)
+		c.health.onReport(held.report, held.at)
 	}
 }
 
-// longestMilliseconds keeps the spans of words within what a time.Duration holds.
-const longestMilliseconds = int64(health.LongestSpan / time.Millisecond)
+// maxMilliseconds keeps the spans of words within what a time.Duration holds.
+const maxMilliseconds = int64(health.LongestSpan / time.Millisecond)
 
-// checked is a word that was received at a time, if it can be meant: one faulty word does not cost
+// validated is a word that was received at a time, if it can be meant: one faulty word does not cost
 // the others of its message.
-func (t toldHealth) checked(now time.Time) (heldHealth, error) {
+func (t healthMessage) validated(now time.Time) (heldHealthReport, error) {
 	for _, one := range []struct {
 		field        string
 		milliseconds int64
@@ -134,22 +134,22 @@
 	}{
 		{"since", t.SinceMilliseconds, 0}, {"changed", t.ChangedMilliseconds, 0}, {"age", t.AgeMilliseconds, 0},
 		{"answered", t.AnsweredMilliseconds, 0}, {"tried", t.TriedMilliseconds, 0},
-		{"left", t.LeftMilliseconds, -longestMilliseconds},
+		{"left", t.LeftMilliseconds, -maxMilliseconds},
 	} {
-		if one.milliseconds < one.least || one.milliseconds > longestMilliseconds {
-			return heldHealth{}, &fault.InvalidFrame{Field: topicHealth, Reason: fmt.Sprintf("%s of %d ms", one.field, one.milliseconds)}
+		if one.milliseconds < one.least || one.milliseconds > maxMilliseconds {
+			return heldHealthReport{}, &fault.InvalidFrame{Field: topicHealth, Reason: fmt.Sprintf("%s of %d ms", one.field, one.milliseconds)}
 		}
 	}
-	held := t.held(now)
-	return held, held.word.Check()
+	held := t.toReport(now)
+	return held, held.report.Check()
 }
 
-// held is a word that was received at a time.
-func (t toldHealth) held(now time.Time) heldHealth {
+// toReport is a word that was received at a time.
+func (t healthMessage) toReport(now time.Time) heldHealthReport {
 	span := func(milliseconds int64) time.Duration { return time.Duration(milliseconds) * time.Millisecond }
-	return heldHealth{
+	return heldHealthReport{
 		at: now.Add(-span(t.AgeMilliseconds)), number: t.Number,
-		word: health.Word{
+		report: health.Word{
 			Server: t.Server, Entry: t.Entry, Ejected: t.Ejected, Returned: t.Returned, Trying: t.Trying, Mute: t.Mute, Evidence: float64(t.Evidence),
 			Failed: float64(t.Failed), Served: float64(t.Served),
 			Round: t.Round, Since: span(t.SinceMilliseconds), Changed: span(t.ChangedMilliseconds), Left: span(t.LeftMilliseconds),
@@ -158,48 +158,48 @@
 	}
 }
 
-// toldHealthOf is a word as it is passed on at a time.
-func toldHealthOf(h heldHealth, now time.Time) toldHealth {
-	return toldHealth{
-		Server: h.word.Server, Entry: h.word.Entry, Ejected: h.word.Ejected, Returned: h.word.Returned, Trying: h.word.Trying, Mute: h.word.Mute,
-		Evidence: float32(h.word.Evidence), Failed: float32(h.word.Failed), Served: float32(h.word.Served), Round: h.word.Round, SinceMilliseconds: h.word.Since.Milliseconds(),
-		ChangedMilliseconds: h.word.Changed.Milliseconds(), LeftMilliseconds: h.word.Left.Milliseconds(),
-		AnsweredMilliseconds: h.word.Answered.Milliseconds(), TriedMilliseconds: h.word.Tried.Milliseconds(),
+// newHealthMessage is a word as it is passed on at a time.
+func newHealthMessage(h heldHealthReport, now time.Time) healthMessage {
+	return healthMessage{
+		Server: h.report.Server, Entry: h.report.Entry, Ejected: h.report.Ejected, Returned: h.report.Returned, Trying: h.report.Trying, Mute: h.report.Mute,
+		Evidence: float32(h.report.Evidence), Failed: float32(h.report.Failed), Served: float32(h.report.Served), Round: h.report.Round, SinceMilliseconds: h.report.Since.Milliseconds(),
+		ChangedMilliseconds: h.report.Changed.Milliseconds(), LeftMilliseconds: h.report.Left.Milliseconds(),
+		AnsweredMilliseconds: h.report.Answered.Milliseconds(), TriedMilliseconds: h.report.Tried.Milliseconds(),
 		AgeMilliseconds: now.Sub(h.at).Milliseconds(), Number: h.number,
 	}
 }
 
-// passHealth sends each linked entry of the zone the words that it has not been told. What
+// sendPendingHealth sends each linked entry of the zone the words that it has not been told. What
 // others have said is passed on by relays alone: every entry is linked to each of them.
-func (c *Catalog) passHealth() {
+func (c *Catalog) sendPendingHealth() {
 	now := time.Now()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.health.expire(now)
 	isRelay := c.isRelay()
 	for _, peer := range c.links {
-		if !peer.isEntry() || peer.zone() != c.options.Zone || peer.tellingHealth || peer.healthTold == c.health.sequence {
+		if !peer.isEntry() || peer.zone() != c.options.Zone || peer.sendingHealth || peer.healthSent == c.health.sequence {
 			continue
 		}
 		words := c.healthFor(peer, isRelay, now)
-		peer.healthTold = c.health.sequence
+		peer.healthSent = c.health.sequence
 		if len(words) > 0 {
-			peer.tellingHealth = true
+			peer.sendingHealth = true
 			go c.sendHealth(peer, peer.link, words)
 		}
 	}
 }
 
 // healthFor lists the words that an entry is to be told; the mutex is held.
-func (c *Catalog) healthFor(peer *peerLink, isRelay bool, now time.Time) []toldHealth {
-	var words []toldHealth
-	for _, held := range c.health.untold(peer.healthTold, peer.ip, c.options.Self, isRelay) {
-		words = append(words, toldHealthOf(held, now))
+func (c *Catalog) healthFor(peer *peerLink, isRelay bool, now time.Time) []healthMessage {
+	var words []healthMessage
+	for _, held := range c.health.unsent(peer.healthSent, peer.ip, c.options.Self, isRelay) {
+		words = append(words, newHealthMessage(held, now))
 	}
-	slices.SortFunc(words, func(a, b toldHealth) int { return int(b.AgeMilliseconds - a.AgeMilliseconds) })
+	slices.SortFunc(words, func(a, b healthMessage) int { return int(b.AgeMilliseconds - a.AgeMilliseconds) })
 	return words
 }
 
-func (c *Catalog) sendHealth(peer *peerLink, link *peering.Link, words []toldHealth) {
-	c.sent(peer, link, &peer.tellingHealth, peering.Send(link, topicHealth, "", healthBatch{Words: words}))
+func (c *Catalog) sendHealth(peer *peerLink, link *peering.Link, words []healthMessage) {
+	c.finishSend(peer, link, &peer.sendingHealth, peering.Send(link, topicHealth, "", healthBatch{Reports: words}))
 }
--- a/internal/catalog/health_test.go
+++ b/internal/catalog/health_test.go
@@ -23,11 +23,11 @@
 	c := newTestCatalog()
 	now := time.Now()
 	c.AnnounceHealth([]health.Word{ejectedWord("10.0.0.1", "i-1")}, now)
-	other := toldHealth{Server: "i-2", Entry: "10.0.0.2", Ejected: true, Number: 7, AgeMilliseconds: 100}.held(now)
-	assert.True(t, c.holdHealth(other, now))
+	other := healthMessage{Server: "i-2", Entry: "10.0.0.2", Ejected: true, Number: 7, AgeMilliseconds: 100}.toReport(now)
+	assert.True(t, c.addHealth(other, now))
 	servers := func(ip string, isRelay bool, told uint64) []string {
 		var names []string
-		for _, word := range c.healthFor(&peerLink{ip: ip, healthTold: told}, isRelay, now) {
+		for _, word := range c.healthFor(&peerLink{ip: ip, healthSent: told}, isRelay, now) {
 			names = append(names, word.Server)
 		}
 		return names
@@ -41,10 +41,10 @@
 // What is told arrives as it was said, but for its age.
 func TestWordOnHealthKeepsItsSpans(t *testing.T) {
 	now := time.Now()
-	said := heldHealth{word: ejectedWord("10.0.0.1", "i-1"), at: now.Add(-300 * time.Millisecond), number: 9}
-	heard := toldHealthOf(said, now).held(now.Add(time.Second))
-	assert.Equal(t, said.word, heard.word)
-	word := reflect.ValueOf(said.word)
+	said := heldHealthReport{report: ejectedWord("10.0.0.1", "i-1"), at: now.Add(-300 * time.Millisecond), number: 9}
+	heard := newHealthMessage(said, now).toReport(now.Add(time.Second))
+	assert.Equal(t, said.report, heard.report)
+	word := reflect.ValueOf(said.report)
 	for field := range word.NumField() {
 		assert.False(t, word.Field(field).IsZero(), "%s is said, and arrives", word.Type().Field(field).Name)
 	}
@@ -57,40 +57,40 @@
 func TestOnlyTheNewestWordOnHealthIsHeld(t *testing.T) {
 	c := newTestCatalog()
 	now := time.Now()
-	later := toldHealth{Server: "i-1", Entry: "10.0.0.2", Returned: true, Number: 8}.held(now)
-	earlier := toldHealth{Server: "i-1", Entry: "10.0.0.2", Ejected: true, Number: 7}.held(now)
-	assert.True(t, c.holdHealth(later, now))
-	assert.False(t, c.holdHealth(earlier, now))
-	assert.False(t, c.holdHealth(later, now), "by a second relay")
-	anew := newHealthWords(now.Add(time.Second))
-	assert.Greater(t, anew.number, newHealthWords(now).number+1e6)
-	for number := range mostHealthWords + 10 {
-		c.holdHealth(toldHealth{Server: fmt.Sprint("s-", number), Entry: "10.0.0.2", Number: uint64(number + 1)}.held(now.Add(time.Duration(number))), now)
+	later := healthMessage{Server: "i-1", Entry: "10.0.0.2", Returned: true, Number: 8}.toReport(now)
+	earlier := healthMessage{Server: "i-1", Entry: "10.0.0.2", Ejected: true, Number: 7}.toReport(now)
+	assert.True(t, c.addHealth(later, now))
+	assert.False(t, c.addHealth(earlier, now))
+	assert.False(t, c.addHealth(later, now), "by a second relay")
+	anew := newHealthReports(now.Add(time.Second))
+	assert.Greater(t, anew.number, newHealthReports(now).number+1e6)
+	for number := range maxHealthReports + 10 {
+		c.addHealth(healthMessage{Server: fmt.Sprint("s-", number), Entry: "10.0.0.2", Number: uint64(number + 1)}.toReport(now.Add(time.Duration(number))), now)
 	}
-	assert.Len(t, c.health.held, mostHealthWords)
+	assert.Len(t, c.health.reports, maxHealthReports)
 }
 
 // A word that can't be meant is not taken in, whichever of its fields is faulty.
 func TestFaultyWordsOnHealthAreRejected(t *testing.T) {
 	now := time.Now()
-	sound := toldHealthOf(heldHealth{word: ejectedWord("10.0.0.1", "i-1"), at: now, number: 9}, now)
-	_, err := sound.checked(now)
+	sound := newHealthMessage(heldHealthReport{report: ejectedWord("10.0.0.1", "i-1"), at: now, number: 9}, now)
+	_, err := sound.validated(now)
 	assert.NoError(t, err)
-	for name, spoil := range map[string]func(*toldHealth){
-		"an age before it was said":   func(w *toldHealth) { w.AgeMilliseconds = -1 },
-		"an age that overflows":       func(w *toldHealth) { w.AgeMilliseconds = math.MaxInt64 },
-		"a change in the future":      func(w *toldHealth) { w.ChangedMilliseconds = -1 },
-		"a spell that overflows":      func(w *toldHealth) { w.SinceMilliseconds = math.MaxInt64 / 2 },
-		"an ejection without end":     func(w *toldHealth) { w.LeftMilliseconds = 24 * 3600 * 1000 },
-		"an end that overflows":       func(w *toldHealth) { w.LeftMilliseconds = math.MinInt64 },
-		"an ejection without a round": func(w *toldHealth) { w.Round = 0 },
-		"a huge round":                func(w *toldHealth) { w.Round = 100 },
-		"no number as evidence":       func(w *toldHealth) { w.Evidence = float32(math.NaN()) },
-		"endless failures":            func(w *toldHealth) { w.Failed = float32(math.Inf(1)) },
+	for name, spoil := range map[string]func(*healthMessage){
+		"an age before it was said":   func(w *healthMessage) { w.AgeMilliseconds = -1 },
+		"an age that overflows":       func(w *healthMessage) { w.AgeMilliseconds = math.MaxInt64 },
+		"a change in the future":      func(w *healthMessage) { w.ChangedMilliseconds = -1 },
+		"a spell that overflows":      func(w *healthMessage) { w.SinceMilliseconds = math.MaxInt64 / 2 },
+		"an ejection without end":     func(w *healthMessage) { w.LeftMilliseconds = 24 * 3600 * 1000 },
+		"an end that overflows":       func(w *healthMessage) { w.LeftMilliseconds = math.MinInt64 },
+		"an ejection without a round": func(w *healthMessage) { w.Round = 0 },
+		"a huge round":                func(w *healthMessage) { w.Round = 100 },
+		"no number as evidence":       func(w *healthMessage) { w.Evidence = float32(math.NaN()) },
+		"endless failures":            func(w *healthMessage) { w.Failed = float32(math.Inf(1)) },
 	} {
 		faulty := sound
 		spoil(&faulty)
-		_, err := faulty.checked(now)
+		_, err := faulty.validated(now)
 		assert.Error(t, err, name)
 	}
 }
--- a/internal/catalog/large_configuration_test.go
+++ b/internal/catalog/large_configuration_test.go
@@ -33,7 +33,7 @@
 	taken := make(chan struct{})
 	go func() {
 		defer close(taken)
-		c.takeWatched([]mirror.Record{{Key: "op/config", Value: []byte(`{"version":7}`), Revision: 5}})
+		c.applyWatched([]mirror.Record{{Key: "op/config", Value: []byte(`{"version":7}`), Revision: 5}})
 	}()
 	<-decoder.begun
 	asked := make(chan int, 1)
--- a/internal/catalog/links_test.go
+++ b/internal/catalog/links_test.go
@@ -32,31 +32,31 @@
 func TestNewEntriesAreToldSoon(t *testing.T) {
 	c := newTestCatalog()
 	now := time.Now()
-	listed := &peerLink{listedAt: now.Add(-2 * newListPause)}
+	listed := &peerLink{listedAt: now.Add(-2 * minListInterval)}
 	assert.False(t, c.listDue(listed, now), "nothing is new")
-	c.hearEntry("10.0.0.2", entrySign{Zone: "z"})
+	c.recordEntry("10.0.0.2", entryHeartbeat{Zone: "z"})
 	assert.True(t, c.listDue(listed, now))
-	assert.Len(t, c.kick, 1, "it is told at once")
+	assert.Len(t, c.wake, 1, "it is told at once")
 	listed.listedArrivals = c.overlay.Arrivals()
-	c.hearEntry("10.0.0.2", entrySign{Zone: "z"})
+	c.recordEntry("10.0.0.2", entryHeartbeat{Zone: "z"})
 	assert.False(t, c.listDue(listed, now), "it is known")
 	assert.False(t, c.listDue(&peerLink{listedAt: now}, now), "lists do not follow each other closely")
 }
 
 // A process that does not listen yet is dialled again soon, one that is away ever later.
 func TestDialsAreRepeatedSoonAtFirst(t *testing.T) {
-	assert.Equal(t, firstDialPause, pauseAfter(0))
-	assert.Equal(t, 2*firstDialPause, pauseAfter(1))
-	assert.Equal(t, dialPause, pauseAfter(3))
-	assert.Equal(t, dialPause, pauseAfter(1000))
+	assert.Equal(t, minDialBackoff, dialBackoff(0))
+	assert.Equal(t, 2*minDialBackoff, dialBackoff(1))
+	assert.Equal(t, maxDialBackoff, dialBackoff(3))
+	assert.Equal(t, maxDialBackoff, dialBackoff(1000))
 }
 
 // A link that the other has made while this process dials does not have it dial twice.
 func TestAcceptedLinkLeavesADialUnderWay(t *testing.T) {
-	peer := &peerLink{ip: "10.0.0.2", dialling: true, nearTold: 7}
+	peer := &peerLink{ip: "10.0.0.2", dialling: true, localSent: 7}
 	peer.open(&peering.Link{}, true)
 	assert.True(t, peer.dialling)
-	assert.Zero(t, peer.nearTold, "the new link is told everything")
+	assert.Zero(t, peer.localSent, "the new link is told everything")
 }
 
 // A link that was made anew though it was only slow gets more time from then on, for a while
@@ -65,19 +65,19 @@
 	now := time.Now()
 	peer := &peerLink{}
 	peer.open(&peering.Link{}, false)
-	first := peer.patience
+	first := peer.renewDelay
 	assert.GreaterOrEqual(t, first, renewAfter)
-	assert.Less(t, first, renewAfter+renewSpread)
-	peer.doubt(now)
-	assert.Equal(t, 2*first, peer.patience)
+	assert.Less(t, first, renewAfter+renewJitter)
+	peer.extendRenewDelay(now)
+	assert.Equal(t, 2*first, peer.renewDelay)
 	peer.open(&peering.Link{}, false)
-	assert.Equal(t, 2*first, peer.patience, "a new link to the same process is as slow")
-	peer.doubt(now)
-	peer.doubt(now)
-	assert.Equal(t, linkSilence, peer.patience)
-	peer.patientTill = now.Add(-time.Millisecond)
+	assert.Equal(t, 2*first, peer.renewDelay, "a new link to the same process is as slow")
+	peer.extendRenewDelay(now)
+	peer.extendRenewDelay(now)
+	assert.Equal(t, linkTimeout, peer.renewDelay)
+	peer.renewDelayUntil = now.Add(-time.Millisecond)
 	peer.open(&peering.Link{}, false)
-	assert.Less(t, peer.patience, renewAfter+renewSpread, "that is forgotten")
+	assert.Less(t, peer.renewDelay, renewAfter+renewJitter, "that is forgotten")
 }
 
 // The first entry of a zone that does not read the store asks for a configuration at once, and
@@ -85,7 +85,7 @@
 func TestConfigurationsOfOtherZonesAreNotWaitedFor(t *testing.T) {
 	c := newTestCatalog()
 	before := c.freshSequence
-	c.takeTold([]mirror.Record{{Key: "op/config", Value: []byte(`{"version":1}`), Revision: 4}}, nil)
+	c.applyReceived([]mirror.Record{{Key: "op/config", Value: []byte(`{"version":1}`), Revision: 4}}, nil)
 	assert.Greater(t, c.freshSequence, before)
 }
 
@@ -118,8 +118,8 @@
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { return len(c.options.Hub.Accepted()) == 1 }, time.Second, time.Millisecond)
 	require.NoError(t, made.Close())
-	c.keepLinks(t.Context())
-	c.keepLinks(t.Context())
+	c.maintainLinks(t.Context())
+	c.maintainLinks(t.Context())
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	assert.Same(t, c.options.Hub.Accepted()[0], peer.link)
@@ -140,7 +140,7 @@
 	defer c.options.Hub.Close()
 	_, made := linkOther(t, c)
 	c.mutex.Lock()
-	c.hearEntry("10.0.0.2", entrySign{Zone: "z"})
+	c.recordEntry("10.0.0.2", entryHeartbeat{Zone: "z"})
 	c.peerLink("10.0.0.2").open(made, false)
 	c.mutex.Unlock()
 	held := func() *peering.Link {
@@ -148,21 +148,21 @@
 		defer c.mutex.Unlock()
 		return c.peerLink("10.0.0.2").link
 	}
-	c.keepLinks(t.Context())
+	c.maintainLinks(t.Context())
 	require.Same(t, made, held(), "the link is wanted")
-	time.Sleep(linkSilence + 100*time.Millisecond) // no looks: the process stands still
+	time.Sleep(linkTimeout + 100*time.Millisecond) // no looks: the process stands still
 	looks := func(span time.Duration) {
 		for began := time.Now(); time.Since(began) < span && held() == made; time.Sleep(20 * time.Millisecond) {
-			c.keepLinks(t.Context())
+			c.maintainLinks(t.Context())
 		}
 	}
-	looks(2 * resumeTime)
+	looks(2 * resumeGrace)
 	require.Same(t, made, held(), "it answers a probe")
 	count, err := silencer.Silence(silencer.Any)
 	require.NoError(t, err)
 	require.Positive(t, count)
-	time.Sleep(linkSilence + 100*time.Millisecond)
-	c.keepLinks(t.Context())
+	time.Sleep(linkTimeout + 100*time.Millisecond)
+	c.maintainLinks(t.Context())
 	assert.Same(t, made, held(), "right after the pause")
 	looks(time.Second)
 	assert.NotSame(t, made, held(), "it has answered no probe")
@@ -173,25 +173,25 @@
 func TestLinksAreNotJudgedRightAfterAStall(t *testing.T) {
 	const gap = 100 * time.Millisecond
 	start := time.Now()
-	var p pause
-	p.look(start)
-	p.look(start.Add(gap))
-	assert.Equal(t, start, p.grantedSince(start), "looks are this late on any machine")
-	resumed := start.Add(gap + stallLeast + time.Millisecond)
-	p.look(resumed)
-	assert.Equal(t, resumed, p.grantedSince(start))
-	assert.Equal(t, resumed.Add(gap), p.grantedSince(resumed.Add(gap)), "a probe sent after it")
-	assert.Negative(t, p.resuming(resumed), "links are made anew")
-	paused := resumed.Add(pauseLeast + time.Millisecond)
-	p.look(paused)
-	assert.Equal(t, resumeTime, p.resuming(paused), "none is made anew")
+	var p pauseDetector
+	p.recordCheck(start)
+	p.recordCheck(start.Add(gap))
+	assert.Equal(t, start, p.probeStart(start), "looks are this late on any machine")
+	resumed := start.Add(gap + minStall + time.Millisecond)
+	p.recordCheck(resumed)
+	assert.Equal(t, resumed, p.probeStart(start))
+	assert.Equal(t, resumed.Add(gap), p.probeStart(resumed.Add(gap)), "a probe sent after it")
+	assert.Negative(t, p.graceLeft(resumed), "links are made anew")
+	paused := resumed.Add(minPause + time.Millisecond)
+	p.recordCheck(paused)
+	assert.Equal(t, resumeGrace, p.graceLeft(paused), "none is made anew")
 }
 
 // pendingHaste reports whether the statuses are to be passed on before the next statusPace.
 func pendingHaste(c *Catalog) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.hastened
+	return c.flushScheduled
 }
 
 // Seen: after a silence of all connections an entry heard an agent again after 0.84 s, 0.3 s after
@@ -208,23 +208,23 @@
 		pause time.Duration
 		soon  bool
 	}{
-		{"of the agent, after a silence", heldStatus{zone: "z", direct: true}, backupPause + time.Millisecond, true},
-		{"by another entry, after a silence", heldStatus{zone: "z", passedAt: now}, backupPause + time.Millisecond, true},
-		{"by another entry, as usual", heldStatus{zone: "z", passedAt: now}, backupPause - time.Millisecond, false},
-		{"of another zone, after a silence", heldStatus{zone: "y"}, farPause + time.Millisecond, true},
-		{"of another zone, as usual", heldStatus{zone: "y"}, farPause - time.Millisecond, false},
-		{"of another zone, which says that it ends a silence", heldStatus{zone: "y", back: true}, farPause - time.Millisecond, true},
+		{"of the agent, after a silence", heldStatus{zone: "z", direct: true}, backupDelay + time.Millisecond, true},
+		{"by another entry, after a silence", heldStatus{zone: "z", relayedAt: now}, backupDelay + time.Millisecond, true},
+		{"by another entry, as usual", heldStatus{zone: "z", relayedAt: now}, backupDelay - time.Millisecond, false},
+		{"of another zone, after a silence", heldStatus{zone: "y"}, remoteSilence + time.Millisecond, true},
+		{"of another zone, as usual", heldStatus{zone: "y"}, remoteSilence - time.Millisecond, false},
+		{"of another zone, which says that it ends a silence", heldStatus{zone: "y", endsSilence: true}, remoteSilence - time.Millisecond, true},
 	} {
 		c := newTestCatalog()
 		peer := c.peerLink("10.0.0.2")
-		peer.farToldAt = now
+		peer.remoteSentAt = now
 		status := fleet.MachineStatus{Address: "10.1.0.1:80"}
 		c.statuses[status.Address] = heldStatus{status: status, zone: one.word.zone, at: now.Add(-one.pause)}
 		one.word.status, one.word.at = status, now
-		c.takeStatus(one.word)
+		c.applyStatus(one.word)
 		assert.Equal(t, one.soon, pendingHaste(c), one.name)
-		assert.Equal(t, one.soon, peer.farToldAt.IsZero(), one.name)
-		assert.Equal(t, one.soon, c.statuses[status.Address].back, one.name)
+		assert.Equal(t, one.soon, peer.remoteSentAt.IsZero(), one.name)
+		assert.Equal(t, one.soon, c.statuses[status.Address].endsSilence, one.name)
 	}
 }
 
@@ -234,15 +234,15 @@
 	defer c.options.Hub.Close()
 	_, made := linkOther(t, c)
 	c.mutex.Lock()
-	c.open(c.peerLink("10.0.0.2"), made, false)
+	c.openLink(c.peerLink("10.0.0.2"), made, false)
 	c.mutex.Unlock()
 	assert.True(t, pendingHaste(c))
 	select {
-	case <-c.haste:
-	case <-time.After(statusPace):
+	case <-c.flush:
+	case <-time.After(statusInterval):
 		assert.Fail(t, "later than the next statusPace")
 	}
-	c.passHastened()
+	c.flushStatuses()
 	assert.False(t, pendingHaste(c))
 }
 
@@ -260,7 +260,7 @@
 	c.mutex.Lock()
 	c.peerLink("10.0.0.2").open(made, false)
 	c.mutex.Unlock()
-	c.hearEntry("10.0.0.2", entrySign{Zone: "y"})
+	c.recordEntry("10.0.0.2", entryHeartbeat{Zone: "y"})
 	go c.exchange(t.Context())
 	return &frames
 }
@@ -279,11 +279,11 @@
 			began = time.Now()
 		}
 		for agent := range agents {
-			c.takeStatus(heldStatus{zone: "z", direct: true, at: time.Now(), status: fleet.MachineStatus{Address: fmt.Sprintf("10.1.0.%d:80", agent)}})
+			c.applyStatus(heldStatus{zone: "z", direct: true, at: time.Now(), status: fleet.MachineStatus{Address: fmt.Sprintf("10.1.0.%d:80", agent)}})
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	most := int64(time.Since(began)/(farStatusPace-statusPace/4)) + 2
+	most := int64(time.Since(began)/(remoteStatusInterval-statusInterval/4)) + 2
 	t.Log("frames:", frames.Load(), "of at most", most)
 	assert.LessOrEqual(t, frames.Load(), most)
 }
@@ -295,10 +295,10 @@
 	frames := tellsOtherZone(t, c)
 	began := time.Now()
 	for agent := range 100 {
-		c.takeStatus(heldStatus{zone: "z", direct: true, at: time.Now(), status: fleet.MachineStatus{Address: fmt.Sprintf("10.1.0.%d:80", agent)}})
+		c.applyStatus(heldStatus{zone: "z", direct: true, at: time.Now(), status: fleet.MachineStatus{Address: fmt.Sprintf("10.1.0.%d:80", agent)}})
 		time.Sleep(10 * time.Millisecond)
 	}
-	most := int64(time.Since(began)/farHastePace) + 2
+	most := int64(time.Since(began)/remoteFlushInterval) + 2
 	t.Log("frames:", frames.Load(), "of at most", most)
 	assert.LessOrEqual(t, frames.Load(), most)
 }
@@ -320,12 +320,12 @@
 	c.peerLink("10.0.0.2").open(made, false)
 	c.peerLink("10.0.0.3").open(third, false)
 	c.mutex.Unlock()
-	c.hearEntry("10.0.0.2", entrySign{Zone: "z"})
-	c.hearEntry("10.0.0.3", entrySign{Zone: "z"})
+	c.recordEntry("10.0.0.2", entryHeartbeat{Zone: "z"})
+	c.recordEntry("10.0.0.3", entryHeartbeat{Zone: "z"})
 	go c.exchange(t.Context())
 	var began time.Time
 	for turn := range 100 {
-		c.takeStatus(heldStatus{zone: "z", direct: true, at: time.Now(), status: fleet.MachineStatus{Address: fmt.Sprintf("10.1.0.%d:80", turn%10)}})
+		c.applyStatus(heldStatus{zone: "z", direct: true, at: time.Now(), status: fleet.MachineStatus{Address: fmt.Sprintf("10.1.0.%d:80", turn%10)}})
 		time.Sleep(10 * time.Millisecond)
 		if turn == 20 {
 			frames.Store(0)
@@ -333,11 +333,11 @@
 		}
 		if turn > 20 {
 			c.mutex.Lock()
-			c.open(c.links["10.0.0.2"], made, false)
+			c.openLink(c.links["10.0.0.2"], made, false)
 			c.mutex.Unlock()
 		}
 	}
-	most := int64(time.Since(began)/statusPace) + 2
+	most := int64(time.Since(began)/statusInterval) + 2
 	t.Log("frames:", frames.Load(), "of at most", most)
 	assert.LessOrEqual(t, frames.Load(), most)
 }
@@ -353,12 +353,12 @@
 	heard := made.LastHeard()
 	assert.Equal(t, 20*time.Millisecond, c.checkLink(t.Context(), peer, heard.Add(probeAfter-20*time.Millisecond)), "a probe is due then")
 	probed := heard.Add(probeAfter + time.Millisecond)
-	assert.Equal(t, peer.patience-probeAfter-time.Millisecond, c.checkLink(t.Context(), peer, probed), "a renewal is due then")
+	assert.Equal(t, peer.renewDelay-probeAfter-time.Millisecond, c.checkLink(t.Context(), peer, probed), "a renewal is due then")
 	assert.Equal(t, probed, peer.probedAt)
-	peer.probedAt = heard.Add(peer.patience)
-	assert.Equal(t, probeGrace, c.checkLink(t.Context(), peer, heard.Add(peer.patience)), "the probe may still be answered")
+	peer.probedAt = heard.Add(peer.renewDelay)
+	assert.Equal(t, probeGrace, c.checkLink(t.Context(), peer, heard.Add(peer.renewDelay)), "the probe may still be answered")
 	peer.accepted = true
-	assert.Equal(t, linkLook, c.checkLink(t.Context(), peer, heard.Add(peer.patience)), "the other renews it")
+	assert.Equal(t, linkCheckInterval, c.checkLink(t.Context(), peer, heard.Add(peer.renewDelay)), "the other renews it")
 }
 
 // The pace of other zones is a multiple of statusPace: a timer that is a little early does not
@@ -371,10 +371,10 @@
 	peer.open(made, false)
 	c.statusSequence = 1
 	now := time.Now()
-	peer.farToldAt = now.Add(-farStatusPace + time.Millisecond)
+	peer.remoteSentAt = now.Add(-remoteStatusInterval + time.Millisecond)
 	key, due := c.nextBatch(peer, true, now)
 	assert.True(t, due)
-	assert.True(t, key.far)
+	assert.True(t, key.remote)
 }
 
 func serverRecord(index int, revision uint64) mirror.Record {
@@ -386,40 +386,40 @@
 // next update; a server whose line says nothing new is not passed on at all.
 func TestOwnNewsAreUrgent(t *testing.T) {
 	c := newTestCatalog()
-	c.takeTold([]mirror.Record{serverRecord(1, 1)}, nil)
-	assert.Zero(t, c.urgent)
-	c.takeWatched([]mirror.Record{serverRecord(2, 2)})
-	assert.Equal(t, c.changes.Sequence(), c.urgent)
+	c.applyReceived([]mirror.Record{serverRecord(1, 1)}, nil)
+	assert.Zero(t, c.urgentSequence)
+	c.applyWatched([]mirror.Record{serverRecord(2, 2)})
+	assert.Equal(t, c.changes.Sequence(), c.urgentSequence)
 	same := serverRecord(2, 2)
 	same.Revision = 3
 	before := c.changes.Sequence()
-	c.takeWatched([]mirror.Record{same})
+	c.applyWatched([]mirror.Record{same})
 	assert.Equal(t, before, c.changes.Sequence())
-	c.takeTold([]mirror.Record{{Key: "op/version/m", Value: []byte(`{"model":"m","version":2}`), Revision: 4}}, nil)
-	assert.Equal(t, c.changes.Sequence(), c.urgent, "the naming of weights is passed on at once by everyone")
+	c.applyReceived([]mirror.Record{{Key: "op/version/m", Value: []byte(`{"model":"m","version":2}`), Revision: 4}}, nil)
+	assert.Equal(t, c.changes.Sequence(), c.urgentSequence, "the naming of weights is passed on at once by everyone")
 }
 
 // Peers that hold the same tell each other nothing; one that differs is told all, once.
 func TestRecordsAreSentWhereTheyDiffer(t *testing.T) {
 	c := newTestCatalog()
-	c.takeWatched([]mirror.Record{serverRecord(1, 1), serverRecord(2, 2)})
+	c.applyWatched([]mirror.Record{serverRecord(1, 1), serverRecord(2, 2)})
 	peer := c.peerLink("10.0.0.2")
-	assert.Empty(t, c.compose(peer).Records, "nothing is sent before records were compared")
-	c.compare("10.0.0.2", update{Digest: c.changes.Digest()})
-	assert.Empty(t, c.compose(peer).Records, "it holds the same")
-	c.takeWatched([]mirror.Record{serverRecord(3, 3)})
-	assert.Len(t, c.compose(peer).Records, 1, "it lacks one")
+	assert.Empty(t, c.composeUpdate(peer).Records, "nothing is sent before records were compared")
+	c.compareRecords("10.0.0.2", update{Digest: c.changes.Digest()})
+	assert.Empty(t, c.composeUpdate(peer).Records, "it holds the same")
+	c.applyWatched([]mirror.Record{serverRecord(3, 3)})
+	assert.Len(t, c.composeUpdate(peer).Records, 1, "it lacks one")
 
 	other := c.peerLink("10.0.0.3")
-	c.compare("10.0.0.3", update{})
-	assert.Len(t, c.compose(other).Records, 3, "it holds nothing")
+	c.compareRecords("10.0.0.3", update{})
+	assert.Len(t, c.composeUpdate(other).Records, 3, "it holds nothing")
 }
 
 // The backup of an agent's main feeder passes its words on when nobody else does.
 func TestBackupPassesOnWhatTheMainFeederDoesNot(t *testing.T) {
 	c := newTestCatalog()
 	for index := 2; index <= 3; index++ {
-		c.hearEntry(fmt.Sprintf("10.0.0.%d", index), entrySign{Zone: "z"})
+		c.recordEntry(fmt.Sprintf("10.0.0.%d", index), entryHeartbeat{Zone: "z"})
 	}
 	now := time.Now()
 	c.overlay.Advance(now)
@@ -428,13 +428,13 @@
 	for index := range 200 {
 		agent := fmt.Sprintf("10.1.0.%d", index)
 		feeds, main := c.overlay.Feeds(agent, "z")
-		held[fmt.Sprint(feeds, main)] = heldStatus{status: fleet.MachineStatus{Address: net.JoinHostPort(agent, "80")}, zone: "z", at: now, direct: true, passedAt: now}
+		held[fmt.Sprint(feeds, main)] = heldStatus{status: fleet.MachineStatus{Address: net.JoinHostPort(agent, "80")}, zone: "z", at: now, direct: true, relayedAt: now}
 	}
-	later := now.Add(backupPause + time.Millisecond)
-	assert.True(t, c.passesOn(held["true true"], now))
-	assert.False(t, c.passesOn(held["true false"], now))
-	assert.True(t, c.passesOn(held["true false"], later))
-	assert.False(t, c.passesOn(held["false false"], later))
+	later := now.Add(backupDelay + time.Millisecond)
+	assert.True(t, c.relays(held["true true"], now))
+	assert.False(t, c.relays(held["true false"], now))
+	assert.True(t, c.relays(held["true false"], later))
+	assert.False(t, c.relays(held["false false"], later))
 }
 
 // The cost of one server's record must not grow with the number of servers, but for
@@ -446,7 +446,7 @@
 			revision := uint64(0)
 			for index := range servers {
 				revision++
-				c.takeWatched([]mirror.Record{serverRecord(index, revision)})
+				c.applyWatched([]mirror.Record{serverRecord(index, revision)})
 			}
 			records := make([]mirror.Record, b.N)
 			for index := range records {
@@ -456,7 +456,7 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for _, record := range records {
-				c.takeWatched([]mirror.Record{record})
+				c.applyWatched([]mirror.Record{record})
 			}
 		})
 	}
@@ -468,7 +468,7 @@
 		b.Run(fmt.Sprint(entries), func(b *testing.B) {
 			c := newTestCatalog()
 			for index := range entries {
-				c.hearEntry(fmt.Sprintf("10.2.%d.%d", index/250, index%250), entrySign{Zone: fmt.Sprintf("z%d", index%5)})
+				c.recordEntry(fmt.Sprintf("10.2.%d.%d", index/250, index%250), entryHeartbeat{Zone: fmt.Sprintf("z%d", index%5)})
 			}
 			now := time.Now()
 			c.overlay.Advance(now)
@@ -476,8 +476,8 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				word.at = word.at.Add(time.Second)
-				c.takeStatus(word)
-				c.encodeBatch(batchKey{near: true, nearAfter: c.statusSequence - 1}, now)
+				c.applyStatus(word)
+				c.encodeBatch(batchKey{local: true, localAfter: c.statusSequence - 1}, now)
 			}
 		})
 	}
--- a/internal/catalog/packing.go
+++ b/internal/catalog/packing.go
@@ -26,12 +26,12 @@
 	return link != nil && link.Remote().Protocol >= packingProtocol
 }
 
-// packedLeast is the number of statuses from which compressing them makes a batch smaller.
-const packedLeast = 3
+// minPackedStatuses is the number of statuses from which compressing them makes a batch smaller.
+const minPackedStatuses = 3
 
 // pack returns the batch in the form in which it is sent to who can read packed ones.
 func (b statusBatch) pack() (statusBatch, error) {
-	if len(b.Statuses) < packedLeast {
+	if len(b.Statuses) < minPackedStatuses {
 		return b, nil
 	}
 	packed, err := compression.Encode(b.Statuses)
@@ -39,15 +39,15 @@
 }
 
 // unpack returns the statuses of a batch in either form.
-func (b statusBatch) unpack() ([]toldStatus, error) {
+func (b statusBatch) unpack() ([]statusMessage, error) {
 	if len(b.Packed) == 0 {
 		return b.Statuses, nil
 	}
-	return compression.Decode[[]toldStatus](b.Packed)
+	return compression.Decode[[]statusMessage](b.Packed)
 }
 
-// bundledLeast is the number of records from which they are compressed together.
-const bundledLeast = 8
+// minBundledRecords is the number of records from which they are compressed together.
+const minBundledRecords = 8
 
 // bundle is the compressed form of the records that have changed after a sequence, as of another one.
 // It is kept, because all links of an entry that starts or comes back are sent the same.
@@ -59,20 +59,20 @@
 
 // addRecords adds records that have changed after a sequence to an update for a link; the mutex is held.
 func (c *Catalog) addRecords(message *update, link *peering.Link, after uint64, records []mirror.Record) {
-	if len(records) < bundledLeast || !readsPacked(link) {
+	if len(records) < minBundledRecords || !readsPacked(link) {
 		message.Records = records
 		return
 	}
-	if sequence := c.changes.Sequence(); c.bundle.packed == nil || c.bundle.after != after || c.bundle.sequence != sequence {
+	if sequence := c.changes.Sequence(); c.lastBundle.packed == nil || c.lastBundle.after != after || c.lastBundle.sequence != sequence {
 		packed, err := compression.Encode(records)
 		if err != nil {
 			c.options.Log.Log(logging.FrameRejected, zap.Error(err))
 			message.Records = records
 			return
 		}
-		c.bundle = bundle{after: after, sequence: sequence, packed: packed}
+		c.lastBundle = bundle{after: after, sequence: sequence, packed: packed}
 	}
-	message.Bundle = c.bundle.packed
+	message.Bundle = c.lastBundle.packed
 }
 
 // unbundle returns the records of an update in either form.
--- a/internal/catalog/packing_test.go
+++ b/internal/catalog/packing_test.go
@@ -22,7 +22,7 @@
 // third of 52, between two rounds of words.
 func zoneWords(c *Catalog, agents int, now time.Time) {
 	for index := range agents {
-		c.takeStatus(heldStatus{zone: "z", at: now, status: fleet.MachineStatus{
+		c.applyStatus(heldStatus{zone: "z", at: now, status: fleet.MachineStatus{
 			Address: fmt.Sprintf("10.4.17.%d:8001", index), Reachable: true, Model: "daka510000", Version: 3, Running: index % 8, Waiting: index % 3,
 			CacheUsed: 31_000 + 977*index, CacheTotal: 317_000, Pace: 1 + float64(index)/100, SwitchMilliseconds: fleet.NoSwitch, Wanted: 3,
 			Received: index % 5, Born: incarnation.Born(1_790_000_000_000 + 37*index),
@@ -35,11 +35,11 @@
 	const agents = 17
 	c, now := newTestCatalog(), time.Now()
 	zoneWords(c, agents, now)
-	plain := c.encodeBatch(batchKey{ofZone: true}, now)
-	packed := c.encodeBatch(batchKey{ofZone: true, packed: true}, now)
+	plain := c.encodeBatch(batchKey{wholeZone: true}, now)
+	packed := c.encodeBatch(batchKey{wholeZone: true, packed: true}, now)
 	assert.Less(t, 2*len(packed), len(plain), "%d and %d bytes", len(packed), len(plain))
 	var batches [2]statusBatch
-	var told [2][]toldStatus
+	var told [2][]statusMessage
 	for index, payload := range [][]byte{plain, packed} {
 		require.NoError(t, cbor.Unmarshal(payload, &batches[index]))
 		var err error
@@ -53,7 +53,7 @@
 
 // Few words are not compressed, which would make them longer; spoilt ones are an error.
 func TestFewWordsAndSpoiltOnes(t *testing.T) {
-	few := statusBatch{Statuses: make([]toldStatus, packedLeast-1)}
+	few := statusBatch{Statuses: make([]statusMessage, minPackedStatuses-1)}
 	same, err := few.pack()
 	require.NoError(t, err)
 	assert.Equal(t, few, same)
@@ -72,14 +72,14 @@
 	for index := range servers {
 		records = append(records, serverRecord(index, uint64(index+1)))
 	}
-	c.takeWatched(records)
+	c.applyWatched(records)
 	sizes := map[int]int{}
 	for _, protocol := range []int{0, ProtocolVersion} {
 		peer := &peerLink{link: linkToProtocol(t, c, protocol), compared: true}
 		key, due := c.nextBatch(peer, true, now)
 		assert.True(t, due)
 		assert.Equal(t, protocol == ProtocolVersion, key.packed)
-		message := c.compose(peer)
+		message := c.composeUpdate(peer)
 		encoded, err := cbor.Marshal(message)
 		require.NoError(t, err)
 		sizes[protocol] = len(encoded)
--- a/internal/catalog/pulls.go
+++ b/internal/catalog/pulls.go
@@ -16,8 +16,8 @@
 // Large records, which are configurations, are announced by their revisions; who lacks
 // one asks one of those that announce it.
 
-// pullAfter is how long the store is given to bring what a peer already has.
-const pullAfter = 250 * time.Millisecond
+// storeHeadStart is how long the store is given to bring what a peer already has.
+const storeHeadStart = 250 * time.Millisecond
 
 // pullDelay leaves the store time to bring a record first where this process reads it, and the
 // own zone where another does. The first entry of a zone that is not the first waits for nobody:
@@ -31,12 +31,12 @@
 	if (rank > 0 && ownZone) || (rank == 0 && zoneRank > 0) {
 		return 0
 	}
-	return pullAfter
+	return storeHeadStart
 }
 
-// lacking returns the large records that are to be asked for; the mutex is held. An
+// missingHeads returns the large records that are to be asked for; the mutex is held. An
 // agent asks for none: it is told the part that it acts on.
-func (c *Catalog) lacking(heads map[string]uint64) map[string]uint64 {
+func (c *Catalog) missingHeads(heads map[string]uint64) map[string]uint64 {
 	if c.options.Role == RoleAgent {
 		return nil
 	}
@@ -55,14 +55,14 @@
 	return newer
 }
 
-// pullPause is how long the answer to a question for a large record is waited for before
+// pullTimeout is how long the answer to a question for a large record is waited for before
 // another process is asked for the same one.
-const pullPause = 300 * time.Millisecond
+const pullTimeout = 300 * time.Millisecond
 
-// pull is a question for a large record.
-type pull struct {
-	revision uint64
-	at       time.Time
+// pendingPull is a question for a large record.
+type pendingPull struct {
+	revision    uint64
+	requestedAt time.Time
 }
 
 // pullFrom asks a peer for the large records that are still older here, unless another
@@ -74,25 +74,25 @@
 	for key, revision := range heads {
 		held, _ := c.mirror.Get(key)
 		asked := c.pulls[key]
-		if held.Revision >= revision || (asked.revision >= revision && now.Sub(asked.at) < pullPause) {
+		if held.Revision >= revision || (asked.revision >= revision && now.Sub(asked.requestedAt) < pullTimeout) {
 			continue
 		}
 		wanted[key] = held.Revision
-		c.pulls[key] = pull{revision: revision, at: now}
+		c.pulls[key] = pendingPull{revision: revision, requestedAt: now}
 	}
 	c.mutex.Unlock()
 	if len(wanted) > 0 {
-		_ = peering.Send(link, topicPull, "", pullSince{Held: wanted})
+		_ = peering.Send(link, topicPull, "", pullRequest{Held: wanted})
 	}
 }
 
-// pullSince asks for records that are newer than those held.
-type pullSince struct {
+// pullRequest asks for records that are newer than those held.
+type pullRequest struct {
 	Held map[string]uint64 `cbor:"1,keyasint"`
 }
 
 func (c *Catalog) handlePull(link *peering.Link, received *message.Message) {
-	request, err := peering.Decode[pullSince](received)
+	request, err := peering.Decode[pullRequest](received)
 	if err != nil {
 		c.options.Log.Log(logging.FrameRejected, zap.String("peer", link.Remote().ID), zap.Error(err))
 		return
@@ -102,7 +102,7 @@
 
 // answerPull sends the records that a peer has asked for, without holding up the link's
 // reader for their compression.
-func (c *Catalog) answerPull(link *peering.Link, request pullSince) {
+func (c *Catalog) answerPull(link *peering.Link, request pullRequest) {
 	var records []mirror.Record
 	c.mutex.Lock()
 	for key, revision := range request.Held {
@@ -125,9 +125,9 @@
 	}
 }
 
-// packs compresses large records. The newest form of each key is kept, because a record
+// packCache compresses large records. The newest form of each key is kept, because a record
 // that has changed is asked for by many at the same time.
-type packs struct {
+type packCache struct {
 	mutex  sync.Mutex
 	newest map[string]packedRecord
 }
@@ -138,7 +138,7 @@
 }
 
 // pack encodes and compresses a record; compression.Decode reads it.
-func (p *packs) pack(record mirror.Record) ([]byte, error) {
+func (p *packCache) pack(record mirror.Record) ([]byte, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if known, held := p.newest[record.Key]; held && known.revision == record.Revision {
--- a/internal/catalog/pulls_test.go
+++ b/internal/catalog/pulls_test.go
@@ -18,7 +18,7 @@
 		fmt.Fprintf(&value, `{"name":"r-%d","host":"a.example","pathPrefix":"/p%d/","timeoutMs":6000,"maxAttempts":2},`, index, index)
 	}
 	record := mirror.Record{Key: "op/config", Value: []byte(value.String()), Revision: 7}
-	var one packs
+	var one packCache
 	packed, err := one.pack(record)
 	require.NoError(t, err)
 	assert.Less(t, len(packed), len(record.Value)/5)
--- a/internal/catalog/quarantine_test.go
+++ b/internal/catalog/quarantine_test.go
@@ -21,11 +21,11 @@
 		{Kind: quarantine.Cleared, At: said, Entry: "10.0.0.1", Number: 4, Content: content, Lifts: true},
 		{Kind: quarantine.Quarantined, At: said, Entry: "10.0.0.1", Number: 5, Content: content, Servers: []string{"i-1", "i-2"}, Round: 2, Lasts: time.Hour},
 	} {
-		sent, err := cbor.Marshal(toldWordOf(word, said+2*time.Second))
+		sent, err := cbor.Marshal(newQuarantineMessage(word, said+2*time.Second))
 		require.NoError(t, err)
-		var told toldWord
+		var told quarantineMessage
 		require.NoError(t, cbor.Unmarshal(sent, &told))
-		received, err := told.checked(heard)
+		received, err := told.validated(heard)
 		require.NoError(t, err)
 		word.At = heard - 2*time.Second
 		assert.Equal(t, word, received)
@@ -35,28 +35,28 @@
 // A word that can't be meant is dropped, with a reason, also one of a kind that a later version tells.
 func TestFaultyWordsOnContentsAreRejected(t *testing.T) {
 	id := make([]byte, quarantine.ContentSize)
-	sound := func(change func(*toldWord)) toldWord {
-		word := toldWord{Kind: int(quarantine.Ended), Entry: "10.0.0.1", Number: 1, Server: "i-1", Suspects: []toldSuspect{{Content: toldContent{ID: id}}}}
+	sound := func(change func(*quarantineMessage)) quarantineMessage {
+		word := quarantineMessage{Kind: int(quarantine.Ended), Entry: "10.0.0.1", Number: 1, Server: "i-1", Suspects: []suspectMessage{{Fingerprint: fingerprintMessage{ID: id}}}}
 		change(&word)
 		return word
 	}
-	_, err := sound(func(*toldWord) {}).checked(time.Minute)
+	_, err := sound(func(*quarantineMessage) {}).validated(time.Minute)
 	require.NoError(t, err)
-	for what, change := range map[string]func(*toldWord){
-		"no teller":             func(w *toldWord) { w.Entry = "" },
-		"said in the future":    func(w *toldWord) { w.AgeMilliseconds = -1 },
-		"said years ago":        func(w *toldWord) { w.AgeMilliseconds = 1 << 60 },
-		"no server":             func(w *toldWord) { w.Server = "" },
-		"a short content":       func(w *toldWord) { w.Suspects[0].Content.ID = id[1:] },
-		"sent after its end":    func(w *toldWord) { w.Suspects[0].BeforeMilliseconds = -1 },
-		"too many contents":     func(w *toldWord) { w.Suspects = make([]toldSuspect, quarantine.MostSuspects+1) },
-		"a kind of later":       func(w *toldWord) { w.Kind = 99 },
-		"cleared without which": func(w *toldWord) { w.Kind = int(quarantine.Cleared) },
-		"lasts for ever":        func(w *toldWord) { w.LastsMilliseconds = 1 << 60 },
-		"a round below 0":       func(w *toldWord) { w.Round = -1 },
-		"too many servers":      func(w *toldWord) { w.Servers = make([]string, mostWordServers+1) },
+	for what, change := range map[string]func(*quarantineMessage){
+		"no teller":             func(w *quarantineMessage) { w.Entry = "" },
+		"said in the future":    func(w *quarantineMessage) { w.AgeMilliseconds = -1 },
+		"said years ago":        func(w *quarantineMessage) { w.AgeMilliseconds = 1 << 60 },
+		"no server":             func(w *quarantineMessage) { w.Server = "" },
+		"a short content":       func(w *quarantineMessage) { w.Suspects[0].Fingerprint.ID = id[1:] },
+		"sent after its end":    func(w *quarantineMessage) { w.Suspects[0].BeforeMilliseconds = -1 },
+		"too many contents":     func(w *quarantineMessage) { w.Suspects = make([]suspectMessage, quarantine.MostSuspects+1) },
+		"a kind of later":       func(w *quarantineMessage) { w.Kind = 99 },
+		"cleared without which": func(w *quarantineMessage) { w.Kind = int(quarantine.Cleared) },
+		"lasts for ever":        func(w *quarantineMessage) { w.LastsMilliseconds = 1 << 60 },
+		"a round below 0":       func(w *quarantineMessage) { w.Round = -1 },
+		"too many servers":      func(w *quarantineMessage) { w.Servers = make([]string, maxReportServers+1) },
 	} {
-		_, err := sound(change).checked(time.Minute)
+		_, err := sound(change).validated(time.Minute)
 		var invalid *fault.InvalidFrame
 		assert.ErrorAs(t, err, &invalid, what)
 	}
--- a/internal/catalog/reader.go
+++ b/internal/catalog/reader.go
@@ -19,19 +19,19 @@
 	// watchWait is how long one watch waits. A watch whose store has forgotten its
 	// history may hear nothing at all, so that the next one must follow soon.
 	watchWait = 500 * time.Millisecond
-	// watchPace is the least time between the beginnings of two watches.
-	watchPace = 200 * time.Millisecond
-	// readRetry is the first pause after a failed call; it doubles up to
+	// watchInterval is the least time between the beginnings of two watches.
+	watchInterval = 200 * time.Millisecond
+	// minReadRetry is the first pause after a failed call; it doubles up to
 	// maximumReadRetry, each with jitter.
-	readRetry        = 100 * time.Millisecond
-	maximumReadRetry = 400 * time.Millisecond
+	minReadRetry = 100 * time.Millisecond
+	maxReadRetry = 400 * time.Millisecond
 	// zoneStaleAfter is the age of the copy at which the first entry of a zone reads that is
 	// not the first zone: an answer of the store comes to the first one each watchWait, and
 	// from it to the others in some milliseconds. staleAfter is that at which an entry reads
 	// that is not the first of its zone; staleStep adds to either with the rank.
 	zoneStaleAfter = 650 * time.Millisecond
 	staleAfter     = 800 * time.Millisecond
-	staleStep      = 100 * time.Millisecond
+	staleStagger   = 100 * time.Millisecond
 	// startGrace is how long a process that starts waits to be told by others what the
 	// store holds: dialling a seed and hearing from it takes some round trips.
 	startGrace = 500 * time.Millisecond
@@ -42,31 +42,31 @@
 	agentSilence = 5 * time.Second
 	// agentWatchWait is how long a watch of an agent waits, which nobody else depends on.
 	agentWatchWait = 2 * time.Second
-	// agentSpread is the time over which agents that lose their entries together begin.
-	agentSpread = time.Second
-	// listStep adds with the rank to the time that an entry waits before it lists
+	// agentReadJitter is the time over which agents that lose their entries together begin.
+	agentReadJitter = time.Second
+	// listStagger adds with the rank to the time that an entry waits before it lists
 	// everything anew: a listing of half a megabyte takes that long over a link of
 	// 20 Mbit/s that some share, and the first ones tell the others. mostListWait bounds it.
-	listStep     = 600 * time.Millisecond
-	mostListWait = 3 * time.Second
-	// leastIdle is the least time between two looks of a process that does not read
+	listStagger = 600 * time.Millisecond
+	maxListWait = 3 * time.Second
+	// minIdle is the least time between two looks of a process that does not read
 	// whether it must, and rankCheck the most for an entry, which may have become the
 	// first of its zone.
-	leastIdle = 50 * time.Millisecond
-	rankCheck = 200 * time.Millisecond
+	minIdle           = 50 * time.Millisecond
+	rankCheckInterval = 200 * time.Millisecond
 )
 
-// position is where a watch of a prefix stands.
-type position struct {
+// watchPosition is where a watch of a prefix stands.
+type watchPosition struct {
 	prefix string
-	// at is the revision up to which everything was heard; 0 when all is to be listed.
-	at uint64
-	// forgotten is the revision from which on the store has forgotten its history, and
+	// revision is the revision up to which everything was heard; 0 when all is to be listed.
+	revision uint64
+	// forgottenRevision is the revision from which on the store has forgotten its history, and
 	// listAt when this process lists everything if nobody has told it more by then.
-	forgotten uint64
-	listAt    time.Time
-	retry     time.Duration
-	failed    bool
+	forgottenRevision uint64
+	historyLostAt     time.Time
+	backoff           time.Duration
+	failed            bool
 }
 
 // followStore lists the store's records unless another process has told them, and then
@@ -74,11 +74,11 @@
 // on from what it has heard last, be it from the store or from others; the store says
 // when that is too long ago.
 func (c *Catalog) followStore(ctx context.Context) {
-	at := &position{prefix: c.options.Decoder.Prefix()}
+	at := &watchPosition{prefix: c.options.Decoder.Prefix()}
 	for ctx.Err() == nil {
-		c.advance(at)
+		c.advancePosition(at)
 		if idle := c.untilReading(at); idle > 0 {
-			waiting.For(ctx, max(idle, leastIdle))
+			waiting.For(ctx, max(idle, minIdle))
 			continue
 		}
 		began := time.Now()
@@ -86,48 +86,48 @@
 		if c.options.Role == RoleAgent {
 			wait = agentWatchWait
 		}
-		c.read(ctx, at, wait)
-		waiting.For(ctx, c.pace(time.Now())-time.Since(began))
+		c.readStore(ctx, at, wait)
+		waiting.For(ctx, c.watchInterval(time.Now())-time.Since(began))
 	}
 }
 
-// pace is the least time between the beginnings of two watches now.
-func (c *Catalog) pace(now time.Time) time.Duration {
+// watchInterval is the least time between the beginnings of two watches now.
+func (c *Catalog) watchInterval(now time.Time) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.closeWatch.pace(now)
+	return c.watchPacer.interval(now)
 }
 
-// advance moves a position to what others have told.
-func (c *Catalog) advance(at *position) {
+// advancePosition moves a position to what others have told.
+func (c *Catalog) advancePosition(at *watchPosition) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.complete > at.forgotten {
-		at.at = max(at.at, c.complete)
+	if c.completeRevision > at.forgottenRevision {
+		at.revision = max(at.revision, c.completeRevision)
 	}
 }
 
 // untilReading is how long this process has not to read the store, unless it is told
 // something meanwhile.
-func (c *Catalog) untilReading(at *position) time.Duration {
+func (c *Catalog) untilReading(at *watchPosition) time.Duration {
 	if c.options.Role == RoleAgent {
 		return c.untilAgentReads()
 	}
 	rank, zoneRank := c.ranks()
-	if at.at == 0 {
-		return min(time.Until(c.listTime(at, rank)), rankCheck)
+	if at.revision == 0 {
+		return min(time.Until(c.listTime(at, rank)), rankCheckInterval)
 	}
-	return min(mayAge(rank, zoneRank)-time.Since(c.FreshAt()), rankCheck)
+	return min(maxCopyAge(rank, zoneRank)-time.Since(c.FreshAt()), rankCheckInterval)
 }
 
-// mayAge is the age of its copy at which an entry reads the store, by its rank in its
+// maxCopyAge is the age of its copy at which an entry reads the store, by its rank in its
 // zone and that of the zone. The first of the first zone reads always.
-func mayAge(rank, zoneRank int) time.Duration {
+func maxCopyAge(rank, zoneRank int) time.Duration {
 	switch {
 	case rank > 0:
-		return staleAfter + time.Duration(rank)*staleStep
+		return staleAfter + time.Duration(rank)*staleStagger
 	case zoneRank > 0:
-		return zoneStaleAfter + time.Duration(zoneRank-1)*staleStep
+		return zoneStaleAfter + time.Duration(zoneRank-1)*staleStagger
 	}
 	return 0
 }
@@ -135,14 +135,14 @@
 // listTime is when an entry that knows of nothing, or of too little, lists everything.
 // A seed begins at once, because others ask it: after a loss of all entries they know of
 // the servers 65 to 125 ms after their start, instead of 560 ms (TestFleetIsReadySoonAfterAllEntriesWereKilled).
-func (c *Catalog) listTime(at *position, rank int) time.Time {
+func (c *Catalog) listTime(at *watchPosition, rank int) time.Time {
 	switch {
-	case at.forgotten != 0:
-		return at.listAt.Add(min(time.Duration(rank)*listStep, mostListWait))
+	case at.forgottenRevision != 0:
+		return at.historyLostAt.Add(min(time.Duration(rank)*listStagger, maxListWait))
 	case len(c.options.Seeds) == 0 || c.options.IsSeed:
 		return c.started
 	}
-	return c.started.Add(startGrace + min(time.Duration(rank)*staleStep, mostListWait))
+	return c.started.Add(startGrace + min(time.Duration(rank)*staleStagger, maxListWait))
 }
 
 // untilAgentReads is how long an agent has not to read the store, if it hears nothing
@@ -151,10 +151,10 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	heard := c.started
-	if c.toldAt.After(heard) {
-		heard = c.toldAt
+	if c.lastUpdateAt.After(heard) {
+		heard = c.lastUpdateAt
 	}
-	return agentSilence + c.agentOffset - time.Since(heard)
+	return agentSilence + c.agentReadDelay - time.Since(heard)
 }
 
 // ranks are this entry's place among the entries of its zone, and that of its zone.
@@ -165,85 +165,85 @@
 	return c.overlay.Rank(), c.overlay.ZoneRank()
 }
 
-// noteAnswered notes that the store has answered, before its answer is taken in.
-func (c *Catalog) noteAnswered() {
+// recordAnswered notes that the store has answered, before its answer is taken in.
+func (c *Catalog) recordAnswered() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.noteFresh(time.Now())
+	c.recordFresh(time.Now())
 }
 
-// read makes one call and takes in what the store answers.
-func (c *Catalog) read(ctx context.Context, at *position, wait time.Duration) {
-	c.calls.Add(1)
+// readStore makes one call and takes in what the store answers.
+func (c *Catalog) readStore(ctx context.Context, at *watchPosition, wait time.Duration) {
+	c.storeCalls.Add(1)
 	began := time.Now()
 	var err error
-	if at.at == 0 {
-		err = c.list(ctx, at)
+	if at.revision == 0 {
+		err = c.listStore(ctx, at)
 	} else {
-		call := storeCall{sent: time.Now(), wait: wait}
+		call := storeCall{sentAt: time.Now(), wait: wait}
 		var changes fleet.Listing
-		changes, err = c.options.Store.Watch(ctx, at.prefix, at.at, wait)
+		changes, err = c.options.Store.Watch(ctx, at.prefix, at.revision, wait)
 		if err == nil {
-			call.received, call.changes = time.Now(), len(changes.Records)
-			c.noteAnswered()
-			c.takeWatched(changes.Records)
-			c.noteKnown(call)
-			at.at = max(at.at, changes.At)
-			c.noteRead(at.at)
+			call.receivedAt, call.changes = time.Now(), len(changes.Records)
+			c.recordAnswered()
+			c.applyWatched(changes.Records)
+			c.recordComplete(call)
+			at.revision = max(at.revision, changes.At)
+			c.recordRead(at.revision)
 		}
 	}
 	var historyGone *fault.HistoryGone
 	switch {
 	case err == nil:
-		c.noteAnswer(at)
+		c.recordSuccess(at)
 	case errors.As(err, &historyGone):
-		c.options.Log.Log(logging.HistoryForgotten, zap.String("prefix", at.prefix), zap.Uint64("after", at.at))
-		at.forgotten, at.listAt = max(at.at, 1), time.Now()
-		at.at = 0
+		c.options.Log.Log(logging.HistoryForgotten, zap.String("prefix", at.prefix), zap.Uint64("after", at.revision))
+		at.forgottenRevision, at.historyLostAt = max(at.revision, 1), time.Now()
+		at.revision = 0
 	case ctx.Err() == nil:
-		c.noteRefused(began, err)
-		c.noteFailure(ctx, at, err)
+		c.recordRefused(began, err)
+		c.recordFailure(ctx, at, err)
 	}
 }
 
-func (c *Catalog) list(ctx context.Context, at *position) error {
-	call := storeCall{sent: time.Now()}
+func (c *Catalog) listStore(ctx context.Context, at *watchPosition) error {
+	call := storeCall{sentAt: time.Now()}
 	listing, err := c.options.Store.List(ctx, at.prefix)
 	if err != nil {
 		return err
 	}
-	c.noteAnswered()
-	c.replace(at.prefix, listing)
-	call.received, call.changes = time.Now(), len(listing.Records)
-	c.noteKnown(call)
-	at.at, at.forgotten = listing.At, 0
-	c.noteRead(at.at)
+	c.recordAnswered()
+	c.applyListing(at.prefix, listing)
+	call.receivedAt, call.changes = time.Now(), len(listing.Records)
+	c.recordComplete(call)
+	at.revision, at.forgottenRevision = listing.At, 0
+	c.recordRead(at.revision)
 	return nil
 }
 
-// noteRead notes that every change up to a revision has been heard of from the store, and
+// recordRead notes that every change up to a revision has been heard of from the store, and
 // has all others told how fresh the copy is.
-func (c *Catalog) noteRead(revision uint64) {
+func (c *Catalog) recordRead(revision uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.complete = max(c.complete, revision)
+	c.completeRevision = max(c.completeRevision, revision)
 	c.freshSequence++
-	c.freshFromStore = c.freshSequence
-	c.kickExchange()
+	c.storeFreshSequence = c.freshSequence
+	c.wakeExchange()
 }
 
-func (c *Catalog) noteAnswer(at *position) {
+func (c *Catalog) recordSuccess(at *watchPosition) {
 	if at.failed {
 		c.options.Log.Log(logging.ServiceReached, zap.String("prefix", at.prefix))
 	}
-	at.failed, at.retry = false, 0
+	at.failed, at.backoff = false, 0
 }
 
-func (c *Catalog) noteFailure(ctx context.Context, at *position, err error) {
+func (c *Catalog) recordFailure(ctx context.Context, at *watchPosition, err error) {
 	if !at.failed {
 		c.options.Log.Log(logging.ServiceUnreached, zap.String("prefix", at.prefix), zap.Error(err))
 	}
 	at.failed = true
-	at.retry = min(max(2*at.retry, readRetry), maximumReadRetry)
-	waiting.For(ctx, at.retry/2+rand.N(at.retry))
+	at.backoff = min(max(2*at.backoff, minReadRetry), maxReadRetry)
+	waiting.For(ctx, at.backoff/2+rand.N(at.backoff))
 }
--- a/internal/catalog/services.go
+++ b/internal/catalog/services.go
@@ -26,10 +26,10 @@
 // them; the mutex is held.
 func (c *Catalog) servicesFor(peer *peerLink) *publishedServices {
 	configuration := c.View().Configuration
-	if configuration == nil || peer.servicesTold >= configuration.Version {
+	if configuration == nil || peer.servicesSent >= configuration.Version {
 		return nil
 	}
-	peer.servicesTold = configuration.Version
+	peer.servicesSent = configuration.Version
 	return &publishedServices{Version: configuration.Version, Revision: c.configurationRevision(), Services: configuration.Services}
 }
 
@@ -43,13 +43,13 @@
 	return newest
 }
 
-// takeServices takes over the services that an entry has told this agent. A newer
+// applyServices takes over the services that an entry has told this agent. A newer
 // configuration, be it whole because the agent has read it itself, is kept.
-func (c *Catalog) takeServices(link *peering.Link, told publishedServices) {
+func (c *Catalog) applyServices(link *peering.Link, told publishedServices) {
 	if c.options.Role != RoleAgent {
 		return
 	}
-	c.changeView(func(next *View) bool {
+	c.updateView(func(next *View) bool {
 		c.servicesRevision = max(c.servicesRevision, told.Revision)
 		if next.Configuration != nil && next.Configuration.Version >= told.Version {
 			return false
@@ -57,7 +57,7 @@
 		next.Configuration = &fleet.Configuration{Version: told.Version, Services: told.Services}
 		next.Configuration.Index()
 		next.ConfigurationSince = time.Now()
-		next.findAgents()
+		next.collectAgents()
 		c.options.Log.Log(logging.ServicesTold, zap.String("peer", link.Remote().ID), zap.Uint64("version", told.Version),
 			zap.Int("services", len(told.Services)))
 		return true
--- a/internal/catalog/services_test.go
+++ b/internal/catalog/services_test.go
@@ -28,7 +28,7 @@
 	assert.Nil(t, entry.servicesFor(peer), "nothing is known yet")
 	entry.mutex.Unlock()
 
-	entry.takeWatched([]mirror.Record{configurationRecord(7)})
+	entry.applyWatched([]mirror.Record{configurationRecord(7)})
 	entry.mutex.Lock()
 	told := entry.servicesFor(peer)
 	again := entry.servicesFor(peer)
@@ -36,7 +36,7 @@
 	require.NotNil(t, told)
 	assert.Nil(t, again, "it has been told")
 
-	agent.takeServices(&peering.Link{}, *told)
+	agent.applyServices(&peering.Link{}, *told)
 	configuration := agent.View().Configuration
 	require.NotNil(t, configuration)
 	assert.Equal(t, entry.View().Configuration.Services, configuration.Services)
@@ -44,7 +44,7 @@
 	assert.Empty(t, configuration.Tenants)
 	agent.mutex.Lock()
 	defer agent.mutex.Unlock()
-	assert.Empty(t, agent.lacking(map[string]uint64{"op/config": 9}))
+	assert.Empty(t, agent.missingHeads(map[string]uint64{"op/config": 9}))
 	assert.Empty(t, agent.newerHeads(map[string]uint64{"op/config": 7}), "what it acts on is here")
 	assert.NotEmpty(t, agent.newerHeads(map[string]uint64{"op/config": 8}))
 }
@@ -53,9 +53,9 @@
 func TestServicesNeverGoBack(t *testing.T) {
 	agent := newTestCatalog()
 	agent.options.Role = RoleAgent
-	agent.takeWatched([]mirror.Record{configurationRecord(7)})
+	agent.applyWatched([]mirror.Record{configurationRecord(7)})
 	before := agent.View()
-	agent.takeServices(&peering.Link{}, publishedServices{Version: 2, Revision: 5})
+	agent.applyServices(&peering.Link{}, publishedServices{Version: 2, Revision: 5})
 	assert.Same(t, before, agent.View())
 }
 
@@ -63,9 +63,9 @@
 func TestNewConfigurationsAreAnnouncedAtOnce(t *testing.T) {
 	entry := newTestCatalog()
 	before := entry.freshSequence
-	entry.takeTold([]mirror.Record{configurationRecord(7)}, nil)
+	entry.applyReceived([]mirror.Record{configurationRecord(7)}, nil)
 	assert.Greater(t, entry.freshSequence, before)
-	assert.Zero(t, entry.freshFromStore, "other zones have it from the same source")
-	entry.takeWatched([]mirror.Record{configurationRecord(8)})
-	assert.Equal(t, entry.freshSequence, entry.freshFromStore)
+	assert.Zero(t, entry.storeFreshSequence, "other zones have it from the same source")
+	entry.applyWatched([]mirror.Record{configurationRecord(8)})
+	assert.Equal(t, entry.freshSequence, entry.storeFreshSequence)
 }
--- a/internal/catalog/silentlinks.go
+++ b/internal/catalog/silent_links.go
@@ -23,31 +23,31 @@
 	// answered within probeGrace, a few times the way to another region and back. Each link
 	// adds up to renewSpread, so that links which fall silent together are not made together.
 	renewAfter  = 420 * time.Millisecond
-	renewSpread = 80 * time.Millisecond
+	renewJitter = 80 * time.Millisecond
 	probeGrace  = 50 * time.Millisecond
-	// probeTime is how long a probe may be answered.
-	probeTime = linkSilence - probeAfter
-	// judgeAfter is how long a replaced link may still bring something until it is counted as
+	// probeTimeout is how long a probe may be answered.
+	probeTimeout = linkTimeout - probeAfter
+	// silenceConfirmation is how long a replaced link may still bring something until it is counted as
 	// silent; the hub closes it soon after that.
-	judgeAfter = 900 * time.Millisecond
-	// suspectPause is within which two links must have been found silent for the store's connections to
+	silenceConfirmation = 900 * time.Millisecond
+	// suspectWindow is within which two links must have been found silent for the store's connections to
 	// be suspected, and the least time between two suspicions. A silence is found on all links within
 	// renewSpread and the time between two updates.
-	suspectPause = 500 * time.Millisecond
-	// doubtMemory is how long a link that was slow, not silent, is given more time.
-	doubtMemory = 30 * time.Second
+	suspectWindow = 500 * time.Millisecond
+	// renewDelayTTL is how long a link that was slow, not silent, is given more time.
+	renewDelayTTL = 30 * time.Second
 )
 
-// broken reports whether a link has been silent for linkSilence and a probe was not answered, while
+// isBroken reports whether a link has been silent for linkSilence and a probe was not answered, while
 // the process had time to read an answer. A sound link to another entry that sends on a link of
 // its own brings answers to probes only: without asking for one, processes that got a third of
 // their time dropped such links, and suspected the other entry. The mutex is held.
-func (c *Catalog) broken(peer *peerLink, now time.Time) bool {
-	if now.Sub(peer.link.LastHeard()) <= linkSilence {
+func (c *Catalog) isBroken(peer *peerLink, now time.Time) bool {
+	if now.Sub(peer.link.LastHeard()) <= linkTimeout {
 		return false
 	}
-	peer.probe(now, c.pause.resumed)
-	return now.Sub(peer.answerable(&c.pause)) >= resumeTime
+	peer.probe(now, c.pauses.resumedAt)
+	return now.Sub(peer.answerableSince(&c.pauses)) >= resumeGrace
 }
 
 // probe asks for a sign of life, once in a silence, and once more after a pause of the process, in
@@ -55,18 +55,18 @@
 func (p *peerLink) probe(now, resumed time.Time) {
 	again := false
 	if !p.probedAt.Before(p.link.LastHeard()) {
-		if again = !p.probedAgain && p.probedAt.Before(resumed); !again {
+		if again = !p.reprobed && p.probedAt.Before(resumed); !again {
 			return
 		}
 	}
-	p.probedAt, p.probedAgain = now, again
-	go p.link.Probe(probeTime)
+	p.probedAt, p.reprobed = now, again
+	go p.link.Probe(probeTimeout)
 }
 
-// answerable is since when the answer to the probe could be read. Stalls of the process move it up
+// answerableSince is since when the answer to the probe could be read. Stalls of the process move it up
 // to the end of probeTime: otherwise a process whose stalls go on never finds that a link is dead.
-func (p *peerLink) answerable(pause *pause) time.Time {
-	granted, last := pause.grantedSince(p.probedAt), p.probedAt.Add(probeTime)
+func (p *peerLink) answerableSince(pause *pauseDetector) time.Time {
+	granted, last := pause.probeStart(p.probedAt), p.probedAt.Add(probeTimeout)
 	if granted.After(last) {
 		return last
 	}
@@ -83,15 +83,15 @@
 	now := time.Now()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.pause.look(now)
-	next := linkLook
+	c.pauses.recordCheck(now)
+	next := linkCheckInterval
 	for _, peer := range c.links {
 		if peer.link != nil {
-			c.judgeReplaced(peer, now)
+			c.checkReplaced(peer, now)
 			next = min(next, c.checkLink(ctx, peer, now))
 		}
 	}
-	return max(next, linkLookLeast)
+	return max(next, minLinkCheckInterval)
 }
 
 // checkLink probes or renews a link if that is due, and returns the time until something is. The
@@ -101,21 +101,21 @@
 	if silent <= probeAfter {
 		return probeAfter - silent
 	}
-	peer.probe(now, c.pause.resumed)
+	peer.probe(now, c.pauses.resumedAt)
 	if peer.accepted || peer.dialling {
-		return linkLook
+		return linkCheckInterval
 	}
-	answerTime := probeGrace - now.Sub(peer.answerable(&c.pause))
-	if early := max(peer.patience-silent, answerTime, c.pause.resuming(now)); early > 0 {
+	answerTime := probeGrace - now.Sub(peer.answerableSince(&c.pauses))
+	if early := max(peer.renewDelay-silent, answerTime, c.pauses.graceLeft(now)); early > 0 {
 		return early
 	}
 	peer.dialling = true
-	go c.renew(ctx, peer, peer.link)
-	return linkLook
+	go c.renewLink(ctx, peer, peer.link)
+	return linkCheckInterval
 }
 
-// renew makes a link beside one that is silent.
-func (c *Catalog) renew(ctx context.Context, peer *peerLink, silent *peering.Link) {
+// renewLink makes a link beside one that is silent.
+func (c *Catalog) renewLink(ctx context.Context, peer *peerLink, silent *peering.Link) {
 	dialContext, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	began := time.Now()
@@ -128,16 +128,16 @@
 		// The link was only slow (peering.ErrHeard), or whether the other process is gone shows at
 		// linkSilence.
 		c.options.Log.Log(logging.LinkKept, zap.String("peer", peer.ip), zap.Error(err))
-		peer.doubt(now)
+		peer.extendRenewDelay(now)
 		return
 	}
-	c.open(peer, link, false)
+	c.openLink(peer, link, false)
 	heard := silent.LastHeard()
 	if heard.After(began) {
-		peer.doubt(now)
+		peer.extendRenewDelay(now)
 		return
 	}
-	peer.replaced, peer.replacedAt, peer.silent = silent, now, now.Sub(heard)
+	peer.replaced, peer.replacedAt, peer.silentFor = silent, now, now.Sub(heard)
 	c.suspectStore(peer, now)
 }
 
@@ -146,11 +146,11 @@
 // answer. The mutex is held.
 func (c *Catalog) suspectStore(latest *peerLink, now time.Time) {
 	hearer, hears := c.options.Store.(fleet.SilenceHearer)
-	if !hears || now.Sub(c.storeSuspectedAt) < suspectPause {
+	if !hears || now.Sub(c.storeSuspectedAt) < suspectWindow {
 		return
 	}
 	for _, peer := range c.links {
-		if peer != latest && peer.replaced != nil && now.Sub(peer.replacedAt) < suspectPause {
+		if peer != latest && peer.replaced != nil && now.Sub(peer.replacedAt) < suspectWindow {
 			c.storeSuspectedAt = now
 			hearer.SuspectSilence()
 			return
@@ -158,24 +158,24 @@
 	}
 }
 
-// doubt gives a link more time before it is made anew.
-func (p *peerLink) doubt(now time.Time) {
-	p.patience, p.patientTill = min(2*p.patience, linkSilence), now.Add(doubtMemory)
+// extendRenewDelay gives a link more time before it is made anew.
+func (p *peerLink) extendRenewDelay(now time.Time) {
+	p.renewDelay, p.renewDelayUntil = min(2*p.renewDelay, linkTimeout), now.Add(renewDelayTTL)
 }
 
-// judgeReplaced tells whether a link that was replaced had gone silent: until it is closed it
+// checkReplaced tells whether a link that was replaced had gone silent: until it is closed it
 // may still bring something, and then it was only slow. The mutex is held.
-func (c *Catalog) judgeReplaced(peer *peerLink, now time.Time) {
+func (c *Catalog) checkReplaced(peer *peerLink, now time.Time) {
 	if peer.replaced == nil {
 		return
 	}
 	if peer.replaced.LastHeard().After(peer.replacedAt) {
 		peer.replaced = nil
-		peer.doubt(now)
+		peer.extendRenewDelay(now)
 		return
 	}
-	if now.Sub(peer.replacedAt) >= judgeAfter && c.pause.resuming(now) <= 0 {
+	if now.Sub(peer.replacedAt) >= silenceConfirmation && c.pauses.graceLeft(now) <= 0 {
 		peer.replaced = nil
-		c.options.OnSilent(peer.ip, peer.silent)
+		c.options.OnSilent(peer.ip, peer.silentFor)
 	}
 }
--- a/internal/catalog/starved_test.go
+++ b/internal/catalog/starved_test.go
@@ -31,7 +31,7 @@
 	peer.address = link.Address()
 	peer.open(link, false)
 	c.mutex.Unlock()
-	c.hearEntry("10.0.0.2", entrySign{Zone: "z"})
+	c.recordEntry("10.0.0.2", entryHeartbeat{Zone: "z"})
 	return func() *peering.Link {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
@@ -43,9 +43,9 @@
 func droppedByStarved(t *testing.T, c *Catalog, made *peering.Link, held func() *peering.Link) time.Duration {
 	began := time.Now()
 	for ; time.Since(began) < 2*deadFound && held() == made; time.Sleep(starvedLook) {
-		c.hearEntry("10.0.0.2", entrySign{Zone: "z"})
+		c.recordEntry("10.0.0.2", entryHeartbeat{Zone: "z"})
 		c.checkLinks(t.Context())
-		c.keepLinks(t.Context())
+		c.maintainLinks(t.Context())
 	}
 	return time.Since(began)
 }
@@ -88,13 +88,13 @@
 	defer c.options.Hub.Close()
 	_, made := linkOther(t, c)
 	held := linkedCatalog(made, c)
-	c.keepLinks(t.Context())
+	c.maintainLinks(t.Context())
 	c.mutex.Lock()
 	c.links["10.0.0.2"].probedAt = time.Now()
 	c.mutex.Unlock()
-	time.Sleep(linkSilence + 100*time.Millisecond)
-	for began := time.Now(); time.Since(began) < 2*resumeTime && held() == made; time.Sleep(20 * time.Millisecond) {
-		c.keepLinks(t.Context())
+	time.Sleep(linkTimeout + 100*time.Millisecond)
+	for began := time.Now(); time.Since(began) < 2*resumeGrace && held() == made; time.Sleep(20 * time.Millisecond) {
+		c.maintainLinks(t.Context())
 	}
 	assert.Same(t, made, held())
 }
@@ -109,11 +109,11 @@
 	c.options.OnSilent = func(string, time.Duration) { told++ }
 	peer := c.links["10.0.0.2"]
 	peer.replaced, peer.replacedAt = made, time.Now()
-	c.pause.look(time.Now())
-	time.Sleep(judgeAfter)
+	c.pauses.recordCheck(time.Now())
+	time.Sleep(silenceConfirmation)
 	c.checkLinks(t.Context())
 	assert.Zero(t, told)
-	time.Sleep(resumeTime)
+	time.Sleep(resumeGrace)
 	c.checkLinks(t.Context())
 	assert.Zero(t, told, "it has answered meanwhile")
 	assert.Nil(t, peer.replaced)
--- a/internal/catalog/statuses.go
+++ b/internal/catalog/statuses.go
@@ -19,39 +19,39 @@
 
 // Times of passing on what agents have said.
 const (
-	// statusPace is how often entries of a zone are told of its agents, farStatusPace
+	// statusInterval is how often entries of a zone are told of its agents, farStatusPace
 	// how often of those of other zones, which they choose less often.
-	statusPace    = 60 * time.Millisecond
-	farStatusPace = 240 * time.Millisecond
-	// statusMemory is how long the word of an agent that says no more is kept.
-	statusMemory = 10 * time.Second
-	// backupPause is how long a word that this entry has from the agent itself may be
+	statusInterval       = 60 * time.Millisecond
+	remoteStatusInterval = 240 * time.Millisecond
+	// statusTTL is how long the word of an agent that says no more is kept.
+	statusTTL = 10 * time.Second
+	// backupDelay is how long a word that this entry has from the agent itself may be
 	// passed on by nobody until it does that in the main feeder's place: longer than an
 	// agent's longest time between two words.
-	backupPause = 400 * time.Millisecond
-	// farPause is longer than the time between two words of an agent of another zone: its own
+	backupDelay = 400 * time.Millisecond
+	// remoteSilence is longer than the time between two words of an agent of another zone: its own
 	// longest and farStatusPace.
-	farPause = 600 * time.Millisecond
-	// hastePause is how long words gather that are not left to the next statusPace: after a
+	remoteSilence = 600 * time.Millisecond
+	// flushDelay is how long words gather that are not left to the next statusPace: after a
 	// silence of many links they come within some ten milliseconds.
-	hastePause = 10 * time.Millisecond
-	// farHastePace is the least time between two hastened rounds of words of or to another zone.
+	flushDelay = 10 * time.Millisecond
+	// remoteFlushInterval is the least time between two hastened rounds of words of or to another zone.
 	// A word waits for it at two of up to three hops.
-	farHastePace = statusPace
+	remoteFlushInterval = statusInterval
 )
 
-// toldStatus is an agent's word as it is passed on.
-type toldStatus struct {
+// statusMessage is an agent's word as it is passed on.
+type statusMessage struct {
 	Status          fleet.MachineStatus `cbor:"1,keyasint"`
 	Zone            string              `cbor:"2,keyasint"`
 	AgeMilliseconds int64               `cbor:"3,keyasint"`
-	// Back is set when the word has ended a silence of its agent.
-	Back bool `cbor:"4,keyasint,omitempty"`
+	// EndsSilence is set when the word has ended a silence of its agent.
+	EndsSilence bool `cbor:"4,keyasint,omitempty"`
 }
 
 // statusBatch is what one entry passes on at once.
 type statusBatch struct {
-	Statuses []toldStatus `cbor:"1,keyasint,omitempty"`
+	Statuses []statusMessage `cbor:"1,keyasint,omitempty"`
 	// Packed are the statuses, compressed, for processes that read packingProtocol.
 	Packed []byte `cbor:"2,keyasint,omitempty"`
 }
@@ -65,12 +65,12 @@
 	direct bool
 	// sequence orders the changes, for the links.
 	sequence uint64
-	// passedAt is when another entry of the zone last passed on a word of the agent.
-	passedAt time.Time
-	// back is set when the word has ended a silence, late when it came as late as after one: those of
+	// relayedAt is when another entry of the zone last passed on a word of the agent.
+	relayedAt time.Time
+	// endsSilence is set when the word has ended a silence, late when it came as late as after one: those of
 	// an agent whose words always come that late end none.
-	back bool
-	late bool
+	endsSilence bool
+	late        bool
 }
 
 // StatusHandler is told an agent's word, when the agent said it, and whether it said
@@ -88,14 +88,14 @@
 		return
 	}
 	c.mutex.Lock()
-	c.noteStamp(link.Remote().ID, status.Stamp, time.Now())
+	c.recordStamp(link.Remote().ID, status.Stamp, time.Now())
 	c.mutex.Unlock()
 	status.Stamp = 0
 	if probe := status.Probe; probe != 0 {
 		status.Probe = 0
 		go func() { _ = peering.Send(link, fleet.TopicStatusEcho, "", fleet.StatusEcho{Probe: probe}) }()
 	}
-	c.takeStatus(heldStatus{status: status, zone: link.Remote().Zone, at: time.Now(), direct: true})
+	c.applyStatus(heldStatus{status: status, zone: link.Remote().Zone, at: time.Now(), direct: true})
 }
 
 func (c *Catalog) handleStatuses(link *peering.Link, received *message.Message) {
@@ -112,40 +112,40 @@
 	now := time.Now()
 	near := link.Remote().Zone == c.options.Zone
 	for _, told := range statuses {
-		passed := heldStatus{status: told.Status, zone: told.Zone, at: now.Add(-time.Duration(told.AgeMilliseconds) * time.Millisecond), back: told.Back}
+		passed := heldStatus{status: told.Status, zone: told.Zone, at: now.Add(-time.Duration(told.AgeMilliseconds) * time.Millisecond), endsSilence: told.EndsSilence}
 		if near {
-			passed.passedAt = now
+			passed.relayedAt = now
 		}
-		c.takeStatus(passed)
+		c.applyStatus(passed)
 	}
 }
 
-// sameMoment is the difference up to which two accounts of a word are taken for
+// sameReportTolerance is the difference up to which two accounts of a word are taken for
 // the same word, which has come by two ways.
-const sameMoment = 20 * time.Millisecond
+const sameReportTolerance = 20 * time.Millisecond
 
-func (c *Catalog) takeStatus(fresh heldStatus) {
+func (c *Catalog) applyStatus(fresh heldStatus) {
 	c.mutex.Lock()
 	held, known := c.statuses[fresh.status.Address]
-	if known && fresh.status.Born.Before(held.status.Born) && !fresh.direct && fresh.at.Sub(held.at) < statusMemory {
+	if known && fresh.status.Born.Before(held.status.Born) && !fresh.direct && fresh.at.Sub(held.at) < statusTTL {
 		c.mutex.Unlock()
 		return
 	}
-	if fresh.passedAt.IsZero() {
-		fresh.passedAt = held.passedAt
+	if fresh.relayedAt.IsZero() {
+		fresh.relayedAt = held.relayedAt
 	}
-	if known && !fresh.at.After(held.at.Add(sameMoment)) && !(fresh.direct && !held.direct) {
-		held.passedAt = fresh.passedAt
+	if known && !fresh.at.After(held.at.Add(sameReportTolerance)) && !(fresh.direct && !held.direct) {
+		held.relayedAt = fresh.relayedAt
 		c.statuses[fresh.status.Address] = held
 		c.mutex.Unlock()
 		return
 	}
 	c.statusSequence++
 	fresh.sequence = c.statusSequence
-	fresh.continues(held, c.isLate(fresh, held))
+	fresh.recordSilence(held, c.isLate(fresh, held))
 	c.statuses[fresh.status.Address] = fresh
-	if fresh.back {
-		c.hastenStatuses()
+	if fresh.endsSilence {
+		c.expediteStatuses()
 	}
 	c.mutex.Unlock()
 	if c.onStatus != nil {
@@ -153,15 +153,15 @@
 	}
 }
 
-// continues notes whether a word that follows another one of its agent ends a silence.
-func (h *heldStatus) continues(held heldStatus, late bool) {
-	if !h.at.After(held.at.Add(sameMoment)) {
+// recordSilence notes whether a word that follows another one of its agent ends a silence.
+func (h *heldStatus) recordSilence(held heldStatus, late bool) {
+	if !h.at.After(held.at.Add(sameReportTolerance)) {
 		// The same word, which has come by another way before.
-		h.back, h.late = h.back || held.back, held.late
+		h.endsSilence, h.late = h.endsSilence || held.endsSilence, held.late
 		return
 	}
 	h.late = late
-	h.back = (h.back || late) && !held.late
+	h.endsSilence = (h.endsSilence || late) && !held.late
 }
 
 // isLate reports whether a word comes as late as after a silence of its agent, or of what its words
@@ -170,70 +170,70 @@
 func (c *Catalog) isLate(fresh, held heldStatus) bool {
 	pause := fresh.at.Sub(held.at)
 	if fresh.zone != c.options.Zone {
-		return pause > farPause
+		return pause > remoteSilence
 	}
-	return pause > backupPause
+	return pause > backupDelay
 }
 
-// hastenStatuses has all entries told soon, those of other zones too: they have waited for the
+// expediteStatuses has all entries told soon, those of other zones too: they have waited for the
 // word of an agent that had fallen silent. The mutex is held.
-func (c *Catalog) hastenStatuses() {
+func (c *Catalog) expediteStatuses() {
 	now := time.Now()
 	for _, peer := range c.links {
-		peer.hastenFar(now)
+		peer.expediteRemote(now)
 	}
-	c.hasteAll = true
-	c.passSoon()
+	c.flushAll = true
+	c.scheduleFlush()
 }
 
-// hastenFar makes a round of words to another zone due, farHastePace after the last hastened one.
-func (p *peerLink) hastenFar(now time.Time) {
-	p.farHastened = true
-	if due := p.farHastenedAt.Add(farHastePace); !due.After(now) {
-		p.farToldAt = time.Time{}
-	} else if toldAt := due.Add(-farStatusPace); toldAt.Before(p.farToldAt) {
-		p.farToldAt = toldAt
+// expediteRemote makes a round of words to another zone due, farHastePace after the last hastened one.
+func (p *peerLink) expediteRemote(now time.Time) {
+	p.remoteExpedited = true
+	if due := p.remoteExpeditedAt.Add(remoteFlushInterval); !due.After(now) {
+		p.remoteSentAt = time.Time{}
+	} else if toldAt := due.Add(-remoteStatusInterval); toldAt.Before(p.remoteSentAt) {
+		p.remoteSentAt = toldAt
 	}
 }
 
-// passSoon has statuses passed on before the next statusPace, though no sooner than that after the
+// scheduleFlush has statuses passed on before the next statusPace, though no sooner than that after the
 // last time; the mutex is held.
-func (c *Catalog) passSoon() {
-	if c.hastened {
+func (c *Catalog) scheduleFlush() {
+	if c.flushScheduled {
 		return
 	}
-	c.hastened = true
-	time.AfterFunc(max(hastePause, statusPace-time.Since(c.hastenedAt)), func() {
-		signal(c.haste)
+	c.flushScheduled = true
+	time.AfterFunc(max(flushDelay, statusInterval-time.Since(c.flushedAt)), func() {
+		signal(c.flush)
 	})
 }
 
-// passHastened passes on statuses before the next statusPace: to all entries after a silence, else to
+// flushStatuses passes on statuses before the next statusPace: to all entries after a silence, else to
 // those alone whose links are new.
-func (c *Catalog) passHastened() {
+func (c *Catalog) flushStatuses() {
 	c.mutex.Lock()
-	all := c.hasteAll
-	c.hastened, c.hasteAll, c.hastenedAt = false, false, time.Now()
+	all := c.flushAll
+	c.flushScheduled, c.flushAll, c.flushedAt = false, false, time.Now()
 	c.mutex.Unlock()
-	c.pass(func(peer *peerLink) bool { return all || peer.untold })
+	c.sendStatuses(func(peer *peerLink) bool { return all || peer.unused })
 }
 
-// passStatuses sends each entry what it has not heard of agents: those of the own
+// relayStatuses sends each entry what it has not heard of agents: those of the own
 // zone what the agents have said here, and as the first gate what other zones' have;
 // the gates of other zones everything of the own zone.
-func (c *Catalog) passStatuses() { c.pass(func(*peerLink) bool { return true }) }
+func (c *Catalog) relayStatuses() { c.sendStatuses(func(*peerLink) bool { return true }) }
 
-// pass sends statuses to the entries that are wanted.
-func (c *Catalog) pass(wanted func(*peerLink) bool) {
+// sendStatuses sends statuses to the entries that are wanted.
+func (c *Catalog) sendStatuses(wanted func(*peerLink) bool) {
 	now := time.Now()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.forgetStatuses(now)
+	c.expireStatuses(now)
 	c.overlay.Advance(now)
 	firstGate := c.overlay.Rank() == 0
 	batches := map[batchKey][]byte{}
 	for _, peer := range c.links {
-		if !peer.isEntry() || peer.passing || !wanted(peer) {
+		if !peer.isEntry() || peer.sendingStatuses || !wanted(peer) {
 			continue
 		}
 		key, due := c.nextBatch(peer, firstGate, now)
@@ -248,14 +248,14 @@
 		if payload == nil {
 			continue
 		}
-		peer.passing = true
-		go c.passBatch(peer, peer.link, payload)
+		peer.sendingStatuses = true
+		go c.publishBatch(peer, peer.link, payload)
 	}
 }
 
-func (c *Catalog) forgetStatuses(now time.Time) {
+func (c *Catalog) expireStatuses(now time.Time) {
 	for address, held := range c.statuses {
-		if now.Sub(held.at) > statusMemory {
+		if now.Sub(held.at) > statusTTL {
 			delete(c.statuses, address)
 		}
 	}
@@ -264,14 +264,14 @@
 // batchKey tells which statuses a link is to be sent. Links with the same one are sent
 // the same bytes.
 type batchKey struct {
-	// near asks for what this entry passes on to its zone, after nearAfter; ofZone for
+	// local asks for what this entry passes on to its zone, after nearAfter; ofZone for
 	// all statuses of the own zone, which another zone is sent, after the same.
-	near      bool
-	ofZone    bool
-	nearAfter uint64
-	// far asks for those of other zones after farAfter.
-	far      bool
-	farAfter uint64
+	local      bool
+	wholeZone  bool
+	localAfter uint64
+	// remote asks for those of other zones after farAfter.
+	remote      bool
+	remoteAfter uint64
 	// packed asks for the compressed form.
 	packed bool
 }
@@ -281,32 +281,32 @@
 func (c *Catalog) nextBatch(peer *peerLink, firstGate bool, now time.Time) (batchKey, bool) {
 	isNear := peer.zone() == c.options.Zone
 	// A timer that is a little early does not put others off by a whole statusPace.
-	farDue := firstGate && now.Sub(peer.farToldAt) >= farStatusPace-statusPace/4
-	peer.untold = false
+	farDue := firstGate && now.Sub(peer.remoteSentAt) >= remoteStatusInterval-statusInterval/4
+	peer.unused = false
 	var key batchKey
 	switch {
 	case isNear:
-		key = batchKey{near: true, nearAfter: peer.nearTold, far: farDue}
+		key = batchKey{local: true, localAfter: peer.localSent, remote: farDue}
 		if farDue {
-			key.farAfter = peer.farTold
+			key.remoteAfter = peer.remoteSent
 		}
 	case farDue:
-		key = batchKey{ofZone: true, nearAfter: peer.nearTold}
+		key = batchKey{wholeZone: true, localAfter: peer.localSent}
 	default:
 		return key, false
 	}
 	key.packed = readsPacked(peer.link)
-	if c.statusSequence == key.nearAfter && (!key.far || c.statusSequence == key.farAfter) {
+	if c.statusSequence == key.localAfter && (!key.remote || c.statusSequence == key.remoteAfter) {
 		return key, false
 	}
-	peer.nearTold = c.statusSequence
+	peer.localSent = c.statusSequence
 	if farDue {
-		peer.farToldAt = now
-		if peer.farHastened {
-			peer.farHastened, peer.farHastenedAt = false, now
+		peer.remoteSentAt = now
+		if peer.remoteExpedited {
+			peer.remoteExpedited, peer.remoteExpeditedAt = false, now
 		}
 		if isNear {
-			peer.farTold = c.statusSequence
+			peer.remoteSent = c.statusSequence
 		}
 	}
 	return key, true
@@ -317,8 +317,8 @@
 func (c *Catalog) encodeBatch(key batchKey, now time.Time) []byte {
 	var batch statusBatch
 	for _, held := range c.statuses {
-		if c.belongs(held, key, now) {
-			batch.Statuses = append(batch.Statuses, toldStatus{Status: held.status, Zone: held.zone, AgeMilliseconds: now.Sub(held.at).Milliseconds(), Back: held.back})
+		if c.inBatch(held, key, now) {
+			batch.Statuses = append(batch.Statuses, statusMessage{Status: held.status, Zone: held.zone, AgeMilliseconds: now.Sub(held.at).Milliseconds(), EndsSilence: held.endsSilence})
 		}
 	}
 	if len(batch.Statuses) == 0 {
@@ -339,20 +339,20 @@
 	return payload
 }
 
-// belongs reports whether an agent's word is part of a batch; the mutex is held.
-func (c *Catalog) belongs(held heldStatus, key batchKey, now time.Time) bool {
+// inBatch reports whether an agent's word is part of a batch; the mutex is held.
+func (c *Catalog) inBatch(held heldStatus, key batchKey, now time.Time) bool {
 	if held.zone != c.options.Zone {
-		return key.far && held.sequence > key.farAfter
+		return key.remote && held.sequence > key.remoteAfter
 	}
-	if held.sequence <= key.nearAfter {
+	if held.sequence <= key.localAfter {
 		return false
 	}
-	return key.ofZone || (key.near && c.passesOn(held, now))
+	return key.wholeZone || (key.local && c.relays(held, now))
 }
 
-// passesOn reports whether this entry passes an agent's word on to its zone: as the
+// relays reports whether this entry passes an agent's word on to its zone: as the
 // main feeder of that agent, or in the place of one that does not. The mutex is held.
-func (c *Catalog) passesOn(held heldStatus, now time.Time) bool {
+func (c *Catalog) relays(held heldStatus, now time.Time) bool {
 	if !held.direct {
 		return false
 	}
@@ -361,11 +361,11 @@
 		return false
 	}
 	feeds, main := c.overlay.Feeds(agent, held.zone)
-	return main || (feeds && now.Sub(held.passedAt) > backupPause)
+	return main || (feeds && now.Sub(held.relayedAt) > backupDelay)
 }
 
-func (c *Catalog) passBatch(peer *peerLink, link *peering.Link, payload []byte) {
-	c.sent(peer, link, &peer.passing, link.Publish(topicStatuses, message.NewMessage("", payload)))
+func (c *Catalog) publishBatch(peer *peerLink, link *peering.Link, payload []byte) {
+	c.finishSend(peer, link, &peer.sendingStatuses, link.Publish(topicStatuses, message.NewMessage("", payload)))
 }
 
 // IsBackup reports whether an entry has said that another one passes on this agent's
--- a/internal/catalog/view.go
+++ b/internal/catalog/view.go
@@ -56,15 +56,15 @@
 	agents map[string]string
 }
 
-// maximumNotices bounds how many named versions of a model are remembered: more than an operator
+// maxAnnouncements bounds how many named versions of a model are remembered: more than an operator
 // names within the time until a version is in force.
-const maximumNotices = 32
+const maxAnnouncements = 32
 
-// stillBinding drops the notices of versions that bind nothing any more: the oldest one, for as
+// pruneAnnouncements drops the notices of versions that bind nothing any more: the oldest one, for as
 // long as a newer one is in force too. Until then it is the oldest that ends the time of the
 // versions before it.
-func stillBinding(notices []VersionAnnouncement, apply time.Duration, now time.Time) []VersionAnnouncement {
-	for len(notices) > 1 && (len(notices) > maximumNotices || now.Sub(notices[1].Since) > apply) {
+func pruneAnnouncements(notices []VersionAnnouncement, apply time.Duration, now time.Time) []VersionAnnouncement {
+	for len(notices) > 1 && (len(notices) > maxAnnouncements || now.Sub(notices[1].Since) > apply) {
 		notices = notices[1:]
 	}
 	return notices
@@ -116,8 +116,8 @@
 // are listed; each has an agent. The map is not to be changed.
 func (v *View) Agents() map[string]string { return v.agents }
 
-// findAgents fills in the agents of a view that is being made.
-func (v *View) findAgents() {
+// collectAgents fills in the agents of a view that is being made.
+func (v *View) collectAgents() {
 	v.agents = map[string]string{}
 	for name, servers := range v.Servers {
 		if !v.hasEngine(name) {
@@ -159,9 +159,9 @@
 	return decoded
 }
 
-// rebuild makes a new view after news, whose configurations have been decoded, and publishes it;
+// rebuildView makes a new view after news, whose configurations have been decoded, and publishes it;
 // the mutex is held.
-func (c *Catalog) rebuild(news []mirror.Record, decoded map[uint64]decodedConfiguration) {
+func (c *Catalog) rebuildView(news []mirror.Record, decoded map[uint64]decodedConfiguration) {
 	old := c.view.Load()
 	next := &View{
 		Configuration: old.Configuration, ConfigurationSince: old.ConfigurationSince,
@@ -171,11 +171,11 @@
 	for _, record := range news {
 		switch c.options.Decoder.Kind(record.Key) {
 		case fleet.RecordConfiguration:
-			c.takeConfiguration(next, record, decoded[record.Revision])
+			c.applyConfiguration(next, record, decoded[record.Revision])
 		case fleet.RecordVersion:
-			c.takeVersion(next, record)
+			c.applyVersion(next, record)
 		case fleet.RecordEvacuation:
-			c.takeEvacuation(next, record)
+			c.applyEvacuation(next, record)
 		case fleet.RecordServer:
 			serversChanged = true
 		}
@@ -184,12 +184,12 @@
 		c.rebuildServers(next)
 	}
 	if serversChanged || next.Configuration != old.Configuration {
-		next.findAgents()
+		next.collectAgents()
 	}
 	c.view.Store(next)
 }
 
-func (c *Catalog) takeConfiguration(next *View, record mirror.Record, decoded decodedConfiguration) {
+func (c *Catalog) applyConfiguration(next *View, record mirror.Record, decoded decodedConfiguration) {
 	if record.Gone {
 		return
 	}
@@ -207,7 +207,7 @@
 		zap.Int("routes", len(configuration.Routes)), zap.Int("tenants", len(configuration.Tenants)))
 }
 
-func (c *Catalog) takeVersion(next *View, record mirror.Record) {
+func (c *Catalog) applyVersion(next *View, record mirror.Record) {
 	named, err := c.options.Decoder.Version(record)
 	if record.Gone || err != nil {
 		return
@@ -215,15 +215,15 @@
 	if held, known := next.Newest(named.Model); known && held.Version >= named.Version {
 		return
 	}
-	age := c.ages[record.Key]
+	age := c.versionAges[record.Key]
 	notice := VersionAnnouncement{Version: named.Version, Revision: record.Revision, Since: time.Now().Add(-age.age), Assumed: age.assumed}
 	notices := append(slices.Clone(next.Versions[named.Model]), notice)
-	notices = stillBinding(notices, c.options.VersionApply, time.Now())
+	notices = pruneAnnouncements(notices, c.options.VersionApply, time.Now())
 	next.Versions = maps.Clone(next.Versions)
 	next.Versions[named.Model] = notices
 	c.options.Log.Log(logging.VersionNamed, zap.String("model", named.Model), zap.Uint64("version", named.Version),
 		zap.Uint64("revision", record.Revision), zap.Duration("age", time.Since(notice.Since)), zap.Bool("assumed", notice.Assumed))
-	if age.age > lateNaming {
+	if age.age > lateAnnouncement {
 		c.options.Log.Log(logging.VersionHeardLate, zap.String("model", named.Model), zap.Uint64("version", named.Version),
 			zap.Duration("at_most", age.age), zap.Bool("assumed", age.assumed))
 	}
@@ -236,8 +236,8 @@
 	for _, key := range c.serverKeys {
 		server := c.servers[key]
 		next.Servers[server.Service] = append(next.Servers[server.Service], server)
-		delete(c.lapsed, server.ID)
+		delete(c.expired, server.ID)
 	}
-	count := len(c.serverKeys) + c.keepLapsed(next)
+	count := len(c.serverKeys) + c.retainExpired(next)
 	c.options.Log.Log(logging.MembershipChanged, zap.Int("servers", count))
 }
--- a/internal/catalog/horizon.go
+++ b/internal/catalog/watermark.go
@@ -2,41 +2,41 @@
 
 import "time"
 
-// horizon is the latest moment up to which a copy is known to hold every change that the
+// watermark is the latest moment up to which a copy is known to hold every change that the
 // store has made, unless the store has told nothing of a change because it is about to forget
 // its history. A change that the copy lacks was made after it. The zero value knows of no such
 // moment.
-type horizon struct {
+type watermark struct {
 	at time.Time
 }
 
 // advance moves the horizon on; it never goes back by it.
-func (h *horizon) advance(to time.Time) {
+func (h *watermark) advance(to time.Time) {
 	if to.After(h.at) {
 		h.at = to
 	}
 }
 
-// before is the horizon less a time by which it is in doubt.
-func (h horizon) before(doubt time.Duration) horizon {
+// minus is the horizon less a time by which it is in doubt.
+func (h watermark) minus(doubt time.Duration) watermark {
 	if h.at.IsZero() {
 		return h
 	}
-	return horizon{at: h.at.Add(-doubt)}
+	return watermark{at: h.at.Add(-doubt)}
 }
 
-// notBefore is the horizon, or a later moment where there is one; a horizon that knows of no
+// atLeast is the horizon, or a later moment where there is one; a horizon that knows of no
 // moment stays so.
-func (h horizon) notBefore(moment time.Time) horizon {
+func (h watermark) atLeast(moment time.Time) watermark {
 	if !h.at.IsZero() {
 		h.advance(moment)
 	}
 	return h
 }
 
-// longest is the longest time since a change that the copy has lacked until now; false when
+// maxAge is the longest time since a change that the copy has lacked until now; false when
 // nothing bounds it.
-func (h horizon) longest(now time.Time) (time.Duration, bool) {
+func (h watermark) maxAge(now time.Time) (time.Duration, bool) {
 	if h.at.IsZero() {
 		return 0, false
 	}
@@ -45,10 +45,10 @@
 
 // storeCall is an answered call to the store.
 type storeCall struct {
-	// sent is when the call began, before a connection for it was made.
-	sent time.Time
-	// received is when the whole answer was here.
-	received time.Time
+	// sentAt is when the call began, before a connection for it was made.
+	sentAt time.Time
+	// receivedAt is when the whole answer was here.
+	receivedAt time.Time
 	// wait is how long the store was to wait for a change; 0 for a listing.
 	wait time.Duration
 	// changes is how many changes the answer held.
@@ -62,39 +62,39 @@
 // watch early and the answer was slow; to count each watch from its sending would make every
 // version appear 0.5 s older still.
 func (s storeCall) completeUntil() time.Time {
-	waited := s.sent.Add(s.wait)
-	if s.changes == 0 && !s.received.Before(waited) {
+	waited := s.sentAt.Add(s.wait)
+	if s.changes == 0 && !s.receivedAt.Before(waited) {
 		return waited
 	}
-	return s.sent
+	return s.sentAt
 }
 
-// word is what a peer says of the age of something.
-type word struct {
+// peerAge is what a peer says of the age of something.
+type peerAge struct {
 	// age is what the peer said when it sent the word.
 	age time.Duration
 	// flight is the longest time that the word can have been on its way; flightKnown is
 	// false when nothing bounds that.
 	flight      time.Duration
 	flightKnown bool
-	// received is when the word was here. It may be acted on later: its message waits for
+	// receivedAt is when the word was here. It may be acted on later: its message waits for
 	// others, and the process may be paused.
-	received time.Time
+	receivedAt time.Time
 }
 
 // earliest is the earliest moment that a word allows; false when the word does not bound it.
-func (w word) earliest() (time.Time, bool) {
-	return w.received.Add(-w.age - w.flight), w.flightKnown
+func (w peerAge) earliest() (time.Time, bool) {
+	return w.receivedAt.Add(-w.age - w.flight), w.flightKnown
 }
 
-// ageOfNews is the longest age of a change that a copy has just heard of by a peer's word: the
+// ageOfReceived is the longest age of a change that a copy has just heard of by a peer's word: the
 // peer's account and the own horizon bound it both, and the tighter one counts. Where neither
 // does, the process has only just started: it takes the word as if it had come at once, and
 // false is returned.
-func ageOfNews(told word, known horizon, now time.Time) (age time.Duration, bounded bool) {
+func ageOfReceived(told peerAge, known watermark, now time.Time) (age time.Duration, bounded bool) {
 	since, worded := told.earliest()
 	byWord := now.Sub(since)
-	byHorizon, horizoned := known.longest(now)
+	byHorizon, horizoned := known.maxAge(now)
 	switch {
 	case worded && horizoned:
 		return min(byWord, byHorizon), true
@@ -104,28 +104,28 @@
 	return byWord, worded
 }
 
-// stamps measures the longest time that a message of a peer can have been on its way: the
+// peerStamps measures the longest time that a message of a peer can have been on its way: the
 // peer returns the newest stamp of this process that it has seen, and for how long it has held
 // it.
-type stamps struct {
-	// heard is the newest stamp of the peer, heardAt when it came.
-	heard   int64
-	heardAt time.Time
+type peerStamps struct {
+	// newest is the newest stamp of the peer, heardAt when it came.
+	newest     int64
+	receivedAt time.Time
 }
 
-// note keeps the peer's newest stamp.
-func (s *stamps) note(stamp int64, now time.Time) {
-	if stamp > s.heard {
-		s.heard, s.heardAt = stamp, now
+// record keeps the peer's newest stamp.
+func (s *peerStamps) record(stamp int64, now time.Time) {
+	if stamp > s.newest {
+		s.newest, s.receivedAt = stamp, now
 	}
 }
 
 // echo is what goes back to the peer: its stamp, and for how long it was held.
-func (s stamps) echo(now time.Time) (stamp, heldMilliseconds int64) {
-	if s.heard == 0 {
+func (s peerStamps) echo(now time.Time) (stamp, heldMilliseconds int64) {
+	if s.newest == 0 {
 		return 0, 0
 	}
-	return s.heard, now.Sub(s.heardAt).Milliseconds()
+	return s.newest, now.Sub(s.receivedAt).Milliseconds()
 }
 
 // stampAt is this process's stamp of a moment: the milliseconds since it started, from 1 on, after
@@ -134,10 +134,10 @@
 	return started.UnixMilli() + now.Sub(started).Milliseconds() + 1
 }
 
-// flightOf is the longest time that a message with an echo can have been on its way; false
+// maxFlight is the longest time that a message with an echo can have been on its way; false
 // without an echo of a stamp that this life of the process has given by now. Both times are cut to
 // milliseconds towards a longer flight.
-func flightOf(started time.Time, echo, heldMilliseconds int64, now time.Time) (time.Duration, bool) {
+func maxFlight(started time.Time, echo, heldMilliseconds int64, now time.Time) (time.Duration, bool) {
 	if echo <= started.UnixMilli() || echo > stampAt(started, now) {
 		return 0, false
 	}
--- a/internal/catalog/horizon_test.go
+++ b/internal/catalog/watermark_test.go
@@ -32,13 +32,13 @@
 		call storeCall
 		want time.Duration
 	}{
-		{"a listing", storeCall{sent: sent, received: sent.Add(2 * time.Second), changes: 300}, 0},
-		{"an empty listing", storeCall{sent: sent, received: sent.Add(2 * time.Second)}, 0},
-		{"a watch that heard nothing", storeCall{sent: sent, received: sent.Add(wait + 3*time.Millisecond), wait: wait}, wait},
-		{"a watch that heard nothing, answered late", storeCall{sent: sent, received: sent.Add(4 * wait), wait: wait}, wait},
-		{"a watch that came back early without a change", storeCall{sent: sent, received: sent.Add(wait / 2), wait: wait}, 0},
-		{"a watch that heard something at once", storeCall{sent: sent, received: sent.Add(time.Millisecond), wait: wait, changes: 1}, 0},
-		{"a watch that heard something late", storeCall{sent: sent, received: sent.Add(2 * wait), wait: wait, changes: 1}, 0},
+		{"a listing", storeCall{sentAt: sent, receivedAt: sent.Add(2 * time.Second), changes: 300}, 0},
+		{"an empty listing", storeCall{sentAt: sent, receivedAt: sent.Add(2 * time.Second)}, 0},
+		{"a watch that heard nothing", storeCall{sentAt: sent, receivedAt: sent.Add(wait + 3*time.Millisecond), wait: wait}, wait},
+		{"a watch that heard nothing, answered late", storeCall{sentAt: sent, receivedAt: sent.Add(4 * wait), wait: wait}, wait},
+		{"a watch that came back early without a change", storeCall{sentAt: sent, receivedAt: sent.Add(wait / 2), wait: wait}, 0},
+		{"a watch that heard something at once", storeCall{sentAt: sent, receivedAt: sent.Add(time.Millisecond), wait: wait, changes: 1}, 0},
+		{"a watch that heard something late", storeCall{sentAt: sent, receivedAt: sent.Add(2 * wait), wait: wait, changes: 1}, 0},
 	} {
 		assert.Equal(t, one.want, one.call.completeUntil().Sub(sent), one.name)
 	}
@@ -47,40 +47,40 @@
 // The horizon goes on only, but for a doubt, and bounds nothing until it is known.
 func TestHorizon(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var known horizon
-	_, bounded := known.before(time.Second).longest(now)
+	var known watermark
+	_, bounded := known.minus(time.Second).maxAge(now)
 	assert.False(t, bounded)
 	known.advance(now)
 	known.advance(now.Add(-time.Second))
-	longest, bounded := known.longest(now.Add(300 * time.Millisecond))
+	longest, bounded := known.maxAge(now.Add(300 * time.Millisecond))
 	assert.True(t, bounded)
 	assert.Equal(t, 300*time.Millisecond, longest)
-	longest, _ = known.longest(now.Add(-time.Millisecond))
+	longest, _ = known.maxAge(now.Add(-time.Millisecond))
 	assert.Zero(t, longest, "no age is below zero")
-	longest, _ = known.before(time.Second).longest(now)
+	longest, _ = known.minus(time.Second).maxAge(now)
 	assert.Equal(t, time.Second, longest)
 }
 
 // The tighter of two bounds counts; a word whose time on the way is unknown bounds nothing.
 func TestAgeOfNews(t *testing.T) {
 	now := time.Unix(1000, 0)
-	complete := horizon{at: now.Add(-2 * time.Second)}
+	complete := watermark{at: now.Add(-2 * time.Second)}
 	for _, one := range []struct {
 		name    string
-		told    word
-		known   horizon
+		told    peerAge
+		known   watermark
 		want    time.Duration
 		bounded bool
 	}{
-		{"the word is tighter", word{age: time.Second, flight: 100 * time.Millisecond, flightKnown: true}, complete, 1100 * time.Millisecond, true},
-		{"the own copy is tighter", word{age: time.Second, flight: 3 * time.Second, flightKnown: true}, complete, 2 * time.Second, true},
-		{"the word may have been long on its way", word{age: time.Second}, complete, 2 * time.Second, true},
-		{"the word is older than the own copy allows", word{age: 5 * time.Second}, complete, 5 * time.Second, true},
-		{"the process has just started", word{age: time.Second, flight: 100 * time.Millisecond, flightKnown: true}, horizon{}, 1100 * time.Millisecond, true},
-		{"the process has just started and measured nothing", word{age: time.Second}, horizon{}, time.Second, false},
+		{"the word is tighter", peerAge{age: time.Second, flight: 100 * time.Millisecond, flightKnown: true}, complete, 1100 * time.Millisecond, true},
+		{"the own copy is tighter", peerAge{age: time.Second, flight: 3 * time.Second, flightKnown: true}, complete, 2 * time.Second, true},
+		{"the word may have been long on its way", peerAge{age: time.Second}, complete, 2 * time.Second, true},
+		{"the word is older than the own copy allows", peerAge{age: 5 * time.Second}, complete, 5 * time.Second, true},
+		{"the process has just started", peerAge{age: time.Second, flight: 100 * time.Millisecond, flightKnown: true}, watermark{}, 1100 * time.Millisecond, true},
+		{"the process has just started and measured nothing", peerAge{age: time.Second}, watermark{}, time.Second, false},
 	} {
-		one.told.received = now
-		age, bounded := ageOfNews(one.told, one.known, now)
+		one.told.receivedAt = now
+		age, bounded := ageOfReceived(one.told, one.known, now)
 		assert.Equal(t, one.want, age, one.name)
 		assert.Equal(t, one.bounded, bounded, one.name)
 	}
@@ -95,20 +95,20 @@
 		require.True(t, known)
 		return time.Since(newest.Since).Round(time.Second)
 	}
-	c.takeTold([]mirror.Record{{Key: "op/version/m", Value: []byte(`{"model":"m","version":2}`), Revision: 4}}, nil)
+	c.applyReceived([]mirror.Record{{Key: "op/version/m", Value: []byte(`{"model":"m","version":2}`), Revision: 4}}, nil)
 	assert.Equal(t, 4*time.Second, sinceOf(), "assumed")
-	assert.Empty(t, c.namings(time.Now()), "a guess is not passed on")
-	c.takeNamings([]naming{{Model: "m", Version: 2, Revision: 3, AgeMilliseconds: 1000}}, 0, time.Now())
+	assert.Empty(t, c.announcements(time.Now()), "a guess is not passed on")
+	c.applyAnnouncements([]announcementMessage{{Model: "m", Version: 2, Revision: 3, AgeMilliseconds: 1000}}, 0, time.Now())
 	assert.Equal(t, 4*time.Second, sinceOf(), "another revision")
-	c.takeNamings([]naming{{Model: "m", Version: 2, Revision: 4, AgeMilliseconds: 5000}}, time.Second, time.Now())
+	c.applyAnnouncements([]announcementMessage{{Model: "m", Version: 2, Revision: 4, AgeMilliseconds: 5000}}, time.Second, time.Now())
 	assert.Equal(t, 6*time.Second, sinceOf(), "a bound instead of a guess")
-	c.takeNamings([]naming{{Model: "m", Version: 2, Revision: 4, AgeMilliseconds: 7000}}, 0, time.Now())
+	c.applyAnnouncements([]announcementMessage{{Model: "m", Version: 2, Revision: 4, AgeMilliseconds: 7000}}, 0, time.Now())
 	assert.Equal(t, 6*time.Second, sinceOf(), "a wider bound")
-	c.takeNamings([]naming{{Model: "m", Version: 2, Revision: 4, AgeMilliseconds: 1000}}, time.Second, time.Now())
+	c.applyAnnouncements([]announcementMessage{{Model: "m", Version: 2, Revision: 4, AgeMilliseconds: 1000}}, time.Second, time.Now())
 	assert.Equal(t, 2*time.Second, sinceOf(), "a tighter bound")
-	told := c.namings(time.Now())
+	told := c.announcements(time.Now())
 	require.Len(t, told, 1)
-	assert.Equal(t, naming{Model: "m", Version: 2, Revision: 4, AgeMilliseconds: told[0].AgeMilliseconds}, told[0])
+	assert.Equal(t, announcementMessage{Model: "m", Version: 2, Revision: 4, AgeMilliseconds: told[0].AgeMilliseconds}, told[0])
 	assert.InDelta(t, 2000, told[0].AgeMilliseconds, 100)
 }
 
@@ -119,24 +119,24 @@
 		random := rand.New(rand.NewPCG(seed, 1))
 		between := func(most time.Duration) time.Duration { return time.Duration(random.Int64N(int64(most))) }
 		started := time.Unix(1000, 0)
-		var peer stamps
+		var peer peerStamps
 		now := started
 		for range 50 {
 			stamped := now.Add(between(400 * time.Millisecond))
 			stampWay := between(2 * time.Second)
-			peer.note(stampAt(started, stamped), stamped.Add(stampWay))
+			peer.record(stampAt(started, stamped), stamped.Add(stampWay))
 			sent := stamped.Add(stampWay + between(time.Second))
 			// Messages on a link do not overtake each other.
 			now = sent
 			echo, held := peer.echo(sent)
 			flight := between(2 * time.Second)
-			found, known := flightOf(started, echo, held, sent.Add(flight))
+			found, known := maxFlight(started, echo, held, sent.Add(flight))
 			require.True(t, known)
 			require.GreaterOrEqual(t, found, flight, "seed %d", seed)
 			require.LessOrEqual(t, found, flight+stampWay+2*time.Millisecond, "seed %d", seed)
 		}
 	}
-	_, known := flightOf(time.Unix(1000, 0), 0, 0, time.Unix(1001, 0))
+	_, known := maxFlight(time.Unix(1000, 0), 0, 0, time.Unix(1001, 0))
 	assert.False(t, known, "nothing was returned")
 }
 
@@ -151,11 +151,11 @@
 	for _, stamped := range []time.Duration{time.Millisecond, 4900 * time.Millisecond, 9 * time.Second, 9999 * time.Millisecond} {
 		echo := stampAt(former, former.Add(stamped))
 		for _, now := range []time.Duration{0, 5 * time.Second, 20 * time.Second} {
-			_, known := flightOf(started, echo, 0, started.Add(now))
+			_, known := maxFlight(started, echo, 0, started.Add(now))
 			assert.False(t, known, "stamped after %s of the former life, echoed after %s of this one", stamped, now)
 		}
 	}
-	_, known := flightOf(started, stampAt(started, started.Add(time.Second)), 0, started)
+	_, known := maxFlight(started, stampAt(started, started.Add(time.Second)), 0, started)
 	assert.False(t, known, "a stamp that has not been given yet")
 }
 
@@ -367,19 +367,19 @@
 func TestMissedVersionsAreToldByPeers(t *testing.T) {
 	peer := newTestCatalog()
 	now := time.Now()
-	peer.known.advance(now.Add(-6 * time.Second))
-	peer.takeWatched([]mirror.Record{versionRecord(2, 4)})
-	peer.known.advance(now.Add(-500 * time.Millisecond))
-	peer.takeWatched([]mirror.Record{versionRecord(3, 5)})
+	peer.watermark.advance(now.Add(-6 * time.Second))
+	peer.applyWatched([]mirror.Record{versionRecord(2, 4)})
+	peer.watermark.advance(now.Add(-500 * time.Millisecond))
+	peer.applyWatched([]mirror.Record{versionRecord(3, 5)})
 	peer.mutex.Lock()
-	told := peer.compose(&peerLink{compared: true})
+	told := peer.composeUpdate(&peerLink{compared: true})
 	peer.mutex.Unlock()
 	for _, missed := range []string{"started later", "out of touch over both"} {
 		t.Run(missed, func(t *testing.T) {
 			c := newTestCatalog()
 			if missed == "out of touch over both" {
-				c.known.advance(now.Add(-6100 * time.Millisecond))
-				c.takeWatched([]mirror.Record{versionRecord(1, 3)})
+				c.watermark.advance(now.Add(-6100 * time.Millisecond))
+				c.applyWatched([]mirror.Record{versionRecord(1, 3)})
 			}
 			deliver(t, c, told)
 			first, known := c.View().FirstAfter("m", 1)
@@ -398,7 +398,7 @@
 	named := time.Now().Add(-3 * time.Second)
 	deliver(t, c, update{
 		Records: []mirror.Record{versionRecord(2, 4)}, AgesMilliseconds: map[string]int64{"op/version/m": 3000},
-		Namings: []naming{{Model: "m", Version: 2, Revision: 4, AgeMilliseconds: 3000}}, Stamp: 1,
+		Announcements: []announcementMessage{{Model: "m", Version: 2, Revision: 4, AgeMilliseconds: 3000}}, Stamp: 1,
 	})
 	notice, _ := c.View().Newest("m")
 	assert.LessOrEqual(t, notice.Since.Sub(named), 5*time.Millisecond)
@@ -412,8 +412,8 @@
 	for version := uint64(2); version < 12; version++ {
 		notices = append(notices, VersionAnnouncement{Version: version, Since: now.Add(time.Duration(version) * time.Second)})
 	}
-	kept := stillBinding(notices, apply, now.Add(11*time.Second))
+	kept := pruneAnnouncements(notices, apply, now.Add(11*time.Second))
 	assert.Equal(t, uint64(2), kept[0].Version, "version 3 is not in force yet")
-	kept = stillBinding(notices, apply, now.Add(13500*time.Millisecond))
+	kept = pruneAnnouncements(notices, apply, now.Add(13500*time.Millisecond))
 	assert.Equal(t, uint64(5), kept[0].Version, "version 5 is in force, 6 is not")
 }
