--- a/internal/catalog/entries_test.go
+++ b/internal/catalog/entries_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// catalogAmong is the catalog of an entry that has just heard of a number of others.
-func catalogAmong(entries int) *Catalog {
+// catalogWithEntries is the catalog of an entry that has just heard of a number of others.
+func catalogWithEntries(entries int) *Catalog {
 	c := newTestCatalog()
 	for index := range entries {
 		c.recordEntry(fmt.Sprintf("10.1.%d.%d", index/250, index%250), entryHeartbeat{Zone: fmt.Sprintf("zone-%d", index%5), Capacity: 3})
@@ -35,7 +35,7 @@
 func TestUpdatesDoNotGrowWithTheFleet(t *testing.T) {
 	sizes := map[int]int{}
 	for _, entries := range []int{30, 327, 1200} {
-		c := catalogAmong(entries)
+		c := catalogWithEntries(entries)
 		sizes[entries] = updateBytes(t, c, &peerLink{rosterDigest: c.overlay.Digest()})
 	}
 	assert.LessOrEqual(t, sizes[1200], sizes[30]+16, "bytes at 30 and 1,200 entries: %v", sizes)
@@ -43,8 +43,8 @@
 
 // Who knows other entries, or tells no roster because it is of a build without, is sent the list, and
 // hears of all from it.
-func TestListGoesToWhoKnowsOthers(t *testing.T) {
-	c := catalogAmong(40)
+func TestEntryListIsSentOnRosterMismatch(t *testing.T) {
+	c := catalogWithEntries(40)
 	for name, peer := range map[string]*peerLink{"others": {rosterDigest: 1}, "no roster": {}} {
 		now := time.Now()
 		message := c.composeUpdate(peer)
@@ -56,7 +56,7 @@
 }
 
 // Links of about the same rate are of one class, those of a much larger one of a higher.
-func TestCapacityOfLinks(t *testing.T) {
+func TestCapacityClass(t *testing.T) {
 	const megabit = 1e6 / 8
 	assert.Zero(t, capacityClass(0))
 	assert.Zero(t, capacityClass(40*megabit), "an ordinary link ranks like one that is not told")
--- a/internal/catalog/evacuations_test.go
+++ b/internal/catalog/evacuations_test.go
@@ -18,7 +18,7 @@
 
 // An evacuation is in force from when it is heard, from whomever, until it is taken away; what
 // others tell later of an older revision changes nothing.
-func TestEvacuationsAreTakenAndTakenBack(t *testing.T) {
+func TestEvacuationsAreAppliedAndLifted(t *testing.T) {
 	c := newTestCatalog()
 	urgent := c.urgentSequence
 	c.applyReceived([]mirror.Record{evacuationRecord("a", 5), evacuationRecord("b", 6)}, nil)
@@ -33,7 +33,7 @@
 }
 
 // An evacuation is passed on to those who lack it, as other records are.
-func TestEvacuationsArePassedOn(t *testing.T) {
+func TestEvacuationsAreForwarded(t *testing.T) {
 	c := newTestCatalog()
 	c.applyWatched([]mirror.Record{evacuationRecord("a", 5)})
 	c.mutex.Lock()
@@ -49,7 +49,7 @@
 
 // A server that becomes cold again is news; that a cold one says the same again is not, and
 // neither is its becoming warm when that was expected.
-func TestColdServersAreNewsOnce(t *testing.T) {
+func TestColdServerIsReportedOnce(t *testing.T) {
 	c := newTestCatalog()
 	views := 0
 	c.OnChange(func(*View) { views++ })
@@ -71,7 +71,7 @@
 
 // That a server in use has turned cold is passed on at once, also by a process that was told
 // it by another: each hop at its usual pace would be too late.
-func TestServerThatTurnsColdIsUrgentNews(t *testing.T) {
+func TestServerTurningColdIsUrgent(t *testing.T) {
 	c := newTestCatalog()
 	tell := func(record mirror.Record) bool {
 		before := c.urgentSequence
@@ -91,7 +91,7 @@
 
 // The store is watched without a pause for a while after a server has turned cold: others of
 // its group do so too.
-func TestStoreIsWatchedCloselyWhenServersTurnCold(t *testing.T) {
+func TestWatchIntervalShortensWhenServersTurnCold(t *testing.T) {
 	c := newTestCatalog()
 	assert.Equal(t, watchInterval, c.watchInterval(time.Now()))
 	c.applyWatched([]mirror.Record{coldRecord(1, 0)})
@@ -103,7 +103,7 @@
 
 // Servers that turn cold one after the other all the time do not have the store watched closely
 // all the time: each process calls it closely for a second of five at most.
-func TestStoreIsNotWatchedCloselyAllTheTime(t *testing.T) {
+func TestShortWatchIntervalIsBounded(t *testing.T) {
 	var watch watchPacer
 	start := time.Now()
 	const step, steps = 10 * time.Millisecond, 3000
@@ -124,7 +124,7 @@
 }
 
 // After a pause the next server that turns cold is news again.
-func TestStoreIsWatchedCloselyAgainAfterAPause(t *testing.T) {
+func TestWatchIntervalShortensAgainAfterSpacing(t *testing.T) {
 	var watch watchPacer
 	start := time.Now()
 	watch.recordTurnedCold(start)
--- a/internal/catalog/health.go
+++ b/internal/catalog/health.go
@@ -28,24 +28,24 @@
 
 // healthMessage is an entry's word on a server as it is passed on.
 type healthMessage struct {
-	Server   string  `cbor:"1,keyasint"`
-	Entry    string  `cbor:"2,keyasint"`
-	Ejected  bool    `cbor:"3,keyasint,omitempty"`
-	Returned bool    `cbor:"4,keyasint,omitempty"`
-	Trying   bool    `cbor:"5,keyasint,omitempty"`
-	Evidence float32 `cbor:"6,keyasint,omitempty"`
-	Round    int     `cbor:"7,keyasint,omitempty"`
-	Failed   float32 `cbor:"8,keyasint,omitempty"`
-	Served   float32 `cbor:"9,keyasint,omitempty"`
+	Server    string  `cbor:"1,keyasint"`
+	Entry     string  `cbor:"2,keyasint"`
+	Ejected   bool    `cbor:"3,keyasint,omitempty"`
+	Returned  bool    `cbor:"4,keyasint,omitempty"`
+	TrialOpen bool    `cbor:"5,keyasint,omitempty"`
+	Evidence  float32 `cbor:"6,keyasint,omitempty"`
+	Round     int     `cbor:"7,keyasint,omitempty"`
+	Failed    float32 `cbor:"8,keyasint,omitempty"`
+	Served    float32 `cbor:"9,keyasint,omitempty"`
 	// The spans count from when the word was said, which AgeMilliseconds tells.
-	SinceMilliseconds   int64 `cbor:"10,keyasint,omitempty"`
-	ChangedMilliseconds int64 `cbor:"11,keyasint,omitempty"`
-	LeftMilliseconds    int64 `cbor:"12,keyasint,omitempty"`
-	AgeMilliseconds     int64 `cbor:"13,keyasint,omitempty"`
-	Mute                bool  `cbor:"14,keyasint,omitempty"`
+	FailureAgeMilliseconds int64 `cbor:"10,keyasint,omitempty"`
+	StateAgeMilliseconds   int64 `cbor:"11,keyasint,omitempty"`
+	RemainingMilliseconds  int64 `cbor:"12,keyasint,omitempty"`
+	AgeMilliseconds        int64 `cbor:"13,keyasint,omitempty"`
+	Unresponsive           bool  `cbor:"14,keyasint,omitempty"`
 	// Those below are 0 if there was nothing of the kind lately.
-	AnsweredMilliseconds int64 `cbor:"16,keyasint,omitempty"`
-	TriedMilliseconds    int64 `cbor:"17,keyasint,omitempty"`
+	AnswerAgeMilliseconds    int64 `cbor:"16,keyasint,omitempty"`
+	LostTrialAgeMilliseconds int64 `cbor:"17,keyasint,omitempty"`
 	// Number orders the words of one entry.
 	Number uint64 `cbor:"15,keyasint"`
 }
@@ -132,9 +132,9 @@
 		milliseconds int64
 		least        int64
 	}{
-		{"since", t.SinceMilliseconds, 0}, {"changed", t.ChangedMilliseconds, 0}, {"age", t.AgeMilliseconds, 0},
-		{"answered", t.AnsweredMilliseconds, 0}, {"tried", t.TriedMilliseconds, 0},
-		{"left", t.LeftMilliseconds, -maxMilliseconds},
+		{"since", t.FailureAgeMilliseconds, 0}, {"changed", t.StateAgeMilliseconds, 0}, {"age", t.AgeMilliseconds, 0},
+		{"answered", t.AnswerAgeMilliseconds, 0}, {"tried", t.LostTrialAgeMilliseconds, 0},
+		{"left", t.RemainingMilliseconds, -maxMilliseconds},
 	} {
 		if one.milliseconds < one.least || one.milliseconds > maxMilliseconds {
 			return heldHealthReport{}, &fault.InvalidFrame{Field: topicHealth, Reason: fmt.Sprintf("%s of %d ms", one.field, one.milliseconds)}
@@ -150,10 +150,10 @@
 	return heldHealthReport{
 		at: now.Add(-span(t.AgeMilliseconds)), number: t.Number,
 		report: health.Word{
-			Server: t.Server, Entry: t.Entry, Ejected: t.Ejected, Returned: t.Returned, Trying: t.Trying, Mute: t.Mute, Evidence: float64(t.Evidence),
+			Server: t.Server, Entry: t.Entry, Ejected: t.Ejected, Returned: t.Returned, Trying: t.TrialOpen, Mute: t.Unresponsive, Evidence: float64(t.Evidence),
 			Failed: float64(t.Failed), Served: float64(t.Served),
-			Round: t.Round, Since: span(t.SinceMilliseconds), Changed: span(t.ChangedMilliseconds), Left: span(t.LeftMilliseconds),
-			Answered: span(t.AnsweredMilliseconds), Tried: span(t.TriedMilliseconds),
+			Round: t.Round, Since: span(t.FailureAgeMilliseconds), Changed: span(t.StateAgeMilliseconds), Left: span(t.RemainingMilliseconds),
+			Answered: span(t.AnswerAgeMilliseconds), Tried: span(t.LostTrialAgeMilliseconds),
 		},
 	}
 }
@@ -161,10 +161,10 @@
 // newHealthMessage is a word as it is passed on at a time.
 func newHealthMessage(h heldHealthReport, now time.Time) healthMessage {
 	return healthMessage{
-		Server: h.report.Server, Entry: h.report.Entry, Ejected: h.report.Ejected, Returned: h.report.Returned, Trying: h.report.Trying, Mute: h.report.Mute,
-		Evidence: float32(h.report.Evidence), Failed: float32(h.report.Failed), Served: float32(h.report.Served), Round: h.report.Round, SinceMilliseconds: h.report.Since.Milliseconds(),
-		ChangedMilliseconds: h.report.Changed.Milliseconds(), LeftMilliseconds: h.report.Left.Milliseconds(),
-		AnsweredMilliseconds: h.report.Answered.Milliseconds(), TriedMilliseconds: h.report.Tried.Milliseconds(),
+		Server: h.report.Server, Entry: h.report.Entry, Ejected: h.report.Ejected, Returned: h.report.Returned, TrialOpen: h.report.Trying, Unresponsive: h.report.Mute,
+		Evidence: float32(h.report.Evidence), Failed: float32(h.report.Failed), Served: float32(h.report.Served), Round: h.report.Round, FailureAgeMilliseconds: h.report.Since.Milliseconds(),
+		StateAgeMilliseconds: h.report.Changed.Milliseconds(), RemainingMilliseconds: h.report.Left.Milliseconds(),
+		AnswerAgeMilliseconds: h.report.Answered.Milliseconds(), LostTrialAgeMilliseconds: h.report.Tried.Milliseconds(),
 		AgeMilliseconds: now.Sub(h.at).Milliseconds(), Number: h.number,
 	}
 }
--- a/internal/catalog/health_test.go
+++ b/internal/catalog/health_test.go
@@ -12,17 +12,17 @@
 	"pinevane.example/pinevane/coordination/health"
 )
 
-func ejectedWord(entry, server string) health.Word {
+func ejectedReport(entry, server string) health.Word {
 	return health.Word{Entry: entry, Server: server, Ejected: true, Left: time.Second, Round: 2, Mute: true, Evidence: 5.5,
 		Failed: 1.5, Served: 0.25, Returned: true, Trying: true, Since: 40 * time.Millisecond, Changed: 30 * time.Millisecond,
 		Answered: 20 * time.Millisecond, Tried: 10 * time.Millisecond}
 }
 
 // An entry tells its own words; a relay passes on those of others too, but not to who said them.
-func TestWordsOnHealthArePassedOnByRelays(t *testing.T) {
+func TestHealthReportsAreForwardedByRelays(t *testing.T) {
 	c := newTestCatalog()
 	now := time.Now()
-	c.AnnounceHealth([]health.Word{ejectedWord("10.0.0.1", "i-1")}, now)
+	c.AnnounceHealth([]health.Word{ejectedReport("10.0.0.1", "i-1")}, now)
 	other := healthMessage{Server: "i-2", Entry: "10.0.0.2", Ejected: true, Number: 7, AgeMilliseconds: 100}.toReport(now)
 	assert.True(t, c.addHealth(other, now))
 	servers := func(ip string, isRelay bool, told uint64) []string {
@@ -39,9 +39,9 @@
 }
 
 // What is told arrives as it was said, but for its age.
-func TestWordOnHealthKeepsItsSpans(t *testing.T) {
+func TestHealthReportKeepsItsDurations(t *testing.T) {
 	now := time.Now()
-	said := heldHealthReport{report: ejectedWord("10.0.0.1", "i-1"), at: now.Add(-300 * time.Millisecond), number: 9}
+	said := heldHealthReport{report: ejectedReport("10.0.0.1", "i-1"), at: now.Add(-300 * time.Millisecond), number: 9}
 	heard := newHealthMessage(said, now).toReport(now.Add(time.Second))
 	assert.Equal(t, said.report, heard.report)
 	word := reflect.ValueOf(said.report)
@@ -54,7 +54,7 @@
 
 // Of two words the later one counts, whichever way is faster, also after the teller has started
 // anew; what is held has a bound.
-func TestOnlyTheNewestWordOnHealthIsHeld(t *testing.T) {
+func TestOnlyNewestHealthReportIsHeld(t *testing.T) {
 	c := newTestCatalog()
 	now := time.Now()
 	later := healthMessage{Server: "i-1", Entry: "10.0.0.2", Returned: true, Number: 8}.toReport(now)
@@ -71,18 +71,18 @@
 }
 
 // A word that can't be meant is not taken in, whichever of its fields is faulty.
-func TestFaultyWordsOnHealthAreRejected(t *testing.T) {
+func TestInvalidHealthReportsAreRejected(t *testing.T) {
 	now := time.Now()
-	sound := newHealthMessage(heldHealthReport{report: ejectedWord("10.0.0.1", "i-1"), at: now, number: 9}, now)
+	sound := newHealthMessage(heldHealthReport{report: ejectedReport("10.0.0.1", "i-1"), at: now, number: 9}, now)
 	_, err := sound.validated(now)
 	assert.NoError(t, err)
 	for name, spoil := range map[string]func(*healthMessage){
 		"an age before it was said":   func(w *healthMessage) { w.AgeMilliseconds = -1 },
 		"an age that overflows":       func(w *healthMessage) { w.AgeMilliseconds = math.MaxInt64 },
-		"a change in the future":      func(w *healthMessage) { w.ChangedMilliseconds = -1 },
-		"a spell that overflows":      func(w *healthMessage) { w.SinceMilliseconds = math.MaxInt64 / 2 },
-		"an ejection without end":     func(w *healthMessage) { w.LeftMilliseconds = 24 * 3600 * 1000 },
-		"an end that overflows":       func(w *healthMessage) { w.LeftMilliseconds = math.MinInt64 },
+		"a change in the future":      func(w *healthMessage) { w.StateAgeMilliseconds = -1 },
+		"a spell that overflows":      func(w *healthMessage) { w.FailureAgeMilliseconds = math.MaxInt64 / 2 },
+		"an ejection without end":     func(w *healthMessage) { w.RemainingMilliseconds = 24 * 3600 * 1000 },
+		"an end that overflows":       func(w *healthMessage) { w.RemainingMilliseconds = math.MinInt64 },
 		"an ejection without a round": func(w *healthMessage) { w.Round = 0 },
 		"a huge round":                func(w *healthMessage) { w.Round = 100 },
 		"no number as evidence":       func(w *healthMessage) { w.Evidence = float32(math.NaN()) },
--- a/internal/catalog/doubt_test.go
+++ b/internal/catalog/history_loss_test.go
@@ -21,19 +21,19 @@
 // version2 is the record of a naming.
 var version2 = mirror.Record{Key: "op/version/m", Value: []byte(`{"model":"m","version":2}`), Revision: 4}
 
-// forgetfulStore has forgotten its history and lists version 2.
-type forgetfulStore struct{}
+// historyLossStore has forgotten its history and lists version 2.
+type historyLossStore struct{}
 
-func (forgetfulStore) List(context.Context, string) (fleet.Listing, error) {
+func (historyLossStore) List(context.Context, string) (fleet.Listing, error) {
 	return fleet.Listing{Records: []mirror.Record{version2}, At: version2.Revision}, nil
 }
 
-func (forgetfulStore) Watch(_ context.Context, prefix string, after uint64, _ time.Duration) (fleet.Listing, error) {
+func (historyLossStore) Watch(_ context.Context, prefix string, after uint64, _ time.Duration) (fleet.Listing, error) {
 	return fleet.Listing{}, &fault.HistoryGone{Prefix: prefix, After: after}
 }
 
-// deliver has a catalog handle a peer's update that was hardly on its way.
-func deliver(t *testing.T, c *Catalog, news update) {
+// receiveUpdate has a catalog handle a peer's update that was hardly on its way.
+func receiveUpdate(t *testing.T, c *Catalog, news update) {
 	t.Helper()
 	news.Echo = stampAt(c.started, time.Now())
 	payload, err := cbor.Marshal(news)
@@ -52,18 +52,18 @@
 // store then forgets its history. Peers have taken the horizon over meanwhile. Seen: the process
 // that was told of the loss doubted its horizon for as long as no peer told it back, and peers
 // preferred theirs to what they were told of the version: named 0.4 to 0.7 s too late everywhere.
-func TestPeersDoNotUndoTheDoubtOfAForgottenHistory(t *testing.T) {
+func TestPeersKeepHistoryLossMargin(t *testing.T) {
 	reader, peer := newTestCatalog(), newTestCatalog()
-	reader.options.Store = forgetfulStore{}
+	reader.options.Store = historyLossStore{}
 	reader.watermark.advance(time.Now())
-	deliver(t, peer, update{CompleteMilliseconds: 1, Digest: peer.changes.Digest()})
+	receiveUpdate(t, peer, update{CompleteMilliseconds: 1, Digest: peer.changes.Digest()})
 	at := &watchPosition{prefix: "op/", revision: 3}
 	reader.readStore(t.Context(), at, watchWait)
 	require.Zero(t, at.revision, "the history is gone")
-	deliver(t, reader, update{CompleteMilliseconds: 1, Digest: reader.changes.Digest()})
+	receiveUpdate(t, reader, update{CompleteMilliseconds: 1, Digest: reader.changes.Digest()})
 	reader.readStore(t.Context(), at, watchWait)
 	assert.GreaterOrEqual(t, ageOfNewest(t, reader), historyLossMargin, "listed")
-	deliver(t, peer, update{Records: []mirror.Record{version2}, AgesMilliseconds: map[string]int64{version2.Key: 1500}})
+	receiveUpdate(t, peer, update{Records: []mirror.Record{version2}, AgesMilliseconds: map[string]int64{version2.Key: 1500}})
 	assert.GreaterOrEqual(t, ageOfNewest(t, peer), historyLossMargin, "told")
 	reader.applyAnnouncements(peer.announcements(time.Now()), 0, time.Now())
 	assert.GreaterOrEqual(t, ageOfNewest(t, reader), historyLossMargin, "told back")
@@ -71,13 +71,13 @@
 
 // A watch that brings a version shows that the store has not forgotten what was before it: no
 // doubt is added, at the reader or at those whom it tells.
-func TestAWatchedVersionIsNotDoubted(t *testing.T) {
+func TestWatchedVersionHasNoHistoryLossMargin(t *testing.T) {
 	reader, peer := newTestCatalog(), newTestCatalog()
 	reader.watermark.advance(time.Now().Add(-300 * time.Millisecond))
 	peer.watermark.advance(time.Now().Add(-300 * time.Millisecond))
 	reader.applyWatched([]mirror.Record{version2})
 	assert.Less(t, ageOfNewest(t, reader), 500*time.Millisecond)
-	deliver(t, peer, update{Records: []mirror.Record{version2}, AgesMilliseconds: map[string]int64{version2.Key: 300}})
+	receiveUpdate(t, peer, update{Records: []mirror.Record{version2}, AgesMilliseconds: map[string]int64{version2.Key: 300}})
 	assert.Less(t, ageOfNewest(t, peer), 500*time.Millisecond)
 }
 
@@ -101,7 +101,7 @@
 // store was back after an outage as long as the bound counted as in force alone at once.
 // All that is not surely an outage for all leaves the age as it was: what may be a fault of the
 // way to the store, what a store that is well says, and that others are served.
-func TestAgeOfAVersionAfterAnOutage(t *testing.T) {
+func TestVersionAgeAfterOutage(t *testing.T) {
 	const outage = 9 * time.Second
 	status := func(code int) error { return &fault.Unavailable{Target: "store", Status: code} }
 	for _, one := range []struct {
@@ -140,7 +140,7 @@
 }
 
 // A process that has just started does not take the time until its first answer for an outage.
-func TestAStartIsNoOutage(t *testing.T) {
+func TestStartIsNotAnOutage(t *testing.T) {
 	c := newTestCatalog()
 	c.recordRefused(time.Now(), &fault.Unavailable{Target: "store", Status: http.StatusServiceUnavailable})
 	assert.Zero(t, c.storeOutUntil)
--- a/internal/catalog/links_test.go
+++ b/internal/catalog/links_test.go
@@ -29,7 +29,7 @@
 
 // An entry that is new is told on every link soon, not only with the next list that is
 // due anyway: entries that start together know each other within a few hops.
-func TestNewEntriesAreToldSoon(t *testing.T) {
+func TestNewEntriesAreAnnouncedSoon(t *testing.T) {
 	c := newTestCatalog()
 	now := time.Now()
 	listed := &peerLink{listedAt: now.Add(-2 * minListInterval)}
@@ -44,7 +44,7 @@
 }
 
 // A process that does not listen yet is dialled again soon, one that is away ever later.
-func TestDialsAreRepeatedSoonAtFirst(t *testing.T) {
+func TestDialBackoff(t *testing.T) {
 	assert.Equal(t, minDialBackoff, dialBackoff(0))
 	assert.Equal(t, 2*minDialBackoff, dialBackoff(1))
 	assert.Equal(t, maxDialBackoff, dialBackoff(3))
@@ -52,7 +52,7 @@
 }
 
 // A link that the other has made while this process dials does not have it dial twice.
-func TestAcceptedLinkLeavesADialUnderWay(t *testing.T) {
+func TestAcceptedLinkKeepsOngoingDial(t *testing.T) {
 	peer := &peerLink{ip: "10.0.0.2", dialling: true, localSent: 7}
 	peer.open(&peering.Link{}, true)
 	assert.True(t, peer.dialling)
@@ -61,7 +61,7 @@
 
 // A link that was made anew though it was only slow gets more time from then on, for a while
 // and never more than until it counts as broken.
-func TestSlowLinksGetMoreTime(t *testing.T) {
+func TestSlowLinkGetsLongerRenewDelay(t *testing.T) {
 	now := time.Now()
 	peer := &peerLink{}
 	peer.open(&peering.Link{}, false)
@@ -82,15 +82,15 @@
 
 // The first entry of a zone that does not read the store asks for a configuration at once, and
 // announces it to its zone at once.
-func TestConfigurationsOfOtherZonesAreNotWaitedFor(t *testing.T) {
+func TestConfigurationFromPeerIsAnnouncedAtOnce(t *testing.T) {
 	c := newTestCatalog()
 	before := c.freshSequence
 	c.applyReceived([]mirror.Record{{Key: "op/config", Value: []byte(`{"version":1}`), Revision: 4}}, nil)
 	assert.Greater(t, c.freshSequence, before)
 }
 
-// linkOther links a process to another entry, and returns the hub of that and the link.
-func linkOther(t *testing.T, c *Catalog) (*peering.Hub, *peering.Link) {
+// linkToEntry links a process to another entry, and returns the hub of that and the link.
+func linkToEntry(t *testing.T, c *Catalog) (*peering.Hub, *peering.Link) {
 	t.Helper()
 	hub := peering.NewHub(peering.Hello{ID: "10.0.0.2", Role: RoleEntry, Zone: "z"}, logging.Nop(), peering.NewCounters(prometheus.NewRegistry()))
 	other := httptest.NewServer(hub)
@@ -104,12 +104,12 @@
 // Of two entries that have each made a link to the other, one may drop its own when it needs the
 // other no more, or lose it. The one that the other has made is then used: the other listens on
 // it, and takes answers to its probes for signs that all is well.
-func TestALinkOfTheOtherReplacesTheOwnOne(t *testing.T) {
+func TestAcceptedLinkReplacesLostLink(t *testing.T) {
 	c := newTestCatalog()
 	own := httptest.NewServer(c.options.Hub)
 	defer own.Close()
 	defer c.options.Hub.Close()
-	hub, made := linkOther(t, c)
+	hub, made := linkToEntry(t, c)
 	c.mutex.Lock()
 	peer := c.peerLink("10.0.0.2")
 	peer.open(made, false)
@@ -135,10 +135,10 @@
 // had sent none since the first pause.
 //
 // Links outlast a pause of the process; one that answers no probe after it is broken.
-func TestLinksOutlastAPauseOfTheProcess(t *testing.T) {
+func TestLinksSurviveProcessPause(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
-	_, made := linkOther(t, c)
+	_, made := linkToEntry(t, c)
 	c.mutex.Lock()
 	c.recordEntry("10.0.0.2", entryHeartbeat{Zone: "z"})
 	c.peerLink("10.0.0.2").open(made, false)
@@ -170,7 +170,7 @@
 
 // A process that was short of time gives links as long again to answer a probe; one that had its
 // time judges as before.
-func TestLinksAreNotJudgedRightAfterAStall(t *testing.T) {
+func TestProbeTimeRestartsAfterStall(t *testing.T) {
 	const gap = 100 * time.Millisecond
 	start := time.Now()
 	var p pauseDetector
@@ -187,8 +187,8 @@
 	assert.Equal(t, resumeGrace, p.graceLeft(paused), "none is made anew")
 }
 
-// pendingHaste reports whether the statuses are to be passed on before the next statusPace.
-func pendingHaste(c *Catalog) bool {
+// flushPending reports whether the statuses are to be passed on before the next statusPace.
+func flushPending(c *Catalog) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.flushScheduled
@@ -200,7 +200,7 @@
 //
 // A word that ends a silence is passed on at once, whether it has come from the agent or by
 // another entry.
-func TestWordsThatEndASilenceArePassedOnSoon(t *testing.T) {
+func TestReportsEndingASilenceAreSentSoon(t *testing.T) {
 	now := time.Now()
 	for _, one := range []struct {
 		name  string
@@ -222,33 +222,33 @@
 		c.statuses[status.Address] = heldStatus{status: status, zone: one.word.zone, at: now.Add(-one.pause)}
 		one.word.status, one.word.at = status, now
 		c.applyStatus(one.word)
-		assert.Equal(t, one.soon, pendingHaste(c), one.name)
+		assert.Equal(t, one.soon, flushPending(c), one.name)
 		assert.Equal(t, one.soon, peer.remoteSentAt.IsZero(), one.name)
 		assert.Equal(t, one.soon, c.statuses[status.Address].endsSilence, one.name)
 	}
 }
 
 // A link that is made anew is told everything soon, not with the next statusPace.
-func TestANewLinkIsToldSoon(t *testing.T) {
+func TestNewLinkIsSentStatusesSoon(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
-	_, made := linkOther(t, c)
+	_, made := linkToEntry(t, c)
 	c.mutex.Lock()
 	c.openLink(c.peerLink("10.0.0.2"), made, false)
 	c.mutex.Unlock()
-	assert.True(t, pendingHaste(c))
+	assert.True(t, flushPending(c))
 	select {
 	case <-c.flush:
 	case <-time.After(statusInterval):
 		assert.Fail(t, "later than the next statusPace")
 	}
 	c.flushStatuses()
-	assert.False(t, pendingHaste(c))
+	assert.False(t, flushPending(c))
 }
 
-// tellsOtherZone links a catalog to an entry of another zone and runs its exchange, and returns the count
+// runWithRemoteZone links a catalog to an entry of another zone and runs its exchange, and returns the count
 // of frames of words that the other entry receives.
-func tellsOtherZone(t *testing.T, c *Catalog) *atomic.Int64 {
+func runWithRemoteZone(t *testing.T, c *Catalog) *atomic.Int64 {
 	hub := peering.NewHub(peering.Hello{ID: "10.0.0.2", Role: RoleEntry, Zone: "y"}, logging.Nop(), peering.NewCounters(prometheus.NewRegistry()))
 	t.Cleanup(hub.Close)
 	var frames atomic.Int64
@@ -267,10 +267,10 @@
 
 // Agents whose words come 0.45 s apart, spread, do not have another zone told all the time: only the
 // first word after a silence is hastened.
-func TestLateWordsKeepThePaceOfOtherZones(t *testing.T) {
+func TestLateReportsKeepRemoteInterval(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
-	frames := tellsOtherZone(t, c)
+	frames := runWithRemoteZone(t, c)
 	const turns, agents = 5, 45
 	var began time.Time
 	for turn := range turns {
@@ -289,10 +289,10 @@
 }
 
 // Words that each end a silence, one after the other, have another zone told at farHastePace.
-func TestHastenedWordsToOtherZonesHaveAPace(t *testing.T) {
+func TestExpeditedReportsAreRateLimited(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
-	frames := tellsOtherZone(t, c)
+	frames := runWithRemoteZone(t, c)
 	began := time.Now()
 	for agent := range 100 {
 		c.applyStatus(heldStatus{zone: "z", direct: true, at: time.Now(), status: fleet.MachineStatus{Address: fmt.Sprintf("10.1.0.%d:80", agent)}})
@@ -304,10 +304,10 @@
 }
 
 // A link that is made anew again and again has nobody else told more often.
-func TestANewLinkAloneIsToldSoon(t *testing.T) {
+func TestOnlyNewLinkIsSentStatusesSoon(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
-	_, made := linkOther(t, c)
+	_, made := linkToEntry(t, c)
 	hub := peering.NewHub(peering.Hello{ID: "10.0.0.3", Role: RoleEntry, Zone: "z"}, logging.Nop(), peering.NewCounters(prometheus.NewRegistry()))
 	defer hub.Close()
 	var frames atomic.Int64
@@ -344,10 +344,10 @@
 
 // Links are looked at again when one is to be probed or renewed: left to a pace, a renewal came up
 // to that much later, and the words that wait for it.
-func TestLinksAreLookedAtWhenOneIsDue(t *testing.T) {
+func TestLinksAreCheckedWhenDue(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
-	_, made := linkOther(t, c)
+	_, made := linkToEntry(t, c)
 	peer := c.peerLink("10.0.0.2")
 	peer.open(made, false)
 	heard := made.LastHeard()
@@ -363,10 +363,10 @@
 
 // The pace of other zones is a multiple of statusPace: a timer that is a little early does not
 // make it one longer.
-func TestOtherZonesAreToldAtTheirPace(t *testing.T) {
+func TestRemoteIntervalToleratesEarlyTimer(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
-	_, made := linkOther(t, c)
+	_, made := linkToEntry(t, c)
 	peer := c.peerLink("10.0.0.2")
 	peer.open(made, false)
 	c.statusSequence = 1
@@ -384,7 +384,7 @@
 
 // What an entry has read from the store is passed on at once, what it was told with the
 // next update; a server whose line says nothing new is not passed on at all.
-func TestOwnNewsAreUrgent(t *testing.T) {
+func TestStoreChangesAreUrgent(t *testing.T) {
 	c := newTestCatalog()
 	c.applyReceived([]mirror.Record{serverRecord(1, 1)}, nil)
 	assert.Zero(t, c.urgentSequence)
@@ -416,7 +416,7 @@
 }
 
 // The backup of an agent's main feeder passes its words on when nobody else does.
-func TestBackupPassesOnWhatTheMainFeederDoesNot(t *testing.T) {
+func TestBackupRelaysWhenMainFeederDoesNot(t *testing.T) {
 	c := newTestCatalog()
 	for index := 2; index <= 3; index++ {
 		c.recordEntry(fmt.Sprintf("10.0.0.%d", index), entryHeartbeat{Zone: "z"})
@@ -439,7 +439,7 @@
 
 // The cost of one server's record must not grow with the number of servers, but for
 // the list of them.
-func BenchmarkTakeServer(b *testing.B) {
+func BenchmarkApplyServer(b *testing.B) {
 	for _, servers := range []int{40, 200, 1000} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
 			c := newTestCatalog()
@@ -463,7 +463,7 @@
 }
 
 // The cost of passing on the word of one agent must not grow with the fleet.
-func BenchmarkPassStatuses(b *testing.B) {
+func BenchmarkRelayStatuses(b *testing.B) {
 	for _, entries := range []int{30, 150, 400} {
 		b.Run(fmt.Sprint(entries), func(b *testing.B) {
 			c := newTestCatalog()
--- a/internal/catalog/packing_test.go
+++ b/internal/catalog/packing_test.go
@@ -18,9 +18,9 @@
 	"pinevane.example/pinevane/internal/peering"
 )
 
-// zoneWords have a zone's agents say how their servers do, as they do in a fleet of 587 machines: a
+// applyZoneStatuses have a zone's agents say how their servers do, as they do in a fleet of 587 machines: a
 // third of 52, between two rounds of words.
-func zoneWords(c *Catalog, agents int, now time.Time) {
+func applyZoneStatuses(c *Catalog, agents int, now time.Time) {
 	for index := range agents {
 		c.applyStatus(heldStatus{zone: "z", at: now, status: fleet.MachineStatus{
 			Address: fmt.Sprintf("10.4.17.%d:8001", index), Reachable: true, Model: "daka510000", Version: 3, Running: index % 8, Waiting: index % 3,
@@ -31,10 +31,10 @@
 }
 
 // Words of a zone's agents are alike: compressed they take under half of the bytes, and say the same.
-func TestWordsArePackedForWhoReadsThat(t *testing.T) {
+func TestStatusesArePackedForCapableReaders(t *testing.T) {
 	const agents = 17
 	c, now := newTestCatalog(), time.Now()
-	zoneWords(c, agents, now)
+	applyZoneStatuses(c, agents, now)
 	plain := c.encodeBatch(batchKey{wholeZone: true}, now)
 	packed := c.encodeBatch(batchKey{wholeZone: true, packed: true}, now)
 	assert.Less(t, 2*len(packed), len(plain), "%d and %d bytes", len(packed), len(plain))
@@ -52,7 +52,7 @@
 }
 
 // Few words are not compressed, which would make them longer; spoilt ones are an error.
-func TestFewWordsAndSpoiltOnes(t *testing.T) {
+func TestPackSmallAndCorruptBatches(t *testing.T) {
 	few := statusBatch{Statuses: make([]statusMessage, minPackedStatuses-1)}
 	same, err := few.pack()
 	require.NoError(t, err)
@@ -63,11 +63,11 @@
 
 // A process that tells no protocol, of a build before, is sent everything as before; one that reads
 // compressed messages gets the list of servers in a tenth of the bytes, and reads the same from it.
-func TestPackingFollowsTheProtocolTold(t *testing.T) {
+func TestPackingFollowsPeerProtocol(t *testing.T) {
 	const servers = 3000
 	c, now := newTestCatalog(), time.Now()
 	defer c.options.Hub.Close()
-	zoneWords(c, 1, now)
+	applyZoneStatuses(c, 1, now)
 	var records []mirror.Record
 	for index := range servers {
 		records = append(records, serverRecord(index, uint64(index+1)))
@@ -75,7 +75,7 @@
 	c.applyWatched(records)
 	sizes := map[int]int{}
 	for _, protocol := range []int{0, ProtocolVersion} {
-		peer := &peerLink{link: linkToProtocol(t, c, protocol), compared: true}
+		peer := &peerLink{link: linkWithProtocol(t, c, protocol), compared: true}
 		key, due := c.nextBatch(peer, true, now)
 		assert.True(t, due)
 		assert.Equal(t, protocol == ProtocolVersion, key.packed)
@@ -90,8 +90,8 @@
 	assert.Less(t, 10*sizes[ProtocolVersion], sizes[0], "%v", sizes)
 }
 
-// linkToProtocol links to another entry that tells a protocol.
-func linkToProtocol(t *testing.T, c *Catalog, protocol int) *peering.Link {
+// linkWithProtocol links to another entry that tells a protocol.
+func linkWithProtocol(t *testing.T, c *Catalog, protocol int) *peering.Link {
 	t.Helper()
 	hello := peering.Hello{ID: fmt.Sprintf("10.0.1.%d", protocol), Role: RoleEntry, Zone: "z", Protocol: protocol}
 	hub := peering.NewHub(hello, logging.Nop(), peering.NewCounters(prometheus.NewRegistry()))
--- a/internal/catalog/pulls_test.go
+++ b/internal/catalog/pulls_test.go
@@ -12,7 +12,7 @@
 	"pinevane.example/pinevane/internal/compression"
 )
 
-func TestLargeRecordsTravelCompressed(t *testing.T) {
+func TestLargeRecordsAreCompressed(t *testing.T) {
 	var value strings.Builder
 	for index := range 1400 {
 		fmt.Fprintf(&value, `{"name":"r-%d","host":"a.example","pathPrefix":"/p%d/","timeoutMs":6000,"maxAttempts":2},`, index, index)
--- a/internal/catalog/quarantine_test.go
+++ b/internal/catalog/quarantine_test.go
@@ -13,7 +13,7 @@
 )
 
 // A word is the same when another process has it, but for the time on its way.
-func TestWordsOnContentsAreToldWhole(t *testing.T) {
+func TestQuarantineReportsRoundTrip(t *testing.T) {
 	content := quarantine.NewHasher("tenant", "host", "/target").Content()
 	const said, heard = 10 * time.Second, 500 * time.Second
 	for _, word := range []quarantine.Word{
@@ -33,7 +33,7 @@
 }
 
 // A word that can't be meant is dropped, with a reason, also one of a kind that a later version tells.
-func TestFaultyWordsOnContentsAreRejected(t *testing.T) {
+func TestInvalidQuarantineReportsAreRejected(t *testing.T) {
 	id := make([]byte, quarantine.ContentSize)
 	sound := func(change func(*quarantineMessage)) quarantineMessage {
 		word := quarantineMessage{Kind: int(quarantine.Ended), Entry: "10.0.0.1", Number: 1, Server: "i-1", Suspects: []suspectMessage{{Fingerprint: fingerprintMessage{ID: id}}}}
--- a/internal/catalog/server_notices.go
+++ b/internal/catalog/server_notices.go
@@ -37,7 +37,7 @@
 	// Number orders the words of one entry.
 	Number          uint64           `cbor:"3,keyasint"`
 	AgeMilliseconds int64            `cbor:"4,keyasint"`
-	Born            incarnation.Born `cbor:"5,keyasint,omitempty"`
+	StartTime       incarnation.Born `cbor:"5,keyasint,omitempty"`
 	Leaving         bool             `cbor:"6,keyasint,omitempty"`
 	Limited         bool             `cbor:"7,keyasint,omitempty"`
 	PerSecond       float64          `cbor:"8,keyasint,omitempty"`
@@ -122,8 +122,8 @@
 		reason = "no server or no teller"
 	case t.AgeMilliseconds < 0 || t.AgeMilliseconds > noticeTTL.Milliseconds():
 		reason = fmt.Sprintf("age of %d ms", t.AgeMilliseconds)
-	case t.Born < 0:
-		reason = fmt.Sprintf("born at %d", t.Born)
+	case t.StartTime < 0:
+		reason = fmt.Sprintf("born at %d", t.StartTime)
 	case math.IsNaN(t.PerSecond) || t.PerSecond < 0 || t.PerSecond > fleet.MostRequestsPerSecond:
 		reason = fmt.Sprintf("%g requests a second", t.PerSecond)
 	default:
@@ -135,7 +135,7 @@
 // toReport is a word that was received at a time.
 func (t noticeMessage) toReport(now time.Time) heldReport[dispatch.Ask] {
 	return heldReport[dispatch.Ask]{
-		report: dispatch.Ask{Server: t.Server, Born: t.Born, Leaving: t.Leaving, Limited: t.Limited, PerSecond: t.PerSecond},
+		report: dispatch.Ask{Server: t.Server, Born: t.StartTime, Leaving: t.Leaving, Limited: t.Limited, PerSecond: t.PerSecond},
 		at:     now.Add(-time.Duration(t.AgeMilliseconds) * time.Millisecond), number: t.Number,
 	}
 }
@@ -143,7 +143,7 @@
 // newNoticeMessage is an entry's word as it is passed on at a time.
 func newNoticeMessage(entry string, held heldReport[dispatch.Ask], now time.Time) noticeMessage {
 	return noticeMessage{
-		Server: held.report.Server, Entry: entry, Number: held.number, AgeMilliseconds: max(0, now.Sub(held.at).Milliseconds()), Born: held.report.Born,
+		Server: held.report.Server, Entry: entry, Number: held.number, AgeMilliseconds: max(0, now.Sub(held.at).Milliseconds()), StartTime: held.report.Born,
 		Leaving: held.report.Leaving, Limited: held.report.Limited, PerSecond: held.report.PerSecond,
 	}
 }
--- a/internal/catalog/server_notices_test.go
+++ b/internal/catalog/server_notices_test.go
@@ -14,7 +14,7 @@
 )
 
 // A word is the same when another process has it, with its age.
-func TestWordsOnWhatServersAskAreToldWhole(t *testing.T) {
+func TestServerNoticesRoundTrip(t *testing.T) {
 	said := time.Unix(1000, 0)
 	one := heldReport[dispatch.Ask]{report: dispatch.Ask{Server: "i-1", Born: 7, Leaving: true, Limited: true, PerSecond: 1.4}, at: said, number: 3}
 	sent, err := cbor.Marshal(newNoticeMessage("10.0.0.1", one, said.Add(2*time.Second)))
@@ -26,7 +26,7 @@
 	assert.Equal(t, one, told.toReport(said.Add(2*time.Second)))
 }
 
-func TestFaultyWordsOnWhatServersAskAreRejected(t *testing.T) {
+func TestInvalidServerNoticesAreRejected(t *testing.T) {
 	sound := noticeMessage{Server: "i-1", Entry: "10.0.0.1", Number: 1, Limited: true, PerSecond: 2}
 	require.NoError(t, sound.validate())
 	for what, change := range map[string]func(*noticeMessage){
@@ -34,7 +34,7 @@
 		"no teller":            func(a *noticeMessage) { a.Entry = "" },
 		"said in the future":   func(a *noticeMessage) { a.AgeMilliseconds = -1 },
 		"said years ago":       func(a *noticeMessage) { a.AgeMilliseconds = 1 << 60 },
-		"born before all time": func(a *noticeMessage) { a.Born = -1 },
+		"born before all time": func(a *noticeMessage) { a.StartTime = -1 },
 		"a rate below 0":       func(a *noticeMessage) { a.PerSecond = -1 },
 		"no rate":              func(a *noticeMessage) { a.PerSecond = math.NaN() },
 		"a rate without end":   func(a *noticeMessage) { a.PerSecond = math.Inf(1) },
@@ -47,7 +47,7 @@
 }
 
 // Of an entry's words on a server the newest holds, in whatever order they come, and they are bounded.
-func TestHeldWordsOnWhatServersAsk(t *testing.T) {
+func TestNewestServerNoticeIsHeld(t *testing.T) {
 	asks := newServerNotices(time.Unix(0, 0))
 	now := time.Unix(0, 0)
 	hold := func(entry, server string, number uint64) bool {
--- a/internal/catalog/services_test.go
+++ b/internal/catalog/services_test.go
@@ -20,7 +20,7 @@
 
 // An agent is told the services of a configuration once, without its routes and tenants, and
 // asks for no configuration.
-func TestAgentsAreToldTheServicesOnly(t *testing.T) {
+func TestAgentsAreSentServicesOnly(t *testing.T) {
 	entry, agent := newTestCatalog(), newTestCatalog()
 	agent.options.Role = RoleAgent
 	peer := &peerLink{}
--- a/internal/catalog/starved_test.go
+++ b/internal/catalog/starved_process_test.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	// starvedLook is the time between two looks of a process that is short of time: over stallLeast.
-	starvedLook = 130 * time.Millisecond
-	// deadFound is when such a process has dropped a link that is silent for good.
-	deadFound = 2500 * time.Millisecond
+	// starvedCheckInterval is the time between two looks of a process that is short of time: over stallLeast.
+	starvedCheckInterval = 130 * time.Millisecond
+	// deadLinkTimeout is when such a process has dropped a link that is silent for good.
+	deadLinkTimeout = 2500 * time.Millisecond
 )
 
-// linkedCatalog is a catalog with a link to another entry, of which it returns the present one.
-func linkedCatalog(link *peering.Link, c *Catalog) func() *peering.Link {
+// useLink is a catalog with a link to another entry, of which it returns the present one.
+func useLink(link *peering.Link, c *Catalog) func() *peering.Link {
 	c.mutex.Lock()
 	peer := c.peerLink("10.0.0.2")
 	peer.address = link.Address()
@@ -39,10 +39,10 @@
 	}
 }
 
-// droppedByStarved looks at the links each starvedLook until one is dropped, and returns after which time.
-func droppedByStarved(t *testing.T, c *Catalog, made *peering.Link, held func() *peering.Link) time.Duration {
+// timeUntilDropped looks at the links each starvedLook until one is dropped, and returns after which time.
+func timeUntilDropped(t *testing.T, c *Catalog, made *peering.Link, held func() *peering.Link) time.Duration {
 	began := time.Now()
-	for ; time.Since(began) < 2*deadFound && held() == made; time.Sleep(starvedLook) {
+	for ; time.Since(began) < 2*deadLinkTimeout && held() == made; time.Sleep(starvedCheckInterval) {
 		c.recordEntry("10.0.0.2", entryHeartbeat{Zone: "z"})
 		c.checkLinks(t.Context())
 		c.maintainLinks(t.Context())
@@ -53,19 +53,19 @@
 // Cause: each stall of the process gave the answer to a probe its time anew.
 //
 // A process that is always short of time still finds that a link is dead.
-func TestAStarvedProcessDropsADeadLink(t *testing.T) {
+func TestStarvedProcessDropsDeadLink(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
-	_, made := linkOther(t, c)
-	held := linkedCatalog(made, c)
+	_, made := linkToEntry(t, c)
+	held := useLink(made, c)
 	count, err := silencer.Silence(silencer.Any)
 	require.NoError(t, err)
 	require.Positive(t, count)
-	assert.Less(t, droppedByStarved(t, c, made, held), deadFound)
+	assert.Less(t, timeUntilDropped(t, c, made, held), deadLinkTimeout)
 }
 
 // The same where a middlebox acknowledges for a peer that it has lost.
-func TestAStarvedProcessDropsADeadLinkBehindAMiddlebox(t *testing.T) {
+func TestStarvedProcessDropsDeadLinkBehindMiddlebox(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
 	hub := peering.NewHub(peering.Hello{ID: "10.0.0.2", Role: RoleEntry, Zone: "z"}, logging.Nop(), peering.NewCounters(prometheus.NewRegistry()))
@@ -77,17 +77,17 @@
 	defer proxy.Close()
 	made, err := c.options.Hub.Link(t.Context(), proxy.Address())
 	require.NoError(t, err)
-	held := linkedCatalog(made, c)
+	held := useLink(made, c)
 	require.Positive(t, proxy.Hold())
-	assert.Less(t, droppedByStarved(t, c, made, held), deadFound)
+	assert.Less(t, timeUntilDropped(t, c, made, held), deadLinkTimeout)
 }
 
 // A probe whose time ran out while the process stood still is sent again.
-func TestAProbeThatExpiredInAPauseIsSentAgain(t *testing.T) {
+func TestProbeExpiredDuringPauseIsResent(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
-	_, made := linkOther(t, c)
-	held := linkedCatalog(made, c)
+	_, made := linkToEntry(t, c)
+	held := useLink(made, c)
 	c.maintainLinks(t.Context())
 	c.mutex.Lock()
 	c.links["10.0.0.2"].probedAt = time.Now()
@@ -100,11 +100,11 @@
 }
 
 // After a pause a replaced link is not reported as silent before its reader could read.
-func TestAReplacedLinkIsNotJudgedRightAfterAPause(t *testing.T) {
+func TestReplacedLinkIsNotReportedRightAfterPause(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
-	_, made := linkOther(t, c)
-	linkedCatalog(made, c)
+	_, made := linkToEntry(t, c)
+	useLink(made, c)
 	told := 0
 	c.options.OnSilent = func(string, time.Duration) { told++ }
 	peer := c.links["10.0.0.2"]
@@ -168,7 +168,7 @@
 // Cause: a link that was heard while another one was made got no more time than before.
 //
 // A process that stands still for 0.6 s again and again is not dialled each time.
-func TestSlowLinksAreNotDialledForEver(t *testing.T) {
+func TestSlowLinkIsNotRedialledRepeatedly(t *testing.T) {
 	// span is how long the links are looked at, mostDials how often the other is dialled then.
 	const (
 		span      = 10 * time.Second
@@ -187,7 +187,7 @@
 	var on atomic.Bool
 	made, err := c.options.Hub.Link(t.Context(), haltingProxy(t, back.Listener.Addr().String(), &on))
 	require.NoError(t, err)
-	linkedCatalog(made, c)
+	useLink(made, c)
 	dials.Store(0)
 	on.Store(true)
 	for began := time.Now(); time.Since(began) < span; time.Sleep(20 * time.Millisecond) {
--- a/internal/catalog/watermark_test.go
+++ b/internal/catalog/watermark_test.go
@@ -24,7 +24,7 @@
 
 // An answer shows the store as it was after the call was sent; a watch that ended without a
 // change, as it was when its time was over.
-func TestUntilWhenAnAnswerIsComplete(t *testing.T) {
+func TestStoreCallCompleteUntil(t *testing.T) {
 	sent := time.Unix(1000, 0)
 	const wait = 500 * time.Millisecond
 	for _, one := range []struct {
@@ -45,7 +45,7 @@
 }
 
 // The horizon goes on only, but for a doubt, and bounds nothing until it is known.
-func TestHorizon(t *testing.T) {
+func TestWatermark(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var known watermark
 	_, bounded := known.minus(time.Second).maxAge(now)
@@ -62,7 +62,7 @@
 }
 
 // The tighter of two bounds counts; a word whose time on the way is unknown bounds nothing.
-func TestAgeOfNews(t *testing.T) {
+func TestAgeOfReceived(t *testing.T) {
 	now := time.Unix(1000, 0)
 	complete := watermark{at: now.Add(-2 * time.Second)}
 	for _, one := range []struct {
@@ -145,7 +145,7 @@
 //
 // The echo of a stamp that a process gave in its former life tells nothing of a message's way, also
 // when that life was the longer one.
-func TestEchoOfAFormerLifeTellsNoFlight(t *testing.T) {
+func TestEchoOfFormerIncarnationIsIgnored(t *testing.T) {
 	former := time.Unix(1000, 0)
 	started := former.Add(10 * time.Second)
 	for _, stamped := range []time.Duration{time.Millisecond, 4900 * time.Millisecond, 9 * time.Second, 9999 * time.Millisecond} {
@@ -159,59 +159,59 @@
 	assert.False(t, known, "a stamp that has not been given yet")
 }
 
-// moodyStore is a store whose calls fail, are silent, slow on either way, cut, or tell again
+// faultyStore is a store whose calls fail, are silent, slow on either way, cut, or tell again
 // what they have told.
-type moodyStore struct {
+type faultyStore struct {
 	mutex  sync.Mutex
 	random *rand.Rand
-	// calm is the part of the calls that go well.
-	calm  float64
-	named []time.Time
-	told  []mirror.Record
-	// wayOf is the longest time that an answer which decides on a naming's age has been on
+	// healthyRatio is the part of the calls that go well.
+	healthyRatio float64
+	announcedAt  []time.Time
+	records      []mirror.Record
+	// answerDelay is the longest time that an answer which decides on a naming's age has been on
 	// its way: the one that brought it, or the empty one before, emptyWay.
-	wayOf    map[uint64]time.Duration
-	emptyWay time.Duration
-	changed  chan struct{}
+	answerDelay map[uint64]time.Duration
+	emptyDelay  time.Duration
+	changed     chan struct{}
 }
 
 // Times of the store: that of a silent call, and that of a call or an answer in calm.
 const (
 	storeTimeout = 1200 * time.Millisecond
-	calmWay      = 2 * time.Millisecond
+	healthyDelay = 2 * time.Millisecond
 )
 
-func (s *moodyStore) name() {
+func (s *faultyStore) announceVersion() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	version := uint64(len(s.named)) + 1
+	version := uint64(len(s.announcedAt)) + 1
 	value, _ := json.Marshal(map[string]any{"model": "m", "version": version})
-	s.named = append(s.named, time.Now())
-	s.told = append(s.told, mirror.Record{Key: "op/version/m", Value: value, Revision: 10 * version})
+	s.announcedAt = append(s.announcedAt, time.Now())
+	s.records = append(s.records, mirror.Record{Key: "op/version/m", Value: value, Revision: 10 * version})
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *moodyStore) after(revision uint64) []mirror.Record {
-	if s.random.Float64() > s.calm && revision > 10 {
+func (s *faultyStore) changesAfter(revision uint64) []mirror.Record {
+	if s.random.Float64() > s.healthyRatio && revision > 10 {
 		// A change that was told before comes again.
 		revision -= 10
 	}
-	for index, one := range s.told {
+	for index, one := range s.records {
 		if one.Revision > revision {
-			return append([]mirror.Record(nil), s.told[index:]...)
+			return append([]mirror.Record(nil), s.records[index:]...)
 		}
 	}
 	return nil
 }
 
-// mood draws how a call goes: how long it and its answer are on their way, and whether it
+// drawFault draws how a call goes: how long it and its answer are on their way, and whether it
 // fails after the first of these times.
-func (s *moodyStore) mood() (wayThere, wayBack time.Duration, failure error) {
+func (s *faultyStore) drawFault() (wayThere, wayBack time.Duration, failure error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.random.Float64() <= s.calm {
-		return calmWay, calmWay, nil
+	if s.random.Float64() <= s.healthyRatio {
+		return healthyDelay, healthyDelay, nil
 	}
 	slow := time.Duration(s.random.Int64N(int64(time.Second)))
 	switch s.random.IntN(4) {
@@ -220,15 +220,15 @@
 	case 1:
 		return storeTimeout, 0, errors.New("silent")
 	case 2:
-		return slow, calmWay, nil
+		return slow, healthyDelay, nil
 	}
-	return calmWay, slow, nil
+	return healthyDelay, slow, nil
 }
 
 // call makes one call; look is what the store does once the call has come to it, and is called
 // with the mutex held.
-func (s *moodyStore) call(look func() fleet.Listing) (fleet.Listing, error) {
-	wayThere, wayBack, failure := s.mood()
+func (s *faultyStore) call(look func() fleet.Listing) (fleet.Listing, error) {
+	wayThere, wayBack, failure := s.drawFault()
 	time.Sleep(wayThere)
 	if failure != nil {
 		return fleet.Listing{}, failure
@@ -236,32 +236,32 @@
 	s.mutex.Lock()
 	answer := look()
 	for _, record := range answer.Records {
-		s.wayOf[record.Revision] = max(s.wayOf[record.Revision], wayBack, s.emptyWay)
+		s.answerDelay[record.Revision] = max(s.answerDelay[record.Revision], wayBack, s.emptyDelay)
 	}
 	if len(answer.Records) == 0 {
-		s.emptyWay = wayBack
+		s.emptyDelay = wayBack
 	}
 	s.mutex.Unlock()
 	time.Sleep(wayBack)
 	return answer, nil
 }
 
-func (s *moodyStore) head() uint64 { return 10*uint64(len(s.told)) + 5 }
+func (s *faultyStore) head() uint64 { return 10*uint64(len(s.records)) + 5 }
 
-func (s *moodyStore) List(context.Context, string) (fleet.Listing, error) {
+func (s *faultyStore) List(context.Context, string) (fleet.Listing, error) {
 	return s.call(func() fleet.Listing {
-		return fleet.Listing{Records: append([]mirror.Record(nil), s.told[len(s.told)-1:]...), At: s.head()}
+		return fleet.Listing{Records: append([]mirror.Record(nil), s.records[len(s.records)-1:]...), At: s.head()}
 	})
 }
 
-func (s *moodyStore) Watch(_ context.Context, _ string, after uint64, wait time.Duration) (fleet.Listing, error) {
+func (s *faultyStore) Watch(_ context.Context, _ string, after uint64, wait time.Duration) (fleet.Listing, error) {
 	return s.call(func() fleet.Listing {
-		if s.random.Float64() > s.calm {
+		if s.random.Float64() > s.healthyRatio {
 			wait = time.Duration(s.random.Int64N(int64(wait)))
 		}
 		over := time.After(wait)
 		for {
-			if changes := s.after(after); len(changes) > 0 {
+			if changes := s.changesAfter(after); len(changes) > 0 {
 				return fleet.Listing{Records: changes, At: s.head()}
 			}
 			changed := s.changed
@@ -280,14 +280,14 @@
 	})
 }
 
-// believe runs a catalog on a store and names versions; it returns how much later than its
+// estimateErrors runs a catalog on a store and names versions; it returns how much later than its
 // naming, less the way of the answer, each version was believed to be named at the most, and
 // the most that it was believed earlier.
-func believe(t *testing.T, seed uint64, calm float64) (latest, earliest, meanEarly time.Duration) {
+func estimateErrors(t *testing.T, seed uint64, calm float64) (latest, earliest, meanEarly time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		random := rand.New(rand.NewPCG(seed, 2))
-		store := &moodyStore{random: random, calm: calm, wayOf: map[uint64]time.Duration{}, changed: make(chan struct{})}
-		store.name()
+		store := &faultyStore{random: random, healthyRatio: calm, answerDelay: map[uint64]time.Duration{}, changed: make(chan struct{})}
+		store.announceVersion()
 		hub := peering.NewHub(peering.Hello{ID: "10.0.0.1", Role: RoleEntry, Zone: "z"}, logging.Nop(), peering.NewCounters(prometheus.NewRegistry()))
 		c := New(Options{Self: "10.0.0.1", Role: RoleEntry, Zone: "z", InternalPort: 1, Decoder: platform.Decoder{}, Hub: hub, Log: logging.Nop(), Store: store, VersionApply: 8 * time.Second, Drain: 2 * time.Second})
 		var mutex sync.Mutex
@@ -310,19 +310,19 @@
 			pause := 3*time.Second + time.Duration(random.Int64N(int64(6*time.Second)))
 			store.mutex.Unlock()
 			time.Sleep(pause)
-			store.name()
+			store.announceVersion()
 		}
 		time.Sleep(20 * time.Second)
 		cancel()
 		<-done
 		count := 0
-		for index, named := range store.named {
+		for index, named := range store.announcedAt {
 			version := uint64(index) + 1
 			since, known := believed[version]
 			if index == 0 || !known {
 				continue
 			}
-			latest = max(latest, since.Sub(named)-store.wayOf[10*version])
+			latest = max(latest, since.Sub(named)-store.answerDelay[10*version])
 			earliest = max(earliest, named.Sub(since))
 			meanEarly += named.Sub(since)
 			count++
@@ -335,23 +335,23 @@
 
 // Whatever calls to the store fail, are silent, slow, cut or repeated: no version is believed
 // to be named later than it was, by more than its answer was on the way.
-func TestNoVersionIsBelievedYounger(t *testing.T) {
+func TestVersionAgeIsNeverUnderestimated(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
-			latest, _, _ := believe(t, seed, 0.3+0.1*float64(seed%7))
+			latest, _, _ := estimateErrors(t, seed, 0.3+0.1*float64(seed%7))
 			assert.LessOrEqual(t, latest, time.Duration(0))
 		})
 	}
 }
 
 // With a store that is well, a version is believed older by one watch at the most.
-func TestVersionsAreHardlyBelievedOlderInCalm(t *testing.T) {
+func TestVersionAgeIsTightWithHealthyStore(t *testing.T) {
 	var sum time.Duration
 	const seeds = 20
 	for seed := range uint64(seeds) {
-		latest, earliest, mean := believe(t, seed, 1)
+		latest, earliest, mean := estimateErrors(t, seed, 1)
 		assert.LessOrEqual(t, latest, time.Duration(0))
-		assert.LessOrEqual(t, earliest, watchWait+4*calmWay)
+		assert.LessOrEqual(t, earliest, watchWait+4*healthyDelay)
 		sum += mean
 	}
 	t.Logf("believed older by %s in the mean", sum/seeds)
@@ -364,7 +364,7 @@
 // Version 2 was named 6 s ago, version 3 half a second ago. A process that has missed version 2,
 // because it started later or was out of touch over both namings, learns of it from a peer that
 // knows both: version 1 went out of date with version 2.
-func TestMissedVersionsAreToldByPeers(t *testing.T) {
+func TestMissedVersionsAreLearnedFromPeers(t *testing.T) {
 	peer := newTestCatalog()
 	now := time.Now()
 	peer.watermark.advance(now.Add(-6 * time.Second))
@@ -381,7 +381,7 @@
 				c.watermark.advance(now.Add(-6100 * time.Millisecond))
 				c.applyWatched([]mirror.Record{versionRecord(1, 3)})
 			}
-			deliver(t, c, told)
+			receiveUpdate(t, c, told)
 			first, known := c.View().FirstAfter("m", 1)
 			require.True(t, known)
 			assert.Equal(t, uint64(2), first.Version)
@@ -392,11 +392,11 @@
 
 // A message that is acted on late, because what came before it took its time, makes no version
 // younger.
-func TestUpdatesThatAreHeldUpMakeNoVersionYounger(t *testing.T) {
+func TestDelayedUpdatesKeepVersionAge(t *testing.T) {
 	c := newTestCatalog()
 	c.OnChange(func(*View) { time.Sleep(400 * time.Millisecond) })
 	named := time.Now().Add(-3 * time.Second)
-	deliver(t, c, update{
+	receiveUpdate(t, c, update{
 		Records: []mirror.Record{versionRecord(2, 4)}, AgesMilliseconds: map[string]int64{"op/version/m": 3000},
 		Announcements: []announcementMessage{{Model: "m", Version: 2, Revision: 4, AgeMilliseconds: 3000}}, Stamp: 1,
 	})
@@ -405,7 +405,7 @@
 }
 
 // The oldest notice ends the time of the versions before it: it is kept until a newer one has.
-func TestNoticesAreKeptAsLongAsTheyBind(t *testing.T) {
+func TestAnnouncementsAreKeptWhileBinding(t *testing.T) {
 	const apply = 8 * time.Second
 	now := time.Unix(1000, 0)
 	var notices []VersionAnnouncement
