--- a/internal/catalog/server_notices.go
+++ b/internal/catalog/server_notices.go
@@ -66,8 +66,8 @@
 // OnServerNotice registers a function that is called with each word of another entry. It must be registered before Run.
 func (c *Catalog) OnServerNotice(function ServerNoticeHandler) { c.notices.onNotice = function }
 
-// AnnounceServerNotice has the other entries told at once what a server has asked of this one at a time.
-func (c *Catalog) AnnounceServerNotice(ask dispatch.Ask, at time.Time) {
+// AnnounceNotice has the other entries told at once what a server has asked of this one at a time.
+func (c *Catalog) AnnounceNotice(ask dispatch.Ask, at time.Time) {
 	c.mutex.Lock()
 	word := heldReport[dispatch.Ask]{report: ask, at: at, number: c.notices.nextNumber()}
 	c.notices.add(reportKey{entry: c.options.Self, server: ask.Server}, word, time.Now())
--- a/internal/forward/asked.go
+++ b/internal/forward/asked.go
@@ -13,8 +13,8 @@
 
 // AskSource is what entries tell each other of what servers ask in their answers.
 type AskSource interface {
-	// AnnounceServerNotice has the others told what a server has asked at a time.
-	AnnounceServerNotice(ask dispatch.Ask, at time.Time)
+	// AnnounceNotice has the others told what a server has asked at a time.
+	AnnounceNotice(ask dispatch.Ask, at time.Time)
 }
 
 // sawAsked notes what an answer says its server asks for. An answer of another server says nothing of this
@@ -23,7 +23,7 @@
 	if head.Instance != "" && head.Instance != k.ID {
 		return
 	}
-	defer t.news.deliver(&t.mutex, func(one askNews) { t.asks.AnnounceServerNotice(one.ask, one.at) })
+	defer t.news.deliver(&t.mutex, func(one askNews) { t.asks.AnnounceNotice(one.ask, one.at) })
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := time.Now()
