--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -23,89 +23,91 @@
 	RoleAgent = "agent"
 )
 
-// Options wires a Catalog.
+// Options configures a Catalog.
 type Options struct {
-	// Self is this machine's IP address; Role and Zone say what it is.
+	// Self is this machine's IP address; Role and Zone describe this process.
 	Self string
 	Role string
 	Zone string
-	// InternalPort is where every process of the fleet accepts links.
+	// InternalPort is the port on which every process of the fleet accepts links.
 	InternalPort int
-	// Seeds are IP addresses of other entries to begin with.
+	// Seeds are the IP addresses of the entries to contact first.
 	Seeds []string
-	// IsSeed is set when others begin with this process.
+	// IsSeed is set when this process is a seed of others.
 	IsSeed  bool
 	Store   fleet.Store
 	Decoder fleet.Decoder
 	Hub     *peering.Hub
 	Log     *logging.Logger
-	// OnSilent is told of links that have gone silent while a new one works, by the IP address
-	// of their other end.
+	// OnSilent is called with the IP address of the peer when a link has gone silent while a new
+	// link to the same peer works.
 	OnSilent func(target string, silent time.Duration)
-	// VersionApply is the time until a named version is in force, Contact how long after
-	// its start a process is held to that: see assumedAge.
+	// VersionApply is the time after which an announced version is in force. Contact is how long
+	// after its start a process is bound by versions whose age it does not know, see assumedAge.
 	VersionApply time.Duration
 	Contact      time.Duration
 	// Drain is how long a server that has left may still be sent requests.
 	Drain time.Duration
-	// Zones are the fleet's zones and their regions.
+	// Zones maps the fleet's zones to their regions.
 	Zones map[string]string
-	// LinkBytesPerSecond is what the machine's link carries; 0 when that is not known.
+	// LinkBytesPerSecond is the bandwidth of the machine's link, 0 if unknown.
 	LinkBytesPerSecond float64
 }
 
-// Catalog is the copy. It is safe for concurrent use.
+// Catalog is this process's copy of the published records. It is safe for concurrent use.
 type Catalog struct {
 	options Options
 	view    atomic.Pointer[View]
 
 	mutex  sync.Mutex
 	mirror *mirror.Mirror
-	// changes orders the records that are passed on to others.
+	// changes orders the records to be sent to peers.
 	changes *mirror.Changes
-	// urgentSequence is the sequence of the last change that others are told of at once.
+	// urgentSequence is the sequence of the last change that peers are sent at once.
 	urgentSequence uint64
-	// watchPacer follows that servers in use turn cold.
+	// watchPacer shortens the watch interval when a server in use turns cold.
 	watchPacer watchPacer
-	// heads are the revisions held of large records, which others ask for; pulls are the
-	// last questions of this process for them.
+	// heads are the revisions held of large records, which peers request; pulls are the last
+	// requests of this process for them.
 	heads map[string]uint64
-	// servicesRevision is that of the configuration whose services entries have told this
-	// agent.
+	// servicesRevision is the revision of the configuration whose services this agent was sent by
+	// entries.
 	servicesRevision uint64
 	pulls            map[string]pendingPull
 	packs            packCache
-	// lastBundle is the one that was sent last.
+	// lastBundle is the bundle sent last.
 	lastBundle bundle
-	// servers are the listed servers by the keys of their records, in order of key.
+	// servers are the listed servers by record key; serverKeys are the keys in order.
 	servers    map[string]fleet.Server
 	serverKeys []string
 	faulty     faultyRecords
-	// formerIncarnations are the births of lines that were taken for late ones of a former incarnation, by key.
+	// formerIncarnations are the start times, by record key, of records that were rejected as late
+	// ones of a former incarnation.
 	formerIncarnations map[string]incarnation.Born
-	// versionAges tells how long ago records of versions were named, by key.
+	// versionAges are the ages of the announced versions by record key.
 	versionAges map[string]versionAge
-	// freshAt is when the copy was last known to be current; regained is when that was
-	// known again after an outage of the store.
+	// freshAt is when the copy was last known to be current; regainedAt is when it became current
+	// again after an outage of the store.
 	freshAt    time.Time
 	regainedAt time.Time
-	// watermark is up to when the copy surely holds every change of the store. It trails fresh,
-	// which counts an answer of the store from its arrival.
+	// watermark is the moment up to which the copy certainly holds every change of the store. It
+	// trails freshAt, which counts an answer of the store from its arrival.
 	watermark watermark
-	// storeOutUntil is the newest moment at which the store was out for all: see noteRefused.
+	// storeOutUntil is the latest known moment at which the store was out for the whole fleet, see
+	// recordRefused.
 	storeOutUntil time.Time
-	// freshSequence counts how often others were to be told at once that the copy is
-	// fresh, freshFromStore is that of the last answer of the store to this process.
+	// freshSequence counts the freshness updates that peers are sent at once; storeFreshSequence is
+	// its value at the last answer of the store to this process.
 	freshSequence      uint64
 	storeFreshSequence uint64
-	// completeRevision is the store's revision up to which every change has been heard of;
-	// toldAt is when another process last said anything.
+	// completeRevision is the store revision up to which every change was received; lastUpdateAt is
+	// when the last update of a peer arrived.
 	completeRevision uint64
 	lastUpdateAt     time.Time
 	started          time.Time
-	// agentReadDelay spreads the agents that begin to read for themselves.
+	// agentReadDelay spreads agents that start to read the store themselves.
 	agentReadDelay time.Duration
-	// expired holds servers that were lost from the list around an outage, by ID.
+	// expired holds servers that expired from the list around an outage of the store, by ID.
 	expired map[string]expiredServer
 	// storeSuspectedAt is when the store's connections were last suspected to be silent.
 	storeSuspectedAt time.Time
@@ -115,8 +117,8 @@
 	statuses       map[string]heldStatus
 	statusSequence uint64
 	onStatus       StatusHandler
-	// flushScheduled is set when statuses are to be passed on soon, of which haste tells; hasteAll when
-	// they are to all entries; hastenedAt is when that was last done.
+	// flushScheduled is set when a status flush is scheduled, which flush signals; flushAll is set
+	// when it goes to all entries. flushedAt is the time of the last one.
 	flushScheduled bool
 	flushAll       bool
 	flushedAt      time.Time
@@ -126,12 +128,12 @@
 	quarantine quarantineReports
 	notices    serverNotices
 
-	// overlay tells whom this entry speaks with; links are what it has of that, and
-	// those that others made, by IP address.
+	// overlay decides which entries and agents this entry links to; links holds the state of those
+	// links and of accepted ones, by IP address.
 	overlay *overlay.Overlay
 	links   map[string]*peerLink
 	pauses  pauseDetector
-	// backupOf are the entries that have this agent's words from another one too.
+	// backupOf are the entries that receive this agent's reports from another entry as well.
 	backupOf    map[string]bool
 	callbacks   []func(*View)
 	notifyMutex sync.Mutex
@@ -166,14 +168,14 @@
 	return c
 }
 
-// View returns the newest picture.
+// View returns the current view.
 func (c *Catalog) View() *View { return c.view.Load() }
 
-// OnChange registers a function that is called with each new view, in order. It
-// must be registered before Run.
+// OnChange registers a function that is called with each new view, in order. It must be registered
+// before Run.
 func (c *Catalog) OnChange(function func(*View)) { c.callbacks = append(c.callbacks, function) }
 
-// StoreCalls returns how many calls the store was sent.
+// StoreCalls returns the number of calls to the store.
 func (c *Catalog) StoreCalls() int64 { return c.storeCalls.Load() }
 
 // FreshAt returns when the copy was last known to be current.
@@ -183,7 +185,7 @@
 	return c.freshAt
 }
 
-// Run reads the store and exchanges records until the context ends.
+// Run reads the store and exchanges records with peers until the context ends.
 func (c *Catalog) Run(ctx context.Context) {
 	var work sync.WaitGroup
 	work.Go(func() { c.followStore(ctx) })
@@ -191,9 +193,9 @@
 	work.Wait()
 }
 
-// applyWatched merges records that a watch has brought. The versions among them were named
-// after the moment up to which the copy was complete, and no later: a watch that was silent,
-// or late at the store, brings them long after that.
+// applyWatched merges records returned by a watch. Their versions were announced after the
+// watermark, but possibly long before now: a watch that was silent, or late at the store, returns
+// them long after that.
 func (c *Catalog) applyWatched(records []mirror.Record) {
 	c.apply(fromStore, func() []mirror.Record {
 		c.recordAges(records, func(mirror.Record) versionAge { return c.ageOfWatched() })
@@ -201,8 +203,8 @@
 	})
 }
 
-// applyReceived merges records from a peer, which says how long ago the versions among
-// them were named, if it knows that.
+// applyReceived merges records from a peer, with the ages of the versions among them as far as the
+// peer knows them.
 func (c *Catalog) applyReceived(records []mirror.Record, ages map[string]peerAge) {
 	c.apply(fromPeer, func() []mirror.Record {
 		c.recordAges(records, func(record mirror.Record) versionAge {
@@ -219,9 +221,9 @@
 	})
 }
 
-// applyListing takes in a whole listing. It does not tell how old the versions are that a
-// process meets in its first one; later, what is new to it was named since the copy was
-// last complete.
+// applyListing applies a complete listing. The first listing of a process does not bound the ages
+// of the versions in it; in a later one, versions that are new here were announced after the
+// watermark.
 func (c *Catalog) applyListing(prefix string, listing fleet.Listing) {
 	c.apply(fromStore, func() []mirror.Record {
 		age := c.ageOfUnseen()
@@ -230,16 +232,16 @@
 	})
 }
 
-// source is where records come from.
+// source is the origin of records.
 type source int
 
-// The sources.
 const (
 	fromStore source = iota + 1
 	fromPeer
 )
 
-// apply changes the mirror and tells everyone when that made a difference.
+// apply changes the mirror, rebuilds the view and notifies peers and callbacks if that made a
+// difference.
 func (c *Catalog) apply(from source, change func() []mirror.Record) {
 	c.notifyMutex.Lock()
 	defer c.notifyMutex.Unlock()
@@ -263,8 +265,8 @@
 	}
 }
 
-// updateView publishes a changed copy of the view and tells everyone of it, unless the function
-// reports that nothing has changed.
+// updateView publishes a changed copy of the view and runs the callbacks, unless the function
+// reports that nothing changed.
 func (c *Catalog) updateView(change func(next *View) bool) {
 	c.notifyMutex.Lock()
 	defer c.notifyMutex.Unlock()
@@ -283,11 +285,11 @@
 	}
 }
 
-// recordChanges notes what others are to be told. What the store has told this process
-// is urgent, since others depend on it; what a peer has told goes on with the next
-// update, unless it names weights, evacuates a zone, or says that a server in use has turned
-// cold: told with the next update, that reached a zone's last entry 0.2 s after its first and
-// agents 0.6 s after it, and both 0.02 s after it when told at once. The mutex is held.
+// recordChanges records the changes to be sent to peers. A change read from the store is urgent,
+// since others depend on this process. A change received from a peer waits for the next update,
+// unless it announces a version, evacuates a zone or reports that a server in use has turned cold:
+// sent with the next update, that reached a zone's last entry 0.2 s after its first and agents 0.6
+// s after it; sent at once, both had it within 0.02 s. The mutex must be held.
 func (c *Catalog) recordChanges(from source, news []mirror.Record, turnedCold bool) {
 	for _, record := range news {
 		kind := c.options.Decoder.Kind(record.Key)
@@ -310,9 +312,10 @@
 	}
 }
 
-// announceHeads has the entries of the own zone told at once that a large record is newer, and
-// those of others where the store has told it; the mutex is held. Told with the next update of
-// each hop, the configuration was known to a zone's last entry 0.7 s after its first.
+// announceHeads has a newer revision of a large record announced at once to entries of the own
+// zone, and to those of other zones if it was read from the store. Announced with the next update
+// at each hop, a configuration was known to a zone's last entry 0.7 s after its first. The mutex
+// must be held.
 func (c *Catalog) announceHeads(from source) {
 	c.freshSequence++
 	if from == fromStore {
@@ -320,9 +323,8 @@
 	}
 }
 
-// applyServers takes over what records say of servers, and drops the records of those
-// that changed nothing but their counter. It reports whether one has turned cold that was
-// warm. The mutex is held.
+// applyServers applies the records of servers and returns the records without those that changed
+// only their counter. It reports whether a warm server has turned cold. The mutex must be held.
 func (c *Catalog) applyServers(news []mirror.Record) (kept []mirror.Record, turnedCold bool) {
 	kept = news[:0]
 	now := time.Now()
@@ -340,9 +342,9 @@
 	return kept, turnedCold
 }
 
-// applyServer takes over the record of a server, and reports whether it says anything
-// new. That a lapsed server is listed again is news, also where its line is the same:
-// it is not among the listed ones meanwhile.
+// applyServer applies the record of a server and reports whether anything changed. An expired
+// server that is listed again counts as a change even if its record is the same, because it is not
+// listed in the meantime.
 func (c *Catalog) applyServer(record mirror.Record) bool {
 	old, known := c.servers[record.Key]
 	if record.Gone {
@@ -361,8 +363,8 @@
 		return false
 	}
 	if held := c.statuses[server.Address]; old.Born.Differs(server.Born) && held.status.Born != server.Born {
-		// Otherwise words on the former incarnation would be passed on, and keep out those on this one where its
-		// birth is the earlier one.
+		// Otherwise status reports on the former incarnation would be forwarded, and would displace
+		// those on this one if its start time is the earlier one.
 		delete(c.statuses, server.Address)
 	}
 	if known && sameCold(old.ColdUntil, server.ColdUntil) {
@@ -376,9 +378,10 @@
 	return !known || !sameServer(old, server)
 }
 
-// isFormerIncarnation reports whether a line is a late one of a server's former incarnation: it began before the one
-// that is listed, and no other line has told the same. A server whose clock was set back tells it
-// with each heartbeat; one that has ended can have had one line under way. The mutex is held.
+// isFormerIncarnation reports whether a record is a late one of a server's former incarnation: its
+// start time is earlier than the listed one, and no record with that start time came before. A
+// server whose clock was set back repeats the earlier start time with each heartbeat, whereas a
+// server that has ended can have had only one record in transit. The mutex must be held.
 func (c *Catalog) isFormerIncarnation(key string, born, listed incarnation.Born) bool {
 	if !born.Before(listed) {
 		delete(c.formerIncarnations, key)
@@ -400,13 +403,12 @@
 	}
 }
 
-// coldTolerance is the difference up to which two words on when a server will be warm count as
-// the same: what a line takes from the server to here varies by less, and each heartbeat of
-// a cold server would make a view otherwise.
+// coldTolerance is the difference up to which two times at which a server will be warm count as the
+// same. The delay of a record on its way here varies by less; without the tolerance, each heartbeat
+// of a cold server would change the view.
 const coldTolerance = 400 * time.Millisecond
 
-// sameCold reports whether two times until which a server is cold are the same to those who
-// send requests there now.
+// sameCold reports whether two times at which a server will be warm are equivalent for routing now.
 func sameCold(a, b time.Time) bool {
 	now := time.Now()
 	if a.Before(now) && b.Before(now) {
@@ -437,15 +439,15 @@
 	FreshAge             float64                          `json:"fresh_age_seconds"`
 	Servers              int                              `json:"servers"`
 	Versions             map[string][]VersionAnnouncement `json:"versions"`
-	// EvacuatedZones are sent nothing new.
+	// EvacuatedZones are the zones that receive no new requests.
 	EvacuatedZones []string `json:"evacuated_zones"`
-	// FaultyRecords are some of the servers' records that can't be used, with the reason.
+	// FaultyRecords maps some of the unusable server records to the reason.
 	FaultyRecords map[string]string `json:"faulty_records,omitempty"`
 	Entries       []string          `json:"entries"`
 	StoreCalls    int64             `json:"store_calls"`
 }
 
-// Status describes what is held and how old it is.
+// Status describes what the catalog holds and how old it is.
 func (c *Catalog) Status() Status {
 	view := c.View()
 	status := Status{Versions: maps.Clone(view.Versions), EvacuatedZones: slices.Sorted(maps.Keys(view.Evacuations)), StoreCalls: c.StoreCalls(), FreshAge: time.Since(c.FreshAt()).Seconds()}
--- a/internal/catalog/entries.go
+++ b/internal/catalog/entries.go
@@ -8,40 +8,42 @@
 	"pinevane.example/pinevane/internal/peering"
 )
 
-// Times of what is known of entries.
+// Lifetimes of what is known of entries.
 const (
-	// entryTimeout is the age of its last sign up to which an entry counts as alive that
-	// has not failed to answer this one: lists of entries bring signs of up to two list
-	// periods and a link's silence.
+	// entryTimeout is the age of the last heartbeat up to which an entry that has not failed to
+	// answer this one counts as alive. Lists of entries carry heartbeats as old as two list
+	// intervals and a link timeout.
 	entryTimeout = 4 * time.Second
-	// entryTTL is how long an entry that nobody hears is remembered.
+	// entryTTL is how long an entry is remembered without a heartbeat.
 	entryTTL = 12 * time.Second
 )
 
-// entryHeartbeat is what one process tells another of an entry.
+// entryHeartbeat is what one process sends another about an entry.
 type entryHeartbeat struct {
 	Zone            string `cbor:"1,keyasint"`
 	AgeMilliseconds int64  `cbor:"2,keyasint"`
-	// Capacity is the class of its machine's link, see capacityOf; 0 when that is not known.
+	// Capacity is the class of the entry's link, see capacityClass; 0 if unknown.
 	Capacity int `cbor:"3,keyasint,omitempty"`
 }
 
-// toOverlay is the sign as of now.
+// toOverlay converts the heartbeat, with its age counted from now.
 func (s entryHeartbeat) toOverlay(now time.Time) overlay.Sign {
 	return overlay.Sign{Zone: s.Zone, Heard: now.Add(-time.Duration(s.AgeMilliseconds) * time.Millisecond), Capacity: s.Capacity}
 }
 
-// capacityClass is the class of a link's bytes a second: one more for each doubling. The classes are
-// coarse, so that machines of about the same link are ranked by their hashes.
+// capacityClass returns the class of a link's bandwidth, one more for each doubling. The classes
+// are coarse, so that machines with similar links are ranked by their hashes.
 func capacityClass(bytesPerSecond float64) int {
 	return bits.Len64(uint64(max(0, bytesPerSecond)) / minLinkBytes)
 }
 
-// minLinkBytes a second is the link up to which all machines are of one class, and of that of machines
-// whose link is not known: builds that tell none agree with others on the relays of a zone of such.
+// minLinkBytes is the bandwidth in bytes per second up to which all machines are in the lowest
+// class, together with those whose bandwidth is unknown: builds that send no capacity agree with
+// others on the relays of a zone of such machines.
 const minLinkBytes = 16 << 20
 
-// roster is an overlay.Roster on the wire. Without ages it tells only which entries are known.
+// roster is the wire form of an overlay.Roster. Without ages it only identifies the set of known
+// entries.
 type roster struct {
 	Digest           uint64           `cbor:"1,keyasint"`
 	AgesMilliseconds []int64          `cbor:"2,keyasint,omitempty"`
@@ -62,8 +64,8 @@
 	return told
 }
 
-// ceilMilliseconds rounds up: an age must never be told shorter than it is, or a dead entry would be
-// refreshed by its own echoes.
+// ceilMilliseconds rounds up: an age must never be sent shorter than it is, or a dead entry would
+// be refreshed by its own echoes.
 func ceilMilliseconds(age time.Duration) int64 {
 	return int64((max(0, age) + time.Millisecond - 1) / time.Millisecond)
 }
@@ -79,9 +81,9 @@
 	return known
 }
 
-// addEntries adds what this entry knows of the others: to a process that has told the same roster the
-// ages of its members, to any other the list, whose size grows with the fleet. Builds that tell no roster
-// are sent lists. The mutex is held.
+// addEntries adds the known entries to an update. A process with the same roster is sent the ages
+// of its members, any other process the list, whose size grows with the fleet. Builds that send no
+// roster are sent lists. The mutex must be held.
 func (c *Catalog) addEntries(message *update, peer *peerLink, now time.Time, aged func() *roster) {
 	message.Capacity = capacityClass(c.options.LinkBytesPerSecond)
 	message.Roster = &roster{Digest: c.overlay.Digest()}
@@ -99,7 +101,8 @@
 	}
 }
 
-// applyEntries takes over what another entry has told of itself and of others; the mutex is held.
+// applyEntries applies what another entry sent about itself and other entries. The mutex must be
+// held.
 func (c *Catalog) applyEntries(remote peering.Hello, news update, now time.Time) {
 	c.recordEntry(remote.ID, entryHeartbeat{Zone: remote.Zone, Capacity: news.Capacity})
 	for ip, sign := range news.Entries {
@@ -114,9 +117,8 @@
 	c.overlay.Refresh(news.Roster.toOverlay(), now)
 }
 
-// listDue reports whether a link is to be sent the list of entries: from time to time,
-// and soon after an entry was new, so that entries that start together know each other
-// quickly; the mutex is held.
+// listDue reports whether a link is due the list of entries: periodically, and soon after a new
+// entry, so that entries that start together know each other quickly. The mutex must be held.
 func (c *Catalog) listDue(peer *peerLink, now time.Time) bool {
 	return now.Sub(peer.listedAt) > listInterval || c.newEntriesDue(peer, now)
 }
@@ -125,7 +127,7 @@
 	return peer.listedArrivals != c.overlay.Arrivals() && now.Sub(peer.listedAt) > minListInterval
 }
 
-// recordEntry notes a sign of an entry; the mutex is held.
+// recordEntry records a heartbeat of an entry. The mutex must be held.
 func (c *Catalog) recordEntry(ip string, sign entryHeartbeat) {
 	now := time.Now()
 	if c.overlay.Hear(ip, sign.toOverlay(now), now) {
@@ -133,14 +135,14 @@
 	}
 }
 
-// Entries lists the other entries heard of lately.
+// Entries returns the other entries with a recent heartbeat.
 func (c *Catalog) Entries() []string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.overlay.IDs()
 }
 
-// ZoneEntries lists the other entries of the own zone that were heard of lately.
+// ZoneEntries returns the other entries of the own zone with a recent heartbeat.
 func (c *Catalog) ZoneEntries() []string {
 	now := time.Now()
 	c.mutex.Lock()
@@ -154,7 +156,7 @@
 	return ids
 }
 
-// EntryCount returns how many other entries were heard of lately.
+// EntryCount returns the number of other entries with a recent heartbeat.
 func (c *Catalog) EntryCount() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/catalog/evacuations.go
+++ b/internal/catalog/evacuations.go
@@ -10,8 +10,8 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// applyEvacuation takes over that a zone is evacuated, or no more. A record with a fault that
-// names a zone is in force: it can only have been written to empty that zone.
+// applyEvacuation applies the evacuation of a zone, or its end. A faulty record that names a zone
+// is in force: it can only have been written to empty that zone.
 func (c *Catalog) applyEvacuation(next *View, record mirror.Record) {
 	evacuation, err := c.options.Decoder.Evacuation(record)
 	if err != nil {
--- a/internal/catalog/exchange.go
+++ b/internal/catalog/exchange.go
@@ -16,72 +16,71 @@
 	"pinevane.example/pinevane/internal/peering"
 )
 
-// Topics between processes.
+// Topics of messages between processes.
 const (
 	topicUpdate = "catalog.update"
 	topicPull   = "catalog.pull"
 )
 
-// Times of the exchange.
+// Intervals of the exchange.
 const (
-	// updateInterval is the pace of updates between entries, which are signs of life too;
-	// agentUpdatePeriod that of updates to agents, which need to know of silence later.
-	// Urgent changes are sent at once.
+	// updateInterval is the interval of updates between entries, which also serve as heartbeats;
+	// agentUpdateInterval is that of updates to agents, which can detect silence later. Urgent
+	// changes are sent at once.
 	updateInterval      = 300 * time.Millisecond
 	agentUpdateInterval = 600 * time.Millisecond
-	// listInterval is how often the list of entries is sent on a link whose other end does not know
-	// the same ones.
+	// listInterval is how often the list of entries is sent on a link whose peer knows other
+	// entries.
 	listInterval = 900 * time.Millisecond
-	// minListInterval is the least time between two lists on a link while entries are new.
+	// minListInterval is the minimum time between two lists on a link when entries are new.
 	minListInterval = 100 * time.Millisecond
 )
 
-// update is the news of one process. Large records (configurations) are only
-// announced, with Heads; whoever lacks one asks for it.
+// update carries the changes of one process. Large records (configurations) are only announced,
+// with Heads, and sent on request.
 type update struct {
 	Records []mirror.Record `cbor:"1,keyasint,omitempty"`
-	// AgesMilliseconds tells since when the versions among the records are known.
+	// AgesMilliseconds are the ages of the versions among the records.
 	AgesMilliseconds map[string]int64 `cbor:"2,keyasint,omitempty"`
 	// FreshMilliseconds is the age of the sender's copy.
 	FreshMilliseconds int64 `cbor:"3,keyasint"`
 	// Heads maps the keys of large records to the revision held.
 	Heads map[string]uint64 `cbor:"4,keyasint,omitempty"`
-	// Entries maps the entries heard of to the zone and the age of their last sign;
-	// it is not in every update.
+	// Entries maps the known entries to their zone and the age of their last heartbeat. Not every
+	// update has it.
 	Entries map[string]entryHeartbeat `cbor:"5,keyasint,omitempty"`
-	// Digest sums up the sender's records without the large ones; 0 when it does not
-	// say. A receiver whose own is the same need not send any.
+	// Digest is the digest of the sender's records without the large ones, 0 if not sent. A
+	// receiver with the same digest need not send any records.
 	Digest uint64 `cbor:"6,keyasint,omitempty"`
-	// Backup tells an agent that another entry passes on its words, so that this one
-	// need not hear every one of them.
+	// Backup tells an agent that another entry forwards its reports, so that this one need not
+	// receive all of them.
 	Backup bool `cbor:"7,keyasint,omitempty"`
-	// Complete is the store's revision up to which the sender has heard of every change;
-	// 0 when it does not know.
+	// Complete is the store revision up to which the sender has received every change, 0 if
+	// unknown.
 	Complete uint64 `cbor:"8,keyasint,omitempty"`
-	// Packed are large records, compressed one by one.
+	// Packed are large records, each compressed.
 	Packed [][]byte `cbor:"9,keyasint,omitempty"`
-	// CompleteMilliseconds is the time since the sender's copy was surely complete, cut up to
-	// a whole one; 0 when it does not know.
+	// CompleteMilliseconds is the age of the sender's watermark, rounded up; 0 if unknown.
 	CompleteMilliseconds int64 `cbor:"10,keyasint,omitempty"`
-	// Stamp is the sender's stamp of the moment of sending. Echo is the newest stamp that it
-	// has of the receiver, 0 for none, and EchoHeld for how many milliseconds it has had it.
+	// Stamp is the sender's stamp of the time of sending. Echo is the newest stamp of the receiver
+	// that the sender has, 0 for none, and EchoHeld for how many milliseconds it has held it.
 	Stamp    int64 `cbor:"11,keyasint,omitempty"`
 	Echo     int64 `cbor:"12,keyasint,omitempty"`
 	EchoHeld int64 `cbor:"13,keyasint,omitempty"`
-	// Announcements are the named versions that the sender knows.
+	// Announcements are the announced versions known to the sender.
 	Announcements []announcementMessage `cbor:"14,keyasint,omitempty"`
-	// Services tell an agent the part of the newest configuration that it acts on.
+	// Services are the part of the newest configuration that an agent uses.
 	Services *publishedServices `cbor:"15,keyasint,omitempty"`
-	// Roster sums up the entries that the sender knows, in place of Entries between processes
-	// that know the same; nil from builds that always send the list.
+	// Roster identifies the entries known to the sender and replaces Entries between processes that
+	// know the same ones. It is nil from builds that always send the list.
 	Roster *roster `cbor:"16,keyasint,omitempty"`
-	// Capacity is the sender's, as in entrySign.
+	// Capacity is the sender's, as in entryHeartbeat.
 	Capacity int `cbor:"17,keyasint,omitempty"`
-	// Bundle are records, compressed together, for processes that read packingProtocol.
+	// Bundle are records compressed together, for processes that support packingProtocol.
 	Bundle []byte `cbor:"18,keyasint,omitempty"`
 }
 
-// exchange keeps the links and sends the news. Agents only listen.
+// exchange maintains the links and sends updates. Agents only listen.
 func (c *Catalog) exchange(ctx context.Context) {
 	if c.options.Role == RoleAgent {
 		return
@@ -99,7 +98,8 @@
 	defer linkTimer.Stop()
 	for {
 		c.maintainLinks(ctx)
-		// First, so that an entry that starts hears of it before it has servers to send to.
+		// Quarantine reports go first, so that an entry that starts has them before it has servers
+		// to send to.
 		c.sendPendingQuarantine()
 		c.sendPendingNotices()
 		c.sendUpdates()
@@ -127,10 +127,10 @@
 	}
 }
 
-// wakeExchange has the links looked after and the urgent news sent at once.
+// wakeExchange has the links checked and urgent changes sent at once.
 func (c *Catalog) wakeExchange() { signal(c.wake) }
 
-// signal wakes who waits on a channel of one place, once for any number of signals.
+// signal wakes the receiver of a channel of capacity one, once for any number of signals.
 func signal(channel chan<- struct{}) {
 	select {
 	case channel <- struct{}{}:
@@ -138,13 +138,14 @@
 	}
 }
 
-// isRelay reports whether this process passes on what others of its zone have said; the mutex is held.
+// isRelay reports whether this process forwards the reports of other entries of its zone. The mutex
+// must be held.
 func (c *Catalog) isRelay() bool {
 	rank := c.overlay.Rank()
 	return rank >= 0 && rank < relaysPerZone
 }
 
-// sendUpdates sends each link that is due what it lacks, or a sign of life.
+// sendUpdates sends an update to each link that is due one.
 func (c *Catalog) sendUpdates() {
 	now := time.Now()
 	c.mutex.Lock()
@@ -170,16 +171,15 @@
 	}
 }
 
-// updateDue reports whether a link is to be sent an update now: at its pace, and at
-// once when there is something urgent to tell. Entries of other zones are told at once
-// what the store has answered to this one, be it that nothing has changed, and everything
-// else at their pace. The mutex is held.
+// updateDue reports whether a link is due an update: at its interval, and at once if there is an
+// urgent change. Entries of other zones are updated at once when the store has answered this one,
+// even if nothing changed, and otherwise at their interval. The mutex must be held.
 func (c *Catalog) updateDue(peer *peerLink, now time.Time) bool {
 	period := updateInterval
 	if !peer.isEntry() {
 		period = agentUpdateInterval
 	}
-	// An update of which the timer is a little early is not put off by a whole tick.
+	// Tolerate a timer that is slightly early, so that an update is not delayed by a whole tick.
 	if now.Sub(peer.updatedAt) >= period-updateInterval/4 {
 		return true
 	}
@@ -196,8 +196,8 @@
 	c.finishSend(peer, link, &peer.sending, peering.Send(link, topicUpdate, "", message))
 }
 
-// finishSend notes that a send over a link has ended, of which a flag of the peer says that it was under
-// way. A link that has failed is made anew.
+// finishSend clears the flag of the peer that marked a send as under way. A link that has failed is
+// made again.
 func (c *Catalog) finishSend(peer *peerLink, link *peering.Link, underWay *bool, err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -208,8 +208,8 @@
 	}
 }
 
-// composeUpdate builds an update with every change that a link was not told, once it is
-// known how far the other process's records differ; the mutex is held.
+// composeUpdate builds an update with every change that a link was not sent, once it is known how
+// the peer's records differ. The mutex must be held.
 func (c *Catalog) composeUpdate(peer *peerLink) update {
 	now := time.Now()
 	message := update{FreshMilliseconds: now.Sub(c.freshAt).Milliseconds(), Heads: maps.Clone(c.heads), Digest: c.changes.Digest(), Complete: c.completeRevision}
@@ -228,7 +228,7 @@
 	return message
 }
 
-// addChanges adds the records that have changed since a link was last told; the mutex is held.
+// addChanges adds the records changed since the last update to a link. The mutex must be held.
 func (c *Catalog) addChanges(message *update, peer *peerLink) {
 	var records []mirror.Record
 	for _, key := range c.changes.After(peer.sentSequence) {
@@ -244,8 +244,7 @@
 	c.addRecords(message, peer.link, peer.sentSequence, records)
 }
 
-// addAge adds how long ago the version of a record was named, unless that is only
-// assumed; the mutex is held.
+// addAge adds the age of a record's version, unless it is assumed. The mutex must be held.
 func (c *Catalog) addAge(message *update, record mirror.Record) {
 	named, err := c.options.Decoder.Version(record)
 	if err != nil {
@@ -311,12 +310,11 @@
 	}
 }
 
-// minFreshProgress is the least progress of its freshness that the first entry of a zone passes
-// on at once, when it hears of it from another zone.
+// minFreshProgress is the minimum progress of freshness, received from another zone, that the first
+// entry of a zone forwards at once.
 const minFreshProgress = 200 * time.Millisecond
 
-// recordPeerFresh notes how fresh the copy is by the word of an entry of a zone; the mutex
-// is held.
+// recordPeerFresh records the freshness reported by an entry of a zone. The mutex must be held.
 func (c *Catalog) recordPeerFresh(zone string, at time.Time) {
 	progress := at.Sub(c.freshAt)
 	c.recordFresh(at)
@@ -326,9 +324,10 @@
 	}
 }
 
-// compareRecords notes whether another process holds the same records. If it does, it need
-// not be told what has changed, and this process has heard of every change that the
-// other has, which is reported; the first time that it does not, it is told everything.
+// compareRecords records whether a peer holds the same records. If so, the peer need not be sent
+// earlier changes, and if its large records are not newer either, this process has received every
+// change that the peer has, which is reported. The first time the records differ, the peer is sent
+// everything.
 func (c *Catalog) compareRecords(ip string, news update) (complete bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/catalog/faulty.go
+++ b/internal/catalog/faulty.go
@@ -9,16 +9,17 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// mostFaulty bounds the faulty records that are remembered, at some 100 KB; more of them are counted
-// alone. mostToldFaulty bounds those that the dump names.
+// maxFaultyRecords bounds the faulty records that are remembered, at about 100 KB; further ones are
+// only counted. maxReportedFaulty bounds those listed in the state dump.
 const (
 	maxFaultyRecords  = 512
 	maxReportedFaulty = 32
 )
 
-// faultyRecords are the records of servers that can't be used now. The catalog's mutex guards it.
+// faultyRecords are the server records that are unusable. The catalog's mutex guards it.
 type faultyRecords struct {
-	// reasons are by key; counts are of all that were met, by fault.
+	// reasons maps the keys of current faulty records to the reason; counts holds the total by
+	// fault.
 	reasons map[string]string
 	counts  map[fault.RecordFault]uint64
 }
@@ -27,7 +28,7 @@
 	return faultyRecords{reasons: map[string]string{}, counts: map[fault.RecordFault]uint64{}}
 }
 
-// recordFaulty counts a faulty record, and logs it unless that is known. The mutex is held.
+// recordFaulty counts a faulty record, and logs it unless it is known. The mutex must be held.
 func (c *Catalog) recordFaulty(key string, revision uint64, err error) {
 	kind := fault.RecordUnreadable
 	var invalid *fault.InvalidRecord
@@ -45,7 +46,7 @@
 	c.options.Log.Log(logging.RecordFaulty, zap.String("key", key), zap.Uint64("revision", revision), zap.String("fault", string(kind)), zap.Error(err))
 }
 
-// FaultyRecords returns how many faulty records were met, by fault.
+// FaultyRecords returns the number of faulty records received, by fault.
 func (c *Catalog) FaultyRecords() map[fault.RecordFault]uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -56,7 +57,7 @@
 	return counts
 }
 
-// reportedFaulty are the reasons of some of the records that can't be used now, by key.
+// reportedFaulty returns the reasons of some of the current faulty records, by key.
 func (c *Catalog) reportedFaulty() map[string]string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/catalog/packing.go
+++ b/internal/catalog/packing.go
@@ -9,27 +9,27 @@
 	"pinevane.example/pinevane/internal/peering"
 )
 
-// What grows with the servers is sent compressed to processes that can read that: words of agents, most
-// of what an entry hears, are alike, and so are the lines of the list of servers, all of which a process
-// that has lost everything is sent by each of its relays.
+// Messages that grow with the number of servers are compressed for processes that can read that:
+// agents' status reports, most of what an entry receives, are alike, and so are the records of
+// servers, all of which a process that has lost everything is sent by each of its relays.
 
-// Versions of the messages between processes, each of which reads those before.
+// Versions of the protocol between processes. Each version reads the earlier ones.
 const (
 	// packingProtocol reads statusBatch.Packed and update.Bundle.
 	packingProtocol = 1
-	// ProtocolVersion is what processes of this build tell of themselves with peering.Hello.
+	// ProtocolVersion is the version that processes of this build announce in peering.Hello.
 	ProtocolVersion = packingProtocol
 )
 
-// readsPacked reports whether the other end of a link reads compressed messages.
+// readsPacked reports whether the peer of a link reads compressed messages.
 func readsPacked(link *peering.Link) bool {
 	return link != nil && link.Remote().Protocol >= packingProtocol
 }
 
-// minPackedStatuses is the number of statuses from which compressing them makes a batch smaller.
+// minPackedStatuses is the number of status reports from which compression makes a batch smaller.
 const minPackedStatuses = 3
 
-// pack returns the batch in the form in which it is sent to who can read packed ones.
+// pack returns the batch in the form for peers that read compressed messages.
 func (b statusBatch) pack() (statusBatch, error) {
 	if len(b.Statuses) < minPackedStatuses {
 		return b, nil
@@ -38,7 +38,7 @@
 	return statusBatch{Packed: packed}, err
 }
 
-// unpack returns the statuses of a batch in either form.
+// unpack returns the status reports of a batch in either form.
 func (b statusBatch) unpack() ([]statusMessage, error) {
 	if len(b.Packed) == 0 {
 		return b.Statuses, nil
@@ -49,15 +49,16 @@
 // minBundledRecords is the number of records from which they are compressed together.
 const minBundledRecords = 8
 
-// bundle is the compressed form of the records that have changed after a sequence, as of another one.
-// It is kept, because all links of an entry that starts or comes back are sent the same.
+// bundle is the compressed form of the records changed after one sequence and up to another. It is
+// cached, because all links of an entry that starts or reconnects are sent the same records.
 type bundle struct {
 	after    uint64
 	sequence uint64
 	packed   []byte
 }
 
-// addRecords adds records that have changed after a sequence to an update for a link; the mutex is held.
+// addRecords adds the records changed after a sequence to an update for a link. The mutex must be
+// held.
 func (c *Catalog) addRecords(message *update, link *peering.Link, after uint64, records []mirror.Record) {
 	if len(records) < minBundledRecords || !readsPacked(link) {
 		message.Records = records
--- a/internal/catalog/pause.go
+++ b/internal/catalog/pause.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Times of pauses of the process itself.
+// Thresholds for pauses of the process.
 const (
-	// minPause is the time between two looks at the links, which are due each linkLook, after
-	// which the process itself stood still; resumeTime is what readers are given then to read
-	// what has come meanwhile.
+	// minPause is the time between two checks of the links, which are due every linkCheckInterval,
+	// from which the process counts as paused. resumeGrace is the time that readers then have to
+	// read what arrived in the meantime.
 	minPause    = 300 * time.Millisecond
 	resumeGrace = 200 * time.Millisecond
-	// minStall is the time between two looks after which the process was short of time: twice
-	// linkLook. Probes then have the time for an answer anew.
+	// minStall is the time between two checks from which the process counts as short of CPU time.
+	// Open probes are then given their full time again.
 	minStall = 2 * linkCheckInterval
 )
 
-// pauseDetector notices when the process itself stood still, so that links are not judged by what their
-// readers have not read yet: without it all links are dropped after a pause of linkSilence, and
-// their other ends suspected (TestLinksOutlastAPauseOfTheProcess).
+// pauseDetector detects pauses of the process, so that links are not judged by data that their
+// readers have not read yet. Without it, all links are dropped after a pause of linkTimeout and
+// their peers suspected (TestLinksSurviveProcessPause).
 type pauseDetector struct {
-	// checkedAt is when the links were last looked at, resumed when the last pause ended, stalled
-	// when the last shorter one did.
+	// checkedAt is when the links were last checked, resumedAt the end of the last pause, stalledAt
+	// the end of the last stall or pause.
 	checkedAt time.Time
 	resumedAt time.Time
 	stalledAt time.Time
 }
 
-// recordCheck notes that the links are looked at.
+// recordCheck records a check of the links.
 func (p *pauseDetector) recordCheck(now time.Time) {
 	if gap := now.Sub(p.checkedAt); !p.checkedAt.IsZero() {
 		if gap > minStall {
@@ -38,13 +38,13 @@
 	p.checkedAt = now
 }
 
-// graceLeft is for how long readers may still read what came during a pause.
+// graceLeft returns how long readers may still read what arrived during a pause.
 func (p *pauseDetector) graceLeft(now time.Time) time.Duration {
 	return resumeGrace - now.Sub(p.resumedAt)
 }
 
-// probeStart is since when the answer to a probe could be read: later than it was sent if the
-// process was short of time meanwhile.
+// probeStart returns when the time for the answer to a probe starts: at the end of the last stall
+// if that is later than the probe.
 func (p *pauseDetector) probeStart(probedAt time.Time) time.Time {
 	if p.stalledAt.After(probedAt) {
 		return p.stalledAt
--- a/internal/catalog/reports.go
+++ b/internal/catalog/reports.go
@@ -2,28 +2,29 @@
 
 import "time"
 
-// reportKey names the words of which only the newest is held.
+// reportKey identifies the reports of which only the newest is kept.
 type reportKey struct{ entry, server string }
 
-// heldReport is the newest word of an entry on a server, and when it was said.
+// heldReport is the newest report of an entry on a server, and when it was made.
 type heldReport[W any] struct {
 	report W
 	at     time.Time
-	// number is the teller's, sequence this process's own, for the links.
+	// number is assigned by the reporter; sequence is assigned here and orders the reports for the
+	// links.
 	number   uint64
 	sequence uint64
 }
 
-// reportStore are the newest words of all entries on each server, of one kind, for entries that are linked later.
-// The catalog's mutex guards it.
+// reportStore holds the newest report of each entry on each server, of one kind, for entries that
+// link later. The catalog's mutex guards it.
 type reportStore[W any] struct {
 	reports map[reportKey]heldReport[W]
-	// sequence is that of the last word that was held.
+	// sequence is the sequence of the last report stored.
 	sequence uint64
-	// number is that of this entry's last word. It begins at the time of the start, so that the words of a
-	// process that was started anew are newer than those of the one before.
+	// number is the number of this entry's last report. It starts at the start time, so that the
+	// reports of a restarted process are newer than those of its predecessor.
 	number uint64
-	// ttl is how long a word is kept, most how many; the oldest go first.
+	// ttl is how long a report is kept, maxReports how many are; the oldest are evicted first.
 	ttl        time.Duration
 	maxReports int
 }
@@ -32,13 +33,13 @@
 	return reportStore[W]{reports: map[reportKey]heldReport[W]{}, number: uint64(started.UnixNano()), ttl: memory, maxReports: most}
 }
 
-// nextNumber is that of this entry's next word.
+// nextNumber returns the number for this entry's next report.
 func (h *reportStore[W]) nextNumber() uint64 {
 	h.number++
 	return h.number
 }
 
-// add keeps a word if it is newer than the one held, and reports whether it does.
+// add stores a report if it is newer than the one held, and reports whether it did.
 func (h *reportStore[W]) add(key reportKey, fresh heldReport[W], now time.Time) bool {
 	held, known := h.reports[key]
 	if known && fresh.number <= held.number && now.Sub(held.at) < h.ttl {
@@ -64,7 +65,7 @@
 	delete(h.reports, oldest)
 }
 
-// expire drops what is too old.
+// expire removes reports older than the ttl.
 func (h *reportStore[W]) expire(now time.Time) {
 	for key, held := range h.reports {
 		if now.Sub(held.at) > h.ttl {
@@ -73,8 +74,8 @@
 	}
 }
 
-// unsent returns the words that a process is still to be told, which was told up to a sequence number. What others
-// have said is passed on by relays alone.
+// unsent returns the reports after a sequence that are to be sent to a peer. Only relays forward
+// the reports of others.
 func (h *reportStore[W]) unsent(told uint64, peer, self string, isRelay bool) map[reportKey]heldReport[W] {
 	untold := map[reportKey]heldReport[W]{}
 	for key, held := range h.reports {
--- a/internal/catalog/server_notices.go
+++ b/internal/catalog/server_notices.go
@@ -16,25 +16,26 @@
 	"pinevane.example/pinevane/internal/peering"
 )
 
-// topicServerNotices carries what servers have asked of entries in their answers, from these to all others: an
-// entry leaves a server alone that has told another one to, and one that starts knows it before it has had an answer.
+// topicServerNotices carries what servers requested of entries in response headers, from each entry
+// to all others: an entry spares a server that sent its notice to another one, and an entry that
+// starts knows it before its first response.
 const topicServerNotices = "server.asks"
 
-// Bounds of what is held of servers' wishes.
+// Bounds on the server notices held.
 const (
-	// noticeTTL is how long a word is kept for entries that are linked later; words that hold are told
-	// again within it.
+	// noticeTTL is how long a notice is kept for entries that link later. Notices that still hold
+	// are sent again within it.
 	noticeTTL = 10 * time.Minute
-	// maxNotices bounds the words held; the oldest go first.
+	// maxNotices bounds the notices held; the oldest are evicted first.
 	maxNotices = 2048
 )
 
-// noticeMessage is an entry's word on what a server asks, as it is passed on; dispatch.Ask tells what the fields
-// mean.
+// noticeMessage is the wire form of a server notice received by an entry; dispatch documents the
+// fields.
 type noticeMessage struct {
 	Server string `cbor:"1,keyasint"`
 	Entry  string `cbor:"2,keyasint"`
-	// Number orders the words of one entry.
+	// Number orders the notices of one entry.
 	Number          uint64           `cbor:"3,keyasint"`
 	AgeMilliseconds int64            `cbor:"4,keyasint"`
 	StartTime       incarnation.Born `cbor:"5,keyasint,omitempty"`
@@ -43,19 +44,19 @@
 	PerSecond       float64          `cbor:"8,keyasint,omitempty"`
 }
 
-// noticeBatch is what one process passes on at once.
+// noticeBatch is the wire form of the notices that one process sends at once.
 type noticeBatch struct {
 	Notices []noticeMessage `cbor:"1,keyasint"`
 }
 
-// ServerNoticeHandler is told what a server has asked of another entry, and when.
+// ServerNoticeHandler is called with a server notice that another entry received, and when it did.
 type ServerNoticeHandler func(ask dispatch.Ask, entry string, at time.Time)
 
-// serverNotices are the words of all entries. The catalog's mutex guards it.
+// serverNotices holds the server notices of all entries. The catalog's mutex guards it.
 type serverNotices struct {
 	reportStore[dispatch.Ask]
 	onNotice ServerNoticeHandler
-	// pending is signalled when there is something to pass on.
+	// pending is signalled when there are notices to send.
 	pending chan struct{}
 }
 
@@ -63,10 +64,12 @@
 	return serverNotices{reportStore: newReportStore[dispatch.Ask](started, noticeTTL, maxNotices), pending: make(chan struct{}, 1)}
 }
 
-// OnServerNotice registers a function that is called with each word of another entry. It must be registered before Run.
+// OnServerNotice registers a function that is called with each notice of another entry. It must be
+// registered before Run.
 func (c *Catalog) OnServerNotice(function ServerNoticeHandler) { c.notices.onNotice = function }
 
-// AnnounceNotice has the other entries told at once what a server has asked of this one at a time.
+// AnnounceNotice sends a server notice that this entry received at a given time to the other
+// entries at once.
 func (c *Catalog) AnnounceNotice(ask dispatch.Ask, at time.Time) {
 	c.mutex.Lock()
 	word := heldReport[dispatch.Ask]{report: ask, at: at, number: c.notices.nextNumber()}
@@ -108,13 +111,14 @@
 	}
 }
 
-// receivedNotice is a word that is news here, and who has told it.
+// receivedNotice is a new notice and the entry that received it from the server.
 type receivedNotice struct {
 	heldReport[dispatch.Ask]
 	entry string
 }
 
-// validate rejects a word that can't be meant: one faulty word does not cost the others of its message.
+// validate rejects a notice with impossible values. An invalid notice does not affect the others of
+// its message.
 func (t noticeMessage) validate() error {
 	reason := ""
 	switch {
@@ -132,7 +136,7 @@
 	return &fault.InvalidFrame{Field: topicServerNotices, Reason: reason}
 }
 
-// toReport is a word that was received at a time.
+// toReport converts a notice received now.
 func (t noticeMessage) toReport(now time.Time) heldReport[dispatch.Ask] {
 	return heldReport[dispatch.Ask]{
 		report: dispatch.Ask{Server: t.Server, Born: t.StartTime, Leaving: t.Leaving, Limited: t.Limited, PerSecond: t.PerSecond},
@@ -140,7 +144,7 @@
 	}
 }
 
-// newNoticeMessage is an entry's word as it is passed on at a time.
+// newNoticeMessage converts an entry's notice to its wire form.
 func newNoticeMessage(entry string, held heldReport[dispatch.Ask], now time.Time) noticeMessage {
 	return noticeMessage{
 		Server: held.report.Server, Entry: entry, Number: held.number, AgeMilliseconds: max(0, now.Sub(held.at).Milliseconds()), StartTime: held.report.Born,
@@ -148,8 +152,9 @@
 	}
 }
 
-// sendPendingNotices sends each linked entry the words that it has not been told. What others have said is passed on by relays
-// alone: every entry is linked to each of its zone, and they to other zones.
+// sendPendingNotices sends each linked entry the notices that it has not been sent. Only relays
+// forward the notices of others: every entry is linked to each relay of its zone, and the relays
+// are linked to other zones.
 func (c *Catalog) sendPendingNotices() {
 	now := time.Now()
 	c.mutex.Lock()
@@ -169,7 +174,7 @@
 	}
 }
 
-// noticesFor lists the words that an entry is to be told; the mutex is held.
+// noticesFor returns the notices to send to an entry. The mutex must be held.
 func (c *Catalog) noticesFor(peer *peerLink, isRelay bool, now time.Time) []noticeMessage {
 	var asks []noticeMessage
 	for key, held := range c.notices.unsent(peer.noticesSent, peer.ip, c.options.Self, isRelay) {
@@ -180,6 +185,6 @@
 
 func (c *Catalog) sendNotices(peer *peerLink, link *peering.Link, asks []noticeMessage) {
 	c.finishSend(peer, link, &peer.sendingNotices, peering.Send(link, topicServerNotices, "", noticeBatch{Notices: asks}))
-	// There may be news that came meanwhile.
+	// More notices may have arrived in the meantime.
 	c.scheduleNotices()
 }
--- a/internal/catalog/services.go
+++ b/internal/catalog/services.go
@@ -10,20 +10,20 @@
 	"pinevane.example/pinevane/internal/peering"
 )
 
-// publishedServices is the part of a configuration that agents act on: a few hundred bytes
-// where the whole, with its routes and tenants, has some hundred kilobytes. Agents that asked
-// entries for the whole one after a loss of all machines had it 0.3 to 1.7 s after they knew that
-// there was one, because every agent of a zone asked the same two or three entries, and asked
-// again while the answers were queued on the entries' links.
+// publishedServices is the part of a configuration that agents use: a few hundred bytes, where the
+// complete configuration with its routes and tenants has some hundred kilobytes. When agents
+// requested the complete one after a loss of all machines, they had it 0.3 to 1.7 s after they knew
+// of it, because all agents of a zone asked the same two or three entries, and asked again while
+// the answers were queued on the entries' links.
 type publishedServices struct {
-	// Version is the configuration's, Revision that of its record.
+	// Version is the version of the configuration, Revision the revision of its record.
 	Version  uint64                   `cbor:"1,keyasint"`
 	Revision uint64                   `cbor:"2,keyasint"`
 	Services map[string]fleet.Service `cbor:"3,keyasint"`
 }
 
-// servicesFor returns the services that an agent is to be told, or nil when it has been told
-// them; the mutex is held.
+// servicesFor returns the services to send to an agent, or nil if it has them. The mutex must be
+// held.
 func (c *Catalog) servicesFor(peer *peerLink) *publishedServices {
 	configuration := c.View().Configuration
 	if configuration == nil || peer.servicesSent >= configuration.Version {
@@ -33,8 +33,8 @@
 	return &publishedServices{Version: configuration.Version, Revision: c.configurationRevision(), Services: configuration.Services}
 }
 
-// configurationRevision is the revision of the newest configuration's record; the mutex is
-// held.
+// configurationRevision returns the revision of the newest configuration's record. The mutex must
+// be held.
 func (c *Catalog) configurationRevision() uint64 {
 	newest := uint64(0)
 	for _, revision := range c.heads {
@@ -43,8 +43,8 @@
 	return newest
 }
 
-// applyServices takes over the services that an entry has told this agent. A newer
-// configuration, be it whole because the agent has read it itself, is kept.
+// applyServices applies the services that an entry sent to this agent. A newer configuration is
+// kept, including a complete one that the agent read itself.
 func (c *Catalog) applyServices(link *peering.Link, told publishedServices) {
 	if c.options.Role != RoleAgent {
 		return
--- a/internal/catalog/settings.go
+++ b/internal/catalog/settings.go
@@ -2,8 +2,8 @@
 
 import "pinevane.example/pinevane/internal/fleet"
 
-// SetSettings takes over what settings that were read again say of bounds and zones. Seeds are
-// what a process begins with: one that runs knows the others from them.
+// SetSettings applies the bounds and zones of reloaded settings. Seeds are not reloaded: they are
+// needed only at the start, and a running process already knows the other entries.
 func (c *Catalog) SetSettings(settings fleet.Settings) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/catalog/statuses.go
+++ b/internal/catalog/statuses.go
@@ -14,71 +14,71 @@
 	"pinevane.example/pinevane/internal/peering"
 )
 
-// topicStatuses carries what agents have said from entry to entry.
+// topicStatuses carries agents' status reports between entries.
 const topicStatuses = "machine.statuses"
 
-// Times of passing on what agents have said.
+// Intervals and delays of forwarding status reports.
 const (
-	// statusInterval is how often entries of a zone are told of its agents, farStatusPace
-	// how often of those of other zones, which they choose less often.
+	// statusInterval is how often entries are sent the reports of their own zone's agents,
+	// remoteStatusInterval how often those of other zones, whose servers they choose less often.
 	statusInterval       = 60 * time.Millisecond
 	remoteStatusInterval = 240 * time.Millisecond
-	// statusTTL is how long the word of an agent that says no more is kept.
+	// statusTTL is how long the last report of a silent agent is kept.
 	statusTTL = 10 * time.Second
-	// backupDelay is how long a word that this entry has from the agent itself may be
-	// passed on by nobody until it does that in the main feeder's place: longer than an
-	// agent's longest time between two words.
+	// backupDelay is how long a report that this entry received directly may go without being
+	// forwarded by another entry until this one forwards it in place of the main feeder. It is
+	// longer than an agent's longest time between two reports.
 	backupDelay = 400 * time.Millisecond
-	// remoteSilence is longer than the time between two words of an agent of another zone: its own
-	// longest and farStatusPace.
+	// remoteSilence is longer than the time between two reports of an agent in another zone: the
+	// agent's longest interval plus remoteStatusInterval.
 	remoteSilence = 600 * time.Millisecond
-	// flushDelay is how long words gather that are not left to the next statusPace: after a
-	// silence of many links they come within some ten milliseconds.
+	// flushDelay is how long reports that do not wait for the next statusInterval are collected:
+	// after a silence of many links they arrive within some ten milliseconds.
 	flushDelay = 10 * time.Millisecond
-	// remoteFlushInterval is the least time between two hastened rounds of words of or to another zone.
-	// A word waits for it at two of up to three hops.
+	// remoteFlushInterval is the minimum time between two expedited rounds of reports from or to
+	// another zone. A report waits for it at two of up to three hops.
 	remoteFlushInterval = statusInterval
 )
 
-// statusMessage is an agent's word as it is passed on.
+// statusMessage is the wire form of an agent's status report.
 type statusMessage struct {
 	Status          fleet.MachineStatus `cbor:"1,keyasint"`
 	Zone            string              `cbor:"2,keyasint"`
 	AgeMilliseconds int64               `cbor:"3,keyasint"`
-	// EndsSilence is set when the word has ended a silence of its agent.
+	// EndsSilence is set when the report ended a silence of its agent.
 	EndsSilence bool `cbor:"4,keyasint,omitempty"`
 }
 
-// statusBatch is what one entry passes on at once.
+// statusBatch is the wire form of the reports that one entry forwards at once.
 type statusBatch struct {
 	Statuses []statusMessage `cbor:"1,keyasint,omitempty"`
-	// Packed are the statuses, compressed, for processes that read packingProtocol.
+	// Packed are the compressed reports, for processes that support packingProtocol.
 	Packed []byte `cbor:"2,keyasint,omitempty"`
 }
 
-// heldStatus is an agent's newest word.
+// heldStatus is an agent's newest status report.
 type heldStatus struct {
 	status fleet.MachineStatus
 	zone   string
-	// at is when the agent said it; direct that it said so to this entry.
+	// at is when the agent sent the report; direct is set if it sent it to this entry.
 	at     time.Time
 	direct bool
-	// sequence orders the changes, for the links.
+	// sequence orders the reports by when they were stored here.
 	sequence uint64
-	// relayedAt is when another entry of the zone last passed on a word of the agent.
+	// relayedAt is when another entry of the zone last forwarded a report of the agent.
 	relayedAt time.Time
-	// endsSilence is set when the word has ended a silence, late when it came as late as after one: those of
-	// an agent whose words always come that late end none.
+	// endsSilence is set when the report ended a silence. late is set when it came as late as after
+	// a silence: if an agent's reports are always late, only the first ends one.
 	endsSilence bool
 	late        bool
 }
 
-// StatusHandler is told an agent's word, when the agent said it, and whether it said
-// so to this process itself.
+// StatusHandler is called with an agent's status report, when the agent sent it, and whether this
+// process received it directly.
 type StatusHandler func(status fleet.MachineStatus, at time.Time, direct bool)
 
-// OnStatus registers a function that is called with each newer word of an agent. It
-// must be registered before Run.
+// OnStatus registers a function that is called with each newer report of an agent. It must be
+// registered before Run.
 func (c *Catalog) OnStatus(function StatusHandler) { c.onStatus = function }
 
 func (c *Catalog) handleStatus(link *peering.Link, received *message.Message) {
@@ -120,8 +120,8 @@
 	}
 }
 
-// sameReportTolerance is the difference up to which two accounts of a word are taken for
-// the same word, which has come by two ways.
+// sameReportTolerance is the difference of the times up to which two copies count as the same
+// report, received by two paths.
 const sameReportTolerance = 20 * time.Millisecond
 
 func (c *Catalog) applyStatus(fresh heldStatus) {
@@ -153,10 +153,11 @@
 	}
 }
 
-// recordSilence notes whether a word that follows another one of its agent ends a silence.
+// recordSilence records whether a report, which follows an earlier one of its agent, ends a
+// silence.
 func (h *heldStatus) recordSilence(held heldStatus, late bool) {
 	if !h.at.After(held.at.Add(sameReportTolerance)) {
-		// The same word, which has come by another way before.
+		// The same report, received earlier by another path.
 		h.endsSilence, h.late = h.endsSilence || held.endsSilence, held.late
 		return
 	}
@@ -164,9 +165,9 @@
 	h.endsSilence = (h.endsSilence || late) && !held.late
 }
 
-// isLate reports whether a word comes as late as after a silence of its agent, or of what its words
-// come by. The word of an agent of the own zone may as well come from another entry, whose link to the agent
-// works again before the own one.
+// isLate reports whether a report is as late as after a silence of its agent, or of the links it
+// came by. A report of an agent of the own zone may well come from another entry, whose link to the
+// agent recovered first.
 func (c *Catalog) isLate(fresh, held heldStatus) bool {
 	pause := fresh.at.Sub(held.at)
 	if fresh.zone != c.options.Zone {
@@ -175,8 +176,8 @@
 	return pause > backupDelay
 }
 
-// expediteStatuses has all entries told soon, those of other zones too: they have waited for the
-// word of an agent that had fallen silent. The mutex is held.
+// expediteStatuses has reports sent soon to all entries, including those of other zones: they have
+// been waiting for the report of an agent that was silent. The mutex must be held.
 func (c *Catalog) expediteStatuses() {
 	now := time.Now()
 	for _, peer := range c.links {
@@ -186,7 +187,8 @@
 	c.scheduleFlush()
 }
 
-// expediteRemote makes a round of words to another zone due, farHastePace after the last hastened one.
+// expediteRemote makes a round of reports to another zone due, at least remoteFlushInterval after
+// the last expedited one.
 func (p *peerLink) expediteRemote(now time.Time) {
 	p.remoteExpedited = true
 	if due := p.remoteExpeditedAt.Add(remoteFlushInterval); !due.After(now) {
@@ -196,8 +198,8 @@
 	}
 }
 
-// scheduleFlush has statuses passed on before the next statusPace, though no sooner than that after the
-// last time; the mutex is held.
+// scheduleFlush has reports sent before the next statusInterval, but no sooner than that after the
+// last flush. The mutex must be held.
 func (c *Catalog) scheduleFlush() {
 	if c.flushScheduled {
 		return
@@ -208,8 +210,8 @@
 	})
 }
 
-// flushStatuses passes on statuses before the next statusPace: to all entries after a silence, else to
-// those alone whose links are new.
+// flushStatuses sends reports before the next statusInterval: to all entries after a silence,
+// otherwise only on new links.
 func (c *Catalog) flushStatuses() {
 	c.mutex.Lock()
 	all := c.flushAll
@@ -218,12 +220,12 @@
 	c.sendStatuses(func(peer *peerLink) bool { return all || peer.unused })
 }
 
-// relayStatuses sends each entry what it has not heard of agents: those of the own
-// zone what the agents have said here, and as the first gate what other zones' have;
-// the gates of other zones everything of the own zone.
+// relayStatuses sends each entry the reports it has not been sent: to an entry of the own zone
+// those received directly from agents and, as the first gate, those of other zones; to the gates of
+// other zones all of the own zone.
 func (c *Catalog) relayStatuses() { c.sendStatuses(func(*peerLink) bool { return true }) }
 
-// sendStatuses sends statuses to the entries that are wanted.
+// sendStatuses sends reports to the entries selected by wanted.
 func (c *Catalog) sendStatuses(wanted func(*peerLink) bool) {
 	now := time.Now()
 	c.mutex.Lock()
@@ -261,26 +263,26 @@
 	}
 }
 
-// batchKey tells which statuses a link is to be sent. Links with the same one are sent
-// the same bytes.
+// batchKey describes which reports a link is sent. Links with the same key are sent the same bytes.
 type batchKey struct {
-	// local asks for what this entry passes on to its zone, after nearAfter; ofZone for
-	// all statuses of the own zone, which another zone is sent, after the same.
+	// local selects the reports that this entry forwards to its zone, wholeZone all reports of the
+	// own zone, for another zone; both after localAfter.
 	local      bool
 	wholeZone  bool
 	localAfter uint64
-	// remote asks for those of other zones after farAfter.
+	// remote selects the reports of other zones after remoteAfter.
 	remote      bool
 	remoteAfter uint64
-	// packed asks for the compressed form.
+	// packed selects the compressed form.
 	packed bool
 }
 
-// nextBatch takes the next batch of a link, and reports whether there is one; the
-// mutex is held.
+// nextBatch returns the key of a link's next batch and marks it as sent; false if none is due. The
+// mutex must be held.
 func (c *Catalog) nextBatch(peer *peerLink, firstGate bool, now time.Time) (batchKey, bool) {
 	isNear := peer.zone() == c.options.Zone
-	// A timer that is a little early does not put others off by a whole statusPace.
+	// Tolerate a timer that is slightly early, so that a round is not delayed by a whole
+	// statusInterval.
 	farDue := firstGate && now.Sub(peer.remoteSentAt) >= remoteStatusInterval-statusInterval/4
 	peer.unused = false
 	var key batchKey
@@ -312,8 +314,8 @@
 	return key, true
 }
 
-// encodeBatch encodes the statuses of a batch, or returns nil if there are none; the
-// mutex is held.
+// encodeBatch encodes the reports of a batch, or returns nil if there are none. The mutex must be
+// held.
 func (c *Catalog) encodeBatch(key batchKey, now time.Time) []byte {
 	var batch statusBatch
 	for _, held := range c.statuses {
@@ -339,7 +341,7 @@
 	return payload
 }
 
-// inBatch reports whether an agent's word is part of a batch; the mutex is held.
+// inBatch reports whether a report belongs to a batch. The mutex must be held.
 func (c *Catalog) inBatch(held heldStatus, key batchKey, now time.Time) bool {
 	if held.zone != c.options.Zone {
 		return key.remote && held.sequence > key.remoteAfter
@@ -350,8 +352,8 @@
 	return key.wholeZone || (key.local && c.relays(held, now))
 }
 
-// relays reports whether this entry passes an agent's word on to its zone: as the
-// main feeder of that agent, or in the place of one that does not. The mutex is held.
+// relays reports whether this entry forwards an agent's report to its zone: as the agent's main
+// feeder, or in place of one that does not. The mutex must be held.
 func (c *Catalog) relays(held heldStatus, now time.Time) bool {
 	if !held.direct {
 		return false
@@ -368,8 +370,7 @@
 	c.finishSend(peer, link, &peer.sendingStatuses, link.Publish(topicStatuses, message.NewMessage("", payload)))
 }
 
-// IsBackup reports whether an entry has said that another one passes on this agent's
-// words.
+// IsBackup reports whether an entry has announced that another entry forwards this agent's reports.
 func (c *Catalog) IsBackup(entry string) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/catalog/version_ages.go
+++ b/internal/catalog/version_ages.go
@@ -14,19 +14,19 @@
 	"pinevane.example/pinevane/internal/fleet"
 )
 
-// versionAge is how long ago a version was named when its record was learnt.
+// versionAge is how long ago a version had been announced when its record was received.
 type versionAge struct {
-	// revision is that of the record which the age belongs to.
+	// revision is the revision of the record to which the age belongs.
 	revision uint64
 	age      time.Duration
-	// assumed is set when the age is a guess.
+	// assumed is set when the age is an estimate.
 	assumed bool
 }
 
-// assumedAge is the age of a version that a process meets when it has just started, until
-// somebody says how old it is. The version may be in force already; the process is held to
-// that only once it has run for the contact time, and sends nothing to an older one from
-// then on. Where the settings do not tell that time, half of the bound is assumed.
+// assumedAge returns the age assumed for a version that a process finds when it has just started,
+// until a peer sends its age. The version may be in force already; the process is bound by it only
+// after the contact time, and sends nothing to an older version from then on. If the settings have
+// no contact time, half of the bound is assumed.
 func (c *Catalog) assumedAge() versionAge {
 	age := c.options.VersionApply / 2
 	if c.options.Contact > 0 {
@@ -35,26 +35,26 @@
 	return versionAge{age: age, assumed: true}
 }
 
-// lateAnnouncement is the age from which a version counts as heard of late: a watch of the store
-// that goes well tells of it within one time of waiting and one pace.
+// lateAnnouncement is the age from which an announcement counts as received late: a watch that
+// works returns it within one wait and one interval.
 const lateAnnouncement = watchWait + watchInterval
 
-// ageOfWatched is the longest age of a version that a watch has just brought; the mutex is
-// held. That the store still knew the changes after the watch's position confirms the horizon:
-// a store that told nothing of a change, to whomever, forgets its history up to that change at
-// the least, and refuses each watch that goes on from before it.
+// ageOfWatched returns the maximum age of a version that a watch has just returned. The watermark
+// holds without a margin: the store still knew the changes after the watch's position, whereas a
+// store that withheld a change from any reader loses its history at least up to that change, and
+// refuses each watch that starts before it. The mutex must be held.
 func (c *Catalog) ageOfWatched() versionAge {
 	return c.ageAfter(c.watermark)
 }
 
-// ageOfUnseen is the longest age of a version that the copy lacks until now and that no watch
-// has brought; the mutex is held.
+// ageOfUnseen returns the maximum age of a version that is new to the copy and was not returned by
+// a watch. The mutex must be held.
 func (c *Catalog) ageOfUnseen() versionAge {
 	return c.ageAfter(c.safeWatermark())
 }
 
-// ageAfter is the longest age that a horizon allows for: no time counts before the store was
-// last out for all.
+// ageAfter returns the maximum age that a watermark allows. Time before the last fleet-wide outage
+// of the store does not count.
 func (c *Catalog) ageAfter(known watermark) versionAge {
 	known = known.atLeast(c.storeOutUntil)
 	age, bounded := known.maxAge(time.Now())
@@ -64,18 +64,18 @@
 	return versionAge{age: age}
 }
 
-// fleetOutageAge is the age of a copy from which a store that refuses this process counts as out
-// for all. An entry that the store serves tells the others at each watchWait, and a link that
-// has gone silent is replaced in some 2 s.
+// fleetOutageAge is the age of the copy from which a store that refuses this process counts as out
+// for the whole fleet. An entry that the store serves updates the others every watchWait, and a
+// silent link is replaced within about 2 s.
 const fleetOutageAge = 2500 * time.Millisecond
 
-// recordRefused notes that the store has refused a call that was sent at a moment. VERSION counts
-// time within one stretch only in which the store is stable, and so none before this call, by
-// whomever the version is then learnt: ages are told to others as they are counted here. A
-// machine that the store turns away while it serves others must not conclude this: their words
-// keep its copy fresh. An agent hears of the age by entries, and asks the store only when it
-// hears of none. Silence proves nothing, nor does a reset, which may be due to the
-// connection, nor 429, which a store that is well answers to too many calls.
+// recordRefused records that the store refused a call sent at a given time. The VERSION invariant
+// counts time only within one period of a stable store, so no time before this call counts,
+// whichever process learns of the version: ages are sent to peers as they are counted here. A
+// machine that the store refuses while it serves others must not conclude this: updates of peers
+// keep its copy fresh. Agents do not conclude it: they learn the age from entries, and ask the
+// store only without any entry. A timeout proves nothing, nor does a reset, which may be a fault of
+// the connection, nor a 429, which a healthy store returns when called too often.
 func (c *Catalog) recordRefused(sent time.Time, err error) {
 	if c.options.Role != RoleEntry || !isRefusal(err) {
 		return
@@ -87,7 +87,7 @@
 	}
 }
 
-// isRefusal reports whether a call failed because the store, or its machine, said that it does
+// isRefusal reports whether a call failed because the store, or its machine, stated that it does
 // not serve.
 func isRefusal(err error) bool {
 	var unavailable *fault.Unavailable
@@ -97,29 +97,29 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// historyLossMargin is how far a horizon is doubted that no watch has confirmed: before the store
-// forgets its history, its watches may hear nothing for a second, and the horizon moves on by
-// them. Half a second is left over.
+// historyLossMargin is the uncertainty of a watermark that no watch has confirmed: before the store
+// loses its history, its watches may return nothing for a second while the watermark advances. The
+// rest, half a second, is reserve.
 const historyLossMargin = 1500 * time.Millisecond
 
-// safeWatermark is the horizon that holds also if the store is about to say, or has said to
-// somebody else, that it has forgotten its history; the mutex is held. The doubt is taken off
-// where the horizon is used, rather than once the store has said so: until then others have
-// taken the horizon over, and would tell it to each other and back to this process.
+// safeWatermark returns the watermark that holds even if the store is about to report, or has
+// reported to another process, that it lost its history. The margin is subtracted where the
+// watermark is used, not when the store reports the loss: by then others have adopted the watermark
+// and would send it to each other and back to this process. The mutex must be held.
 func (c *Catalog) safeWatermark() watermark {
 	return c.watermark.minus(historyLossMargin)
 }
 
-// recordComplete notes up to when an answer of the store shows every change. It is called after
-// the answer was taken in.
+// recordComplete advances the watermark to the moment up to which an answer of the store shows
+// every change. It must be called after the answer was applied.
 func (c *Catalog) recordComplete(call storeCall) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.watermark.advance(call.completeUntil())
 }
 
-// recordPeerComplete notes up to when a peer's copy is complete that is the same as this one; the
-// mutex is held. How long the word was on its way counts against it.
+// recordPeerComplete advances the watermark to that of a peer whose copy is the same as this one,
+// less the transit time of the message. The mutex must be held.
 func (c *Catalog) recordPeerComplete(news update, flight time.Duration, flightKnown bool, received time.Time) {
 	if news.CompleteMilliseconds == 0 || !flightKnown {
 		return
@@ -127,9 +127,9 @@
 	c.watermark.advance(received.Add(-flight - time.Duration(news.CompleteMilliseconds)*time.Millisecond))
 }
 
-// recordAges keeps the ages of those versions among records that are newer than what
-// is held, for takeVersion; the mutex is held. An age of a record that is not news
-// must not be kept: it would be taken for that of the next version.
+// recordAges stores, for applyVersion, the ages of those versions among the records that are newer
+// than what is held. The age of a record that is not newer must not be stored: it would be used for
+// the next version. The mutex must be held.
 func (c *Catalog) recordAges(records []mirror.Record, ageOf func(mirror.Record) versionAge) {
 	for _, record := range records {
 		if c.options.Decoder.Kind(record.Key) != fleet.RecordVersion {
@@ -144,8 +144,8 @@
 	}
 }
 
-// correctAges replaces assumed ages by those that a peer knows; the mutex is held.
-// It is called after the records were merged.
+// correctAges replaces assumed ages by those that a peer sent. It must be called after the records
+// were merged. The mutex must be held.
 func (c *Catalog) correctAges(records []mirror.Record, ages map[string]peerAge) {
 	for _, record := range records {
 		told, known := ages[record.Key]
@@ -159,7 +159,7 @@
 	}
 }
 
-// correctAge sets since when a version is known, if that was assumed.
+// correctAge sets since when a version has been announced, if that was assumed.
 func (c *Catalog) correctAge(named fleet.NamedVersion, since time.Time) {
 	old := c.view.Load()
 	notices := slices.Clone(old.Versions[named.Model])
@@ -176,19 +176,19 @@
 	}
 }
 
-// announcementMessage is one named version as peers tell each other. The store and the exchange of records hold
-// the newest of each model only; without the ones before it a process that has missed them would
-// let an old version run until the newest one's bound.
+// announcementMessage is the wire form of an announced version. The store and the exchange of
+// records hold only the newest version of each model; without the earlier ones, a process that
+// missed them would let an old version run until the newest one's deadline.
 type announcementMessage struct {
 	Model    string `cbor:"1,keyasint"`
 	Version  uint64 `cbor:"2,keyasint"`
 	Revision uint64 `cbor:"3,keyasint"`
-	// AgeMilliseconds is the longest time since the naming, cut up to a whole one.
+	// AgeMilliseconds is the maximum time since the announcement, rounded up.
 	AgeMilliseconds int64 `cbor:"4,keyasint"`
 }
 
-// announcements tells the versions that this process knows, but for those of an assumed age; the
-// mutex is held.
+// announcements returns the versions known to this process, except those of an assumed age. The
+// mutex must be held.
 func (c *Catalog) announcements(now time.Time) []announcementMessage {
 	var all []announcementMessage
 	for model, notices := range c.View().Versions {
@@ -204,16 +204,15 @@
 	return all
 }
 
-// applyAnnouncements takes over a peer's ages of versions where they are shorter than the own ones, or
-// the own ones are assumed, and the versions that were missed here: each age is an upper bound.
-// Flight is the longest time that the word was on its way until it was received. A process that
-// had lost touch for seconds when it heard of a version would else count it as that much older
-// until its bound.
+// applyAnnouncements applies a peer's ages of versions where they are shorter than the own ones or
+// the own ones are assumed, and adds versions missed here. Each age is an upper bound; flight is
+// the maximum transit time of the message. Without it, a process that was out of touch for seconds
+// when it learned of a version would count it as that much older until its deadline.
 func (c *Catalog) applyAnnouncements(told []announcementMessage, flight time.Duration, received time.Time) {
 	c.updateView(func(next *View) bool { return next.applyAnnouncements(told, flight, received) })
 }
 
-// applyAnnouncements is the same for a view that is being made; it reports whether that differs.
+// applyAnnouncements does so for a view under construction and reports whether the view changed.
 func (v *View) applyAnnouncements(told []announcementMessage, flight time.Duration, received time.Time) bool {
 	v.Versions = maps.Clone(v.Versions)
 	changed := false
@@ -226,8 +225,9 @@
 	return changed
 }
 
-// withAnnouncement returns notices, the newest last, with one that a peer has told, and reports whether
-// they differ. A version newer than all held ones comes with its record and is left to that.
+// withAnnouncement returns the announcements, the newest last, with one that a peer sent, and
+// reports whether they changed. A version newer than all held ones comes with its record and is not
+// added here.
 func withAnnouncement(notices []VersionAnnouncement, told announcementMessage, since time.Time) ([]VersionAnnouncement, bool) {
 	index, held := slices.BinarySearchFunc(notices, told.Version, func(notice VersionAnnouncement, version uint64) int {
 		return cmp.Compare(notice.Version, version)
@@ -243,12 +243,12 @@
 	return slices.Insert(slices.Clone(notices), index, VersionAnnouncement{Version: told.Version, Revision: told.Revision, Since: since}), true
 }
 
-// Stamp is this process's stamp of now, for messages whose way back is to be measured.
+// Stamp returns the current stamp of this process, for messages whose round trip is measured.
 func (c *Catalog) Stamp() int64 { return c.stamp(time.Now()) }
 
 func (c *Catalog) stamp(now time.Time) int64 { return stampAt(c.started, now) }
 
-// recordStamp keeps a process's newest stamp, to be returned to it; the mutex is held.
+// recordStamp stores a peer's newest stamp, to be echoed to it. The mutex must be held.
 func (c *Catalog) recordStamp(ip string, stamp int64, now time.Time) {
 	if peer, linked := c.links[ip]; linked {
 		peer.stamps.record(stamp, now)
--- a/internal/catalog/view.go
+++ b/internal/catalog/view.go
@@ -1,7 +1,7 @@
-// Package catalog keeps a process's copy of what the platform publishes:
-// configuration, servers, and named versions of weights. Entries read the
-// platform's store and tell each other and the agents; what a process holds
-// never goes back to an older revision within its life.
+// Package catalog keeps a process's copy of what the platform publishes: the configuration, the
+// servers and the announced versions of weights. Entries read the platform's store and send what
+// changed to each other and to the agents. While a process runs, its copy never goes back to an
+// older revision.
 package catalog
 
 import (
@@ -17,20 +17,20 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// VersionAnnouncement is a named version.
+// VersionAnnouncement describes an announced version of a model's weights.
 type VersionAnnouncement struct {
 	Version  uint64 `json:"version"`
 	Revision uint64 `json:"revision"`
-	// Since is the earliest moment at which the version can have been named: the last one
-	// at which this copy, or that of the peer which told of it, surely lacked nothing.
+	// Since is the earliest moment at which the version can have been announced: the last one at
+	// which this copy, or that of the peer that sent it, was certainly complete.
 	Since time.Time `json:"since"`
-	// Assumed is set while Since is a guess, because nobody who has seen the naming
-	// has told of it.
+	// Assumed is set while Since is an estimate, because no process that saw the announcement has
+	// sent its age.
 	Assumed bool `json:"assumed,omitempty"`
 }
 
-// tighten takes over another earliest moment of the naming where that is later, or the one
-// held is a guess, and reports whether it did.
+// tighten applies another earliest moment of the announcement if it is later, or if the current one
+// is assumed, and reports whether it did.
 func (n *VersionAnnouncement) tighten(since time.Time) bool {
 	if !n.Assumed && !since.After(n.Since) {
 		return false
@@ -39,30 +39,29 @@
 	return true
 }
 
-// View is an immutable picture of everything known.
+// View is an immutable snapshot of everything known.
 type View struct {
 	// Configuration is nil until one is known.
 	Configuration *fleet.Configuration
-	// ConfigurationSince is when this process took the configuration over.
+	// ConfigurationSince is when this process applied the configuration.
 	ConfigurationSince time.Time
-	// Servers lists every listed server by its service.
+	// Servers holds the listed servers by service.
 	Servers map[string][]fleet.Server
-	// Versions holds the named versions of each model, the newest last.
+	// Versions holds the announced versions of each model, the newest last.
 	Versions map[string][]VersionAnnouncement
-	// Evacuations are the evacuated zones, and since when this process knows; the map is
-	// never changed.
+	// Evacuations maps each evacuated zone to when this process learned of it. The map is never
+	// modified.
 	Evacuations map[string]time.Time
-	// agents are the zones of the machines with model servers, by IP address.
+	// agents maps the IP addresses of machines with model servers to their zones.
 	agents map[string]string
 }
 
-// maxAnnouncements bounds how many named versions of a model are remembered: more than an operator
-// names within the time until a version is in force.
+// maxAnnouncements bounds the announced versions kept of a model: more than an operator announces
+// within the time until a version is in force.
 const maxAnnouncements = 32
 
-// pruneAnnouncements drops the notices of versions that bind nothing any more: the oldest one, for as
-// long as a newer one is in force too. Until then it is the oldest that ends the time of the
-// versions before it.
+// pruneAnnouncements removes announcements that no longer bind: the oldest one, as long as the next
+// newer one is in force too. Until then, the oldest ends the time of the versions before it.
 func pruneAnnouncements(notices []VersionAnnouncement, apply time.Duration, now time.Time) []VersionAnnouncement {
 	for len(notices) > 1 && (len(notices) > maxAnnouncements || now.Sub(notices[1].Since) > apply) {
 		notices = notices[1:]
@@ -70,7 +69,7 @@
 	return notices
 }
 
-// Newest returns the newest named version of a model.
+// Newest returns the newest announced version of a model.
 func (v *View) Newest(model string) (VersionAnnouncement, bool) {
 	notices := v.Versions[model]
 	if len(notices) == 0 {
@@ -79,8 +78,8 @@
 	return notices[len(notices)-1], true
 }
 
-// NewestOlderThan returns the newest version of a model that was named longer ago than an
-// age, or 0.
+// NewestOlderThan returns the newest version of a model that was announced longer ago than age, or
+// 0.
 func (v *View) NewestOlderThan(model string, age time.Duration, now time.Time) uint64 {
 	due := uint64(0)
 	for _, notice := range v.Versions[model] {
@@ -91,12 +90,12 @@
 	return due
 }
 
-// FirstAfter returns the earliest remembered notice of a version newer than one.
+// FirstAfter returns the earliest known announcement of a version newer than the given one.
 func (v *View) FirstAfter(model string, version uint64) (VersionAnnouncement, bool) {
 	return FirstAfter(v.Versions[model], version)
 }
 
-// FirstAfter returns the earliest notice of a version newer than one.
+// FirstAfter returns the earliest announcement of a version newer than the given one.
 func FirstAfter(notices []VersionAnnouncement, version uint64) (VersionAnnouncement, bool) {
 	for _, notice := range notices {
 		if notice.Version > version {
@@ -106,17 +105,17 @@
 	return VersionAnnouncement{}, false
 }
 
-// Evacuated reports whether a zone is to be sent nothing new.
+// Evacuated reports whether a zone is evacuated and receives no new requests.
 func (v *View) Evacuated(zone string) bool {
 	_, evacuated := v.Evacuations[zone]
 	return evacuated
 }
 
-// Agents returns the IP addresses and zones of the machines whose model servers
-// are listed; each has an agent. The map is not to be changed.
+// Agents returns the IP addresses and zones of the machines whose model servers are listed; each
+// has an agent. The map must not be modified.
 func (v *View) Agents() map[string]string { return v.agents }
 
-// collectAgents fills in the agents of a view that is being made.
+// collectAgents sets the agents of a view under construction.
 func (v *View) collectAgents() {
 	v.agents = map[string]string{}
 	for name, servers := range v.Servers {
@@ -135,15 +134,16 @@
 	return v.Configuration != nil && v.Configuration.Services[service].Engine != nil
 }
 
-// decodedConfiguration is what a record of a configuration holds, or why it can't be read.
+// decodedConfiguration is a decoded configuration, or the error of decoding it.
 type decodedConfiguration struct {
 	configuration *fleet.Configuration
 	err           error
 }
 
-// decodeConfigurations decodes the configurations among some news, by the revisions of their
-// records, without the mutex, which every request takes: a configuration of 10,000 routes takes
-// 35 ms of a whole core to decode (BenchmarkConfiguration), several times as long on a part of one.
+// decodeConfigurations decodes the configurations among changed records, by record revision. It
+// runs without the mutex, which every request takes: a configuration of 10,000 routes takes 35 ms
+// of a whole core to decode (BenchmarkConfiguration), and several times as long on a fraction of
+// one.
 func (c *Catalog) decodeConfigurations(news []mirror.Record) map[uint64]decodedConfiguration {
 	var decoded map[uint64]decodedConfiguration
 	for _, record := range news {
@@ -159,8 +159,8 @@
 	return decoded
 }
 
-// rebuildView makes a new view after news, whose configurations have been decoded, and publishes it;
-// the mutex is held.
+// rebuildView builds a view from changed records and their decoded configurations, and publishes
+// it. The mutex must be held.
 func (c *Catalog) rebuildView(news []mirror.Record, decoded map[uint64]decodedConfiguration) {
 	old := c.view.Load()
 	next := &View{
@@ -229,8 +229,7 @@
 	}
 }
 
-// rebuildServers lists the servers anew, from what their records have been decoded
-// to; the mutex is held.
+// rebuildServers lists the servers again from their decoded records. The mutex must be held.
 func (c *Catalog) rebuildServers(next *View) {
 	next.Servers = map[string][]fleet.Server{}
 	for _, key := range c.serverKeys {
