--- a/internal/catalog/expired.go
+++ b/internal/catalog/expired.go
@@ -10,24 +10,24 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// Times around an outage of the store.
+// Thresholds around an outage of the store.
 const (
 	// outageAge is the age of the copy from which the store counts as out.
 	outageAge = 1200 * time.Millisecond
-	// expiryGrace is how long after an outage servers write their lines anew.
+	// expiryGrace is how long after an outage servers rewrite their records.
 	expiryGrace = 2 * time.Second
-	// expiryMargin is left of the time in which a server that has left may still be sent
+	// expiryMargin is subtracted from the time in which a server that has left may still be sent
 	// requests.
 	expiryMargin = 400 * time.Millisecond
 )
 
-// expiredServer is a server that the list has lost.
+// expiredServer is a server whose record has expired.
 type expiredServer struct {
 	server fleet.Server
 	until  time.Time
 }
 
-// recordFresh notes when the copy was current; the mutex is held.
+// recordFresh records when the copy was current. The mutex must be held.
 func (c *Catalog) recordFresh(at time.Time) {
 	if !at.After(c.freshAt) {
 		return
@@ -38,10 +38,9 @@
 	c.freshAt = at
 }
 
-// retainExpired adds to a new view the servers that the list has just lost, for as long
-// as they may come back: their lines end with the heartbeats that an outage of the
-// store swallows, and are written anew after it. It returns how many there are; the
-// mutex is held.
+// retainExpired adds to a new view the servers that have just expired, for as long as they may come
+// back: their records expire because an outage of the store loses the heartbeats, and are rewritten
+// after it. It returns how many it added. The mutex must be held.
 func (c *Catalog) retainExpired(next *View) int {
 	now := time.Now()
 	if now.Sub(c.regainedAt) < expiryGrace {
@@ -59,8 +58,7 @@
 	return count
 }
 
-// recordExpired finds the servers of the present view that a new one lacks; the mutex is
-// held.
+// recordExpired finds the servers of the current view that a new one lacks. The mutex must be held.
 func (c *Catalog) recordExpired(next *View, now time.Time) {
 	grace := min(expiryGrace, c.options.Drain-expiryMargin)
 	for service, servers := range c.view.Load().Servers {
@@ -80,14 +78,14 @@
 	}
 }
 
-// isUnreachable reports whether a server's agent says that it does not answer; the mutex
-// is held.
+// isUnreachable reports whether a server's agent reports that it does not answer. The mutex must be
+// held.
 func (c *Catalog) isUnreachable(server fleet.Server) bool {
 	held, told := c.statuses[server.Address]
 	return told && !held.status.Reachable
 }
 
-// removeExpired makes a new view without the servers that have not come back.
+// removeExpired builds a view without the servers that have not come back.
 func (c *Catalog) removeExpired() {
 	c.notifyMutex.Lock()
 	defer c.notifyMutex.Unlock()
--- a/internal/catalog/health.go
+++ b/internal/catalog/health.go
@@ -14,19 +14,19 @@
 	"pinevane.example/pinevane/internal/peering"
 )
 
-// topicHealth carries what entries have found out of servers, within a zone.
+// topicHealth carries entries' reports on the health of servers within a zone.
 const topicHealth = "server.health"
 
-// Bounds of what is held of servers' health.
+// Bounds on the health reports held.
 const (
-	// healthTTL is how long a word is kept for entries that are linked later: as long as an
-	// ejection and its trials usually last.
+	// healthTTL is how long a report is kept for entries that link later: as long as an ejection
+	// and its trials usually last.
 	healthTTL = 10 * time.Second
-	// maxHealthReports bounds the words held; the oldest go first.
+	// maxHealthReports bounds the reports held; the oldest are evicted first.
 	maxHealthReports = 2048
 )
 
-// healthMessage is an entry's word on a server as it is passed on.
+// healthMessage is the wire form of an entry's health report on a server.
 type healthMessage struct {
 	Server    string  `cbor:"1,keyasint"`
 	Entry     string  `cbor:"2,keyasint"`
@@ -37,31 +37,31 @@
 	Round     int     `cbor:"7,keyasint,omitempty"`
 	Failed    float32 `cbor:"8,keyasint,omitempty"`
 	Served    float32 `cbor:"9,keyasint,omitempty"`
-	// The spans count from when the word was said, which AgeMilliseconds tells.
+	// The ages and durations count from when the report was made, which AgeMilliseconds gives.
 	FailureAgeMilliseconds int64 `cbor:"10,keyasint,omitempty"`
 	StateAgeMilliseconds   int64 `cbor:"11,keyasint,omitempty"`
 	RemainingMilliseconds  int64 `cbor:"12,keyasint,omitempty"`
 	AgeMilliseconds        int64 `cbor:"13,keyasint,omitempty"`
 	Unresponsive           bool  `cbor:"14,keyasint,omitempty"`
-	// Those below are 0 if there was nothing of the kind lately.
+	// The following two are 0 if there was no such event recently.
 	AnswerAgeMilliseconds    int64 `cbor:"16,keyasint,omitempty"`
 	LostTrialAgeMilliseconds int64 `cbor:"17,keyasint,omitempty"`
-	// Number orders the words of one entry.
+	// Number orders the reports of one entry.
 	Number uint64 `cbor:"15,keyasint"`
 }
 
-// healthBatch is what one entry passes on at once.
+// healthBatch is the wire form of the reports that one entry sends at once.
 type healthBatch struct {
 	Reports []healthMessage `cbor:"1,keyasint"`
 }
 
-// heldHealthReport is the newest word of an entry on a server.
+// heldHealthReport is the newest health report of an entry on a server.
 type heldHealthReport = heldReport[health.Word]
 
-// HealthHandler is told what another entry of the zone has said of a server, and when.
+// HealthHandler is called with a health report of another entry of the zone, and when it was made.
 type HealthHandler func(word health.Word, at time.Time)
 
-// healthReports are what the zone's entries have said of servers. The catalog's mutex guards it.
+// healthReports holds the health reports of the zone's entries. The catalog's mutex guards it.
 type healthReports struct {
 	reportStore[health.Word]
 	onReport HealthHandler
@@ -71,11 +71,12 @@
 	return healthReports{reportStore: newReportStore[health.Word](started, healthTTL, maxHealthReports)}
 }
 
-// OnHealth registers a function that is called with each word of another entry. It must be
+// OnHealth registers a function that is called with each report of another entry. It must be
 // registered before Run.
 func (c *Catalog) OnHealth(function HealthHandler) { c.health.onReport = function }
 
-// AnnounceHealth has the zone's other entries told what this one has found out at a time, at the next pace.
+// AnnounceHealth sends this entry's reports, made at a given time, to the other entries of the zone
+// at the next interval.
 func (c *Catalog) AnnounceHealth(words []health.Word, at time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -85,7 +86,7 @@
 	}
 }
 
-// addHealth keeps a word if it is newer than the one held; the mutex is held.
+// addHealth stores a report if it is newer than the one held. The mutex must be held.
 func (c *Catalog) addHealth(fresh heldHealthReport, now time.Time) bool {
 	return c.health.add(reportKey{entry: fresh.report.Entry, server: fresh.report.Server}, fresh, now)
 }
@@ -121,11 +122,11 @@
 	}
 }
 
-// maxMilliseconds keeps the spans of words within what a time.Duration holds.
+// maxMilliseconds keeps the durations of reports within the range of a time.Duration.
 const maxMilliseconds = int64(health.LongestSpan / time.Millisecond)
 
-// validated is a word that was received at a time, if it can be meant: one faulty word does not cost
-// the others of its message.
+// validated converts a report received now, or rejects one with impossible values. An invalid
+// report does not affect the others of its message.
 func (t healthMessage) validated(now time.Time) (heldHealthReport, error) {
 	for _, one := range []struct {
 		field        string
@@ -144,7 +145,7 @@
 	return held, held.report.Check()
 }
 
-// toReport is a word that was received at a time.
+// toReport converts a report received now.
 func (t healthMessage) toReport(now time.Time) heldHealthReport {
 	span := func(milliseconds int64) time.Duration { return time.Duration(milliseconds) * time.Millisecond }
 	return heldHealthReport{
@@ -158,7 +159,7 @@
 	}
 }
 
-// newHealthMessage is a word as it is passed on at a time.
+// newHealthMessage converts a report to its wire form.
 func newHealthMessage(h heldHealthReport, now time.Time) healthMessage {
 	return healthMessage{
 		Server: h.report.Server, Entry: h.report.Entry, Ejected: h.report.Ejected, Returned: h.report.Returned, TrialOpen: h.report.Trying, Unresponsive: h.report.Mute,
@@ -169,8 +170,8 @@
 	}
 }
 
-// sendPendingHealth sends each linked entry of the zone the words that it has not been told. What
-// others have said is passed on by relays alone: every entry is linked to each of them.
+// sendPendingHealth sends each linked entry of the zone the reports that it has not been sent. Only
+// relays forward the reports of others: every entry is linked to each of them.
 func (c *Catalog) sendPendingHealth() {
 	now := time.Now()
 	c.mutex.Lock()
@@ -190,7 +191,7 @@
 	}
 }
 
-// healthFor lists the words that an entry is to be told; the mutex is held.
+// healthFor returns the reports to send to an entry. The mutex must be held.
 func (c *Catalog) healthFor(peer *peerLink, isRelay bool, now time.Time) []healthMessage {
 	var words []healthMessage
 	for _, held := range c.health.unsent(peer.healthSent, peer.ip, c.options.Self, isRelay) {
--- a/internal/catalog/links.go
+++ b/internal/catalog/links.go
@@ -12,109 +12,108 @@
 
 // Shape of the overlay of entries (docs/design/exchange.md).
 const (
-	// relaysPerZone is how many entries of a zone pass on what is said in it: one for
-	// each failure at a time, and one more.
+	// relaysPerZone is how many entries of a zone forward its messages: enough for one failure at a
+	// time, and one more.
 	relaysPerZone = 3
-	// gatesPerZone is how many of them speak with those of other zones.
+	// gatesPerZone is how many relays are linked to those of other zones.
 	gatesPerZone = 2
-	// feedersPerAgent is how many relays hear each agent and tell it the news.
+	// feedersPerAgent is how many relays receive each agent's reports and send it updates.
 	feedersPerAgent = 2
 )
 
-// Times of links.
+// Timeouts and intervals of links.
 const (
-	// linkTimeout is the silence after which a link is taken for broken, and its other end for
-	// gone.
+	// linkTimeout is the silence after which a link counts as broken and its peer as gone.
 	linkTimeout = 1500 * time.Millisecond
-	// linkCheckInterval is the longest time between two looks at the links, linkLookLeast the shortest:
-	// they are looked at when one is to be probed or renewed.
+	// linkCheckInterval is the maximum time between two checks of the links, minLinkCheckInterval
+	// the minimum: they are checked when one is due a probe or a renewal.
 	linkCheckInterval    = 60 * time.Millisecond
 	minLinkCheckInterval = 10 * time.Millisecond
-	// dialTimeout bounds the making of a link. After the first failure, which at the
-	// start means that the other does not listen yet, firstDialPause goes by until the
-	// next try; it doubles up to dialPause.
+	// dialTimeout bounds a dial. The delay after the first failure, which at startup means that the
+	// peer does not listen yet, is minDialBackoff; it doubles up to maxDialBackoff.
 	dialTimeout      = 1200 * time.Millisecond
 	minDialBackoff   = 100 * time.Millisecond
 	maxDialBackoff   = 700 * time.Millisecond
 	maxDialDoublings = 3
-	// mutualDialDelay is how long the one of two entries that both want a link waits for
-	// the other to make it.
+	// mutualDialDelay is how long one of two entries that both want a link waits for the other to
+	// make it.
 	mutualDialDelay = 400 * time.Millisecond
 )
 
-// peerLink is the link to another process, which either of the two has made; both send
-// on it.
+// peerLink is the state of the link to another process. Either process may have made the link; both
+// send on it.
 type peerLink struct {
 	ip      string
 	address string
 	link    *peering.Link
-	// accepted is set when the other process made the link.
+	// accepted is set if the peer made the link.
 	accepted bool
 	dialling bool
 	nextDial time.Time
-	// failures counts the dials in a row that failed.
+	// failures counts consecutive failed dials.
 	failures int
 	// probedAt is when the link was last probed.
 	probedAt time.Time
-	// reprobed is set when that was the second time in a silence.
+	// reprobed is set if that was the second probe of one silence.
 	reprobed bool
-	// renewDelay is the silence after which a second link is made, by which it is doubled until
-	// patientTill if the first one was only slow.
+	// renewDelay is the silence after which a second link is made. If the first link was only slow,
+	// it is doubled until renewDelayUntil.
 	renewDelay      time.Duration
 	renewDelayUntil time.Time
-	// replaced is the link that this one has replaced at replacedAt, until it is known
-	// whether it was silent; silent is for how long it was.
+	// replaced is the link that this one replaced at replacedAt, until it is known whether it was
+	// silent; silentFor is the silence that it had.
 	replaced   *peering.Link
 	replacedAt time.Time
 	silentFor  time.Duration
-	// wantedSince is since when this process wants the link; zero if it does not.
+	// wantedSince is since when this process wants the link, zero if it does not.
 	wantedSince time.Time
 
-	// compared is set once the other process's records were compared with the own ones;
-	// it is told of changes after sequence.
+	// compared is set once the peer's records were compared with the own ones; the peer is sent
+	// changes after sentSequence.
 	compared     bool
 	sentSequence uint64
 	sending      bool
 	updatedAt    time.Time
-	// freshSent is the freshSequence that the other was told.
+	// freshSent is the freshSequence that the peer was sent.
 	freshSent uint64
-	// servicesSent is the version of the configuration whose services an agent was told.
+	// servicesSent is the version of the configuration whose services an agent was sent.
 	servicesSent uint64
-	// listedAt is when the other was last sent the list of entries, listedArrivals how
-	// many entries had been new by then; roster identifies the entries that the other has last
-	// told to know, 0 until it has told any.
+	// listedAt is when the peer was last sent the list of entries, listedArrivals how many entries
+	// had arrived by then. rosterDigest identifies the entries that the peer last reported to know,
+	// 0 before that.
 	listedAt       time.Time
 	listedArrivals uint64
 	rosterDigest   uint64
 
-	// localSent and farTold are up to which status the other was told of agents of the
-	// own and of other zones; farToldAt is when. passing is set while it is being told.
+	// localSent and remoteSent are the sequences up to which the peer was sent status reports of
+	// agents of the own zone and of other zones; remoteSentAt is when. sendingStatuses is set while
+	// a batch is being sent.
 	localSent       uint64
 	remoteSent      uint64
 	remoteSentAt    time.Time
 	sendingStatuses bool
-	// remoteExpedited is set when a round of words to its zone was hastened, which was last done at
-	// farHastenedAt; untold when nothing has been told on the link.
+	// remoteExpedited is set when a round of reports to the peer's zone is expedited, which last
+	// happened at remoteExpeditedAt. unused is set until a batch was due on the link.
 	remoteExpedited   bool
 	remoteExpeditedAt time.Time
 	unused            bool
-	// healthSent is up to which word on a server's health the other was told;
-	// tellingHealth is set while it is being told.
+	// healthSent is the sequence up to which the peer was sent health reports; sendingHealth is set
+	// while some are being sent.
 	healthSent    uint64
 	sendingHealth bool
-	// quarantineSent is up to which word on contents that end servers the other was told;
-	// tellingQuarantine is set while it is being told.
+	// quarantineSent is the sequence up to which the peer was sent quarantine reports;
+	// sendingQuarantine is set while some are being sent.
 	quarantineSent    uint64
 	sendingQuarantine bool
-	// noticesSent and tellingAsks are the same for what servers have asked.
+	// noticesSent and sendingNotices are the same for server notices.
 	noticesSent    uint64
 	sendingNotices bool
 
-	// stamps tells how long the other's messages can have been on their way.
+	// stamps bounds the transit time of the peer's messages.
 	stamps peerStamps
 }
 
-// open begins anew with a link.
+// open resets the state for a new link.
 func (p *peerLink) open(link *peering.Link, accepted bool) {
 	fresh := peerLink{
 		ip: p.ip, address: p.address, wantedSince: p.wantedSince, dialling: p.dialling, link: link, accepted: accepted,
@@ -123,12 +122,13 @@
 	if now := time.Now(); now.After(fresh.renewDelayUntil) {
 		fresh.renewDelay = renewAfter + rand.N(renewJitter)
 	}
-	// Agents hold nothing of their own: they are told everything at once.
+	// Agents hold no records of their own: they are sent everything at once.
 	fresh.compared = link.Remote().Role == RoleAgent
 	*p = fresh
 }
 
-// openLink begins anew with a link, and has the other process told all soon. The mutex is held.
+// openLink resets the state for a new link, and has the peer sent everything soon. The mutex must
+// be held.
 func (c *Catalog) openLink(peer *peerLink, link *peering.Link, accepted bool) {
 	peer.open(link, accepted)
 	peer.unused = true
@@ -143,7 +143,7 @@
 // lost reports whether the link has ended.
 func (p *peerLink) lost() bool { return !p.link.Up() }
 
-// maintainLinks makes the links that are missing and ends those that are not wanted.
+// maintainLinks makes missing links and closes unwanted ones.
 func (c *Catalog) maintainLinks(ctx context.Context) {
 	agents := c.View().Agents()
 	now := time.Now()
@@ -173,9 +173,9 @@
 	}
 }
 
-// adoptAccepted takes over the link that the other entry has made, where the own one is gone. The other
-// listens on it, and takes the answers to its probes for signs of life: without words on it
-// it would hear of nothing, and not know. The mutex is held.
+// adoptAccepted uses the link that the other entry made, when the own one is gone. The other entry
+// listens on it and takes the answers to its probes for signs of life: if nothing were sent on it,
+// the other entry would receive no updates without noticing. The mutex must be held.
 func (c *Catalog) adoptAccepted(peer *peerLink, now time.Time) {
 	for _, link := range c.options.Hub.Accepted() {
 		remote := link.Remote()
@@ -186,7 +186,7 @@
 	}
 }
 
-// peerLink returns what is kept of the link to a machine; the mutex is held.
+// peerLink returns the state of the link to a machine. The mutex must be held.
 func (c *Catalog) peerLink(ip string) *peerLink {
 	peer, known := c.links[ip]
 	if !known {
@@ -196,8 +196,8 @@
 	return peer
 }
 
-// wantedPeers lists whom this entry speaks with: other entries as the overlay says,
-// and the agents that it feeds; the mutex is held.
+// wantedPeers returns the processes to link to: other entries as the overlay decides, and the
+// agents that this entry feeds. The mutex must be held.
 func (c *Catalog) wantedPeers(agents map[string]string) map[string]bool {
 	wanted := c.overlay.Peers()
 	for ip, zone := range agents {
@@ -208,8 +208,8 @@
 	return wanted
 }
 
-// maintainLink drops a broken link and dials a missing one; the mutex is held. A link that the
-// other has made is left to it to end.
+// maintainLink drops a broken link and dials a missing one. A link that the peer made is left to
+// the peer to close. The mutex must be held.
 func (c *Catalog) maintainLink(ctx context.Context, peer *peerLink, wanted bool, now time.Time) {
 	if peer.link == nil {
 		if wanted && !peer.dialling && !now.Before(peer.nextDial) && !c.waitsForPeer(peer, now) {
@@ -230,8 +230,7 @@
 	}
 }
 
-// waitsForPeer reports whether the link is for the other process to make, at first;
-// the mutex is held.
+// waitsForPeer reports whether the link is still left to the peer to make. The mutex must be held.
 func (c *Catalog) waitsForPeer(peer *peerLink, now time.Time) bool {
 	return peer.ip < c.options.Self && c.overlay.Mutual(peer.ip) && now.Sub(peer.wantedSince) < mutualDialDelay
 }
@@ -257,8 +256,8 @@
 	}
 }
 
-// linkOpened takes over a link that another entry has made, unless there is one that this entry
-// has made and hears. One that the other has made before is replaced.
+// linkOpened uses a link that another entry made, unless there is a working one that this entry
+// made. An earlier link made by the peer is replaced.
 func (c *Catalog) linkOpened(link *peering.Link) {
 	remote := link.Remote()
 	if c.options.Role != RoleEntry || remote.Role != RoleEntry || link.Address() != "" {
@@ -278,8 +277,7 @@
 	c.openLink(peer, link, true)
 }
 
-// dialBackoff is how long a dial waits after it has failed once more than a number of
-// times in a row.
+// dialBackoff returns the delay after a failed dial that follows a number of consecutive failures.
 func dialBackoff(failures int) time.Duration {
 	return min(minDialBackoff<<min(failures, maxDialDoublings), maxDialBackoff)
 }
--- a/internal/catalog/pulls.go
+++ b/internal/catalog/pulls.go
@@ -13,15 +13,15 @@
 	"pinevane.example/pinevane/internal/peering"
 )
 
-// Large records, which are configurations, are announced by their revisions; who lacks
-// one asks one of those that announce it.
+// Large records, which are configurations, are announced by their revisions. A process that lacks
+// one requests it from a process that announced it.
 
-// storeHeadStart is how long the store is given to bring what a peer already has.
+// storeHeadStart is how long the store is given to return what a peer already has.
 const storeHeadStart = 250 * time.Millisecond
 
-// pullDelay leaves the store time to bring a record first where this process reads it, and the
-// own zone where another does. The first entry of a zone that is not the first waits for nobody:
-// it reads the store only when it hears of none that does.
+// pullDelay gives the store time to return a record first if this process reads it, and gives the
+// own zone time if another process reads it. The first entry of a zone that is not the first does
+// not wait: it reads the store only when no other process does.
 func (c *Catalog) pullDelay(link *peering.Link) time.Duration {
 	if c.View().Configuration == nil {
 		return 0
@@ -34,8 +34,8 @@
 	return storeHeadStart
 }
 
-// missingHeads returns the large records that are to be asked for; the mutex is held. An
-// agent asks for none: it is told the part that it acts on.
+// missingHeads returns the large records to request. Agents request none: they are sent the part
+// that they use. The mutex must be held.
 func (c *Catalog) missingHeads(heads map[string]uint64) map[string]uint64 {
 	if c.options.Role == RoleAgent {
 		return nil
@@ -43,8 +43,7 @@
 	return c.newerHeads(heads)
 }
 
-// newerHeads returns the large records of which a peer has newer revisions; the mutex
-// is held.
+// newerHeads returns the large records of which a peer has newer revisions. The mutex must be held.
 func (c *Catalog) newerHeads(heads map[string]uint64) map[string]uint64 {
 	newer := map[string]uint64{}
 	for key, revision := range heads {
@@ -55,18 +54,18 @@
 	return newer
 }
 
-// pullTimeout is how long the answer to a question for a large record is waited for before
-// another process is asked for the same one.
+// pullTimeout is how long the answer to a request for a large record is awaited before another
+// process is asked.
 const pullTimeout = 300 * time.Millisecond
 
-// pendingPull is a question for a large record.
+// pendingPull is a request for a large record.
 type pendingPull struct {
 	revision    uint64
 	requestedAt time.Time
 }
 
-// pullFrom asks a peer for the large records that are still older here, unless another
-// one was just asked for them.
+// pullFrom requests from a peer the large records that are still older here, unless another peer
+// was just asked for them.
 func (c *Catalog) pullFrom(link *peering.Link, heads map[string]uint64) {
 	now := time.Now()
 	c.mutex.Lock()
@@ -86,7 +85,7 @@
 	}
 }
 
-// pullRequest asks for records that are newer than those held.
+// pullRequest requests records newer than those held.
 type pullRequest struct {
 	Held map[string]uint64 `cbor:"1,keyasint"`
 }
@@ -100,8 +99,8 @@
 	go c.answerPull(link, request)
 }
 
-// answerPull sends the records that a peer has asked for, without holding up the link's
-// reader for their compression.
+// answerPull sends the records that a peer requested. It runs apart from the link's reader, which
+// would otherwise wait for the compression.
 func (c *Catalog) answerPull(link *peering.Link, request pullRequest) {
 	var records []mirror.Record
 	c.mutex.Lock()
@@ -125,8 +124,8 @@
 	}
 }
 
-// packCache compresses large records. The newest form of each key is kept, because a record
-// that has changed is asked for by many at the same time.
+// packCache compresses large records. It caches the newest form of each key, because a changed
+// record is requested by many processes at the same time.
 type packCache struct {
 	mutex  sync.Mutex
 	newest map[string]packedRecord
--- a/internal/catalog/quarantine.go
+++ b/internal/catalog/quarantine.go
@@ -14,35 +14,36 @@
 	"pinevane.example/pinevane/internal/peering"
 )
 
-// topicQuarantine carries what entries have found out of contents that end servers, to every process.
-// Agents decide nothing by it: they hold it for entries that start when all others are gone.
+// topicQuarantine carries entries' reports on requests that crash servers to every process. Agents
+// do not act on them: they hold them for entries that start when all others are gone.
 const topicQuarantine = "quarantine.words"
 
-// Bounds of messages and words.
+// Bounds on messages and reports.
 const (
 	// reportsPerMessage keeps a message within 100 KB, which a link of 7.3 Mbit/s passes in 0.1 s.
 	reportsPerMessage = 32
-	// maxReportDuration bounds the spans of words: no quarantine lasts longer, and no word is held for
-	// twice as long.
+	// maxReportDuration bounds the durations in reports: no quarantine lasts longer, and no report
+	// is held for twice as long.
 	maxReportDuration = 48 * time.Hour
-	// maxReportServers bounds the ended servers that a quarantine names.
+	// maxReportServers bounds the crashed servers that a quarantine names.
 	maxReportServers = 16
 )
 
-// fingerprintMessage is the identity of a content.
+// fingerprintMessage is the wire form of a request fingerprint.
 type fingerprintMessage struct {
 	ID     []byte `cbor:"1,keyasint"`
 	Caller uint64 `cbor:"2,keyasint"`
 }
 
-// suspectMessage is a content that was under way at a server when that ended, and how long before it was
-// sent there.
+// suspectMessage is a request that was running at a server when it crashed, and how long before the
+// crash it was sent.
 type suspectMessage struct {
 	Fingerprint        fingerprintMessage `cbor:"1,keyasint"`
 	BeforeMilliseconds int64              `cbor:"2,keyasint"`
 }
 
-// quarantineMessage is a word as it is passed on; quarantine.Word tells what the fields mean.
+// quarantineMessage is the wire form of a quarantine report; package quarantine documents the
+// fields.
 type quarantineMessage struct {
 	Kind              int                 `cbor:"1,keyasint"`
 	Entry             string              `cbor:"2,keyasint"`
@@ -57,19 +58,20 @@
 	LastsMilliseconds int64               `cbor:"11,keyasint,omitempty"`
 }
 
-// quarantineBatch is what a process passes on at once.
+// quarantineBatch is the wire form of the reports that one process sends at once.
 type quarantineBatch struct {
 	Reports []quarantineMessage `cbor:"1,keyasint"`
 }
 
-// QuarantineHandler is told what another process has found out. The word's moment counts from a time.
+// QuarantineHandler is called with a report of another process. The time in the report counts from
+// the given one.
 type QuarantineHandler func(word quarantine.Word, from time.Time)
 
-// quarantineReports are the words of all entries. The catalog's mutex guards the archive.
+// quarantineReports holds the reports of all entries. The catalog's mutex guards the archive.
 type quarantineReports struct {
 	archive  *quarantine.Archive
 	onReport QuarantineHandler
-	// pending is signalled when there is something to pass on.
+	// pending is signalled when there are reports to send.
 	pending chan struct{}
 }
 
@@ -77,12 +79,12 @@
 	return quarantineReports{archive: quarantine.NewArchive(), pending: make(chan struct{}, 1)}
 }
 
-// OnQuarantine registers a function that is called with each word of another process. It must be
+// OnQuarantine registers a function that is called with each report of another process. It must be
 // registered before Run.
 func (c *Catalog) OnQuarantine(function QuarantineHandler) { c.quarantine.onReport = function }
 
-// AnnounceQuarantine has all other processes told at once what this one has found out. The words' moments
-// count from a time.
+// AnnounceQuarantine sends reports of this process to all others at once. The times in the reports
+// count from the given one.
 func (c *Catalog) AnnounceQuarantine(words []quarantine.Word, from time.Time) {
 	c.mutex.Lock()
 	for _, word := range words {
@@ -127,8 +129,8 @@
 	}
 }
 
-// validated is a word that was received at a moment, if it can be meant: one faulty word does not cost
-// the others of its message.
+// validated converts a report received now, or rejects one with impossible values. An invalid
+// report does not affect the others of its message.
 func (t quarantineMessage) validated(now time.Duration) (quarantine.Word, error) {
 	word := quarantine.Word{
 		Kind: quarantine.Kind(t.Kind), Entry: t.Entry, Number: t.Number, Server: t.Server, Lifts: t.Lifts, Servers: t.Servers, Round: t.Round,
@@ -158,7 +160,7 @@
 	return word, &fault.InvalidFrame{Field: topicQuarantine, Reason: fmt.Sprintf("kind %d", t.Kind)}
 }
 
-// decodeSuspects reads the contents of an end.
+// decodeSuspects decodes the suspects of a crash.
 func (t quarantineMessage) decodeSuspects(word *quarantine.Word) error {
 	if t.Server == "" || len(t.Suspects) > quarantine.MostSuspects {
 		return &fault.InvalidFrame{Field: topicQuarantine, Reason: "an end without a server, or with too many contents"}
@@ -190,7 +192,7 @@
 	return fingerprintMessage{ID: content.ID[:], Caller: content.Caller}
 }
 
-// newQuarantineMessage is a word as it is passed on at a moment.
+// newQuarantineMessage converts a report to its wire form.
 func newQuarantineMessage(word quarantine.Word, now time.Duration) quarantineMessage {
 	told := quarantineMessage{
 		Kind: int(word.Kind), Entry: word.Entry, Number: word.Number, AgeMilliseconds: max(0, now-word.At).Milliseconds(), Server: word.Server, Lifts: word.Lifts,
@@ -206,9 +208,9 @@
 	return told
 }
 
-// sendPendingQuarantine sends each linked process the words that it has not been told. What others have said
-// is passed on by relays alone: every entry is linked to each of its zone, and they to other zones and
-// to the agents.
+// sendPendingQuarantine sends each linked process the reports that it has not been sent. Only
+// relays forward the reports of others: every entry is linked to each relay of its zone, and the
+// relays are linked to other zones and to the agents.
 func (c *Catalog) sendPendingQuarantine() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -229,7 +231,7 @@
 	}
 }
 
-// quarantineFor lists the words that a process is to be told; the mutex is held.
+// quarantineFor returns the reports to send to a process. The mutex must be held.
 func (c *Catalog) quarantineFor(peer *peerLink, isRelay bool, now time.Duration) []quarantineMessage {
 	var words []quarantineMessage
 	for _, word := range c.quarantine.archive.Since(peer.quarantineSent) {
@@ -243,7 +245,7 @@
 func (c *Catalog) sendQuarantine(peer *peerLink, link *peering.Link, words []quarantineMessage) {
 	err := sendQuarantineReports(link, words)
 	c.finishSend(peer, link, &peer.sendingQuarantine, err)
-	// There may be news that came meanwhile.
+	// More reports may have arrived in the meantime.
 	c.scheduleQuarantine()
 }
 
@@ -256,8 +258,8 @@
 	return nil
 }
 
-// sendHeldQuarantine has an agent tell an entry that has linked to it what it holds: the entry may have
-// just started, and all others be gone.
+// sendHeldQuarantine has an agent send the reports it holds to an entry that has linked to it: the
+// entry may have just started, and all others may be gone.
 func (c *Catalog) sendHeldQuarantine(link *peering.Link) {
 	if c.options.Role != RoleAgent || link.Remote().Role != RoleEntry {
 		return
@@ -275,7 +277,7 @@
 	}
 	go func() {
 		if err := sendQuarantineReports(link, words); err != nil {
-			// The entry is told when it links again.
+			// The entry is sent them when it links again.
 			c.options.Log.Log(logging.PeerLost, zap.String("peer", link.Remote().ID), zap.Error(err))
 		}
 	}()
--- a/internal/catalog/reader.go
+++ b/internal/catalog/reader.go
@@ -14,65 +14,66 @@
 	"pinevane.example/pinevane/internal/waiting"
 )
 
-// Times of reading the store.
+// Timeouts and intervals of reading the store.
 const (
-	// watchWait is how long one watch waits. A watch whose store has forgotten its
-	// history may hear nothing at all, so that the next one must follow soon.
+	// watchWait is how long one watch waits. A watch of a store that has lost its history may
+	// return nothing at all, so the next one must follow soon.
 	watchWait = 500 * time.Millisecond
-	// watchInterval is the least time between the beginnings of two watches.
+	// watchInterval is the minimum time between the starts of two watches.
 	watchInterval = 200 * time.Millisecond
-	// minReadRetry is the first pause after a failed call; it doubles up to
-	// maximumReadRetry, each with jitter.
+	// minReadRetry is the delay after a first failed call; it doubles up to maxReadRetry, each with
+	// jitter.
 	minReadRetry = 100 * time.Millisecond
 	maxReadRetry = 400 * time.Millisecond
-	// zoneStaleAfter is the age of the copy at which the first entry of a zone reads that is
-	// not the first zone: an answer of the store comes to the first one each watchWait, and
-	// from it to the others in some milliseconds. staleAfter is that at which an entry reads
-	// that is not the first of its zone; staleStep adds to either with the rank.
+	// zoneStaleAfter is the age of the copy at which the first entry of a zone other than the first
+	// zone reads the store: the first entry has an answer of the store every watchWait, and the
+	// others have it some milliseconds later. staleAfter is the same for entries that are not the
+	// first of their zone. staleStagger is added to either for each further rank.
 	zoneStaleAfter = 650 * time.Millisecond
 	staleAfter     = 800 * time.Millisecond
 	staleStagger   = 100 * time.Millisecond
-	// startGrace is how long a process that starts waits to be told by others what the
-	// store holds: dialling a seed and hearing from it takes some round trips.
+	// startGrace is how long a starting process waits for others to send what the store holds:
+	// dialling a seed and receiving from it takes some round trips.
 	startGrace = 500 * time.Millisecond
-	// agentSilence is how long an agent hears of no entry before it reads for itself. That
-	// entries hear nothing new is no reason: they read as soon as the store lets them.
-	// The first configuration of a fleet, without which entries do not know which machines
+	// agentSilence is how long an agent goes without an update of any entry before it reads the
+	// store itself. That entries have no changes is no reason: they read as soon as the store lets
+	// them. The first configuration of a fleet, without which entries do not know which machines
 	// have agents, may come seconds after the machines.
 	agentSilence = 5 * time.Second
-	// agentWatchWait is how long a watch of an agent waits, which nobody else depends on.
+	// agentWatchWait is how long a watch of an agent waits; no other process depends on it.
 	agentWatchWait = 2 * time.Second
-	// agentReadJitter is the time over which agents that lose their entries together begin.
+	// agentReadJitter spreads agents that lose their entries at the same time.
 	agentReadJitter = time.Second
-	// listStagger adds with the rank to the time that an entry waits before it lists
-	// everything anew: a listing of half a megabyte takes that long over a link of
-	// 20 Mbit/s that some share, and the first ones tell the others. mostListWait bounds it.
+	// listStagger is multiplied by the rank to delay an entry before it lists everything again: a
+	// listing of half a megabyte takes that long over a shared link of 20 Mbit/s, and the first
+	// entries send it to the others. maxListWait bounds the delay.
 	listStagger = 600 * time.Millisecond
 	maxListWait = 3 * time.Second
-	// minIdle is the least time between two looks of a process that does not read
-	// whether it must, and rankCheck the most for an entry, which may have become the
+	// minIdle is the minimum time between two checks by a process that does not read the store
+	// whether it must; rankCheckInterval is the maximum for an entry, which may have become the
 	// first of its zone.
 	minIdle           = 50 * time.Millisecond
 	rankCheckInterval = 200 * time.Millisecond
 )
 
-// watchPosition is where a watch of a prefix stands.
+// watchPosition is the position of a watch on a prefix.
 type watchPosition struct {
 	prefix string
-	// revision is the revision up to which everything was heard; 0 when all is to be listed.
+	// revision is the revision up to which everything was received, 0 if everything is to be
+	// listed.
 	revision uint64
-	// forgottenRevision is the revision from which on the store has forgotten its history, and
-	// listAt when this process lists everything if nobody has told it more by then.
+	// forgottenRevision is the position at which the store reported its history lost, historyLostAt
+	// when it did. The process then lists everything after a delay, unless a peer has sent more by
+	// then.
 	forgottenRevision uint64
 	historyLostAt     time.Time
 	backoff           time.Duration
 	failed            bool
 }
 
-// followStore lists the store's records unless another process has told them, and then
-// watches them while this process is to read. A process that begins to read again goes
-// on from what it has heard last, be it from the store or from others; the store says
-// when that is too long ago.
+// followStore lists the store's records unless another process has sent them, and watches them
+// while it is up to this process to read. A process that starts to read again continues from what
+// it last received, from the store or from others; the store reports if that is too long ago.
 func (c *Catalog) followStore(ctx context.Context) {
 	at := &watchPosition{prefix: c.options.Decoder.Prefix()}
 	for ctx.Err() == nil {
@@ -91,14 +92,14 @@
 	}
 }
 
-// watchInterval is the least time between the beginnings of two watches now.
+// watchInterval returns the current minimum time between the starts of two watches.
 func (c *Catalog) watchInterval(now time.Time) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.watchPacer.interval(now)
 }
 
-// advancePosition moves a position to what others have told.
+// advancePosition moves a position to what others have sent.
 func (c *Catalog) advancePosition(at *watchPosition) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -107,8 +108,8 @@
 	}
 }
 
-// untilReading is how long this process has not to read the store, unless it is told
-// something meanwhile.
+// untilReading returns how long this process need not read the store, unless an update arrives in
+// the meantime.
 func (c *Catalog) untilReading(at *watchPosition) time.Duration {
 	if c.options.Role == RoleAgent {
 		return c.untilAgentReads()
@@ -120,8 +121,8 @@
 	return min(maxCopyAge(rank, zoneRank)-time.Since(c.FreshAt()), rankCheckInterval)
 }
 
-// maxCopyAge is the age of its copy at which an entry reads the store, by its rank in its
-// zone and that of the zone. The first of the first zone reads always.
+// maxCopyAge returns the age of its copy at which an entry reads the store, by its rank in the zone
+// and the rank of the zone. The first entry of the first zone always reads.
 func maxCopyAge(rank, zoneRank int) time.Duration {
 	switch {
 	case rank > 0:
@@ -132,9 +133,9 @@
 	return 0
 }
 
-// listTime is when an entry that knows of nothing, or of too little, lists everything.
-// A seed begins at once, because others ask it: after a loss of all entries they know of
-// the servers 65 to 125 ms after their start, instead of 560 ms (TestFleetIsReadySoonAfterAllEntriesWereKilled).
+// listTime returns when an entry that knows nothing, or too little, lists everything. A seed starts
+// at once, because others depend on it: after a loss of all entries they know the servers 65 to 125
+// ms after their start, instead of 560 ms (TestFleetIsReadySoonAfterAllEntriesWereKilled).
 func (c *Catalog) listTime(at *watchPosition, rank int) time.Time {
 	switch {
 	case at.forgottenRevision != 0:
@@ -145,8 +146,8 @@
 	return c.started.Add(startGrace + min(time.Duration(rank)*staleStagger, maxListWait))
 }
 
-// untilAgentReads is how long an agent has not to read the store, if it hears nothing
-// of any entry meanwhile.
+// untilAgentReads returns how long an agent need not read the store, unless an entry updates it in
+// the meantime.
 func (c *Catalog) untilAgentReads() time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -157,7 +158,7 @@
 	return agentSilence + c.agentReadDelay - time.Since(heard)
 }
 
-// ranks are this entry's place among the entries of its zone, and that of its zone.
+// ranks returns this entry's rank among the entries of its zone, and the rank of the zone.
 func (c *Catalog) ranks() (rank, zoneRank int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -165,14 +166,14 @@
 	return c.overlay.Rank(), c.overlay.ZoneRank()
 }
 
-// recordAnswered notes that the store has answered, before its answer is taken in.
+// recordAnswered records that the store has answered, before its answer is applied.
 func (c *Catalog) recordAnswered() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.recordFresh(time.Now())
 }
 
-// readStore makes one call and takes in what the store answers.
+// readStore makes one call and applies the answer.
 func (c *Catalog) readStore(ctx context.Context, at *watchPosition, wait time.Duration) {
 	c.storeCalls.Add(1)
 	began := time.Now()
@@ -221,8 +222,8 @@
 	return nil
 }
 
-// recordRead notes that every change up to a revision has been heard of from the store, and
-// has all others told how fresh the copy is.
+// recordRead records that every change up to a revision was received from the store, and has all
+// peers sent how fresh the copy is.
 func (c *Catalog) recordRead(revision uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/catalog/silent_links.go
+++ b/internal/catalog/silent_links.go
@@ -11,37 +11,37 @@
 	"pinevane.example/pinevane/internal/peering"
 )
 
-// Links that fall silent are probed, and replaced by a second one that is made beside them, before they
-// are taken for broken.
+// Links that fall silent are probed, and replaced by a second link made beside them, before they
+// count as broken.
 
-// Times of links that are silent.
+// Timeouts of silent links.
 const (
-	// probeAfter is the silence after which a link is probed: somewhat more than the time
-	// between two updates, or two words of an agent.
+	// probeAfter is the silence after which a link is probed: slightly more than the time between
+	// two updates, or two status reports of an agent.
 	probeAfter = 350 * time.Millisecond
 	// renewAfter is the silence after which a second link is made beside one whose probe is not
-	// answered within probeGrace, a few times the way to another region and back. Each link
-	// adds up to renewSpread, so that links which fall silent together are not made together.
+	// answered within probeGrace, a few round trips to another region. Each link adds up to
+	// renewJitter, so that links that fall silent together are not renewed together.
 	renewAfter  = 420 * time.Millisecond
 	renewJitter = 80 * time.Millisecond
 	probeGrace  = 50 * time.Millisecond
-	// probeTimeout is how long a probe may be answered.
+	// probeTimeout is how long a probe may go unanswered.
 	probeTimeout = linkTimeout - probeAfter
-	// silenceConfirmation is how long a replaced link may still bring something until it is counted as
-	// silent; the hub closes it soon after that.
+	// silenceConfirmation is how long a replaced link may still deliver something until it counts
+	// as silent; the hub closes it soon after that.
 	silenceConfirmation = 900 * time.Millisecond
-	// suspectWindow is within which two links must have been found silent for the store's connections to
-	// be suspected, and the least time between two suspicions. A silence is found on all links within
-	// renewSpread and the time between two updates.
+	// suspectWindow is the time within which two links must be found silent for the store's
+	// connections to be suspected, and the minimum time between two suspicions. A silence is found
+	// on all links within renewJitter plus the time between two updates.
 	suspectWindow = 500 * time.Millisecond
-	// renewDelayTTL is how long a link that was slow, not silent, is given more time.
+	// renewDelayTTL is how long a link that was slow, not silent, keeps its longer renewDelay.
 	renewDelayTTL = 30 * time.Second
 )
 
-// isBroken reports whether a link has been silent for linkSilence and a probe was not answered, while
-// the process had time to read an answer. A sound link to another entry that sends on a link of
-// its own brings answers to probes only: without asking for one, processes that got a third of
-// their time dropped such links, and suspected the other entry. The mutex is held.
+// isBroken reports whether a link has been silent for linkTimeout and a probe was not answered,
+// while the process had time to read an answer. A working link to another entry that sends on a
+// link of its own carries only answers to probes: without a probe, processes that had a third of
+// their CPU time dropped such links and suspected the other entry. The mutex must be held.
 func (c *Catalog) isBroken(peer *peerLink, now time.Time) bool {
 	if now.Sub(peer.link.LastHeard()) <= linkTimeout {
 		return false
@@ -50,7 +50,7 @@
 	return now.Sub(peer.answerableSince(&c.pauses)) >= resumeGrace
 }
 
-// probe asks for a sign of life, once in a silence, and once more after a pause of the process, in
+// probe requests a sign of life once per silence, and once more after a pause of the process, in
 // which the time for the answer may have run out.
 func (p *peerLink) probe(now, resumed time.Time) {
 	again := false
@@ -63,8 +63,9 @@
 	go p.link.Probe(probeTimeout)
 }
 
-// answerableSince is since when the answer to the probe could be read. Stalls of the process move it up
-// to the end of probeTime: otherwise a process whose stalls go on never finds that a link is dead.
+// answerableSince returns since when the answer to the probe could be read. Stalls of the process
+// move it, up to the end of probeTimeout: otherwise a process that stalls repeatedly never finds
+// that a link is dead.
 func (p *peerLink) answerableSince(pause *pauseDetector) time.Time {
 	granted, last := pause.probeStart(p.probedAt), p.probedAt.Add(probeTimeout)
 	if granted.After(last) {
@@ -73,12 +74,12 @@
 	return granted
 }
 
-// checkLinks looks after links that have been silent for a short time. Of a link that two entries
-// have made at the same time one is silent and sound, which a probe shows. One that does not
-// answer the probe may be silent for good, or slow, or its other end may stand still: the process
-// that made it makes another one beside it, and goes over to that when it is up. Nobody is
-// suspected meanwhile: a shorter linkSilence would find silences as soon, and break more links where
-// packets are lost. It returns the time until the next look.
+// checkLinks checks links that have been silent for a short time. If two entries have each made a
+// link to the other at the same time, one link is silent and works, which a probe shows. A link
+// that does not answer the probe may be silent for good or slow, or its peer may be paused: the
+// process that made the link makes another one beside it, and switches to that when it is up.
+// Nobody is suspected in the meantime: a shorter linkTimeout would find silences as soon, but break
+// more links under packet loss. It returns the time until the next check.
 func (c *Catalog) checkLinks(ctx context.Context) time.Duration {
 	now := time.Now()
 	c.mutex.Lock()
@@ -94,8 +95,8 @@
 	return max(next, minLinkCheckInterval)
 }
 
-// checkLink probes or renews a link if that is due, and returns the time until something is. The
-// mutex is held.
+// checkLink probes or renews a link if that is due, and returns the time until the next check is
+// due. The mutex must be held.
 func (c *Catalog) checkLink(ctx context.Context, peer *peerLink, now time.Time) time.Duration {
 	silent := now.Sub(peer.link.LastHeard())
 	if silent <= probeAfter {
@@ -114,7 +115,7 @@
 	return linkCheckInterval
 }
 
-// renewLink makes a link beside one that is silent.
+// renewLink makes a second link beside a silent one.
 func (c *Catalog) renewLink(ctx context.Context, peer *peerLink, silent *peering.Link) {
 	dialContext, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -125,8 +126,8 @@
 	defer c.mutex.Unlock()
 	peer.dialling = false
 	if err != nil {
-		// The link was only slow (peering.ErrHeard), or whether the other process is gone shows at
-		// linkSilence.
+		// Either the link was only slow (peering.ErrHeard), or linkTimeout shows whether the peer
+		// is gone.
 		c.options.Log.Log(logging.LinkKept, zap.String("peer", peer.ip), zap.Error(err))
 		peer.extendRenewDelay(now)
 		return
@@ -141,9 +142,9 @@
 	c.suspectStore(peer, now)
 }
 
-// suspectStore tells the store's client of silent links to several processes: what struck them may have struck
-// the watch too, which by itself finds that out only after its wait and several times the usual time of an
-// answer. The mutex is held.
+// suspectStore notifies the store's client when links to several processes are silent: the same
+// fault may have struck the watch, and the client alone detects that only after the wait and
+// several typical response times. The mutex must be held.
 func (c *Catalog) suspectStore(latest *peerLink, now time.Time) {
 	hearer, hears := c.options.Store.(fleet.SilenceHearer)
 	if !hears || now.Sub(c.storeSuspectedAt) < suspectWindow {
@@ -158,13 +159,13 @@
 	}
 }
 
-// extendRenewDelay gives a link more time before it is made anew.
+// extendRenewDelay gives a link more time before it is renewed.
 func (p *peerLink) extendRenewDelay(now time.Time) {
 	p.renewDelay, p.renewDelayUntil = min(2*p.renewDelay, linkTimeout), now.Add(renewDelayTTL)
 }
 
-// checkReplaced tells whether a link that was replaced had gone silent: until it is closed it
-// may still bring something, and then it was only slow. The mutex is held.
+// checkReplaced decides whether a replaced link had gone silent: if it delivers something before it
+// is closed, it was only slow. The mutex must be held.
 func (c *Catalog) checkReplaced(peer *peerLink, now time.Time) {
 	if peer.replaced == nil {
 		return
--- a/internal/catalog/watermark.go
+++ b/internal/catalog/watermark.go
@@ -2,22 +2,21 @@
 
 import "time"
 
-// watermark is the latest moment up to which a copy is known to hold every change that the
-// store has made, unless the store has told nothing of a change because it is about to forget
-// its history. A change that the copy lacks was made after it. The zero value knows of no such
-// moment.
+// watermark is the latest moment up to which a copy is known to hold every change that the store
+// has made, unless the store has withheld a change because it is about to lose its history. A
+// change that the copy lacks was made after it. The zero value is an unknown moment.
 type watermark struct {
 	at time.Time
 }
 
-// advance moves the horizon on; it never goes back by it.
+// advance moves the watermark forward; it never goes back.
 func (h *watermark) advance(to time.Time) {
 	if to.After(h.at) {
 		h.at = to
 	}
 }
 
-// minus is the horizon less a time by which it is in doubt.
+// minus returns the watermark less a margin of uncertainty.
 func (h watermark) minus(doubt time.Duration) watermark {
 	if h.at.IsZero() {
 		return h
@@ -25,8 +24,7 @@
 	return watermark{at: h.at.Add(-doubt)}
 }
 
-// atLeast is the horizon, or a later moment where there is one; a horizon that knows of no
-// moment stays so.
+// atLeast returns the watermark, or a moment if that is later. An unknown watermark stays unknown.
 func (h watermark) atLeast(moment time.Time) watermark {
 	if !h.at.IsZero() {
 		h.advance(moment)
@@ -34,7 +32,7 @@
 	return h
 }
 
-// maxAge is the longest time since a change that the copy has lacked until now; false when
+// maxAge returns the maximum time since a change that the copy has lacked until now; false if
 // nothing bounds it.
 func (h watermark) maxAge(now time.Time) (time.Duration, bool) {
 	if h.at.IsZero() {
@@ -45,22 +43,22 @@
 
 // storeCall is an answered call to the store.
 type storeCall struct {
-	// sentAt is when the call began, before a connection for it was made.
+	// sentAt is when the call began, before its connection was made.
 	sentAt time.Time
-	// receivedAt is when the whole answer was here.
+	// receivedAt is when the complete answer had arrived.
 	receivedAt time.Time
-	// wait is how long the store was to wait for a change; 0 for a listing.
+	// wait is how long the store was to wait for a change, 0 for a listing.
 	wait time.Duration
-	// changes is how many changes the answer held.
+	// changes is the number of changes in the answer.
 	changes int
 }
 
-// completeUntil is the latest moment up to which the answer surely shows every change. The
-// store has looked after the call was sent; how long the call was on its way is not known. A
-// watch that ended without a change has waited at the store for its whole time, unless it
-// came back earlier. That is wrong by the answer's way, at the most, where the store ended the
-// watch early and the answer was slow; to count each watch from its sending would make every
-// version appear 0.5 s older still.
+// completeUntil returns the latest moment up to which the answer certainly shows every change. The
+// store read its data after the call was sent; the transit time of the call is unknown. A watch
+// that ended without a change waited at the store for its whole time, unless it returned earlier.
+// This is wrong by at most the transit time of the answer, if the store ended the watch early and
+// the answer was slow; counting each watch from its sending would make every version appear another
+// 0.5 s older.
 func (s storeCall) completeUntil() time.Time {
 	waited := s.sentAt.Add(s.wait)
 	if s.changes == 0 && !s.receivedAt.Before(waited) {
@@ -69,28 +67,27 @@
 	return s.sentAt
 }
 
-// peerAge is what a peer says of the age of something.
+// peerAge is an age that a peer sent.
 type peerAge struct {
-	// age is what the peer said when it sent the word.
+	// age is the age when the peer sent the message.
 	age time.Duration
-	// flight is the longest time that the word can have been on its way; flightKnown is
-	// false when nothing bounds that.
+	// flight is the maximum transit time of the message; flightKnown is false if nothing bounds it.
 	flight      time.Duration
 	flightKnown bool
-	// receivedAt is when the word was here. It may be acted on later: its message waits for
-	// others, and the process may be paused.
+	// receivedAt is when the message arrived. It may be processed later: messages are queued, and
+	// the process may be paused.
 	receivedAt time.Time
 }
 
-// earliest is the earliest moment that a word allows; false when the word does not bound it.
+// earliest returns the earliest moment that the message allows; false if it does not bound it.
 func (w peerAge) earliest() (time.Time, bool) {
 	return w.receivedAt.Add(-w.age - w.flight), w.flightKnown
 }
 
-// ageOfReceived is the longest age of a change that a copy has just heard of by a peer's word: the
-// peer's account and the own horizon bound it both, and the tighter one counts. Where neither
-// does, the process has only just started: it takes the word as if it had come at once, and
-// false is returned.
+// ageOfReceived returns the maximum age of a change that was just received from a peer. Both the
+// peer's age and the own watermark bound it, and the tighter bound counts. If neither does, the
+// process has only just started: it assumes that the message arrived instantly, and false is
+// returned.
 func ageOfReceived(told peerAge, known watermark, now time.Time) (age time.Duration, bounded bool) {
 	since, worded := told.earliest()
 	byWord := now.Sub(since)
@@ -104,23 +101,22 @@
 	return byWord, worded
 }
 
-// peerStamps measures the longest time that a message of a peer can have been on its way: the
-// peer returns the newest stamp of this process that it has seen, and for how long it has held
-// it.
+// peerStamps measures the maximum transit time of a peer's messages: the peer echoes the newest
+// stamp of this process that it has received, and for how long it has held it.
 type peerStamps struct {
-	// newest is the newest stamp of the peer, heardAt when it came.
+	// newest is the newest stamp of the peer, receivedAt its time of arrival.
 	newest     int64
 	receivedAt time.Time
 }
 
-// record keeps the peer's newest stamp.
+// record stores the peer's newest stamp.
 func (s *peerStamps) record(stamp int64, now time.Time) {
 	if stamp > s.newest {
 		s.newest, s.receivedAt = stamp, now
 	}
 }
 
-// echo is what goes back to the peer: its stamp, and for how long it was held.
+// echo returns what is sent back to the peer: its stamp, and for how long it was held.
 func (s peerStamps) echo(now time.Time) (stamp, heldMilliseconds int64) {
 	if s.newest == 0 {
 		return 0, 0
@@ -128,14 +124,15 @@
 	return s.newest, now.Sub(s.receivedAt).Milliseconds()
 }
 
-// stampAt is this process's stamp of a moment: the milliseconds since it started, from 1 on, after
-// those of the clock at its start, so that no stamp of a former life is one of this life.
+// stampAt returns this process's stamp of a moment: the Unix time in milliseconds at its start,
+// plus the milliseconds since, plus 1. No stamp of a former incarnation is one of the present
+// incarnation.
 func stampAt(started, now time.Time) int64 {
 	return started.UnixMilli() + now.Sub(started).Milliseconds() + 1
 }
 
-// maxFlight is the longest time that a message with an echo can have been on its way; false
-// without an echo of a stamp that this life of the process has given by now. Both times are cut to
+// maxFlight returns the maximum transit time of a message with an echo; false unless the echo is a
+// stamp that this incarnation of the process can have given by now. Both times are rounded to
 // milliseconds towards a longer flight.
 func maxFlight(started time.Time, echo, heldMilliseconds int64, now time.Time) (time.Duration, bool) {
 	if echo <= started.UnixMilli() || echo > stampAt(started, now) {
