--- a/internal/catalog/entries_test.go
+++ b/internal/catalog/entries_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// catalogWithEntries is the catalog of an entry that has just heard of a number of others.
+// catalogWithEntries returns the catalog of an entry that has just received heartbeats of a number
+// of others.
 func catalogWithEntries(entries int) *Catalog {
 	c := newTestCatalog()
 	for index := range entries {
@@ -20,7 +21,7 @@
 	return c
 }
 
-// updateBytes is the size of an update with what is told of entries.
+// updateBytes returns the size of an update with its entries.
 func updateBytes(t *testing.T, c *Catalog, peer *peerLink) int {
 	now := time.Now()
 	message := c.composeUpdate(peer)
@@ -30,8 +31,8 @@
 	return len(encoded)
 }
 
-// What entries that know the same tell each other of the others does not grow with the fleet: one age a
-// zone in place of a list.
+// The updates between processes that know the same entries do not grow with the fleet: they carry
+// one age per zone in place of a list.
 func TestUpdatesDoNotGrowWithTheFleet(t *testing.T) {
 	sizes := map[int]int{}
 	for _, entries := range []int{30, 327, 1200} {
@@ -41,8 +42,8 @@
 	assert.LessOrEqual(t, sizes[1200], sizes[30]+16, "bytes at 30 and 1,200 entries: %v", sizes)
 }
 
-// Who knows other entries, or tells no roster because it is of a build without, is sent the list, and
-// hears of all from it.
+// A process that knows other entries, or that sends no roster because its build has none, is sent
+// the complete list.
 func TestEntryListIsSentOnRosterMismatch(t *testing.T) {
 	c := catalogWithEntries(40)
 	for name, peer := range map[string]*peerLink{"others": {rosterDigest: 1}, "no roster": {}} {
@@ -55,7 +56,7 @@
 	}
 }
 
-// Links of about the same rate are of one class, those of a much larger one of a higher.
+// Links of similar bandwidth are in one class, those of much higher bandwidth in a higher one.
 func TestCapacityClass(t *testing.T) {
 	const megabit = 1e6 / 8
 	assert.Zero(t, capacityClass(0))
--- a/internal/catalog/evacuations_test.go
+++ b/internal/catalog/evacuations_test.go
@@ -16,8 +16,8 @@
 	return mirror.Record{Key: "op/evacuate/" + zone, Value: []byte(`{}`), Revision: revision}
 }
 
-// An evacuation is in force from when it is heard, from whomever, until it is taken away; what
-// others tell later of an older revision changes nothing.
+// An evacuation is in force from when it is received, from any source, until it is removed. An
+// older revision that peers send later changes nothing.
 func TestEvacuationsAreAppliedAndLifted(t *testing.T) {
 	c := newTestCatalog()
 	urgent := c.urgentSequence
@@ -32,7 +32,7 @@
 	assert.Empty(t, c.View().Evacuations, "a listing without it takes it back")
 }
 
-// An evacuation is passed on to those who lack it, as other records are.
+// An evacuation is sent to processes that lack it, like other records.
 func TestEvacuationsAreForwarded(t *testing.T) {
 	c := newTestCatalog()
 	c.applyWatched([]mirror.Record{evacuationRecord("a", 5)})
@@ -47,8 +47,8 @@
 	return mirror.Record{Key: "servers/s", Value: []byte(value), Revision: revision}
 }
 
-// A server that becomes cold again is news; that a cold one says the same again is not, and
-// neither is its becoming warm when that was expected.
+// A server that turns cold again changes the view. A cold server that repeats the same time does
+// not, nor does its becoming warm at the expected time.
 func TestColdServerIsReportedOnce(t *testing.T) {
 	c := newTestCatalog()
 	views := 0
@@ -69,8 +69,8 @@
 	assert.Equal(t, 4, views)
 }
 
-// That a server in use has turned cold is passed on at once, also by a process that was told
-// it by another: each hop at its usual pace would be too late.
+// A server in use that turns cold is an urgent change even if it was received from a peer: waiting
+// for the usual interval at each hop would be too late.
 func TestServerTurningColdIsUrgent(t *testing.T) {
 	c := newTestCatalog()
 	tell := func(record mirror.Record) bool {
@@ -89,8 +89,8 @@
 	assert.Zero(t, other.urgentSequence, "nobody sends to a server before its line is heard")
 }
 
-// The store is watched without a pause for a while after a server has turned cold: others of
-// its group do so too.
+// The watch interval is short for a while after a server has turned cold, because others of its
+// group do so too.
 func TestWatchIntervalShortensWhenServersTurnCold(t *testing.T) {
 	c := newTestCatalog()
 	assert.Equal(t, watchInterval, c.watchInterval(time.Now()))
@@ -101,8 +101,8 @@
 	assert.Equal(t, watchInterval, c.watchInterval(time.Now().Add(coldWatchDuration)))
 }
 
-// Servers that turn cold one after the other all the time do not have the store watched closely
-// all the time: each process calls it closely for a second of five at most.
+// Servers that turn cold continuously do not keep the interval short: each process watches at the
+// short interval for at most one second in five.
 func TestShortWatchIntervalIsBounded(t *testing.T) {
 	var watch watchPacer
 	start := time.Now()
@@ -123,7 +123,7 @@
 	assert.LessOrEqual(t, calls, 6*(20+4*5), "20 in each first second, 5 in each other")
 }
 
-// After a pause the next server that turns cold is news again.
+// After the minimum spacing, the next server that turns cold shortens the interval again.
 func TestWatchIntervalShortensAgainAfterSpacing(t *testing.T) {
 	var watch watchPacer
 	start := time.Now()
--- a/internal/catalog/health_test.go
+++ b/internal/catalog/health_test.go
@@ -18,7 +18,8 @@
 		Answered: 20 * time.Millisecond, Tried: 10 * time.Millisecond}
 }
 
-// An entry tells its own words; a relay passes on those of others too, but not to who said them.
+// An entry sends its own reports; a relay also forwards those of others, but not back to the
+// reporter.
 func TestHealthReportsAreForwardedByRelays(t *testing.T) {
 	c := newTestCatalog()
 	now := time.Now()
@@ -38,7 +39,7 @@
 	assert.Empty(t, servers("10.0.0.3", true, c.health.sequence), "nothing is told twice")
 }
 
-// What is told arrives as it was said, but for its age.
+// A report arrives as it was made, apart from its age.
 func TestHealthReportKeepsItsDurations(t *testing.T) {
 	now := time.Now()
 	said := heldHealthReport{report: ejectedReport("10.0.0.1", "i-1"), at: now.Add(-300 * time.Millisecond), number: 9}
@@ -52,8 +53,8 @@
 	assert.Equal(t, said.number, heard.number)
 }
 
-// Of two words the later one counts, whichever way is faster, also after the teller has started
-// anew; what is held has a bound.
+// Of two reports the later one counts, whichever arrives first, also after the reporter has
+// restarted. The number held is bounded.
 func TestOnlyNewestHealthReportIsHeld(t *testing.T) {
 	c := newTestCatalog()
 	now := time.Now()
@@ -70,7 +71,7 @@
 	assert.Len(t, c.health.reports, maxHealthReports)
 }
 
-// A word that can't be meant is not taken in, whichever of its fields is faulty.
+// A report with an impossible value is rejected, whichever field is invalid.
 func TestInvalidHealthReportsAreRejected(t *testing.T) {
 	now := time.Now()
 	sound := newHealthMessage(heldHealthReport{report: ejectedReport("10.0.0.1", "i-1"), at: now, number: 9}, now)
--- a/internal/catalog/history_loss_test.go
+++ b/internal/catalog/history_loss_test.go
@@ -18,10 +18,10 @@
 	"pinevane.example/pinevane/internal/peering"
 )
 
-// version2 is the record of a naming.
+// version2 is the record of a version announcement.
 var version2 = mirror.Record{Key: "op/version/m", Value: []byte(`{"model":"m","version":2}`), Revision: 4}
 
-// historyLossStore has forgotten its history and lists version 2.
+// historyLossStore has lost its history and lists version 2.
 type historyLossStore struct{}
 
 func (historyLossStore) List(context.Context, string) (fleet.Listing, error) {
@@ -32,7 +32,7 @@
 	return fleet.Listing{}, &fault.HistoryGone{Prefix: prefix, After: after}
 }
 
-// receiveUpdate has a catalog handle a peer's update that was hardly on its way.
+// receiveUpdate has a catalog handle a peer's update with almost no transit time.
 func receiveUpdate(t *testing.T, c *Catalog, news update) {
 	t.Helper()
 	news.Echo = stampAt(c.started, time.Now())
@@ -48,10 +48,11 @@
 	return time.Since(newest.Since)
 }
 
-// VERSION: watches that hear nothing move the horizon on although a version has been named; the
-// store then forgets its history. Peers have taken the horizon over meanwhile. Seen: the process
-// that was told of the loss doubted its horizon for as long as no peer told it back, and peers
-// preferred theirs to what they were told of the version: named 0.4 to 0.7 s too late everywhere.
+// Guards the VERSION invariant: watches that return nothing advance the watermark although a
+// version was announced, then the store loses its history, and peers have adopted the watermark in
+// the meantime. When the reader subtracted the margin only after the loss, peers sent its watermark
+// back, and preferred their own to the age sent with the version: all processes dated the
+// announcement 0.4 to 0.7 s too late.
 func TestPeersKeepHistoryLossMargin(t *testing.T) {
 	reader, peer := newTestCatalog(), newTestCatalog()
 	reader.options.Store = historyLossStore{}
@@ -69,8 +70,8 @@
 	assert.GreaterOrEqual(t, ageOfNewest(t, reader), historyLossMargin, "told back")
 }
 
-// A watch that brings a version shows that the store has not forgotten what was before it: no
-// doubt is added, at the reader or at those whom it tells.
+// A watch that returns a version shows that the store has not lost the history before it: no margin
+// is added, neither at the reader nor at its peers.
 func TestWatchedVersionHasNoHistoryLossMargin(t *testing.T) {
 	reader, peer := newTestCatalog(), newTestCatalog()
 	reader.watermark.advance(time.Now().Add(-300 * time.Millisecond))
@@ -81,7 +82,7 @@
 	assert.Less(t, ageOfNewest(t, peer), 500*time.Millisecond)
 }
 
-// refusingStore refuses every call with an error, until it is back with version 2.
+// refusingStore refuses every call with an error, until it recovers with version 2.
 type refusingStore struct {
 	err error
 }
@@ -97,17 +98,19 @@
 	return fleet.Listing{Records: []mirror.Record{version2}, At: version2.Revision}, nil
 }
 
-// VERSION counts no time while the store is out for all. Seen: a version that was named when the
-// store was back after an outage as long as the bound counted as in force alone at once.
-// All that is not surely an outage for all leaves the age as it was: what may be a fault of the
-// way to the store, what a store that is well says, and that others are served.
+// Guards the VERSION invariant: time does not count while the store is out for the whole fleet.
+// Without that, a version announced after an outage as long as the bound was in force at once,
+// alone.
+//
+// Anything that is not certainly a fleet-wide outage leaves the age as it was: a possible fault of
+// the path to the store, an answer of a healthy store, or a store that serves others.
 func TestVersionAgeAfterOutage(t *testing.T) {
 	const outage = 9 * time.Second
 	status := func(code int) error { return &fault.Unavailable{Target: "store", Status: code} }
 	for _, one := range []struct {
 		name string
 		err  error
-		// served is how long ago the store last served somebody who has told.
+		// served is how long ago the store last served a process that reported it.
 		served time.Duration
 		capped bool
 	}{
@@ -139,7 +142,7 @@
 	}
 }
 
-// A process that has just started does not take the time until its first answer for an outage.
+// A process that has just started does not count the time until its first answer as an outage.
 func TestStartIsNotAnOutage(t *testing.T) {
 	c := newTestCatalog()
 	c.recordRefused(time.Now(), &fault.Unavailable{Target: "store", Status: http.StatusServiceUnavailable})
--- a/internal/catalog/large_configuration_test.go
+++ b/internal/catalog/large_configuration_test.go
@@ -11,7 +11,7 @@
 	"pinevane.example/pinevane/platform"
 )
 
-// slowDecoder takes as long over a configuration as a test lets it.
+// slowDecoder blocks in decoding a configuration until the test releases it.
 type slowDecoder struct {
 	platform.Decoder
 	begun chan struct{}
@@ -24,8 +24,8 @@
 	return d.Decoder.Configuration(value)
 }
 
-// A configuration of ten thousand routes takes many milliseconds to decode. Every request asks
-// for the number of entries meanwhile, and words of agents come in: neither waits for it.
+// A configuration of ten thousand routes takes many milliseconds to decode. In the meantime every
+// request reads the number of entries, and agents' reports arrive: neither waits for the decoding.
 func TestRequestsDoNotWaitForALargeConfiguration(t *testing.T) {
 	c := newTestCatalog()
 	decoder := slowDecoder{begun: make(chan struct{}), end: make(chan struct{})}
--- a/internal/catalog/links_test.go
+++ b/internal/catalog/links_test.go
@@ -21,14 +21,14 @@
 	"pinevane.example/pinevane/platform"
 )
 
-// newTestCatalog is the catalog of an entry that is not run.
+// newTestCatalog returns the catalog of an entry that does not run.
 func newTestCatalog() *Catalog {
 	hub := peering.NewHub(peering.Hello{ID: "10.0.0.1", Role: RoleEntry, Zone: "z"}, logging.Nop(), peering.NewCounters(prometheus.NewRegistry()))
 	return New(Options{Self: "10.0.0.1", Role: RoleEntry, Zone: "z", InternalPort: 1, Decoder: platform.Decoder{}, Hub: hub, Log: logging.Nop(), VersionApply: 8 * time.Second, Drain: 2 * time.Second})
 }
 
-// An entry that is new is told on every link soon, not only with the next list that is
-// due anyway: entries that start together know each other within a few hops.
+// A new entry is announced on every link soon, not only with the next periodic list: entries that
+// start together know each other within a few hops.
 func TestNewEntriesAreAnnouncedSoon(t *testing.T) {
 	c := newTestCatalog()
 	now := time.Now()
@@ -43,7 +43,7 @@
 	assert.False(t, c.listDue(&peerLink{listedAt: now}, now), "lists do not follow each other closely")
 }
 
-// A process that does not listen yet is dialled again soon, one that is away ever later.
+// A process that does not listen yet is dialled again soon, one that is away after longer delays.
 func TestDialBackoff(t *testing.T) {
 	assert.Equal(t, minDialBackoff, dialBackoff(0))
 	assert.Equal(t, 2*minDialBackoff, dialBackoff(1))
@@ -51,7 +51,7 @@
 	assert.Equal(t, maxDialBackoff, dialBackoff(1000))
 }
 
-// A link that the other has made while this process dials does not have it dial twice.
+// A link that the peer makes while this process dials does not make it dial twice.
 func TestAcceptedLinkKeepsOngoingDial(t *testing.T) {
 	peer := &peerLink{ip: "10.0.0.2", dialling: true, localSent: 7}
 	peer.open(&peering.Link{}, true)
@@ -59,8 +59,8 @@
 	assert.Zero(t, peer.localSent, "the new link is told everything")
 }
 
-// A link that was made anew though it was only slow gets more time from then on, for a while
-// and never more than until it counts as broken.
+// A link that was renewed although it was only slow gets more time from then on, for a while and
+// never more than until it counts as broken.
 func TestSlowLinkGetsLongerRenewDelay(t *testing.T) {
 	now := time.Now()
 	peer := &peerLink{}
@@ -80,8 +80,8 @@
 	assert.Less(t, peer.renewDelay, renewAfter+renewJitter, "that is forgotten")
 }
 
-// The first entry of a zone that does not read the store asks for a configuration at once, and
-// announces it to its zone at once.
+// The first entry of a zone that does not read the store announces a configuration received from a
+// peer to its zone at once.
 func TestConfigurationFromPeerIsAnnouncedAtOnce(t *testing.T) {
 	c := newTestCatalog()
 	before := c.freshSequence
@@ -89,7 +89,7 @@
 	assert.Greater(t, c.freshSequence, before)
 }
 
-// linkToEntry links a process to another entry, and returns the hub of that and the link.
+// linkToEntry links a process to another entry, and returns the other entry's hub and the link.
 func linkToEntry(t *testing.T, c *Catalog) (*peering.Hub, *peering.Link) {
 	t.Helper()
 	hub := peering.NewHub(peering.Hello{ID: "10.0.0.2", Role: RoleEntry, Zone: "z"}, logging.Nop(), peering.NewCounters(prometheus.NewRegistry()))
@@ -101,9 +101,9 @@
 	return hub, made
 }
 
-// Of two entries that have each made a link to the other, one may drop its own when it needs the
-// other no more, or lose it. The one that the other has made is then used: the other listens on
-// it, and takes answers to its probes for signs that all is well.
+// When two entries have each made a link to the other, one of them may close its own, because it no
+// longer needs the other, or lose it. It then uses the link that the other made: the other listens
+// on it, and takes answers to its probes for signs of life.
 func TestAcceptedLinkReplacesLostLink(t *testing.T) {
 	c := newTestCatalog()
 	own := httptest.NewServer(c.options.Hub)
@@ -127,14 +127,11 @@
 	assert.False(t, peer.dialling)
 }
 
-// Seen: read in a review. Cause: links were judged by when something was last read on them, before
-// their readers had read what came while the process stood still.
-//
-// Seen: a process that was paused again and again dropped a link to another entry, which sent on a
-// link of its own. Cause: nothing comes back on such a link but answers to probes, and the process
-// had sent none since the first pause.
-//
-// Links outlast a pause of the process; one that answers no probe after it is broken.
+// Links survive a pause of the process; a link that answers no probe after it is broken. Guards
+// against two faults: links judged by the time of the last read, before their readers had read what
+// arrived during the pause; and a process that was paused repeatedly and dropped a link to an entry
+// that sends on a link of its own, because only answers to probes arrive on such a link and it had
+// sent no probe since the first pause.
 func TestLinksSurviveProcessPause(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
@@ -168,8 +165,8 @@
 	assert.NotSame(t, made, held(), "it has answered no probe")
 }
 
-// A process that was short of time gives links as long again to answer a probe; one that had its
-// time judges as before.
+// After a stall of the process, links are given the full time for the answer to a probe again;
+// without one, the time counts from the probe.
 func TestProbeTimeRestartsAfterStall(t *testing.T) {
 	const gap = 100 * time.Millisecond
 	start := time.Now()
@@ -187,19 +184,17 @@
 	assert.Equal(t, resumeGrace, p.graceLeft(paused), "none is made anew")
 }
 
-// flushPending reports whether the statuses are to be passed on before the next statusPace.
+// flushPending reports whether reports are to be sent before the next statusInterval.
 func flushPending(c *Catalog) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.flushScheduled
 }
 
-// Seen: after a silence of all connections an entry heard an agent again after 0.84 s, 0.3 s after
-// its zone's first gate had. Cause: the gate had the word from another entry, whose link to the
-// agent worked again before its own, and left it to the next pace of other zones.
-//
-// A word that ends a silence is passed on at once, whether it has come from the agent or by
-// another entry.
+// A report that ends a silence is sent at once, whether it came from the agent or from another
+// entry. Guards against a gate that had the report from another entry, whose link to the agent
+// recovered first, and left it to the next interval of other zones: an entry received the report
+// after 0.84 s, 0.3 s after the first gate of the agent's zone.
 func TestReportsEndingASilenceAreSentSoon(t *testing.T) {
 	now := time.Now()
 	for _, one := range []struct {
@@ -228,7 +223,7 @@
 	}
 }
 
-// A link that is made anew is told everything soon, not with the next statusPace.
+// A renewed link is sent everything soon, not at the next statusInterval.
 func TestNewLinkIsSentStatusesSoon(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
@@ -246,8 +241,8 @@
 	assert.False(t, flushPending(c))
 }
 
-// runWithRemoteZone links a catalog to an entry of another zone and runs its exchange, and returns the count
-// of frames of words that the other entry receives.
+// runWithRemoteZone links a catalog to an entry of another zone and runs its exchange. It returns
+// the count of status frames that the other entry receives.
 func runWithRemoteZone(t *testing.T, c *Catalog) *atomic.Int64 {
 	hub := peering.NewHub(peering.Hello{ID: "10.0.0.2", Role: RoleEntry, Zone: "y"}, logging.Nop(), peering.NewCounters(prometheus.NewRegistry()))
 	t.Cleanup(hub.Close)
@@ -265,8 +260,8 @@
 	return &frames
 }
 
-// Agents whose words come 0.45 s apart, spread, do not have another zone told all the time: only the
-// first word after a silence is hastened.
+// Agents whose reports come 0.45 s apart, spread over time, do not make another zone be updated all
+// the time: only the first report after a silence is expedited.
 func TestLateReportsKeepRemoteInterval(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
@@ -288,7 +283,8 @@
 	assert.LessOrEqual(t, frames.Load(), most)
 }
 
-// Words that each end a silence, one after the other, have another zone told at farHastePace.
+// Reports that each end a silence, one after the other, are sent to another zone at
+// remoteFlushInterval.
 func TestExpeditedReportsAreRateLimited(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
@@ -303,7 +299,7 @@
 	assert.LessOrEqual(t, frames.Load(), most)
 }
 
-// A link that is made anew again and again has nobody else told more often.
+// A link that is renewed repeatedly does not make other entries be updated more often.
 func TestOnlyNewLinkIsSentStatusesSoon(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
@@ -342,8 +338,8 @@
 	assert.LessOrEqual(t, frames.Load(), most)
 }
 
-// Links are looked at again when one is to be probed or renewed: left to a pace, a renewal came up
-// to that much later, and the words that wait for it.
+// Links are checked when one is due a probe or a renewal: with checks at a fixed interval, a
+// renewal, and the reports waiting for it, came up to that interval later.
 func TestLinksAreCheckedWhenDue(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
@@ -361,8 +357,8 @@
 	assert.Equal(t, linkCheckInterval, c.checkLink(t.Context(), peer, heard.Add(peer.renewDelay)), "the other renews it")
 }
 
-// The pace of other zones is a multiple of statusPace: a timer that is a little early does not
-// make it one longer.
+// The interval for other zones is a multiple of statusInterval: a timer that is slightly early must
+// not add another statusInterval.
 func TestRemoteIntervalToleratesEarlyTimer(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
@@ -382,8 +378,8 @@
 	return mirror.Record{Key: fmt.Sprintf("servers/s%04d", index), Value: []byte(value), Revision: revision}
 }
 
-// What an entry has read from the store is passed on at once, what it was told with the
-// next update; a server whose line says nothing new is not passed on at all.
+// What an entry reads from the store is sent at once, what it receives from a peer with the next
+// update. A server record without a change is not sent at all.
 func TestStoreChangesAreUrgent(t *testing.T) {
 	c := newTestCatalog()
 	c.applyReceived([]mirror.Record{serverRecord(1, 1)}, nil)
@@ -399,7 +395,8 @@
 	assert.Equal(t, c.changes.Sequence(), c.urgentSequence, "the naming of weights is passed on at once by everyone")
 }
 
-// Peers that hold the same tell each other nothing; one that differs is told all, once.
+// Peers that hold the same records send each other none; a peer whose records differ is sent all,
+// once.
 func TestRecordsAreSentWhereTheyDiffer(t *testing.T) {
 	c := newTestCatalog()
 	c.applyWatched([]mirror.Record{serverRecord(1, 1), serverRecord(2, 2)})
@@ -415,7 +412,7 @@
 	assert.Len(t, c.composeUpdate(other).Records, 3, "it holds nothing")
 }
 
-// The backup of an agent's main feeder passes its words on when nobody else does.
+// The backup feeder of an agent forwards its reports when no other entry does.
 func TestBackupRelaysWhenMainFeederDoesNot(t *testing.T) {
 	c := newTestCatalog()
 	for index := 2; index <= 3; index++ {
@@ -423,7 +420,7 @@
 	}
 	now := time.Now()
 	c.overlay.Advance(now)
-	// One agent of each kind: the main feeder, the backup, and neither is this entry.
+	// Agents of which this entry is the main feeder, the backup, and neither.
 	held := map[string]heldStatus{}
 	for index := range 200 {
 		agent := fmt.Sprintf("10.1.0.%d", index)
@@ -437,8 +434,8 @@
 	assert.False(t, c.relays(held["false false"], later))
 }
 
-// The cost of one server's record must not grow with the number of servers, but for
-// the list of them.
+// The cost of applying one server's record must not grow with the number of servers, except for the
+// list of them.
 func BenchmarkApplyServer(b *testing.B) {
 	for _, servers := range []int{40, 200, 1000} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
@@ -462,7 +459,7 @@
 	}
 }
 
-// The cost of passing on the word of one agent must not grow with the fleet.
+// The cost of forwarding one agent's report must not grow with the fleet.
 func BenchmarkRelayStatuses(b *testing.B) {
 	for _, entries := range []int{30, 150, 400} {
 		b.Run(fmt.Sprint(entries), func(b *testing.B) {
--- a/internal/catalog/packing_test.go
+++ b/internal/catalog/packing_test.go
@@ -18,8 +18,8 @@
 	"pinevane.example/pinevane/internal/peering"
 )
 
-// applyZoneStatuses have a zone's agents say how their servers do, as they do in a fleet of 587 machines: a
-// third of 52, between two rounds of words.
+// applyZoneStatuses applies status reports of a zone's agents as they occur in a fleet of 587
+// machines: a third of 52 agents between two rounds of reports.
 func applyZoneStatuses(c *Catalog, agents int, now time.Time) {
 	for index := range agents {
 		c.applyStatus(heldStatus{zone: "z", at: now, status: fleet.MachineStatus{
@@ -30,7 +30,8 @@
 	}
 }
 
-// Words of a zone's agents are alike: compressed they take under half of the bytes, and say the same.
+// The reports of a zone's agents are alike: compressed they take less than half of the bytes, and
+// decode to the same reports.
 func TestStatusesArePackedForCapableReaders(t *testing.T) {
 	const agents = 17
 	c, now := newTestCatalog(), time.Now()
@@ -51,7 +52,7 @@
 	assert.Empty(t, batches[0].Packed, "a build that reads no packed words gets none")
 }
 
-// Few words are not compressed, which would make them longer; spoilt ones are an error.
+// Small batches are not compressed, which would make them larger; corrupt ones are an error.
 func TestPackSmallAndCorruptBatches(t *testing.T) {
 	few := statusBatch{Statuses: make([]statusMessage, minPackedStatuses-1)}
 	same, err := few.pack()
@@ -61,8 +62,9 @@
 	assert.Error(t, err)
 }
 
-// A process that tells no protocol, of a build before, is sent everything as before; one that reads
-// compressed messages gets the list of servers in a tenth of the bytes, and reads the same from it.
+// A process that announces no protocol, of an earlier build, is sent uncompressed messages. One
+// that reads compressed messages is sent the list of servers in a tenth of the bytes, and decodes
+// the same from it.
 func TestPackingFollowsPeerProtocol(t *testing.T) {
 	const servers = 3000
 	c, now := newTestCatalog(), time.Now()
@@ -90,7 +92,7 @@
 	assert.Less(t, 10*sizes[ProtocolVersion], sizes[0], "%v", sizes)
 }
 
-// linkWithProtocol links to another entry that tells a protocol.
+// linkWithProtocol links to another entry that announces a protocol.
 func linkWithProtocol(t *testing.T, c *Catalog, protocol int) *peering.Link {
 	t.Helper()
 	hello := peering.Hello{ID: fmt.Sprintf("10.0.1.%d", protocol), Role: RoleEntry, Zone: "z", Protocol: protocol}
--- a/internal/catalog/quarantine_test.go
+++ b/internal/catalog/quarantine_test.go
@@ -12,7 +12,7 @@
 	"pinevane.example/pinevane/internal/fault"
 )
 
-// A word is the same when another process has it, but for the time on its way.
+// A report is the same at the receiver, apart from its transit time.
 func TestQuarantineReportsRoundTrip(t *testing.T) {
 	content := quarantine.NewHasher("tenant", "host", "/target").Content()
 	const said, heard = 10 * time.Second, 500 * time.Second
@@ -32,7 +32,8 @@
 	}
 }
 
-// A word that can't be meant is dropped, with a reason, also one of a kind that a later version tells.
+// A report with impossible values is rejected with a reason, as is one of a kind that only a later
+// build sends.
 func TestInvalidQuarantineReportsAreRejected(t *testing.T) {
 	id := make([]byte, quarantine.ContentSize)
 	sound := func(change func(*quarantineMessage)) quarantineMessage {
--- a/internal/catalog/restarted_test.go
+++ b/internal/catalog/restarted_test.go
@@ -15,7 +15,8 @@
 	return mirror.Record{Key: "servers/s", Value: []byte(value), Revision: revision}
 }
 
-// A line of a server's former incarnation that the store takes late does not displace that of its present one.
+// A record of a server's former incarnation that the store accepts late does not replace that of
+// the present one.
 func TestLateRecordOfFormerIncarnationIsDropped(t *testing.T) {
 	c := newTestCatalog()
 	c.applyWatched([]mirror.Record{startedRecord(1, 100, 2)})
@@ -26,7 +27,8 @@
 	assert.EqualValues(t, 1, served.Models[0].Version)
 }
 
-// A server whose clock was set back between its lives tells the earlier birth with each line.
+// A server whose clock was set back between two incarnations sends the earlier start time with each
+// record.
 func TestServerWithClockSetBackIsAccepted(t *testing.T) {
 	c := newTestCatalog()
 	c.applyWatched([]mirror.Record{startedRecord(1, 900, 2)})
@@ -37,7 +39,7 @@
 	assert.EqualValues(t, 1, served.Models[0].Version)
 }
 
-// A line that can't be read names no server, and the others hold.
+// An unreadable record lists no server and does not affect the others.
 func TestFaultyRecordRemovesOnlyItsServer(t *testing.T) {
 	c := newTestCatalog()
 	other := startedRecord(5, 100, 1)
@@ -53,8 +55,8 @@
 	assert.Len(t, c.View().Servers["m"], 2)
 }
 
-// A faulty record is logged once for each reason while it lasts, counted each time, and named in the
-// dump until it is sound again.
+// A faulty record is logged once per reason while it lasts, counted each time, and listed in the
+// state dump until it is valid again.
 func TestFaultyRecordIsLoggedOnce(t *testing.T) {
 	c := newTestCatalog()
 	faulty := func(revision uint64, value string) {
@@ -76,7 +78,7 @@
 	assert.Empty(t, c.Status().FaultyRecords)
 }
 
-// Thousands of faulty records cost bounded memory and hide no sound one.
+// Thousands of faulty records use bounded memory and hide no valid one.
 func TestManyFaultyRecordsAreBounded(t *testing.T) {
 	c := newTestCatalog()
 	var records []mirror.Record
--- a/internal/catalog/server_notices_test.go
+++ b/internal/catalog/server_notices_test.go
@@ -13,7 +13,7 @@
 	"pinevane.example/pinevane/internal/fault"
 )
 
-// A word is the same when another process has it, with its age.
+// A notice is the same at the receiver, with its age.
 func TestServerNoticesRoundTrip(t *testing.T) {
 	said := time.Unix(1000, 0)
 	one := heldReport[dispatch.Ask]{report: dispatch.Ask{Server: "i-1", Born: 7, Leaving: true, Limited: true, PerSecond: 1.4}, at: said, number: 3}
@@ -46,7 +46,8 @@
 	}
 }
 
-// Of an entry's words on a server the newest holds, in whatever order they come, and they are bounded.
+// The newest of an entry's notices on a server is kept in whatever order they arrive, and their
+// number is bounded.
 func TestNewestServerNoticeIsHeld(t *testing.T) {
 	asks := newServerNotices(time.Unix(0, 0))
 	now := time.Unix(0, 0)
--- a/internal/catalog/services_test.go
+++ b/internal/catalog/services_test.go
@@ -10,7 +10,8 @@
 	"pinevane.example/pinevane/internal/peering"
 )
 
-// configurationRecord is a configuration with one service of model servers and one route.
+// configurationRecord returns a configuration with two services, one of them with model servers,
+// and one route.
 func configurationRecord(revision uint64) mirror.Record {
 	value := `{"version":3,"routes":[{"name":"r","host":"h","pathPrefix":"/r/","service":"m"}],
 		"services":[{"name":"m","engine":{"slots":4,"chunks":8,"chunkBytes":16}},{"name":"w","origin":"10.0.0.9:80","linkMbps":8}],
@@ -18,8 +19,8 @@
 	return mirror.Record{Key: "op/config", Value: []byte(value), Revision: revision}
 }
 
-// An agent is told the services of a configuration once, without its routes and tenants, and
-// asks for no configuration.
+// An agent is sent the services of a configuration once, without its routes and tenants, and
+// requests no configuration.
 func TestAgentsAreSentServicesOnly(t *testing.T) {
 	entry, agent := newTestCatalog(), newTestCatalog()
 	agent.options.Role = RoleAgent
@@ -59,7 +60,7 @@
 	assert.Same(t, before, agent.View())
 }
 
-// That a configuration is newer is told at once to the entries of the own zone.
+// A newer configuration is announced at once to the entries of the own zone.
 func TestNewConfigurationsAreAnnouncedAtOnce(t *testing.T) {
 	entry := newTestCatalog()
 	before := entry.freshSequence
--- a/internal/catalog/starved_process_test.go
+++ b/internal/catalog/starved_process_test.go
@@ -18,13 +18,15 @@
 )
 
 const (
-	// starvedCheckInterval is the time between two looks of a process that is short of time: over stallLeast.
+	// starvedCheckInterval is the time between two checks of a process that is short of CPU time:
+	// more than minStall.
 	starvedCheckInterval = 130 * time.Millisecond
-	// deadLinkTimeout is when such a process has dropped a link that is silent for good.
+	// deadLinkTimeout is the time within which such a process has dropped a dead link.
 	deadLinkTimeout = 2500 * time.Millisecond
 )
 
-// useLink is a catalog with a link to another entry, of which it returns the present one.
+// useLink sets a catalog's link to another entry and returns a function that returns the current
+// one.
 func useLink(link *peering.Link, c *Catalog) func() *peering.Link {
 	c.mutex.Lock()
 	peer := c.peerLink("10.0.0.2")
@@ -39,7 +41,8 @@
 	}
 }
 
-// timeUntilDropped looks at the links each starvedLook until one is dropped, and returns after which time.
+// timeUntilDropped checks the links every starvedCheckInterval until the link is dropped, and
+// returns the time that took.
 func timeUntilDropped(t *testing.T, c *Catalog, made *peering.Link, held func() *peering.Link) time.Duration {
 	began := time.Now()
 	for ; time.Since(began) < 2*deadLinkTimeout && held() == made; time.Sleep(starvedCheckInterval) {
@@ -50,9 +53,8 @@
 	return time.Since(began)
 }
 
-// Cause: each stall of the process gave the answer to a probe its time anew.
-//
-// A process that is always short of time still finds that a link is dead.
+// A process that is always short of CPU time still detects a dead link. Guards against each stall
+// of the process restarting the time for the answer to a probe without bound.
 func TestStarvedProcessDropsDeadLink(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
@@ -64,7 +66,7 @@
 	assert.Less(t, timeUntilDropped(t, c, made, held), deadLinkTimeout)
 }
 
-// The same where a middlebox acknowledges for a peer that it has lost.
+// The same with a middlebox that acknowledges for a peer that it has lost.
 func TestStarvedProcessDropsDeadLinkBehindMiddlebox(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
@@ -82,7 +84,7 @@
 	assert.Less(t, timeUntilDropped(t, c, made, held), deadLinkTimeout)
 }
 
-// A probe whose time ran out while the process stood still is sent again.
+// A probe whose time ran out during a pause of the process is sent again.
 func TestProbeExpiredDuringPauseIsResent(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
@@ -99,7 +101,7 @@
 	assert.Same(t, made, held())
 }
 
-// After a pause a replaced link is not reported as silent before its reader could read.
+// After a pause, a replaced link is not reported as silent before its reader has had time to read.
 func TestReplacedLinkIsNotReportedRightAfterPause(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
@@ -119,7 +121,8 @@
 	assert.Nil(t, peer.replaced)
 }
 
-// haltingProxy passes connections on to an address, and nothing for 0.6 of each 0.65 s while on is set.
+// haltingProxy forwards connections to an address, but nothing for 0.6 s of each 0.65 s while on is
+// set.
 func haltingProxy(t *testing.T, target string, on *atomic.Bool) string {
 	front, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -165,11 +168,10 @@
 	return front.Addr().String()
 }
 
-// Cause: a link that was heard while another one was made got no more time than before.
-//
-// A process that stands still for 0.6 s again and again is not dialled each time.
+// A peer that repeatedly pauses for 0.6 s is not dialled each time. Guards against a link that
+// delivered something while it was being renewed getting no more time than before.
 func TestSlowLinkIsNotRedialledRepeatedly(t *testing.T) {
-	// span is how long the links are looked at, mostDials how often the other is dialled then.
+	// span is how long the links are checked, mostDials the maximum number of dials in that time.
 	const (
 		span      = 10 * time.Second
 		mostDials = 4
--- a/internal/catalog/watermark_test.go
+++ b/internal/catalog/watermark_test.go
@@ -22,8 +22,8 @@
 	"pinevane.example/pinevane/platform"
 )
 
-// An answer shows the store as it was after the call was sent; a watch that ended without a
-// change, as it was when its time was over.
+// An answer shows the store as it was when the call was sent; that of a watch that ended without a
+// change, as it was when its wait ended.
 func TestStoreCallCompleteUntil(t *testing.T) {
 	sent := time.Unix(1000, 0)
 	const wait = 500 * time.Millisecond
@@ -44,7 +44,7 @@
 	}
 }
 
-// The horizon goes on only, but for a doubt, and bounds nothing until it is known.
+// The watermark only advances, except for a margin, and bounds nothing until it is known.
 func TestWatermark(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var known watermark
@@ -61,7 +61,7 @@
 	assert.Equal(t, time.Second, longest)
 }
 
-// The tighter of two bounds counts; a word whose time on the way is unknown bounds nothing.
+// The tighter of two bounds counts; an age sent with unknown transit time bounds nothing.
 func TestAgeOfReceived(t *testing.T) {
 	now := time.Unix(1000, 0)
 	complete := watermark{at: now.Add(-2 * time.Second)}
@@ -86,8 +86,8 @@
 	}
 }
 
-// Of two bounds of an age the tighter one counts, and any bound is better than a guess. What is
-// told of another revision changes nothing.
+// The tighter of two bounds of an age counts, and any bound is better than an estimate. The age of
+// another revision changes nothing.
 func TestAgesAreTightened(t *testing.T) {
 	c := newTestCatalog()
 	sinceOf := func() time.Duration {
@@ -112,8 +112,8 @@
 	assert.InDelta(t, 2000, told[0].AgeMilliseconds, 100)
 }
 
-// The time that is found for a message's way is never shorter than the true one, and longer
-// only by the way of the stamp that it returns and the cutting to milliseconds.
+// The measured transit time of a message is never shorter than the true one, and longer only by the
+// transit time of the echoed stamp and the rounding to milliseconds.
 func TestFlightIsNeverUnderestimated(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -140,11 +140,9 @@
 	assert.False(t, known, "nothing was returned")
 }
 
-// Seen: read in a review. Cause: stamps counted from the start of a process, so that one of its
-// former life looked like one of the present, from the future or from a moment ago.
-//
-// The echo of a stamp that a process gave in its former life tells nothing of a message's way, also
-// when that life was the longer one.
+// The echo of a stamp that a former incarnation of the process gave does not measure a transit
+// time, even if that incarnation ran for longer. Guards against stamps that count from the start of
+// the process, so that a stamp of a former incarnation looks like one of the present.
 func TestEchoOfFormerIncarnationIsIgnored(t *testing.T) {
 	former := time.Unix(1000, 0)
 	started := former.Add(10 * time.Second)
@@ -159,23 +157,23 @@
 	assert.False(t, known, "a stamp that has not been given yet")
 }
 
-// faultyStore is a store whose calls fail, are silent, slow on either way, cut, or tell again
-// what they have told.
+// faultyStore is a store whose calls fail, time out, are slow in either direction, end early or
+// return changes again.
 type faultyStore struct {
 	mutex  sync.Mutex
 	random *rand.Rand
-	// healthyRatio is the part of the calls that go well.
+	// healthyRatio is the ratio of calls without a fault.
 	healthyRatio float64
 	announcedAt  []time.Time
 	records      []mirror.Record
-	// answerDelay is the longest time that an answer which decides on a naming's age has been on
-	// its way: the one that brought it, or the empty one before, emptyWay.
+	// answerDelay is the maximum transit time of an answer that decides the age of an announcement:
+	// the one that returned it, or the empty one before, emptyDelay.
 	answerDelay map[uint64]time.Duration
 	emptyDelay  time.Duration
 	changed     chan struct{}
 }
 
-// Times of the store: that of a silent call, and that of a call or an answer in calm.
+// Delays of the store: of a call that times out, and of a call or an answer without a fault.
 const (
 	storeTimeout = 1200 * time.Millisecond
 	healthyDelay = 2 * time.Millisecond
@@ -194,7 +192,7 @@
 
 func (s *faultyStore) changesAfter(revision uint64) []mirror.Record {
 	if s.random.Float64() > s.healthyRatio && revision > 10 {
-		// A change that was told before comes again.
+		// A change that was returned before is returned again.
 		revision -= 10
 	}
 	for index, one := range s.records {
@@ -205,8 +203,8 @@
 	return nil
 }
 
-// drawFault draws how a call goes: how long it and its answer are on their way, and whether it
-// fails after the first of these times.
+// drawFault draws the fault of a call: the transit times of the call and its answer, and whether it
+// fails after the first of them.
 func (s *faultyStore) drawFault() (wayThere, wayBack time.Duration, failure error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -225,8 +223,8 @@
 	return healthyDelay, slow, nil
 }
 
-// call makes one call; look is what the store does once the call has come to it, and is called
-// with the mutex held.
+// call makes one call. look is what the store does once the call has arrived, and is called with
+// the mutex held.
 func (s *faultyStore) call(look func() fleet.Listing) (fleet.Listing, error) {
 	wayThere, wayBack, failure := s.drawFault()
 	time.Sleep(wayThere)
@@ -280,9 +278,9 @@
 	})
 }
 
-// estimateErrors runs a catalog on a store and names versions; it returns how much later than its
-// naming, less the way of the answer, each version was believed to be named at the most, and
-// the most that it was believed earlier.
+// estimateErrors runs a catalog on a store and announces versions. It returns by how much the
+// announcements were dated too late at most, less the transit time of the answer, and by how much
+// too early at most and on average.
 func estimateErrors(t *testing.T, seed uint64, calm float64) (latest, earliest, meanEarly time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		random := rand.New(rand.NewPCG(seed, 2))
@@ -333,8 +331,8 @@
 	return latest, earliest, meanEarly
 }
 
-// Whatever calls to the store fail, are silent, slow, cut or repeated: no version is believed
-// to be named later than it was, by more than its answer was on the way.
+// Whichever calls to the store fail, time out, are slow, end early or repeat changes: no
+// announcement is dated later than it was by more than the transit time of its answer.
 func TestVersionAgeIsNeverUnderestimated(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
@@ -344,7 +342,7 @@
 	}
 }
 
-// With a store that is well, a version is believed older by one watch at the most.
+// With a healthy store, an announcement is dated too early by one watch at most.
 func TestVersionAgeIsTightWithHealthyStore(t *testing.T) {
 	var sum time.Duration
 	const seeds = 20
@@ -361,9 +359,9 @@
 	return mirror.Record{Key: "op/version/m", Value: fmt.Appendf(nil, `{"model":"m","version":%d}`, version), Revision: revision}
 }
 
-// Version 2 was named 6 s ago, version 3 half a second ago. A process that has missed version 2,
-// because it started later or was out of touch over both namings, learns of it from a peer that
-// knows both: version 1 went out of date with version 2.
+// Version 2 was announced 6 s ago, version 3 half a second ago. A process that missed version 2,
+// because it started later or was out of touch during both announcements, learns of it from a peer
+// that knows both: version 1 is outdated since version 2.
 func TestMissedVersionsAreLearnedFromPeers(t *testing.T) {
 	peer := newTestCatalog()
 	now := time.Now()
@@ -390,8 +388,7 @@
 	}
 }
 
-// A message that is acted on late, because what came before it took its time, makes no version
-// younger.
+// A message that is processed late, because earlier ones took their time, makes no version younger.
 func TestDelayedUpdatesKeepVersionAge(t *testing.T) {
 	c := newTestCatalog()
 	c.OnChange(func(*View) { time.Sleep(400 * time.Millisecond) })
@@ -404,7 +401,8 @@
 	assert.LessOrEqual(t, notice.Since.Sub(named), 5*time.Millisecond)
 }
 
-// The oldest notice ends the time of the versions before it: it is kept until a newer one has.
+// The oldest announcement ends the time of the versions before it: it is kept until a newer one is
+// in force.
 func TestAnnouncementsAreKeptWhileBinding(t *testing.T) {
 	const apply = 8 * time.Second
 	now := time.Unix(1000, 0)
