--- a/internal/catalog/version_ages.go
+++ b/internal/catalog/ages.go
@@ -120,11 +120,11 @@
 
 // recordPeerComplete advances the watermark to that of a peer whose copy is the same as this one,
 // less the transit time of the message. The mutex must be held.
-func (c *Catalog) recordPeerComplete(news update, flight time.Duration, flightKnown bool, received time.Time) {
-	if news.CompleteMilliseconds == 0 || !flightKnown {
+func (c *Catalog) recordPeerComplete(peerUpdate update, flight time.Duration, flightKnown bool, received time.Time) {
+	if peerUpdate.CompleteMilliseconds == 0 || !flightKnown {
 		return
 	}
-	c.watermark.advance(received.Add(-flight - time.Duration(news.CompleteMilliseconds)*time.Millisecond))
+	c.watermark.advance(received.Add(-flight - time.Duration(peerUpdate.CompleteMilliseconds)*time.Millisecond))
 }
 
 // recordAges stores, for applyVersion, the ages of those versions among the records that are newer
@@ -148,12 +148,12 @@
 // were merged. The mutex must be held.
 func (c *Catalog) correctAges(records []mirror.Record, ages map[string]peerAge) {
 	for _, record := range records {
-		told, known := ages[record.Key]
+		reported, known := ages[record.Key]
 		named, err := c.options.Decoder.Version(record)
 		if !known || err != nil {
 			continue
 		}
-		if since, bounded := told.earliest(); bounded {
+		if since, bounded := reported.earliest(); bounded {
 			c.correctAge(named, since)
 		}
 	}
@@ -162,15 +162,15 @@
 // correctAge sets since when a version has been announced, if that was assumed.
 func (c *Catalog) correctAge(named fleet.NamedVersion, since time.Time) {
 	old := c.view.Load()
-	notices := slices.Clone(old.Versions[named.Model])
-	for index := range notices {
-		if notices[index].Revision != named.Revision || !notices[index].Assumed {
+	announcements := slices.Clone(old.Versions[named.Model])
+	for index := range announcements {
+		if announcements[index].Revision != named.Revision || !announcements[index].Assumed {
 			continue
 		}
-		notices[index].Since, notices[index].Assumed = since, false
+		announcements[index].Since, announcements[index].Assumed = since, false
 		next := *old
 		next.Versions = maps.Clone(old.Versions)
-		next.Versions[named.Model] = notices
+		next.Versions[named.Model] = announcements
 		c.view.Store(&next)
 		return
 	}
@@ -191,13 +191,13 @@
 // mutex must be held.
 func (c *Catalog) announcements(now time.Time) []announcementMessage {
 	var all []announcementMessage
-	for model, notices := range c.View().Versions {
-		for _, notice := range notices {
-			if notice.Assumed {
+	for model, announcements := range c.View().Versions {
+		for _, announcement := range announcements {
+			if announcement.Assumed {
 				continue
 			}
 			all = append(all, announcementMessage{
-				Model: model, Version: notice.Version, Revision: notice.Revision, AgeMilliseconds: now.Sub(notice.Since).Milliseconds() + 1,
+				Model: model, Version: announcement.Version, Revision: announcement.Revision, AgeMilliseconds: now.Sub(announcement.Since).Milliseconds() + 1,
 			})
 		}
 	}
@@ -208,18 +208,18 @@
 // the own ones are assumed, and adds versions missed here. Each age is an upper bound; flight is
 // the maximum transit time of the message. Without it, a process that was out of touch for seconds
 // when it learned of a version would count it as that much older until its deadline.
-func (c *Catalog) applyAnnouncements(told []announcementMessage, flight time.Duration, received time.Time) {
-	c.updateView(func(next *View) bool { return next.applyAnnouncements(told, flight, received) })
+func (c *Catalog) applyAnnouncements(messages []announcementMessage, flight time.Duration, received time.Time) {
+	c.updateView(func(next *View) bool { return next.applyAnnouncements(messages, flight, received) })
 }
 
 // applyAnnouncements does so for a view under construction and reports whether the view changed.
-func (v *View) applyAnnouncements(told []announcementMessage, flight time.Duration, received time.Time) bool {
+func (v *View) applyAnnouncements(messages []announcementMessage, flight time.Duration, received time.Time) bool {
 	v.Versions = maps.Clone(v.Versions)
 	changed := false
-	for _, one := range told {
-		since := received.Add(-flight - time.Duration(one.AgeMilliseconds)*time.Millisecond)
-		notices, differs := withAnnouncement(v.Versions[one.Model], one, since)
-		v.Versions[one.Model] = notices
+	for _, message := range messages {
+		since := received.Add(-flight - time.Duration(message.AgeMilliseconds)*time.Millisecond)
+		announcements, differs := withAnnouncement(v.Versions[message.Model], message, since)
+		v.Versions[message.Model] = announcements
 		changed = changed || differs
 	}
 	return changed
@@ -228,22 +228,22 @@
 // withAnnouncement returns the announcements, the newest last, with one that a peer sent, and
 // reports whether they changed. A version newer than all held ones comes with its record and is not
 // added here.
-func withAnnouncement(notices []VersionAnnouncement, told announcementMessage, since time.Time) ([]VersionAnnouncement, bool) {
-	index, held := slices.BinarySearchFunc(notices, told.Version, func(notice VersionAnnouncement, version uint64) int {
-		return cmp.Compare(notice.Version, version)
+func withAnnouncement(announcements []VersionAnnouncement, message announcementMessage, since time.Time) ([]VersionAnnouncement, bool) {
+	index, held := slices.BinarySearchFunc(announcements, message.Version, func(announcement VersionAnnouncement, version uint64) int {
+		return cmp.Compare(announcement.Version, version)
 	})
 	switch {
-	case index == len(notices):
-		return notices, false
+	case index == len(announcements):
+		return announcements, false
 	case held:
-		changed := slices.Clone(notices)
-		differs := changed[index].Revision == told.Revision && changed[index].tighten(since)
+		changed := slices.Clone(announcements)
+		differs := changed[index].Revision == message.Revision && changed[index].tighten(since)
 		return changed, differs
 	}
-	return slices.Insert(slices.Clone(notices), index, VersionAnnouncement{Version: told.Version, Revision: told.Revision, Since: since}), true
+	return slices.Insert(slices.Clone(announcements), index, VersionAnnouncement{Version: message.Version, Revision: message.Revision, Since: since}), true
 }
 
-// Stamp returns the current stamp of this process, for messages whose round trip is measured.
+// Stamp returns the current stamp of this process, for message whose round trip is measured.
 func (c *Catalog) Stamp() int64 { return c.stamp(time.Now()) }
 
 func (c *Catalog) stamp(now time.Time) int64 { return stampAt(c.started, now) }
--- a/internal/catalog/server_notices.go
+++ b/internal/catalog/asks.go
@@ -50,7 +50,7 @@
 }
 
 // ServerNoticeHandler is called with a server notice that another entry received, and when it did.
-type ServerNoticeHandler func(ask dispatch.Ask, entry string, at time.Time)
+type ServerNoticeHandler func(notice dispatch.Ask, entry string, at time.Time)
 
 // serverNotices holds the server notices of all entries. The catalog's mutex guards it.
 type serverNotices struct {
@@ -70,10 +70,10 @@
 
 // AnnounceNotice sends a server notice that this entry received at a given time to the other
 // entries at once.
-func (c *Catalog) AnnounceNotice(ask dispatch.Ask, at time.Time) {
+func (c *Catalog) AnnounceNotice(notice dispatch.Ask, at time.Time) {
 	c.mutex.Lock()
-	word := heldReport[dispatch.Ask]{report: ask, at: at, number: c.notices.nextNumber()}
-	c.notices.add(reportKey{entry: c.options.Self, server: ask.Server}, word, time.Now())
+	report := heldReport[dispatch.Ask]{report: notice, at: at, number: c.notices.nextNumber()}
+	c.notices.add(reportKey{entry: c.options.Self, server: notice.Server}, report, time.Now())
 	c.mutex.Unlock()
 	c.scheduleNotices()
 }
@@ -86,28 +86,28 @@
 		c.options.Log.Log(logging.FrameRejected, zap.String("peer", link.Remote().ID), zap.Error(err))
 		return
 	}
-	now, news := time.Now(), []receivedNotice{}
+	now, added := time.Now(), []receivedNotice{}
 	c.mutex.Lock()
-	for _, told := range batch.Notices {
-		if err := told.validate(); err != nil {
+	for _, notice := range batch.Notices {
+		if err := notice.validate(); err != nil {
 			c.options.Log.Log(logging.FrameRejected, zap.String("peer", link.Remote().ID), zap.Error(err))
 			continue
 		}
-		fresh := receivedNotice{heldReport: told.toReport(now), entry: told.Entry}
-		if told.Entry != c.options.Self && c.notices.add(reportKey{entry: told.Entry, server: told.Server}, fresh.heldReport, now) {
-			news = append(news, fresh)
+		fresh := receivedNotice{heldReport: notice.toReport(now), entry: notice.Entry}
+		if notice.Entry != c.options.Self && c.notices.add(reportKey{entry: notice.Entry, server: notice.Server}, fresh.heldReport, now) {
+			added = append(added, fresh)
 		}
 	}
 	c.mutex.Unlock()
-	if len(news) == 0 {
+	if len(added) == 0 {
 		return
 	}
 	c.scheduleNotices()
 	if c.notices.onNotice == nil {
 		return
 	}
-	for _, one := range news {
-		c.notices.onNotice(one.report, one.entry, one.at)
+	for _, notice := range added {
+		c.notices.onNotice(notice.report, notice.entry, notice.at)
 	}
 }
 
@@ -119,17 +119,17 @@
 
 // validate rejects a notice with impossible values. An invalid notice does not affect the others of
 // its message.
-func (t noticeMessage) validate() error {
+func (m noticeMessage) validate() error {
 	reason := ""
 	switch {
-	case t.Server == "" || t.Entry == "":
-		reason = "no server or no teller"
-	case t.AgeMilliseconds < 0 || t.AgeMilliseconds > noticeTTL.Milliseconds():
-		reason = fmt.Sprintf("age of %d ms", t.AgeMilliseconds)
-	case t.StartTime < 0:
-		reason = fmt.Sprintf("born at %d", t.StartTime)
-	case math.IsNaN(t.PerSecond) || t.PerSecond < 0 || t.PerSecond > fleet.MostRequestsPerSecond:
-		reason = fmt.Sprintf("%g requests a second", t.PerSecond)
+	case m.Server == "" || m.Entry == "":
+		reason = "no server or no reporter"
+	case m.AgeMilliseconds < 0 || m.AgeMilliseconds > noticeTTL.Milliseconds():
+		reason = fmt.Sprintf("age of %d ms", m.AgeMilliseconds)
+	case m.StartTime < 0:
+		reason = fmt.Sprintf("start time %d", m.StartTime)
+	case math.IsNaN(m.PerSecond) || m.PerSecond < 0 || m.PerSecond > fleet.MostRequestsPerSecond:
+		reason = fmt.Sprintf("%g requests per second", m.PerSecond)
 	default:
 		return nil
 	}
@@ -137,10 +137,10 @@
 }
 
 // toReport converts a notice received now.
-func (t noticeMessage) toReport(now time.Time) heldReport[dispatch.Ask] {
+func (m noticeMessage) toReport(now time.Time) heldReport[dispatch.Ask] {
 	return heldReport[dispatch.Ask]{
-		report: dispatch.Ask{Server: t.Server, Born: t.StartTime, Leaving: t.Leaving, Limited: t.Limited, PerSecond: t.PerSecond},
-		at:     now.Add(-time.Duration(t.AgeMilliseconds) * time.Millisecond), number: t.Number,
+		report: dispatch.Ask{Server: m.Server, Born: m.StartTime, Leaving: m.Leaving, Limited: m.Limited, PerSecond: m.PerSecond},
+		at:     now.Add(-time.Duration(m.AgeMilliseconds) * time.Millisecond), number: m.Number,
 	}
 }
 
@@ -165,26 +165,26 @@
 		if peer.link == nil || !peer.isEntry() || peer.sendingNotices || peer.noticesSent == c.notices.sequence {
 			continue
 		}
-		asks := c.noticesFor(peer, isRelay, now)
+		notices := c.noticesFor(peer, isRelay, now)
 		peer.noticesSent = c.notices.sequence
-		if len(asks) > 0 {
+		if len(notices) > 0 {
 			peer.sendingNotices = true
-			go c.sendNotices(peer, peer.link, asks)
+			go c.sendNotices(peer, peer.link, notices)
 		}
 	}
 }
 
 // noticesFor returns the notices to send to an entry. The mutex must be held.
 func (c *Catalog) noticesFor(peer *peerLink, isRelay bool, now time.Time) []noticeMessage {
-	var asks []noticeMessage
+	var notices []noticeMessage
 	for key, held := range c.notices.unsent(peer.noticesSent, peer.ip, c.options.Self, isRelay) {
-		asks = append(asks, newNoticeMessage(key.entry, held, now))
+		notices = append(notices, newNoticeMessage(key.entry, held, now))
 	}
-	return asks
+	return notices
 }
 
-func (c *Catalog) sendNotices(peer *peerLink, link *peering.Link, asks []noticeMessage) {
-	c.finishSend(peer, link, &peer.sendingNotices, peering.Send(link, topicServerNotices, "", noticeBatch{Notices: asks}))
+func (c *Catalog) sendNotices(peer *peerLink, link *peering.Link, notices []noticeMessage) {
+	c.finishSend(peer, link, &peer.sendingNotices, peering.Send(link, topicServerNotices, "", noticeBatch{Notices: notices}))
 	// More notices may have arrived in the meantime.
 	c.scheduleNotices()
 }
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -208,16 +208,16 @@
 func (c *Catalog) applyReceived(records []mirror.Record, ages map[string]peerAge) {
 	c.apply(fromPeer, func() []mirror.Record {
 		c.recordAges(records, func(record mirror.Record) versionAge {
-			told, known := ages[record.Key]
+			reported, known := ages[record.Key]
 			if !known {
 				return c.ageOfUnseen()
 			}
-			age, bounded := ageOfReceived(told, c.safeWatermark().atLeast(c.storeOutUntil), time.Now())
+			age, bounded := ageOfReceived(reported, c.safeWatermark().atLeast(c.storeOutUntil), time.Now())
 			return versionAge{age: age, assumed: !bounded}
 		})
-		news := c.mirror.Merge(records)
+		changed := c.mirror.Merge(records)
 		c.correctAges(records, ages)
-		return news
+		return changed
 	})
 }
 
@@ -247,13 +247,13 @@
 	defer c.notifyMutex.Unlock()
 	old := c.View()
 	c.mutex.Lock()
-	news, turnedCold := c.applyServers(change())
-	c.recordChanges(from, news, turnedCold)
+	changed, turnedCold := c.applyServers(change())
+	c.recordChanges(from, changed, turnedCold)
 	c.mutex.Unlock()
-	decoded := c.decodeConfigurations(news)
+	decoded := c.decodeConfigurations(changed)
 	c.mutex.Lock()
-	if len(news) > 0 {
-		c.rebuildView(news, decoded)
+	if len(changed) > 0 {
+		c.rebuildView(changed, decoded)
 	}
 	c.mutex.Unlock()
 	if c.View() == old {
@@ -290,8 +290,8 @@
 // unless it announces a version, evacuates a zone or reports that a server in use has turned cold:
 // sent with the next update, that reached a zone's last entry 0.2 s after its first and agents 0.6
 // s after it; sent at once, both had it within 0.02 s. The mutex must be held.
-func (c *Catalog) recordChanges(from source, news []mirror.Record, turnedCold bool) {
-	for _, record := range news {
+func (c *Catalog) recordChanges(from source, changed []mirror.Record, turnedCold bool) {
+	for _, record := range changed {
 		kind := c.options.Decoder.Kind(record.Key)
 		switch kind {
 		case fleet.RecordConfiguration:
@@ -325,10 +325,10 @@
 
 // applyServers applies the records of servers and returns the records without those that changed
 // only their counter. It reports whether a warm server has turned cold. The mutex must be held.
-func (c *Catalog) applyServers(news []mirror.Record) (kept []mirror.Record, turnedCold bool) {
-	kept = news[:0]
+func (c *Catalog) applyServers(changed []mirror.Record) (kept []mirror.Record, turnedCold bool) {
+	kept = changed[:0]
 	now := time.Now()
-	for _, record := range news {
+	for _, record := range changed {
 		if c.options.Decoder.Kind(record.Key) != fleet.RecordServer {
 			kept = append(kept, record)
 			continue
--- a/internal/catalog/history_loss_test.go
+++ b/internal/catalog/doubt_test.go
@@ -33,10 +33,10 @@
 }
 
 // receiveUpdate has a catalog handle a peer's update with almost no transit time.
-func receiveUpdate(t *testing.T, c *Catalog, news update) {
+func receiveUpdate(t *testing.T, c *Catalog, peerUpdate update) {
 	t.Helper()
-	news.Echo = stampAt(c.started, time.Now())
-	payload, err := cbor.Marshal(news)
+	peerUpdate.Echo = stampAt(c.started, time.Now())
+	payload, err := cbor.Marshal(peerUpdate)
 	require.NoError(t, err)
 	c.handleUpdate(&peering.Link{}, message.NewMessage("", payload))
 }
@@ -58,16 +58,16 @@
 	reader.options.Store = historyLossStore{}
 	reader.watermark.advance(time.Now())
 	receiveUpdate(t, peer, update{CompleteMilliseconds: 1, Digest: peer.changes.Digest()})
-	at := &watchPosition{prefix: "op/", revision: 3}
-	reader.readStore(t.Context(), at, watchWait)
-	require.Zero(t, at.revision, "the history is gone")
+	position := &watchPosition{prefix: "op/", revision: 3}
+	reader.readStore(t.Context(), position, watchWait)
+	require.Zero(t, position.revision, "the history is lost")
 	receiveUpdate(t, reader, update{CompleteMilliseconds: 1, Digest: reader.changes.Digest()})
-	reader.readStore(t.Context(), at, watchWait)
+	reader.readStore(t.Context(), position, watchWait)
 	assert.GreaterOrEqual(t, ageOfNewest(t, reader), historyLossMargin, "listed")
 	receiveUpdate(t, peer, update{Records: []mirror.Record{version2}, AgesMilliseconds: map[string]int64{version2.Key: 1500}})
-	assert.GreaterOrEqual(t, ageOfNewest(t, peer), historyLossMargin, "told")
+	assert.GreaterOrEqual(t, ageOfNewest(t, peer), historyLossMargin, "received by the peer")
 	reader.applyAnnouncements(peer.announcements(time.Now()), 0, time.Now())
-	assert.GreaterOrEqual(t, ageOfNewest(t, reader), historyLossMargin, "told back")
+	assert.GreaterOrEqual(t, ageOfNewest(t, reader), historyLossMargin, "received back")
 }
 
 // A watch that returns a version shows that the store has not lost the history before it: no margin
@@ -120,18 +120,18 @@
 		{"500", status(http.StatusInternalServerError), outage, false},
 		{"reset", &fault.Unavailable{Target: "store", Cause: syscall.ECONNRESET}, outage, false},
 		{"silence", &fault.Unavailable{Target: "store", Cause: context.DeadlineExceeded}, outage, false},
-		{"turned away alone", status(http.StatusServiceUnavailable), fleetOutageAge - time.Second, false},
+		{"503 while others are served", status(http.StatusServiceUnavailable), fleetOutageAge - time.Second, false},
 	} {
-		for _, at := range []uint64{0, 3} {
+		for _, revision := range []uint64{0, 3} {
 			c := newTestCatalog()
 			store := &refusingStore{err: one.err}
 			c.options.Store = store
 			c.watermark.advance(time.Now().Add(-outage))
 			c.freshAt = time.Now().Add(-one.served)
-			stands := &watchPosition{prefix: "op/", revision: at}
-			c.readStore(t.Context(), stands, watchWait)
+			position := &watchPosition{prefix: "op/", revision: revision}
+			c.readStore(t.Context(), position, watchWait)
 			store.err = nil
-			c.readStore(t.Context(), stands, watchWait)
+			c.readStore(t.Context(), position, watchWait)
 			age := ageOfNewest(t, c)
 			if one.capped {
 				assert.Less(t, age, time.Second, one.name)
--- a/internal/catalog/entries.go
+++ b/internal/catalog/entries.go
@@ -51,17 +51,17 @@
 }
 
 func rosterOf(known overlay.Roster) *roster {
-	told := &roster{Digest: known.Digest}
+	result := &roster{Digest: known.Digest}
 	for _, age := range known.Ages {
-		told.AgesMilliseconds = append(told.AgesMilliseconds, ceilMilliseconds(age))
+		result.AgesMilliseconds = append(result.AgesMilliseconds, ceilMilliseconds(age))
 	}
 	for ip, age := range known.Late {
-		if told.Late == nil {
-			told.Late = map[string]int64{}
+		if result.Late == nil {
+			result.Late = map[string]int64{}
 		}
-		told.Late[ip] = ceilMilliseconds(age)
+		result.Late[ip] = ceilMilliseconds(age)
 	}
-	return told
+	return result
 }
 
 // ceilMilliseconds rounds up: an age must never be sent shorter than it is, or a dead entry would
@@ -96,25 +96,25 @@
 		return
 	}
 	message.Entries = map[string]entryHeartbeat{}
-	for ip, sign := range c.overlay.Members() {
-		message.Entries[ip] = entryHeartbeat{Zone: sign.Zone, AgeMilliseconds: ceilMilliseconds(now.Sub(sign.Heard)), Capacity: sign.Capacity}
+	for ip, heartbeat := range c.overlay.Members() {
+		message.Entries[ip] = entryHeartbeat{Zone: heartbeat.Zone, AgeMilliseconds: ceilMilliseconds(now.Sub(heartbeat.Heard)), Capacity: heartbeat.Capacity}
 	}
 }
 
 // applyEntries applies what another entry sent about itself and other entries. The mutex must be
 // held.
-func (c *Catalog) applyEntries(remote peering.Hello, news update, now time.Time) {
-	c.recordEntry(remote.ID, entryHeartbeat{Zone: remote.Zone, Capacity: news.Capacity})
-	for ip, sign := range news.Entries {
-		c.recordEntry(ip, sign)
+func (c *Catalog) applyEntries(remote peering.Hello, peerUpdate update, now time.Time) {
+	c.recordEntry(remote.ID, entryHeartbeat{Zone: remote.Zone, Capacity: peerUpdate.Capacity})
+	for ip, heartbeat := range peerUpdate.Entries {
+		c.recordEntry(ip, heartbeat)
 	}
-	if news.Roster == nil {
+	if peerUpdate.Roster == nil {
 		return
 	}
 	if peer, linked := c.links[remote.ID]; linked {
-		peer.rosterDigest = news.Roster.Digest
+		peer.rosterDigest = peerUpdate.Roster.Digest
 	}
-	c.overlay.Refresh(news.Roster.toOverlay(), now)
+	c.overlay.Refresh(peerUpdate.Roster.toOverlay(), now)
 }
 
 // listDue reports whether a link is due the list of entries: periodically, and soon after a new
@@ -128,9 +128,9 @@
 }
 
 // recordEntry records a heartbeat of an entry. The mutex must be held.
-func (c *Catalog) recordEntry(ip string, sign entryHeartbeat) {
+func (c *Catalog) recordEntry(ip string, heartbeat entryHeartbeat) {
 	now := time.Now()
-	if c.overlay.Hear(ip, sign.toOverlay(now), now) {
+	if c.overlay.Hear(ip, heartbeat.toOverlay(now), now) {
 		c.wakeExchange()
 	}
 }
@@ -148,8 +148,8 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	var ids []string
-	for id, sign := range c.overlay.Members() {
-		if sign.Zone == c.options.Zone && now.Sub(sign.Heard) < entryTimeout {
+	for id, heartbeat := range c.overlay.Members() {
+		if heartbeat.Zone == c.options.Zone && now.Sub(heartbeat.Heard) < entryTimeout {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/catalog/entries_test.go
+++ b/internal/catalog/entries_test.go
@@ -60,7 +60,7 @@
 func TestCapacityClass(t *testing.T) {
 	const megabit = 1e6 / 8
 	assert.Zero(t, capacityClass(0))
-	assert.Zero(t, capacityClass(40*megabit), "an ordinary link ranks like one that is not told")
+	assert.Zero(t, capacityClass(40*megabit), "an ordinary link ranks like an unknown one")
 	assert.Equal(t, capacityClass(200*megabit), capacityClass(250*megabit))
 	assert.Less(t, capacityClass(40*megabit), capacityClass(200*megabit))
 	assert.Less(t, capacityClass(200*megabit), capacityClass(1000*megabit))
--- a/internal/catalog/evacuations_test.go
+++ b/internal/catalog/evacuations_test.go
@@ -24,12 +24,12 @@
 	c.applyReceived([]mirror.Record{evacuationRecord("a", 5), evacuationRecord("b", 6)}, nil)
 	assert.Contains(t, c.View().Evacuations, "a")
 	assert.Contains(t, c.View().Evacuations, "b")
-	assert.Greater(t, c.urgentSequence, urgent, "others are told at once, also by one who was told")
+	assert.Greater(t, c.urgentSequence, urgent, "others are sent it at once, even by a process that received it from a peer")
 	c.applyWatched([]mirror.Record{{Key: "op/evacuate/a", Revision: 8, Gone: true}})
 	c.applyReceived([]mirror.Record{evacuationRecord("a", 5)}, nil)
 	assert.NotContains(t, c.View().Evacuations, "a")
 	c.applyListing("", fleet.Listing{At: 12})
-	assert.Empty(t, c.View().Evacuations, "a listing without it takes it back")
+	assert.Empty(t, c.View().Evacuations, "a listing without it ends it")
 }
 
 // An evacuation is sent to processes that lack it, like other records.
@@ -64,7 +64,7 @@
 	assert.Equal(t, 2, views)
 	assert.Equal(t, until, c.servers["servers/s"].ColdUntil, "small differences do not add up")
 	c.applyWatched([]mirror.Record{coldRecord(5, 0)})
-	assert.Equal(t, 3, views, "warm sooner than said")
+	assert.Equal(t, 3, views, "warm sooner than announced")
 	c.applyWatched([]mirror.Record{coldRecord(6, 5*time.Second)})
 	assert.Equal(t, 4, views)
 }
@@ -73,20 +73,20 @@
 // for the usual interval at each hop would be too late.
 func TestServerTurningColdIsUrgent(t *testing.T) {
 	c := newTestCatalog()
-	tell := func(record mirror.Record) bool {
+	receive := func(record mirror.Record) bool {
 		before := c.urgentSequence
 		c.applyReceived([]mirror.Record{record}, nil)
 		return c.urgentSequence > before
 	}
-	assert.False(t, tell(coldRecord(1, 0)), "a server that is new")
-	assert.True(t, tell(coldRecord(2, 3*time.Second)))
-	assert.False(t, tell(coldRecord(3, 2500*time.Millisecond)), "cold for longer")
-	assert.False(t, tell(coldRecord(4, 0)), "warm again")
-	assert.True(t, tell(coldRecord(5, time.Second)))
+	assert.False(t, receive(coldRecord(1, 0)), "a new server")
+	assert.True(t, receive(coldRecord(2, 3*time.Second)))
+	assert.False(t, receive(coldRecord(3, 2500*time.Millisecond)), "cold for longer")
+	assert.False(t, receive(coldRecord(4, 0)), "warm again")
+	assert.True(t, receive(coldRecord(5, time.Second)))
 
 	other := newTestCatalog()
 	other.applyReceived([]mirror.Record{coldRecord(1, 3*time.Second)}, nil)
-	assert.Zero(t, other.urgentSequence, "nobody sends to a server before its line is heard")
+	assert.Zero(t, other.urgentSequence, "nobody sends to a server before its record arrives")
 }
 
 // The watch interval is short for a while after a server has turned cold, because others of its
--- a/internal/catalog/exchange.go
+++ b/internal/catalog/exchange.go
@@ -261,52 +261,52 @@
 }
 
 func (c *Catalog) handleUpdate(link *peering.Link, received *message.Message) {
-	news, err := peering.Decode[update](received)
+	peerUpdate, err := peering.Decode[update](received)
 	if err != nil {
 		c.options.Log.Log(logging.FrameRejected, zap.String("peer", link.Remote().ID), zap.Error(err))
 		return
 	}
 	now := time.Now()
-	flight, flightKnown := maxFlight(c.started, news.Echo, news.EchoHeld, now)
+	flight, flightKnown := maxFlight(c.started, peerUpdate.Echo, peerUpdate.EchoHeld, now)
 	ages := map[string]peerAge{}
-	for key, age := range news.AgesMilliseconds {
-		ages[key] = peerAge{age: time.Duration(age) * time.Millisecond, flight: flight, flightKnown: flightKnown, receivedAt: now}
+	for key, age := range peerUpdate.AgesMilliseconds {
+		ages[key] = peerAge{age: time.Duration(age) * time.Millisecond, flight: flight, flightKnown: flightKnown, received: now}
 	}
 	c.mutex.Lock()
-	c.recordStamp(link.Remote().ID, news.Stamp, now)
-	c.backupOf[link.Remote().ID] = news.Backup
-	c.applyEntries(link.Remote(), news, now)
+	c.recordStamp(link.Remote().ID, peerUpdate.Stamp, now)
+	c.backupOf[link.Remote().ID] = peerUpdate.Backup
+	c.applyEntries(link.Remote(), peerUpdate, now)
 	c.lastUpdateAt = time.Now()
-	c.recordPeerFresh(link.Remote().Zone, c.lastUpdateAt.Add(-time.Duration(news.FreshMilliseconds)*time.Millisecond))
-	lacking := c.missingHeads(news.Heads)
+	c.recordPeerFresh(link.Remote().Zone, c.lastUpdateAt.Add(-time.Duration(peerUpdate.FreshMilliseconds)*time.Millisecond))
+	missing := c.missingHeads(peerUpdate.Heads)
 	c.mutex.Unlock()
-	if news.Records, err = news.unbundle(); err != nil {
+	if peerUpdate.Records, err = peerUpdate.unbundle(); err != nil {
 		c.options.Log.Log(logging.FrameRejected, zap.String("peer", link.Remote().ID), zap.Error(err))
 	}
-	for _, packed := range news.Packed {
+	for _, packed := range peerUpdate.Packed {
 		record, err := compression.Decode[mirror.Record](packed)
 		if err != nil {
 			c.options.Log.Log(logging.FrameRejected, zap.String("peer", link.Remote().ID), zap.Error(err))
 			continue
 		}
-		news.Records = append(news.Records, record)
+		peerUpdate.Records = append(peerUpdate.Records, record)
 	}
-	if len(news.Records) > 0 {
-		c.applyReceived(news.Records, ages)
+	if len(peerUpdate.Records) > 0 {
+		c.applyReceived(peerUpdate.Records, ages)
 	}
-	if news.Services != nil {
-		c.applyServices(link, *news.Services)
+	if peerUpdate.Services != nil {
+		c.applyServices(link, *peerUpdate.Services)
 	}
 	if flightKnown {
-		c.applyAnnouncements(news.Announcements, flight, now)
+		c.applyAnnouncements(peerUpdate.Announcements, flight, now)
 	}
-	if c.compareRecords(link.Remote().ID, news) {
+	if c.compareRecords(link.Remote().ID, peerUpdate) {
 		c.mutex.Lock()
-		c.recordPeerComplete(news, flight, flightKnown, now)
+		c.recordPeerComplete(peerUpdate, flight, flightKnown, now)
 		c.mutex.Unlock()
 	}
-	if len(lacking) > 0 {
-		time.AfterFunc(c.pullDelay(link), func() { c.pullFrom(link, lacking) })
+	if len(missing) > 0 {
+		time.AfterFunc(c.pullDelay(link), func() { c.pullFrom(link, missing) })
 	}
 }
 
@@ -328,13 +328,13 @@
 // earlier changes, and if its large records are not newer either, this process has received every
 // change that the peer has, which is reported. The first time the records differ, the peer is sent
 // everything.
-func (c *Catalog) compareRecords(ip string, news update) (complete bool) {
+func (c *Catalog) compareRecords(ip string, peerUpdate update) (complete bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	same := news.Digest == c.changes.Digest()
-	complete = same && len(c.newerHeads(news.Heads)) == 0
+	same := peerUpdate.Digest == c.changes.Digest()
+	complete = same && len(c.newerHeads(peerUpdate.Heads)) == 0
 	if complete {
-		c.completeRevision = max(c.completeRevision, news.Complete)
+		c.completeRevision = max(c.completeRevision, peerUpdate.Complete)
 	}
 	peer, linked := c.links[ip]
 	if !linked {
--- a/internal/catalog/faulty.go
+++ b/internal/catalog/faulty.go
@@ -61,12 +61,12 @@
 func (c *Catalog) reportedFaulty() map[string]string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	told := map[string]string{}
+	reported := map[string]string{}
 	for key, reason := range c.faulty.reasons {
-		if len(told) >= maxReportedFaulty {
+		if len(reported) >= maxReportedFaulty {
 			break
 		}
-		told[key] = reason
+		reported[key] = reason
 	}
-	return told
+	return reported
 }
--- a/internal/catalog/health.go
+++ b/internal/catalog/health.go
@@ -59,7 +59,7 @@
 type heldHealthReport = heldReport[health.Word]
 
 // HealthHandler is called with a health report of another entry of the zone, and when it was made.
-type HealthHandler func(word health.Word, at time.Time)
+type HealthHandler func(report health.Word, at time.Time)
 
 // healthReports holds the health reports of the zone's entries. The catalog's mutex guards it.
 type healthReports struct {
@@ -77,12 +77,12 @@
 
 // AnnounceHealth sends this entry's reports, made at a given time, to the other entries of the zone
 // at the next interval.
-func (c *Catalog) AnnounceHealth(words []health.Word, at time.Time) {
+func (c *Catalog) AnnounceHealth(reports []health.Word, at time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := time.Now()
-	for _, word := range words {
-		c.addHealth(heldHealthReport{report: word, at: at, number: c.health.nextNumber()}, now)
+	for _, report := range reports {
+		c.addHealth(heldHealthReport{report: report, at: at, number: c.health.nextNumber()}, now)
 	}
 }
 
@@ -103,13 +103,13 @@
 	now := time.Now()
 	var fresh []heldHealthReport
 	c.mutex.Lock()
-	for _, told := range batch.Reports {
-		held, err := told.validated(now)
+	for _, report := range batch.Reports {
+		held, err := report.validated(now)
 		if err != nil {
 			c.options.Log.Log(logging.FrameRejected, zap.String("peer", link.Remote().ID), zap.Error(err))
 			continue
 		}
-		if told.Entry != c.options.Self && c.addHealth(held, now) {
+		if report.Entry != c.options.Self && c.addHealth(held, now) {
 			fresh = append(fresh, held)
 		}
 	}
@@ -127,34 +127,34 @@
 
 // validated converts a report received now, or rejects one with impossible values. An invalid
 // report does not affect the others of its message.
-func (t healthMessage) validated(now time.Time) (heldHealthReport, error) {
+func (m healthMessage) validated(now time.Time) (heldHealthReport, error) {
 	for _, one := range []struct {
 		field        string
 		milliseconds int64
-		least        int64
+		minimum      int64
 	}{
-		{"since", t.FailureAgeMilliseconds, 0}, {"changed", t.StateAgeMilliseconds, 0}, {"age", t.AgeMilliseconds, 0},
-		{"answered", t.AnswerAgeMilliseconds, 0}, {"tried", t.LostTrialAgeMilliseconds, 0},
-		{"left", t.RemainingMilliseconds, -maxMilliseconds},
+		{"since", m.FailureAgeMilliseconds, 0}, {"changed", m.StateAgeMilliseconds, 0}, {"age", m.AgeMilliseconds, 0},
+		{"answered", m.AnswerAgeMilliseconds, 0}, {"tried", m.LostTrialAgeMilliseconds, 0},
+		{"left", m.RemainingMilliseconds, -maxMilliseconds},
 	} {
-		if one.milliseconds < one.least || one.milliseconds > maxMilliseconds {
+		if one.milliseconds < one.minimum || one.milliseconds > maxMilliseconds {
 			return heldHealthReport{}, &fault.InvalidFrame{Field: topicHealth, Reason: fmt.Sprintf("%s of %d ms", one.field, one.milliseconds)}
 		}
 	}
-	held := t.toReport(now)
+	held := m.toReport(now)
 	return held, held.report.Check()
 }
 
 // toReport converts a report received now.
-func (t healthMessage) toReport(now time.Time) heldHealthReport {
-	span := func(milliseconds int64) time.Duration { return time.Duration(milliseconds) * time.Millisecond }
+func (m healthMessage) toReport(now time.Time) heldHealthReport {
+	duration := func(milliseconds int64) time.Duration { return time.Duration(milliseconds) * time.Millisecond }
 	return heldHealthReport{
-		at: now.Add(-span(t.AgeMilliseconds)), number: t.Number,
+		at: now.Add(-duration(m.AgeMilliseconds)), number: m.Number,
 		report: health.Word{
-			Server: t.Server, Entry: t.Entry, Ejected: t.Ejected, Returned: t.Returned, Trying: t.TrialOpen, Mute: t.Unresponsive, Evidence: float64(t.Evidence),
-			Failed: float64(t.Failed), Served: float64(t.Served),
-			Round: t.Round, Since: span(t.FailureAgeMilliseconds), Changed: span(t.StateAgeMilliseconds), Left: span(t.RemainingMilliseconds),
-			Answered: span(t.AnswerAgeMilliseconds), Tried: span(t.LostTrialAgeMilliseconds),
+			Server: m.Server, Entry: m.Entry, Ejected: m.Ejected, Returned: m.Returned, Trying: m.TrialOpen, Mute: m.Unresponsive, Evidence: float64(m.Evidence),
+			Failed: float64(m.Failed), Served: float64(m.Served),
+			Round: m.Round, Since: duration(m.FailureAgeMilliseconds), Changed: duration(m.StateAgeMilliseconds), Left: duration(m.RemainingMilliseconds),
+			Answered: duration(m.AnswerAgeMilliseconds), Tried: duration(m.LostTrialAgeMilliseconds),
 		},
 	}
 }
@@ -182,25 +182,25 @@
 		if !peer.isEntry() || peer.zone() != c.options.Zone || peer.sendingHealth || peer.healthSent == c.health.sequence {
 			continue
 		}
-		words := c.healthFor(peer, isRelay, now)
+		reports := c.healthFor(peer, isRelay, now)
 		peer.healthSent = c.health.sequence
-		if len(words) > 0 {
+		if len(reports) > 0 {
 			peer.sendingHealth = true
-			go c.sendHealth(peer, peer.link, words)
+			go c.sendHealth(peer, peer.link, reports)
 		}
 	}
 }
 
 // healthFor returns the reports to send to an entry. The mutex must be held.
 func (c *Catalog) healthFor(peer *peerLink, isRelay bool, now time.Time) []healthMessage {
-	var words []healthMessage
+	var reports []healthMessage
 	for _, held := range c.health.unsent(peer.healthSent, peer.ip, c.options.Self, isRelay) {
-		words = append(words, newHealthMessage(held, now))
+		reports = append(reports, newHealthMessage(held, now))
 	}
-	slices.SortFunc(words, func(a, b healthMessage) int { return int(b.AgeMilliseconds - a.AgeMilliseconds) })
-	return words
+	slices.SortFunc(reports, func(a, b healthMessage) int { return int(b.AgeMilliseconds - a.AgeMilliseconds) })
+	return reports
 }
 
-func (c *Catalog) sendHealth(peer *peerLink, link *peering.Link, words []healthMessage) {
-	c.finishSend(peer, link, &peer.sendingHealth, peering.Send(link, topicHealth, "", healthBatch{Reports: words}))
+func (c *Catalog) sendHealth(peer *peerLink, link *peering.Link, reports []healthMessage) {
+	c.finishSend(peer, link, &peer.sendingHealth, peering.Send(link, topicHealth, "", healthBatch{Reports: reports}))
 }
--- a/internal/catalog/health_test.go
+++ b/internal/catalog/health_test.go
@@ -26,31 +26,31 @@
 	c.AnnounceHealth([]health.Word{ejectedReport("10.0.0.1", "i-1")}, now)
 	other := healthMessage{Server: "i-2", Entry: "10.0.0.2", Ejected: true, Number: 7, AgeMilliseconds: 100}.toReport(now)
 	assert.True(t, c.addHealth(other, now))
-	servers := func(ip string, isRelay bool, told uint64) []string {
+	servers := func(ip string, isRelay bool, sent uint64) []string {
 		var names []string
-		for _, word := range c.healthFor(&peerLink{ip: ip, healthSent: told}, isRelay, now) {
-			names = append(names, word.Server)
+		for _, report := range c.healthFor(&peerLink{ip: ip, healthSent: sent}, isRelay, now) {
+			names = append(names, report.Server)
 		}
 		return names
 	}
 	assert.Equal(t, []string{"i-1"}, servers("10.0.0.3", false, 0))
-	assert.Equal(t, []string{"i-2", "i-1"}, servers("10.0.0.3", true, 0), "the oldest first")
+	assert.Equal(t, []string{"i-2", "i-1"}, servers("10.0.0.3", true, 0), "oldest first")
 	assert.Equal(t, []string{"i-1"}, servers("10.0.0.2", true, 0))
-	assert.Empty(t, servers("10.0.0.3", true, c.health.sequence), "nothing is told twice")
+	assert.Empty(t, servers("10.0.0.3", true, c.health.sequence), "nothing is sent twice")
 }
 
 // A report arrives as it was made, apart from its age.
 func TestHealthReportKeepsItsDurations(t *testing.T) {
 	now := time.Now()
-	said := heldHealthReport{report: ejectedReport("10.0.0.1", "i-1"), at: now.Add(-300 * time.Millisecond), number: 9}
-	heard := newHealthMessage(said, now).toReport(now.Add(time.Second))
-	assert.Equal(t, said.report, heard.report)
-	word := reflect.ValueOf(said.report)
-	for field := range word.NumField() {
-		assert.False(t, word.Field(field).IsZero(), "%s is said, and arrives", word.Type().Field(field).Name)
+	original := heldHealthReport{report: ejectedReport("10.0.0.1", "i-1"), at: now.Add(-300 * time.Millisecond), number: 9}
+	received := newHealthMessage(original, now).toReport(now.Add(time.Second))
+	assert.Equal(t, original.report, received.report)
+	report := reflect.ValueOf(original.report)
+	for field := range report.NumField() {
+		assert.False(t, report.Field(field).IsZero(), "%s is set and arrives", report.Type().Field(field).Name)
 	}
-	assert.Equal(t, now.Add(700*time.Millisecond), heard.at)
-	assert.Equal(t, said.number, heard.number)
+	assert.Equal(t, now.Add(700*time.Millisecond), received.at)
+	assert.Equal(t, original.number, received.number)
 }
 
 // Of two reports the later one counts, whichever arrives first, also after the reporter has
@@ -62,7 +62,7 @@
 	earlier := healthMessage{Server: "i-1", Entry: "10.0.0.2", Ejected: true, Number: 7}.toReport(now)
 	assert.True(t, c.addHealth(later, now))
 	assert.False(t, c.addHealth(earlier, now))
-	assert.False(t, c.addHealth(later, now), "by a second relay")
+	assert.False(t, c.addHealth(later, now), "from a second relay")
 	anew := newHealthReports(now.Add(time.Second))
 	assert.Greater(t, anew.number, newHealthReports(now).number+1e6)
 	for number := range maxHealthReports + 10 {
@@ -74,24 +74,24 @@
 // A report with an impossible value is rejected, whichever field is invalid.
 func TestInvalidHealthReportsAreRejected(t *testing.T) {
 	now := time.Now()
-	sound := newHealthMessage(heldHealthReport{report: ejectedReport("10.0.0.1", "i-1"), at: now, number: 9}, now)
-	_, err := sound.validated(now)
+	valid := newHealthMessage(heldHealthReport{report: ejectedReport("10.0.0.1", "i-1"), at: now, number: 9}, now)
+	_, err := valid.validated(now)
 	assert.NoError(t, err)
-	for name, spoil := range map[string]func(*healthMessage){
-		"an age before it was said":   func(w *healthMessage) { w.AgeMilliseconds = -1 },
-		"an age that overflows":       func(w *healthMessage) { w.AgeMilliseconds = math.MaxInt64 },
-		"a change in the future":      func(w *healthMessage) { w.StateAgeMilliseconds = -1 },
-		"a spell that overflows":      func(w *healthMessage) { w.FailureAgeMilliseconds = math.MaxInt64 / 2 },
-		"an ejection without end":     func(w *healthMessage) { w.RemainingMilliseconds = 24 * 3600 * 1000 },
-		"an end that overflows":       func(w *healthMessage) { w.RemainingMilliseconds = math.MinInt64 },
-		"an ejection without a round": func(w *healthMessage) { w.Round = 0 },
-		"a huge round":                func(w *healthMessage) { w.Round = 100 },
-		"no number as evidence":       func(w *healthMessage) { w.Evidence = float32(math.NaN()) },
-		"endless failures":            func(w *healthMessage) { w.Failed = float32(math.Inf(1)) },
+	for name, change := range map[string]func(*healthMessage){
+		"negative age":                  func(w *healthMessage) { w.AgeMilliseconds = -1 },
+		"age that overflows":            func(w *healthMessage) { w.AgeMilliseconds = math.MaxInt64 },
+		"negative state age":            func(w *healthMessage) { w.StateAgeMilliseconds = -1 },
+		"failure age that overflows":    func(w *healthMessage) { w.FailureAgeMilliseconds = math.MaxInt64 / 2 },
+		"endless ejection":              func(w *healthMessage) { w.RemainingMilliseconds = 24 * 3600 * 1000 },
+		"remaining time that overflows": func(w *healthMessage) { w.RemainingMilliseconds = math.MinInt64 },
+		"ejection without a round":      func(w *healthMessage) { w.Round = 0 },
+		"huge round":                    func(w *healthMessage) { w.Round = 100 },
+		"evidence not a number":         func(w *healthMessage) { w.Evidence = float32(math.NaN()) },
+		"infinite failures":             func(w *healthMessage) { w.Failed = float32(math.Inf(1)) },
 	} {
-		faulty := sound
-		spoil(&faulty)
-		_, err := faulty.validated(now)
+		invalid := valid
+		change(&invalid)
+		_, err := invalid.validated(now)
 		assert.Error(t, err, name)
 	}
 }
--- a/internal/catalog/watermark.go
+++ b/internal/catalog/horizon.go
@@ -10,35 +10,35 @@
 }
 
 // advance moves the watermark forward; it never goes back.
-func (h *watermark) advance(to time.Time) {
-	if to.After(h.at) {
-		h.at = to
+func (w *watermark) advance(to time.Time) {
+	if to.After(w.at) {
+		w.at = to
 	}
 }
 
 // minus returns the watermark less a margin of uncertainty.
-func (h watermark) minus(doubt time.Duration) watermark {
-	if h.at.IsZero() {
-		return h
+func (w watermark) minus(doubt time.Duration) watermark {
+	if w.at.IsZero() {
+		return w
 	}
-	return watermark{at: h.at.Add(-doubt)}
+	return watermark{at: w.at.Add(-doubt)}
 }
 
 // atLeast returns the watermark, or a moment if that is later. An unknown watermark stays unknown.
-func (h watermark) atLeast(moment time.Time) watermark {
-	if !h.at.IsZero() {
-		h.advance(moment)
+func (w watermark) atLeast(moment time.Time) watermark {
+	if !w.at.IsZero() {
+		w.advance(moment)
 	}
-	return h
+	return w
 }
 
 // maxAge returns the maximum time since a change that the copy has lacked until now; false if
 // nothing bounds it.
-func (h watermark) maxAge(now time.Time) (time.Duration, bool) {
-	if h.at.IsZero() {
+func (w watermark) maxAge(now time.Time) (time.Duration, bool) {
+	if w.at.IsZero() {
 		return 0, false
 	}
-	return max(0, now.Sub(h.at)), true
+	return max(0, now.Sub(w.at)), true
 }
 
 // storeCall is an answered call to the store.
@@ -74,31 +74,31 @@
 	// flight is the maximum transit time of the message; flightKnown is false if nothing bounds it.
 	flight      time.Duration
 	flightKnown bool
-	// receivedAt is when the message arrived. It may be processed later: messages are queued, and
+	// received is when the message arrived. It may be processed later: messages are queued, and
 	// the process may be paused.
-	receivedAt time.Time
+	received time.Time
 }
 
 // earliest returns the earliest moment that the message allows; false if it does not bound it.
-func (w peerAge) earliest() (time.Time, bool) {
-	return w.receivedAt.Add(-w.age - w.flight), w.flightKnown
+func (a peerAge) earliest() (time.Time, bool) {
+	return a.received.Add(-a.age - a.flight), a.flightKnown
 }
 
 // ageOfReceived returns the maximum age of a change that was just received from a peer. Both the
 // peer's age and the own watermark bound it, and the tighter bound counts. If neither does, the
 // process has only just started: it assumes that the message arrived instantly, and false is
 // returned.
-func ageOfReceived(told peerAge, known watermark, now time.Time) (age time.Duration, bounded bool) {
-	since, worded := told.earliest()
-	byWord := now.Sub(since)
-	byHorizon, horizoned := known.maxAge(now)
+func ageOfReceived(reported peerAge, known watermark, now time.Time) (age time.Duration, bounded bool) {
+	since, peerBounded := reported.earliest()
+	byPeer := now.Sub(since)
+	byWatermark, watermarkBounded := known.maxAge(now)
 	switch {
-	case worded && horizoned:
-		return min(byWord, byHorizon), true
-	case horizoned:
-		return max(byWord, byHorizon), true
+	case peerBounded && watermarkBounded:
+		return min(byPeer, byWatermark), true
+	case watermarkBounded:
+		return max(byPeer, byWatermark), true
 	}
-	return byWord, worded
+	return byPeer, peerBounded
 }
 
 // peerStamps measures the maximum transit time of a peer's messages: the peer echoes the newest
--- a/internal/catalog/watermark_test.go
+++ b/internal/catalog/horizon_test.go
@@ -25,22 +25,22 @@
 // An answer shows the store as it was when the call was sent; that of a watch that ended without a
 // change, as it was when its wait ended.
 func TestStoreCallCompleteUntil(t *testing.T) {
-	sent := time.Unix(1000, 0)
+	sentAt := time.Unix(1000, 0)
 	const wait = 500 * time.Millisecond
 	for _, one := range []struct {
 		name string
 		call storeCall
 		want time.Duration
 	}{
-		{"a listing", storeCall{sentAt: sent, receivedAt: sent.Add(2 * time.Second), changes: 300}, 0},
-		{"an empty listing", storeCall{sentAt: sent, receivedAt: sent.Add(2 * time.Second)}, 0},
-		{"a watch that heard nothing", storeCall{sentAt: sent, receivedAt: sent.Add(wait + 3*time.Millisecond), wait: wait}, wait},
-		{"a watch that heard nothing, answered late", storeCall{sentAt: sent, receivedAt: sent.Add(4 * wait), wait: wait}, wait},
-		{"a watch that came back early without a change", storeCall{sentAt: sent, receivedAt: sent.Add(wait / 2), wait: wait}, 0},
-		{"a watch that heard something at once", storeCall{sentAt: sent, receivedAt: sent.Add(time.Millisecond), wait: wait, changes: 1}, 0},
-		{"a watch that heard something late", storeCall{sentAt: sent, receivedAt: sent.Add(2 * wait), wait: wait, changes: 1}, 0},
+		{"a listing", storeCall{sentAt: sentAt, receivedAt: sentAt.Add(2 * time.Second), changes: 300}, 0},
+		{"an empty listing", storeCall{sentAt: sentAt, receivedAt: sentAt.Add(2 * time.Second)}, 0},
+		{"a watch without changes", storeCall{sentAt: sentAt, receivedAt: sentAt.Add(wait + 3*time.Millisecond), wait: wait}, wait},
+		{"a watch without changes, answered late", storeCall{sentAt: sentAt, receivedAt: sentAt.Add(4 * wait), wait: wait}, wait},
+		{"a watch without changes that ended early", storeCall{sentAt: sentAt, receivedAt: sentAt.Add(wait / 2), wait: wait}, 0},
+		{"a watch with a change at once", storeCall{sentAt: sentAt, receivedAt: sentAt.Add(time.Millisecond), wait: wait, changes: 1}, 0},
+		{"a watch with a change, answered late", storeCall{sentAt: sentAt, receivedAt: sentAt.Add(2 * wait), wait: wait, changes: 1}, 0},
 	} {
-		assert.Equal(t, one.want, one.call.completeUntil().Sub(sent), one.name)
+		assert.Equal(t, one.want, one.call.completeUntil().Sub(sentAt), one.name)
 	}
 }
 
@@ -66,21 +66,21 @@
 	now := time.Unix(1000, 0)
 	complete := watermark{at: now.Add(-2 * time.Second)}
 	for _, one := range []struct {
-		name    string
-		told    peerAge
-		known   watermark
-		want    time.Duration
-		bounded bool
+		name     string
+		reported peerAge
+		known    watermark
+		want     time.Duration
+		bounded  bool
 	}{
-		{"the word is tighter", peerAge{age: time.Second, flight: 100 * time.Millisecond, flightKnown: true}, complete, 1100 * time.Millisecond, true},
-		{"the own copy is tighter", peerAge{age: time.Second, flight: 3 * time.Second, flightKnown: true}, complete, 2 * time.Second, true},
-		{"the word may have been long on its way", peerAge{age: time.Second}, complete, 2 * time.Second, true},
-		{"the word is older than the own copy allows", peerAge{age: 5 * time.Second}, complete, 5 * time.Second, true},
+		{"the age sent is tighter", peerAge{age: time.Second, flight: 100 * time.Millisecond, flightKnown: true}, complete, 1100 * time.Millisecond, true},
+		{"the watermark is tighter", peerAge{age: time.Second, flight: 3 * time.Second, flightKnown: true}, complete, 2 * time.Second, true},
+		{"the transit time is unknown", peerAge{age: time.Second}, complete, 2 * time.Second, true},
+		{"the age sent exceeds the watermark", peerAge{age: 5 * time.Second}, complete, 5 * time.Second, true},
 		{"the process has just started", peerAge{age: time.Second, flight: 100 * time.Millisecond, flightKnown: true}, watermark{}, 1100 * time.Millisecond, true},
-		{"the process has just started and measured nothing", peerAge{age: time.Second}, watermark{}, time.Second, false},
+		{"the process has just started and the transit time is unknown", peerAge{age: time.Second}, watermark{}, time.Second, false},
 	} {
-		one.told.receivedAt = now
-		age, bounded := ageOfReceived(one.told, one.known, now)
+		one.reported.received = now
+		age, bounded := ageOfReceived(one.reported, one.known, now)
 		assert.Equal(t, one.want, age, one.name)
 		assert.Equal(t, one.bounded, bounded, one.name)
 	}
@@ -97,19 +97,19 @@
 	}
 	c.applyReceived([]mirror.Record{{Key: "op/version/m", Value: []byte(`{"model":"m","version":2}`), Revision: 4}}, nil)
 	assert.Equal(t, 4*time.Second, sinceOf(), "assumed")
-	assert.Empty(t, c.announcements(time.Now()), "a guess is not passed on")
+	assert.Empty(t, c.announcements(time.Now()), "an estimate is not sent")
 	c.applyAnnouncements([]announcementMessage{{Model: "m", Version: 2, Revision: 3, AgeMilliseconds: 1000}}, 0, time.Now())
 	assert.Equal(t, 4*time.Second, sinceOf(), "another revision")
 	c.applyAnnouncements([]announcementMessage{{Model: "m", Version: 2, Revision: 4, AgeMilliseconds: 5000}}, time.Second, time.Now())
-	assert.Equal(t, 6*time.Second, sinceOf(), "a bound instead of a guess")
+	assert.Equal(t, 6*time.Second, sinceOf(), "a bound instead of an estimate")
 	c.applyAnnouncements([]announcementMessage{{Model: "m", Version: 2, Revision: 4, AgeMilliseconds: 7000}}, 0, time.Now())
 	assert.Equal(t, 6*time.Second, sinceOf(), "a wider bound")
 	c.applyAnnouncements([]announcementMessage{{Model: "m", Version: 2, Revision: 4, AgeMilliseconds: 1000}}, time.Second, time.Now())
 	assert.Equal(t, 2*time.Second, sinceOf(), "a tighter bound")
-	told := c.announcements(time.Now())
-	require.Len(t, told, 1)
-	assert.Equal(t, announcementMessage{Model: "m", Version: 2, Revision: 4, AgeMilliseconds: told[0].AgeMilliseconds}, told[0])
-	assert.InDelta(t, 2000, told[0].AgeMilliseconds, 100)
+	announcements := c.announcements(time.Now())
+	require.Len(t, announcements, 1)
+	assert.Equal(t, announcementMessage{Model: "m", Version: 2, Revision: 4, AgeMilliseconds: announcements[0].AgeMilliseconds}, announcements[0])
+	assert.InDelta(t, 2000, announcements[0].AgeMilliseconds, 100)
 }
 
 // The measured transit time of a message is never shorter than the true one, and longer only by the
@@ -117,15 +117,15 @@
 func TestFlightIsNeverUnderestimated(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		between := func(most time.Duration) time.Duration { return time.Duration(random.Int64N(int64(most))) }
+		between := func(limit time.Duration) time.Duration { return time.Duration(random.Int64N(int64(limit))) }
 		started := time.Unix(1000, 0)
 		var peer peerStamps
 		now := started
 		for range 50 {
 			stamped := now.Add(between(400 * time.Millisecond))
-			stampWay := between(2 * time.Second)
-			peer.record(stampAt(started, stamped), stamped.Add(stampWay))
-			sent := stamped.Add(stampWay + between(time.Second))
+			stampDelay := between(2 * time.Second)
+			peer.record(stampAt(started, stamped), stamped.Add(stampDelay))
+			sent := stamped.Add(stampDelay + between(time.Second))
 			// Messages on a link do not overtake each other.
 			now = sent
 			echo, held := peer.echo(sent)
@@ -133,11 +133,11 @@
 			found, known := maxFlight(started, echo, held, sent.Add(flight))
 			require.True(t, known)
 			require.GreaterOrEqual(t, found, flight, "seed %d", seed)
-			require.LessOrEqual(t, found, flight+stampWay+2*time.Millisecond, "seed %d", seed)
+			require.LessOrEqual(t, found, flight+stampDelay+2*time.Millisecond, "seed %d", seed)
 		}
 	}
 	_, known := maxFlight(time.Unix(1000, 0), 0, 0, time.Unix(1001, 0))
-	assert.False(t, known, "nothing was returned")
+	assert.False(t, known, "no stamp was echoed")
 }
 
 // The echo of a stamp that a former incarnation of the process gave does not measure a transit
@@ -150,7 +150,7 @@
 		echo := stampAt(former, former.Add(stamped))
 		for _, now := range []time.Duration{0, 5 * time.Second, 20 * time.Second} {
 			_, known := maxFlight(started, echo, 0, started.Add(now))
-			assert.False(t, known, "stamped after %s of the former life, echoed after %s of this one", stamped, now)
+			assert.False(t, known, "stamped after %s of the former incarnation, echoed after %s of this one", stamped, now)
 		}
 	}
 	_, known := maxFlight(started, stampAt(started, started.Add(time.Second)), 0, started)
@@ -205,7 +205,7 @@
 
 // drawFault draws the fault of a call: the transit times of the call and its answer, and whether it
 // fails after the first of them.
-func (s *faultyStore) drawFault() (wayThere, wayBack time.Duration, failure error) {
+func (s *faultyStore) drawFault() (callDelay, answerDelay time.Duration, failure error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.random.Float64() <= s.healthyRatio {
@@ -226,21 +226,21 @@
 // call makes one call. look is what the store does once the call has arrived, and is called with
 // the mutex held.
 func (s *faultyStore) call(look func() fleet.Listing) (fleet.Listing, error) {
-	wayThere, wayBack, failure := s.drawFault()
-	time.Sleep(wayThere)
+	callDelay, answerDelay, failure := s.drawFault()
+	time.Sleep(callDelay)
 	if failure != nil {
 		return fleet.Listing{}, failure
 	}
 	s.mutex.Lock()
 	answer := look()
 	for _, record := range answer.Records {
-		s.answerDelay[record.Revision] = max(s.answerDelay[record.Revision], wayBack, s.emptyDelay)
+		s.answerDelay[record.Revision] = max(s.answerDelay[record.Revision], answerDelay, s.emptyDelay)
 	}
 	if len(answer.Records) == 0 {
-		s.emptyDelay = wayBack
+		s.emptyDelay = answerDelay
 	}
 	s.mutex.Unlock()
-	time.Sleep(wayBack)
+	time.Sleep(answerDelay)
 	return answer, nil
 }
 
@@ -281,10 +281,10 @@
 // estimateErrors runs a catalog on a store and announces versions. It returns by how much the
 // announcements were dated too late at most, less the transit time of the answer, and by how much
 // too early at most and on average.
-func estimateErrors(t *testing.T, seed uint64, calm float64) (latest, earliest, meanEarly time.Duration) {
+func estimateErrors(t *testing.T, seed uint64, healthyRatio float64) (latest, earliest, meanEarly time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		random := rand.New(rand.NewPCG(seed, 2))
-		store := &faultyStore{random: random, healthyRatio: calm, answerDelay: map[uint64]time.Duration{}, changed: make(chan struct{})}
+		store := &faultyStore{random: random, healthyRatio: healthyRatio, answerDelay: map[uint64]time.Duration{}, changed: make(chan struct{})}
 		store.announceVersion()
 		hub := peering.NewHub(peering.Hello{ID: "10.0.0.1", Role: RoleEntry, Zone: "z"}, logging.Nop(), peering.NewCounters(prometheus.NewRegistry()))
 		c := New(Options{Self: "10.0.0.1", Role: RoleEntry, Zone: "z", InternalPort: 1, Decoder: platform.Decoder{}, Hub: hub, Log: logging.Nop(), Store: store, VersionApply: 8 * time.Second, Drain: 2 * time.Second})
@@ -352,7 +352,7 @@
 		assert.LessOrEqual(t, earliest, watchWait+4*healthyDelay)
 		sum += mean
 	}
-	t.Logf("believed older by %s in the mean", sum/seeds)
+	t.Logf("dated too early by %s on average", sum/seeds)
 }
 
 func versionRecord(version, revision uint64) mirror.Record {
@@ -370,16 +370,16 @@
 	peer.watermark.advance(now.Add(-500 * time.Millisecond))
 	peer.applyWatched([]mirror.Record{versionRecord(3, 5)})
 	peer.mutex.Lock()
-	told := peer.composeUpdate(&peerLink{compared: true})
+	peerUpdate := peer.composeUpdate(&peerLink{compared: true})
 	peer.mutex.Unlock()
-	for _, missed := range []string{"started later", "out of touch over both"} {
+	for _, missed := range []string{"started later", "out of touch during both"} {
 		t.Run(missed, func(t *testing.T) {
 			c := newTestCatalog()
-			if missed == "out of touch over both" {
+			if missed == "out of touch during both" {
 				c.watermark.advance(now.Add(-6100 * time.Millisecond))
 				c.applyWatched([]mirror.Record{versionRecord(1, 3)})
 			}
-			receiveUpdate(t, c, told)
+			receiveUpdate(t, c, peerUpdate)
 			first, known := c.View().FirstAfter("m", 1)
 			require.True(t, known)
 			assert.Equal(t, uint64(2), first.Version)
@@ -397,8 +397,8 @@
 		Records: []mirror.Record{versionRecord(2, 4)}, AgesMilliseconds: map[string]int64{"op/version/m": 3000},
 		Announcements: []announcementMessage{{Model: "m", Version: 2, Revision: 4, AgeMilliseconds: 3000}}, Stamp: 1,
 	})
-	notice, _ := c.View().Newest("m")
-	assert.LessOrEqual(t, notice.Since.Sub(named), 5*time.Millisecond)
+	announcement, _ := c.View().Newest("m")
+	assert.LessOrEqual(t, announcement.Since.Sub(named), 5*time.Millisecond)
 }
 
 // The oldest announcement ends the time of the versions before it: it is kept until a newer one is
@@ -406,12 +406,12 @@
 func TestAnnouncementsAreKeptWhileBinding(t *testing.T) {
 	const apply = 8 * time.Second
 	now := time.Unix(1000, 0)
-	var notices []VersionAnnouncement
+	var announcements []VersionAnnouncement
 	for version := uint64(2); version < 12; version++ {
-		notices = append(notices, VersionAnnouncement{Version: version, Since: now.Add(time.Duration(version) * time.Second)})
+		announcements = append(announcements, VersionAnnouncement{Version: version, Since: now.Add(time.Duration(version) * time.Second)})
 	}
-	kept := pruneAnnouncements(notices, apply, now.Add(11*time.Second))
+	kept := pruneAnnouncements(announcements, apply, now.Add(11*time.Second))
 	assert.Equal(t, uint64(2), kept[0].Version, "version 3 is not in force yet")
-	kept = pruneAnnouncements(notices, apply, now.Add(13500*time.Millisecond))
+	kept = pruneAnnouncements(announcements, apply, now.Add(13500*time.Millisecond))
 	assert.Equal(t, uint64(5), kept[0].Version, "version 5 is in force, 6 is not")
 }
--- a/internal/catalog/expired.go
+++ b/internal/catalog/lapsed.go
@@ -81,8 +81,8 @@
 // isUnreachable reports whether a server's agent reports that it does not answer. The mutex must be
 // held.
 func (c *Catalog) isUnreachable(server fleet.Server) bool {
-	held, told := c.statuses[server.Address]
-	return told && !held.status.Reachable
+	held, known := c.statuses[server.Address]
+	return known && !held.status.Reachable
 }
 
 // removeExpired builds a view without the servers that have not come back.
--- a/internal/catalog/large_configuration_test.go
+++ b/internal/catalog/large_configuration_test.go
@@ -36,14 +36,14 @@
 		c.applyWatched([]mirror.Record{{Key: "op/config", Value: []byte(`{"version":7}`), Revision: 5}})
 	}()
 	<-decoder.begun
-	asked := make(chan int, 1)
-	go func() { asked <- c.EntryCount() }()
+	counted := make(chan int, 1)
+	go func() { counted <- c.EntryCount() }()
 	select {
-	case <-asked:
+	case <-counted:
 	case <-time.After(time.Second):
 		t.Error("a request waits until the configuration is decoded")
 	}
-	assert.Nil(t, c.View().Configuration, "it is not in force before it is read whole")
+	assert.Nil(t, c.View().Configuration, "it is not in force before it is decoded")
 	close(decoder.end)
 	<-taken
 	assert.NotNil(t, c.View().Configuration)
--- a/internal/catalog/links_test.go
+++ b/internal/catalog/links_test.go
@@ -36,11 +36,11 @@
 	assert.False(t, c.listDue(listed, now), "nothing is new")
 	c.recordEntry("10.0.0.2", entryHeartbeat{Zone: "z"})
 	assert.True(t, c.listDue(listed, now))
-	assert.Len(t, c.wake, 1, "it is told at once")
+	assert.Len(t, c.wake, 1, "it is announced at once")
 	listed.listedArrivals = c.overlay.Arrivals()
 	c.recordEntry("10.0.0.2", entryHeartbeat{Zone: "z"})
 	assert.False(t, c.listDue(listed, now), "it is known")
-	assert.False(t, c.listDue(&peerLink{listedAt: now}, now), "lists do not follow each other closely")
+	assert.False(t, c.listDue(&peerLink{listedAt: now}, now), "lists have a minimum interval")
 }
 
 // A process that does not listen yet is dialled again soon, one that is away after longer delays.
@@ -56,7 +56,7 @@
 	peer := &peerLink{ip: "10.0.0.2", dialling: true, localSent: 7}
 	peer.open(&peering.Link{}, true)
 	assert.True(t, peer.dialling)
-	assert.Zero(t, peer.localSent, "the new link is told everything")
+	assert.Zero(t, peer.localSent, "the new link is sent everything")
 }
 
 // A link that was renewed although it was only slow gets more time from then on, for a while and
@@ -77,7 +77,7 @@
 	assert.Equal(t, linkTimeout, peer.renewDelay)
 	peer.renewDelayUntil = now.Add(-time.Millisecond)
 	peer.open(&peering.Link{}, false)
-	assert.Less(t, peer.renewDelay, renewAfter+renewJitter, "that is forgotten")
+	assert.Less(t, peer.renewDelay, renewAfter+renewJitter, "the longer delay has expired")
 }
 
 // The first entry of a zone that does not read the store announces a configuration received from a
@@ -147,13 +147,13 @@
 	}
 	c.maintainLinks(t.Context())
 	require.Same(t, made, held(), "the link is wanted")
-	time.Sleep(linkTimeout + 100*time.Millisecond) // no looks: the process stands still
-	looks := func(span time.Duration) {
-		for began := time.Now(); time.Since(began) < span && held() == made; time.Sleep(20 * time.Millisecond) {
+	time.Sleep(linkTimeout + 100*time.Millisecond) // without checks, as if the process were paused
+	checkFor := func(duration time.Duration) {
+		for began := time.Now(); time.Since(began) < duration && held() == made; time.Sleep(20 * time.Millisecond) {
 			c.maintainLinks(t.Context())
 		}
 	}
-	looks(2 * resumeGrace)
+	checkFor(2 * resumeGrace)
 	require.Same(t, made, held(), "it answers a probe")
 	count, err := silencer.Silence(silencer.Any)
 	require.NoError(t, err)
@@ -161,7 +161,7 @@
 	time.Sleep(linkTimeout + 100*time.Millisecond)
 	c.maintainLinks(t.Context())
 	assert.Same(t, made, held(), "right after the pause")
-	looks(time.Second)
+	checkFor(time.Second)
 	assert.NotSame(t, made, held(), "it has answered no probe")
 }
 
@@ -173,15 +173,15 @@
 	var p pauseDetector
 	p.recordCheck(start)
 	p.recordCheck(start.Add(gap))
-	assert.Equal(t, start, p.probeStart(start), "looks are this late on any machine")
+	assert.Equal(t, start, p.probeStart(start), "checks are this late on any machine")
 	resumed := start.Add(gap + minStall + time.Millisecond)
 	p.recordCheck(resumed)
 	assert.Equal(t, resumed, p.probeStart(start))
 	assert.Equal(t, resumed.Add(gap), p.probeStart(resumed.Add(gap)), "a probe sent after it")
-	assert.Negative(t, p.graceLeft(resumed), "links are made anew")
+	assert.Negative(t, p.graceLeft(resumed), "links are renewed")
 	paused := resumed.Add(minPause + time.Millisecond)
 	p.recordCheck(paused)
-	assert.Equal(t, resumeGrace, p.graceLeft(paused), "none is made anew")
+	assert.Equal(t, resumeGrace, p.graceLeft(paused), "no link is renewed")
 }
 
 // flushPending reports whether reports are to be sent before the next statusInterval.
@@ -198,25 +198,25 @@
 func TestReportsEndingASilenceAreSentSoon(t *testing.T) {
 	now := time.Now()
 	for _, one := range []struct {
-		name  string
-		word  heldStatus
-		pause time.Duration
-		soon  bool
+		name   string
+		report heldStatus
+		pause  time.Duration
+		soon   bool
 	}{
-		{"of the agent, after a silence", heldStatus{zone: "z", direct: true}, backupDelay + time.Millisecond, true},
-		{"by another entry, after a silence", heldStatus{zone: "z", relayedAt: now}, backupDelay + time.Millisecond, true},
-		{"by another entry, as usual", heldStatus{zone: "z", relayedAt: now}, backupDelay - time.Millisecond, false},
-		{"of another zone, after a silence", heldStatus{zone: "y"}, remoteSilence + time.Millisecond, true},
-		{"of another zone, as usual", heldStatus{zone: "y"}, remoteSilence - time.Millisecond, false},
-		{"of another zone, which says that it ends a silence", heldStatus{zone: "y", endsSilence: true}, remoteSilence - time.Millisecond, true},
+		{"from the agent, after a silence", heldStatus{zone: "z", direct: true}, backupDelay + time.Millisecond, true},
+		{"from another entry, after a silence", heldStatus{zone: "z", relayedAt: now}, backupDelay + time.Millisecond, true},
+		{"from another entry, on time", heldStatus{zone: "z", relayedAt: now}, backupDelay - time.Millisecond, false},
+		{"from another zone, after a silence", heldStatus{zone: "y"}, remoteSilence + time.Millisecond, true},
+		{"from another zone, on time", heldStatus{zone: "y"}, remoteSilence - time.Millisecond, false},
+		{"from another zone, marked as ending a silence", heldStatus{zone: "y", endsSilence: true}, remoteSilence - time.Millisecond, true},
 	} {
 		c := newTestCatalog()
 		peer := c.peerLink("10.0.0.2")
 		peer.remoteSentAt = now
 		status := fleet.MachineStatus{Address: "10.1.0.1:80"}
-		c.statuses[status.Address] = heldStatus{status: status, zone: one.word.zone, at: now.Add(-one.pause)}
-		one.word.status, one.word.at = status, now
-		c.applyStatus(one.word)
+		c.statuses[status.Address] = heldStatus{status: status, zone: one.report.zone, at: now.Add(-one.pause)}
+		one.report.status, one.report.at = status, now
+		c.applyStatus(one.report)
 		assert.Equal(t, one.soon, flushPending(c), one.name)
 		assert.Equal(t, one.soon, peer.remoteSentAt.IsZero(), one.name)
 		assert.Equal(t, one.soon, c.statuses[status.Address].endsSilence, one.name)
@@ -235,7 +235,7 @@
 	select {
 	case <-c.flush:
 	case <-time.After(statusInterval):
-		assert.Fail(t, "later than the next statusPace")
+		assert.Fail(t, "later than the next statusInterval")
 	}
 	c.flushStatuses()
 	assert.False(t, flushPending(c))
@@ -278,9 +278,9 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	most := int64(time.Since(began)/(remoteStatusInterval-statusInterval/4)) + 2
-	t.Log("frames:", frames.Load(), "of at most", most)
-	assert.LessOrEqual(t, frames.Load(), most)
+	limit := int64(time.Since(began)/(remoteStatusInterval-statusInterval/4)) + 2
+	t.Log("frames:", frames.Load(), "of at most", limit)
+	assert.LessOrEqual(t, frames.Load(), limit)
 }
 
 // Reports that each end a silence, one after the other, are sent to another zone at
@@ -294,9 +294,9 @@
 		c.applyStatus(heldStatus{zone: "z", direct: true, at: time.Now(), status: fleet.MachineStatus{Address: fmt.Sprintf("10.1.0.%d:80", agent)}})
 		time.Sleep(10 * time.Millisecond)
 	}
-	most := int64(time.Since(began)/remoteFlushInterval) + 2
-	t.Log("frames:", frames.Load(), "of at most", most)
-	assert.LessOrEqual(t, frames.Load(), most)
+	limit := int64(time.Since(began)/remoteFlushInterval) + 2
+	t.Log("frames:", frames.Load(), "of at most", limit)
+	assert.LessOrEqual(t, frames.Load(), limit)
 }
 
 // A link that is renewed repeatedly does not make other entries be updated more often.
@@ -333,9 +333,9 @@
 			c.mutex.Unlock()
 		}
 	}
-	most := int64(time.Since(began)/statusInterval) + 2
-	t.Log("frames:", frames.Load(), "of at most", most)
-	assert.LessOrEqual(t, frames.Load(), most)
+	limit := int64(time.Since(began)/statusInterval) + 2
+	t.Log("frames:", frames.Load(), "of at most", limit)
+	assert.LessOrEqual(t, frames.Load(), limit)
 }
 
 // Links are checked when one is due a probe or a renewal: with checks at a fixed interval, a
@@ -346,15 +346,15 @@
 	_, made := linkToEntry(t, c)
 	peer := c.peerLink("10.0.0.2")
 	peer.open(made, false)
-	heard := made.LastHeard()
-	assert.Equal(t, 20*time.Millisecond, c.checkLink(t.Context(), peer, heard.Add(probeAfter-20*time.Millisecond)), "a probe is due then")
-	probed := heard.Add(probeAfter + time.Millisecond)
+	lastHeard := made.LastHeard()
+	assert.Equal(t, 20*time.Millisecond, c.checkLink(t.Context(), peer, lastHeard.Add(probeAfter-20*time.Millisecond)), "a probe is due then")
+	probed := lastHeard.Add(probeAfter + time.Millisecond)
 	assert.Equal(t, peer.renewDelay-probeAfter-time.Millisecond, c.checkLink(t.Context(), peer, probed), "a renewal is due then")
 	assert.Equal(t, probed, peer.probedAt)
-	peer.probedAt = heard.Add(peer.renewDelay)
-	assert.Equal(t, probeGrace, c.checkLink(t.Context(), peer, heard.Add(peer.renewDelay)), "the probe may still be answered")
+	peer.probedAt = lastHeard.Add(peer.renewDelay)
+	assert.Equal(t, probeGrace, c.checkLink(t.Context(), peer, lastHeard.Add(peer.renewDelay)), "the probe may still be answered")
 	peer.accepted = true
-	assert.Equal(t, linkCheckInterval, c.checkLink(t.Context(), peer, heard.Add(peer.renewDelay)), "the other renews it")
+	assert.Equal(t, linkCheckInterval, c.checkLink(t.Context(), peer, lastHeard.Add(peer.renewDelay)), "the peer renews it")
 }
 
 // The interval for other zones is a multiple of statusInterval: a timer that is slightly early must
@@ -392,7 +392,7 @@
 	c.applyWatched([]mirror.Record{same})
 	assert.Equal(t, before, c.changes.Sequence())
 	c.applyReceived([]mirror.Record{{Key: "op/version/m", Value: []byte(`{"model":"m","version":2}`), Revision: 4}}, nil)
-	assert.Equal(t, c.changes.Sequence(), c.urgentSequence, "the naming of weights is passed on at once by everyone")
+	assert.Equal(t, c.changes.Sequence(), c.urgentSequence, "every process sends a version announcement at once")
 }
 
 // Peers that hold the same records send each other none; a peer whose records differ is sent all,
@@ -401,7 +401,7 @@
 	c := newTestCatalog()
 	c.applyWatched([]mirror.Record{serverRecord(1, 1), serverRecord(2, 2)})
 	peer := c.peerLink("10.0.0.2")
-	assert.Empty(t, c.composeUpdate(peer).Records, "nothing is sent before records were compared")
+	assert.Empty(t, c.composeUpdate(peer).Records, "nothing is sent before the records were compared")
 	c.compareRecords("10.0.0.2", update{Digest: c.changes.Digest()})
 	assert.Empty(t, c.composeUpdate(peer).Records, "it holds the same")
 	c.applyWatched([]mirror.Record{serverRecord(3, 3)})
@@ -469,11 +469,11 @@
 			}
 			now := time.Now()
 			c.overlay.Advance(now)
-			word := heldStatus{status: fleet.MachineStatus{Address: "10.1.0.1:80", Model: "m", Reachable: true}, zone: "z", direct: true}
+			report := heldStatus{status: fleet.MachineStatus{Address: "10.1.0.1:80", Model: "m", Reachable: true}, zone: "z", direct: true}
 			b.ReportAllocs()
 			for b.Loop() {
-				word.at = word.at.Add(time.Second)
-				c.applyStatus(word)
+				report.at = report.at.Add(time.Second)
+				c.applyStatus(report)
 				c.encodeBatch(batchKey{local: true, localAfter: c.statusSequence - 1}, now)
 			}
 		})
--- a/internal/catalog/packing_test.go
+++ b/internal/catalog/packing_test.go
@@ -40,16 +40,16 @@
 	packed := c.encodeBatch(batchKey{wholeZone: true, packed: true}, now)
 	assert.Less(t, 2*len(packed), len(plain), "%d and %d bytes", len(packed), len(plain))
 	var batches [2]statusBatch
-	var told [2][]statusMessage
+	var decoded [2][]statusMessage
 	for index, payload := range [][]byte{plain, packed} {
 		require.NoError(t, cbor.Unmarshal(payload, &batches[index]))
 		var err error
-		told[index], err = batches[index].unpack()
+		decoded[index], err = batches[index].unpack()
 		require.NoError(t, err)
-		assert.Len(t, told[index], agents)
+		assert.Len(t, decoded[index], agents)
 	}
-	assert.ElementsMatch(t, told[0], told[1])
-	assert.Empty(t, batches[0].Packed, "a build that reads no packed words gets none")
+	assert.ElementsMatch(t, decoded[0], decoded[1])
+	assert.Empty(t, batches[0].Packed, "a build that reads no packed reports is sent none")
 }
 
 // Small batches are not compressed, which would make them larger; corrupt ones are an error.
@@ -85,9 +85,9 @@
 		encoded, err := cbor.Marshal(message)
 		require.NoError(t, err)
 		sizes[protocol] = len(encoded)
-		told, err := message.unbundle()
+		decoded, err := message.unbundle()
 		require.NoError(t, err)
-		assert.Len(t, told, servers)
+		assert.Len(t, decoded, servers)
 	}
 	assert.Less(t, 10*sizes[ProtocolVersion], sizes[0], "%v", sizes)
 }
--- a/internal/catalog/pulls.go
+++ b/internal/catalog/pulls.go
@@ -72,8 +72,8 @@
 	wanted := map[string]uint64{}
 	for key, revision := range heads {
 		held, _ := c.mirror.Get(key)
-		asked := c.pulls[key]
-		if held.Revision >= revision || (asked.revision >= revision && now.Sub(asked.requestedAt) < pullTimeout) {
+		pending := c.pulls[key]
+		if held.Revision >= revision || (pending.revision >= revision && now.Sub(pending.requestedAt) < pullTimeout) {
 			continue
 		}
 		wanted[key] = held.Revision
--- a/internal/catalog/pulls_test.go
+++ b/internal/catalog/pulls_test.go
@@ -24,7 +24,7 @@
 	assert.Less(t, len(packed), len(record.Value)/5)
 	again, err := one.pack(record)
 	require.NoError(t, err)
-	assert.Same(t, &packed[0], &again[0], "it is compressed once for all that ask")
+	assert.Same(t, &packed[0], &again[0], "it is compressed once for all requests")
 	back, err := compression.Decode[mirror.Record](packed)
 	require.NoError(t, err)
 	assert.Equal(t, record, back)
--- a/internal/catalog/quarantine.go
+++ b/internal/catalog/quarantine.go
@@ -65,7 +65,7 @@
 
 // QuarantineHandler is called with a report of another process. The time in the report counts from
 // the given one.
-type QuarantineHandler func(word quarantine.Word, from time.Time)
+type QuarantineHandler func(report quarantine.Word, from time.Time)
 
 // quarantineReports holds the reports of all entries. The catalog's mutex guards the archive.
 type quarantineReports struct {
@@ -85,11 +85,11 @@
 
 // AnnounceQuarantine sends reports of this process to all others at once. The times in the reports
 // count from the given one.
-func (c *Catalog) AnnounceQuarantine(words []quarantine.Word, from time.Time) {
+func (c *Catalog) AnnounceQuarantine(reports []quarantine.Word, from time.Time) {
 	c.mutex.Lock()
-	for _, word := range words {
-		word.At += from.Sub(c.started)
-		c.quarantine.archive.Hold(word, time.Since(c.started))
+	for _, report := range reports {
+		report.At += from.Sub(c.started)
+		c.quarantine.archive.Hold(report, time.Since(c.started))
 	}
 	c.mutex.Unlock()
 	c.scheduleQuarantine()
@@ -104,108 +104,108 @@
 		return
 	}
 	now := time.Since(c.started)
-	var news []quarantine.Word
-	for _, told := range batch.Reports {
-		word, err := told.validated(now)
+	var added []quarantine.Word
+	for _, wire := range batch.Reports {
+		report, err := wire.validated(now)
 		if err != nil {
 			c.options.Log.Log(logging.FrameRejected, zap.String("peer", link.Remote().ID), zap.Error(err))
 			continue
 		}
 		c.mutex.Lock()
-		if c.quarantine.archive.Hold(word, now) {
-			news = append(news, word)
+		if c.quarantine.archive.Hold(report, now) {
+			added = append(added, report)
 		}
 		c.mutex.Unlock()
 	}
-	if len(news) == 0 {
+	if len(added) == 0 {
 		return
 	}
 	c.scheduleQuarantine()
 	if c.quarantine.onReport == nil {
 		return
 	}
-	for _, word := range news {
-		c.quarantine.onReport(word, c.started)
+	for _, report := range added {
+		c.quarantine.onReport(report, c.started)
 	}
 }
 
 // validated converts a report received now, or rejects one with impossible values. An invalid
 // report does not affect the others of its message.
-func (t quarantineMessage) validated(now time.Duration) (quarantine.Word, error) {
-	word := quarantine.Word{
-		Kind: quarantine.Kind(t.Kind), Entry: t.Entry, Number: t.Number, Server: t.Server, Lifts: t.Lifts, Servers: t.Servers, Round: t.Round,
+func (m quarantineMessage) validated(now time.Duration) (quarantine.Word, error) {
+	report := quarantine.Word{
+		Kind: quarantine.Kind(m.Kind), Entry: m.Entry, Number: m.Number, Server: m.Server, Lifts: m.Lifts, Servers: m.Servers, Round: m.Round,
 	}
 	for _, one := range []struct {
 		field        string
 		milliseconds int64
 		target       *time.Duration
-	}{{"age", t.AgeMilliseconds, &word.At}, {"lasts", t.LastsMilliseconds, &word.Lasts}} {
+	}{{"age", m.AgeMilliseconds, &report.At}, {"lasts", m.LastsMilliseconds, &report.Lasts}} {
 		if one.milliseconds < 0 || one.milliseconds > maxReportDuration.Milliseconds() {
-			return word, &fault.InvalidFrame{Field: topicQuarantine, Reason: fmt.Sprintf("%s of %d ms", one.field, one.milliseconds)}
+			return report, &fault.InvalidFrame{Field: topicQuarantine, Reason: fmt.Sprintf("%s of %d ms", one.field, one.milliseconds)}
 		}
 		*one.target = time.Duration(one.milliseconds) * time.Millisecond
 	}
-	word.At = now - word.At
+	report.At = now - report.At
 	switch {
-	case t.Entry == "" || t.Round < 0 || len(t.Servers) > maxReportServers:
-		return word, &fault.InvalidFrame{Field: topicQuarantine, Reason: "no teller, a round below 0 or too many servers"}
-	case word.Kind == quarantine.Ended:
-		return word, t.decodeSuspects(&word)
-	case word.Kind == quarantine.Cleared || word.Kind == quarantine.Quarantined:
-		if t.Fingerprint == nil {
-			return word, &fault.InvalidFrame{Field: topicQuarantine, Reason: "no content"}
+	case m.Entry == "" || m.Round < 0 || len(m.Servers) > maxReportServers:
+		return report, &fault.InvalidFrame{Field: topicQuarantine, Reason: "no reporter, negative round or too many servers"}
+	case report.Kind == quarantine.Ended:
+		return report, m.decodeSuspects(&report)
+	case report.Kind == quarantine.Cleared || report.Kind == quarantine.Quarantined:
+		if m.Fingerprint == nil {
+			return report, &fault.InvalidFrame{Field: topicQuarantine, Reason: "no fingerprint"}
 		}
-		return word, t.Fingerprint.decode(&word.Content)
+		return report, m.Fingerprint.decode(&report.Content)
 	}
-	return word, &fault.InvalidFrame{Field: topicQuarantine, Reason: fmt.Sprintf("kind %d", t.Kind)}
+	return report, &fault.InvalidFrame{Field: topicQuarantine, Reason: fmt.Sprintf("kind %d", m.Kind)}
 }
 
 // decodeSuspects decodes the suspects of a crash.
-func (t quarantineMessage) decodeSuspects(word *quarantine.Word) error {
-	if t.Server == "" || len(t.Suspects) > quarantine.MostSuspects {
-		return &fault.InvalidFrame{Field: topicQuarantine, Reason: "an end without a server, or with too many contents"}
+func (m quarantineMessage) decodeSuspects(report *quarantine.Word) error {
+	if m.Server == "" || len(m.Suspects) > quarantine.MostSuspects {
+		return &fault.InvalidFrame{Field: topicQuarantine, Reason: "crash without a server, or with too many suspects"}
 	}
-	for _, told := range t.Suspects {
+	for _, wire := range m.Suspects {
 		var one quarantine.Suspect
-		if err := told.Fingerprint.decode(&one.Content); err != nil {
+		if err := wire.Fingerprint.decode(&one.Content); err != nil {
 			return err
 		}
-		if told.BeforeMilliseconds < 0 || told.BeforeMilliseconds > maxReportDuration.Milliseconds() {
-			return &fault.InvalidFrame{Field: topicQuarantine, Reason: fmt.Sprintf("sent %d ms before", told.BeforeMilliseconds)}
+		if wire.BeforeMilliseconds < 0 || wire.BeforeMilliseconds > maxReportDuration.Milliseconds() {
+			return &fault.InvalidFrame{Field: topicQuarantine, Reason: fmt.Sprintf("sent %d ms before the crash", wire.BeforeMilliseconds)}
 		}
-		one.Before = time.Duration(told.BeforeMilliseconds) * time.Millisecond
-		word.Suspects = append(word.Suspects, one)
+		one.Before = time.Duration(wire.BeforeMilliseconds) * time.Millisecond
+		report.Suspects = append(report.Suspects, one)
 	}
 	return nil
 }
 
-func (t fingerprintMessage) decode(content *quarantine.Content) error {
-	if len(t.ID) != quarantine.ContentSize {
-		return &fault.InvalidFrame{Field: topicQuarantine, Reason: fmt.Sprintf("a content of %d bytes", len(t.ID))}
+func (m fingerprintMessage) decode(fingerprint *quarantine.Content) error {
+	if len(m.ID) != quarantine.ContentSize {
+		return &fault.InvalidFrame{Field: topicQuarantine, Reason: fmt.Sprintf("fingerprint of %d bytes", len(m.ID))}
 	}
-	copy(content.ID[:], t.ID)
-	content.Caller = t.Caller
+	copy(fingerprint.ID[:], m.ID)
+	fingerprint.Caller = m.Caller
 	return nil
 }
 
-func newFingerprintMessage(content quarantine.Content) fingerprintMessage {
-	return fingerprintMessage{ID: content.ID[:], Caller: content.Caller}
+func newFingerprintMessage(fingerprint quarantine.Content) fingerprintMessage {
+	return fingerprintMessage{ID: fingerprint.ID[:], Caller: fingerprint.Caller}
 }
 
 // newQuarantineMessage converts a report to its wire form.
-func newQuarantineMessage(word quarantine.Word, now time.Duration) quarantineMessage {
-	told := quarantineMessage{
-		Kind: int(word.Kind), Entry: word.Entry, Number: word.Number, AgeMilliseconds: max(0, now-word.At).Milliseconds(), Server: word.Server, Lifts: word.Lifts,
-		Servers: word.Servers, Round: word.Round, LastsMilliseconds: word.Lasts.Milliseconds(),
+func newQuarantineMessage(report quarantine.Word, now time.Duration) quarantineMessage {
+	wire := quarantineMessage{
+		Kind: int(report.Kind), Entry: report.Entry, Number: report.Number, AgeMilliseconds: max(0, now-report.At).Milliseconds(), Server: report.Server, Lifts: report.Lifts,
+		Servers: report.Servers, Round: report.Round, LastsMilliseconds: report.Lasts.Milliseconds(),
 	}
-	for _, one := range word.Suspects {
-		told.Suspects = append(told.Suspects, suspectMessage{Fingerprint: newFingerprintMessage(one.Content), BeforeMilliseconds: one.Before.Milliseconds()})
+	for _, one := range report.Suspects {
+		wire.Suspects = append(wire.Suspects, suspectMessage{Fingerprint: newFingerprintMessage(one.Content), BeforeMilliseconds: one.Before.Milliseconds()})
 	}
-	if word.Kind != quarantine.Ended {
-		content := newFingerprintMessage(word.Content)
-		told.Fingerprint = &content
+	if report.Kind != quarantine.Ended {
+		fingerprint := newFingerprintMessage(report.Content)
+		wire.Fingerprint = &fingerprint
 	}
-	return told
+	return wire
 }
 
 // sendPendingQuarantine sends each linked process the reports that it has not been sent. Only
@@ -222,35 +222,35 @@
 		if peer.link == nil || peer.sendingQuarantine || peer.quarantineSent == sequence {
 			continue
 		}
-		words := c.quarantineFor(peer, isRelay, now)
+		reports := c.quarantineFor(peer, isRelay, now)
 		peer.quarantineSent = sequence
-		if len(words) > 0 {
+		if len(reports) > 0 {
 			peer.sendingQuarantine = true
-			go c.sendQuarantine(peer, peer.link, words)
+			go c.sendQuarantine(peer, peer.link, reports)
 		}
 	}
 }
 
 // quarantineFor returns the reports to send to a process. The mutex must be held.
 func (c *Catalog) quarantineFor(peer *peerLink, isRelay bool, now time.Duration) []quarantineMessage {
-	var words []quarantineMessage
-	for _, word := range c.quarantine.archive.Since(peer.quarantineSent) {
-		if word.Entry == c.options.Self || isRelay {
-			words = append(words, newQuarantineMessage(word, now))
+	var reports []quarantineMessage
+	for _, report := range c.quarantine.archive.Since(peer.quarantineSent) {
+		if report.Entry == c.options.Self || isRelay {
+			reports = append(reports, newQuarantineMessage(report, now))
 		}
 	}
-	return words
+	return reports
 }
 
-func (c *Catalog) sendQuarantine(peer *peerLink, link *peering.Link, words []quarantineMessage) {
-	err := sendQuarantineReports(link, words)
+func (c *Catalog) sendQuarantine(peer *peerLink, link *peering.Link, reports []quarantineMessage) {
+	err := sendQuarantineReports(link, reports)
 	c.finishSend(peer, link, &peer.sendingQuarantine, err)
 	// More reports may have arrived in the meantime.
 	c.scheduleQuarantine()
 }
 
-func sendQuarantineReports(link *peering.Link, words []quarantineMessage) error {
-	for batch := range slices.Chunk(words, reportsPerMessage) {
+func sendQuarantineReports(link *peering.Link, reports []quarantineMessage) error {
+	for batch := range slices.Chunk(reports, reportsPerMessage) {
 		if err := peering.Send(link, topicQuarantine, "", quarantineBatch{Reports: batch}); err != nil {
 			return err
 		}
@@ -267,16 +267,16 @@
 	c.mutex.Lock()
 	now := time.Since(c.started)
 	c.quarantine.archive.Expire(now)
-	var words []quarantineMessage
-	for _, word := range c.quarantine.archive.Since(0) {
-		words = append(words, newQuarantineMessage(word, now))
+	var reports []quarantineMessage
+	for _, report := range c.quarantine.archive.Since(0) {
+		reports = append(reports, newQuarantineMessage(report, now))
 	}
 	c.mutex.Unlock()
-	if len(words) == 0 {
+	if len(reports) == 0 {
 		return
 	}
 	go func() {
-		if err := sendQuarantineReports(link, words); err != nil {
+		if err := sendQuarantineReports(link, reports); err != nil {
 			// The entry is sent them when it links again.
 			c.options.Log.Log(logging.PeerLost, zap.String("peer", link.Remote().ID), zap.Error(err))
 		}
--- a/internal/catalog/quarantine_test.go
+++ b/internal/catalog/quarantine_test.go
@@ -14,21 +14,21 @@
 
 // A report is the same at the receiver, apart from its transit time.
 func TestQuarantineReportsRoundTrip(t *testing.T) {
-	content := quarantine.NewHasher("tenant", "host", "/target").Content()
-	const said, heard = 10 * time.Second, 500 * time.Second
-	for _, word := range []quarantine.Word{
-		{Kind: quarantine.Ended, At: said, Entry: "10.0.0.1", Number: 3, Server: "i-1", Suspects: []quarantine.Suspect{{Content: content, Before: 70 * time.Millisecond}}},
-		{Kind: quarantine.Cleared, At: said, Entry: "10.0.0.1", Number: 4, Content: content, Lifts: true},
-		{Kind: quarantine.Quarantined, At: said, Entry: "10.0.0.1", Number: 5, Content: content, Servers: []string{"i-1", "i-2"}, Round: 2, Lasts: time.Hour},
+	fingerprint := quarantine.NewHasher("tenant", "host", "/target").Content()
+	const madeAt, receivedAt = 10 * time.Second, 500 * time.Second
+	for _, report := range []quarantine.Word{
+		{Kind: quarantine.Ended, At: madeAt, Entry: "10.0.0.1", Number: 3, Server: "i-1", Suspects: []quarantine.Suspect{{Content: fingerprint, Before: 70 * time.Millisecond}}},
+		{Kind: quarantine.Cleared, At: madeAt, Entry: "10.0.0.1", Number: 4, Content: fingerprint, Lifts: true},
+		{Kind: quarantine.Quarantined, At: madeAt, Entry: "10.0.0.1", Number: 5, Content: fingerprint, Servers: []string{"i-1", "i-2"}, Round: 2, Lasts: time.Hour},
 	} {
-		sent, err := cbor.Marshal(newQuarantineMessage(word, said+2*time.Second))
+		sent, err := cbor.Marshal(newQuarantineMessage(report, madeAt+2*time.Second))
 		require.NoError(t, err)
-		var told quarantineMessage
-		require.NoError(t, cbor.Unmarshal(sent, &told))
-		received, err := told.validated(heard)
+		var decoded quarantineMessage
+		require.NoError(t, cbor.Unmarshal(sent, &decoded))
+		received, err := decoded.validated(receivedAt)
 		require.NoError(t, err)
-		word.At = heard - 2*time.Second
-		assert.Equal(t, word, received)
+		report.At = receivedAt - 2*time.Second
+		assert.Equal(t, report, received)
 	}
 }
 
@@ -36,28 +36,28 @@
 // build sends.
 func TestInvalidQuarantineReportsAreRejected(t *testing.T) {
 	id := make([]byte, quarantine.ContentSize)
-	sound := func(change func(*quarantineMessage)) quarantineMessage {
-		word := quarantineMessage{Kind: int(quarantine.Ended), Entry: "10.0.0.1", Number: 1, Server: "i-1", Suspects: []suspectMessage{{Fingerprint: fingerprintMessage{ID: id}}}}
-		change(&word)
-		return word
+	valid := func(change func(*quarantineMessage)) quarantineMessage {
+		report := quarantineMessage{Kind: int(quarantine.Ended), Entry: "10.0.0.1", Number: 1, Server: "i-1", Suspects: []suspectMessage{{Fingerprint: fingerprintMessage{ID: id}}}}
+		change(&report)
+		return report
 	}
-	_, err := sound(func(*quarantineMessage) {}).validated(time.Minute)
+	_, err := valid(func(*quarantineMessage) {}).validated(time.Minute)
 	require.NoError(t, err)
 	for what, change := range map[string]func(*quarantineMessage){
-		"no teller":             func(w *quarantineMessage) { w.Entry = "" },
-		"said in the future":    func(w *quarantineMessage) { w.AgeMilliseconds = -1 },
-		"said years ago":        func(w *quarantineMessage) { w.AgeMilliseconds = 1 << 60 },
-		"no server":             func(w *quarantineMessage) { w.Server = "" },
-		"a short content":       func(w *quarantineMessage) { w.Suspects[0].Fingerprint.ID = id[1:] },
-		"sent after its end":    func(w *quarantineMessage) { w.Suspects[0].BeforeMilliseconds = -1 },
-		"too many contents":     func(w *quarantineMessage) { w.Suspects = make([]suspectMessage, quarantine.MostSuspects+1) },
-		"a kind of later":       func(w *quarantineMessage) { w.Kind = 99 },
-		"cleared without which": func(w *quarantineMessage) { w.Kind = int(quarantine.Cleared) },
-		"lasts for ever":        func(w *quarantineMessage) { w.LastsMilliseconds = 1 << 60 },
-		"a round below 0":       func(w *quarantineMessage) { w.Round = -1 },
-		"too many servers":      func(w *quarantineMessage) { w.Servers = make([]string, maxReportServers+1) },
+		"no reporter":                   func(w *quarantineMessage) { w.Entry = "" },
+		"negative age":                  func(w *quarantineMessage) { w.AgeMilliseconds = -1 },
+		"age too large":                 func(w *quarantineMessage) { w.AgeMilliseconds = 1 << 60 },
+		"no server":                     func(w *quarantineMessage) { w.Server = "" },
+		"short fingerprint":             func(w *quarantineMessage) { w.Suspects[0].Fingerprint.ID = id[1:] },
+		"sent after the crash":          func(w *quarantineMessage) { w.Suspects[0].BeforeMilliseconds = -1 },
+		"too many suspects":             func(w *quarantineMessage) { w.Suspects = make([]suspectMessage, quarantine.MostSuspects+1) },
+		"unknown kind":                  func(w *quarantineMessage) { w.Kind = 99 },
+		"cleared without a fingerprint": func(w *quarantineMessage) { w.Kind = int(quarantine.Cleared) },
+		"duration too large":            func(w *quarantineMessage) { w.LastsMilliseconds = 1 << 60 },
+		"negative round":                func(w *quarantineMessage) { w.Round = -1 },
+		"too many servers":              func(w *quarantineMessage) { w.Servers = make([]string, maxReportServers+1) },
 	} {
-		_, err := sound(change).validated(time.Minute)
+		_, err := valid(change).validated(time.Minute)
 		var invalid *fault.InvalidFrame
 		assert.ErrorAs(t, err, &invalid, what)
 	}
--- a/internal/catalog/reader.go
+++ b/internal/catalog/reader.go
@@ -75,10 +75,10 @@
 // while it is up to this process to read. A process that starts to read again continues from what
 // it last received, from the store or from others; the store reports if that is too long ago.
 func (c *Catalog) followStore(ctx context.Context) {
-	at := &watchPosition{prefix: c.options.Decoder.Prefix()}
+	position := &watchPosition{prefix: c.options.Decoder.Prefix()}
 	for ctx.Err() == nil {
-		c.advancePosition(at)
-		if idle := c.untilReading(at); idle > 0 {
+		c.advancePosition(position)
+		if idle := c.untilReading(position); idle > 0 {
 			waiting.For(ctx, max(idle, minIdle))
 			continue
 		}
@@ -87,7 +87,7 @@
 		if c.options.Role == RoleAgent {
 			wait = agentWatchWait
 		}
-		c.readStore(ctx, at, wait)
+		c.readStore(ctx, position, wait)
 		waiting.For(ctx, c.watchInterval(time.Now())-time.Since(began))
 	}
 }
@@ -100,23 +100,23 @@
 }
 
 // advancePosition moves a position to what others have sent.
-func (c *Catalog) advancePosition(at *watchPosition) {
+func (c *Catalog) advancePosition(position *watchPosition) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.completeRevision > at.forgottenRevision {
-		at.revision = max(at.revision, c.completeRevision)
+	if c.completeRevision > position.forgottenRevision {
+		position.revision = max(position.revision, c.completeRevision)
 	}
 }
 
 // untilReading returns how long this process need not read the store, unless an update arrives in
 // the meantime.
-func (c *Catalog) untilReading(at *watchPosition) time.Duration {
+func (c *Catalog) untilReading(position *watchPosition) time.Duration {
 	if c.options.Role == RoleAgent {
 		return c.untilAgentReads()
 	}
 	rank, zoneRank := c.ranks()
-	if at.revision == 0 {
-		return min(time.Until(c.listTime(at, rank)), rankCheckInterval)
+	if position.revision == 0 {
+		return min(time.Until(c.listTime(position, rank)), rankCheckInterval)
 	}
 	return min(maxCopyAge(rank, zoneRank)-time.Since(c.FreshAt()), rankCheckInterval)
 }
@@ -136,10 +136,10 @@
 // listTime returns when an entry that knows nothing, or too little, lists everything. A seed starts
 // at once, because others depend on it: after a loss of all entries they know the servers 65 to 125
 // ms after their start, instead of 560 ms (TestFleetIsReadySoonAfterAllEntriesWereKilled).
-func (c *Catalog) listTime(at *watchPosition, rank int) time.Time {
+func (c *Catalog) listTime(position *watchPosition, rank int) time.Time {
 	switch {
-	case at.forgottenRevision != 0:
-		return at.historyLostAt.Add(min(time.Duration(rank)*listStagger, maxListWait))
+	case position.forgottenRevision != 0:
+		return position.historyLostAt.Add(min(time.Duration(rank)*listStagger, maxListWait))
 	case len(c.options.Seeds) == 0 || c.options.IsSeed:
 		return c.started
 	}
@@ -151,11 +151,11 @@
 func (c *Catalog) untilAgentReads() time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	heard := c.started
-	if c.lastUpdateAt.After(heard) {
-		heard = c.lastUpdateAt
+	lastUpdate := c.started
+	if c.lastUpdateAt.After(lastUpdate) {
+		lastUpdate = c.lastUpdateAt
 	}
-	return agentSilence + c.agentReadDelay - time.Since(heard)
+	return agentSilence + c.agentReadDelay - time.Since(lastUpdate)
 }
 
 // ranks returns this entry's rank among the entries of its zone, and the rank of the zone.
@@ -174,51 +174,51 @@
 }
 
 // readStore makes one call and applies the answer.
-func (c *Catalog) readStore(ctx context.Context, at *watchPosition, wait time.Duration) {
+func (c *Catalog) readStore(ctx context.Context, position *watchPosition, wait time.Duration) {
 	c.storeCalls.Add(1)
 	began := time.Now()
 	var err error
-	if at.revision == 0 {
-		err = c.listStore(ctx, at)
+	if position.revision == 0 {
+		err = c.listStore(ctx, position)
 	} else {
 		call := storeCall{sentAt: time.Now(), wait: wait}
 		var changes fleet.Listing
-		changes, err = c.options.Store.Watch(ctx, at.prefix, at.revision, wait)
+		changes, err = c.options.Store.Watch(ctx, position.prefix, position.revision, wait)
 		if err == nil {
 			call.receivedAt, call.changes = time.Now(), len(changes.Records)
 			c.recordAnswered()
 			c.applyWatched(changes.Records)
 			c.recordComplete(call)
-			at.revision = max(at.revision, changes.At)
-			c.recordRead(at.revision)
+			position.revision = max(position.revision, changes.At)
+			c.recordRead(position.revision)
 		}
 	}
 	var historyGone *fault.HistoryGone
 	switch {
 	case err == nil:
-		c.recordSuccess(at)
+		c.recordSuccess(position)
 	case errors.As(err, &historyGone):
-		c.options.Log.Log(logging.HistoryForgotten, zap.String("prefix", at.prefix), zap.Uint64("after", at.revision))
-		at.forgottenRevision, at.historyLostAt = max(at.revision, 1), time.Now()
-		at.revision = 0
+		c.options.Log.Log(logging.HistoryForgotten, zap.String("prefix", position.prefix), zap.Uint64("after", position.revision))
+		position.forgottenRevision, position.historyLostAt = max(position.revision, 1), time.Now()
+		position.revision = 0
 	case ctx.Err() == nil:
 		c.recordRefused(began, err)
-		c.recordFailure(ctx, at, err)
+		c.recordFailure(ctx, position, err)
 	}
 }
 
-func (c *Catalog) listStore(ctx context.Context, at *watchPosition) error {
+func (c *Catalog) listStore(ctx context.Context, position *watchPosition) error {
 	call := storeCall{sentAt: time.Now()}
-	listing, err := c.options.Store.List(ctx, at.prefix)
+	listing, err := c.options.Store.List(ctx, position.prefix)
 	if err != nil {
 		return err
 	}
 	c.recordAnswered()
-	c.applyListing(at.prefix, listing)
+	c.applyListing(position.prefix, listing)
 	call.receivedAt, call.changes = time.Now(), len(listing.Records)
 	c.recordComplete(call)
-	at.revision, at.forgottenRevision = listing.At, 0
-	c.recordRead(at.revision)
+	position.revision, position.forgottenRevision = listing.At, 0
+	c.recordRead(position.revision)
 	return nil
 }
 
@@ -233,18 +233,18 @@
 	c.wakeExchange()
 }
 
-func (c *Catalog) recordSuccess(at *watchPosition) {
-	if at.failed {
-		c.options.Log.Log(logging.ServiceReached, zap.String("prefix", at.prefix))
+func (c *Catalog) recordSuccess(position *watchPosition) {
+	if position.failed {
+		c.options.Log.Log(logging.ServiceReached, zap.String("prefix", position.prefix))
 	}
-	at.failed, at.backoff = false, 0
+	position.failed, position.backoff = false, 0
 }
 
-func (c *Catalog) recordFailure(ctx context.Context, at *watchPosition, err error) {
-	if !at.failed {
-		c.options.Log.Log(logging.ServiceUnreached, zap.String("prefix", at.prefix), zap.Error(err))
+func (c *Catalog) recordFailure(ctx context.Context, position *watchPosition, err error) {
+	if !position.failed {
+		c.options.Log.Log(logging.ServiceUnreached, zap.String("prefix", position.prefix), zap.Error(err))
 	}
-	at.failed = true
-	at.backoff = min(max(2*at.backoff, minReadRetry), maxReadRetry)
-	waiting.For(ctx, at.backoff/2+rand.N(at.backoff))
+	position.failed = true
+	position.backoff = min(max(2*position.backoff, minReadRetry), maxReadRetry)
+	waiting.For(ctx, position.backoff/2+rand.N(position.backoff))
 }
--- a/internal/catalog/services.go
+++ b/internal/catalog/services.go
@@ -45,21 +45,21 @@
 
 // applyServices applies the services that an entry sent to this agent. A newer configuration is
 // kept, including a complete one that the agent read itself.
-func (c *Catalog) applyServices(link *peering.Link, told publishedServices) {
+func (c *Catalog) applyServices(link *peering.Link, published publishedServices) {
 	if c.options.Role != RoleAgent {
 		return
 	}
 	c.updateView(func(next *View) bool {
-		c.servicesRevision = max(c.servicesRevision, told.Revision)
-		if next.Configuration != nil && next.Configuration.Version >= told.Version {
+		c.servicesRevision = max(c.servicesRevision, published.Revision)
+		if next.Configuration != nil && next.Configuration.Version >= published.Version {
 			return false
 		}
-		next.Configuration = &fleet.Configuration{Version: told.Version, Services: told.Services}
+		next.Configuration = &fleet.Configuration{Version: published.Version, Services: published.Services}
 		next.Configuration.Index()
 		next.ConfigurationSince = time.Now()
 		next.collectAgents()
-		c.options.Log.Log(logging.ServicesTold, zap.String("peer", link.Remote().ID), zap.Uint64("version", told.Version),
-			zap.Int("services", len(told.Services)))
+		c.options.Log.Log(logging.ServicesTold, zap.String("peer", link.Remote().ID), zap.Uint64("version", published.Version),
+			zap.Int("services", len(published.Services)))
 		return true
 	})
 }
--- a/internal/catalog/services_test.go
+++ b/internal/catalog/services_test.go
@@ -31,13 +31,13 @@
 
 	entry.applyWatched([]mirror.Record{configurationRecord(7)})
 	entry.mutex.Lock()
-	told := entry.servicesFor(peer)
+	published := entry.servicesFor(peer)
 	again := entry.servicesFor(peer)
 	entry.mutex.Unlock()
-	require.NotNil(t, told)
-	assert.Nil(t, again, "it has been told")
+	require.NotNil(t, published)
+	assert.Nil(t, again, "it was sent")
 
-	agent.applyServices(&peering.Link{}, *told)
+	agent.applyServices(&peering.Link{}, *published)
 	configuration := agent.View().Configuration
 	require.NotNil(t, configuration)
 	assert.Equal(t, entry.View().Configuration.Services, configuration.Services)
@@ -46,7 +46,7 @@
 	agent.mutex.Lock()
 	defer agent.mutex.Unlock()
 	assert.Empty(t, agent.missingHeads(map[string]uint64{"op/config": 9}))
-	assert.Empty(t, agent.newerHeads(map[string]uint64{"op/config": 7}), "what it acts on is here")
+	assert.Empty(t, agent.newerHeads(map[string]uint64{"op/config": 7}), "it holds the part that it uses")
 	assert.NotEmpty(t, agent.newerHeads(map[string]uint64{"op/config": 8}))
 }
 
@@ -66,7 +66,7 @@
 	before := entry.freshSequence
 	entry.applyReceived([]mirror.Record{configurationRecord(7)}, nil)
 	assert.Greater(t, entry.freshSequence, before)
-	assert.Zero(t, entry.storeFreshSequence, "other zones have it from the same source")
+	assert.Zero(t, entry.storeFreshSequence, "other zones receive it from the same source")
 	entry.applyWatched([]mirror.Record{configurationRecord(8)})
 	assert.Equal(t, entry.freshSequence, entry.storeFreshSequence)
 }
--- a/internal/catalog/silent_links.go
+++ b/internal/catalog/silentlinks.go
@@ -107,8 +107,8 @@
 		return linkCheckInterval
 	}
 	answerTime := probeGrace - now.Sub(peer.answerableSince(&c.pauses))
-	if early := max(peer.renewDelay-silent, answerTime, c.pauses.graceLeft(now)); early > 0 {
-		return early
+	if remaining := max(peer.renewDelay-silent, answerTime, c.pauses.graceLeft(now)); remaining > 0 {
+		return remaining
 	}
 	peer.dialling = true
 	go c.renewLink(ctx, peer, peer.link)
@@ -133,12 +133,12 @@
 		return
 	}
 	c.openLink(peer, link, false)
-	heard := silent.LastHeard()
-	if heard.After(began) {
+	lastHeard := silent.LastHeard()
+	if lastHeard.After(began) {
 		peer.extendRenewDelay(now)
 		return
 	}
-	peer.replaced, peer.replacedAt, peer.silentFor = silent, now, now.Sub(heard)
+	peer.replaced, peer.replacedAt, peer.silentFor = silent, now, now.Sub(lastHeard)
 	c.suspectStore(peer, now)
 }
 
@@ -146,14 +146,14 @@
 // fault may have struck the watch, and the client alone detects that only after the wait and
 // several typical response times. The mutex must be held.
 func (c *Catalog) suspectStore(latest *peerLink, now time.Time) {
-	hearer, hears := c.options.Store.(fleet.SilenceHearer)
-	if !hears || now.Sub(c.storeSuspectedAt) < suspectWindow {
+	listener, listens := c.options.Store.(fleet.SilenceHearer)
+	if !listens || now.Sub(c.storeSuspectedAt) < suspectWindow {
 		return
 	}
 	for _, peer := range c.links {
 		if peer != latest && peer.replaced != nil && now.Sub(peer.replacedAt) < suspectWindow {
 			c.storeSuspectedAt = now
-			hearer.SuspectSilence()
+			listener.SuspectSilence()
 			return
 		}
 	}
--- a/internal/catalog/starved_process_test.go
+++ b/internal/catalog/starved_test.go
@@ -107,17 +107,17 @@
 	defer c.options.Hub.Close()
 	_, made := linkToEntry(t, c)
 	useLink(made, c)
-	told := 0
-	c.options.OnSilent = func(string, time.Duration) { told++ }
+	reported := 0
+	c.options.OnSilent = func(string, time.Duration) { reported++ }
 	peer := c.links["10.0.0.2"]
 	peer.replaced, peer.replacedAt = made, time.Now()
 	c.pauses.recordCheck(time.Now())
 	time.Sleep(silenceConfirmation)
 	c.checkLinks(t.Context())
-	assert.Zero(t, told)
+	assert.Zero(t, reported)
 	time.Sleep(resumeGrace)
 	c.checkLinks(t.Context())
-	assert.Zero(t, told, "it has answered meanwhile")
+	assert.Zero(t, reported, "it has answered in the meantime")
 	assert.Nil(t, peer.replaced)
 }
 
@@ -173,7 +173,7 @@
 func TestSlowLinkIsNotRedialledRepeatedly(t *testing.T) {
 	// span is how long the links are checked, mostDials the maximum number of dials in that time.
 	const (
-		span      = 10 * time.Second
+		duration  = 10 * time.Second
 		mostDials = 4
 	)
 	c := newTestCatalog()
@@ -192,7 +192,7 @@
 	useLink(made, c)
 	dials.Store(0)
 	on.Store(true)
-	for began := time.Now(); time.Since(began) < span; time.Sleep(20 * time.Millisecond) {
+	for began := time.Now(); time.Since(began) < duration; time.Sleep(20 * time.Millisecond) {
 		c.checkLinks(t.Context())
 	}
 	t.Log("dialled again:", dials.Load())
--- a/internal/catalog/statuses.go
+++ b/internal/catalog/statuses.go
@@ -110,13 +110,13 @@
 		return
 	}
 	now := time.Now()
-	near := link.Remote().Zone == c.options.Zone
-	for _, told := range statuses {
-		passed := heldStatus{status: told.Status, zone: told.Zone, at: now.Add(-time.Duration(told.AgeMilliseconds) * time.Millisecond), endsSilence: told.EndsSilence}
-		if near {
-			passed.relayedAt = now
+	isLocal := link.Remote().Zone == c.options.Zone
+	for _, wire := range statuses {
+		report := heldStatus{status: wire.Status, zone: wire.Zone, at: now.Add(-time.Duration(wire.AgeMilliseconds) * time.Millisecond), endsSilence: wire.EndsSilence}
+		if isLocal {
+			report.relayedAt = now
 		}
-		c.applyStatus(passed)
+		c.applyStatus(report)
 	}
 }
 
@@ -280,19 +280,19 @@
 // nextBatch returns the key of a link's next batch and marks it as sent; false if none is due. The
 // mutex must be held.
 func (c *Catalog) nextBatch(peer *peerLink, firstGate bool, now time.Time) (batchKey, bool) {
-	isNear := peer.zone() == c.options.Zone
+	isLocal := peer.zone() == c.options.Zone
 	// Tolerate a timer that is slightly early, so that a round is not delayed by a whole
 	// statusInterval.
-	farDue := firstGate && now.Sub(peer.remoteSentAt) >= remoteStatusInterval-statusInterval/4
+	remoteDue := firstGate && now.Sub(peer.remoteSentAt) >= remoteStatusInterval-statusInterval/4
 	peer.unused = false
 	var key batchKey
 	switch {
-	case isNear:
-		key = batchKey{local: true, localAfter: peer.localSent, remote: farDue}
-		if farDue {
+	case isLocal:
+		key = batchKey{local: true, localAfter: peer.localSent, remote: remoteDue}
+		if remoteDue {
 			key.remoteAfter = peer.remoteSent
 		}
-	case farDue:
+	case remoteDue:
 		key = batchKey{wholeZone: true, localAfter: peer.localSent}
 	default:
 		return key, false
@@ -302,12 +302,12 @@
 		return key, false
 	}
 	peer.localSent = c.statusSequence
-	if farDue {
+	if remoteDue {
 		peer.remoteSentAt = now
 		if peer.remoteExpedited {
 			peer.remoteExpedited, peer.remoteExpeditedAt = false, now
 		}
-		if isNear {
+		if isLocal {
 			peer.remoteSent = c.statusSequence
 		}
 	}
--- a/internal/catalog/view.go
+++ b/internal/catalog/view.go
@@ -62,29 +62,29 @@
 
 // pruneAnnouncements removes announcements that no longer bind: the oldest one, as long as the next
 // newer one is in force too. Until then, the oldest ends the time of the versions before it.
-func pruneAnnouncements(notices []VersionAnnouncement, apply time.Duration, now time.Time) []VersionAnnouncement {
-	for len(notices) > 1 && (len(notices) > maxAnnouncements || now.Sub(notices[1].Since) > apply) {
-		notices = notices[1:]
+func pruneAnnouncements(announcements []VersionAnnouncement, apply time.Duration, now time.Time) []VersionAnnouncement {
+	for len(announcements) > 1 && (len(announcements) > maxAnnouncements || now.Sub(announcements[1].Since) > apply) {
+		announcements = announcements[1:]
 	}
-	return notices
+	return announcements
 }
 
 // Newest returns the newest announced version of a model.
 func (v *View) Newest(model string) (VersionAnnouncement, bool) {
-	notices := v.Versions[model]
-	if len(notices) == 0 {
+	announcements := v.Versions[model]
+	if len(announcements) == 0 {
 		return VersionAnnouncement{}, false
 	}
-	return notices[len(notices)-1], true
+	return announcements[len(announcements)-1], true
 }
 
 // NewestOlderThan returns the newest version of a model that was announced longer ago than age, or
 // 0.
 func (v *View) NewestOlderThan(model string, age time.Duration, now time.Time) uint64 {
 	due := uint64(0)
-	for _, notice := range v.Versions[model] {
-		if now.Sub(notice.Since) > age {
-			due = max(due, notice.Version)
+	for _, announcement := range v.Versions[model] {
+		if now.Sub(announcement.Since) > age {
+			due = max(due, announcement.Version)
 		}
 	}
 	return due
@@ -96,10 +96,10 @@
 }
 
 // FirstAfter returns the earliest announcement of a version newer than the given one.
-func FirstAfter(notices []VersionAnnouncement, version uint64) (VersionAnnouncement, bool) {
-	for _, notice := range notices {
-		if notice.Version > version {
-			return notice, true
+func FirstAfter(announcements []VersionAnnouncement, version uint64) (VersionAnnouncement, bool) {
+	for _, announcement := range announcements {
+		if announcement.Version > version {
+			return announcement, true
 		}
 	}
 	return VersionAnnouncement{}, false
@@ -144,9 +144,9 @@
 // runs without the mutex, which every request takes: a configuration of 10,000 routes takes 35 ms
 // of a whole core to decode (BenchmarkConfiguration), and several times as long on a fraction of
 // one.
-func (c *Catalog) decodeConfigurations(news []mirror.Record) map[uint64]decodedConfiguration {
+func (c *Catalog) decodeConfigurations(changed []mirror.Record) map[uint64]decodedConfiguration {
 	var decoded map[uint64]decodedConfiguration
-	for _, record := range news {
+	for _, record := range changed {
 		if record.Gone || c.options.Decoder.Kind(record.Key) != fleet.RecordConfiguration {
 			continue
 		}
@@ -161,14 +161,14 @@
 
 // rebuildView builds a view from changed records and their decoded configurations, and publishes
 // it. The mutex must be held.
-func (c *Catalog) rebuildView(news []mirror.Record, decoded map[uint64]decodedConfiguration) {
+func (c *Catalog) rebuildView(changed []mirror.Record, decoded map[uint64]decodedConfiguration) {
 	old := c.view.Load()
 	next := &View{
 		Configuration: old.Configuration, ConfigurationSince: old.ConfigurationSince,
 		Servers: old.Servers, Versions: old.Versions, Evacuations: old.Evacuations, agents: old.agents,
 	}
 	var serversChanged bool
-	for _, record := range news {
+	for _, record := range changed {
 		switch c.options.Decoder.Kind(record.Key) {
 		case fleet.RecordConfiguration:
 			c.applyConfiguration(next, record, decoded[record.Revision])
@@ -216,13 +216,13 @@
 		return
 	}
 	age := c.versionAges[record.Key]
-	notice := VersionAnnouncement{Version: named.Version, Revision: record.Revision, Since: time.Now().Add(-age.age), Assumed: age.assumed}
-	notices := append(slices.Clone(next.Versions[named.Model]), notice)
-	notices = pruneAnnouncements(notices, c.options.VersionApply, time.Now())
+	announcement := VersionAnnouncement{Version: named.Version, Revision: record.Revision, Since: time.Now().Add(-age.age), Assumed: age.assumed}
+	announcements := append(slices.Clone(next.Versions[named.Model]), announcement)
+	announcements = pruneAnnouncements(announcements, c.options.VersionApply, time.Now())
 	next.Versions = maps.Clone(next.Versions)
-	next.Versions[named.Model] = notices
+	next.Versions[named.Model] = announcements
 	c.options.Log.Log(logging.VersionNamed, zap.String("model", named.Model), zap.Uint64("version", named.Version),
-		zap.Uint64("revision", record.Revision), zap.Duration("age", time.Since(notice.Since)), zap.Bool("assumed", notice.Assumed))
+		zap.Uint64("revision", record.Revision), zap.Duration("age", time.Since(announcement.Since)), zap.Bool("assumed", announcement.Assumed))
 	if age.age > lateAnnouncement {
 		c.options.Log.Log(logging.VersionHeardLate, zap.String("model", named.Model), zap.Uint64("version", named.Version),
 			zap.Duration("at_most", age.age), zap.Bool("assumed", age.assumed))
--- a/internal/catalog/reports.go
+++ b/internal/catalog/words.go
@@ -29,59 +29,59 @@
 	maxReports int
 }
 
-func newReportStore[W any](started time.Time, memory time.Duration, most int) reportStore[W] {
-	return reportStore[W]{reports: map[reportKey]heldReport[W]{}, number: uint64(started.UnixNano()), ttl: memory, maxReports: most}
+func newReportStore[W any](started time.Time, ttl time.Duration, maxReports int) reportStore[W] {
+	return reportStore[W]{reports: map[reportKey]heldReport[W]{}, number: uint64(started.UnixNano()), ttl: ttl, maxReports: maxReports}
 }
 
 // nextNumber returns the number for this entry's next report.
-func (h *reportStore[W]) nextNumber() uint64 {
-	h.number++
-	return h.number
+func (s *reportStore[W]) nextNumber() uint64 {
+	s.number++
+	return s.number
 }
 
 // add stores a report if it is newer than the one held, and reports whether it did.
-func (h *reportStore[W]) add(key reportKey, fresh heldReport[W], now time.Time) bool {
-	held, known := h.reports[key]
-	if known && fresh.number <= held.number && now.Sub(held.at) < h.ttl {
+func (s *reportStore[W]) add(key reportKey, fresh heldReport[W], now time.Time) bool {
+	held, known := s.reports[key]
+	if known && fresh.number <= held.number && now.Sub(held.at) < s.ttl {
 		return false
 	}
-	if !known && len(h.reports) >= h.maxReports {
-		h.evictOldest()
+	if !known && len(s.reports) >= s.maxReports {
+		s.evictOldest()
 	}
-	h.sequence++
-	fresh.sequence = h.sequence
-	h.reports[key] = fresh
+	s.sequence++
+	fresh.sequence = s.sequence
+	s.reports[key] = fresh
 	return true
 }
 
-func (h *reportStore[W]) evictOldest() {
+func (s *reportStore[W]) evictOldest() {
 	var oldest reportKey
 	var at time.Time
-	for key, held := range h.reports {
+	for key, held := range s.reports {
 		if at.IsZero() || held.at.Before(at) {
 			oldest, at = key, held.at
 		}
 	}
-	delete(h.reports, oldest)
+	delete(s.reports, oldest)
 }
 
 // expire removes reports older than the ttl.
-func (h *reportStore[W]) expire(now time.Time) {
-	for key, held := range h.reports {
-		if now.Sub(held.at) > h.ttl {
-			delete(h.reports, key)
+func (s *reportStore[W]) expire(now time.Time) {
+	for key, held := range s.reports {
+		if now.Sub(held.at) > s.ttl {
+			delete(s.reports, key)
 		}
 	}
 }
 
 // unsent returns the reports after a sequence that are to be sent to a peer. Only relays forward
 // the reports of others.
-func (h *reportStore[W]) unsent(told uint64, peer, self string, isRelay bool) map[reportKey]heldReport[W] {
-	untold := map[reportKey]heldReport[W]{}
-	for key, held := range h.reports {
-		if held.sequence > told && key.entry != peer && (key.entry == self || isRelay) {
-			untold[key] = held
+func (s *reportStore[W]) unsent(sentSequence uint64, peer, self string, isRelay bool) map[reportKey]heldReport[W] {
+	unsent := map[reportKey]heldReport[W]{}
+	for key, held := range s.reports {
+		if held.sequence > sentSequence && key.entry != peer && (key.entry == self || isRelay) {
+			unsent[key] = held
 		}
 	}
-	return untold
+	return unsent
 }
