--- a/internal/catalog/ages.go
+++ b/internal/catalog/ages.go
@@ -69,7 +69,7 @@
 // silent link is replaced within about 2 s.
 const fleetOutageAge = 2500 * time.Millisecond
 
-// recordRefused records that the store refused a call sent at a given time. The VERSION invariant
+// recordRefused records that the store refused a call sent at a given time. Requirement VERSION
 // counts time only within one period of a stable store, so no time before this call counts,
 // whichever process learns of the version: ages are sent to peers as they are counted here. A
 // machine that the store refuses while it serves others must not conclude this: updates of peers
--- a/internal/catalog/asks_test.go
+++ b/internal/catalog/asks_test.go
@@ -39,10 +39,10 @@
 		"rate not a number":   func(a *noticeMessage) { a.PerSecond = math.NaN() },
 		"infinite rate":       func(a *noticeMessage) { a.PerSecond = math.Inf(1) },
 	} {
-		invalidNotice := valid
-		change(&invalidNotice)
+		malformed := valid
+		change(&malformed)
 		var invalid *fault.InvalidFrame
-		require.ErrorAs(t, invalidNotice.validate(), &invalid, what)
+		require.ErrorAs(t, malformed.validate(), &invalid, what)
 	}
 }
 
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -42,8 +42,8 @@
 	// OnSilent is called with the IP address of the peer when a link has gone silent while a new
 	// link to the same peer works.
 	OnSilent func(target string, silent time.Duration)
-	// VersionApply is the time after which an announced version is in force. Contact is how long
-	// after its start a process is bound by versions whose age it does not know, see assumedAge.
+	// VersionApply is the time after which an announced version is in force. Contact is the time
+	// after its start from which a process is bound by versions announced before, see assumedAge.
 	VersionApply time.Duration
 	Contact      time.Duration
 	// Drain is how long a server that has left may still be sent requests.
--- a/internal/catalog/doubt_test.go
+++ b/internal/catalog/doubt_test.go
@@ -48,7 +48,7 @@
 	return time.Since(newest.Since)
 }
 
-// Guards the VERSION invariant: watches that return nothing advance the watermark although a
+// VERSION: watches that return nothing advance the watermark although a
 // version was announced, then the store loses its history, and peers have adopted the watermark in
 // the meantime. When the reader subtracted the margin only after the loss, peers sent its watermark
 // back, and preferred their own to the age sent with the version: all processes dated the
@@ -98,7 +98,7 @@
 	return fleet.Listing{Records: []mirror.Record{version2}, At: version2.Revision}, nil
 }
 
-// Guards the VERSION invariant: time does not count while the store is out for the whole fleet.
+// VERSION: time does not count while the store is out for the whole fleet.
 // Without that, a version announced after an outage as long as the bound was in force at once,
 // alone.
 //
--- a/internal/catalog/exchange.go
+++ b/internal/catalog/exchange.go
@@ -250,14 +250,14 @@
 	if err != nil {
 		return
 	}
-	notice, known := c.View().Newest(named.Model)
-	if !known || notice.Revision != record.Revision || notice.Assumed {
+	announcement, known := c.View().Newest(named.Model)
+	if !known || announcement.Revision != record.Revision || announcement.Assumed {
 		return
 	}
 	if message.AgesMilliseconds == nil {
 		message.AgesMilliseconds = map[string]int64{}
 	}
-	message.AgesMilliseconds[record.Key] = time.Since(notice.Since).Milliseconds() + 1
+	message.AgesMilliseconds[record.Key] = time.Since(announcement.Since).Milliseconds() + 1
 }
 
 func (c *Catalog) handleUpdate(link *peering.Link, received *message.Message) {
--- a/internal/catalog/horizon.go
+++ b/internal/catalog/horizon.go
@@ -17,11 +17,11 @@
 }
 
 // minus returns the watermark less a margin of uncertainty.
-func (w watermark) minus(doubt time.Duration) watermark {
+func (w watermark) minus(margin time.Duration) watermark {
 	if w.at.IsZero() {
 		return w
 	}
-	return watermark{at: w.at.Add(-doubt)}
+	return watermark{at: w.at.Add(-margin)}
 }
 
 // atLeast returns the watermark, or a moment if that is later. An unknown watermark stays unknown.
--- a/internal/catalog/links.go
+++ b/internal/catalog/links.go
@@ -243,10 +243,10 @@
 	defer c.mutex.Unlock()
 	peer.dialling = false
 	if err != nil {
-		pause := dialBackoff(peer.failures)
-		peer.nextDial = time.Now().Add(pause)
+		backoff := dialBackoff(peer.failures)
+		peer.nextDial = time.Now().Add(backoff)
 		peer.failures++
-		time.AfterFunc(pause, c.wakeExchange)
+		time.AfterFunc(backoff, c.wakeExchange)
 		c.overlay.Suspect(peer.ip, time.Now())
 		return
 	}
--- a/internal/catalog/silentlinks.go
+++ b/internal/catalog/silentlinks.go
@@ -66,12 +66,12 @@
 // answerableSince returns since when the answer to the probe could be read. Stalls of the process
 // move it, up to the end of probeTimeout: otherwise a process that stalls repeatedly never finds
 // that a link is dead.
-func (p *peerLink) answerableSince(pause *pauseDetector) time.Time {
-	granted, last := pause.probeStart(p.probedAt), p.probedAt.Add(probeTimeout)
-	if granted.After(last) {
+func (p *peerLink) answerableSince(pauses *pauseDetector) time.Time {
+	start, last := pauses.probeStart(p.probedAt), p.probedAt.Add(probeTimeout)
+	if start.After(last) {
 		return last
 	}
-	return granted
+	return start
 }
 
 // checkLinks checks links that have been silent for a short time. If two entries have each made a
@@ -106,8 +106,8 @@
 	if peer.accepted || peer.dialling {
 		return linkCheckInterval
 	}
-	answerTime := probeGrace - now.Sub(peer.answerableSince(&c.pauses))
-	if remaining := max(peer.renewDelay-silent, answerTime, c.pauses.graceLeft(now)); remaining > 0 {
+	probeLeft := probeGrace - now.Sub(peer.answerableSince(&c.pauses))
+	if remaining := max(peer.renewDelay-silent, probeLeft, c.pauses.graceLeft(now)); remaining > 0 {
 		return remaining
 	}
 	peer.dialling = true
--- a/internal/catalog/statuses.go
+++ b/internal/catalog/statuses.go
@@ -169,11 +169,11 @@
 // came by. A report of an agent of the own zone may well come from another entry, whose link to the
 // agent recovered first.
 func (c *Catalog) isLate(fresh, held heldStatus) bool {
-	pause := fresh.at.Sub(held.at)
+	gap := fresh.at.Sub(held.at)
 	if fresh.zone != c.options.Zone {
-		return pause > remoteSilence
+		return gap > remoteSilence
 	}
-	return pause > backupDelay
+	return gap > backupDelay
 }
 
 // expediteStatuses has reports sent soon to all entries, including those of other zones: they have
@@ -193,8 +193,8 @@
 	p.remoteExpedited = true
 	if due := p.remoteExpeditedAt.Add(remoteFlushInterval); !due.After(now) {
 		p.remoteSentAt = time.Time{}
-	} else if toldAt := due.Add(-remoteStatusInterval); toldAt.Before(p.remoteSentAt) {
-		p.remoteSentAt = toldAt
+	} else if sentAt := due.Add(-remoteStatusInterval); sentAt.Before(p.remoteSentAt) {
+		p.remoteSentAt = sentAt
 	}
 }
 
