--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -288,8 +288,8 @@
 // recordChanges records the changes to be sent to peers. A change read from the store is urgent,
 // since others depend on this process. A change received from a peer waits for the next update,
 // unless it announces a version, evacuates a zone or reports that a server in use has turned cold:
-// sent with the next update, that reached a zone's last entry 0.2 s after its first and agents 0.6
-// s after it; sent at once, both had it within 0.02 s. The mutex must be held.
+// sent with the next update, such a change reached a zone's last entry 0.2 s after its first and
+// agents 0.6 s after it; sent at once, it reached both within 0.02 s. The mutex must be held.
 func (c *Catalog) recordChanges(from source, changed []mirror.Record, turnedCold bool) {
 	for _, record := range changed {
 		kind := c.options.Decoder.Kind(record.Key)
@@ -382,16 +382,16 @@
 // start time is earlier than the listed one, and no record with that start time came before. A
 // server whose clock was set back repeats the earlier start time with each heartbeat, whereas a
 // server that has ended can have had only one record in transit. The mutex must be held.
-func (c *Catalog) isFormerIncarnation(key string, born, listed incarnation.Born) bool {
-	if !born.Before(listed) {
+func (c *Catalog) isFormerIncarnation(key string, startTime, listed incarnation.Born) bool {
+	if !startTime.Before(listed) {
 		delete(c.formerIncarnations, key)
 		return false
 	}
-	if c.formerIncarnations[key] == born {
+	if c.formerIncarnations[key] == startTime {
 		delete(c.formerIncarnations, key)
 		return false
 	}
-	c.formerIncarnations[key] = born
+	c.formerIncarnations[key] = startTime
 	return true
 }
 
