--- a/internal/catalog/asks.go
+++ b/internal/catalog/asks.go
@@ -16,170 +16,175 @@
 	"pinevane.example/pinevane/internal/peering"
 )
 
-// topicAsks carries what servers have asked of entries in their answers, from these to all others: an
-// entry leaves a server alone that has told another one to, and one that starts knows it before it has had an answer.
-const topicAsks = "server.asks"
+// topicServerNotices carries what servers requested of entries in response headers, from each entry
+// to all others: an entry spares a server that sent its notice to another one, and an entry that
+// starts knows it before its first response.
+const topicServerNotices = "server.asks"
 
-// Bounds of what is held of servers' wishes.
+// Bounds on the server notices held.
 const (
-	// askMemory is how long a word is kept for entries that are linked later; words that hold are told
-	// again within it.
-	askMemory = 10 * time.Minute
-	// mostAsks bounds the words held; the oldest go first.
-	mostAsks = 2048
+	// noticeTTL is how long a notice is kept for entries that link later. Notices that still hold
+	// are sent again within it.
+	noticeTTL = 10 * time.Minute
+	// maxNotices bounds the notices held; the oldest are evicted first.
+	maxNotices = 2048
 )
 
-// toldAsk is an entry's word on what a server asks, as it is passed on; dispatch.Ask tells what the fields
-// mean.
-type toldAsk struct {
+// noticeMessage is the wire form of a server notice received by an entry; dispatch documents the
+// fields.
+type noticeMessage struct {
 	Server string `cbor:"1,keyasint"`
 	Entry  string `cbor:"2,keyasint"`
-	// Number orders the words of one entry.
+	// Number orders the notices of one entry.
 	Number          uint64                `cbor:"3,keyasint"`
 	AgeMilliseconds int64                 `cbor:"4,keyasint"`
-	Born            incarnation.StartTime `cbor:"5,keyasint,omitempty"`
+	StartTime       incarnation.StartTime `cbor:"5,keyasint,omitempty"`
 	Leaving         bool                  `cbor:"6,keyasint,omitempty"`
 	Limited         bool                  `cbor:"7,keyasint,omitempty"`
 	PerSecond       float64               `cbor:"8,keyasint,omitempty"`
 }
 
-// askBatch is what one process passes on at once.
-type askBatch struct {
-	Asks []toldAsk `cbor:"1,keyasint"`
+// noticeBatch is the wire form of the notices that one process sends at once.
+type noticeBatch struct {
+	Notices []noticeMessage `cbor:"1,keyasint"`
 }
 
-// AskFunction is told what a server has asked of another entry, and when.
-type AskFunction func(ask dispatch.ServerNotice, entry string, at time.Time)
+// ServerNoticeHandler is called with a server notice that another entry received, and when it did.
+type ServerNoticeHandler func(notice dispatch.ServerNotice, entry string, at time.Time)
 
-// serverAsks are the words of all entries. The catalog's mutex guards it.
-type serverAsks struct {
-	heldWords[dispatch.ServerNotice]
-	onWord AskFunction
-	// fresh is signalled when there is something to pass on.
-	fresh chan struct{}
+// serverNotices holds the server notices of all entries. The catalog's mutex guards it.
+type serverNotices struct {
+	reportStore[dispatch.ServerNotice]
+	onNotice ServerNoticeHandler
+	// pending is signalled when there are notices to send.
+	pending chan struct{}
 }
 
-func newServerAsks(started time.Time) serverAsks {
-	return serverAsks{heldWords: newHeldWords[dispatch.ServerNotice](started, askMemory, mostAsks), fresh: make(chan struct{}, 1)}
+func newServerNotices(started time.Time) serverNotices {
+	return serverNotices{reportStore: newReportStore[dispatch.ServerNotice](started, noticeTTL, maxNotices), pending: make(chan struct{}, 1)}
 }
 
-// OnAsk registers a function that is called with each word of another entry. It must be registered before Run.
-func (c *Catalog) OnAsk(function AskFunction) { c.asks.onWord = function }
+// OnServerNotice registers a function that is called with each notice of another entry. It must be
+// registered before Run.
+func (c *Catalog) OnServerNotice(function ServerNoticeHandler) { c.notices.onNotice = function }
 
-// TellAsk has the other entries told at once what a server has asked of this one at a time.
-func (c *Catalog) TellAsk(ask dispatch.ServerNotice, at time.Time) {
+// AnnounceNotice sends a server notice that this entry received at a given time to the other
+// entries at once.
+func (c *Catalog) AnnounceNotice(notice dispatch.ServerNotice, at time.Time) {
 	c.mutex.Lock()
-	word := heldWord[dispatch.ServerNotice]{word: ask, at: at, number: c.asks.nextNumber()}
-	c.asks.hold(wordKey{entry: c.options.Self, server: ask.Server}, word, time.Now())
+	report := heldReport[dispatch.ServerNotice]{report: notice, at: at, number: c.notices.nextNumber()}
+	c.notices.add(reportKey{entry: c.options.Self, server: notice.Server}, report, time.Now())
 	c.mutex.Unlock()
-	c.passAsksSoon()
+	c.scheduleNotices()
 }
 
-func (c *Catalog) passAsksSoon() { signal(c.asks.fresh) }
+func (c *Catalog) scheduleNotices() { signal(c.notices.pending) }
 
-func (c *Catalog) handleAsks(link *peering.Link, received *message.Message) {
-	batch, err := peering.Decode[askBatch](received)
+func (c *Catalog) handleServerNotices(link *peering.Link, received *message.Message) {
+	batch, err := peering.Decode[noticeBatch](received)
 	if err != nil {
 		c.options.Log.Log(logging.FrameRejected, zap.String("peer", link.Remote().ID), zap.Error(err))
 		return
 	}
-	now, news := time.Now(), []freshAsk{}
+	now, added := time.Now(), []receivedNotice{}
 	c.mutex.Lock()
-	for _, told := range batch.Asks {
-		if err := told.check(); err != nil {
+	for _, notice := range batch.Notices {
+		if err := notice.validate(); err != nil {
 			c.options.Log.Log(logging.FrameRejected, zap.String("peer", link.Remote().ID), zap.Error(err))
 			continue
 		}
-		fresh := freshAsk{heldWord: told.held(now), entry: told.Entry}
-		if told.Entry != c.options.Self && c.asks.hold(wordKey{entry: told.Entry, server: told.Server}, fresh.heldWord, now) {
-			news = append(news, fresh)
+		fresh := receivedNotice{heldReport: notice.toReport(now), entry: notice.Entry}
+		if notice.Entry != c.options.Self && c.notices.add(reportKey{entry: notice.Entry, server: notice.Server}, fresh.heldReport, now) {
+			added = append(added, fresh)
 		}
 	}
 	c.mutex.Unlock()
-	if len(news) == 0 {
+	if len(added) == 0 {
 		return
 	}
-	c.passAsksSoon()
-	if c.asks.onWord == nil {
+	c.scheduleNotices()
+	if c.notices.onNotice == nil {
 		return
 	}
-	for _, one := range news {
-		c.asks.onWord(one.word, one.entry, one.at)
+	for _, notice := range added {
+		c.notices.onNotice(notice.report, notice.entry, notice.at)
 	}
 }
 
-// freshAsk is a word that is news here, and who has told it.
-type freshAsk struct {
-	heldWord[dispatch.ServerNotice]
+// receivedNotice is a new notice and the entry that received it from the server.
+type receivedNotice struct {
+	heldReport[dispatch.ServerNotice]
 	entry string
 }
 
-// check rejects a word that can't be meant: one faulty word does not cost the others of its message.
-func (t toldAsk) check() error {
+// validate rejects a notice with impossible values. An invalid notice does not affect the others of
+// its message.
+func (m noticeMessage) validate() error {
 	reason := ""
 	switch {
-	case t.Server == "" || t.Entry == "":
-		reason = "no server or no teller"
-	case t.AgeMilliseconds < 0 || t.AgeMilliseconds > askMemory.Milliseconds():
-		reason = fmt.Sprintf("age of %d ms", t.AgeMilliseconds)
-	case t.Born < 0:
-		reason = fmt.Sprintf("born at %d", t.Born)
-	case math.IsNaN(t.PerSecond) || t.PerSecond < 0 || t.PerSecond > fleet.MostRequestsPerSecond:
-		reason = fmt.Sprintf("%g requests a second", t.PerSecond)
+	case m.Server == "" || m.Entry == "":
+		reason = "no server or no reporter"
+	case m.AgeMilliseconds < 0 || m.AgeMilliseconds > noticeTTL.Milliseconds():
+		reason = fmt.Sprintf("age of %d ms", m.AgeMilliseconds)
+	case m.StartTime < 0:
+		reason = fmt.Sprintf("start time %d", m.StartTime)
+	case math.IsNaN(m.PerSecond) || m.PerSecond < 0 || m.PerSecond > fleet.MostRequestsPerSecond:
+		reason = fmt.Sprintf("%g requests per second", m.PerSecond)
 	default:
 		return nil
 	}
-	return &fault.InvalidFrame{Field: topicAsks, Reason: reason}
+	return &fault.InvalidFrame{Field: topicServerNotices, Reason: reason}
 }
 
-// held is a word that was received at a time.
-func (t toldAsk) held(now time.Time) heldWord[dispatch.ServerNotice] {
-	return heldWord[dispatch.ServerNotice]{
-		word: dispatch.ServerNotice{Server: t.Server, StartTime: t.Born, Leaving: t.Leaving, Limited: t.Limited, PerSecond: t.PerSecond},
-		at:   now.Add(-time.Duration(t.AgeMilliseconds) * time.Millisecond), number: t.Number,
+// toReport converts a notice received now.
+func (m noticeMessage) toReport(now time.Time) heldReport[dispatch.ServerNotice] {
+	return heldReport[dispatch.ServerNotice]{
+		report: dispatch.ServerNotice{Server: m.Server, StartTime: m.StartTime, Leaving: m.Leaving, Limited: m.Limited, PerSecond: m.PerSecond},
+		at:     now.Add(-time.Duration(m.AgeMilliseconds) * time.Millisecond), number: m.Number,
 	}
 }
 
-// toldAskOf is an entry's word as it is passed on at a time.
-func toldAskOf(entry string, held heldWord[dispatch.ServerNotice], now time.Time) toldAsk {
-	return toldAsk{
-		Server: held.word.Server, Entry: entry, Number: held.number, AgeMilliseconds: max(0, now.Sub(held.at).Milliseconds()), Born: held.word.StartTime,
-		Leaving: held.word.Leaving, Limited: held.word.Limited, PerSecond: held.word.PerSecond,
+// newNoticeMessage converts an entry's notice to its wire form.
+func newNoticeMessage(entry string, held heldReport[dispatch.ServerNotice], now time.Time) noticeMessage {
+	return noticeMessage{
+		Server: held.report.Server, Entry: entry, Number: held.number, AgeMilliseconds: max(0, now.Sub(held.at).Milliseconds()), StartTime: held.report.StartTime,
+		Leaving: held.report.Leaving, Limited: held.report.Limited, PerSecond: held.report.PerSecond,
 	}
 }
 
-// passAsks sends each linked entry the words that it has not been told. What others have said is passed on by relays
-// alone: every entry is linked to each of its zone, and they to other zones.
-func (c *Catalog) passAsks() {
+// sendPendingNotices sends each linked entry the notices that it has not been sent. Only relays
+// forward the notices of others: every entry is linked to each relay of its zone, and the relays
+// are linked to other zones.
+func (c *Catalog) sendPendingNotices() {
 	now := time.Now()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.asks.expire(now)
+	c.notices.expire(now)
 	isRelay := c.isRelay()
 	for _, peer := range c.links {
-		if peer.link == nil || !peer.isEntry() || peer.tellingAsks || peer.asksTold == c.asks.sequence {
+		if peer.link == nil || !peer.isEntry() || peer.sendingNotices || peer.noticesSent == c.notices.sequence {
 			continue
 		}
-		asks := c.asksFor(peer, isRelay, now)
-		peer.asksTold = c.asks.sequence
-		if len(asks) > 0 {
-			peer.tellingAsks = true
-			go c.sendAsks(peer, peer.link, asks)
+		notices := c.noticesFor(peer, isRelay, now)
+		peer.noticesSent = c.notices.sequence
+		if len(notices) > 0 {
+			peer.sendingNotices = true
+			go c.sendNotices(peer, peer.link, notices)
 		}
 	}
 }
 
-// asksFor lists the words that an entry is to be told; the mutex is held.
-func (c *Catalog) asksFor(peer *peerLink, isRelay bool, now time.Time) []toldAsk {
-	var asks []toldAsk
-	for key, held := range c.asks.untold(peer.asksTold, peer.ip, c.options.Self, isRelay) {
-		asks = append(asks, toldAskOf(key.entry, held, now))
+// noticesFor returns the notices to send to an entry. The mutex must be held.
+func (c *Catalog) noticesFor(peer *peerLink, isRelay bool, now time.Time) []noticeMessage {
+	var notices []noticeMessage
+	for key, held := range c.notices.unsent(peer.noticesSent, peer.ip, c.options.Self, isRelay) {
+		notices = append(notices, newNoticeMessage(key.entry, held, now))
 	}
-	return asks
+	return notices
 }
 
-func (c *Catalog) sendAsks(peer *peerLink, link *peering.Link, asks []toldAsk) {
-	c.sent(peer, link, &peer.tellingAsks, peering.Send(link, topicAsks, "", askBatch{Asks: asks}))
-	// There may be news that came meanwhile.
-	c.passAsksSoon()
+func (c *Catalog) sendNotices(peer *peerLink, link *peering.Link, notices []noticeMessage) {
+	c.finishSend(peer, link, &peer.sendingNotices, peering.Send(link, topicServerNotices, "", noticeBatch{Notices: notices}))
+	// More notices may have arrived in the meantime.
+	c.scheduleNotices()
 }
--- a/internal/catalog/asks_test.go
+++ b/internal/catalog/asks_test.go
@@ -13,53 +13,54 @@
 	"pinevane.example/pinevane/internal/fault"
 )
 
-// A word is the same when another process has it, with its age.
-func TestWordsOnWhatServersAskAreToldWhole(t *testing.T) {
-	said := time.Unix(1000, 0)
-	one := heldWord[dispatch.ServerNotice]{word: dispatch.ServerNotice{Server: "i-1", StartTime: 7, Leaving: true, Limited: true, PerSecond: 1.4}, at: said, number: 3}
-	sent, err := cbor.Marshal(toldAskOf("10.0.0.1", one, said.Add(2*time.Second)))
+// A notice is the same at the receiver, with its age.
+func TestServerNoticesRoundTrip(t *testing.T) {
+	madeAt := time.Unix(1000, 0)
+	notice := heldReport[dispatch.ServerNotice]{report: dispatch.ServerNotice{Server: "i-1", StartTime: 7, Leaving: true, Limited: true, PerSecond: 1.4}, at: madeAt, number: 3}
+	sent, err := cbor.Marshal(newNoticeMessage("10.0.0.1", notice, madeAt.Add(2*time.Second)))
 	require.NoError(t, err)
-	var told toldAsk
-	require.NoError(t, cbor.Unmarshal(sent, &told))
-	require.NoError(t, told.check())
-	assert.Equal(t, "10.0.0.1", told.Entry)
-	assert.Equal(t, one, told.held(said.Add(2*time.Second)))
+	var decoded noticeMessage
+	require.NoError(t, cbor.Unmarshal(sent, &decoded))
+	require.NoError(t, decoded.validate())
+	assert.Equal(t, "10.0.0.1", decoded.Entry)
+	assert.Equal(t, notice, decoded.toReport(madeAt.Add(2*time.Second)))
 }
 
-func TestFaultyWordsOnWhatServersAskAreRejected(t *testing.T) {
-	sound := toldAsk{Server: "i-1", Entry: "10.0.0.1", Number: 1, Limited: true, PerSecond: 2}
-	require.NoError(t, sound.check())
-	for what, change := range map[string]func(*toldAsk){
-		"no server":            func(a *toldAsk) { a.Server = "" },
-		"no teller":            func(a *toldAsk) { a.Entry = "" },
-		"said in the future":   func(a *toldAsk) { a.AgeMilliseconds = -1 },
-		"said years ago":       func(a *toldAsk) { a.AgeMilliseconds = 1 << 60 },
-		"born before all time": func(a *toldAsk) { a.Born = -1 },
-		"a rate below 0":       func(a *toldAsk) { a.PerSecond = -1 },
-		"no rate":              func(a *toldAsk) { a.PerSecond = math.NaN() },
-		"a rate without end":   func(a *toldAsk) { a.PerSecond = math.Inf(1) },
+func TestInvalidServerNoticesAreRejected(t *testing.T) {
+	valid := noticeMessage{Server: "i-1", Entry: "10.0.0.1", Number: 1, Limited: true, PerSecond: 2}
+	require.NoError(t, valid.validate())
+	for what, change := range map[string]func(*noticeMessage){
+		"no server":           func(a *noticeMessage) { a.Server = "" },
+		"no reporter":         func(a *noticeMessage) { a.Entry = "" },
+		"negative age":        func(a *noticeMessage) { a.AgeMilliseconds = -1 },
+		"age too large":       func(a *noticeMessage) { a.AgeMilliseconds = 1 << 60 },
+		"negative start time": func(a *noticeMessage) { a.StartTime = -1 },
+		"negative rate":       func(a *noticeMessage) { a.PerSecond = -1 },
+		"rate not a number":   func(a *noticeMessage) { a.PerSecond = math.NaN() },
+		"infinite rate":       func(a *noticeMessage) { a.PerSecond = math.Inf(1) },
 	} {
-		faulty := sound
-		change(&faulty)
+		malformed := valid
+		change(&malformed)
 		var invalid *fault.InvalidFrame
-		require.ErrorAs(t, faulty.check(), &invalid, what)
+		require.ErrorAs(t, malformed.validate(), &invalid, what)
 	}
 }
 
-// Of an entry's words on a server the newest holds, in whatever order they come, and they are bounded.
-func TestHeldWordsOnWhatServersAsk(t *testing.T) {
-	asks := newServerAsks(time.Unix(0, 0))
+// The newest of an entry's notices on a server is kept in whatever order they arrive, and their
+// number is bounded.
+func TestNewestServerNoticeIsHeld(t *testing.T) {
+	notices := newServerNotices(time.Unix(0, 0))
 	now := time.Unix(0, 0)
-	hold := func(entry, server string, number uint64) bool {
-		return asks.hold(wordKey{entry: entry, server: server}, heldWord[dispatch.ServerNotice]{at: time.Unix(int64(number), 0), number: number}, now)
+	add := func(entry, server string, number uint64) bool {
+		return notices.add(reportKey{entry: entry, server: server}, heldReport[dispatch.ServerNotice]{at: time.Unix(int64(number), 0), number: number}, now)
 	}
-	assert.True(t, hold("a", "i-1", 2))
-	assert.False(t, hold("a", "i-1", 1), "an older one")
-	assert.False(t, hold("a", "i-1", 2), "the same once more")
-	assert.True(t, hold("b", "i-1", 1), "another entry's")
-	for number := range uint64(2 * mostAsks) {
-		hold("a", "many", number+10)
-		hold(time.Duration(number).String(), "i-2", number+10)
+	assert.True(t, add("a", "i-1", 2))
+	assert.False(t, add("a", "i-1", 1), "an older notice")
+	assert.False(t, add("a", "i-1", 2), "the same notice again")
+	assert.True(t, add("b", "i-1", 1), "a notice of another entry")
+	for number := range uint64(2 * maxNotices) {
+		add("a", "many", number+10)
+		add(time.Duration(number).String(), "i-2", number+10)
 	}
-	assert.Len(t, asks.held, mostAsks)
+	assert.Len(t, notices.reports, maxNotices)
 }
--- a/internal/catalog/doubt_test.go
+++ b/internal/catalog/doubt_test.go
@@ -18,25 +18,25 @@
 	"pinevane.example/pinevane/internal/peering"
 )
 
-// version2 is the record of a naming.
+// version2 is the record of a version announcement.
 var version2 = mirror.Record{Key: "op/version/m", Value: []byte(`{"model":"m","version":2}`), Revision: 4}
 
-// forgetfulStore has forgotten its history and lists version 2.
-type forgetfulStore struct{}
+// historyLossStore has lost its history and lists version 2.
+type historyLossStore struct{}
 
-func (forgetfulStore) List(context.Context, string) (fleet.Listing, error) {
+func (historyLossStore) List(context.Context, string) (fleet.Listing, error) {
 	return fleet.Listing{Records: []mirror.Record{version2}, At: version2.Revision}, nil
 }
 
-func (forgetfulStore) Watch(_ context.Context, prefix string, after uint64, _ time.Duration) (fleet.Listing, error) {
+func (historyLossStore) Watch(_ context.Context, prefix string, after uint64, _ time.Duration) (fleet.Listing, error) {
 	return fleet.Listing{}, &fault.HistoryGone{Prefix: prefix, After: after}
 }
 
-// deliver has a catalog handle a peer's update that was hardly on its way.
-func deliver(t *testing.T, c *Catalog, news update) {
+// receiveUpdate has a catalog handle a peer's update with almost no transit time.
+func receiveUpdate(t *testing.T, c *Catalog, peerUpdate update) {
 	t.Helper()
-	news.Echo = stampAt(c.started, time.Now())
-	payload, err := cbor.Marshal(news)
+	peerUpdate.Echo = stampAt(c.started, time.Now())
+	payload, err := cbor.Marshal(peerUpdate)
 	require.NoError(t, err)
 	c.handleUpdate(&peering.Link{}, message.NewMessage("", payload))
 }
@@ -48,40 +48,41 @@
 	return time.Since(newest.Since)
 }
 
-// VERSION: watches that hear nothing move the horizon on although a version has been named; the
-// store then forgets its history. Peers have taken the horizon over meanwhile. Seen: the process
-// that was told of the loss doubted its horizon for as long as no peer told it back, and peers
-// preferred theirs to what they were told of the version: named 0.4 to 0.7 s too late everywhere.
-func TestPeersDoNotUndoTheDoubtOfAForgottenHistory(t *testing.T) {
+// VERSION: watches that return nothing advance the watermark although a
+// version was announced, then the store loses its history, and peers have adopted the watermark in
+// the meantime. When the reader subtracted the margin only after the loss, peers sent its watermark
+// back, and preferred their own to the age sent with the version: all processes dated the
+// announcement 0.4 to 0.7 s too late.
+func TestPeersKeepHistoryLossMargin(t *testing.T) {
 	reader, peer := newTestCatalog(), newTestCatalog()
-	reader.options.Store = forgetfulStore{}
-	reader.known.advance(time.Now())
-	deliver(t, peer, update{KnownMilliseconds: 1, Digest: peer.changes.Digest()})
-	at := &position{prefix: "op/", at: 3}
-	reader.read(t.Context(), at, watchWait)
-	require.Zero(t, at.at, "the history is gone")
-	deliver(t, reader, update{KnownMilliseconds: 1, Digest: reader.changes.Digest()})
-	reader.read(t.Context(), at, watchWait)
-	assert.GreaterOrEqual(t, ageOfNewest(t, reader), forgottenDoubt, "listed")
-	deliver(t, peer, update{Records: []mirror.Record{version2}, AgesMilliseconds: map[string]int64{version2.Key: 1500}})
-	assert.GreaterOrEqual(t, ageOfNewest(t, peer), forgottenDoubt, "told")
-	reader.takeNamings(peer.namings(time.Now()), 0, time.Now())
-	assert.GreaterOrEqual(t, ageOfNewest(t, reader), forgottenDoubt, "told back")
+	reader.options.Store = historyLossStore{}
+	reader.watermark.advance(time.Now())
+	receiveUpdate(t, peer, update{CompleteMilliseconds: 1, Digest: peer.changes.Digest()})
+	position := &watchPosition{prefix: "op/", revision: 3}
+	reader.readStore(t.Context(), position, watchWait)
+	require.Zero(t, position.revision, "the history is lost")
+	receiveUpdate(t, reader, update{CompleteMilliseconds: 1, Digest: reader.changes.Digest()})
+	reader.readStore(t.Context(), position, watchWait)
+	assert.GreaterOrEqual(t, ageOfNewest(t, reader), historyLossMargin, "listed")
+	receiveUpdate(t, peer, update{Records: []mirror.Record{version2}, AgesMilliseconds: map[string]int64{version2.Key: 1500}})
+	assert.GreaterOrEqual(t, ageOfNewest(t, peer), historyLossMargin, "received by the peer")
+	reader.applyAnnouncements(peer.announcements(time.Now()), 0, time.Now())
+	assert.GreaterOrEqual(t, ageOfNewest(t, reader), historyLossMargin, "received back")
 }
 
-// A watch that brings a version shows that the store has not forgotten what was before it: no
-// doubt is added, at the reader or at those whom it tells.
-func TestAWatchedVersionIsNotDoubted(t *testing.T) {
+// A watch that returns a version shows that the store has not lost the history before it: no margin
+// is added, neither at the reader nor at its peers.
+func TestWatchedVersionHasNoHistoryLossMargin(t *testing.T) {
 	reader, peer := newTestCatalog(), newTestCatalog()
-	reader.known.advance(time.Now().Add(-300 * time.Millisecond))
-	peer.known.advance(time.Now().Add(-300 * time.Millisecond))
-	reader.takeWatched([]mirror.Record{version2})
+	reader.watermark.advance(time.Now().Add(-300 * time.Millisecond))
+	peer.watermark.advance(time.Now().Add(-300 * time.Millisecond))
+	reader.applyWatched([]mirror.Record{version2})
 	assert.Less(t, ageOfNewest(t, reader), 500*time.Millisecond)
-	deliver(t, peer, update{Records: []mirror.Record{version2}, AgesMilliseconds: map[string]int64{version2.Key: 300}})
+	receiveUpdate(t, peer, update{Records: []mirror.Record{version2}, AgesMilliseconds: map[string]int64{version2.Key: 300}})
 	assert.Less(t, ageOfNewest(t, peer), 500*time.Millisecond)
 }
 
-// refusingStore refuses every call with an error, until it is back with version 2.
+// refusingStore refuses every call with an error, until it recovers with version 2.
 type refusingStore struct {
 	err error
 }
@@ -97,17 +98,19 @@
 	return fleet.Listing{Records: []mirror.Record{version2}, At: version2.Revision}, nil
 }
 
-// VERSION counts no time while the store is out for all. Seen: a version that was named when the
-// store was back after an outage as long as the bound counted as in force alone at once.
-// All that is not surely an outage for all leaves the age as it was: what may be a fault of the
-// way to the store, what a store that is well says, and that others are served.
-func TestAgeOfAVersionAfterAnOutage(t *testing.T) {
+// VERSION: time does not count while the store is out for the whole fleet.
+// Without that, a version announced after an outage as long as the bound was in force at once,
+// alone.
+//
+// Anything that is not certainly a fleet-wide outage leaves the age as it was: a possible fault of
+// the path to the store, an answer of a healthy store, or a store that serves others.
+func TestVersionAgeAfterOutage(t *testing.T) {
 	const outage = 9 * time.Second
 	status := func(code int) error { return &fault.Unavailable{Target: "store", Status: code} }
 	for _, one := range []struct {
 		name string
 		err  error
-		// served is how long ago the store last served somebody who has told.
+		// served is how long ago the store last served a process that reported it.
 		served time.Duration
 		capped bool
 	}{
@@ -117,18 +120,18 @@
 		{"500", status(http.StatusInternalServerError), outage, false},
 		{"reset", &fault.Unavailable{Target: "store", Cause: syscall.ECONNRESET}, outage, false},
 		{"silence", &fault.Unavailable{Target: "store", Cause: context.DeadlineExceeded}, outage, false},
-		{"turned away alone", status(http.StatusServiceUnavailable), commonOutage - time.Second, false},
+		{"503 while others are served", status(http.StatusServiceUnavailable), fleetOutageAge - time.Second, false},
 	} {
-		for _, at := range []uint64{0, 3} {
+		for _, revision := range []uint64{0, 3} {
 			c := newTestCatalog()
 			store := &refusingStore{err: one.err}
 			c.options.Store = store
-			c.known.advance(time.Now().Add(-outage))
-			c.fresh = time.Now().Add(-one.served)
-			stands := &position{prefix: "op/", at: at}
-			c.read(t.Context(), stands, watchWait)
+			c.watermark.advance(time.Now().Add(-outage))
+			c.freshAt = time.Now().Add(-one.served)
+			position := &watchPosition{prefix: "op/", revision: revision}
+			c.readStore(t.Context(), position, watchWait)
 			store.err = nil
-			c.read(t.Context(), stands, watchWait)
+			c.readStore(t.Context(), position, watchWait)
 			age := ageOfNewest(t, c)
 			if one.capped {
 				assert.Less(t, age, time.Second, one.name)
@@ -139,9 +142,9 @@
 	}
 }
 
-// A process that has just started does not take the time until its first answer for an outage.
-func TestAStartIsNoOutage(t *testing.T) {
+// A process that has just started does not count the time until its first answer as an outage.
+func TestStartIsNotAnOutage(t *testing.T) {
 	c := newTestCatalog()
-	c.noteRefused(time.Now(), &fault.Unavailable{Target: "store", Status: http.StatusServiceUnavailable})
-	assert.Zero(t, c.outUntil)
+	c.recordRefused(time.Now(), &fault.Unavailable{Target: "store", Status: http.StatusServiceUnavailable})
+	assert.Zero(t, c.storeOutUntil)
 }
--- a/internal/catalog/entries_test.go
+++ b/internal/catalog/entries_test.go
@@ -10,57 +10,58 @@
 	"github.com/stretchr/testify/require"
 )
 
-// catalogAmong is the catalog of an entry that has just heard of a number of others.
-func catalogAmong(entries int) *Catalog {
+// catalogWithEntries returns the catalog of an entry that has just received heartbeats of a number
+// of others.
+func catalogWithEntries(entries int) *Catalog {
 	c := newTestCatalog()
 	for index := range entries {
-		c.hearEntry(fmt.Sprintf("10.1.%d.%d", index/250, index%250), entrySign{Zone: fmt.Sprintf("zone-%d", index%5), Capacity: 3})
+		c.recordEntry(fmt.Sprintf("10.1.%d.%d", index/250, index%250), entryHeartbeat{Zone: fmt.Sprintf("zone-%d", index%5), Capacity: 3})
 	}
 	c.overlay.Advance(time.Now())
 	return c
 }
 
-// updateBytes is the size of an update with what is told of entries.
+// updateBytes returns the size of an update with its entries.
 func updateBytes(t *testing.T, c *Catalog, peer *peerLink) int {
 	now := time.Now()
-	message := c.compose(peer)
+	message := c.composeUpdate(peer)
 	c.addEntries(&message, peer, now, func() *roster { return rosterOf(c.overlay.Roster(now)) })
 	encoded, err := cbor.Marshal(message)
 	require.NoError(t, err)
 	return len(encoded)
 }
 
-// What entries that know the same tell each other of the others does not grow with the fleet: one age a
-// zone in place of a list.
+// The updates between processes that know the same entries do not grow with the fleet: they carry
+// one age per zone in place of a list.
 func TestUpdatesDoNotGrowWithTheFleet(t *testing.T) {
 	sizes := map[int]int{}
 	for _, entries := range []int{30, 327, 1200} {
-		c := catalogAmong(entries)
-		sizes[entries] = updateBytes(t, c, &peerLink{roster: c.overlay.Digest()})
+		c := catalogWithEntries(entries)
+		sizes[entries] = updateBytes(t, c, &peerLink{rosterDigest: c.overlay.Digest()})
 	}
 	assert.LessOrEqual(t, sizes[1200], sizes[30]+16, "bytes at 30 and 1,200 entries: %v", sizes)
 }
 
-// Who knows other entries, or tells no roster because it is of a build without, is sent the list, and
-// hears of all from it.
-func TestListGoesToWhoKnowsOthers(t *testing.T) {
-	c := catalogAmong(40)
-	for name, peer := range map[string]*peerLink{"others": {roster: 1}, "no roster": {}} {
+// A process that knows other entries, or that sends no roster because its build has none, is sent
+// the complete list.
+func TestEntryListIsSentOnRosterMismatch(t *testing.T) {
+	c := catalogWithEntries(40)
+	for name, peer := range map[string]*peerLink{"others": {rosterDigest: 1}, "no roster": {}} {
 		now := time.Now()
-		message := c.compose(peer)
+		message := c.composeUpdate(peer)
 		c.addEntries(&message, peer, now, func() *roster { return rosterOf(c.overlay.Roster(now)) })
 		assert.Len(t, message.Entries, 40, name)
-		assert.Equal(t, entrySign{Zone: "zone-1", Capacity: 3, AgeMilliseconds: message.Entries["10.1.0.1"].AgeMilliseconds}, message.Entries["10.1.0.1"], name)
+		assert.Equal(t, entryHeartbeat{Zone: "zone-1", Capacity: 3, AgeMilliseconds: message.Entries["10.1.0.1"].AgeMilliseconds}, message.Entries["10.1.0.1"], name)
 		assert.Empty(t, message.Roster.AgesMilliseconds, name)
 	}
 }
 
-// Links of about the same rate are of one class, those of a much larger one of a higher.
-func TestCapacityOfLinks(t *testing.T) {
+// Links of similar bandwidth are in one class, those of much higher bandwidth in a higher one.
+func TestCapacityClass(t *testing.T) {
 	const megabit = 1e6 / 8
-	assert.Zero(t, capacityOf(0))
-	assert.Zero(t, capacityOf(40*megabit), "an ordinary link ranks like one that is not told")
-	assert.Equal(t, capacityOf(200*megabit), capacityOf(250*megabit))
-	assert.Less(t, capacityOf(40*megabit), capacityOf(200*megabit))
-	assert.Less(t, capacityOf(200*megabit), capacityOf(1000*megabit))
+	assert.Zero(t, capacityClass(0))
+	assert.Zero(t, capacityClass(40*megabit), "an ordinary link ranks like an unknown one")
+	assert.Equal(t, capacityClass(200*megabit), capacityClass(250*megabit))
+	assert.Less(t, capacityClass(40*megabit), capacityClass(200*megabit))
+	assert.Less(t, capacityClass(200*megabit), capacityClass(1000*megabit))
 }
--- a/internal/catalog/exchange.go
+++ b/internal/catalog/exchange.go
@@ -16,109 +16,109 @@
 	"pinevane.example/pinevane/internal/peering"
 )
 
-// Topics between processes.
+// Topics of messages between processes.
 const (
 	topicUpdate = "catalog.update"
 	topicPull   = "catalog.pull"
 )
 
-// Times of the exchange.
+// Intervals of the exchange.
 const (
-	// updatePeriod is the pace of updates between entries, which are signs of life too;
-	// agentUpdatePeriod that of updates to agents, which need to know of silence later.
-	// Urgent changes are sent at once.
-	updatePeriod      = 300 * time.Millisecond
-	agentUpdatePeriod = 600 * time.Millisecond
-	// listPeriod is how often the list of entries is sent on a link whose other end does not know
-	// the same ones.
-	listPeriod = 900 * time.Millisecond
-	// newListPause is the least time between two lists on a link while entries are new.
-	newListPause = 100 * time.Millisecond
+	// updateInterval is the interval of updates between entries, which also serve as heartbeats;
+	// agentUpdateInterval is that of updates to agents, which can detect silence later. Urgent
+	// changes are sent at once.
+	updateInterval      = 300 * time.Millisecond
+	agentUpdateInterval = 600 * time.Millisecond
+	// listInterval is how often the list of entries is sent on a link whose peer knows other
+	// entries.
+	listInterval = 900 * time.Millisecond
+	// minListInterval is the minimum time between two lists on a link when entries are new.
+	minListInterval = 100 * time.Millisecond
 )
 
-// update is the news of one process. Large records (configurations) are only
-// announced, with Heads; whoever lacks one asks for it.
+// update carries the changes of one process. Large records (configurations) are only announced,
+// with Heads, and sent on request.
 type update struct {
 	Records []mirror.Record `cbor:"1,keyasint,omitempty"`
-	// AgesMilliseconds tells since when the versions among the records are known.
+	// AgesMilliseconds are the ages of the versions among the records.
 	AgesMilliseconds map[string]int64 `cbor:"2,keyasint,omitempty"`
 	// FreshMilliseconds is the age of the sender's copy.
 	FreshMilliseconds int64 `cbor:"3,keyasint"`
 	// Heads maps the keys of large records to the revision held.
 	Heads map[string]uint64 `cbor:"4,keyasint,omitempty"`
-	// Entries maps the entries heard of to the zone and the age of their last sign;
-	// it is not in every update.
-	Entries map[string]entrySign `cbor:"5,keyasint,omitempty"`
-	// Digest sums up the sender's records without the large ones; 0 when it does not
-	// say. A receiver whose own is the same need not send any.
+	// Entries maps the known entries to their zone and the age of their last heartbeat. Not every
+	// update has it.
+	Entries map[string]entryHeartbeat `cbor:"5,keyasint,omitempty"`
+	// Digest is the digest of the sender's records without the large ones, 0 if not sent. A
+	// receiver with the same digest need not send any records.
 	Digest uint64 `cbor:"6,keyasint,omitempty"`
-	// Backup tells an agent that another entry passes on its words, so that this one
-	// need not hear every one of them.
+	// Backup tells an agent that another entry forwards its reports, so that this one need not
+	// receive all of them.
 	Backup bool `cbor:"7,keyasint,omitempty"`
-	// Complete is the store's revision up to which the sender has heard of every change;
-	// 0 when it does not know.
+	// Complete is the store revision up to which the sender has received every change, 0 if
+	// unknown.
 	Complete uint64 `cbor:"8,keyasint,omitempty"`
-	// Packed are large records, compressed one by one.
+	// Packed are large records, each compressed.
 	Packed [][]byte `cbor:"9,keyasint,omitempty"`
-	// KnownMilliseconds is the time since the sender's copy was surely complete, cut up to
-	// a whole one; 0 when it does not know.
-	KnownMilliseconds int64 `cbor:"10,keyasint,omitempty"`
-	// Stamp is the sender's stamp of the moment of sending. Echo is the newest stamp that it
-	// has of the receiver, 0 for none, and EchoHeld for how many milliseconds it has had it.
+	// CompleteMilliseconds is the age of the sender's watermark, rounded up; 0 if unknown.
+	CompleteMilliseconds int64 `cbor:"10,keyasint,omitempty"`
+	// Stamp is the sender's stamp of the time of sending. Echo is the newest stamp of the receiver
+	// that the sender has, 0 for none, and EchoHeld for how many milliseconds it has held it.
 	Stamp    int64 `cbor:"11,keyasint,omitempty"`
 	Echo     int64 `cbor:"12,keyasint,omitempty"`
 	EchoHeld int64 `cbor:"13,keyasint,omitempty"`
-	// Namings are the named versions that the sender knows.
-	Namings []naming `cbor:"14,keyasint,omitempty"`
-	// Services tell an agent the part of the newest configuration that it acts on.
+	// Announcements are the announced versions known to the sender.
+	Announcements []announcementMessage `cbor:"14,keyasint,omitempty"`
+	// Services are the part of the newest configuration that an agent uses.
 	Services *publishedServices `cbor:"15,keyasint,omitempty"`
-	// Roster sums up the entries that the sender knows, in place of Entries between processes
-	// that know the same; nil from builds that always send the list.
+	// Roster identifies the entries known to the sender and replaces Entries between processes that
+	// know the same ones. It is nil from builds that always send the list.
 	Roster *roster `cbor:"16,keyasint,omitempty"`
-	// Capacity is the sender's, as in entrySign.
+	// Capacity is the sender's, as in entryHeartbeat.
 	Capacity int `cbor:"17,keyasint,omitempty"`
-	// Bundle are records, compressed together, for processes that read packingProtocol.
+	// Bundle are records compressed together, for processes that support packingProtocol.
 	Bundle []byte `cbor:"18,keyasint,omitempty"`
 }
 
-// exchange keeps the links and sends the news. Agents only listen.
+// exchange maintains the links and sends updates. Agents only listen.
 func (c *Catalog) exchange(ctx context.Context) {
 	if c.options.Role == RoleAgent {
 		return
 	}
 	c.mutex.Lock()
 	for _, seed := range c.options.Seeds {
-		c.hearEntry(seed, entrySign{})
+		c.recordEntry(seed, entryHeartbeat{})
 	}
 	c.mutex.Unlock()
-	ticker := time.NewTicker(updatePeriod)
+	ticker := time.NewTicker(updateInterval)
 	defer ticker.Stop()
-	statusTicker := time.NewTicker(statusPace)
+	statusTicker := time.NewTicker(statusInterval)
 	defer statusTicker.Stop()
-	linkTimer := time.NewTimer(linkLook)
+	linkTimer := time.NewTimer(linkCheckInterval)
 	defer linkTimer.Stop()
 	for {
-		c.keepLinks(ctx)
-		// First, so that an entry that starts hears of it before it has servers to send to.
-		c.passQuarantine()
-		c.passAsks()
+		c.maintainLinks(ctx)
+		// Quarantine reports go first, so that an entry that starts has them before it has servers
+		// to send to.
+		c.sendPendingQuarantine()
+		c.sendPendingNotices()
 		c.sendUpdates()
 		for waiting := true; waiting; {
 			select {
 			case <-statusTicker.C:
-				c.passStatuses()
-				c.passHealth()
+				c.relayStatuses()
+				c.sendPendingHealth()
 			case <-linkTimer.C:
 				linkTimer.Reset(c.checkLinks(ctx))
-			case <-c.haste:
-				c.passHastened()
-			case <-c.quarantine.fresh:
-				c.passQuarantine()
-			case <-c.asks.fresh:
-				c.passAsks()
+			case <-c.flush:
+				c.flushStatuses()
+			case <-c.quarantine.pending:
+				c.sendPendingQuarantine()
+			case <-c.notices.pending:
+				c.sendPendingNotices()
 			case <-ticker.C:
 				waiting = false
-			case <-c.kick:
+			case <-c.wake:
 				waiting = false
 			case <-ctx.Done():
 				return
@@ -127,10 +127,10 @@
 	}
 }
 
-// kickExchange has the links looked after and the urgent news sent at once.
-func (c *Catalog) kickExchange() { signal(c.kick) }
+// wakeExchange has the links checked and urgent changes sent at once.
+func (c *Catalog) wakeExchange() { signal(c.wake) }
 
-// signal wakes who waits on a channel of one place, once for any number of signals.
+// signal wakes the receiver of a channel of capacity one, once for any number of signals.
 func signal(channel chan<- struct{}) {
 	select {
 	case channel <- struct{}{}:
@@ -138,13 +138,14 @@
 	}
 }
 
-// isRelay reports whether this process passes on what others of its zone have said; the mutex is held.
+// isRelay reports whether this process forwards the reports of other entries of its zone. The mutex
+// must be held.
 func (c *Catalog) isRelay() bool {
 	rank := c.overlay.Rank()
 	return rank >= 0 && rank < relaysPerZone
 }
 
-// sendUpdates sends each link that is due what it lacks, or a sign of life.
+// sendUpdates sends an update to each link that is due one.
 func (c *Catalog) sendUpdates() {
 	now := time.Now()
 	c.mutex.Lock()
@@ -154,7 +155,7 @@
 		if peer.link == nil || peer.sending || !c.updateDue(peer, now) {
 			continue
 		}
-		message := c.compose(peer)
+		message := c.composeUpdate(peer)
 		if peer.isEntry() {
 			c.addEntries(&message, peer, now, aged)
 		} else {
@@ -163,75 +164,74 @@
 			message.Services = c.servicesFor(peer)
 		}
 		if peer.compared {
-			peer.sequence = c.changes.Sequence()
+			peer.sentSequence = c.changes.Sequence()
 		}
-		peer.sending, peer.updatedAt, peer.freshTold = true, now, c.freshSequence
-		go c.send(peer, peer.link, message)
+		peer.sending, peer.updatedAt, peer.freshSent = true, now, c.freshSequence
+		go c.sendUpdate(peer, peer.link, message)
 	}
 }
 
-// updateDue reports whether a link is to be sent an update now: at its pace, and at
-// once when there is something urgent to tell. Entries of other zones are told at once
-// what the store has answered to this one, be it that nothing has changed, and everything
-// else at their pace. The mutex is held.
+// updateDue reports whether a link is due an update: at its interval, and at once if there is an
+// urgent change. Entries of other zones are updated at once when the store has answered this one,
+// even if nothing changed, and otherwise at their interval. The mutex must be held.
 func (c *Catalog) updateDue(peer *peerLink, now time.Time) bool {
-	period := updatePeriod
+	period := updateInterval
 	if !peer.isEntry() {
-		period = agentUpdatePeriod
+		period = agentUpdateInterval
 	}
-	// An update of which the timer is a little early is not put off by a whole tick.
-	if now.Sub(peer.updatedAt) >= period-updatePeriod/4 {
+	// Tolerate a timer that is slightly early, so that an update is not delayed by a whole tick.
+	if now.Sub(peer.updatedAt) >= period-updateInterval/4 {
 		return true
 	}
 	if !peer.isEntry() {
-		return c.urgent > peer.sequence
+		return c.urgentSequence > peer.sentSequence
 	}
 	if peer.zone() != c.options.Zone {
-		return c.freshFromStore > peer.freshTold
+		return c.storeFreshSequence > peer.freshSent
 	}
-	return (peer.compared && c.urgent > peer.sequence) || c.freshSequence > peer.freshTold || c.newEntriesDue(peer, now)
+	return (peer.compared && c.urgentSequence > peer.sentSequence) || c.freshSequence > peer.freshSent || c.newEntriesDue(peer, now)
 }
 
-func (c *Catalog) send(peer *peerLink, link *peering.Link, message update) {
-	c.sent(peer, link, &peer.sending, peering.Send(link, topicUpdate, "", message))
+func (c *Catalog) sendUpdate(peer *peerLink, link *peering.Link, message update) {
+	c.finishSend(peer, link, &peer.sending, peering.Send(link, topicUpdate, "", message))
 }
 
-// sent notes that a send over a link has ended, of which a flag of the peer says that it was under
-// way. A link that has failed is made anew.
-func (c *Catalog) sent(peer *peerLink, link *peering.Link, underWay *bool, err error) {
+// finishSend clears the flag of the peer that marked a send as under way. A link that has failed is
+// made again.
+func (c *Catalog) finishSend(peer *peerLink, link *peering.Link, underWay *bool, err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	*underWay = false
 	if err != nil && peer.link == link {
 		peer.link = nil
-		c.kickExchange()
+		c.wakeExchange()
 	}
 }
 
-// compose builds an update with every change that a link was not told, once it is
-// known how far the other process's records differ; the mutex is held.
-func (c *Catalog) compose(peer *peerLink) update {
+// composeUpdate builds an update with every change that a link was not sent, once it is known how
+// the peer's records differ. The mutex must be held.
+func (c *Catalog) composeUpdate(peer *peerLink) update {
 	now := time.Now()
-	message := update{FreshMilliseconds: now.Sub(c.fresh).Milliseconds(), Heads: maps.Clone(c.heads), Digest: c.changes.Digest(), Complete: c.complete}
+	message := update{FreshMilliseconds: now.Sub(c.freshAt).Milliseconds(), Heads: maps.Clone(c.heads), Digest: c.changes.Digest(), Complete: c.completeRevision}
 	message.Stamp = c.stamp(now)
 	message.Echo, message.EchoHeld = peer.stamps.echo(now)
-	if since, known := c.known.longest(now); known {
-		message.KnownMilliseconds = since.Milliseconds() + 1
+	if since, known := c.watermark.maxAge(now); known {
+		message.CompleteMilliseconds = since.Milliseconds() + 1
 	}
-	if c.fresh.IsZero() {
+	if c.freshAt.IsZero() {
 		message.FreshMilliseconds = int64(time.Hour / time.Millisecond)
 	}
-	message.Namings = c.namings(now)
+	message.Announcements = c.announcements(now)
 	if peer.compared {
 		c.addChanges(&message, peer)
 	}
 	return message
 }
 
-// addChanges adds the records that have changed since a link was last told; the mutex is held.
+// addChanges adds the records changed since the last update to a link. The mutex must be held.
 func (c *Catalog) addChanges(message *update, peer *peerLink) {
 	var records []mirror.Record
-	for _, key := range c.changes.After(peer.sequence) {
+	for _, key := range c.changes.After(peer.sentSequence) {
 		record, known := c.mirror.Held(key)
 		if !known {
 			continue
@@ -241,111 +241,110 @@
 			c.addAge(message, record)
 		}
 	}
-	c.addRecords(message, peer.link, peer.sequence, records)
+	c.addRecords(message, peer.link, peer.sentSequence, records)
 }
 
-// addAge adds how long ago the version of a record was named, unless that is only
-// assumed; the mutex is held.
+// addAge adds the age of a record's version, unless it is assumed. The mutex must be held.
 func (c *Catalog) addAge(message *update, record mirror.Record) {
 	named, err := c.options.Decoder.Version(record)
 	if err != nil {
 		return
 	}
-	notice, known := c.View().Newest(named.Model)
-	if !known || notice.Revision != record.Revision || notice.Assumed {
+	announcement, known := c.View().Newest(named.Model)
+	if !known || announcement.Revision != record.Revision || announcement.Assumed {
 		return
 	}
 	if message.AgesMilliseconds == nil {
 		message.AgesMilliseconds = map[string]int64{}
 	}
-	message.AgesMilliseconds[record.Key] = time.Since(notice.Since).Milliseconds() + 1
+	message.AgesMilliseconds[record.Key] = time.Since(announcement.Since).Milliseconds() + 1
 }
 
 func (c *Catalog) handleUpdate(link *peering.Link, received *message.Message) {
-	news, err := peering.Decode[update](received)
+	peerUpdate, err := peering.Decode[update](received)
 	if err != nil {
 		c.options.Log.Log(logging.FrameRejected, zap.String("peer", link.Remote().ID), zap.Error(err))
 		return
 	}
 	now := time.Now()
-	flight, flightKnown := flightOf(c.started, news.Echo, news.EchoHeld, now)
-	ages := map[string]word{}
-	for key, age := range news.AgesMilliseconds {
-		ages[key] = word{age: time.Duration(age) * time.Millisecond, flight: flight, flightKnown: flightKnown, received: now}
+	flight, flightKnown := maxFlight(c.started, peerUpdate.Echo, peerUpdate.EchoHeld, now)
+	ages := map[string]peerAge{}
+	for key, age := range peerUpdate.AgesMilliseconds {
+		ages[key] = peerAge{age: time.Duration(age) * time.Millisecond, flight: flight, flightKnown: flightKnown, received: now}
 	}
 	c.mutex.Lock()
-	c.noteStamp(link.Remote().ID, news.Stamp, now)
-	c.backupOf[link.Remote().ID] = news.Backup
-	c.takeEntries(link.Remote(), news, now)
-	c.toldAt = time.Now()
-	c.noteToldFresh(link.Remote().Zone, c.toldAt.Add(-time.Duration(news.FreshMilliseconds)*time.Millisecond))
-	lacking := c.lacking(news.Heads)
+	c.recordStamp(link.Remote().ID, peerUpdate.Stamp, now)
+	c.backupOf[link.Remote().ID] = peerUpdate.Backup
+	c.applyEntries(link.Remote(), peerUpdate, now)
+	c.lastUpdateAt = time.Now()
+	c.recordPeerFresh(link.Remote().Zone, c.lastUpdateAt.Add(-time.Duration(peerUpdate.FreshMilliseconds)*time.Millisecond))
+	missing := c.missingHeads(peerUpdate.Heads)
 	c.mutex.Unlock()
-	if news.Records, err = news.unbundle(); err != nil {
+	if peerUpdate.Records, err = peerUpdate.unbundle(); err != nil {
 		c.options.Log.Log(logging.FrameRejected, zap.String("peer", link.Remote().ID), zap.Error(err))
 	}
-	for _, packed := range news.Packed {
+	for _, packed := range peerUpdate.Packed {
 		record, err := compression.Decode[mirror.Record](packed)
 		if err != nil {
 			c.options.Log.Log(logging.FrameRejected, zap.String("peer", link.Remote().ID), zap.Error(err))
 			continue
 		}
-		news.Records = append(news.Records, record)
+		peerUpdate.Records = append(peerUpdate.Records, record)
 	}
-	if len(news.Records) > 0 {
-		c.takeTold(news.Records, ages)
+	if len(peerUpdate.Records) > 0 {
+		c.applyReceived(peerUpdate.Records, ages)
 	}
-	if news.Services != nil {
-		c.takeServices(link, *news.Services)
+	if peerUpdate.Services != nil {
+		c.applyServices(link, *peerUpdate.Services)
 	}
 	if flightKnown {
-		c.takeNamings(news.Namings, flight, now)
+		c.applyAnnouncements(peerUpdate.Announcements, flight, now)
 	}
-	if c.compare(link.Remote().ID, news) {
+	if c.compareRecords(link.Remote().ID, peerUpdate) {
 		c.mutex.Lock()
-		c.noteToldKnown(news, flight, flightKnown, now)
+		c.recordPeerComplete(peerUpdate, flight, flightKnown, now)
 		c.mutex.Unlock()
 	}
-	if len(lacking) > 0 {
-		time.AfterFunc(c.pullDelay(link), func() { c.pullFrom(link, lacking) })
+	if len(missing) > 0 {
+		time.AfterFunc(c.pullDelay(link), func() { c.pullFrom(link, missing) })
 	}
 }
 
-// freshStep is the least progress of its freshness that the first entry of a zone passes
-// on at once, when it hears of it from another zone.
-const freshStep = 200 * time.Millisecond
+// minFreshProgress is the minimum progress of freshness, received from another zone, that the first
+// entry of a zone forwards at once.
+const minFreshProgress = 200 * time.Millisecond
 
-// noteToldFresh notes how fresh the copy is by the word of an entry of a zone; the mutex
-// is held.
-func (c *Catalog) noteToldFresh(zone string, at time.Time) {
-	progress := at.Sub(c.fresh)
-	c.noteFresh(at)
-	if zone != c.options.Zone && progress >= freshStep && c.overlay.Rank() == 0 {
+// recordPeerFresh records the freshness reported by an entry of a zone. The mutex must be held.
+func (c *Catalog) recordPeerFresh(zone string, at time.Time) {
+	progress := at.Sub(c.freshAt)
+	c.recordFresh(at)
+	if zone != c.options.Zone && progress >= minFreshProgress && c.overlay.Rank() == 0 {
 		c.freshSequence++
-		c.kickExchange()
+		c.wakeExchange()
 	}
 }
 
-// compare notes whether another process holds the same records. If it does, it need
-// not be told what has changed, and this process has heard of every change that the
-// other has, which is reported; the first time that it does not, it is told everything.
-func (c *Catalog) compare(ip string, news update) (complete bool) {
+// compareRecords records whether a peer holds the same records. If so, the peer need not be sent
+// earlier changes, and if its large records are not newer either, this process has received every
+// change that the peer has, which is reported. The first time the records differ, the peer is sent
+// everything.
+func (c *Catalog) compareRecords(ip string, peerUpdate update) (complete bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	same := news.Digest == c.changes.Digest()
-	complete = same && len(c.newerHeads(news.Heads)) == 0
+	same := peerUpdate.Digest == c.changes.Digest()
+	complete = same && len(c.newerHeads(peerUpdate.Heads)) == 0
 	if complete {
-		c.complete = max(c.complete, news.Complete)
+		c.completeRevision = max(c.completeRevision, peerUpdate.Complete)
 	}
 	peer, linked := c.links[ip]
 	if !linked {
 		return complete
 	}
 	if same {
-		peer.sequence = c.changes.Sequence()
+		peer.sentSequence = c.changes.Sequence()
 	} else if !peer.compared {
 		peer.updatedAt = time.Time{}
-		c.kickExchange()
+		c.wakeExchange()
 	}
 	peer.compared = true
 	return complete
--- a/internal/catalog/health.go
+++ b/internal/catalog/health.go
@@ -14,80 +14,81 @@
 	"pinevane.example/pinevane/internal/peering"
 )
 
-// topicHealth carries what entries have found out of servers, within a zone.
+// topicHealth carries entries' reports on the health of servers within a zone.
 const topicHealth = "server.health"
 
-// Bounds of what is held of servers' health.
+// Bounds on the health reports held.
 const (
-	// healthMemory is how long a word is kept for entries that are linked later: as long as an
-	// ejection and its trials usually last.
-	healthMemory = 10 * time.Second
-	// mostHealthWords bounds the words held; the oldest go first.
-	mostHealthWords = 2048
+	// healthTTL is how long a report is kept for entries that link later: as long as an ejection
+	// and its trials usually last.
+	healthTTL = 10 * time.Second
+	// maxHealthReports bounds the reports held; the oldest are evicted first.
+	maxHealthReports = 2048
 )
 
-// toldHealth is an entry's word on a server as it is passed on.
-type toldHealth struct {
-	Server   string  `cbor:"1,keyasint"`
-	Entry    string  `cbor:"2,keyasint"`
-	Ejected  bool    `cbor:"3,keyasint,omitempty"`
-	Returned bool    `cbor:"4,keyasint,omitempty"`
-	Trying   bool    `cbor:"5,keyasint,omitempty"`
-	Evidence float32 `cbor:"6,keyasint,omitempty"`
-	Round    int     `cbor:"7,keyasint,omitempty"`
-	Failed   float32 `cbor:"8,keyasint,omitempty"`
-	Served   float32 `cbor:"9,keyasint,omitempty"`
-	// The spans count from when the word was said, which AgeMilliseconds tells.
-	SinceMilliseconds   int64 `cbor:"10,keyasint,omitempty"`
-	ChangedMilliseconds int64 `cbor:"11,keyasint,omitempty"`
-	LeftMilliseconds    int64 `cbor:"12,keyasint,omitempty"`
-	AgeMilliseconds     int64 `cbor:"13,keyasint,omitempty"`
-	Mute                bool  `cbor:"14,keyasint,omitempty"`
-	// Those below are 0 if there was nothing of the kind lately.
-	AnsweredMilliseconds int64 `cbor:"16,keyasint,omitempty"`
-	TriedMilliseconds    int64 `cbor:"17,keyasint,omitempty"`
-	// Number orders the words of one entry.
+// healthMessage is the wire form of an entry's health report on a server.
+type healthMessage struct {
+	Server    string  `cbor:"1,keyasint"`
+	Entry     string  `cbor:"2,keyasint"`
+	Ejected   bool    `cbor:"3,keyasint,omitempty"`
+	Returned  bool    `cbor:"4,keyasint,omitempty"`
+	TrialOpen bool    `cbor:"5,keyasint,omitempty"`
+	Evidence  float32 `cbor:"6,keyasint,omitempty"`
+	Round     int     `cbor:"7,keyasint,omitempty"`
+	Failed    float32 `cbor:"8,keyasint,omitempty"`
+	Served    float32 `cbor:"9,keyasint,omitempty"`
+	// The ages and durations count from when the report was made, which AgeMilliseconds gives.
+	FailureAgeMilliseconds int64 `cbor:"10,keyasint,omitempty"`
+	StateAgeMilliseconds   int64 `cbor:"11,keyasint,omitempty"`
+	RemainingMilliseconds  int64 `cbor:"12,keyasint,omitempty"`
+	AgeMilliseconds        int64 `cbor:"13,keyasint,omitempty"`
+	Unresponsive           bool  `cbor:"14,keyasint,omitempty"`
+	// The following two are 0 if there was no such event recently.
+	AnswerAgeMilliseconds    int64 `cbor:"16,keyasint,omitempty"`
+	LostTrialAgeMilliseconds int64 `cbor:"17,keyasint,omitempty"`
+	// Number orders the reports of one entry.
 	Number uint64 `cbor:"15,keyasint"`
 }
 
-// healthBatch is what one entry passes on at once.
+// healthBatch is the wire form of the reports that one entry sends at once.
 type healthBatch struct {
-	Words []toldHealth `cbor:"1,keyasint"`
+	Reports []healthMessage `cbor:"1,keyasint"`
 }
 
-// heldHealth is the newest word of an entry on a server.
-type heldHealth = heldWord[health.Report]
+// heldHealthReport is the newest health report of an entry on a server.
+type heldHealthReport = heldReport[health.Report]
 
-// HealthFunction is told what another entry of the zone has said of a server, and when.
-type HealthFunction func(word health.Report, at time.Time)
+// HealthHandler is called with a health report of another entry of the zone, and when it was made.
+type HealthHandler func(report health.Report, at time.Time)
 
-// healthWords are what the zone's entries have said of servers. The catalog's mutex guards it.
-type healthWords struct {
-	heldWords[health.Report]
-	onWord HealthFunction
+// healthReports holds the health reports of the zone's entries. The catalog's mutex guards it.
+type healthReports struct {
+	reportStore[health.Report]
+	onReport HealthHandler
 }
 
-func newHealthWords(started time.Time) healthWords {
-	return healthWords{heldWords: newHeldWords[health.Report](started, healthMemory, mostHealthWords)}
+func newHealthReports(started time.Time) healthReports {
+	return healthReports{reportStore: newReportStore[health.Report](started, healthTTL, maxHealthReports)}
 }
 
-// OnHealth registers a function that is called with each word of another entry. It must be
+// OnHealth registers a function that is called with each report of another entry. It must be
 // registered before Run.
-func (c *Catalog) OnHealth(function HealthFunction) { c.health.onWord = function }
+func (c *Catalog) OnHealth(function HealthHandler) { c.health.onReport = function }
 
-// TellHealth has the zone's other entries told what this one has found out at a time, at the next pace.
-func (c *Catalog) TellHealth(words []health.Report, at time.Time) {
+// AnnounceHealth sends this entry's reports, made at a given time, to the other entries of the zone
+// at the next interval.
+func (c *Catalog) AnnounceHealth(reports []health.Report, at time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := time.Now()
-	for _, word := range words {
-		c.holdHealth(heldHealth{word: word, at: at, number: c.health.nextNumber()}, now)
+	for _, report := range reports {
+		c.addHealth(heldHealthReport{report: report, at: at, number: c.health.nextNumber()}, now)
 	}
 }
 
-// holdHealth keeps a word if it is newer than the one held; the mutex is held.
-func (c *Catalog) holdHealth(fresh heldHealth, now time.Time) bool {
-	return c.health.hold(wordKey{entry: fresh.word.Entry, server: fresh.word.Server}, fresh, now)
+// addHealth stores a report if it is newer than the one held. The mutex must be held.
+func (c *Catalog) addHealth(fresh heldHealthReport, now time.Time) bool {
+	return c.health.add(reportKey{entry: fresh.report.Entry, server: fresh.report.Server}, fresh, now)
 }
 
 func (c *Catalog) handleHealth(link *peering.Link, received *message.Message) {
@@ -100,106 +101,106 @@
 		return
 	}
 	now := time.Now()
-	var fresh []heldHealth
+	var fresh []heldHealthReport
 	c.mutex.Lock()
-	for _, told := range batch.Words {
-		held, err := told.checked(now)
+	for _, report := range batch.Reports {
+		held, err := report.validated(now)
 		if err != nil {
 			c.options.Log.Log(logging.FrameRejected, zap.String("peer", link.Remote().ID), zap.Error(err))
 			continue
 		}
-		if told.Entry != c.options.Self && c.holdHealth(held, now) {
+		if report.Entry != c.options.Self && c.addHealth(held, now) {
 			fresh = append(fresh, held)
 		}
 	}
 	c.mutex.Unlock()
-	if c.health.onWord == nil {
+	if c.health.onReport == nil {
 		return
 	}
 	for _, held := range fresh {
-		c.health.onWord(held.word, held.at)
+		c.health.onReport(held.report, held.at)
 	}
 }
 
-// longestMilliseconds keeps the spans of words within what a time.Duration holds.
-const longestMilliseconds = int64(health.MaxDuration / time.Millisecond)
+// maxMilliseconds keeps the durations of reports within the range of a time.Duration.
+const maxMilliseconds = int64(health.MaxDuration / time.Millisecond)
 
-// checked is a word that was received at a time, if it can be meant: one faulty word does not cost
-// the others of its message.
-func (t toldHealth) checked(now time.Time) (heldHealth, error) {
+// validated converts a report received now, or rejects one with impossible values. An invalid
+// report does not affect the others of its message.
+func (m healthMessage) validated(now time.Time) (heldHealthReport, error) {
 	for _, one := range []struct {
 		field        string
 		milliseconds int64
-		least        int64
+		minimum      int64
 	}{
-		{"since", t.SinceMilliseconds, 0}, {"changed", t.ChangedMilliseconds, 0}, {"age", t.AgeMilliseconds, 0},
-		{"answered", t.AnsweredMilliseconds, 0}, {"tried", t.TriedMilliseconds, 0},
-		{"left", t.LeftMilliseconds, -longestMilliseconds},
+		{"since", m.FailureAgeMilliseconds, 0}, {"changed", m.StateAgeMilliseconds, 0}, {"age", m.AgeMilliseconds, 0},
+		{"answered", m.AnswerAgeMilliseconds, 0}, {"tried", m.LostTrialAgeMilliseconds, 0},
+		{"left", m.RemainingMilliseconds, -maxMilliseconds},
 	} {
-		if one.milliseconds < one.least || one.milliseconds > longestMilliseconds {
-			return heldHealth{}, &fault.InvalidFrame{Field: topicHealth, Reason: fmt.Sprintf("%s of %d ms", one.field, one.milliseconds)}
+		if one.milliseconds < one.minimum || one.milliseconds > maxMilliseconds {
+			return heldHealthReport{}, &fault.InvalidFrame{Field: topicHealth, Reason: fmt.Sprintf("%s of %d ms", one.field, one.milliseconds)}
 		}
 	}
-	held := t.held(now)
-	return held, held.word.Validate()
+	held := m.toReport(now)
+	return held, held.report.Validate()
 }
 
-// held is a word that was received at a time.
-func (t toldHealth) held(now time.Time) heldHealth {
-	span := func(milliseconds int64) time.Duration { return time.Duration(milliseconds) * time.Millisecond }
-	return heldHealth{
-		at: now.Add(-span(t.AgeMilliseconds)), number: t.Number,
-		word: health.Report{
-			Server: t.Server, Entry: t.Entry, Ejected: t.Ejected, Returned: t.Returned, TrialOpen: t.Trying, Unresponsive: t.Mute, Evidence: float64(t.Evidence),
-			Failed: float64(t.Failed), Served: float64(t.Served),
-			Round: t.Round, FailureAge: span(t.SinceMilliseconds), StateAge: span(t.ChangedMilliseconds), Remaining: span(t.LeftMilliseconds),
-			AnswerAge: span(t.AnsweredMilliseconds), LostTrialAge: span(t.TriedMilliseconds),
+// toReport converts a report received now.
+func (m healthMessage) toReport(now time.Time) heldHealthReport {
+	duration := func(milliseconds int64) time.Duration { return time.Duration(milliseconds) * time.Millisecond }
+	return heldHealthReport{
+		at: now.Add(-duration(m.AgeMilliseconds)), number: m.Number,
+		report: health.Report{
+			Server: m.Server, Entry: m.Entry, Ejected: m.Ejected, Returned: m.Returned, TrialOpen: m.TrialOpen, Unresponsive: m.Unresponsive, Evidence: float64(m.Evidence),
+			Failed: float64(m.Failed), Served: float64(m.Served),
+			Round: m.Round, FailureAge: duration(m.FailureAgeMilliseconds), StateAge: duration(m.StateAgeMilliseconds), Remaining: duration(m.RemainingMilliseconds),
+			AnswerAge: duration(m.AnswerAgeMilliseconds), LostTrialAge: duration(m.LostTrialAgeMilliseconds),
 		},
 	}
 }
 
-// toldHealthOf is a word as it is passed on at a time.
-func toldHealthOf(h heldHealth, now time.Time) toldHealth {
-	return toldHealth{
-		Server: h.word.Server, Entry: h.word.Entry, Ejected: h.word.Ejected, Returned: h.word.Returned, Trying: h.word.TrialOpen, Mute: h.word.Unresponsive,
-		Evidence: float32(h.word.Evidence), Failed: float32(h.word.Failed), Served: float32(h.word.Served), Round: h.word.Round, SinceMilliseconds: h.word.FailureAge.Milliseconds(),
-		ChangedMilliseconds: h.word.StateAge.Milliseconds(), LeftMilliseconds: h.word.Remaining.Milliseconds(),
-		AnsweredMilliseconds: h.word.AnswerAge.Milliseconds(), TriedMilliseconds: h.word.LostTrialAge.Milliseconds(),
+// newHealthMessage converts a report to its wire form.
+func newHealthMessage(h heldHealthReport, now time.Time) healthMessage {
+	return healthMessage{
+		Server: h.report.Server, Entry: h.report.Entry, Ejected: h.report.Ejected, Returned: h.report.Returned, TrialOpen: h.report.TrialOpen, Unresponsive: h.report.Unresponsive,
+		Evidence: float32(h.report.Evidence), Failed: float32(h.report.Failed), Served: float32(h.report.Served), Round: h.report.Round, FailureAgeMilliseconds: h.report.FailureAge.Milliseconds(),
+		StateAgeMilliseconds: h.report.StateAge.Milliseconds(), RemainingMilliseconds: h.report.Remaining.Milliseconds(),
+		AnswerAgeMilliseconds: h.report.AnswerAge.Milliseconds(), LostTrialAgeMilliseconds: h.report.LostTrialAge.Milliseconds(),
 		AgeMilliseconds: now.Sub(h.at).Milliseconds(), Number: h.number,
 	}
 }
 
-// passHealth sends each linked entry of the zone the words that it has not been told. What
-// others have said is passed on by relays alone: every entry is linked to each of them.
-func (c *Catalog) passHealth() {
+// sendPendingHealth sends each linked entry of the zone the reports that it has not been sent. Only
+// relays forward the reports of others: every entry is linked to each of them.
+func (c *Catalog) sendPendingHealth() {
 	now := time.Now()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.health.expire(now)
 	isRelay := c.isRelay()
 	for _, peer := range c.links {
-		if !peer.isEntry() || peer.zone() != c.options.Zone || peer.tellingHealth || peer.healthTold == c.health.sequence {
+		if !peer.isEntry() || peer.zone() != c.options.Zone || peer.sendingHealth || peer.healthSent == c.health.sequence {
 			continue
 		}
-		words := c.healthFor(peer, isRelay, now)
-		peer.healthTold = c.health.sequence
-		if len(words) > 0 {
-			peer.tellingHealth = true
-			go c.sendHealth(peer, peer.link, words)
+		reports := c.healthFor(peer, isRelay, now)
+		peer.healthSent = c.health.sequence
+		if len(reports) > 0 {
+			peer.sendingHealth = true
+			go c.sendHealth(peer, peer.link, reports)
 		}
 	}
 }
 
-// healthFor lists the words that an entry is to be told; the mutex is held.
-func (c *Catalog) healthFor(peer *peerLink, isRelay bool, now time.Time) []toldHealth {
-	var words []toldHealth
-	for _, held := range c.health.untold(peer.healthTold, peer.ip, c.options.Self, isRelay) {
-		words = append(words, toldHealthOf(held, now))
+// healthFor returns the reports to send to an entry. The mutex must be held.
+func (c *Catalog) healthFor(peer *peerLink, isRelay bool, now time.Time) []healthMessage {
+	var reports []healthMessage
+	for _, held := range c.health.unsent(peer.healthSent, peer.ip, c.options.Self, isRelay) {
+		reports = append(reports, newHealthMessage(held, now))
 	}
-	slices.SortFunc(words, func(a, b toldHealth) int { return int(b.AgeMilliseconds - a.AgeMilliseconds) })
-	return words
+	slices.SortFunc(reports, func(a, b healthMessage) int { return int(b.AgeMilliseconds - a.AgeMilliseconds) })
+	return reports
 }
 
-func (c *Catalog) sendHealth(peer *peerLink, link *peering.Link, words []toldHealth) {
-	c.sent(peer, link, &peer.tellingHealth, peering.Send(link, topicHealth, "", healthBatch{Words: words}))
+func (c *Catalog) sendHealth(peer *peerLink, link *peering.Link, reports []healthMessage) {
+	c.finishSend(peer, link, &peer.sendingHealth, peering.Send(link, topicHealth, "", healthBatch{Reports: reports}))
 }
--- a/internal/catalog/lapsed.go
+++ b/internal/catalog/lapsed.go
@@ -10,47 +10,46 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// Times around an outage of the store.
+// Thresholds around an outage of the store.
 const (
 	// outageAge is the age of the copy from which the store counts as out.
 	outageAge = 1200 * time.Millisecond
-	// lapseGrace is how long after an outage servers write their lines anew.
-	lapseGrace = 2 * time.Second
-	// lapseMargin is left of the time in which a server that has left may still be sent
+	// expiryGrace is how long after an outage servers rewrite their records.
+	expiryGrace = 2 * time.Second
+	// expiryMargin is subtracted from the time in which a server that has left may still be sent
 	// requests.
-	lapseMargin = 400 * time.Millisecond
+	expiryMargin = 400 * time.Millisecond
 )
 
-// lapsedServer is a server that the list has lost.
-type lapsedServer struct {
+// expiredServer is a server whose record has expired.
+type expiredServer struct {
 	server fleet.Server
 	until  time.Time
 }
 
-// noteFresh notes when the copy was current; the mutex is held.
-func (c *Catalog) noteFresh(at time.Time) {
-	if !at.After(c.fresh) {
+// recordFresh records when the copy was current. The mutex must be held.
+func (c *Catalog) recordFresh(at time.Time) {
+	if !at.After(c.freshAt) {
 		return
 	}
-	if !c.fresh.IsZero() && at.Sub(c.fresh) > outageAge {
-		c.regained = at
+	if !c.freshAt.IsZero() && at.Sub(c.freshAt) > outageAge {
+		c.regainedAt = at
 	}
-	c.fresh = at
+	c.freshAt = at
 }
 
-// keepLapsed adds to a new view the servers that the list has just lost, for as long
-// as they may come back: their lines end with the heartbeats that an outage of the
-// store swallows, and are written anew after it. It returns how many there are; the
-// mutex is held.
-func (c *Catalog) keepLapsed(next *View) int {
+// retainExpired adds to a new view the servers that have just expired, for as long as they may come
+// back: their records expire because an outage of the store loses the heartbeats, and are rewritten
+// after it. It returns how many it added. The mutex must be held.
+func (c *Catalog) retainExpired(next *View) int {
 	now := time.Now()
-	if now.Sub(c.regained) < lapseGrace {
-		c.noteLapsed(next, now)
+	if now.Sub(c.regainedAt) < expiryGrace {
+		c.recordExpired(next, now)
 	}
 	count := 0
-	for id, one := range c.lapsed {
+	for id, one := range c.expired {
 		if !now.Before(one.until) {
-			delete(c.lapsed, id)
+			delete(c.expired, id)
 			continue
 		}
 		next.Servers[one.server.Service] = append(next.Servers[one.server.Service], one.server)
@@ -59,42 +58,41 @@
 	return count
 }
 
-// noteLapsed finds the servers of the present view that a new one lacks; the mutex is
-// held.
-func (c *Catalog) noteLapsed(next *View, now time.Time) {
-	grace := min(lapseGrace, c.options.Drain-lapseMargin)
+// recordExpired finds the servers of the current view that a new one lacks. The mutex must be held.
+func (c *Catalog) recordExpired(next *View, now time.Time) {
+	grace := min(expiryGrace, c.options.Drain-expiryMargin)
 	for service, servers := range c.view.Load().Servers {
 		for _, server := range servers {
 			listed := slices.ContainsFunc(next.Servers[service], func(one fleet.Server) bool {
 				return one.ID == server.ID || one.Address == server.Address
 			})
-			_, known := c.lapsed[server.ID]
-			if listed || known || server.Draining || grace <= 0 || c.knownDead(server) {
+			_, known := c.expired[server.ID]
+			if listed || known || server.Draining || grace <= 0 || c.isUnreachable(server) {
 				continue
 			}
-			c.lapsed[server.ID] = lapsedServer{server: server, until: now.Add(grace)}
+			c.expired[server.ID] = expiredServer{server: server, until: now.Add(grace)}
 			c.options.Log.Log(logging.ServerLapsed, zap.String("server", server.ID), zap.Duration("kept_for", grace),
-				zap.Duration("store_back_for", now.Sub(c.regained)))
-			time.AfterFunc(grace, c.dropLapsed)
+				zap.Duration("store_back_for", now.Sub(c.regainedAt)))
+			time.AfterFunc(grace, c.removeExpired)
 		}
 	}
 }
 
-// knownDead reports whether a server's agent says that it does not answer; the mutex
-// is held.
-func (c *Catalog) knownDead(server fleet.Server) bool {
-	held, told := c.statuses[server.Address]
-	return told && !held.status.Reachable
+// isUnreachable reports whether a server's agent reports that it does not answer. The mutex must be
+// held.
+func (c *Catalog) isUnreachable(server fleet.Server) bool {
+	held, known := c.statuses[server.Address]
+	return known && !held.status.Reachable
 }
 
-// dropLapsed makes a new view without the servers that have not come back.
-func (c *Catalog) dropLapsed() {
-	c.notify.Lock()
-	defer c.notify.Unlock()
+// removeExpired builds a view without the servers that have not come back.
+func (c *Catalog) removeExpired() {
+	c.notifyMutex.Lock()
+	defer c.notifyMutex.Unlock()
 	c.mutex.Lock()
 	next := *c.view.Load()
 	c.rebuildServers(&next)
-	next.findAgents()
+	next.collectAgents()
 	c.view.Store(&next)
 	c.mutex.Unlock()
 	for _, callback := range c.callbacks {
--- a/internal/catalog/links_test.go
+++ b/internal/catalog/links_test.go
@@ -21,76 +21,76 @@
 	"pinevane.example/pinevane/platform"
 )
 
-// newTestCatalog is the catalog of an entry that is not run.
+// newTestCatalog returns the catalog of an entry that does not run.
 func newTestCatalog() *Catalog {
 	hub := peering.NewHub(peering.Hello{ID: "10.0.0.1", Role: RoleEntry, Zone: "z"}, logging.Nop(), peering.NewCounters(prometheus.NewRegistry()))
 	return New(Options{Self: "10.0.0.1", Role: RoleEntry, Zone: "z", InternalPort: 1, Decoder: platform.Decoder{}, Hub: hub, Log: logging.Nop(), VersionApply: 8 * time.Second, Drain: 2 * time.Second})
 }
 
-// An entry that is new is told on every link soon, not only with the next list that is
-// due anyway: entries that start together know each other within a few hops.
-func TestNewEntriesAreToldSoon(t *testing.T) {
+// A new entry is announced on every link soon, not only with the next periodic list: entries that
+// start together know each other within a few hops.
+func TestNewEntriesAreAnnouncedSoon(t *testing.T) {
 	c := newTestCatalog()
 	now := time.Now()
-	listed := &peerLink{listedAt: now.Add(-2 * newListPause)}
+	listed := &peerLink{listedAt: now.Add(-2 * minListInterval)}
 	assert.False(t, c.listDue(listed, now), "nothing is new")
-	c.hearEntry("10.0.0.2", entrySign{Zone: "z"})
+	c.recordEntry("10.0.0.2", entryHeartbeat{Zone: "z"})
 	assert.True(t, c.listDue(listed, now))
-	assert.Len(t, c.kick, 1, "it is told at once")
+	assert.Len(t, c.wake, 1, "it is announced at once")
 	listed.listedArrivals = c.overlay.Arrivals()
-	c.hearEntry("10.0.0.2", entrySign{Zone: "z"})
+	c.recordEntry("10.0.0.2", entryHeartbeat{Zone: "z"})
 	assert.False(t, c.listDue(listed, now), "it is known")
-	assert.False(t, c.listDue(&peerLink{listedAt: now}, now), "lists do not follow each other closely")
+	assert.False(t, c.listDue(&peerLink{listedAt: now}, now), "lists have a minimum interval")
 }
 
-// A process that does not listen yet is dialled again soon, one that is away ever later.
-func TestDialsAreRepeatedSoonAtFirst(t *testing.T) {
-	assert.Equal(t, firstDialPause, pauseAfter(0))
-	assert.Equal(t, 2*firstDialPause, pauseAfter(1))
-	assert.Equal(t, dialPause, pauseAfter(3))
-	assert.Equal(t, dialPause, pauseAfter(1000))
+// A process that does not listen yet is dialled again soon, one that is away after longer delays.
+func TestDialBackoff(t *testing.T) {
+	assert.Equal(t, minDialBackoff, dialBackoff(0))
+	assert.Equal(t, 2*minDialBackoff, dialBackoff(1))
+	assert.Equal(t, maxDialBackoff, dialBackoff(3))
+	assert.Equal(t, maxDialBackoff, dialBackoff(1000))
 }
 
-// A link that the other has made while this process dials does not have it dial twice.
-func TestAcceptedLinkLeavesADialUnderWay(t *testing.T) {
-	peer := &peerLink{ip: "10.0.0.2", dialling: true, nearTold: 7}
+// A link that the peer makes while this process dials does not make it dial twice.
+func TestAcceptedLinkKeepsOngoingDial(t *testing.T) {
+	peer := &peerLink{ip: "10.0.0.2", dialling: true, localSent: 7}
 	peer.open(&peering.Link{}, true)
 	assert.True(t, peer.dialling)
-	assert.Zero(t, peer.nearTold, "the new link is told everything")
+	assert.Zero(t, peer.localSent, "the new link is sent everything")
 }
 
-// A link that was made anew though it was only slow gets more time from then on, for a while
-// and never more than until it counts as broken.
-func TestSlowLinksGetMoreTime(t *testing.T) {
+// A link that was renewed although it was only slow gets more time from then on, for a while and
+// never more than until it counts as broken.
+func TestSlowLinkGetsLongerRenewDelay(t *testing.T) {
 	now := time.Now()
 	peer := &peerLink{}
 	peer.open(&peering.Link{}, false)
-	first := peer.patience
+	first := peer.renewDelay
 	assert.GreaterOrEqual(t, first, renewAfter)
-	assert.Less(t, first, renewAfter+renewSpread)
-	peer.doubt(now)
-	assert.Equal(t, 2*first, peer.patience)
+	assert.Less(t, first, renewAfter+renewJitter)
+	peer.extendRenewDelay(now)
+	assert.Equal(t, 2*first, peer.renewDelay)
 	peer.open(&peering.Link{}, false)
-	assert.Equal(t, 2*first, peer.patience, "a new link to the same process is as slow")
-	peer.doubt(now)
-	peer.doubt(now)
-	assert.Equal(t, linkSilence, peer.patience)
-	peer.patientTill = now.Add(-time.Millisecond)
+	assert.Equal(t, 2*first, peer.renewDelay, "a new link to the same process is as slow")
+	peer.extendRenewDelay(now)
+	peer.extendRenewDelay(now)
+	assert.Equal(t, linkTimeout, peer.renewDelay)
+	peer.renewDelayUntil = now.Add(-time.Millisecond)
 	peer.open(&peering.Link{}, false)
-	assert.Less(t, peer.patience, renewAfter+renewSpread, "that is forgotten")
+	assert.Less(t, peer.renewDelay, renewAfter+renewJitter, "the longer delay has expired")
 }
 
-// The first entry of a zone that does not read the store asks for a configuration at once, and
-// announces it to its zone at once.
-func TestConfigurationsOfOtherZonesAreNotWaitedFor(t *testing.T) {
+// The first entry of a zone that does not read the store announces a configuration received from a
+// peer to its zone at once.
+func TestConfigurationFromPeerIsAnnouncedAtOnce(t *testing.T) {
 	c := newTestCatalog()
 	before := c.freshSequence
-	c.takeTold([]mirror.Record{{Key: "op/config", Value: []byte(`{"version":1}`), Revision: 4}}, nil)
+	c.applyReceived([]mirror.Record{{Key: "op/config", Value: []byte(`{"version":1}`), Revision: 4}}, nil)
 	assert.Greater(t, c.freshSequence, before)
 }
 
-// linkOther links a process to another entry, and returns the hub of that and the link.
-func linkOther(t *testing.T, c *Catalog) (*peering.Hub, *peering.Link) {
+// linkToEntry links a process to another entry, and returns the other entry's hub and the link.
+func linkToEntry(t *testing.T, c *Catalog) (*peering.Hub, *peering.Link) {
 	t.Helper()
 	hub := peering.NewHub(peering.Hello{ID: "10.0.0.2", Role: RoleEntry, Zone: "z"}, logging.Nop(), peering.NewCounters(prometheus.NewRegistry()))
 	other := httptest.NewServer(hub)
@@ -101,15 +101,15 @@
 	return hub, made
 }
 
-// Of two entries that have each made a link to the other, one may drop its own when it needs the
-// other no more, or lose it. The one that the other has made is then used: the other listens on
-// it, and takes answers to its probes for signs that all is well.
-func TestALinkOfTheOtherReplacesTheOwnOne(t *testing.T) {
+// When two entries have each made a link to the other, one of them may close its own, because it no
+// longer needs the other, or lose it. It then uses the link that the other made: the other listens
+// on it, and takes answers to its probes for signs of life.
+func TestAcceptedLinkReplacesLostLink(t *testing.T) {
 	c := newTestCatalog()
 	own := httptest.NewServer(c.options.Hub)
 	defer own.Close()
 	defer c.options.Hub.Close()
-	hub, made := linkOther(t, c)
+	hub, made := linkToEntry(t, c)
 	c.mutex.Lock()
 	peer := c.peerLink("10.0.0.2")
 	peer.open(made, false)
@@ -118,8 +118,8 @@
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { return len(c.options.Hub.Accepted()) == 1 }, time.Second, time.Millisecond)
 	require.NoError(t, made.Close())
-	c.keepLinks(t.Context())
-	c.keepLinks(t.Context())
+	c.maintainLinks(t.Context())
+	c.maintainLinks(t.Context())
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	assert.Same(t, c.options.Hub.Accepted()[0], peer.link)
@@ -127,20 +127,17 @@
 	assert.False(t, peer.dialling)
 }
 
-// Seen: read in a review. Cause: links were judged by when something was last read on them, before
-// their readers had read what came while the process stood still.
-//
-// Seen: a process that was paused again and again dropped a link to another entry, which sent on a
-// link of its own. Cause: nothing comes back on such a link but answers to probes, and the process
-// had sent none since the first pause.
-//
-// Links outlast a pause of the process; one that answers no probe after it is broken.
-func TestLinksOutlastAPauseOfTheProcess(t *testing.T) {
+// Links survive a pause of the process; a link that answers no probe after it is broken. Guards
+// against two faults: links judged by the time of the last read, before their readers had read what
+// arrived during the pause; and a process that was paused repeatedly and dropped a link to an entry
+// that sends on a link of its own, because only answers to probes arrive on such a link and it had
+// sent no probe since the first pause.
+func TestLinksSurviveProcessPause(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
-	_, made := linkOther(t, c)
+	_, made := linkToEntry(t, c)
 	c.mutex.Lock()
-	c.hearEntry("10.0.0.2", entrySign{Zone: "z"})
+	c.recordEntry("10.0.0.2", entryHeartbeat{Zone: "z"})
 	c.peerLink("10.0.0.2").open(made, false)
 	c.mutex.Unlock()
 	held := func() *peering.Link {
@@ -148,107 +145,105 @@
 		defer c.mutex.Unlock()
 		return c.peerLink("10.0.0.2").link
 	}
-	c.keepLinks(t.Context())
+	c.maintainLinks(t.Context())
 	require.Same(t, made, held(), "the link is wanted")
-	time.Sleep(linkSilence + 100*time.Millisecond) // no looks: the process stands still
-	looks := func(span time.Duration) {
-		for began := time.Now(); time.Since(began) < span && held() == made; time.Sleep(20 * time.Millisecond) {
-			c.keepLinks(t.Context())
+	time.Sleep(linkTimeout + 100*time.Millisecond) // without checks, as if the process were paused
+	checkFor := func(duration time.Duration) {
+		for began := time.Now(); time.Since(began) < duration && held() == made; time.Sleep(20 * time.Millisecond) {
+			c.maintainLinks(t.Context())
 		}
 	}
-	looks(2 * resumeTime)
+	checkFor(2 * resumeGrace)
 	require.Same(t, made, held(), "it answers a probe")
 	count, err := silencer.Silence(silencer.Any)
 	require.NoError(t, err)
 	require.Positive(t, count)
-	time.Sleep(linkSilence + 100*time.Millisecond)
-	c.keepLinks(t.Context())
+	time.Sleep(linkTimeout + 100*time.Millisecond)
+	c.maintainLinks(t.Context())
 	assert.Same(t, made, held(), "right after the pause")
-	looks(time.Second)
+	checkFor(time.Second)
 	assert.NotSame(t, made, held(), "it has answered no probe")
 }
 
-// A process that was short of time gives links as long again to answer a probe; one that had its
-// time judges as before.
-func TestLinksAreNotJudgedRightAfterAStall(t *testing.T) {
+// After a stall of the process, links are given the full time for the answer to a probe again;
+// without one, the time counts from the probe.
+func TestProbeTimeRestartsAfterStall(t *testing.T) {
 	const gap = 100 * time.Millisecond
 	start := time.Now()
-	var p pause
-	p.look(start)
-	p.look(start.Add(gap))
-	assert.Equal(t, start, p.grantedSince(start), "looks are this late on any machine")
-	resumed := start.Add(gap + stallLeast + time.Millisecond)
-	p.look(resumed)
-	assert.Equal(t, resumed, p.grantedSince(start))
-	assert.Equal(t, resumed.Add(gap), p.grantedSince(resumed.Add(gap)), "a probe sent after it")
-	assert.Negative(t, p.resuming(resumed), "links are made anew")
-	paused := resumed.Add(pauseLeast + time.Millisecond)
-	p.look(paused)
-	assert.Equal(t, resumeTime, p.resuming(paused), "none is made anew")
+	var p pauseDetector
+	p.recordCheck(start)
+	p.recordCheck(start.Add(gap))
+	assert.Equal(t, start, p.probeStart(start), "checks are this late on any machine")
+	resumed := start.Add(gap + minStall + time.Millisecond)
+	p.recordCheck(resumed)
+	assert.Equal(t, resumed, p.probeStart(start))
+	assert.Equal(t, resumed.Add(gap), p.probeStart(resumed.Add(gap)), "a probe sent after it")
+	assert.Negative(t, p.graceLeft(resumed), "links are renewed")
+	paused := resumed.Add(minPause + time.Millisecond)
+	p.recordCheck(paused)
+	assert.Equal(t, resumeGrace, p.graceLeft(paused), "no link is renewed")
 }
 
-// pendingHaste reports whether the statuses are to be passed on before the next statusPace.
-func pendingHaste(c *Catalog) bool {
+// flushPending reports whether reports are to be sent before the next statusInterval.
+func flushPending(c *Catalog) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.hastened
+	return c.flushScheduled
 }
 
-// Seen: after a silence of all connections an entry heard an agent again after 0.84 s, 0.3 s after
-// its zone's first gate had. Cause: the gate had the word from another entry, whose link to the
-// agent worked again before its own, and left it to the next pace of other zones.
-//
-// A word that ends a silence is passed on at once, whether it has come from the agent or by
-// another entry.
-func TestWordsThatEndASilenceArePassedOnSoon(t *testing.T) {
+// A report that ends a silence is sent at once, whether it came from the agent or from another
+// entry. Guards against a gate that had the report from another entry, whose link to the agent
+// recovered first, and left it to the next interval of other zones: an entry received the report
+// after 0.84 s, 0.3 s after the first gate of the agent's zone.
+func TestReportsEndingASilenceAreSentSoon(t *testing.T) {
 	now := time.Now()
 	for _, one := range []struct {
-		name  string
-		word  heldStatus
-		pause time.Duration
-		soon  bool
+		name   string
+		report heldStatus
+		pause  time.Duration
+		soon   bool
 	}{
-		{"of the agent, after a silence", heldStatus{zone: "z", direct: true}, backupPause + time.Millisecond, true},
-		{"by another entry, after a silence", heldStatus{zone: "z", passedAt: now}, backupPause + time.Millisecond, true},
-		{"by another entry, as usual", heldStatus{zone: "z", passedAt: now}, backupPause - time.Millisecond, false},
-		{"of another zone, after a silence", heldStatus{zone: "y"}, farPause + time.Millisecond, true},
-		{"of another zone, as usual", heldStatus{zone: "y"}, farPause - time.Millisecond, false},
-		{"of another zone, which says that it ends a silence", heldStatus{zone: "y", back: true}, farPause - time.Millisecond, true},
+		{"from the agent, after a silence", heldStatus{zone: "z", direct: true}, backupDelay + time.Millisecond, true},
+		{"from another entry, after a silence", heldStatus{zone: "z", relayedAt: now}, backupDelay + time.Millisecond, true},
+		{"from another entry, on time", heldStatus{zone: "z", relayedAt: now}, backupDelay - time.Millisecond, false},
+		{"from another zone, after a silence", heldStatus{zone: "y"}, remoteSilence + time.Millisecond, true},
+		{"from another zone, on time", heldStatus{zone: "y"}, remoteSilence - time.Millisecond, false},
+		{"from another zone, marked as ending a silence", heldStatus{zone: "y", endsSilence: true}, remoteSilence - time.Millisecond, true},
 	} {
 		c := newTestCatalog()
 		peer := c.peerLink("10.0.0.2")
-		peer.farToldAt = now
+		peer.remoteSentAt = now
 		status := fleet.MachineStatus{Address: "10.1.0.1:80"}
-		c.statuses[status.Address] = heldStatus{status: status, zone: one.word.zone, at: now.Add(-one.pause)}
-		one.word.status, one.word.at = status, now
-		c.takeStatus(one.word)
-		assert.Equal(t, one.soon, pendingHaste(c), one.name)
-		assert.Equal(t, one.soon, peer.farToldAt.IsZero(), one.name)
-		assert.Equal(t, one.soon, c.statuses[status.Address].back, one.name)
+		c.statuses[status.Address] = heldStatus{status: status, zone: one.report.zone, at: now.Add(-one.pause)}
+		one.report.status, one.report.at = status, now
+		c.applyStatus(one.report)
+		assert.Equal(t, one.soon, flushPending(c), one.name)
+		assert.Equal(t, one.soon, peer.remoteSentAt.IsZero(), one.name)
+		assert.Equal(t, one.soon, c.statuses[status.Address].endsSilence, one.name)
 	}
 }
 
-// A link that is made anew is told everything soon, not with the next statusPace.
-func TestANewLinkIsToldSoon(t *testing.T) {
+// A renewed link is sent everything soon, not at the next statusInterval.
+func TestNewLinkIsSentStatusesSoon(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
-	_, made := linkOther(t, c)
+	_, made := linkToEntry(t, c)
 	c.mutex.Lock()
-	c.open(c.peerLink("10.0.0.2"), made, false)
+	c.openLink(c.peerLink("10.0.0.2"), made, false)
 	c.mutex.Unlock()
-	assert.True(t, pendingHaste(c))
+	assert.True(t, flushPending(c))
 	select {
-	case <-c.haste:
-	case <-time.After(statusPace):
-		assert.Fail(t, "later than the next statusPace")
+	case <-c.flush:
+	case <-time.After(statusInterval):
+		assert.Fail(t, "later than the next statusInterval")
 	}
-	c.passHastened()
-	assert.False(t, pendingHaste(c))
+	c.flushStatuses()
+	assert.False(t, flushPending(c))
 }
 
-// tellsOtherZone links a catalog to an entry of another zone and runs its exchange, and returns the count
-// of frames of words that the other entry receives.
-func tellsOtherZone(t *testing.T, c *Catalog) *atomic.Int64 {
+// runWithRemoteZone links a catalog to an entry of another zone and runs its exchange. It returns
+// the count of status frames that the other entry receives.
+func runWithRemoteZone(t *testing.T, c *Catalog) *atomic.Int64 {
 	hub := peering.NewHub(peering.Hello{ID: "10.0.0.2", Role: RoleEntry, Zone: "y"}, logging.Nop(), peering.NewCounters(prometheus.NewRegistry()))
 	t.Cleanup(hub.Close)
 	var frames atomic.Int64
@@ -260,17 +255,17 @@
 	c.mutex.Lock()
 	c.peerLink("10.0.0.2").open(made, false)
 	c.mutex.Unlock()
-	c.hearEntry("10.0.0.2", entrySign{Zone: "y"})
+	c.recordEntry("10.0.0.2", entryHeartbeat{Zone: "y"})
 	go c.exchange(t.Context())
 	return &frames
 }
 
-// Agents whose words come 0.45 s apart, spread, do not have another zone told all the time: only the
-// first word after a silence is hastened.
-func TestLateWordsKeepThePaceOfOtherZones(t *testing.T) {
+// Agents whose reports come 0.45 s apart, spread over time, do not make another zone be updated all
+// the time: only the first report after a silence is expedited.
+func TestLateReportsKeepRemoteInterval(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
-	frames := tellsOtherZone(t, c)
+	frames := runWithRemoteZone(t, c)
 	const turns, agents = 5, 45
 	var began time.Time
 	for turn := range turns {
@@ -279,35 +274,36 @@
 			began = time.Now()
 		}
 		for agent := range agents {
-			c.takeStatus(heldStatus{zone: "z", direct: true, at: time.Now(), status: fleet.MachineStatus{Address: fmt.Sprintf("10.1.0.%d:80", agent)}})
+			c.applyStatus(heldStatus{zone: "z", direct: true, at: time.Now(), status: fleet.MachineStatus{Address: fmt.Sprintf("10.1.0.%d:80", agent)}})
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	most := int64(time.Since(began)/(farStatusPace-statusPace/4)) + 2
-	t.Log("frames:", frames.Load(), "of at most", most)
-	assert.LessOrEqual(t, frames.Load(), most)
+	limit := int64(time.Since(began)/(remoteStatusInterval-statusInterval/4)) + 2
+	t.Log("frames:", frames.Load(), "of at most", limit)
+	assert.LessOrEqual(t, frames.Load(), limit)
 }
 
-// Words that each end a silence, one after the other, have another zone told at farHastePace.
-func TestHastenedWordsToOtherZonesHaveAPace(t *testing.T) {
+// Reports that each end a silence, one after the other, are sent to another zone at
+// remoteFlushInterval.
+func TestExpeditedReportsAreRateLimited(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
-	frames := tellsOtherZone(t, c)
+	frames := runWithRemoteZone(t, c)
 	began := time.Now()
 	for agent := range 100 {
-		c.takeStatus(heldStatus{zone: "z", direct: true, at: time.Now(), status: fleet.MachineStatus{Address: fmt.Sprintf("10.1.0.%d:80", agent)}})
+		c.applyStatus(heldStatus{zone: "z", direct: true, at: time.Now(), status: fleet.MachineStatus{Address: fmt.Sprintf("10.1.0.%d:80", agent)}})
 		time.Sleep(10 * time.Millisecond)
 	}
-	most := int64(time.Since(began)/farHastePace) + 2
-	t.Log("frames:", frames.Load(), "of at most", most)
-	assert.LessOrEqual(t, frames.Load(), most)
+	limit := int64(time.Since(began)/remoteFlushInterval) + 2
+	t.Log("frames:", frames.Load(), "of at most", limit)
+	assert.LessOrEqual(t, frames.Load(), limit)
 }
 
-// A link that is made anew again and again has nobody else told more often.
-func TestANewLinkAloneIsToldSoon(t *testing.T) {
+// A link that is renewed repeatedly does not make other entries be updated more often.
+func TestOnlyNewLinkIsSentStatusesSoon(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
-	_, made := linkOther(t, c)
+	_, made := linkToEntry(t, c)
 	hub := peering.NewHub(peering.Hello{ID: "10.0.0.3", Role: RoleEntry, Zone: "z"}, logging.Nop(), peering.NewCounters(prometheus.NewRegistry()))
 	defer hub.Close()
 	var frames atomic.Int64
@@ -320,12 +316,12 @@
 	c.peerLink("10.0.0.2").open(made, false)
 	c.peerLink("10.0.0.3").open(third, false)
 	c.mutex.Unlock()
-	c.hearEntry("10.0.0.2", entrySign{Zone: "z"})
-	c.hearEntry("10.0.0.3", entrySign{Zone: "z"})
+	c.recordEntry("10.0.0.2", entryHeartbeat{Zone: "z"})
+	c.recordEntry("10.0.0.3", entryHeartbeat{Zone: "z"})
 	go c.exchange(t.Context())
 	var began time.Time
 	for turn := range 100 {
-		c.takeStatus(heldStatus{zone: "z", direct: true, at: time.Now(), status: fleet.MachineStatus{Address: fmt.Sprintf("10.1.0.%d:80", turn%10)}})
+		c.applyStatus(heldStatus{zone: "z", direct: true, at: time.Now(), status: fleet.MachineStatus{Address: fmt.Sprintf("10.1.0.%d:80", turn%10)}})
 		time.Sleep(10 * time.Millisecond)
 		if turn == 20 {
 			frames.Store(0)
@@ -333,48 +329,48 @@
 		}
 		if turn > 20 {
 			c.mutex.Lock()
-			c.open(c.links["10.0.0.2"], made, false)
+			c.openLink(c.links["10.0.0.2"], made, false)
 			c.mutex.Unlock()
 		}
 	}
-	most := int64(time.Since(began)/statusPace) + 2
-	t.Log("frames:", frames.Load(), "of at most", most)
-	assert.LessOrEqual(t, frames.Load(), most)
+	limit := int64(time.Since(began)/statusInterval) + 2
+	t.Log("frames:", frames.Load(), "of at most", limit)
+	assert.LessOrEqual(t, frames.Load(), limit)
 }
 
-// Links are looked at again when one is to be probed or renewed: left to a pace, a renewal came up
-// to that much later, and the words that wait for it.
-func TestLinksAreLookedAtWhenOneIsDue(t *testing.T) {
+// Links are checked when one is due a probe or a renewal: with checks at a fixed interval, a
+// renewal, and the reports waiting for it, came up to that interval later.
+func TestLinksAreCheckedWhenDue(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
-	_, made := linkOther(t, c)
+	_, made := linkToEntry(t, c)
 	peer := c.peerLink("10.0.0.2")
 	peer.open(made, false)
-	heard := made.LastHeard()
-	assert.Equal(t, 20*time.Millisecond, c.checkLink(t.Context(), peer, heard.Add(probeAfter-20*time.Millisecond)), "a probe is due then")
-	probed := heard.Add(probeAfter + time.Millisecond)
-	assert.Equal(t, peer.patience-probeAfter-time.Millisecond, c.checkLink(t.Context(), peer, probed), "a renewal is due then")
+	lastHeard := made.LastHeard()
+	assert.Equal(t, 20*time.Millisecond, c.checkLink(t.Context(), peer, lastHeard.Add(probeAfter-20*time.Millisecond)), "a probe is due then")
+	probed := lastHeard.Add(probeAfter + time.Millisecond)
+	assert.Equal(t, peer.renewDelay-probeAfter-time.Millisecond, c.checkLink(t.Context(), peer, probed), "a renewal is due then")
 	assert.Equal(t, probed, peer.probedAt)
-	peer.probedAt = heard.Add(peer.patience)
-	assert.Equal(t, probeGrace, c.checkLink(t.Context(), peer, heard.Add(peer.patience)), "the probe may still be answered")
+	peer.probedAt = lastHeard.Add(peer.renewDelay)
+	assert.Equal(t, probeGrace, c.checkLink(t.Context(), peer, lastHeard.Add(peer.renewDelay)), "the probe may still be answered")
 	peer.accepted = true
-	assert.Equal(t, linkLook, c.checkLink(t.Context(), peer, heard.Add(peer.patience)), "the other renews it")
+	assert.Equal(t, linkCheckInterval, c.checkLink(t.Context(), peer, lastHeard.Add(peer.renewDelay)), "the peer renews it")
 }
 
-// The pace of other zones is a multiple of statusPace: a timer that is a little early does not
-// make it one longer.
-func TestOtherZonesAreToldAtTheirPace(t *testing.T) {
+// The interval for other zones is a multiple of statusInterval: a timer that is slightly early must
+// not add another statusInterval.
+func TestRemoteIntervalToleratesEarlyTimer(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
-	_, made := linkOther(t, c)
+	_, made := linkToEntry(t, c)
 	peer := c.peerLink("10.0.0.2")
 	peer.open(made, false)
 	c.statusSequence = 1
 	now := time.Now()
-	peer.farToldAt = now.Add(-farStatusPace + time.Millisecond)
+	peer.remoteSentAt = now.Add(-remoteStatusInterval + time.Millisecond)
 	key, due := c.nextBatch(peer, true, now)
 	assert.True(t, due)
-	assert.True(t, key.far)
+	assert.True(t, key.remote)
 }
 
 func serverRecord(index int, revision uint64) mirror.Record {
@@ -382,71 +378,72 @@
 	return mirror.Record{Key: fmt.Sprintf("servers/s%04d", index), Value: []byte(value), Revision: revision}
 }
 
-// What an entry has read from the store is passed on at once, what it was told with the
-// next update; a server whose line says nothing new is not passed on at all.
-func TestOwnNewsAreUrgent(t *testing.T) {
+// What an entry reads from the store is sent at once, what it receives from a peer with the next
+// update. A server record without a change is not sent at all.
+func TestStoreChangesAreUrgent(t *testing.T) {
 	c := newTestCatalog()
-	c.takeTold([]mirror.Record{serverRecord(1, 1)}, nil)
-	assert.Zero(t, c.urgent)
-	c.takeWatched([]mirror.Record{serverRecord(2, 2)})
-	assert.Equal(t, c.changes.Sequence(), c.urgent)
+	c.applyReceived([]mirror.Record{serverRecord(1, 1)}, nil)
+	assert.Zero(t, c.urgentSequence)
+	c.applyWatched([]mirror.Record{serverRecord(2, 2)})
+	assert.Equal(t, c.changes.Sequence(), c.urgentSequence)
 	same := serverRecord(2, 2)
 	same.Revision = 3
 	before := c.changes.Sequence()
-	c.takeWatched([]mirror.Record{same})
+	c.applyWatched([]mirror.Record{same})
 	assert.Equal(t, before, c.changes.Sequence())
-	c.takeTold([]mirror.Record{{Key: "op/version/m", Value: []byte(`{"model":"m","version":2}`), Revision: 4}}, nil)
-	assert.Equal(t, c.changes.Sequence(), c.urgent, "the naming of weights is passed on at once by everyone")
+	c.applyReceived([]mirror.Record{{Key: "op/version/m", Value: []byte(`{"model":"m","version":2}`), Revision: 4}}, nil)
+	assert.Equal(t, c.changes.Sequence(), c.urgentSequence, "every process sends a version announcement at once")
 }
 
-// Peers that hold the same tell each other nothing; one that differs is told all, once.
+// Peers that hold the same records send each other none; a peer whose records differ is sent all,
+// once.
 func TestRecordsAreSentWhereTheyDiffer(t *testing.T) {
 	c := newTestCatalog()
-	c.takeWatched([]mirror.Record{serverRecord(1, 1), serverRecord(2, 2)})
+	c.applyWatched([]mirror.Record{serverRecord(1, 1), serverRecord(2, 2)})
 	peer := c.peerLink("10.0.0.2")
-	assert.Empty(t, c.compose(peer).Records, "nothing is sent before records were compared")
-	c.compare("10.0.0.2", update{Digest: c.changes.Digest()})
-	assert.Empty(t, c.compose(peer).Records, "it holds the same")
-	c.takeWatched([]mirror.Record{serverRecord(3, 3)})
-	assert.Len(t, c.compose(peer).Records, 1, "it lacks one")
+	assert.Empty(t, c.composeUpdate(peer).Records, "nothing is sent before the records were compared")
+	c.compareRecords("10.0.0.2", update{Digest: c.changes.Digest()})
+	assert.Empty(t, c.composeUpdate(peer).Records, "it holds the same")
+	c.applyWatched([]mirror.Record{serverRecord(3, 3)})
+	assert.Len(t, c.composeUpdate(peer).Records, 1, "it lacks one")
 
 	other := c.peerLink("10.0.0.3")
-	c.compare("10.0.0.3", update{})
-	assert.Len(t, c.compose(other).Records, 3, "it holds nothing")
+	c.compareRecords("10.0.0.3", update{})
+	assert.Len(t, c.composeUpdate(other).Records, 3, "it holds nothing")
 }
 
-// The backup of an agent's main feeder passes its words on when nobody else does.
-func TestBackupPassesOnWhatTheMainFeederDoesNot(t *testing.T) {
+// The backup feeder of an agent forwards its reports when no other entry does.
+func TestBackupRelaysWhenMainFeederDoesNot(t *testing.T) {
 	c := newTestCatalog()
 	for index := 2; index <= 3; index++ {
-		c.hearEntry(fmt.Sprintf("10.0.0.%d", index), entrySign{Zone: "z"})
+		c.recordEntry(fmt.Sprintf("10.0.0.%d", index), entryHeartbeat{Zone: "z"})
 	}
 	now := time.Now()
 	c.overlay.Advance(now)
-	// One agent of each kind: the main feeder, the backup, and neither is this entry.
+	// Agents of which this entry is the main feeder, the backup, and neither.
 	held := map[string]heldStatus{}
 	for index := range 200 {
 		agent := fmt.Sprintf("10.1.0.%d", index)
 		feeds, main := c.overlay.Feeds(agent, "z")
-		held[fmt.Sprint(feeds, main)] = heldStatus{status: fleet.MachineStatus{Address: net.JoinHostPort(agent, "80")}, zone: "z", at: now, direct: true, passedAt: now}
+		held[fmt.Sprint(feeds, main)] = heldStatus{status: fleet.MachineStatus{Address: net.JoinHostPort(agent, "80")}, zone: "z", at: now, direct: true, relayedAt: now}
 	}
-	later := now.Add(backupPause + time.Millisecond)
-	assert.True(t, c.passesOn(held["true true"], now))
-	assert.False(t, c.passesOn(held["true false"], now))
-	assert.True(t, c.passesOn(held["true false"], later))
-	assert.False(t, c.passesOn(held["false false"], later))
+	later := now.Add(backupDelay + time.Millisecond)
+	assert.True(t, c.relays(held["true true"], now))
+	assert.False(t, c.relays(held["true false"], now))
+	assert.True(t, c.relays(held["true false"], later))
+	assert.False(t, c.relays(held["false false"], later))
 }
 
-// The cost of one server's record must not grow with the number of servers, but for
-// the list of them.
-func BenchmarkTakeServer(b *testing.B) {
+// The cost of applying one server's record must not grow with the number of servers, except for the
+// list of them.
+func BenchmarkApplyServer(b *testing.B) {
 	for _, servers := range []int{40, 200, 1000} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
 			c := newTestCatalog()
 			revision := uint64(0)
 			for index := range servers {
 				revision++
-				c.takeWatched([]mirror.Record{serverRecord(index, revision)})
+				c.applyWatched([]mirror.Record{serverRecord(index, revision)})
 			}
 			records := make([]mirror.Record, b.N)
 			for index := range records {
@@ -456,28 +453,28 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for _, record := range records {
-				c.takeWatched([]mirror.Record{record})
+				c.applyWatched([]mirror.Record{record})
 			}
 		})
 	}
 }
 
-// The cost of passing on the word of one agent must not grow with the fleet.
-func BenchmarkPassStatuses(b *testing.B) {
+// The cost of forwarding one agent's report must not grow with the fleet.
+func BenchmarkRelayStatuses(b *testing.B) {
 	for _, entries := range []int{30, 150, 400} {
 		b.Run(fmt.Sprint(entries), func(b *testing.B) {
 			c := newTestCatalog()
 			for index := range entries {
-				c.hearEntry(fmt.Sprintf("10.2.%d.%d", index/250, index%250), entrySign{Zone: fmt.Sprintf("z%d", index%5)})
+				c.recordEntry(fmt.Sprintf("10.2.%d.%d", index/250, index%250), entryHeartbeat{Zone: fmt.Sprintf("z%d", index%5)})
 			}
 			now := time.Now()
 			c.overlay.Advance(now)
-			word := heldStatus{status: fleet.MachineStatus{Address: "10.1.0.1:80", Model: "m", Reachable: true}, zone: "z", direct: true}
+			report := heldStatus{status: fleet.MachineStatus{Address: "10.1.0.1:80", Model: "m", Reachable: true}, zone: "z", direct: true}
 			b.ReportAllocs()
 			for b.Loop() {
-				word.at = word.at.Add(time.Second)
-				c.takeStatus(word)
-				c.encodeBatch(batchKey{near: true, nearAfter: c.statusSequence - 1}, now)
+				report.at = report.at.Add(time.Second)
+				c.applyStatus(report)
+				c.encodeBatch(batchKey{local: true, localAfter: c.statusSequence - 1}, now)
 			}
 		})
 	}
--- a/internal/catalog/pulls_test.go
+++ b/internal/catalog/pulls_test.go
@@ -12,19 +12,19 @@
 	"pinevane.example/pinevane/internal/compression"
 )
 
-func TestLargeRecordsTravelCompressed(t *testing.T) {
+func TestLargeRecordsAreCompressed(t *testing.T) {
 	var value strings.Builder
 	for index := range 1400 {
 		fmt.Fprintf(&value, `{"name":"r-%d","host":"a.example","pathPrefix":"/p%d/","timeoutMs":6000,"maxAttempts":2},`, index, index)
 	}
 	record := mirror.Record{Key: "op/config", Value: []byte(value.String()), Revision: 7}
-	var one packs
+	var one packCache
 	packed, err := one.pack(record)
 	require.NoError(t, err)
 	assert.Less(t, len(packed), len(record.Value)/5)
 	again, err := one.pack(record)
 	require.NoError(t, err)
-	assert.Same(t, &packed[0], &again[0], "it is compressed once for all that ask")
+	assert.Same(t, &packed[0], &again[0], "it is compressed once for all requests")
 	back, err := compression.Decode[mirror.Record](packed)
 	require.NoError(t, err)
 	assert.Equal(t, record, back)
--- a/internal/catalog/quarantine.go
+++ b/internal/catalog/quarantine.go
@@ -14,86 +14,88 @@
 	"pinevane.example/pinevane/internal/peering"
 )
 
-// topicQuarantine carries what entries have found out of contents that end servers, to every process.
-// Agents decide nothing by it: they hold it for entries that start when all others are gone.
+// topicQuarantine carries entries' reports on requests that crash servers to every process. Agents
+// do not act on them: they hold them for entries that start when all others are gone.
 const topicQuarantine = "quarantine.words"
 
-// Bounds of messages and words.
+// Bounds on messages and reports.
 const (
-	// wordsPerMessage keeps a message within 100 KB, which a link of 7.3 Mbit/s passes in 0.1 s.
-	wordsPerMessage = 32
-	// longestWordTime bounds the spans of words: no quarantine lasts longer, and no word is held for
-	// twice as long.
-	longestWordTime = 48 * time.Hour
-	// mostWordServers bounds the ended servers that a quarantine names.
-	mostWordServers = 16
+	// reportsPerMessage keeps a message within 100 KB, which a link of 7.3 Mbit/s passes in 0.1 s.
+	reportsPerMessage = 32
+	// maxReportDuration bounds the durations in reports: no quarantine lasts longer, and no report
+	// is held for twice as long.
+	maxReportDuration = 48 * time.Hour
+	// maxReportServers bounds the crashed servers that a quarantine names.
+	maxReportServers = 16
 )
 
-// toldContent is the identity of a content.
-type toldContent struct {
+// fingerprintMessage is the wire form of a request fingerprint.
+type fingerprintMessage struct {
 	ID     []byte `cbor:"1,keyasint"`
 	Caller uint64 `cbor:"2,keyasint"`
 }
 
-// toldSuspect is a content that was under way at a server when that ended, and how long before it was
-// sent there.
-type toldSuspect struct {
-	Content            toldContent `cbor:"1,keyasint"`
-	BeforeMilliseconds int64       `cbor:"2,keyasint"`
+// suspectMessage is a request that was running at a server when it crashed, and how long before the
+// crash it was sent.
+type suspectMessage struct {
+	Fingerprint        fingerprintMessage `cbor:"1,keyasint"`
+	BeforeMilliseconds int64              `cbor:"2,keyasint"`
 }
 
-// toldWord is a word as it is passed on; quarantine.Word tells what the fields mean.
-type toldWord struct {
-	Kind              int           `cbor:"1,keyasint"`
-	Entry             string        `cbor:"2,keyasint"`
-	Number            uint64        `cbor:"3,keyasint"`
-	AgeMilliseconds   int64         `cbor:"4,keyasint"`
-	Server            string        `cbor:"5,keyasint,omitempty"`
-	Suspects          []toldSuspect `cbor:"6,keyasint,omitempty"`
-	Content           *toldContent  `cbor:"7,keyasint,omitempty"`
-	Lifts             bool          `cbor:"8,keyasint,omitempty"`
-	Servers           []string      `cbor:"9,keyasint,omitempty"`
-	Round             int           `cbor:"10,keyasint,omitempty"`
-	LastsMilliseconds int64         `cbor:"11,keyasint,omitempty"`
+// quarantineMessage is the wire form of a quarantine report; package quarantine documents the
+// fields.
+type quarantineMessage struct {
+	Kind              int                 `cbor:"1,keyasint"`
+	Entry             string              `cbor:"2,keyasint"`
+	Number            uint64              `cbor:"3,keyasint"`
+	AgeMilliseconds   int64               `cbor:"4,keyasint"`
+	Server            string              `cbor:"5,keyasint,omitempty"`
+	Suspects          []suspectMessage    `cbor:"6,keyasint,omitempty"`
+	Fingerprint       *fingerprintMessage `cbor:"7,keyasint,omitempty"`
+	Lifts             bool                `cbor:"8,keyasint,omitempty"`
+	Servers           []string            `cbor:"9,keyasint,omitempty"`
+	Round             int                 `cbor:"10,keyasint,omitempty"`
+	LastsMilliseconds int64               `cbor:"11,keyasint,omitempty"`
 }
 
-// quarantineBatch is what a process passes on at once.
+// quarantineBatch is the wire form of the reports that one process sends at once.
 type quarantineBatch struct {
-	Words []toldWord `cbor:"1,keyasint"`
+	Reports []quarantineMessage `cbor:"1,keyasint"`
 }
 
-// QuarantineFunction is told what another process has found out. The word's moment counts from a time.
-type QuarantineFunction func(word quarantine.Word, from time.Time)
+// QuarantineHandler is called with a report of another process. The time in the report counts from
+// the given one.
+type QuarantineHandler func(report quarantine.Word, from time.Time)
 
-// quarantineWords are the words of all entries. The catalog's mutex guards the archive.
-type quarantineWords struct {
-	archive *quarantine.Archive
-	onWord  QuarantineFunction
-	// fresh is signalled when there is something to pass on.
-	fresh chan struct{}
+// quarantineReports holds the reports of all entries. The catalog's mutex guards the archive.
+type quarantineReports struct {
+	archive  *quarantine.Archive
+	onReport QuarantineHandler
+	// pending is signalled when there are reports to send.
+	pending chan struct{}
 }
 
-func newQuarantineWords() quarantineWords {
-	return quarantineWords{archive: quarantine.NewArchive(), fresh: make(chan struct{}, 1)}
+func newQuarantineReports() quarantineReports {
+	return quarantineReports{archive: quarantine.NewArchive(), pending: make(chan struct{}, 1)}
 }
 
-// OnQuarantine registers a function that is called with each word of another process. It must be
+// OnQuarantine registers a function that is called with each report of another process. It must be
 // registered before Run.
-func (c *Catalog) OnQuarantine(function QuarantineFunction) { c.quarantine.onWord = function }
+func (c *Catalog) OnQuarantine(function QuarantineHandler) { c.quarantine.onReport = function }
 
-// TellQuarantine has all other processes told at once what this one has found out. The words' moments
-// count from a time.
-func (c *Catalog) TellQuarantine(words []quarantine.Word, from time.Time) {
+// AnnounceQuarantine sends reports of this process to all others at once. The times in the reports
+// count from the given one.
+func (c *Catalog) AnnounceQuarantine(reports []quarantine.Word, from time.Time) {
 	c.mutex.Lock()
-	for _, word := range words {
-		word.At += from.Sub(c.started)
-		c.quarantine.archive.Hold(word, time.Since(c.started))
+	for _, report := range reports {
+		report.At += from.Sub(c.started)
+		c.quarantine.archive.Hold(report, time.Since(c.started))
 	}
 	c.mutex.Unlock()
-	c.passQuarantineSoon()
+	c.scheduleQuarantine()
 }
 
-func (c *Catalog) passQuarantineSoon() { signal(c.quarantine.fresh) }
+func (c *Catalog) scheduleQuarantine() { signal(c.quarantine.pending) }
 
 func (c *Catalog) handleQuarantine(link *peering.Link, received *message.Message) {
 	batch, err := peering.Decode[quarantineBatch](received)
@@ -102,114 +104,114 @@
 		return
 	}
 	now := time.Since(c.started)
-	var news []quarantine.Word
-	for _, told := range batch.Words {
-		word, err := told.checked(now)
+	var added []quarantine.Word
+	for _, wire := range batch.Reports {
+		report, err := wire.validated(now)
 		if err != nil {
 			c.options.Log.Log(logging.FrameRejected, zap.String("peer", link.Remote().ID), zap.Error(err))
 			continue
 		}
 		c.mutex.Lock()
-		if c.quarantine.archive.Hold(word, now) {
-			news = append(news, word)
+		if c.quarantine.archive.Hold(report, now) {
+			added = append(added, report)
 		}
 		c.mutex.Unlock()
 	}
-	if len(news) == 0 {
+	if len(added) == 0 {
 		return
 	}
-	c.passQuarantineSoon()
-	if c.quarantine.onWord == nil {
+	c.scheduleQuarantine()
+	if c.quarantine.onReport == nil {
 		return
 	}
-	for _, word := range news {
-		c.quarantine.onWord(word, c.started)
+	for _, report := range added {
+		c.quarantine.onReport(report, c.started)
 	}
 }
 
-// checked is a word that was received at a moment, if it can be meant: one faulty word does not cost
-// the others of its message.
-func (t toldWord) checked(now time.Duration) (quarantine.Word, error) {
-	word := quarantine.Word{
-		Kind: quarantine.Kind(t.Kind), Entry: t.Entry, Number: t.Number, Server: t.Server, Lifts: t.Lifts, Servers: t.Servers, Round: t.Round,
+// validated converts a report received now, or rejects one with impossible values. An invalid
+// report does not affect the others of its message.
+func (m quarantineMessage) validated(now time.Duration) (quarantine.Word, error) {
+	report := quarantine.Word{
+		Kind: quarantine.Kind(m.Kind), Entry: m.Entry, Number: m.Number, Server: m.Server, Lifts: m.Lifts, Servers: m.Servers, Round: m.Round,
 	}
 	for _, one := range []struct {
 		field        string
 		milliseconds int64
 		target       *time.Duration
-	}{{"age", t.AgeMilliseconds, &word.At}, {"lasts", t.LastsMilliseconds, &word.Lasts}} {
-		if one.milliseconds < 0 || one.milliseconds > longestWordTime.Milliseconds() {
-			return word, &fault.InvalidFrame{Field: topicQuarantine, Reason: fmt.Sprintf("%s of %d ms", one.field, one.milliseconds)}
+	}{{"age", m.AgeMilliseconds, &report.At}, {"lasts", m.LastsMilliseconds, &report.Lasts}} {
+		if one.milliseconds < 0 || one.milliseconds > maxReportDuration.Milliseconds() {
+			return report, &fault.InvalidFrame{Field: topicQuarantine, Reason: fmt.Sprintf("%s of %d ms", one.field, one.milliseconds)}
 		}
 		*one.target = time.Duration(one.milliseconds) * time.Millisecond
 	}
-	word.At = now - word.At
+	report.At = now - report.At
 	switch {
-	case t.Entry == "" || t.Round < 0 || len(t.Servers) > mostWordServers:
-		return word, &fault.InvalidFrame{Field: topicQuarantine, Reason: "no teller, a round below 0 or too many servers"}
-	case word.Kind == quarantine.Ended:
-		return word, t.readSuspects(&word)
-	case word.Kind == quarantine.Cleared || word.Kind == quarantine.Quarantined:
-		if t.Content == nil {
-			return word, &fault.InvalidFrame{Field: topicQuarantine, Reason: "no content"}
+	case m.Entry == "" || m.Round < 0 || len(m.Servers) > maxReportServers:
+		return report, &fault.InvalidFrame{Field: topicQuarantine, Reason: "no reporter, negative round or too many servers"}
+	case report.Kind == quarantine.Ended:
+		return report, m.decodeSuspects(&report)
+	case report.Kind == quarantine.Cleared || report.Kind == quarantine.Quarantined:
+		if m.Fingerprint == nil {
+			return report, &fault.InvalidFrame{Field: topicQuarantine, Reason: "no fingerprint"}
 		}
-		return word, t.Content.read(&word.Content)
+		return report, m.Fingerprint.decode(&report.Content)
 	}
-	return word, &fault.InvalidFrame{Field: topicQuarantine, Reason: fmt.Sprintf("kind %d", t.Kind)}
+	return report, &fault.InvalidFrame{Field: topicQuarantine, Reason: fmt.Sprintf("kind %d", m.Kind)}
 }
 
-// readSuspects reads the contents of an end.
-func (t toldWord) readSuspects(word *quarantine.Word) error {
-	if t.Server == "" || len(t.Suspects) > quarantine.MostSuspects {
-		return &fault.InvalidFrame{Field: topicQuarantine, Reason: "an end without a server, or with too many contents"}
+// decodeSuspects decodes the suspects of a crash.
+func (m quarantineMessage) decodeSuspects(report *quarantine.Word) error {
+	if m.Server == "" || len(m.Suspects) > quarantine.MostSuspects {
+		return &fault.InvalidFrame{Field: topicQuarantine, Reason: "crash without a server, or with too many suspects"}
 	}
-	for _, told := range t.Suspects {
+	for _, wire := range m.Suspects {
 		var one quarantine.Suspect
-		if err := told.Content.read(&one.Content); err != nil {
+		if err := wire.Fingerprint.decode(&one.Content); err != nil {
 			return err
 		}
-		if told.BeforeMilliseconds < 0 || told.BeforeMilliseconds > longestWordTime.Milliseconds() {
-			return &fault.InvalidFrame{Field: topicQuarantine, Reason: fmt.Sprintf("sent %d ms before", told.BeforeMilliseconds)}
+		if wire.BeforeMilliseconds < 0 || wire.BeforeMilliseconds > maxReportDuration.Milliseconds() {
+			return &fault.InvalidFrame{Field: topicQuarantine, Reason: fmt.Sprintf("sent %d ms before the crash", wire.BeforeMilliseconds)}
 		}
-		one.Before = time.Duration(told.BeforeMilliseconds) * time.Millisecond
-		word.Suspects = append(word.Suspects, one)
+		one.Before = time.Duration(wire.BeforeMilliseconds) * time.Millisecond
+		report.Suspects = append(report.Suspects, one)
 	}
 	return nil
 }
 
-func (t toldContent) read(content *quarantine.Content) error {
-	if len(t.ID) != quarantine.ContentSize {
-		return &fault.InvalidFrame{Field: topicQuarantine, Reason: fmt.Sprintf("a content of %d bytes", len(t.ID))}
+func (m fingerprintMessage) decode(fingerprint *quarantine.Content) error {
+	if len(m.ID) != quarantine.ContentSize {
+		return &fault.InvalidFrame{Field: topicQuarantine, Reason: fmt.Sprintf("fingerprint of %d bytes", len(m.ID))}
 	}
-	copy(content.ID[:], t.ID)
-	content.Caller = t.Caller
+	copy(fingerprint.ID[:], m.ID)
+	fingerprint.Caller = m.Caller
 	return nil
 }
 
-func toldContentOf(content quarantine.Content) toldContent {
-	return toldContent{ID: content.ID[:], Caller: content.Caller}
+func newFingerprintMessage(fingerprint quarantine.Content) fingerprintMessage {
+	return fingerprintMessage{ID: fingerprint.ID[:], Caller: fingerprint.Caller}
 }
 
-// toldWordOf is a word as it is passed on at a moment.
-func toldWordOf(word quarantine.Word, now time.Duration) toldWord {
-	told := toldWord{
-		Kind: int(word.Kind), Entry: word.Entry, Number: word.Number, AgeMilliseconds: max(0, now-word.At).Milliseconds(), Server: word.Server, Lifts: word.Lifts,
-		Servers: word.Servers, Round: word.Round, LastsMilliseconds: word.Lasts.Milliseconds(),
+// newQuarantineMessage converts a report to its wire form.
+func newQuarantineMessage(report quarantine.Word, now time.Duration) quarantineMessage {
+	wire := quarantineMessage{
+		Kind: int(report.Kind), Entry: report.Entry, Number: report.Number, AgeMilliseconds: max(0, now-report.At).Milliseconds(), Server: report.Server, Lifts: report.Lifts,
+		Servers: report.Servers, Round: report.Round, LastsMilliseconds: report.Lasts.Milliseconds(),
 	}
-	for _, one := range word.Suspects {
-		told.Suspects = append(told.Suspects, toldSuspect{Content: toldContentOf(one.Content), BeforeMilliseconds: one.Before.Milliseconds()})
+	for _, one := range report.Suspects {
+		wire.Suspects = append(wire.Suspects, suspectMessage{Fingerprint: newFingerprintMessage(one.Content), BeforeMilliseconds: one.Before.Milliseconds()})
 	}
-	if word.Kind != quarantine.Ended {
-		content := toldContentOf(word.Content)
-		told.Content = &content
+	if report.Kind != quarantine.Ended {
+		fingerprint := newFingerprintMessage(report.Content)
+		wire.Fingerprint = &fingerprint
 	}
-	return told
+	return wire
 }
 
-// passQuarantine sends each linked process the words that it has not been told. What others have said
-// is passed on by relays alone: every entry is linked to each of its zone, and they to other zones and
-// to the agents.
-func (c *Catalog) passQuarantine() {
+// sendPendingQuarantine sends each linked process the reports that it has not been sent. Only
+// relays forward the reports of others: every entry is linked to each relay of its zone, and the
+// relays are linked to other zones and to the agents.
+func (c *Catalog) sendPendingQuarantine() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := time.Since(c.started)
@@ -217,65 +219,65 @@
 	sequence := c.quarantine.archive.Sequence()
 	isRelay := c.isRelay()
 	for _, peer := range c.links {
-		if peer.link == nil || peer.tellingQuarantine || peer.quarantineTold == sequence {
+		if peer.link == nil || peer.sendingQuarantine || peer.quarantineSent == sequence {
 			continue
 		}
-		words := c.quarantineFor(peer, isRelay, now)
-		peer.quarantineTold = sequence
-		if len(words) > 0 {
-			peer.tellingQuarantine = true
-			go c.sendQuarantine(peer, peer.link, words)
+		reports := c.quarantineFor(peer, isRelay, now)
+		peer.quarantineSent = sequence
+		if len(reports) > 0 {
+			peer.sendingQuarantine = true
+			go c.sendQuarantine(peer, peer.link, reports)
 		}
 	}
 }
 
-// quarantineFor lists the words that a process is to be told; the mutex is held.
-func (c *Catalog) quarantineFor(peer *peerLink, isRelay bool, now time.Duration) []toldWord {
-	var words []toldWord
-	for _, word := range c.quarantine.archive.Since(peer.quarantineTold) {
-		if word.Entry == c.options.Self || isRelay {
-			words = append(words, toldWordOf(word, now))
+// quarantineFor returns the reports to send to a process. The mutex must be held.
+func (c *Catalog) quarantineFor(peer *peerLink, isRelay bool, now time.Duration) []quarantineMessage {
+	var reports []quarantineMessage
+	for _, report := range c.quarantine.archive.Since(peer.quarantineSent) {
+		if report.Entry == c.options.Self || isRelay {
+			reports = append(reports, newQuarantineMessage(report, now))
 		}
 	}
-	return words
+	return reports
 }
 
-func (c *Catalog) sendQuarantine(peer *peerLink, link *peering.Link, words []toldWord) {
-	err := sendWords(link, words)
-	c.sent(peer, link, &peer.tellingQuarantine, err)
-	// There may be news that came meanwhile.
-	c.passQuarantineSoon()
+func (c *Catalog) sendQuarantine(peer *peerLink, link *peering.Link, reports []quarantineMessage) {
+	err := sendQuarantineReports(link, reports)
+	c.finishSend(peer, link, &peer.sendingQuarantine, err)
+	// More reports may have arrived in the meantime.
+	c.scheduleQuarantine()
 }
 
-func sendWords(link *peering.Link, words []toldWord) error {
-	for batch := range slices.Chunk(words, wordsPerMessage) {
-		if err := peering.Send(link, topicQuarantine, "", quarantineBatch{Words: batch}); err != nil {
+func sendQuarantineReports(link *peering.Link, reports []quarantineMessage) error {
+	for batch := range slices.Chunk(reports, reportsPerMessage) {
+		if err := peering.Send(link, topicQuarantine, "", quarantineBatch{Reports: batch}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// greetQuarantine has an agent tell an entry that has linked to it what it holds: the entry may have
-// just started, and all others be gone.
-func (c *Catalog) greetQuarantine(link *peering.Link) {
+// sendHeldQuarantine has an agent send the reports it holds to an entry that has linked to it: the
+// entry may have just started, and all others may be gone.
+func (c *Catalog) sendHeldQuarantine(link *peering.Link) {
 	if c.options.Role != RoleAgent || link.Remote().Role != RoleEntry {
 		return
 	}
 	c.mutex.Lock()
 	now := time.Since(c.started)
 	c.quarantine.archive.Expire(now)
-	var words []toldWord
-	for _, word := range c.quarantine.archive.Since(0) {
-		words = append(words, toldWordOf(word, now))
+	var reports []quarantineMessage
+	for _, report := range c.quarantine.archive.Since(0) {
+		reports = append(reports, newQuarantineMessage(report, now))
 	}
 	c.mutex.Unlock()
-	if len(words) == 0 {
+	if len(reports) == 0 {
 		return
 	}
 	go func() {
-		if err := sendWords(link, words); err != nil {
-			// The entry is told when it links again.
+		if err := sendQuarantineReports(link, reports); err != nil {
+			// The entry is sent them when it links again.
 			c.options.Log.Log(logging.PeerLost, zap.String("peer", link.Remote().ID), zap.Error(err))
 		}
 	}()
--- a/internal/catalog/quarantine_test.go
+++ b/internal/catalog/quarantine_test.go
@@ -12,51 +12,52 @@
 	"pinevane.example/pinevane/internal/fault"
 )
 
-// A word is the same when another process has it, but for the time on its way.
-func TestWordsOnContentsAreToldWhole(t *testing.T) {
-	content := quarantine.NewHasher("tenant", "host", "/target").Content()
-	const said, heard = 10 * time.Second, 500 * time.Second
-	for _, word := range []quarantine.Word{
-		{Kind: quarantine.Ended, At: said, Entry: "10.0.0.1", Number: 3, Server: "i-1", Suspects: []quarantine.Suspect{{Content: content, Before: 70 * time.Millisecond}}},
-		{Kind: quarantine.Cleared, At: said, Entry: "10.0.0.1", Number: 4, Content: content, Lifts: true},
-		{Kind: quarantine.Quarantined, At: said, Entry: "10.0.0.1", Number: 5, Content: content, Servers: []string{"i-1", "i-2"}, Round: 2, Lasts: time.Hour},
+// A report is the same at the receiver, apart from its transit time.
+func TestQuarantineReportsRoundTrip(t *testing.T) {
+	fingerprint := quarantine.NewHasher("tenant", "host", "/target").Content()
+	const madeAt, receivedAt = 10 * time.Second, 500 * time.Second
+	for _, report := range []quarantine.Word{
+		{Kind: quarantine.Ended, At: madeAt, Entry: "10.0.0.1", Number: 3, Server: "i-1", Suspects: []quarantine.Suspect{{Content: fingerprint, Before: 70 * time.Millisecond}}},
+		{Kind: quarantine.Cleared, At: madeAt, Entry: "10.0.0.1", Number: 4, Content: fingerprint, Lifts: true},
+		{Kind: quarantine.Quarantined, At: madeAt, Entry: "10.0.0.1", Number: 5, Content: fingerprint, Servers: []string{"i-1", "i-2"}, Round: 2, Lasts: time.Hour},
 	} {
-		sent, err := cbor.Marshal(toldWordOf(word, said+2*time.Second))
+		sent, err := cbor.Marshal(newQuarantineMessage(report, madeAt+2*time.Second))
 		require.NoError(t, err)
-		var told toldWord
-		require.NoError(t, cbor.Unmarshal(sent, &told))
-		received, err := told.checked(heard)
+		var decoded quarantineMessage
+		require.NoError(t, cbor.Unmarshal(sent, &decoded))
+		received, err := decoded.validated(receivedAt)
 		require.NoError(t, err)
-		word.At = heard - 2*time.Second
-		assert.Equal(t, word, received)
+		report.At = receivedAt - 2*time.Second
+		assert.Equal(t, report, received)
 	}
 }
 
-// A word that can't be meant is dropped, with a reason, also one of a kind that a later version tells.
-func TestFaultyWordsOnContentsAreRejected(t *testing.T) {
+// A report with impossible values is rejected with a reason, as is one of a kind that only a later
+// build sends.
+func TestInvalidQuarantineReportsAreRejected(t *testing.T) {
 	id := make([]byte, quarantine.ContentSize)
-	sound := func(change func(*toldWord)) toldWord {
-		word := toldWord{Kind: int(quarantine.Ended), Entry: "10.0.0.1", Number: 1, Server: "i-1", Suspects: []toldSuspect{{Content: toldContent{ID: id}}}}
-		change(&word)
-		return word
+	valid := func(change func(*quarantineMessage)) quarantineMessage {
+		report := quarantineMessage{Kind: int(quarantine.Ended), Entry: "10.0.0.1", Number: 1, Server: "i-1", Suspects: []suspectMessage{{Fingerprint: fingerprintMessage{ID: id}}}}
+		change(&report)
+		return report
 	}
-	_, err := sound(func(*toldWord) {}).checked(time.Minute)
+	_, err := valid(func(*quarantineMessage) {}).validated(time.Minute)
 	require.NoError(t, err)
-	for what, change := range map[string]func(*toldWord){
-		"no teller":             func(w *toldWord) { w.Entry = "" },
-		"said in the future":    func(w *toldWord) { w.AgeMilliseconds = -1 },
-		"said years ago":        func(w *toldWord) { w.AgeMilliseconds = 1 << 60 },
-		"no server":             func(w *toldWord) { w.Server = "" },
-		"a short content":       func(w *toldWord) { w.Suspects[0].Content.ID = id[1:] },
-		"sent after its end":    func(w *toldWord) { w.Suspects[0].BeforeMilliseconds = -1 },
-		"too many contents":     func(w *toldWord) { w.Suspects = make([]toldSuspect, quarantine.MostSuspects+1) },
-		"a kind of later":       func(w *toldWord) { w.Kind = 99 },
-		"cleared without which": func(w *toldWord) { w.Kind = int(quarantine.Cleared) },
-		"lasts for ever":        func(w *toldWord) { w.LastsMilliseconds = 1 << 60 },
-		"a round below 0":       func(w *toldWord) { w.Round = -1 },
-		"too many servers":      func(w *toldWord) { w.Servers = make([]string, mostWordServers+1) },
+	for what, change := range map[string]func(*quarantineMessage){
+		"no reporter":                   func(w *quarantineMessage) { w.Entry = "" },
+		"negative age":                  func(w *quarantineMessage) { w.AgeMilliseconds = -1 },
+		"age too large":                 func(w *quarantineMessage) { w.AgeMilliseconds = 1 << 60 },
+		"no server":                     func(w *quarantineMessage) { w.Server = "" },
+		"short fingerprint":             func(w *quarantineMessage) { w.Suspects[0].Fingerprint.ID = id[1:] },
+		"sent after the crash":          func(w *quarantineMessage) { w.Suspects[0].BeforeMilliseconds = -1 },
+		"too many suspects":             func(w *quarantineMessage) { w.Suspects = make([]suspectMessage, quarantine.MostSuspects+1) },
+		"unknown kind":                  func(w *quarantineMessage) { w.Kind = 99 },
+		"cleared without a fingerprint": func(w *quarantineMessage) { w.Kind = int(quarantine.Cleared) },
+		"duration too large":            func(w *quarantineMessage) { w.LastsMilliseconds = 1 << 60 },
+		"negative round":                func(w *quarantineMessage) { w.Round = -1 },
+		"too many servers":              func(w *quarantineMessage) { w.Servers = make([]string, maxReportServers+1) },
 	} {
-		_, err := sound(change).checked(time.Minute)
+		_, err := valid(change).validated(time.Minute)
 		var invalid *fault.InvalidFrame
 		assert.ErrorAs(t, err, &invalid, what)
 	}
--- a/internal/catalog/reader.go
+++ b/internal/catalog/reader.go
@@ -14,71 +14,72 @@
 	"pinevane.example/pinevane/internal/waiting"
 )
 
-// Times of reading the store.
+// Timeouts and intervals of reading the store.
 const (
-	// watchWait is how long one watch waits. A watch whose store has forgotten its
-	// history may hear nothing at all, so that the next one must follow soon.
+	// watchWait is how long one watch waits. A watch of a store that has lost its history may
+	// return nothing at all, so the next one must follow soon.
 	watchWait = 500 * time.Millisecond
-	// watchPace is the least time between the beginnings of two watches.
-	watchPace = 200 * time.Millisecond
-	// readRetry is the first pause after a failed call; it doubles up to
-	// maximumReadRetry, each with jitter.
-	readRetry        = 100 * time.Millisecond
-	maximumReadRetry = 400 * time.Millisecond
-	// zoneStaleAfter is the age of the copy at which the first entry of a zone reads that is
-	// not the first zone: an answer of the store comes to the first one each watchWait, and
-	// from it to the others in some milliseconds. staleAfter is that at which an entry reads
-	// that is not the first of its zone; staleStep adds to either with the rank.
+	// watchInterval is the minimum time between the starts of two watches.
+	watchInterval = 200 * time.Millisecond
+	// minReadRetry is the delay after a first failed call; it doubles up to maxReadRetry, each with
+	// jitter.
+	minReadRetry = 100 * time.Millisecond
+	maxReadRetry = 400 * time.Millisecond
+	// zoneStaleAfter is the age of the copy at which the first entry of a zone other than the first
+	// zone reads the store: the first entry has an answer of the store every watchWait, and the
+	// others have it some milliseconds later. staleAfter is the same for entries that are not the
+	// first of their zone. staleStagger is added to either for each further rank.
 	zoneStaleAfter = 650 * time.Millisecond
 	staleAfter     = 800 * time.Millisecond
-	staleStep      = 100 * time.Millisecond
-	// startGrace is how long a process that starts waits to be told by others what the
-	// store holds: dialling a seed and hearing from it takes some round trips.
+	staleStagger   = 100 * time.Millisecond
+	// startGrace is how long a starting process waits for others to send what the store holds:
+	// dialling a seed and receiving from it takes some round trips.
 	startGrace = 500 * time.Millisecond
-	// agentSilence is how long an agent hears of no entry before it reads for itself. That
-	// entries hear nothing new is no reason: they read as soon as the store lets them.
-	// The first configuration of a fleet, without which entries do not know which machines
+	// agentSilence is how long an agent goes without an update of any entry before it reads the
+	// store itself. That entries have no changes is no reason: they read as soon as the store lets
+	// them. The first configuration of a fleet, without which entries do not know which machines
 	// have agents, may come seconds after the machines.
 	agentSilence = 5 * time.Second
-	// agentWatchWait is how long a watch of an agent waits, which nobody else depends on.
+	// agentWatchWait is how long a watch of an agent waits; no other process depends on it.
 	agentWatchWait = 2 * time.Second
-	// agentSpread is the time over which agents that lose their entries together begin.
-	agentSpread = time.Second
-	// listStep adds with the rank to the time that an entry waits before it lists
-	// everything anew: a listing of half a megabyte takes that long over a link of
-	// 20 Mbit/s that some share, and the first ones tell the others. mostListWait bounds it.
-	listStep     = 600 * time.Millisecond
-	mostListWait = 3 * time.Second
-	// leastIdle is the least time between two looks of a process that does not read
-	// whether it must, and rankCheck the most for an entry, which may have become the
+	// agentReadJitter spreads agents that lose their entries at the same time.
+	agentReadJitter = time.Second
+	// listStagger is multiplied by the rank to delay an entry before it lists everything again: a
+	// listing of half a megabyte takes that long over a shared link of 20 Mbit/s, and the first
+	// entries send it to the others. maxListWait bounds the delay.
+	listStagger = 600 * time.Millisecond
+	maxListWait = 3 * time.Second
+	// minIdle is the minimum time between two checks by a process that does not read the store
+	// whether it must; rankCheckInterval is the maximum for an entry, which may have become the
 	// first of its zone.
-	leastIdle = 50 * time.Millisecond
-	rankCheck = 200 * time.Millisecond
+	minIdle           = 50 * time.Millisecond
+	rankCheckInterval = 200 * time.Millisecond
 )
 
-// position is where a watch of a prefix stands.
-type position struct {
+// watchPosition is the position of a watch on a prefix.
+type watchPosition struct {
 	prefix string
-	// at is the revision up to which everything was heard; 0 when all is to be listed.
-	at uint64
-	// forgotten is the revision from which on the store has forgotten its history, and
-	// listAt when this process lists everything if nobody has told it more by then.
-	forgotten uint64
-	listAt    time.Time
-	retry     time.Duration
-	failed    bool
+	// revision is the revision up to which everything was received, 0 if everything is to be
+	// listed.
+	revision uint64
+	// forgottenRevision is the position at which the store reported its history lost, historyLostAt
+	// when it did. The process then lists everything after a delay, unless a peer has sent more by
+	// then.
+	forgottenRevision uint64
+	historyLostAt     time.Time
+	backoff           time.Duration
+	failed            bool
 }
 
-// followStore lists the store's records unless another process has told them, and then
-// watches them while this process is to read. A process that begins to read again goes
-// on from what it has heard last, be it from the store or from others; the store says
-// when that is too long ago.
+// followStore lists the store's records unless another process has sent them, and watches them
+// while it is up to this process to read. A process that starts to read again continues from what
+// it last received, from the store or from others; the store reports if that is too long ago.
 func (c *Catalog) followStore(ctx context.Context) {
-	at := &position{prefix: c.options.Decoder.Prefix()}
+	position := &watchPosition{prefix: c.options.Decoder.Prefix()}
 	for ctx.Err() == nil {
-		c.advance(at)
-		if idle := c.untilReading(at); idle > 0 {
-			waiting.For(ctx, max(idle, leastIdle))
+		c.advancePosition(position)
+		if idle := c.untilReading(position); idle > 0 {
+			waiting.For(ctx, max(idle, minIdle))
 			continue
 		}
 		began := time.Now()
@@ -86,78 +87,78 @@
 		if c.options.Role == RoleAgent {
 			wait = agentWatchWait
 		}
-		c.read(ctx, at, wait)
-		waiting.For(ctx, c.pace(time.Now())-time.Since(began))
+		c.readStore(ctx, position, wait)
+		waiting.For(ctx, c.watchInterval(time.Now())-time.Since(began))
 	}
 }
 
-// pace is the least time between the beginnings of two watches now.
-func (c *Catalog) pace(now time.Time) time.Duration {
+// watchInterval returns the current minimum time between the starts of two watches.
+func (c *Catalog) watchInterval(now time.Time) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.closeWatch.pace(now)
+	return c.watchPacer.interval(now)
 }
 
-// advance moves a position to what others have told.
-func (c *Catalog) advance(at *position) {
+// advancePosition moves a position to what others have sent.
+func (c *Catalog) advancePosition(position *watchPosition) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.complete > at.forgotten {
-		at.at = max(at.at, c.complete)
+	if c.completeRevision > position.forgottenRevision {
+		position.revision = max(position.revision, c.completeRevision)
 	}
 }
 
-// untilReading is how long this process has not to read the store, unless it is told
-// something meanwhile.
-func (c *Catalog) untilReading(at *position) time.Duration {
+// untilReading returns how long this process need not read the store, unless an update arrives in
+// the meantime.
+func (c *Catalog) untilReading(position *watchPosition) time.Duration {
 	if c.options.Role == RoleAgent {
 		return c.untilAgentReads()
 	}
 	rank, zoneRank := c.ranks()
-	if at.at == 0 {
-		return min(time.Until(c.listTime(at, rank)), rankCheck)
+	if position.revision == 0 {
+		return min(time.Until(c.listTime(position, rank)), rankCheckInterval)
 	}
-	return min(mayAge(rank, zoneRank)-time.Since(c.Fresh()), rankCheck)
+	return min(maxCopyAge(rank, zoneRank)-time.Since(c.FreshAt()), rankCheckInterval)
 }
 
-// mayAge is the age of its copy at which an entry reads the store, by its rank in its
-// zone and that of the zone. The first of the first zone reads always.
-func mayAge(rank, zoneRank int) time.Duration {
+// maxCopyAge returns the age of its copy at which an entry reads the store, by its rank in the zone
+// and the rank of the zone. The first entry of the first zone always reads.
+func maxCopyAge(rank, zoneRank int) time.Duration {
 	switch {
 	case rank > 0:
-		return staleAfter + time.Duration(rank)*staleStep
+		return staleAfter + time.Duration(rank)*staleStagger
 	case zoneRank > 0:
-		return zoneStaleAfter + time.Duration(zoneRank-1)*staleStep
+		return zoneStaleAfter + time.Duration(zoneRank-1)*staleStagger
 	}
 	return 0
 }
 
-// listTime is when an entry that knows of nothing, or of too little, lists everything.
-// A seed begins at once, because others ask it: after a loss of all entries they know of
-// the servers 65 to 125 ms after their start, instead of 560 ms (TestFleetIsReadySoonAfterAllEntriesWereKilled).
-func (c *Catalog) listTime(at *position, rank int) time.Time {
+// listTime returns when an entry that knows nothing, or too little, lists everything. A seed starts
+// at once, because others depend on it: after a loss of all entries they know the servers 65 to 125
+// ms after their start, instead of 560 ms (TestFleetIsReadySoonAfterAllEntriesWereKilled).
+func (c *Catalog) listTime(position *watchPosition, rank int) time.Time {
 	switch {
-	case at.forgotten != 0:
-		return at.listAt.Add(min(time.Duration(rank)*listStep, mostListWait))
+	case position.forgottenRevision != 0:
+		return position.historyLostAt.Add(min(time.Duration(rank)*listStagger, maxListWait))
 	case len(c.options.Seeds) == 0 || c.options.IsSeed:
 		return c.started
 	}
-	return c.started.Add(startGrace + min(time.Duration(rank)*staleStep, mostListWait))
+	return c.started.Add(startGrace + min(time.Duration(rank)*staleStagger, maxListWait))
 }
 
-// untilAgentReads is how long an agent has not to read the store, if it hears nothing
-// of any entry meanwhile.
+// untilAgentReads returns how long an agent need not read the store, unless an entry updates it in
+// the meantime.
 func (c *Catalog) untilAgentReads() time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	heard := c.started
-	if c.toldAt.After(heard) {
-		heard = c.toldAt
+	lastUpdate := c.started
+	if c.lastUpdateAt.After(lastUpdate) {
+		lastUpdate = c.lastUpdateAt
 	}
-	return agentSilence + c.agentOffset - time.Since(heard)
+	return agentSilence + c.agentReadDelay - time.Since(lastUpdate)
 }
 
-// ranks are this entry's place among the entries of its zone, and that of its zone.
+// ranks returns this entry's rank among the entries of its zone, and the rank of the zone.
 func (c *Catalog) ranks() (rank, zoneRank int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -165,85 +166,85 @@
 	return c.overlay.Rank(), c.overlay.ZoneRank()
 }
 
-// noteAnswered notes that the store has answered, before its answer is taken in.
-func (c *Catalog) noteAnswered() {
+// recordAnswered records that the store has answered, before its answer is applied.
+func (c *Catalog) recordAnswered() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.noteFresh(time.Now())
+	c.recordFresh(time.Now())
 }
 
-// read makes one call and takes in what the store answers.
-func (c *Catalog) read(ctx context.Context, at *position, wait time.Duration) {
-	c.calls.Add(1)
+// readStore makes one call and applies the answer.
+func (c *Catalog) readStore(ctx context.Context, position *watchPosition, wait time.Duration) {
+	c.storeCalls.Add(1)
 	began := time.Now()
 	var err error
-	if at.at == 0 {
-		err = c.list(ctx, at)
+	if position.revision == 0 {
+		err = c.listStore(ctx, position)
 	} else {
-		call := storeCall{sent: time.Now(), wait: wait}
+		call := storeCall{sentAt: time.Now(), wait: wait}
 		var changes fleet.Listing
-		changes, err = c.options.Store.Watch(ctx, at.prefix, at.at, wait)
+		changes, err = c.options.Store.Watch(ctx, position.prefix, position.revision, wait)
 		if err == nil {
-			call.received, call.changes = time.Now(), len(changes.Records)
-			c.noteAnswered()
-			c.takeWatched(changes.Records)
-			c.noteKnown(call)
-			at.at = max(at.at, changes.At)
-			c.noteRead(at.at)
+			call.receivedAt, call.changes = time.Now(), len(changes.Records)
+			c.recordAnswered()
+			c.applyWatched(changes.Records)
+			c.recordComplete(call)
+			position.revision = max(position.revision, changes.At)
+			c.recordRead(position.revision)
 		}
 	}
 	var historyGone *fault.HistoryGone
 	switch {
 	case err == nil:
-		c.noteAnswer(at)
+		c.recordSuccess(position)
 	case errors.As(err, &historyGone):
-		c.options.Log.Log(logging.HistoryForgotten, zap.String("prefix", at.prefix), zap.Uint64("after", at.at))
-		at.forgotten, at.listAt = max(at.at, 1), time.Now()
-		at.at = 0
+		c.options.Log.Log(logging.HistoryForgotten, zap.String("prefix", position.prefix), zap.Uint64("after", position.revision))
+		position.forgottenRevision, position.historyLostAt = max(position.revision, 1), time.Now()
+		position.revision = 0
 	case ctx.Err() == nil:
-		c.noteRefused(began, err)
-		c.noteFailure(ctx, at, err)
+		c.recordRefused(began, err)
+		c.recordFailure(ctx, position, err)
 	}
 }
 
-func (c *Catalog) list(ctx context.Context, at *position) error {
-	call := storeCall{sent: time.Now()}
-	listing, err := c.options.Store.List(ctx, at.prefix)
+func (c *Catalog) listStore(ctx context.Context, position *watchPosition) error {
+	call := storeCall{sentAt: time.Now()}
+	listing, err := c.options.Store.List(ctx, position.prefix)
 	if err != nil {
 		return err
 	}
-	c.noteAnswered()
-	c.replace(at.prefix, listing)
-	call.received, call.changes = time.Now(), len(listing.Records)
-	c.noteKnown(call)
-	at.at, at.forgotten = listing.At, 0
-	c.noteRead(at.at)
+	c.recordAnswered()
+	c.applyListing(position.prefix, listing)
+	call.receivedAt, call.changes = time.Now(), len(listing.Records)
+	c.recordComplete(call)
+	position.revision, position.forgottenRevision = listing.At, 0
+	c.recordRead(position.revision)
 	return nil
 }
 
-// noteRead notes that every change up to a revision has been heard of from the store, and
-// has all others told how fresh the copy is.
-func (c *Catalog) noteRead(revision uint64) {
+// recordRead records that every change up to a revision was received from the store, and has all
+// peers sent how fresh the copy is.
+func (c *Catalog) recordRead(revision uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.complete = max(c.complete, revision)
+	c.completeRevision = max(c.completeRevision, revision)
 	c.freshSequence++
-	c.freshFromStore = c.freshSequence
-	c.kickExchange()
+	c.storeFreshSequence = c.freshSequence
+	c.wakeExchange()
 }
 
-func (c *Catalog) noteAnswer(at *position) {
-	if at.failed {
-		c.options.Log.Log(logging.ServiceReached, zap.String("prefix", at.prefix))
+func (c *Catalog) recordSuccess(position *watchPosition) {
+	if position.failed {
+		c.options.Log.Log(logging.ServiceReached, zap.String("prefix", position.prefix))
 	}
-	at.failed, at.retry = false, 0
+	position.failed, position.backoff = false, 0
 }
 
-func (c *Catalog) noteFailure(ctx context.Context, at *position, err error) {
-	if !at.failed {
-		c.options.Log.Log(logging.ServiceUnreached, zap.String("prefix", at.prefix), zap.Error(err))
+func (c *Catalog) recordFailure(ctx context.Context, position *watchPosition, err error) {
+	if !position.failed {
+		c.options.Log.Log(logging.ServiceUnreached, zap.String("prefix", position.prefix), zap.Error(err))
 	}
-	at.failed = true
-	at.retry = min(max(2*at.retry, readRetry), maximumReadRetry)
-	waiting.For(ctx, at.retry/2+rand.N(at.retry))
+	position.failed = true
+	position.backoff = min(max(2*position.backoff, minReadRetry), maxReadRetry)
+	waiting.For(ctx, position.backoff/2+rand.N(position.backoff))
 }
--- a/internal/catalog/services_test.go
+++ b/internal/catalog/services_test.go
@@ -10,7 +10,8 @@
 	"pinevane.example/pinevane/internal/peering"
 )
 
-// configurationRecord is a configuration with one service of model servers and one route.
+// configurationRecord returns a configuration with two services, one of them with model servers,
+// and one route.
 func configurationRecord(revision uint64) mirror.Record {
 	value := `{"version":3,"routes":[{"name":"r","host":"h","pathPrefix":"/r/","service":"m"}],
 		"services":[{"name":"m","engine":{"slots":4,"chunks":8,"chunkBytes":16}},{"name":"w","origin":"10.0.0.9:80","linkMbps":8}],
@@ -18,9 +19,9 @@
 	return mirror.Record{Key: "op/config", Value: []byte(value), Revision: revision}
 }
 
-// An agent is told the services of a configuration once, without its routes and tenants, and
-// asks for no configuration.
-func TestAgentsAreToldTheServicesOnly(t *testing.T) {
+// An agent is sent the services of a configuration once, without its routes and tenants, and
+// requests no configuration.
+func TestAgentsAreSentServicesOnly(t *testing.T) {
 	entry, agent := newTestCatalog(), newTestCatalog()
 	agent.options.Role = RoleAgent
 	peer := &peerLink{}
@@ -28,15 +29,15 @@
 	assert.Nil(t, entry.servicesFor(peer), "nothing is known yet")
 	entry.mutex.Unlock()
 
-	entry.takeWatched([]mirror.Record{configurationRecord(7)})
+	entry.applyWatched([]mirror.Record{configurationRecord(7)})
 	entry.mutex.Lock()
-	told := entry.servicesFor(peer)
+	published := entry.servicesFor(peer)
 	again := entry.servicesFor(peer)
 	entry.mutex.Unlock()
-	require.NotNil(t, told)
-	assert.Nil(t, again, "it has been told")
+	require.NotNil(t, published)
+	assert.Nil(t, again, "it was sent")
 
-	agent.takeServices(&peering.Link{}, *told)
+	agent.applyServices(&peering.Link{}, *published)
 	configuration := agent.View().Configuration
 	require.NotNil(t, configuration)
 	assert.Equal(t, entry.View().Configuration.Services, configuration.Services)
@@ -44,8 +45,8 @@
 	assert.Empty(t, configuration.Tenants)
 	agent.mutex.Lock()
 	defer agent.mutex.Unlock()
-	assert.Empty(t, agent.lacking(map[string]uint64{"op/config": 9}))
-	assert.Empty(t, agent.newerHeads(map[string]uint64{"op/config": 7}), "what it acts on is here")
+	assert.Empty(t, agent.missingHeads(map[string]uint64{"op/config": 9}))
+	assert.Empty(t, agent.newerHeads(map[string]uint64{"op/config": 7}), "it holds the part that it uses")
 	assert.NotEmpty(t, agent.newerHeads(map[string]uint64{"op/config": 8}))
 }
 
@@ -53,19 +54,19 @@
 func TestServicesNeverGoBack(t *testing.T) {
 	agent := newTestCatalog()
 	agent.options.Role = RoleAgent
-	agent.takeWatched([]mirror.Record{configurationRecord(7)})
+	agent.applyWatched([]mirror.Record{configurationRecord(7)})
 	before := agent.View()
-	agent.takeServices(&peering.Link{}, publishedServices{Version: 2, Revision: 5})
+	agent.applyServices(&peering.Link{}, publishedServices{Version: 2, Revision: 5})
 	assert.Same(t, before, agent.View())
 }
 
-// That a configuration is newer is told at once to the entries of the own zone.
+// A newer configuration is announced at once to the entries of the own zone.
 func TestNewConfigurationsAreAnnouncedAtOnce(t *testing.T) {
 	entry := newTestCatalog()
 	before := entry.freshSequence
-	entry.takeTold([]mirror.Record{configurationRecord(7)}, nil)
+	entry.applyReceived([]mirror.Record{configurationRecord(7)}, nil)
 	assert.Greater(t, entry.freshSequence, before)
-	assert.Zero(t, entry.freshFromStore, "other zones have it from the same source")
-	entry.takeWatched([]mirror.Record{configurationRecord(8)})
-	assert.Equal(t, entry.freshSequence, entry.freshFromStore)
+	assert.Zero(t, entry.storeFreshSequence, "other zones receive it from the same source")
+	entry.applyWatched([]mirror.Record{configurationRecord(8)})
+	assert.Equal(t, entry.freshSequence, entry.storeFreshSequence)
 }
--- a/internal/catalog/starved_test.go
+++ b/internal/catalog/starved_test.go
@@ -18,20 +18,22 @@
 )
 
 const (
-	// starvedLook is the time between two looks of a process that is short of time: over stallLeast.
-	starvedLook = 130 * time.Millisecond
-	// deadFound is when such a process has dropped a link that is silent for good.
-	deadFound = 2500 * time.Millisecond
+	// starvedCheckInterval is the time between two checks of a process that is short of CPU time:
+	// more than minStall.
+	starvedCheckInterval = 130 * time.Millisecond
+	// deadLinkTimeout is the time within which such a process has dropped a dead link.
+	deadLinkTimeout = 2500 * time.Millisecond
 )
 
-// linkedCatalog is a catalog with a link to another entry, of which it returns the present one.
-func linkedCatalog(link *peering.Link, c *Catalog) func() *peering.Link {
+// useLink sets a catalog's link to another entry and returns a function that returns the current
+// one.
+func useLink(link *peering.Link, c *Catalog) func() *peering.Link {
 	c.mutex.Lock()
 	peer := c.peerLink("10.0.0.2")
 	peer.address = link.Address()
 	peer.open(link, false)
 	c.mutex.Unlock()
-	c.hearEntry("10.0.0.2", entrySign{Zone: "z"})
+	c.recordEntry("10.0.0.2", entryHeartbeat{Zone: "z"})
 	return func() *peering.Link {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
@@ -39,33 +41,33 @@
 	}
 }
 
-// droppedByStarved looks at the links each starvedLook until one is dropped, and returns after which time.
-func droppedByStarved(t *testing.T, c *Catalog, made *peering.Link, held func() *peering.Link) time.Duration {
+// timeUntilDropped checks the links every starvedCheckInterval until the link is dropped, and
+// returns the time that took.
+func timeUntilDropped(t *testing.T, c *Catalog, made *peering.Link, held func() *peering.Link) time.Duration {
 	began := time.Now()
-	for ; time.Since(began) < 2*deadFound && held() == made; time.Sleep(starvedLook) {
-		c.hearEntry("10.0.0.2", entrySign{Zone: "z"})
+	for ; time.Since(began) < 2*deadLinkTimeout && held() == made; time.Sleep(starvedCheckInterval) {
+		c.recordEntry("10.0.0.2", entryHeartbeat{Zone: "z"})
 		c.checkLinks(t.Context())
-		c.keepLinks(t.Context())
+		c.maintainLinks(t.Context())
 	}
 	return time.Since(began)
 }
 
-// Cause: each stall of the process gave the answer to a probe its time anew.
-//
-// A process that is always short of time still finds that a link is dead.
-func TestAStarvedProcessDropsADeadLink(t *testing.T) {
+// A process that is always short of CPU time still detects a dead link. Guards against each stall
+// of the process restarting the time for the answer to a probe without bound.
+func TestStarvedProcessDropsDeadLink(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
-	_, made := linkOther(t, c)
-	held := linkedCatalog(made, c)
+	_, made := linkToEntry(t, c)
+	held := useLink(made, c)
 	count, err := silencer.Silence(silencer.Any)
 	require.NoError(t, err)
 	require.Positive(t, count)
-	assert.Less(t, droppedByStarved(t, c, made, held), deadFound)
+	assert.Less(t, timeUntilDropped(t, c, made, held), deadLinkTimeout)
 }
 
-// The same where a middlebox acknowledges for a peer that it has lost.
-func TestAStarvedProcessDropsADeadLinkBehindAMiddlebox(t *testing.T) {
+// The same with a middlebox that acknowledges for a peer that it has lost.
+func TestStarvedProcessDropsDeadLinkBehindMiddlebox(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
 	hub := peering.NewHub(peering.Hello{ID: "10.0.0.2", Role: RoleEntry, Zone: "z"}, logging.Nop(), peering.NewCounters(prometheus.NewRegistry()))
@@ -77,49 +79,50 @@
 	defer proxy.Close()
 	made, err := c.options.Hub.Link(t.Context(), proxy.Address())
 	require.NoError(t, err)
-	held := linkedCatalog(made, c)
+	held := useLink(made, c)
 	require.Positive(t, proxy.Hold())
-	assert.Less(t, droppedByStarved(t, c, made, held), deadFound)
+	assert.Less(t, timeUntilDropped(t, c, made, held), deadLinkTimeout)
 }
 
-// A probe whose time ran out while the process stood still is sent again.
-func TestAProbeThatExpiredInAPauseIsSentAgain(t *testing.T) {
+// A probe whose time ran out during a pause of the process is sent again.
+func TestProbeExpiredDuringPauseIsResent(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
-	_, made := linkOther(t, c)
-	held := linkedCatalog(made, c)
-	c.keepLinks(t.Context())
+	_, made := linkToEntry(t, c)
+	held := useLink(made, c)
+	c.maintainLinks(t.Context())
 	c.mutex.Lock()
 	c.links["10.0.0.2"].probedAt = time.Now()
 	c.mutex.Unlock()
-	time.Sleep(linkSilence + 100*time.Millisecond)
-	for began := time.Now(); time.Since(began) < 2*resumeTime && held() == made; time.Sleep(20 * time.Millisecond) {
-		c.keepLinks(t.Context())
+	time.Sleep(linkTimeout + 100*time.Millisecond)
+	for began := time.Now(); time.Since(began) < 2*resumeGrace && held() == made; time.Sleep(20 * time.Millisecond) {
+		c.maintainLinks(t.Context())
 	}
 	assert.Same(t, made, held())
 }
 
-// After a pause a replaced link is not reported as silent before its reader could read.
-func TestAReplacedLinkIsNotJudgedRightAfterAPause(t *testing.T) {
+// After a pause, a replaced link is not reported as silent before its reader has had time to read.
+func TestReplacedLinkIsNotReportedRightAfterPause(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
-	_, made := linkOther(t, c)
-	linkedCatalog(made, c)
-	told := 0
-	c.options.OnSilent = func(string, time.Duration) { told++ }
+	_, made := linkToEntry(t, c)
+	useLink(made, c)
+	reported := 0
+	c.options.OnSilent = func(string, time.Duration) { reported++ }
 	peer := c.links["10.0.0.2"]
 	peer.replaced, peer.replacedAt = made, time.Now()
-	c.pause.look(time.Now())
-	time.Sleep(judgeAfter)
+	c.pauses.recordCheck(time.Now())
+	time.Sleep(silenceConfirmation)
 	c.checkLinks(t.Context())
-	assert.Zero(t, told)
-	time.Sleep(resumeTime)
+	assert.Zero(t, reported)
+	time.Sleep(resumeGrace)
 	c.checkLinks(t.Context())
-	assert.Zero(t, told, "it has answered meanwhile")
+	assert.Zero(t, reported, "it has answered in the meantime")
 	assert.Nil(t, peer.replaced)
 }
 
-// haltingProxy passes connections on to an address, and nothing for 0.6 of each 0.65 s while on is set.
+// haltingProxy forwards connections to an address, but nothing for 0.6 s of each 0.65 s while on is
+// set.
 func haltingProxy(t *testing.T, target string, on *atomic.Bool) string {
 	front, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -165,13 +168,12 @@
 	return front.Addr().String()
 }
 
-// Cause: a link that was heard while another one was made got no more time than before.
-//
-// A process that stands still for 0.6 s again and again is not dialled each time.
-func TestSlowLinksAreNotDialledForEver(t *testing.T) {
-	// span is how long the links are looked at, mostDials how often the other is dialled then.
+// A peer that repeatedly pauses for 0.6 s is not dialled each time. Guards against a link that
+// delivered something while it was being renewed getting no more time than before.
+func TestSlowLinkIsNotRedialledRepeatedly(t *testing.T) {
+	// span is how long the links are checked, mostDials the maximum number of dials in that time.
 	const (
-		span      = 10 * time.Second
+		duration  = 10 * time.Second
 		mostDials = 4
 	)
 	c := newTestCatalog()
@@ -187,10 +189,10 @@
 	var on atomic.Bool
 	made, err := c.options.Hub.Link(t.Context(), haltingProxy(t, back.Listener.Addr().String(), &on))
 	require.NoError(t, err)
-	linkedCatalog(made, c)
+	useLink(made, c)
 	dials.Store(0)
 	on.Store(true)
-	for began := time.Now(); time.Since(began) < span; time.Sleep(20 * time.Millisecond) {
+	for began := time.Now(); time.Since(began) < duration; time.Sleep(20 * time.Millisecond) {
 		c.checkLinks(t.Context())
 	}
 	t.Log("dialled again:", dials.Load())
--- a/internal/catalog/view.go
+++ b/internal/catalog/view.go
@@ -1,7 +1,7 @@
-// Package catalog keeps a process's copy of what the platform publishes:
-// configuration, servers, and named versions of weights. Entries read the
-// platform's store and tell each other and the agents; what a process holds
-// never goes back to an older revision within its life.
+// Package catalog keeps a process's copy of what the platform publishes: the configuration, the
+// servers and the announced versions of weights. Entries read the platform's store and send what
+// changed to each other and to the agents. While a process runs, its copy never goes back to an
+// older revision.
 package catalog
 
 import (
@@ -17,21 +17,21 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// Notice is a named version.
-type Notice struct {
+// VersionAnnouncement describes an announced version of a model's weights.
+type VersionAnnouncement struct {
 	Version  uint64 `json:"version"`
 	Revision uint64 `json:"revision"`
-	// Since is the earliest moment at which the version can have been named: the last one
-	// at which this copy, or that of the peer which told of it, surely lacked nothing.
+	// Since is the earliest moment at which the version can have been announced: the last one at
+	// which this copy, or that of the peer that sent it, was certainly complete.
 	Since time.Time `json:"since"`
-	// Assumed is set while Since is a guess, because nobody who has seen the naming
-	// has told of it.
+	// Assumed is set while Since is an estimate, because no process that saw the announcement has
+	// sent its age.
 	Assumed bool `json:"assumed,omitempty"`
 }
 
-// tighten takes over another earliest moment of the naming where that is later, or the one
-// held is a guess, and reports whether it did.
-func (n *Notice) tighten(since time.Time) bool {
+// tighten applies another earliest moment of the announcement if it is later, or if the current one
+// is assumed, and reports whether it did.
+func (n *VersionAnnouncement) tighten(since time.Time) bool {
 	if !n.Assumed && !since.After(n.Since) {
 		return false
 	}
@@ -39,85 +39,84 @@
 	return true
 }
 
-// View is an immutable picture of everything known.
+// View is an immutable snapshot of everything known.
 type View struct {
 	// Configuration is nil until one is known.
 	Configuration *fleet.Configuration
-	// ConfigurationSince is when this process took the configuration over.
+	// ConfigurationSince is when this process applied the configuration.
 	ConfigurationSince time.Time
-	// Servers lists every listed server by its service.
+	// Servers holds the listed servers by service.
 	Servers map[string][]fleet.Server
-	// Versions holds the named versions of each model, the newest last.
-	Versions map[string][]Notice
-	// Evacuations are the evacuated zones, and since when this process knows; the map is
-	// never changed.
+	// Versions holds the announced versions of each model, the newest last.
+	Versions map[string][]VersionAnnouncement
+	// Evacuations maps each evacuated zone to when this process learned of it. The map is never
+	// modified.
 	Evacuations map[string]time.Time
-	// agents are the zones of the machines with model servers, by IP address.
+	// agents maps the IP addresses of machines with model servers to their zones.
 	agents map[string]string
 }
 
-// maximumNotices bounds how many named versions of a model are remembered: more than an operator
-// names within the time until a version is in force.
-const maximumNotices = 32
+// maxAnnouncements bounds the announced versions kept of a model: more than an operator announces
+// within the time until a version is in force.
+const maxAnnouncements = 32
 
-// stillBinding drops the notices of versions that bind nothing any more: the oldest one, for as
-// long as a newer one is in force too. Until then it is the oldest that ends the time of the
-// versions before it.
-func stillBinding(notices []Notice, apply time.Duration, now time.Time) []Notice {
-	for len(notices) > 1 && (len(notices) > maximumNotices || now.Sub(notices[1].Since) > apply) {
-		notices = notices[1:]
+// pruneAnnouncements removes announcements that no longer bind: the oldest one, as long as the next
+// newer one is in force too. Until then, the oldest ends the time of the versions before it.
+func pruneAnnouncements(announcements []VersionAnnouncement, apply time.Duration, now time.Time) []VersionAnnouncement {
+	for len(announcements) > 1 && (len(announcements) > maxAnnouncements || now.Sub(announcements[1].Since) > apply) {
+		announcements = announcements[1:]
 	}
-	return notices
+	return announcements
 }
 
-// Newest returns the newest named version of a model.
-func (v *View) Newest(model string) (Notice, bool) {
-	notices := v.Versions[model]
-	if len(notices) == 0 {
-		return Notice{}, false
+// Newest returns the newest announced version of a model.
+func (v *View) Newest(model string) (VersionAnnouncement, bool) {
+	announcements := v.Versions[model]
+	if len(announcements) == 0 {
+		return VersionAnnouncement{}, false
 	}
-	return notices[len(notices)-1], true
+	return announcements[len(announcements)-1], true
 }
 
-// Due returns the newest version of a model that was named longer ago than an
-// age, or 0.
-func (v *View) Due(model string, age time.Duration, now time.Time) uint64 {
+// NewestOlderThan returns the newest version of a model that was announced longer ago than age, or
+// 0.
+func (v *View) NewestOlderThan(model string, age time.Duration, now time.Time) uint64 {
 	due := uint64(0)
-	for _, notice := range v.Versions[model] {
-		if now.Sub(notice.Since) > age {
-			due = max(due, notice.Version)
+	for _, announcement := range v.Versions[model] {
+		if now.Sub(announcement.Since) > age {
+			due = max(due, announcement.Version)
 		}
 	}
 	return due
 }
 
-// FirstAfter returns the earliest remembered notice of a version newer than one.
-func (v *View) FirstAfter(model string, version uint64) (Notice, bool) {
+// FirstAfter returns the earliest known announcement of a version newer than the given one.
+func (v *View) FirstAfter(model string, version uint64) (VersionAnnouncement, bool) {
 	return FirstAfter(v.Versions[model], version)
 }
 
-// FirstAfter returns the earliest notice of a version newer than one.
-func FirstAfter(notices []Notice, version uint64) (Notice, bool) {
-	for _, notice := range notices {
-		if notice.Version > version {
-			return notice, true
+// FirstAfter returns the earliest announcement of a version newer than the given one.
+func FirstAfter(announcements []VersionAnnouncement, version uint64) (VersionAnnouncement, bool) {
+	for _, announcement := range announcements {
+		if announcement.Version > version {
+			return announcement, true
 		}
 	}
-	return Notice{}, false
+	return VersionAnnouncement{}, false
 }
 
-// Evacuated reports whether a zone is to be sent nothing new.
+// Evacuated reports whether a zone is evacuated and receives no new requests.
 func (v *View) Evacuated(zone string) bool {
 	_, evacuated := v.Evacuations[zone]
 	return evacuated
 }
 
-// Agents returns the IP addresses and zones of the machines whose model servers
-// are listed; each has an agent. The map is not to be changed.
+// Agents returns the IP addresses and zones of the machines whose model servers are listed; each
+// has an agent. The map must not be modified.
 func (v *View) Agents() map[string]string { return v.agents }
 
-// findAgents fills in the agents of a view that is being made.
-func (v *View) findAgents() {
+// collectAgents sets the agents of a view under construction.
+func (v *View) collectAgents() {
 	v.agents = map[string]string{}
 	for name, servers := range v.Servers {
 		if !v.hasEngine(name) {
@@ -135,18 +134,19 @@
 	return v.Configuration != nil && v.Configuration.Services[service].Engine != nil
 }
 
-// decodedConfiguration is what a record of a configuration holds, or why it can't be read.
+// decodedConfiguration is a decoded configuration, or the error of decoding it.
 type decodedConfiguration struct {
 	configuration *fleet.Configuration
 	err           error
 }
 
-// decodeConfigurations decodes the configurations among some news, by the revisions of their
-// records, without the mutex, which every request takes: a configuration of 10,000 routes takes
-// 35 ms of a whole core to decode (BenchmarkConfiguration), several times as long on a part of one.
-func (c *Catalog) decodeConfigurations(news []mirror.Record) map[uint64]decodedConfiguration {
+// decodeConfigurations decodes the configurations among changed records, by record revision. It
+// runs without the mutex, which every request takes: a configuration of 10,000 routes takes 35 ms
+// of a whole core to decode (BenchmarkConfiguration), and several times as long on a fraction of
+// one.
+func (c *Catalog) decodeConfigurations(changed []mirror.Record) map[uint64]decodedConfiguration {
 	var decoded map[uint64]decodedConfiguration
-	for _, record := range news {
+	for _, record := range changed {
 		if record.Gone || c.options.Decoder.Kind(record.Key) != fleet.RecordConfiguration {
 			continue
 		}
@@ -159,23 +159,23 @@
 	return decoded
 }
 
-// rebuild makes a new view after news, whose configurations have been decoded, and publishes it;
-// the mutex is held.
-func (c *Catalog) rebuild(news []mirror.Record, decoded map[uint64]decodedConfiguration) {
+// rebuildView builds a view from changed records and their decoded configurations, and publishes
+// it. The mutex must be held.
+func (c *Catalog) rebuildView(changed []mirror.Record, decoded map[uint64]decodedConfiguration) {
 	old := c.view.Load()
 	next := &View{
 		Configuration: old.Configuration, ConfigurationSince: old.ConfigurationSince,
 		Servers: old.Servers, Versions: old.Versions, Evacuations: old.Evacuations, agents: old.agents,
 	}
 	var serversChanged bool
-	for _, record := range news {
+	for _, record := range changed {
 		switch c.options.Decoder.Kind(record.Key) {
 		case fleet.RecordConfiguration:
-			c.takeConfiguration(next, record, decoded[record.Revision])
+			c.applyConfiguration(next, record, decoded[record.Revision])
 		case fleet.RecordVersion:
-			c.takeVersion(next, record)
+			c.applyVersion(next, record)
 		case fleet.RecordEvacuation:
-			c.takeEvacuation(next, record)
+			c.applyEvacuation(next, record)
 		case fleet.RecordServer:
 			serversChanged = true
 		}
@@ -184,12 +184,12 @@
 		c.rebuildServers(next)
 	}
 	if serversChanged || next.Configuration != old.Configuration {
-		next.findAgents()
+		next.collectAgents()
 	}
 	c.view.Store(next)
 }
 
-func (c *Catalog) takeConfiguration(next *View, record mirror.Record, decoded decodedConfiguration) {
+func (c *Catalog) applyConfiguration(next *View, record mirror.Record, decoded decodedConfiguration) {
 	if record.Gone {
 		return
 	}
@@ -207,7 +207,7 @@
 		zap.Int("routes", len(configuration.Routes)), zap.Int("tenants", len(configuration.Tenants)))
 }
 
-func (c *Catalog) takeVersion(next *View, record mirror.Record) {
+func (c *Catalog) applyVersion(next *View, record mirror.Record) {
 	named, err := c.options.Decoder.Version(record)
 	if record.Gone || err != nil {
 		return
@@ -215,29 +215,28 @@
 	if held, known := next.Newest(named.Model); known && held.Version >= named.Version {
 		return
 	}
-	age := c.ages[record.Key]
-	notice := Notice{Version: named.Version, Revision: record.Revision, Since: time.Now().Add(-age.age), Assumed: age.assumed}
-	notices := append(slices.Clone(next.Versions[named.Model]), notice)
-	notices = stillBinding(notices, c.options.VersionApply, time.Now())
+	age := c.versionAges[record.Key]
+	announcement := VersionAnnouncement{Version: named.Version, Revision: record.Revision, Since: time.Now().Add(-age.age), Assumed: age.assumed}
+	announcements := append(slices.Clone(next.Versions[named.Model]), announcement)
+	announcements = pruneAnnouncements(announcements, c.options.VersionApply, time.Now())
 	next.Versions = maps.Clone(next.Versions)
-	next.Versions[named.Model] = notices
+	next.Versions[named.Model] = announcements
 	c.options.Log.Log(logging.VersionNamed, zap.String("model", named.Model), zap.Uint64("version", named.Version),
-		zap.Uint64("revision", record.Revision), zap.Duration("age", time.Since(notice.Since)), zap.Bool("assumed", notice.Assumed))
-	if age.age > lateNaming {
+		zap.Uint64("revision", record.Revision), zap.Duration("age", time.Since(announcement.Since)), zap.Bool("assumed", announcement.Assumed))
+	if age.age > lateAnnouncement {
 		c.options.Log.Log(logging.VersionHeardLate, zap.String("model", named.Model), zap.Uint64("version", named.Version),
 			zap.Duration("at_most", age.age), zap.Bool("assumed", age.assumed))
 	}
 }
 
-// rebuildServers lists the servers anew, from what their records have been decoded
-// to; the mutex is held.
+// rebuildServers lists the servers again from their decoded records. The mutex must be held.
 func (c *Catalog) rebuildServers(next *View) {
 	next.Servers = map[string][]fleet.Server{}
 	for _, key := range c.serverKeys {
 		server := c.servers[key]
 		next.Servers[server.Service] = append(next.Servers[server.Service], server)
-		delete(c.lapsed, server.ID)
+		delete(c.expired, server.ID)
 	}
-	count := len(c.serverKeys) + c.keepLapsed(next)
+	count := len(c.serverKeys) + c.retainExpired(next)
 	c.options.Log.Log(logging.MembershipChanged, zap.Int("servers", count))
 }
--- a/internal/catalog/words.go
+++ b/internal/catalog/words.go
@@ -2,85 +2,86 @@
 
 import "time"
 
-// wordKey names the words of which only the newest is held.
-type wordKey struct{ entry, server string }
+// reportKey identifies the reports of which only the newest is kept.
+type reportKey struct{ entry, server string }
 
-// heldWord is the newest word of an entry on a server, and when it was said.
-type heldWord[W any] struct {
-	word W
-	at   time.Time
-	// number is the teller's, sequence this process's own, for the links.
+// heldReport is the newest report of an entry on a server, and when it was made.
+type heldReport[W any] struct {
+	report W
+	at     time.Time
+	// number is assigned by the reporter; sequence is assigned here and orders the reports for the
+	// links.
 	number   uint64
 	sequence uint64
 }
 
-// heldWords are the newest words of all entries on each server, of one kind, for entries that are linked later.
-// The catalog's mutex guards it.
-type heldWords[W any] struct {
-	held map[wordKey]heldWord[W]
-	// sequence is that of the last word that was held.
+// reportStore holds the newest report of each entry on each server, of one kind, for entries that
+// link later. The catalog's mutex guards it.
+type reportStore[W any] struct {
+	reports map[reportKey]heldReport[W]
+	// sequence is the sequence of the last report stored.
 	sequence uint64
-	// number is that of this entry's last word. It begins at the time of the start, so that the words of a
-	// process that was started anew are newer than those of the one before.
+	// number is the number of this entry's last report. It starts at the start time, so that the
+	// reports of a restarted process are newer than those of its predecessor.
 	number uint64
-	// memory is how long a word is kept, most how many; the oldest go first.
-	memory time.Duration
-	most   int
+	// ttl is how long a report is kept, maxReports how many are; the oldest are evicted first.
+	ttl        time.Duration
+	maxReports int
 }
 
-func newHeldWords[W any](started time.Time, memory time.Duration, most int) heldWords[W] {
-	return heldWords[W]{held: map[wordKey]heldWord[W]{}, number: uint64(started.UnixNano()), memory: memory, most: most}
+func newReportStore[W any](started time.Time, ttl time.Duration, maxReports int) reportStore[W] {
+	return reportStore[W]{reports: map[reportKey]heldReport[W]{}, number: uint64(started.UnixNano()), ttl: ttl, maxReports: maxReports}
 }
 
-// nextNumber is that of this entry's next word.
-func (h *heldWords[W]) nextNumber() uint64 {
-	h.number++
-	return h.number
+// nextNumber returns the number for this entry's next report.
+func (s *reportStore[W]) nextNumber() uint64 {
+	s.number++
+	return s.number
 }
 
-// hold keeps a word if it is newer than the one held, and reports whether it does.
-func (h *heldWords[W]) hold(key wordKey, fresh heldWord[W], now time.Time) bool {
-	held, known := h.held[key]
-	if known && fresh.number <= held.number && now.Sub(held.at) < h.memory {
+// add stores a report if it is newer than the one held, and reports whether it did.
+func (s *reportStore[W]) add(key reportKey, fresh heldReport[W], now time.Time) bool {
+	held, known := s.reports[key]
+	if known && fresh.number <= held.number && now.Sub(held.at) < s.ttl {
 		return false
 	}
-	if !known && len(h.held) >= h.most {
-		h.dropOldest()
+	if !known && len(s.reports) >= s.maxReports {
+		s.evictOldest()
 	}
-	h.sequence++
-	fresh.sequence = h.sequence
-	h.held[key] = fresh
+	s.sequence++
+	fresh.sequence = s.sequence
+	s.reports[key] = fresh
 	return true
 }
 
-func (h *heldWords[W]) dropOldest() {
-	var oldest wordKey
+func (s *reportStore[W]) evictOldest() {
+	var oldest reportKey
 	var at time.Time
-	for key, held := range h.held {
+	for key, held := range s.reports {
 		if at.IsZero() || held.at.Before(at) {
 			oldest, at = key, held.at
 		}
 	}
-	delete(h.held, oldest)
+	delete(s.reports, oldest)
 }
 
-// expire drops what is too old.
-func (h *heldWords[W]) expire(now time.Time) {
-	for key, held := range h.held {
-		if now.Sub(held.at) > h.memory {
-			delete(h.held, key)
+// expire removes reports older than the ttl.
+func (s *reportStore[W]) expire(now time.Time) {
+	for key, held := range s.reports {
+		if now.Sub(held.at) > s.ttl {
+			delete(s.reports, key)
 		}
 	}
 }
 
-// untold returns the words that a process is still to be told, which was told up to a sequence number. What others
-// have said is passed on by relays alone.
-func (h *heldWords[W]) untold(told uint64, peer, self string, isRelay bool) map[wordKey]heldWord[W] {
-	untold := map[wordKey]heldWord[W]{}
-	for key, held := range h.held {
-		if held.sequence > told && key.entry != peer && (key.entry == self || isRelay) {
-			untold[key] = held
+// unsent returns the reports after a sequence that are to be sent to a peer. Only relays forward
+// the reports of others.
+func (s *reportStore[W]) unsent(sentSequence uint64, peer, self string, isRelay bool) map[reportKey]heldReport[W] {
+	unsent := map[reportKey]heldReport[W]{}
+	for key, held := range s.reports {
+		if held.sequence > sentSequence && key.entry != peer && (key.entry == self || isRelay) {
+			unsent[key] = held
 		}
 	}
-	return untold
+	return unsent
 }
--- a/internal/forward/outbox_test.go
+++ b/internal/forward/outbox_test.go
@@ -21,8 +21,8 @@
 	told    []dispatch.ServerNotice
 }
 
-// TellAsk implements AskSource.
-func (s *slowAsks) TellAsk(ask dispatch.ServerNotice, _ time.Time) {
+// AnnounceNotice implements AskSource.
+func (s *slowAsks) AnnounceNotice(ask dispatch.ServerNotice, _ time.Time) {
 	if !s.later.Swap(true) {
 		close(s.begun)
 		<-s.proceed
