--- a/coordination/dispatch/core.go
+++ b/coordination/dispatch/core.go
@@ -88,10 +88,10 @@
 	scarce map[string]float64
 	// usual learns what time callers of each route have left at first attempts, pressures
 	// whether each service is overloaded; both count time since started.
-	usual map[string]*shedding.Usual
+	usual map[string]*shedding.RetryDetector
 	// targets learns the typical target of each service.
-	targets   map[string]*shedding.Targets
-	pressures map[string]*shedding.Pressure
+	targets   map[string]*shedding.TargetEstimator
+	pressures map[string]*shedding.OverloadDetector
 	started   time.Time
 
 	// health is what answers have shown of the servers' health, in time since started, and
@@ -119,7 +119,7 @@
 		words: map[string]heardWord{}, leastMissing: map[uint64]int{},
 		learned: map[string]*balance.Learned{}, margins: map[string]*balance.Margin{},
 		demands: map[regionalService]*residency.Demand{}, scarce: map[string]float64{},
-		usual: map[string]*shedding.Usual{}, targets: map[string]*shedding.Targets{}, pressures: map[string]*shedding.Pressure{}, started: options.Started, health: health.New(options.Self),
+		usual: map[string]*shedding.RetryDetector{}, targets: map[string]*shedding.TargetEstimator{}, pressures: map[string]*shedding.OverloadDetector{}, started: options.Started, health: health.New(options.Self),
 		bounded: newMembers(options.Self, options.Started), kept: map[string]keptServer{}, emptying: newEmptying(),
 	}
 }
--- a/coordination/dispatch/refusal.go
+++ b/coordination/dispatch/refusal.go
@@ -52,8 +52,8 @@
 	}
 	refusal := c.refuse(RefusedOverload, request, now)
 	refusal.Admission = c.admission(best, request, now)
-	refusal.RetryAfter = shedding.Return(refusal.Admission.Wait, refusal.Admission.MostWait, refusalRetryFloor, refusalRetryCap, request.Arrival)
-	held(c.pressures, request.Service).Refused(now.Sub(c.started), request.Arrival)
+	refusal.RetryAfter = shedding.MinRetryDelay(refusal.Admission.Wait, refusal.Admission.MostWait, refusalRetryFloor, refusalRetryCap, request.Arrival)
+	held(c.pressures, request.Service).RecordRefusal(now.Sub(c.started), request.Arrival)
 	return nil, refusal
 }
 
--- a/coordination/dispatch/regionfleet_test.go
+++ b/coordination/dispatch/regionfleet_test.go
@@ -256,7 +256,7 @@
 		count.lost++
 		return
 	}
-	most := request.Arrival.Left / 3
+	most := request.Arrival.Remaining / 3
 	earliest := min(refusal.RetryAfter, most)
 	at := f.now.Add((earliest + time.Duration(f.random.Float64()*float64(most-earliest))).Truncate(tick) + tick)
 	f.returns[at] = append(f.returns[at], one)
--- a/coordination/dispatch/returns.go
+++ b/coordination/dispatch/returns.go
@@ -10,8 +10,8 @@
 // Arrived notes a request whose caller waits for a time left, 0 for one that does not say, and tells whether
 // it came back after a refusal.
 func (c *Core) Arrived(request *Request, left time.Duration, now time.Time) shedding.Arrival {
-	held(c.targets, request.Service).Arrived(request.Target)
-	return shedding.Arrival{Left: left, Elapsed: held(c.usual, request.Route).Arrived(now.Sub(c.started), left)}
+	held(c.targets, request.Service).Record(request.Target)
+	return shedding.Arrival{Remaining: left, Elapsed: held(c.usual, request.Route).RecordArrival(now.Sub(c.started), left)}
 }
 
 // Refused notes that a request's caller was refused, and may come back.
@@ -31,24 +31,24 @@
 	}
 	c.returnsMayCome(request, now)
 	if request.Arrival.Elapsed == 0 {
-		held(c.pressures, request.Service).Full(now.Sub(c.started))
+		held(c.pressures, request.Service).RecordFull(now.Sub(c.started))
 	}
 }
 
 // returnsMayCome has nothing learned of a route's callers for as long as those refused now may
 // take to come back.
 func (c *Core) returnsMayCome(request *Request, now time.Time) {
-	held(c.usual, request.Route).Refused(now.Sub(c.started), request.Arrival.Left)
+	held(c.usual, request.Route).RecordRefusal(now.Sub(c.started), request.Arrival.Remaining)
 }
 
 // KeepRoutes drops what was learned of the callers of other routes.
 func (c *Core) KeepRoutes(kept map[string]bool) {
-	maps.DeleteFunc(c.usual, func(route string, _ *shedding.Usual) bool { return !kept[route] })
+	maps.DeleteFunc(c.usual, func(route string, _ *shedding.RetryDetector) bool { return !kept[route] })
 }
 
 // limit is the latest predicted beginning of a request of usual size; 0 or less where none is refused for load.
 func (c *Core) limit(request *Request) time.Duration {
-	target := held(c.targets, request.Service).Common(request.Target)
+	target := held(c.targets, request.Service).Bound(request.Target)
 	return time.Duration(c.policy.RefusalShare * float64(c.marginOf(request.Service).Limit(target)))
 }
 
@@ -59,8 +59,8 @@
 
 // mostWait is how long a request may wait for others at a server.
 func (c *Core) mostWait(k *Candidate, request *Request, now time.Time) time.Duration {
-	share := held(c.pressures, request.Service).Share(now.Sub(c.started), c.policy.LateShare)
-	return shedding.Wait(c.firstAttemptWait(k, request), request.Arrival, share)
+	share := held(c.pressures, request.Service).LateFraction(now.Sub(c.started), c.policy.LateShare)
+	return shedding.MaxWait(c.firstAttemptWait(k, request), request.Arrival, share)
 }
 
 // admits reports whether a server would have the request wait for others no longer than it may. It goes by the wait
--- a/coordination/dispatch/returns_test.go
+++ b/coordination/dispatch/returns_test.go
@@ -21,7 +21,7 @@
 		core.Arrived(&Request{Service: "s", Route: "r"}, 6*time.Second, epoch.Add(time.Duration(i)*time.Second))
 	}
 	if refused {
-		held(core.pressures, "s").Refused(now.Sub(epoch), shedding.Arrival{})
+		held(core.pressures, "s").RecordRefusal(now.Sub(epoch), shedding.Arrival{})
 	}
 	server.word.Running = 16
 	wanted.Route, wanted.Arrival = "r", core.Arrived(&Request{Service: "s", Route: "r"}, left, now)
@@ -61,7 +61,7 @@
 	require.NotNil(t, refusal)
 	assert.Equal(t, RefusedOverload, refusal.Reason)
 	assert.Equal(t, time.Second, refusal.RetryAfter, "the queue alone would have come down sooner")
-	assert.InDelta(t, 0.15, held(core.pressures, "s").Share(now.Sub(epoch), 0.15), 1e-9)
+	assert.InDelta(t, 0.15, held(core.pressures, "s").LateFraction(now.Sub(epoch), 0.15), 1e-9)
 }
 
 // Without a server that could serve a request there is no overload.
@@ -70,7 +70,7 @@
 	server.word.Version = 0
 	_, refusal := core.Choose(wanted, now)
 	require.NotNil(t, refusal)
-	assert.InDelta(t, 1, held(core.pressures, "s").Share(now.Sub(epoch), 0.15), 1e-9)
+	assert.InDelta(t, 1, held(core.pressures, "s").LateFraction(now.Sub(epoch), 0.15), 1e-9)
 }
 
 // While a refused caller may be coming back, times left are not taken for usual ones.
--- a/coordination/dispatch/scarcity_test.go
+++ b/coordination/dispatch/scarcity_test.go
@@ -76,7 +76,7 @@
 	s.refused(request, RefusedOverload)
 	once := s.core.BoundLoads(s.now)[0].Share
 	for range 5 {
-		request.Arrival = shedding.Arrival{Left: time.Second, Elapsed: time.Second}
+		request.Arrival = shedding.Arrival{Remaining: time.Second, Elapsed: time.Second}
 		s.refused(request, RefusedOverload)
 	}
 	assert.InDelta(t, once, s.core.BoundLoads(s.now)[0].Share, 0.001)
--- a/coordination/shedding/fake_test.go
+++ b/coordination/shedding/fake_test.go
@@ -67,10 +67,10 @@
 
 type entry struct {
 	margin balance.Margin
-	usual  []Usual
+	usual  []RetryDetector
 	// pressure and targets are of the one service.
-	pressure Pressure
-	targets  Targets
+	pressure OverloadDetector
+	targets  TargetEstimator
 	// sent are the requests sent to each server since its word.
 	sent map[*server][]*caller
 }
@@ -171,7 +171,7 @@
 func (f *fleet) startEntries() {
 	f.entries = nil
 	for range f.day.entries {
-		f.entries = append(f.entries, &entry{sent: map[*server][]*caller{}, usual: make([]Usual, len(f.kinds))})
+		f.entries = append(f.entries, &entry{sent: map[*server][]*caller{}, usual: make([]RetryDetector, len(f.kinds))})
 	}
 }
 
@@ -227,10 +227,10 @@
 func (f *fleet) attempt(c *caller) {
 	c.tries++
 	e, target := f.entries[f.random.IntN(len(f.entries))], f.kinds[c.kind].target
-	arrival := Arrival{Left: c.until - f.now}
-	arrival.Elapsed = e.usual[f.kinds[c.kind].route].Arrived(f.now, arrival.Left)
-	e.targets.Arrived(target)
-	full := figures.MostWait(e.margin.Limit(e.targets.Common(target)))
+	arrival := Arrival{Remaining: c.until - f.now}
+	arrival.Elapsed = e.usual[f.kinds[c.kind].route].RecordArrival(f.now, arrival.Remaining)
+	e.targets.Record(target)
+	full := figures.MostWait(e.margin.Limit(e.targets.Bound(target)))
 	most := f.wait(f, e, full, arrival)
 	best, soonest, wait := f.soonest(e, c)
 	if c.tries > 1 {
@@ -238,7 +238,7 @@
 	}
 	if wait > most {
 		if best != nil {
-			e.pressure.Refused(f.now, arrival)
+			e.pressure.RecordRefusal(f.now, arrival)
 		}
 		f.refuse(e, c, arrival, f.told(wait, most, arrival))
 		return
@@ -293,14 +293,14 @@
 
 // refuse tells a caller when to come back, which it does once, within a third of its time.
 func (f *fleet) refuse(e *entry, c *caller, arrival Arrival, earliest time.Duration) {
-	e.usual[f.kinds[c.kind].route].Refused(f.now, arrival.Left)
+	e.usual[f.kinds[c.kind].route].RecordRefusal(f.now, arrival.Remaining)
 	f.each(c, func(group *count) { group.refused++ })
 	if c.tries > 1 {
 		f.each(c, func(group *count) { group.twice++ })
 		f.out.returned[f.now/time.Second].refused++
 		return
 	}
-	latest := arrival.Left / 3
+	latest := arrival.Remaining / 3
 	told := min(latest, earliest+time.Duration(f.random.Float64()*float64(max(0, latest-earliest))))
 	at := (f.now + told + callerWay).Truncate(tick)
 	f.back[at] = append(f.back[at], c)
--- a/coordination/shedding/load_test.go
+++ b/coordination/shedding/load_test.go
@@ -20,7 +20,7 @@
 )
 
 func lateBehind(f *fleet, e *entry, most time.Duration, arrival Arrival) time.Duration {
-	return Wait(most, arrival, e.pressure.Share(f.now, lateShare))
+	return MaxWait(most, arrival, e.pressure.LateFraction(f.now, lateShare))
 }
 
 func oneInTwenty(f *fleet, _ *entry, most time.Duration, arrival Arrival) time.Duration {
@@ -36,11 +36,11 @@
 }
 
 func toldLate(wait, most time.Duration, arrival Arrival) time.Duration {
-	return Return(wait, most, 100*time.Millisecond, 1500*time.Millisecond, arrival)
+	return MinRetryDelay(wait, most, 100*time.Millisecond, 1500*time.Millisecond, arrival)
 }
 
 func toldSoon(wait, most time.Duration, _ Arrival) time.Duration {
-	return Return(wait, most, 100*time.Millisecond, 1500*time.Millisecond, Arrival{})
+	return MinRetryDelay(wait, most, 100*time.Millisecond, 1500*time.Millisecond, Arrival{})
 }
 
 // ramp is how long a day is calm at first.
--- a/coordination/shedding/pressure.go
+++ b/coordination/shedding/pressure.go
@@ -7,32 +7,32 @@
 // lasts shows to it every few hundred milliseconds.
 const easeTime = time.Second
 
-// Pressure tells from refusals of first attempts whether there is overload now. Its zero value
+// OverloadDetector tells from refusals of first attempts whether there is overload now. Its zero value
 // knows of none.
-type Pressure struct {
+type OverloadDetector struct {
 	refusedAt time.Duration
 	refused   bool
 }
 
-// Refused notes the refusal of a request.
-func (p *Pressure) Refused(now time.Duration, arrival Arrival) {
+// RecordRefusal notes the refusal of a request.
+func (p *OverloadDetector) RecordRefusal(now time.Duration, arrival Arrival) {
 	if arrival.Elapsed == 0 {
 		p.refusedAt, p.refused = now, true
 	}
 }
 
-// Full notes that a first attempt was admitted to a full server. An overload that has begun goes on
+// RecordFull notes that a first attempt was admitted to a full server. An overload that has begun goes on
 // as long as that is so: an entry of a large fleet refuses a caller every few hundred milliseconds
 // only, and would take those that came back in between.
-func (p *Pressure) Full(now time.Duration) {
+func (p *OverloadDetector) RecordFull(now time.Duration) {
 	if p.refused && now-p.refusedAt < easeTime {
 		p.refusedAt = now
 	}
 }
 
-// Share is the share for late requests: the least one while first attempts are refused, and
+// LateFraction is the share for late requests: the least one while first attempts are refused, and
 // all that a first attempt may wait once none has been for a while.
-func (p *Pressure) Share(now time.Duration, least float64) float64 {
+func (p *OverloadDetector) LateFraction(now time.Duration, least float64) float64 {
 	if !p.refused {
 		return 1
 	}
--- a/coordination/shedding/shedding_test.go
+++ b/coordination/shedding/shedding_test.go
@@ -22,25 +22,25 @@
 		"like a first attempt":         {most: 300 * ms, elapsed: time.Second, share: 1, want: 300 * ms},
 		"nobody may wait":              {elapsed: time.Second, share: 0.2, want: 0},
 	} {
-		assert.InDelta(t, float64(one.want), float64(Wait(one.most, Arrival{Elapsed: one.elapsed}, one.share)), 10, name)
+		assert.InDelta(t, float64(one.want), float64(MaxWait(one.most, Arrival{Elapsed: one.elapsed}, one.share)), 10, name)
 	}
 }
 
 // A target that is shorter than others of its service bounds the wait of these too, as often as it is asked for.
 func TestCommonTarget(t *testing.T) {
-	var targets Targets
-	assert.Equal(t, 500*ms, targets.Common(500*ms), "nothing is known")
-	targets.Arrived(0)
+	var targets TargetEstimator
+	assert.Equal(t, 500*ms, targets.Bound(500*ms), "nothing is known")
+	targets.Record(0)
 	for range 500 {
-		targets.Arrived(500 * ms)
-		targets.Arrived(400 * ms)
+		targets.Record(500 * ms)
+		targets.Record(400 * ms)
 	}
-	assert.Equal(t, 400*ms, targets.Common(400*ms))
-	assert.InDelta(t, float64(444*ms), float64(targets.Common(500*ms)), float64(2*ms))
+	assert.Equal(t, 400*ms, targets.Bound(400*ms))
+	assert.InDelta(t, float64(444*ms), float64(targets.Bound(500*ms)), float64(2*ms))
 	for range 500 {
-		targets.Arrived(500 * ms)
+		targets.Record(500 * ms)
 	}
-	assert.InDelta(t, float64(500*ms), float64(targets.Common(500*ms)), float64(ms), "nobody asks for the shorter one any more")
+	assert.InDelta(t, float64(500*ms), float64(targets.Bound(500*ms)), float64(ms), "nobody asks for the shorter one any more")
 }
 
 func TestLateCountsFromTheFirstAttempt(t *testing.T) {
@@ -52,37 +52,37 @@
 // Refused callers come back when the queue has come down, in the second half of the time that
 // they heed.
 func TestReturn(t *testing.T) {
-	assert.Equal(t, time.Second, Return(500*ms, 400*ms, 100*ms, 1500*ms, Arrival{Left: 6 * time.Second}))
-	assert.Equal(t, 1500*ms, Return(3*time.Second, 400*ms, 100*ms, 1500*ms, Arrival{Left: 6 * time.Second}))
-	assert.Equal(t, 100*ms, Return(200*ms, 400*ms, 100*ms, 1500*ms, Arrival{Left: 300 * ms}))
-	assert.Equal(t, 300*ms, Return(500*ms, 400*ms, 100*ms, 1500*ms, Arrival{}), "a caller that does not say how long it waits")
+	assert.Equal(t, time.Second, MinRetryDelay(500*ms, 400*ms, 100*ms, 1500*ms, Arrival{Remaining: 6 * time.Second}))
+	assert.Equal(t, 1500*ms, MinRetryDelay(3*time.Second, 400*ms, 100*ms, 1500*ms, Arrival{Remaining: 6 * time.Second}))
+	assert.Equal(t, 100*ms, MinRetryDelay(200*ms, 400*ms, 100*ms, 1500*ms, Arrival{Remaining: 300 * ms}))
+	assert.Equal(t, 300*ms, MinRetryDelay(500*ms, 400*ms, 100*ms, 1500*ms, Arrival{}), "a caller that does not say how long it waits")
 }
 
 // While first attempts are refused late requests are held to the least share; once none has
 // been refused for a second they are treated like any other.
 func TestPressureEases(t *testing.T) {
-	var pressure Pressure
-	assert.InDelta(t, 1, pressure.Share(0, 0.2), 1e-9)
-	pressure.Refused(5*time.Second, Arrival{Elapsed: time.Second})
-	assert.InDelta(t, 1, pressure.Share(5*time.Second, 0.2), 1e-9, "a late one's refusal shows no overload of first attempts")
-	pressure.Refused(5*time.Second, Arrival{})
-	assert.InDelta(t, 0.2, pressure.Share(5*time.Second, 0.2), 1e-9)
-	assert.InDelta(t, 0.6, pressure.Share(5500*ms, 0.2), 1e-9)
-	assert.InDelta(t, 1, pressure.Share(7*time.Second, 0.2), 1e-9)
+	var pressure OverloadDetector
+	assert.InDelta(t, 1, pressure.LateFraction(0, 0.2), 1e-9)
+	pressure.RecordRefusal(5*time.Second, Arrival{Elapsed: time.Second})
+	assert.InDelta(t, 1, pressure.LateFraction(5*time.Second, 0.2), 1e-9, "a late one's refusal shows no overload of first attempts")
+	pressure.RecordRefusal(5*time.Second, Arrival{})
+	assert.InDelta(t, 0.2, pressure.LateFraction(5*time.Second, 0.2), 1e-9)
+	assert.InDelta(t, 0.6, pressure.LateFraction(5500*ms, 0.2), 1e-9)
+	assert.InDelta(t, 1, pressure.LateFraction(7*time.Second, 0.2), 1e-9)
 }
 
 // An overload lasts as long as first attempts are admitted to full servers; full servers alone are
 // none.
 func TestOverloadLastsWhileServersAreFull(t *testing.T) {
-	var pressure Pressure
-	pressure.Full(4 * time.Second)
-	assert.InDelta(t, 1, pressure.Share(4*time.Second, 0.2), 1e-9)
-	pressure.Refused(5*time.Second, Arrival{})
+	var pressure OverloadDetector
+	pressure.RecordFull(4 * time.Second)
+	assert.InDelta(t, 1, pressure.LateFraction(4*time.Second, 0.2), 1e-9)
+	pressure.RecordRefusal(5*time.Second, Arrival{})
 	for at := 5 * time.Second; at < 8*time.Second; at += 300 * ms {
-		pressure.Full(at)
+		pressure.RecordFull(at)
 	}
-	assert.InDelta(t, 0.2, pressure.Share(7700*ms, 0.2), 1e-9)
-	assert.InDelta(t, 1, pressure.Share(9*time.Second, 0.2), 1e-9)
-	pressure.Full(9 * time.Second)
-	assert.InDelta(t, 1, pressure.Share(9*time.Second, 0.2), 1e-9, "it has ended")
+	assert.InDelta(t, 0.2, pressure.LateFraction(7700*ms, 0.2), 1e-9)
+	assert.InDelta(t, 1, pressure.LateFraction(9*time.Second, 0.2), 1e-9)
+	pressure.RecordFull(9 * time.Second)
+	assert.InDelta(t, 1, pressure.LateFraction(9*time.Second, 0.2), 1e-9, "it has ended")
 }
--- a/coordination/shedding/targets.go
+++ b/coordination/shedding/targets.go
@@ -6,15 +6,15 @@
 // of a service.
 const targetWeight = 1.0 / 64
 
-// Targets learns the typical target of a service's requests: the harmonic mean, which is near the shorter ones. Its
+// TargetEstimator learns the typical target of a service's requests: the harmonic mean, which is near the shorter ones. Its
 // zero value knows none.
-type Targets struct {
+type TargetEstimator struct {
 	// inverse is the mean of the inverse targets, in 1/s.
 	inverse float64
 }
 
-// Arrived notes a request with a target.
-func (t *Targets) Arrived(target time.Duration) {
+// Record notes a request with a target.
+func (t *TargetEstimator) Record(target time.Duration) {
 	if target <= 0 {
 		return
 	}
@@ -25,10 +25,10 @@
 	t.inverse += targetWeight * (one - t.inverse)
 }
 
-// Common is the target by which a request's wait is bounded: its own, or the typical one where that is shorter. What
+// Bound is the target by which a request's wait is bounded: its own, or the typical one where that is shorter. What
 // a request waits for others, others wait for it: were each bounded by its own target, those with the
 // longest one would take all places in overload.
-func (t *Targets) Common(target time.Duration) time.Duration {
+func (t *TargetEstimator) Bound(target time.Duration) time.Duration {
 	if t.inverse == 0 {
 		return target
 	}
--- a/coordination/shedding/unlearned.go
+++ b/coordination/shedding/unlearned.go
@@ -43,7 +43,7 @@
 		return 0
 	}
 	longest := slices.Max(kept)
-	firstFrom, returnedFrom := part(longest, 1-patientShare), part(longest, 1-HeededShare)
+	firstFrom, returnedFrom := part(longest, 1-patientShare), part(longest, 1-MaxRetryFraction)
 	first, returned := 0, 0
 	for _, one := range kept {
 		switch {
--- a/coordination/shedding/usual.go
+++ b/coordination/shedding/usual.go
@@ -30,10 +30,10 @@
 	returnedWeight = 0.01
 )
 
-// Usual learns how much time the callers of one route have left when they ask for the first
+// RetryDetector learns how much time the callers of one route have left when they ask for the first
 // time. A caller that comes back after a refusal has less left, by the time since its first
 // attempt. Its zero value knows nothing, and takes nobody for one that came back.
-type Usual struct {
+type RetryDetector struct {
 	// left holds the times left of the last first attempts, next is the oldest of them.
 	left []time.Duration
 	next int
@@ -48,15 +48,15 @@
 	mixed mixed
 }
 
-// Arrived notes a request whose caller waits for a time left, 0 for one that does not say. It
+// RecordArrival notes a request whose caller waits for a time left, 0 for one that does not say. It
 // returns how long ago the caller first asked, at least; 0 is a first attempt, as far as is
 // known.
-func (u *Usual) Arrived(now, left time.Duration) time.Duration {
+func (u *RetryDetector) RecordArrival(now, left time.Duration) time.Duration {
 	if left <= 0 {
 		return 0
 	}
 	if u.learnsFrom == 0 {
-		u.Refused(now, left)
+		u.RecordRefusal(now, left)
 	}
 	if !u.known() {
 		return u.arrivedUnlearned(now, left)
@@ -70,10 +70,10 @@
 }
 
 // known reports whether enough first attempts are known to judge others by.
-func (u *Usual) known() bool { return len(u.left) >= samplesNeeded }
+func (u *RetryDetector) known() bool { return len(u.left) >= samplesNeeded }
 
 // arrivedUnlearned judges a caller by those that have come since the start, returns among them.
-func (u *Usual) arrivedUnlearned(now, left time.Duration) time.Duration {
+func (u *RetryDetector) arrivedUnlearned(now, left time.Duration) time.Duration {
 	u.mixed.add(left)
 	if now >= u.learnsFrom {
 		u.learn(left)
@@ -82,22 +82,22 @@
 	return u.mixed.elapsed(left)
 }
 
-func (u *Usual) elapsed(left time.Duration) time.Duration { return max(0, u.least-left) }
+func (u *RetryDetector) elapsed(left time.Duration) time.Duration { return max(0, u.least-left) }
 
 // countReturned forgets what was learned when more callers seem to have come back than can.
-func (u *Usual) countReturned(returned bool) {
+func (u *RetryDetector) countReturned(returned bool) {
 	u.returned *= 1 - returnedWeight
 	if returned {
 		u.returned += returnedWeight
 	}
 	if u.returned > mostReturned {
-		*u = Usual{}
+		*u = RetryDetector{}
 	}
 }
 
 // learn takes a time left for that of a first attempt: nobody has been refused lately who
 // might be coming back.
-func (u *Usual) learn(left time.Duration) {
+func (u *RetryDetector) learn(left time.Duration) {
 	if len(u.left) < samplesKept {
 		u.left = append(u.left, left)
 	} else {
@@ -112,11 +112,11 @@
 	u.least = shortest - sparseMargin*spread/time.Duration(len(sorted))
 }
 
-// Refused notes that a caller with a time left was refused, and may come back. Of one that does
+// RecordRefusal notes that a caller with a time left was refused, and may come back. Of one that does
 // not say how long it waits nothing is learned when it does.
-func (u *Usual) Refused(now, left time.Duration) {
+func (u *RetryDetector) RecordRefusal(now, left time.Duration) {
 	if left <= 0 {
 		return
 	}
-	u.learnsFrom = max(u.learnsFrom, now+time.Duration(HeededShare*float64(left)))
+	u.learnsFrom = max(u.learnsFrom, now+time.Duration(MaxRetryFraction*float64(left)))
 }
--- a/internal/forward/returning.go
+++ b/internal/forward/returning.go
@@ -14,7 +14,7 @@
 // come back in that moment, beside those whose answers can still be in time. On days with a loss
 // of everything the spread is worth 0.01 to 0.03 of the day.
 func ReturnAfter(earliest, left time.Duration) time.Duration {
-	latest := time.Duration(shedding.HeededShare * float64(left))
+	latest := time.Duration(shedding.MaxRetryFraction * float64(left))
 	if latest <= earliest {
 		return earliest
 	}
--- a/internal/forward/shedding_test.go
+++ b/internal/forward/shedding_test.go
@@ -63,8 +63,8 @@
 		routes []fleet.Route
 		want   shedding.Arrival
 	}{
-		{routes: []fleet.Route{{Name: "r"}}, want: shedding.Arrival{Left: 5 * time.Second, Elapsed: time.Second}},
-		{routes: []fleet.Route{{Name: "other"}}, want: shedding.Arrival{Left: 5 * time.Second}},
+		{routes: []fleet.Route{{Name: "r"}}, want: shedding.Arrival{Remaining: 5 * time.Second, Elapsed: time.Second}},
+		{routes: []fleet.Route{{Name: "other"}}, want: shedding.Arrival{Remaining: 5 * time.Second}},
 	} {
 		w.Update(&catalog.View{Configuration: &fleet.Configuration{Routes: one.routes}})
 		late := &Request{Route: w.request.Route, Call: fleet.CallHeader{Deadline: 5 * time.Second}}
