--- a/coordination/admission/admission.go
+++ b/coordination/admission/admission.go
@@ -9,14 +9,14 @@
 
 import "time"
 
-// ColdSpan is the second over which requests to cold servers are counted, with room for what
+// ColdWindow is the second over which requests to cold servers are counted, with room for what
 // lies between the choice of a server and its receiving the request: a connection is made
 // within some milliseconds.
-const ColdSpan = 1100 * time.Millisecond
+const ColdWindow = 1100 * time.Millisecond
 
-// LimitSpan is the span over which requests to servers that name a limit are counted: the longest over
+// LimitWindow is the span over which requests to servers that name a limit are counted: the longest over
 // which they judge it, with the same room. Over a second a low limit has no whole request for any sender.
-const LimitSpan = 4200 * time.Millisecond
+const LimitWindow = 4200 * time.Millisecond
 
 // Share is how many of a limit's whole events the member of a rank may spend in a window, 0
 // the first. The shares of all members sum to the whole part of the limit: where there are
@@ -43,9 +43,9 @@
 // NewWindow returns a window of a length in which nothing has happened.
 func NewWindow(span time.Duration) *Window { return &Window{span: span} }
 
-// Open reports whether another event would leave at most a number of them in a span that ends now, no
+// Allows reports whether another event would leave at most a number of them in a span that ends now, no
 // longer than the window's.
-func (w *Window) Open(span, now time.Duration, most int) bool {
+func (w *Window) Allows(span, now time.Duration, most int) bool {
 	w.forget(now)
 	return w.after(now-span) < most
 }
@@ -59,9 +59,9 @@
 	return count
 }
 
-// OpensIn is how long it takes until a span that ends then holds fewer events than a number, if nothing
+// AllowsIn is how long it takes until a span that ends then holds fewer events than a number, if nothing
 // is added; 0 when it does now.
-func (w *Window) OpensIn(span, now time.Duration, most int) time.Duration {
+func (w *Window) AllowsIn(span, now time.Duration, most int) time.Duration {
 	w.forget(now)
 	if most <= 0 {
 		return span
@@ -84,9 +84,9 @@
 	return len(w.admitted)
 }
 
-// Crowded reports whether the events of all senders have used up a limit in the span that ends
+// Exhausted reports whether the events of all senders have used up a limit in the span that ends
 // now: told were counted at the receiver at a time, and this window's own since are not in that.
-func (w *Window) Crowded(limit float64, told int, toldAt, now time.Duration) bool {
+func (w *Window) Exhausted(limit float64, told int, toldAt, now time.Duration) bool {
 	w.forget(now)
 	return told+w.after(toldAt) >= int(limit)
 }
--- a/coordination/admission/admission_test.go
+++ b/coordination/admission/admission_test.go
@@ -42,7 +42,7 @@
 		var admitted []time.Duration
 		for range rapid.IntRange(1, 200).Draw(t, "asked") {
 			now += time.Duration(rapid.IntRange(0, 700).Draw(t, "pause")) * time.Millisecond
-			if window.Open(span, now, most) {
+			if window.Allows(span, now, most) {
 				window.Add(now)
 				admitted = append(admitted, now)
 			}
@@ -53,7 +53,7 @@
 	})
 	window, count := NewWindow(span), 0
 	for now := time.Duration(0); now < 3*span; now += 10 * time.Millisecond {
-		if window.Open(span, now, 5) {
+		if window.Allows(span, now, 5) {
 			window.Add(now)
 			count++
 		}
@@ -83,7 +83,7 @@
 		{told: 7, toldAt: 0, now: 1200 * time.Millisecond},
 		{told: 0, toldAt: 0, now: 5 * time.Second},
 	} {
-		assert.Equal(t, tc.crowded, window.Crowded(limit, tc.told, tc.toldAt, tc.now), "%+v", tc)
+		assert.Equal(t, tc.crowded, window.Exhausted(limit, tc.told, tc.toldAt, tc.now), "%+v", tc)
 	}
 	assert.Zero(t, window.Count(5*time.Second))
 }
--- a/coordination/dispatch/asked.go
+++ b/coordination/dispatch/asked.go
@@ -85,7 +85,7 @@
 func (c *Core) keepAsk(ask Ask, at, now time.Time) {
 	held, found := c.kept[ask.Server]
 	if !found {
-		held = keptServer{born: ask.Born, sent: *admission.NewWindow(admission.LimitSpan)}
+		held = keptServer{born: ask.Born, sent: *admission.NewWindow(admission.LimitWindow)}
 	}
 	if held.born.Differs(ask.Born) {
 		return
@@ -115,7 +115,7 @@
 
 // longestClosed bounds when a server counts as open that has asked for something: another entry may have a share, or not
 // be asked for rest, so that a caller is not told to wait for longer than shares last.
-const longestClosed = admission.LimitSpan
+const longestClosed = admission.LimitWindow
 
 // opensIn is when a server may be sent a request that only what it has asked for keeps from it; 0 is now.
 func (c *Core) opensIn(k *Candidate, now time.Time) time.Duration {
--- a/coordination/dispatch/cold.go
+++ b/coordination/dispatch/cold.go
@@ -76,12 +76,12 @@
 		return false
 	}
 	since := c.bounded.since(now)
-	if !k.sent.Open(admission.ColdSpan, since, c.bounded.share(k.ID, coldShare*limit, now)) {
+	if !k.sent.Allows(admission.ColdWindow, since, c.bounded.share(k.ID, coldShare*limit, now)) {
 		return true
 	}
 	// Shares reckon with what each entry has sent itself. The agent's count has what all have
 	// sent, also before they heard that the server is cold.
-	return k.word.counts(now) && k.sent.Crowded(coldShare*limit, k.word.Received, c.bounded.since(k.word.at)-countDelay, since)
+	return k.word.counts(now) && k.sent.Exhausted(coldShare*limit, k.word.Received, c.bounded.since(k.word.at)-countDelay, since)
 }
 
 // countSent counts a request that is being sent to a server.
--- a/coordination/dispatch/cold_words_test.go
+++ b/coordination/dispatch/cold_words_test.go
@@ -17,7 +17,7 @@
 	core.Update(coldFleet(now.Add(time.Minute), "zb"), now)
 	core.TakeWord(Word{Address: "10.0.0.1:1", Reachable: true, ColdFor: time.Minute, Received: 39}, now)
 	assert.Zero(t, chosenServers(core, 20, now.Add(10*time.Millisecond))["a"])
-	assert.Positive(t, chosenServers(core, 20, now.Add(admission.ColdSpan+10*time.Millisecond))["a"])
+	assert.Positive(t, chosenServers(core, 20, now.Add(admission.ColdWindow+10*time.Millisecond))["a"])
 }
 
 // A faulty agent makes its server cold for no longer than a start does, as a faulty answer.
--- a/coordination/dispatch/kept.go
+++ b/coordination/dispatch/kept.go
@@ -39,7 +39,7 @@
 	held, found := c.kept[server.ID]
 	delete(c.kept, server.ID)
 	if !found || held.born.Differs(server.Born) {
-		known.sent = *admission.NewWindow(admission.LimitSpan)
+		known.sent = *admission.NewWindow(admission.LimitWindow)
 		return
 	}
 	known.sent, known.limit, known.asked = held.sent, held.limit, held.asked
--- a/coordination/dispatch/limit.go
+++ b/coordination/dispatch/limit.go
@@ -115,16 +115,16 @@
 // sharedPart is what the entries that have a share of a limit may send in admission.LimitSpan: the whole number
 // of requests that comes nearest to the rate, and one at least. Without any nobody would hear that the limit is over.
 func sharedPart(perSecond float64) int {
-	return max(1, int(math.Round(perSecond*admission.LimitSpan.Seconds())))
+	return max(1, int(math.Round(perSecond*admission.LimitWindow.Seconds())))
 }
 
 // tryTurn is how far apart entries without a share of a limit send one request each, to find out whether it is still
 // in force. It comes on top of the rate, so that it is rarer where that is low.
 func tryTurn(perSecond float64) time.Duration {
 	if sharedPart(perSecond) > 1 {
-		return turns * admission.LimitSpan
+		return turns * admission.LimitWindow
 	}
-	return scarceTurns * admission.LimitSpan
+	return scarceTurns * admission.LimitWindow
 }
 
 // tryAt is when such an entry may do so: they take turns by their ranks from when they have heard of the limit, and
@@ -148,7 +148,7 @@
 		return max(0, c.tryAt(k, now).Sub(now))
 	}
 	since, inASecond := c.bounded.since(now), (share+limitSeconds-1)/limitSeconds
-	return max(k.sent.OpensIn(admission.LimitSpan, since, share), k.sent.OpensIn(admission.ColdSpan, since, inASecond))
+	return max(k.sent.AllowsIn(admission.LimitWindow, since, share), k.sent.AllowsIn(admission.ColdWindow, since, inASecond))
 }
 
 // countLimited notes that a request is being sent to a server under its limit.
--- a/coordination/dispatch/script_test.go
+++ b/coordination/dispatch/script_test.go
@@ -327,7 +327,7 @@
 	assert.Equal(t, share, sends())
 	s.at(time.Second)
 	assert.Zero(t, sends(), "what a connection takes belongs to the second")
-	s.at(admission.ColdSpan)
+	s.at(admission.ColdWindow)
 	assert.Equal(t, share, sends())
 	servers, sent := s.core.ColdCounts(s.now)
 	assert.Equal(t, 1, servers)
@@ -419,7 +419,7 @@
 	s.fleet.Servers = listed
 	s.update()
 	assert.Equal(t, map[Fitness]int{unfitCold: 1}, s.refused(s.request(), RefusedNoServer).Servers)
-	s.at(admission.ColdSpan)
+	s.at(admission.ColdWindow)
 	s.hear("a1", 0, Word{Version: 1})
 	s.served(s.request(), "a1")
 }
--- a/coordination/dispatch/word.go
+++ b/coordination/dispatch/word.go
@@ -41,7 +41,7 @@
 
 // counts reports whether what the agent counted can still be in the span that ends now.
 func (w *agentWord) counts(now time.Time) bool {
-	return w.current(now) && now.Sub(w.at) < admission.ColdSpan
+	return w.current(now) && now.Sub(w.at) < admission.ColdWindow
 }
 
 // silent reports whether the server has an agent that has fallen silent.
--- a/internal/rollout/cold.go
+++ b/internal/rollout/cold.go
@@ -16,7 +16,7 @@
 	received *admission.Window
 }
 
-func newColdWord() coldWord { return coldWord{received: admission.NewWindow(admission.ColdSpan)} }
+func newColdWord() coldWord { return coldWord{received: admission.NewWindow(admission.ColdWindow)} }
 
 // follow takes over the line of the server at an address: the newest, where an ended server's
 // line is still listed.
--- a/internal/sitetest/limit_test.go
+++ b/internal/sitetest/limit_test.go
@@ -24,7 +24,7 @@
 	limitKnown = 1500 * time.Millisecond
 	// limitOver is how long after the last answer that named it every entry knows that a limit is over: the span in which
 	// an entry with a share sends its next request, and what others need to be told.
-	limitOver = admission.LimitSpan + toldWithin + 500*time.Millisecond
+	limitOver = admission.LimitWindow + toldWithin + 500*time.Millisecond
 )
 
 // limitOptions are six entries, each of which is asked enough to use every server.
