--- a/coordination/balance/announced.go
+++ b/coordination/balance/announced.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Announced keeps the requests that were announced to a server, so that its load is known
+// Announcements keeps the requests that were announced to a server, so that its load is known
 // also for those which its last report can't show yet. Its zero value holds none. Times
 // are of any one clock.
-type Announced struct {
+type Announcements struct {
 	requests []announcedRequest
 }
 
@@ -31,7 +31,7 @@
 )
 
 // Add notes a request with a prompt of a number of tokens.
-func (a *Announced) Add(at time.Duration, prompt int) {
+func (a *Announcements) Add(at time.Duration, prompt int) {
 	if len(a.requests) == mostAnnounced {
 		a.requests = slices.Delete(a.requests, 0, 1)
 	}
@@ -41,7 +41,7 @@
 // Load is the server's load by a report of a time and what was announced since. The
 // requests that wait are taken for the newest; usualPrompt stands for those that nobody
 // has announced.
-func (a *Announced) Load(reported Load, reportedAt, now time.Duration, usualPrompt float64) Load {
+func (a *Announcements) Load(reported Load, reportedAt, now time.Duration, usualPrompt float64) Load {
 	a.forget(now)
 	load := reported
 	for _, one := range a.requests {
@@ -57,12 +57,12 @@
 	return load
 }
 
-// Reading estimates how many tokens of the announced prompts are still to be read now by a
+// UnreadTokens estimates how many tokens of the announced prompts are still to be read now by a
 // server that began each as soon as it arrived, and reads as fast as its figures say with a
 // number of requests running. At a server with free places requests run from their arrival on,
 // so that a report does not count them as waiting, and reports may show them late: without this
 // estimate a server that many reach at once looks idle until its first events are late.
-func (a *Announced) Reading(now time.Duration, figures Server, running int) float64 {
+func (a *Announcements) UnreadTokens(now time.Duration, figures Server, running int) float64 {
 	if !figures.reads() {
 		return 0
 	}
@@ -76,6 +76,6 @@
 }
 
 // forget drops the requests that were announced too long ago.
-func (a *Announced) forget(now time.Duration) {
+func (a *Announcements) forget(now time.Duration) {
 	a.requests = slices.DeleteFunc(a.requests, func(one announcedRequest) bool { return now-one.at > announcedMemory })
 }
--- a/coordination/balance/balance.go
+++ b/coordination/balance/balance.go
@@ -24,9 +24,9 @@
 	// UsualPrompt and UsualAnswer are mean sizes in tokens.
 	UsualPrompt float64
 	UsualAnswer float64
-	// WholeMilliseconds is the mean time of a whole request at a server that reads
+	// RequestMilliseconds is the mean time of a whole request at a server that reads
 	// no prompts.
-	WholeMilliseconds float64
+	RequestMilliseconds float64
 }
 
 // Load is what is known of a server's work.
@@ -55,7 +55,7 @@
 func (s Server) ServiceTime() time.Duration {
 	slots := float64(max(1, s.Slots))
 	if !s.reads() {
-		return milliseconds(s.WholeMilliseconds / slots)
+		return milliseconds(s.RequestMilliseconds / slots)
 	}
 	return milliseconds(s.step(slots)*s.UsualAnswer/slots + 1000*s.UsualPrompt/s.ReadPerSecond)
 }
@@ -87,9 +87,9 @@
 	return 1 / perToken
 }
 
-// FirstEvent predicts the time until a request that is sent now begins to be
+// TimeToFirstEvent predicts the time until a request that is sent now begins to be
 // answered.
-func (s Server) FirstEvent(load Load, prompt int) time.Duration {
+func (s Server) TimeToFirstEvent(load Load, prompt int) time.Duration {
 	held := load.Running + load.Waiting
 	full := max(0, held+1-s.Slots)
 	delay := float64(full) * float64(s.ServiceTime()) / float64(time.Millisecond)
@@ -102,7 +102,7 @@
 		}
 		delay += passes * s.pass(float64(load.Running))
 	} else {
-		delay += s.WholeMilliseconds
+		delay += s.RequestMilliseconds
 	}
 	if load.Pace > 1 {
 		delay *= load.Pace
@@ -110,19 +110,21 @@
 	return milliseconds(delay)
 }
 
-// Alone predicts when an idle server begins to answer a request.
-func (s Server) Alone(prompt int) time.Duration { return s.FirstEvent(Load{}, prompt) }
+// IdleTimeToFirstEvent predicts when an idle server begins to answer a request.
+func (s Server) IdleTimeToFirstEvent(prompt int) time.Duration {
+	return s.TimeToFirstEvent(Load{}, prompt)
+}
 
 // Wait predicts how long a request that is sent now waits for others. It is the same for all sizes: reckoned with a
 // request's own size it would be longer for large ones, whose reading others slow down.
 func (s Server) Wait(load Load) time.Duration {
 	usual := int(s.UsualPrompt)
-	return s.FirstEvent(load, usual) - s.FirstEvent(Load{Pace: load.Pace}, usual)
+	return s.TimeToFirstEvent(load, usual) - s.TimeToFirstEvent(Load{Pace: load.Pace}, usual)
 }
 
-// MostWait is how long requests may wait for others where a usual one is to begin within a limit.
-func (s Server) MostWait(limit time.Duration) time.Duration {
-	return max(0, limit-s.Alone(int(s.UsualPrompt)))
+// MaxWait is how long requests may wait for others where a usual one is to begin within a limit.
+func (s Server) MaxWait(limit time.Duration) time.Duration {
+	return max(0, limit-s.IdleTimeToFirstEvent(int(s.UsualPrompt)))
 }
 
 // Duration predicts the time in which an answer of a number of tokens is written.
@@ -130,7 +132,7 @@
 	step := s.step(float64(load.Running+1)) * max(1, load.Pace)
 	// Prompts of others are read between the steps.
 	const reading = 1.25
-	return s.FirstEvent(load, prompt) + milliseconds(reading*step*float64(answer))
+	return s.TimeToFirstEvent(load, prompt) + milliseconds(reading*step*float64(answer))
 }
 
 func milliseconds(value float64) time.Duration {
--- a/coordination/balance/balance_test.go
+++ b/coordination/balance/balance_test.go
@@ -17,29 +17,29 @@
 func TestUnreadPromptsOutweighRunningRequests(t *testing.T) {
 	stormed := Load{Running: 0, Waiting: 6, Unread: 6 * 979}
 	busy := Load{Running: 9}
-	assert.Greater(t, engine.FirstEvent(stormed, 979), engine.FirstEvent(busy, 979))
+	assert.Greater(t, engine.TimeToFirstEvent(stormed, 979), engine.TimeToFirstEvent(busy, 979))
 }
 
 func TestIdleServerReadsThePromptAndWritesOneEvent(t *testing.T) {
-	assert.InDelta(t, 47+46, float64(engine.FirstEvent(Load{}, 979))/float64(time.Millisecond), 1)
+	assert.InDelta(t, 47+46, float64(engine.TimeToFirstEvent(Load{}, 979))/float64(time.Millisecond), 1)
 }
 
 func TestFullServerWaitsForAPlace(t *testing.T) {
-	almost := engine.FirstEvent(Load{Running: 15}, 979)
-	full := engine.FirstEvent(Load{Running: 16}, 979)
+	almost := engine.TimeToFirstEvent(Load{Running: 15}, 979)
+	full := engine.TimeToFirstEvent(Load{Running: 16}, 979)
 	assert.InDelta(t, float64(engine.ServiceTime()), float64(full-almost), float64(2*time.Millisecond))
 	assert.InDelta(t, 108, float64(engine.ServiceTime())/float64(time.Millisecond), 5)
 }
 
 func TestSlowServersCountAsSlow(t *testing.T) {
-	even := float64(engine.FirstEvent(Load{Running: 4}, 500))
-	assert.InDelta(t, 3*even, float64(engine.FirstEvent(Load{Running: 4, Pace: 3}, 500)), float64(time.Microsecond))
+	even := float64(engine.TimeToFirstEvent(Load{Running: 4}, 500))
+	assert.InDelta(t, 3*even, float64(engine.TimeToFirstEvent(Load{Running: 4, Pace: 3}, 500)), float64(time.Microsecond))
 }
 
 func TestPlainServersQueue(t *testing.T) {
-	plain := Server{Slots: 6, WholeMilliseconds: 60}
-	assert.Equal(t, 60*time.Millisecond, plain.FirstEvent(Load{Running: 5}, 0))
-	assert.Equal(t, 90*time.Millisecond, plain.FirstEvent(Load{Running: 8}, 0))
+	plain := Server{Slots: 6, RequestMilliseconds: 60}
+	assert.Equal(t, 60*time.Millisecond, plain.TimeToFirstEvent(Load{Running: 5}, 0))
+	assert.Equal(t, 90*time.Millisecond, plain.TimeToFirstEvent(Load{Running: 8}, 0))
 }
 
 // Prompts are read in chunks, and between two of them the server writes for those that
@@ -48,9 +48,9 @@
 	server := Server{Slots: 16, StepMilliseconds: 10, Stride: 6, ReadPerSecond: 30000, ReadChunk: 2000}
 	load := Load{Running: 10, Waiting: 5, Unread: 5000}
 	reading, passes := 200*time.Millisecond, 1+3
-	assert.Equal(t, reading+time.Duration(passes)*60*time.Millisecond, server.FirstEvent(load, 1000))
+	assert.Equal(t, reading+time.Duration(passes)*60*time.Millisecond, server.TimeToFirstEvent(load, 1000))
 	server.ReadChunk = 0
-	assert.Equal(t, reading+2*60*time.Millisecond, server.FirstEvent(load, 1000), "as long as no chunk is published")
+	assert.Equal(t, reading+2*60*time.Millisecond, server.TimeToFirstEvent(load, 1000), "as long as no chunk is published")
 }
 
 // The wait for others grows with the load and with the pace of a slow server; an idle one makes nobody wait,
@@ -65,9 +65,9 @@
 	busy.Pace = 2
 	assert.Greater(t, server.Wait(busy), server.Wait(Load{Running: 16, Waiting: 2, Unread: 3000}))
 	limit := 400 * time.Millisecond
-	assert.Equal(t, limit-server.FirstEvent(Load{}, 1000), server.MostWait(limit))
-	assert.Zero(t, server.MostWait(10*time.Millisecond))
-	plain := Server{Slots: 4, WholeMilliseconds: 60}
+	assert.Equal(t, limit-server.TimeToFirstEvent(Load{}, 1000), server.MaxWait(limit))
+	assert.Zero(t, server.MaxWait(10*time.Millisecond))
+	plain := Server{Slots: 4, RequestMilliseconds: 60}
 	assert.Zero(t, plain.Wait(Load{Running: 3}))
 	assert.Equal(t, 15*time.Millisecond, plain.Wait(Load{Running: 4}))
 }
--- a/coordination/balance/learned.go
+++ b/coordination/balance/learned.go
@@ -35,9 +35,9 @@
 	assumedAnswer           = 100
 )
 
-// Learned is what the answers of a service's servers show of their speed. Its zero
+// Estimator is what the answers of a service's servers show of their speed. Its zero
 // value knows nothing yet.
-type Learned struct {
+type Estimator struct {
 	// reading holds prompt tokens over the seconds until the first event less the pass
 	// that writes it, at servers that had nothing else to do; idle holds the whole time
 	// over the one that the published figures predict.
@@ -65,9 +65,9 @@
 
 func (m *mean) value() float64 { return m.sum / m.weight }
 
-// IdleFirstEvent notes how long a server that had nothing else to do took until the
+// RecordIdleFirstEvent notes how long a server that had nothing else to do took until the
 // first event of a request, where the published figures are those given.
-func (l *Learned) IdleFirstEvent(published Server, prompt int, delay time.Duration) {
+func (l *Estimator) RecordIdleFirstEvent(published Server, prompt int, delay time.Duration) {
 	if prompt <= 0 || delay <= 0 {
 		return
 	}
@@ -75,14 +75,14 @@
 	reading := max(delay.Seconds()-pass/millisecondsASecond, leastReadingShare*delay.Seconds())
 	l.reading.add(float64(prompt), reading)
 	if published.ReadPerSecond > 0 {
-		predicted := published.Alone(prompt)
+		predicted := published.IdleTimeToFirstEvent(prompt)
 		l.idle.add(float64(min(delay, outlier*predicted)), float64(predicted))
 	}
 }
 
-// Stream notes a complete answer: its events and the time from the first of them to
+// RecordStream notes a complete answer: its events and the time from the first of them to
 // the last.
-func (l *Learned) Stream(prompt, events int, writing time.Duration) {
+func (l *Estimator) RecordStream(prompt, events int, writing time.Duration) {
 	if prompt > 0 {
 		l.prompt.add(float64(prompt), 1)
 	}
@@ -92,9 +92,9 @@
 	}
 }
 
-// Complete fills in the figures of a model server that are not published, and replaces
+// Merge fills in the figures of a model server that are not published, and replaces
 // those that the answers contradict.
-func (l *Learned) Complete(published Server) Server {
+func (l *Estimator) Merge(published Server) Server {
 	server := published
 	if server.Slots < 1 {
 		server.Slots = assumedSlots
@@ -114,7 +114,7 @@
 
 // idleContradicts reports whether idle servers begin requests so much sooner or later
 // than the published figures say that the reading rate can't be right.
-func (l *Learned) idleContradicts() bool {
+func (l *Estimator) idleContradicts() bool {
 	if l.idle.samples < enoughToCorrect {
 		return false
 	}
--- a/coordination/balance/margin.go
+++ b/coordination/balance/margin.go
@@ -29,16 +29,16 @@
 		return
 	}
 	step := marginStep * inTime
-	if float64(excess)/float64(target) < m.Share() {
+	if float64(excess)/float64(target) < m.Fraction() {
 		step = -marginStep * (1 - inTime)
 	}
 	m.above = min(max(m.above+step, 0), mostMargin-leastMargin)
 }
 
-// Share is the margin as a share of the target.
-func (m *Margin) Share() float64 { return leastMargin + m.above }
+// Fraction is the margin as a share of the target.
+func (m *Margin) Fraction() float64 { return leastMargin + m.above }
 
 // Limit is the latest time at which a request of usual size with a target is to be expected to begin.
 func (m *Margin) Limit(target time.Duration) time.Duration {
-	return time.Duration((1 - m.Share()) * float64(target))
+	return time.Duration((1 - m.Fraction()) * float64(target))
 }
--- a/coordination/dispatch/core.go
+++ b/coordination/dispatch/core.go
@@ -77,7 +77,7 @@
 	// that is being fetched, as of the last decision.
 	leastMissing map[uint64]int
 	// learned is what the answers of each service of model servers have shown.
-	learned map[string]*balance.Learned
+	learned map[string]*balance.Estimator
 	// margins learn the limit of refusals of each service.
 	margins map[string]*balance.Margin
 	// demands are what is asked of each service in a region by requests that may be served
@@ -117,7 +117,7 @@
 		zone: options.Zone, regions: options.Regions, policy: options.Policy, random: options.Random, shuffle: options.Shuffle,
 		byID: map[string]*Candidate{}, byService: map[string][]*Candidate{}, byAddress: map[string]*Candidate{},
 		words: map[string]heardWord{}, leastMissing: map[uint64]int{},
-		learned: map[string]*balance.Learned{}, margins: map[string]*balance.Margin{},
+		learned: map[string]*balance.Estimator{}, margins: map[string]*balance.Margin{},
 		demands: map[regionalService]*residency.Demand{}, scarce: map[string]float64{},
 		usual: map[string]*shedding.RetryDetector{}, targets: map[string]*shedding.TargetEstimator{}, pressures: map[string]*shedding.OverloadDetector{}, started: options.Started, health: health.New(options.Self),
 		bounded: newMembers(options.Self, options.Started), kept: map[string]keptServer{}, emptying: newEmptying(),
--- a/coordination/dispatch/learning.go
+++ b/coordination/dispatch/learning.go
@@ -9,17 +9,17 @@
 // Figures returns the figures to predict a service's model servers with: the
 // published ones, completed and corrected by what its answers have shown.
 func (c *Core) Figures(service string, engine *Engine) balance.Server {
-	return c.learnedOf(service).Complete(engine.Published)
+	return c.learnedOf(service).Merge(engine.Published)
 }
 
 // LearnStream notes a stream that one server of a service has written from its first event to
 // its last.
 func (c *Core) LearnStream(service string, prompt, events int, writing time.Duration) {
-	c.learnedOf(service).Stream(prompt, events, writing)
+	c.learnedOf(service).RecordStream(prompt, events, writing)
 }
 
 // learnedOf returns what is learned of a service.
-func (c *Core) learnedOf(service string) *balance.Learned {
+func (c *Core) learnedOf(service string) *balance.Estimator {
 	return held(c.learned, service)
 }
 
@@ -40,6 +40,6 @@
 // else to do.
 func (c *Core) learnFirstEvent(send *Send, now time.Time) {
 	if send.idle {
-		c.learnedOf(send.service).IdleFirstEvent(send.engine.Published, send.prompt, now.Sub(send.sentAt))
+		c.learnedOf(send.service).RecordIdleFirstEvent(send.engine.Published, send.prompt, now.Sub(send.sentAt))
 	}
 }
--- a/coordination/dispatch/prediction.go
+++ b/coordination/dispatch/prediction.go
@@ -72,7 +72,7 @@
 // model describes the server to the predictions.
 func (k *Candidate) model(request *Request) balance.Server {
 	if request.Engine == nil {
-		return balance.Server{Slots: max(1, k.listing.server.Slots), WholeMilliseconds: max(k.answers.meanMilliseconds, leastMilliseconds)}
+		return balance.Server{Slots: max(1, k.listing.server.Slots), RequestMilliseconds: max(k.answers.meanMilliseconds, leastMilliseconds)}
 	}
 	server := request.Figures
 	if k.listing.server.Slots > 0 {
@@ -98,7 +98,7 @@
 
 // byLoad is when the server would begin the request by its load alone.
 func (c *Core) byLoad(k *Candidate, request *Request, now time.Time) time.Duration {
-	return k.model(request).FirstEvent(c.load(k, request, now), request.Prompt)
+	return k.model(request).TimeToFirstEvent(c.load(k, request, now), request.Prompt)
 }
 
 // delay is how much later than that the server has lately begun others, or the time of its link.
--- a/coordination/dispatch/refusal.go
+++ b/coordination/dispatch/refusal.go
@@ -60,8 +60,8 @@
 // admission tells what a request is admitted or refused by at a server.
 func (c *Core) admission(k *Candidate, request *Request, now time.Time) Admission {
 	return Admission{
-		Alone: k.model(request).Alone(request.Prompt), Wait: c.wait(k, request, now), Late: c.delay(k, now),
-		MostWait: c.mostWait(k, request, now), Margin: c.marginOf(request.Service).Share(),
+		Alone: k.model(request).IdleTimeToFirstEvent(request.Prompt), Wait: c.wait(k, request, now), Late: c.delay(k, now),
+		MostWait: c.mostWait(k, request, now), Margin: c.marginOf(request.Service).Fraction(),
 	}
 }
 
--- a/coordination/dispatch/returns.go
+++ b/coordination/dispatch/returns.go
@@ -54,7 +54,7 @@
 
 // firstAttemptWait is how long a first attempt may wait for others at a server.
 func (c *Core) firstAttemptWait(k *Candidate, request *Request) time.Duration {
-	return k.model(request).MostWait(c.limit(request))
+	return k.model(request).MaxWait(c.limit(request))
 }
 
 // mostWait is how long a request may wait for others at a server.
--- a/coordination/dispatch/returns_test.go
+++ b/coordination/dispatch/returns_test.go
@@ -87,7 +87,7 @@
 func TestLongPromptsOfLateCallersAreAdmittedAtIdleServers(t *testing.T) {
 	core, server, wanted, now := returning(5*time.Second, true)
 	server.word.Running, wanted.Prompt = 0, 9000
-	require.Greater(t, wanted.Figures.FirstEvent(balance.Load{}, wanted.Prompt), 300*time.Millisecond)
+	require.Greater(t, wanted.Figures.TimeToFirstEvent(balance.Load{}, wanted.Prompt), 300*time.Millisecond)
 	_, refusal := core.Choose(wanted, now)
 	assert.Nil(t, refusal)
 }
--- a/coordination/dispatch/script_test.go
+++ b/coordination/dispatch/script_test.go
@@ -381,7 +381,7 @@
 	}
 	refusal := s.refused(s.request(), RefusedOverload)
 	assert.Greater(t, refusal.Admission.Wait, refusal.Admission.MostWait)
-	assert.Equal(t, scriptEngine.Published.MostWait(440*time.Millisecond), refusal.Admission.MostWait)
+	assert.Equal(t, scriptEngine.Published.MaxWait(440*time.Millisecond), refusal.Admission.MostWait)
 	assert.Equal(t, 200*time.Millisecond, refusal.OldestWord)
 	assert.Equal(t, min(refusal.Admission.Wait-refusal.Admission.MostWait/2, refusalRetryCap), refusal.RetryAfter)
 	s.hear("a6", 0, Word{Version: 1})
--- a/coordination/shedding/fake_test.go
+++ b/coordination/shedding/fake_test.go
@@ -230,7 +230,7 @@
 	arrival := Arrival{Remaining: c.until - f.now}
 	arrival.Elapsed = e.usual[f.kinds[c.kind].route].RecordArrival(f.now, arrival.Remaining)
 	e.targets.Record(target)
-	full := figures.MostWait(e.margin.Limit(e.targets.Bound(target)))
+	full := figures.MaxWait(e.margin.Limit(e.targets.Bound(target)))
 	most := f.wait(f, e, full, arrival)
 	best, soonest, wait := f.soonest(e, c)
 	if c.tries > 1 {
@@ -262,7 +262,7 @@
 			continue
 		}
 		load := f.known(e, f.servers[i])
-		if expected := figures.FirstEvent(load, c.prompt); expected < soonest {
+		if expected := figures.TimeToFirstEvent(load, c.prompt); expected < soonest {
 			best, soonest, wait = f.servers[i], expected, figures.Wait(load)
 		}
 	}
--- a/internal/rollout/agent.go
+++ b/internal/rollout/agent.go
@@ -76,7 +76,7 @@
 	// here to end it at its bound.
 	unguarded uint64
 	// announced are the requests that entries have told to be on their way.
-	announced balance.Announced
+	announced balance.Announcements
 	// cold is what entries are told so that a cold server is not overrun.
 	cold coldWord
 }
--- a/internal/rollout/load_test.go
+++ b/internal/rollout/load_test.go
@@ -15,7 +15,7 @@
 // prompts count whole.
 func TestAgentTellsOfPromptsThatRunningRequestsHaveYetToRead(t *testing.T) {
 	figures := balance.Server{Slots: 12, Stride: 1, StepMilliseconds: 10, ReadPerSecond: 20000, UsualPrompt: 800}
-	var announced balance.Announced
+	var announced balance.Announcements
 	for range 10 {
 		announced.Add(time.Second, 1000)
 	}
--- a/internal/rollout/restarted.go
+++ b/internal/rollout/restarted.go
@@ -14,7 +14,7 @@
 // was announced to it. What lies at it may be gone, and is read anew. The mutex is held.
 func (a *Agent) serverRestarted(ctx context.Context, report fleet.Report) {
 	a.log.Log(logging.ServerRestarted, zap.Int64("born", int64(report.Born)), zap.Int64("former", int64(a.report.Born)))
-	a.announced = balance.Announced{}
+	a.announced = balance.Announcements{}
 	a.cold = newColdWord()
 	a.announcement.Withdraw()
 	a.unguarded = 0
