--- a/coordination/budget/budget.go
+++ b/coordination/budget/budget.go
@@ -32,24 +32,24 @@
 // SetRatio changes how many repeats each request allows; what is counted stays.
 func (b *Budget) SetRatio(ratio float64) { b.options.Ratio = ratio }
 
-// Request counts a caller's request.
-func (b *Budget) Request(now time.Duration) {
+// RecordRequest counts a caller's request.
+func (b *Budget) RecordRequest(now time.Duration) {
 	b.advance(now)
 	b.requests[b.newest%buckets]++
 }
 
-// Take spends one repeat, if there is one: the repeats of the window must stay
+// Spend spends one repeat, if there is one: the repeats of the window must stay
 // within the ratio of its requests and this member's part of the slack.
-func (b *Budget) Take(now time.Duration, slackPart float64) bool {
-	if b.Left(now, slackPart) < 1 {
+func (b *Budget) Spend(now time.Duration, slackPart float64) bool {
+	if b.Remaining(now, slackPart) < 1 {
 		return false
 	}
 	b.repeats[b.newest%buckets]++
 	return true
 }
 
-// Left returns how many repeats may be spent now.
-func (b *Budget) Left(now time.Duration, slackPart float64) float64 {
+// Remaining returns how many repeats may be spent now.
+func (b *Budget) Remaining(now time.Duration, slackPart float64) float64 {
 	b.advance(now)
 	requests, repeats := 0, 0
 	for index := range buckets {
@@ -76,9 +76,9 @@
 // cautiousMembers is how many members are assumed until the others are known.
 const cautiousMembers = 16
 
-// SlackPart is a member's part of a slack that all members share. Members that
+// SlackShare is a member's part of a slack that all members share. Members that
 // join must find their part unspent, so that one more than seen is reckoned with.
-func SlackPart(slack, mostSeen int, settled bool) float64 {
+func SlackShare(slack, mostSeen int, settled bool) float64 {
 	members := mostSeen + 1
 	if !settled {
 		members = max(members, cautiousMembers)
--- a/coordination/budget/budget_test.go
+++ b/coordination/budget/budget_test.go
@@ -13,26 +13,26 @@
 func TestRepeatsAreAShareOfRequests(t *testing.T) {
 	b := New(Options{Ratio: 0.2, Window: window})
 	for range 10 {
-		b.Request(time.Second)
+		b.RecordRequest(time.Second)
 	}
-	assert.True(t, b.Take(time.Second, 0))
-	assert.True(t, b.Take(time.Second, 0))
-	assert.False(t, b.Take(time.Second, 0), "0.2 x 10 requests allow two repeats")
-	assert.True(t, b.Take(time.Second, 1), "the slack allows one more")
+	assert.True(t, b.Spend(time.Second, 0))
+	assert.True(t, b.Spend(time.Second, 0))
+	assert.False(t, b.Spend(time.Second, 0), "0.2 x 10 requests allow two repeats")
+	assert.True(t, b.Spend(time.Second, 1), "the slack allows one more")
 }
 
 func TestWindowForgets(t *testing.T) {
 	b := New(Options{Ratio: 0, Window: window})
-	assert.True(t, b.Take(0, 1))
-	assert.False(t, b.Take(window-time.Second, 1))
-	assert.True(t, b.Take(window+time.Second, 1))
+	assert.True(t, b.Spend(0, 1))
+	assert.False(t, b.Spend(window-time.Second, 1))
+	assert.True(t, b.Spend(window+time.Second, 1))
 }
 
 func TestSlackPartsNeverAddUpToMore(t *testing.T) {
 	for members := 1; members < 40; members++ {
-		assert.LessOrEqual(t, float64(members)*SlackPart(100, members, true), 100.0)
+		assert.LessOrEqual(t, float64(members)*SlackShare(100, members, true), 100.0)
 	}
-	assert.LessOrEqual(t, 16*SlackPart(100, 1, false), 100.0)
+	assert.LessOrEqual(t, 16*SlackShare(100, 1, false), 100.0)
 }
 
 // In no window do the members together repeat more than the users allow, however
@@ -58,9 +58,9 @@
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond
 			member := rapid.IntRange(0, members-1).Draw(t, "member")
 			if rapid.Bool().Draw(t, "request") {
-				budgets[member].Request(now)
+				budgets[member].RecordRequest(now)
 				history = append(history, moment{at: now})
-			} else if budgets[member].Take(now, SlackPart(slack, members, true)) {
+			} else if budgets[member].Spend(now, SlackShare(slack, members, true)) {
 				history = append(history, moment{at: now, repeat: true})
 			}
 		}
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -138,7 +138,7 @@
 func (f *Forwarder) countRequest(service string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.budgetOf(service).Request(time.Since(f.started))
+	f.budgetOf(service).RecordRequest(time.Since(f.started))
 }
 
 // takeRetry spends one repeat of a service's budget.
@@ -146,7 +146,7 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	now := time.Since(f.started)
-	return f.budgetOf(service).Take(now, f.slackPart(now))
+	return f.budgetOf(service).Spend(now, f.slackPart(now))
 }
 
 // hasRetry reports whether a service's budget has a repeat left.
@@ -154,13 +154,13 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	now := time.Since(f.started)
-	return f.budgetOf(service).Left(now, f.slackPart(now)) >= 1
+	return f.budgetOf(service).Remaining(now, f.slackPart(now)) >= 1
 }
 
 // slackPart is this entry's part of the slack that each service's repeats have; the mutex is held.
 func (f *Forwarder) slackPart(now time.Duration) float64 {
 	f.mostPeers = max(f.mostPeers, f.options.Peers())
-	return budget.SlackPart(int(slackShare*float64(f.targets.bounds.Load().RetrySlack)), f.mostPeers+1, now > settleTime)
+	return budget.SlackShare(int(slackShare*float64(f.targets.bounds.Load().RetrySlack)), f.mostPeers+1, now > settleTime)
 }
 
 // work is one request being forwarded.
