--- a/coordination/attempt/attempt.go
+++ b/coordination/attempt/attempt.go
@@ -54,8 +54,8 @@
 const (
 	// Window is how many sequence numbers of a session are remembered.
 	Window = 4096
-	// MaximumClosedSessions is how many ended sessions are remembered.
-	MaximumClosedSessions = 256
+	// MaxClosedSessions is how many ended sessions are remembered.
+	MaxClosedSessions = 256
 )
 
 type state uint8
@@ -111,7 +111,7 @@
 	}
 	ended.closed = true
 	l.closedOrder = append(l.closedOrder, sessionID)
-	if len(l.closedOrder) > MaximumClosedSessions {
+	if len(l.closedOrder) > MaxClosedSessions {
 		delete(l.sessions, l.closedOrder[0])
 		l.closedOrder = slices.Delete(l.closedOrder, 0, 1)
 	}
--- a/coordination/attempt/attempt_test.go
+++ b/coordination/attempt/attempt_test.go
@@ -64,14 +64,14 @@
 
 func TestMemoryIsBounded(t *testing.T) {
 	ledger := NewLedger(7)
-	for range 10 * MaximumClosedSessions {
+	for range 10 * MaxClosedSessions {
 		session := ledger.Open()
 		for sequence := uint64(1); sequence <= 3; sequence++ {
 			ledger.Submit(ID{Incarnation: 7, Session: session, Sequence: sequence * 1000})
 		}
 		ledger.Close(session)
 	}
-	assert.LessOrEqual(t, len(ledger.sessions), MaximumClosedSessions)
+	assert.LessOrEqual(t, len(ledger.sessions), MaxClosedSessions)
 	session := ledger.Open()
 	for sequence := uint64(1); sequence <= 5*Window; sequence += 7 {
 		ledger.Submit(ID{Incarnation: 7, Session: session, Sequence: sequence})
