--- a/coordination/quarantine/archive.go
+++ b/coordination/quarantine/archive.go
@@ -20,7 +20,7 @@
 
 // heldWord is a word with its place among those that were taken in.
 type heldWord struct {
-	word     Word
+	word     Report
 	sequence uint64
 }
 
@@ -36,8 +36,8 @@
 // Sequence is that of the word taken in last.
 func (a *Archive) Sequence() uint64 { return a.sequence }
 
-// Hold takes a word in and reports whether it is news.
-func (a *Archive) Hold(word Word, now time.Duration) bool {
+// Add takes a word in and reports whether it is news.
+func (a *Archive) Add(word Report, now time.Duration) bool {
 	key := wordKey{word.Entry, word.Number}
 	if _, known := a.held[key]; known || now-word.At > word.memory() {
 		return false
@@ -45,7 +45,7 @@
 	if word.Kind == Quarantined && a.isLifted(word) {
 		return false
 	}
-	if word.Kind == Cleared && word.Lifts {
+	if word.Kind == Cleared && word.LiftsQuarantine {
 		a.dropLifted(word)
 	}
 	a.makeRoom(word.Kind)
@@ -55,20 +55,20 @@
 }
 
 // memory is how long a word may still matter to somebody.
-func (w Word) memory() time.Duration {
+func (w Report) memory() time.Duration {
 	switch {
 	case w.Kind == Quarantined:
-		return w.Lasts + longestQuarantine
-	case w.Kind == Cleared && w.Lifts:
+		return w.Duration + longestQuarantine
+	case w.Kind == Cleared && w.LiftsQuarantine:
 		return longestQuarantine
 	}
 	return evidenceMemory
 }
 
 // isLifted reports whether a quarantine is known to have been ended.
-func (a *Archive) isLifted(word Word) bool {
+func (a *Archive) isLifted(word Report) bool {
 	for _, one := range a.held {
-		if one.word.Kind == Cleared && one.word.Lifts && one.word.Content == word.Content && one.word.At >= word.At {
+		if one.word.Kind == Cleared && one.word.LiftsQuarantine && one.word.Fingerprint == word.Fingerprint && one.word.At >= word.At {
 			return true
 		}
 	}
@@ -76,9 +76,9 @@
 }
 
 // dropLifted drops the words of a quarantine that has been ended.
-func (a *Archive) dropLifted(by Word) {
+func (a *Archive) dropLifted(by Report) {
 	for key, one := range a.held {
-		if one.word.Kind == Quarantined && one.word.Content == by.Content && one.word.At <= by.At {
+		if one.word.Kind == Quarantined && one.word.Fingerprint == by.Fingerprint && one.word.At <= by.At {
 			delete(a.held, key)
 		}
 	}
@@ -92,15 +92,15 @@
 	for _, one := range a.held {
 		if one.word.Kind == kind {
 			same = append(same, one)
-			counts[one.word.Content.Caller]++
+			counts[one.word.Fingerprint.Caller]++
 		}
 	}
 	if len(same) < mostOf(kind) {
 		return
 	}
 	last := slices.MinFunc(same, func(x, y heldWord) int {
-		if kind == Quarantined && counts[x.word.Content.Caller] != counts[y.word.Content.Caller] {
-			return counts[y.word.Content.Caller] - counts[x.word.Content.Caller]
+		if kind == Quarantined && counts[x.word.Fingerprint.Caller] != counts[y.word.Fingerprint.Caller] {
+			return counts[y.word.Fingerprint.Caller] - counts[x.word.Fingerprint.Caller]
 		}
 		return int(x.sequence) - int(y.sequence)
 	})
@@ -109,7 +109,7 @@
 
 func mostOf(kind Kind) int {
 	switch kind {
-	case Ended:
+	case Crashed:
 		return mostEndWords
 	case Cleared:
 		return mostClearedWords
@@ -118,7 +118,7 @@
 }
 
 // Since lists the words that were taken in after a sequence, in order.
-func (a *Archive) Since(sequence uint64) []Word {
+func (a *Archive) Since(sequence uint64) []Report {
 	var later []heldWord
 	for _, one := range a.held {
 		if one.sequence > sequence {
@@ -126,7 +126,7 @@
 		}
 	}
 	slices.SortFunc(later, func(x, y heldWord) int { return int(x.sequence) - int(y.sequence) })
-	words := make([]Word, 0, len(later))
+	words := make([]Report, 0, len(later))
 	for _, one := range later {
 		words = append(words, one.word)
 	}
--- a/coordination/quarantine/content.go
+++ b/coordination/quarantine/content.go
@@ -7,20 +7,20 @@
 	"hash"
 )
 
-// ContentSize is the length of a content's identity in bytes: no tenant can find a second content
+// FingerprintSize is the length of a content's identity in bytes: no tenant can find a second content
 // for the identity of another's in less than 2^128 tries.
-const ContentSize = 16
+const FingerprintSize = 16
 
-// Content identifies what a request asks for, whatever id it carries: two requests of a caller to
+// Fingerprint identifies what a request asks for, whatever id it carries: two requests of a caller to
 // the same host and target with the same body are the same content.
-type Content struct {
-	ID [ContentSize]byte
+type Fingerprint struct {
+	ID [FingerprintSize]byte
 	// Caller tells contents of one caller from those of others, so that none fills the memory alone.
 	Caller uint64
 }
 
 // String is the identity in hex, as logs, dumps and operators' commands name it.
-func (c Content) String() string { return hex.EncodeToString(c.ID[:]) }
+func (c Fingerprint) String() string { return hex.EncodeToString(c.ID[:]) }
 
 // Hasher computes a content's identity while the body is being read.
 type Hasher struct {
@@ -52,9 +52,9 @@
 // Write implements io.Writer for the body.
 func (h *Hasher) Write(part []byte) (int, error) { return h.state.Write(part) }
 
-// Content returns the identity of what was written.
-func (h *Hasher) Content() Content {
-	content := Content{Caller: h.caller}
+// Fingerprint returns the identity of what was written.
+func (h *Hasher) Fingerprint() Fingerprint {
+	content := Fingerprint{Caller: h.caller}
 	copy(content.ID[:], h.state.Sum(nil))
 	return content
 }
--- a/coordination/quarantine/content_test.go
+++ b/coordination/quarantine/content_test.go
@@ -6,16 +6,16 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func contentOf(caller, host, target, body string) Content {
+func contentOf(caller, host, target, body string) Fingerprint {
 	hasher := NewHasher(caller, host, target)
 	_, _ = hasher.Write([]byte(body))
-	return hasher.Content()
+	return hasher.Fingerprint()
 }
 
 func TestContentTellsRequestsApartByEachPart(t *testing.T) {
 	same := contentOf("college", "a.example", "/x/1", "body")
 	assert.Equal(t, same, contentOf("college", "a.example", "/x/1", "body"))
-	for _, other := range []Content{
+	for _, other := range []Fingerprint{
 		contentOf("other", "a.example", "/x/1", "body"), contentOf("college", "b.example", "/x/1", "body"),
 		contentOf("college", "a.example", "/x/2", "body"), contentOf("college", "a.example", "/x/1", "body "),
 		// Parts that would be the same text when joined.
@@ -42,7 +42,7 @@
 			for range b.N {
 				hasher := NewHasher("college", "a.example", "/x/1")
 				_, _ = hasher.Write(body)
-				_ = hasher.Content()
+				_ = hasher.Fingerprint()
 			}
 		})
 	}
--- a/coordination/quarantine/evidence.go
+++ b/coordination/quarantine/evidence.go
@@ -13,8 +13,8 @@
 	evidenceMemory = 15 * time.Minute
 	// mostEnds and MostSuspects bound the memory: of a server's suspects those are kept that were sent
 	// last, since a content ends its server soon after it has begun.
-	mostEnds     = 256
-	MostSuspects = 64
+	mostEnds    = 256
+	MaxSuspects = 64
 	// sameEnd is by how much the moments may differ at which processes see the same end; a server is away
 	// for longer than that.
 	sameEnd = 500 * time.Millisecond
@@ -30,7 +30,7 @@
 	server string
 	at     time.Duration
 	// suspects are the contents that were under way there, by when they were sent.
-	suspects map[Content]time.Duration
+	suspects map[Fingerprint]time.Duration
 	// explained is set once a quarantined content is known to have been the cause.
 	explained bool
 }
@@ -45,11 +45,11 @@
 type evidence struct {
 	ends []*end
 	// held lists the ends of each content that are not explained, in order of time.
-	held map[Content][]*end
+	held map[Fingerprint][]*end
 	// blamed says whether a content explains an end at a moment that it was part of.
-	blamed func(content Content, at time.Duration) bool
+	blamed func(content Fingerprint, at time.Duration) bool
 	// cleared is until when ends do not count against a content.
-	cleared map[Content]clearing
+	cleared map[Fingerprint]clearing
 	// answered contents were answered not long ago.
 	answered recentlyAnswered
 }
@@ -65,7 +65,7 @@
 	if len(e.ends) >= mostEnds {
 		e.drop(e.ends[0])
 	}
-	found := &end{server: server, at: at, suspects: map[Content]time.Duration{}}
+	found := &end{server: server, at: at, suspects: map[Fingerprint]time.Duration{}}
 	e.ends = append(e.ends, found)
 	return found
 }
@@ -82,28 +82,28 @@
 
 // add puts a content under suspicion of an end, and reports whether that is news.
 func (e *evidence) add(to *end, one Suspect) bool {
-	if _, known := to.suspects[one.Content]; known {
+	if _, known := to.suspects[one.Fingerprint]; known {
 		return false
 	}
-	sent := to.at - one.Before
-	if len(to.suspects) >= MostSuspects && !e.makeRoom(to, sent) {
+	sent := to.at - one.SentBefore
+	if len(to.suspects) >= MaxSuspects && !e.makeRoom(to, sent) {
 		return false
 	}
-	to.suspects[one.Content] = sent
-	if e.blamed(one.Content, to.at) {
+	to.suspects[one.Fingerprint] = sent
+	if e.blamed(one.Fingerprint, to.at) {
 		e.explain(to)
 	}
-	if to.explained || to.at <= e.clearedAt(one.Content) {
+	if to.explained || to.at <= e.clearedAt(one.Fingerprint) {
 		return true
 	}
-	e.held[one.Content] = append(e.held[one.Content], to)
-	slices.SortFunc(e.held[one.Content], func(a, b *end) int { return cmp.Compare(a.at, b.at) })
+	e.held[one.Fingerprint] = append(e.held[one.Fingerprint], to)
+	slices.SortFunc(e.held[one.Fingerprint], func(a, b *end) int { return cmp.Compare(a.at, b.at) })
 	return true
 }
 
 // makeRoom takes the suspect off that was sent first, unless that was after a moment.
 func (e *evidence) makeRoom(of *end, sent time.Duration) bool {
-	var first Content
+	var first Fingerprint
 	earliest := sent
 	for content, at := range of.suspects {
 		if at < earliest {
@@ -119,7 +119,7 @@
 }
 
 // forget takes an end off a content's.
-func (e *evidence) forget(content Content, of *end) {
+func (e *evidence) forget(content Fingerprint, of *end) {
 	rest := slices.DeleteFunc(e.held[content], func(one *end) bool { return one == of })
 	if len(rest) == 0 {
 		delete(e.held, content)
@@ -165,7 +165,7 @@
 }
 
 // noteCleared remembers up to when a content is cleared.
-func (e *evidence) noteCleared(content Content, at time.Duration, lifts bool) {
+func (e *evidence) noteCleared(content Fingerprint, at time.Duration, lifts bool) {
 	held, known := e.cleared[content]
 	if !known && len(e.cleared) >= mostCleared {
 		return
@@ -173,7 +173,7 @@
 	e.cleared[content] = clearing{at: max(e.clearedAt(content), at), lifts: lifts || held.lifts}
 }
 
-func (e *evidence) clearedAt(content Content) time.Duration {
+func (e *evidence) clearedAt(content Fingerprint) time.Duration {
 	held, known := e.cleared[content]
 	if !known {
 		return -longestQuarantine
@@ -183,7 +183,7 @@
 
 // clear takes everything off a content that was held against it up to a moment, and reports whether
 // there was anything.
-func (e *evidence) clear(content Content, at time.Duration) bool {
+func (e *evidence) clear(content Fingerprint, at time.Duration) bool {
 	counted := len(e.held[content]) > 0
 	for _, one := range slices.Clone(e.held[content]) {
 		if one.at <= at {
@@ -197,7 +197,7 @@
 // alone that it was sent to after the one before, and that are no part of the same loss: it is under way
 // at many servers at any time, and sent on from each that ends to another, so that many which end
 // together for another cause, as in a loss of power, say nothing of it.
-func (e *evidence) score(content Content) int {
+func (e *evidence) score(content Fingerprint) int {
 	held := e.held[content]
 	if !e.answered.has(content) {
 		return len(held)
@@ -212,7 +212,7 @@
 }
 
 // leads counts the ends of a content of which no other content is as good an explanation.
-func (e *evidence) leads(content Content) int {
+func (e *evidence) leads(content Fingerprint) int {
 	own, count := e.score(content), 0
 	for _, one := range e.held[content] {
 		if !e.rivalled(one, content, own) {
@@ -223,7 +223,7 @@
 }
 
 // rivalled reports whether another content has as many ends as one.
-func (e *evidence) rivalled(one *end, content Content, own int) bool {
+func (e *evidence) rivalled(one *end, content Fingerprint, own int) bool {
 	for other := range one.suspects {
 		if other != content && e.score(other) >= own {
 			return true
@@ -233,7 +233,7 @@
 }
 
 // last is the newest end of a content, or nil.
-func (e *evidence) last(content Content) *end {
+func (e *evidence) last(content Fingerprint) *end {
 	held := e.held[content]
 	if len(held) == 0 {
 		return nil
--- a/coordination/quarantine/recent.go
+++ b/coordination/quarantine/recent.go
@@ -14,18 +14,18 @@
 // recentlyAnswered remembers contents for one to two memories: it keeps two sets, of which the older is
 // dropped when the newer one's time is over or it is full.
 type recentlyAnswered struct {
-	newer, older map[Content]struct{}
+	newer, older map[Fingerprint]struct{}
 	began        time.Duration
 }
 
-func (r *recentlyAnswered) add(content Content, now time.Duration) {
+func (r *recentlyAnswered) add(content Fingerprint, now time.Duration) {
 	if r.newer == nil || now-r.began >= answeredMemory || len(r.newer) >= mostAnswered {
-		r.older, r.newer, r.began = r.newer, map[Content]struct{}{}, now
+		r.older, r.newer, r.began = r.newer, map[Fingerprint]struct{}{}, now
 	}
 	r.newer[content] = struct{}{}
 }
 
-func (r *recentlyAnswered) has(content Content) bool {
+func (r *recentlyAnswered) has(content Fingerprint) bool {
 	if _, known := r.newer[content]; known {
 		return true
 	}
--- a/coordination/quarantine/tracker.go
+++ b/coordination/quarantine/tracker.go
@@ -48,7 +48,7 @@
 
 // brokenRequest is one of them: when it was sent, and when its connection broke.
 type brokenRequest struct {
-	content  Content
+	content  Fingerprint
 	sent, at time.Duration
 }
 
@@ -61,15 +61,15 @@
 type Change struct {
 	Kind Kind
 	// Server and Contents are those of an end that this process has seen.
-	Server   string
-	Contents []Content
-	// Content was quarantined, for Left, after it had ended Servers; or it was cleared.
-	Content Content
-	Servers []string
-	Left    time.Duration
-	Round   int
-	// By is the entry that has told it.
-	By string
+	Server       string
+	Fingerprints []Fingerprint
+	// Fingerprint was quarantined, for Left, after it had ended Servers; or it was cleared.
+	Fingerprint Fingerprint
+	Servers     []string
+	Remaining   time.Duration
+	Round       int
+	// Reporter is the entry that has told it.
+	Reporter string
 }
 
 // Tracker decides which contents may be sent to servers.
@@ -78,26 +78,26 @@
 	number uint64
 
 	evidence    evidence
-	quarantines map[Content]*quarantine
+	quarantines map[Fingerprint]*quarantine
 	// broken are by server; running are the suspects of this process that are under way, by content.
 	broken  map[string]*broken
-	running map[Content]string
+	running map[Fingerprint]string
 
-	words   []Word
+	words   []Report
 	changes []Change
 }
 
 // New returns a tracker that knows nothing. Words of a process that has started later have higher
 // numbers when it begins with a higher one.
 func New(self string, firstNumber uint64) *Tracker {
-	t := &Tracker{self: self, number: firstNumber, quarantines: map[Content]*quarantine{}, broken: map[string]*broken{}, running: map[Content]string{}}
-	t.evidence = evidence{held: map[Content][]*end{}, cleared: map[Content]clearing{}, blamed: t.inForce}
+	t := &Tracker{self: self, number: firstNumber, quarantines: map[Fingerprint]*quarantine{}, broken: map[string]*broken{}, running: map[Fingerprint]string{}}
+	t.evidence = evidence{held: map[Fingerprint][]*end{}, cleared: map[Fingerprint]clearing{}, blamed: t.inForce}
 	return t
 }
 
 // inForce reports whether a content was quarantined at a moment. The ends of some time before that have
 // the same cause.
-func (t *Tracker) inForce(content Content, at time.Duration) bool {
+func (t *Tracker) inForce(content Fingerprint, at time.Duration) bool {
 	held := t.quarantines[content]
 	return held != nil && at < held.till
 }
@@ -106,14 +106,14 @@
 func (t *Tracker) Self() string { return t.self }
 
 // tell has the others told what was found out.
-func (t *Tracker) tell(word Word) {
+func (t *Tracker) tell(word Report) {
 	t.number++
 	word.Entry, word.Number = t.self, t.number
 	t.words = append(t.words, word)
 }
 
-// TakeWords returns what the others are to be told since the last call.
-func (t *Tracker) TakeWords() []Word {
+// TakeReports returns what the others are to be told since the last call.
+func (t *Tracker) TakeReports() []Report {
 	taken := t.words
 	t.words = nil
 	return taken
@@ -126,10 +126,10 @@
 	return taken
 }
 
-// Broke notes that a request's connection to a server has ended before the answer had. That counts
+// RecordBrokenConnection notes that a request's connection to a server has ended before the answer had. That counts
 // once the server is known to have ended: connections also break by themselves. It reports whether the
 // server is to be looked after.
-func (t *Tracker) Broke(server string, content Content, sent, now time.Duration) bool {
+func (t *Tracker) RecordBrokenConnection(server string, content Fingerprint, sent, now time.Duration) bool {
 	t.expireBroken(now)
 	held := t.broken[server]
 	if held == nil {
@@ -137,7 +137,7 @@
 		t.broken[server] = held
 	}
 	held.requests = append(held.requests, brokenRequest{content: content, sent: sent, at: now})
-	held.requests = held.requests[max(0, len(held.requests)-MostSuspects):]
+	held.requests = held.requests[max(0, len(held.requests)-MaxSuspects):]
 	if known := t.evidence.known(server, now); known != nil && sent < known.at {
 		t.ended(server, known.at)
 		return false
@@ -157,16 +157,16 @@
 	}
 }
 
-// Doubts reports whether connections to a server have broken lately and its end is not known.
-func (t *Tracker) Doubts(server string, now time.Duration) bool {
+// HasBrokenConnections reports whether connections to a server have broken lately and its end is not known.
+func (t *Tracker) HasBrokenConnections(server string, now time.Duration) bool {
 	t.expireBroken(now)
 	return t.broken[server] != nil
 }
 
-// Ended notes that a server has ended without a word: its machine refuses connections, or another one
+// RecordCrash notes that a server has ended without a word: its machine refuses connections, or another one
 // is at its address.
-func (t *Tracker) Ended(server string, now time.Duration) {
-	if t.Doubts(server, now) {
+func (t *Tracker) RecordCrash(server string, now time.Duration) {
+	if t.HasBrokenConnections(server, now) {
 		requests := t.broken[server].requests
 		t.ended(server, requests[len(requests)-1].at)
 	}
@@ -180,7 +180,7 @@
 	one := t.evidence.find(server, at)
 	var fresh []Suspect
 	for _, request := range requests {
-		suspect := Suspect{Content: request.content, Before: max(0, one.at-request.sent)}
+		suspect := Suspect{Fingerprint: request.content, SentBefore: max(0, one.at-request.sent)}
 		if (request.at-at).Abs() <= sameEnd && t.evidence.add(one, suspect) {
 			fresh = append(fresh, suspect)
 		}
@@ -188,90 +188,90 @@
 	if len(fresh) == 0 {
 		return
 	}
-	t.tell(Word{Kind: Ended, At: one.at, Server: server, Suspects: fresh})
-	change := Change{Kind: Ended, Server: server, By: t.self}
+	t.tell(Report{Kind: Crashed, At: one.at, Server: server, Suspects: fresh})
+	change := Change{Kind: Crashed, Server: server, Reporter: t.self}
 	for _, suspect := range fresh {
-		change.Contents = append(change.Contents, suspect.Content)
+		change.Fingerprints = append(change.Fingerprints, suspect.Fingerprint)
 	}
 	t.changes = append(t.changes, change)
 }
 
-// Answered notes that a server has answered a content whole: it does not end its servers.
-func (t *Tracker) Answered(content Content, now time.Duration) {
+// RecordAnswer notes that a server has answered a content whole: it does not end its servers.
+func (t *Tracker) RecordAnswer(content Fingerprint, now time.Duration) {
 	t.evidence.answered.add(content, now)
 	t.clearAndTell(content, now)
 }
 
 // Release ends a quarantine at an operator's wish, and reports whether anything was held against
 // the content.
-func (t *Tracker) Release(content Content, now time.Duration) bool {
+func (t *Tracker) Release(content Fingerprint, now time.Duration) bool {
 	return t.clearAndTell(content, now)
 }
 
 // clearAndTell takes back what is held against a content, and tells the others if there was anything.
-func (t *Tracker) clearAndTell(content Content, at time.Duration) bool {
+func (t *Tracker) clearAndTell(content Fingerprint, at time.Duration) bool {
 	counted, lifted := t.clear(content, at, t.self)
 	if !counted && !lifted {
 		return false
 	}
 	t.evidence.noteCleared(content, at, lifted)
-	t.tell(Word{Kind: Cleared, At: at, Content: content, Lifts: lifted})
+	t.tell(Report{Kind: Cleared, At: at, Fingerprint: content, LiftsQuarantine: lifted})
 	return true
 }
 
 // clear takes back what is held against a content up to a moment. It reports whether ends counted
 // against it, and whether that has ended a quarantine.
-func (t *Tracker) clear(content Content, at time.Duration, by string) (counted, lifted bool) {
+func (t *Tracker) clear(content Fingerprint, at time.Duration, by string) (counted, lifted bool) {
 	counted = t.evidence.clear(content, at)
 	held := t.quarantines[content]
 	lifted = held != nil && held.at <= at
 	if lifted {
 		delete(t.quarantines, content)
-		t.changes = append(t.changes, Change{Kind: Cleared, Content: content, By: by})
+		t.changes = append(t.changes, Change{Kind: Cleared, Fingerprint: content, Reporter: by})
 	}
 	return counted, lifted
 }
 
-// Hear takes in what another process has found out, or this one in an earlier life.
-func (t *Tracker) Hear(word Word, now time.Duration) {
+// Apply takes in what another process has found out, or this one in an earlier life.
+func (t *Tracker) Apply(word Report, now time.Duration) {
 	at := min(word.At, now)
 	switch word.Kind {
-	case Ended:
+	case Crashed:
 		one := t.evidence.find(word.Server, at)
 		for _, suspect := range word.Suspects {
 			t.evidence.add(one, suspect)
 		}
-		if t.Doubts(word.Server, now) {
+		if t.HasBrokenConnections(word.Server, now) {
 			t.ended(word.Server, one.at)
 		}
 	case Cleared:
-		_, lifted := t.clear(word.Content, at, word.Entry)
-		t.evidence.noteCleared(word.Content, at, lifted || word.Lifts)
+		_, lifted := t.clear(word.Fingerprint, at, word.Entry)
+		t.evidence.noteCleared(word.Fingerprint, at, lifted || word.LiftsQuarantine)
 	case Quarantined:
-		if at > t.evidence.clearedAt(word.Content) && at+word.Lasts > now {
-			t.takeQuarantine(word.Content, &quarantine{at: at, till: at + word.Lasts, round: word.Round, servers: word.Servers, by: word.Entry}, now)
+		if at > t.evidence.clearedAt(word.Fingerprint) && at+word.Duration > now {
+			t.takeQuarantine(word.Fingerprint, &quarantine{at: at, till: at + word.Duration, round: word.Round, servers: word.Servers, by: word.Entry}, now)
 		}
 	}
 }
 
 // Admit judges a content that is about to be sent. One that is a suspect counts as under way from now
 // on until End.
-func (t *Tracker) Admit(content Content, now time.Duration) Verdict {
-	verdict := t.Judge(content, now)
+func (t *Tracker) Admit(content Fingerprint, now time.Duration) Verdict {
+	verdict := t.Evaluate(content, now)
 	if verdict.State == Suspected {
 		t.running[content] = ""
 	}
 	return verdict
 }
 
-// Begin notes to which server a suspect is being sent.
-func (t *Tracker) Begin(content Content, server string) { t.running[content] = server }
+// SetTrialServer notes to which server a suspect is being sent.
+func (t *Tracker) SetTrialServer(content Fingerprint, server string) { t.running[content] = server }
 
-// End notes that it is not under way any more.
-func (t *Tracker) End(content Content) { delete(t.running, content) }
+// EndTrial notes that it is not under way any more.
+func (t *Tracker) EndTrial(content Fingerprint) { delete(t.running, content) }
 
-// Occupied lists the servers at which suspects of this process are under way.
-func (t *Tracker) Occupied() []string {
+// TrialServers lists the servers at which suspects of this process are under way.
+func (t *Tracker) TrialServers() []string {
 	var servers []string
 	for _, server := range t.running {
 		if server != "" {
--- a/coordination/quarantine/tracker_test.go
+++ b/coordination/quarantine/tracker_test.go
@@ -20,28 +20,28 @@
 	return &script{t: t, Tracker: New(self, 1000), now: time.Minute}
 }
 
-func named(name string) Content { return contentOf("college", "a.example", "/"+name, "") }
+func named(name string) Fingerprint { return contentOf("college", "a.example", "/"+name, "") }
 
 func (s *script) wait(span time.Duration) { s.now += span }
 
 // ends has a server end under requests of this process that were sent some time before.
-func (s *script) ends(server string, contents ...Content) {
+func (s *script) ends(server string, contents ...Fingerprint) {
 	for _, content := range contents {
-		s.Broke(server, content, s.now-50*time.Millisecond, s.now)
+		s.RecordBrokenConnection(server, content, s.now-50*time.Millisecond, s.now)
 	}
-	s.Ended(server, s.now)
+	s.RecordCrash(server, s.now)
 }
 
 // settled lets the others' words come.
 func (s *script) settled() { s.wait(settleTime) }
 
-func (s *script) state(content Content) State { return s.Judge(content, s.now).State }
+func (s *script) state(content Fingerprint) State { return s.Evaluate(content, s.now).State }
 
 // tells passes everything new on to another process.
 func (s *script) tells(other *script, after time.Duration) {
-	for _, word := range s.TakeWords() {
+	for _, word := range s.TakeReports() {
 		word.At += other.now - s.now
-		other.Hear(word, other.now+after)
+		other.Apply(word, other.now+after)
 	}
 }
 
@@ -52,11 +52,11 @@
 		s.ends(fmt.Sprintf("server-%d", number), culprit, named(fmt.Sprintf("harmless-%d", number)))
 		s.wait(time.Second)
 	}
-	verdict := s.Judge(culprit, s.now)
+	verdict := s.Evaluate(culprit, s.now)
 	assert.Equal(t, InQuarantine, verdict.State)
 	assert.Equal(t, []string{"server-0", "server-1", "server-2"}, verdict.Servers)
 	for number := range endsForQuarantine {
-		assert.Equal(t, Free, s.state(named(fmt.Sprintf("harmless-%d", number))))
+		assert.Equal(t, Allowed, s.state(named(fmt.Sprintf("harmless-%d", number))))
 	}
 }
 
@@ -86,7 +86,7 @@
 	s.ends("server-3", culprit)
 	s.settled()
 	assert.Equal(t, InQuarantine, s.state(culprit))
-	assert.Equal(t, Free, s.state(victim))
+	assert.Equal(t, Allowed, s.state(victim))
 }
 
 // The culprit was sent by another entry, whose words come later than the third end.
@@ -107,7 +107,7 @@
 	other.tells(one, 0)
 	one.settled()
 	assert.Equal(t, InQuarantine, one.state(culprit))
-	assert.Equal(t, Free, one.state(victim))
+	assert.Equal(t, Allowed, one.state(victim))
 }
 
 // Two contents that can't be told apart don't end servers for ever.
@@ -129,12 +129,12 @@
 	}
 	assert.Equal(t, Suspected, s.state(named("suspect")))
 	assert.Equal(t, Suspected, s.Admit(named("suspect"), s.now).State)
-	s.Begin(named("suspect"), "server-7")
+	s.SetTrialServer(named("suspect"), "server-7")
 	assert.Equal(t, Undecided, s.state(named("suspect")))
-	assert.Equal(t, []string{"server-7"}, s.Occupied())
-	s.End(named("suspect"))
+	assert.Equal(t, []string{"server-7"}, s.TrialServers())
+	s.EndTrial(named("suspect"))
 	assert.Equal(t, Suspected, s.state(named("suspect")))
-	assert.Empty(t, s.Occupied())
+	assert.Empty(t, s.TrialServers())
 }
 
 func TestAnswerClearsAContent(t *testing.T) {
@@ -143,12 +143,12 @@
 		s.ends(fmt.Sprintf("server-%d", number), named("x"))
 		s.wait(time.Second)
 	}
-	s.Answered(named("x"), s.now)
-	assert.Equal(t, Free, s.state(named("x")))
+	s.RecordAnswer(named("x"), s.now)
+	assert.Equal(t, Allowed, s.state(named("x")))
 	s.wait(time.Second)
 	s.ends("server-9", named("x"))
 	s.settled()
-	assert.Equal(t, Free, s.state(named("x")), "one end since the answer")
+	assert.Equal(t, Allowed, s.state(named("x")), "one end since the answer")
 }
 
 // A request that was under way when its content was quarantined is answered after all.
@@ -162,10 +162,10 @@
 	assert.Equal(t, InQuarantine, one.state(named("x")))
 	one.tells(other, 0)
 	assert.Equal(t, InQuarantine, other.state(named("x")))
-	other.Answered(named("x"), other.now)
+	other.RecordAnswer(named("x"), other.now)
 	other.tells(one, 0)
-	assert.Equal(t, Free, one.state(named("x")))
-	assert.Equal(t, Free, other.state(named("x")))
+	assert.Equal(t, Allowed, one.state(named("x")))
+	assert.Equal(t, Allowed, other.state(named("x")))
 }
 
 // A connection that breaks while its server lives says nothing, and neither does one that broke long
@@ -173,14 +173,14 @@
 func TestBrokenConnectionAloneIsNoEnd(t *testing.T) {
 	s := newScript(t, "one")
 	for number := range 2 * endsForQuarantine {
-		s.Broke(fmt.Sprintf("server-%d", number), named("x"), s.now-time.Second, s.now)
-		assert.True(t, s.Doubts(fmt.Sprintf("server-%d", number), s.now))
+		s.RecordBrokenConnection(fmt.Sprintf("server-%d", number), named("x"), s.now-time.Second, s.now)
+		assert.True(t, s.HasBrokenConnections(fmt.Sprintf("server-%d", number), s.now))
 		s.wait(2 * confirmWithin)
-		s.Ended(fmt.Sprintf("server-%d", number), s.now)
+		s.RecordCrash(fmt.Sprintf("server-%d", number), s.now)
 	}
 	s.settled()
-	assert.Equal(t, Free, s.state(named("x")))
-	assert.Empty(t, s.TakeWords())
+	assert.Equal(t, Allowed, s.state(named("x")))
+	assert.Empty(t, s.TakeReports())
 }
 
 // Connections to a server go on breaking for long before it ends, as at one that resets them: what broke
@@ -190,13 +190,13 @@
 	looks := 0
 	for number := range 2000 {
 		s.wait(10 * time.Millisecond)
-		if s.Broke("server", named(fmt.Sprint(number)), s.now-time.Millisecond, s.now) {
+		if s.RecordBrokenConnection("server", named(fmt.Sprint(number)), s.now-time.Millisecond, s.now) {
 			looks++
 		}
 	}
 	assert.InDelta(t, 20*time.Second/checkPause, looks, 1)
-	assert.LessOrEqual(t, len(s.broken["server"].requests), MostSuspects)
-	s.Ended("server", s.now)
+	assert.LessOrEqual(t, len(s.broken["server"].requests), MaxSuspects)
+	s.RecordCrash("server", s.now)
 	assert.Equal(t, 1, len(s.evidence.held[named("1999")]))
 	assert.Empty(t, s.evidence.held[named("1900")], "it broke 1 s before")
 }
@@ -206,16 +206,16 @@
 func TestLossOfAllServersBlamesNoContentThatIsAnswered(t *testing.T) {
 	s := newScript(t, "one")
 	popular := named("popular")
-	s.Answered(popular, s.now)
+	s.RecordAnswer(popular, s.now)
 	s.wait(time.Second)
 	for number := range 20 {
 		s.ends(fmt.Sprintf("server-%d", number), popular)
 	}
 	s.settled()
-	assert.Equal(t, Free, s.state(popular))
+	assert.Equal(t, Allowed, s.state(popular))
 	s.wait(5 * time.Second)
-	s.Answered(popular, s.now)
-	assert.Equal(t, Free, s.state(popular))
+	s.RecordAnswer(popular, s.now)
+	assert.Equal(t, Allowed, s.state(popular))
 }
 
 // Guards against the quarantine of a content that everybody asks for: servers that are lost together end
@@ -223,23 +223,23 @@
 func TestServersLostOneAfterTheOtherBlameNoContentThatIsAnswered(t *testing.T) {
 	s := newScript(t, "one")
 	popular := named("popular")
-	s.Answered(popular, s.now)
+	s.RecordAnswer(popular, s.now)
 	s.wait(time.Second)
 	for number := range 8 {
 		server := fmt.Sprintf("server-%d", number)
 		s.wait(6 * time.Millisecond)
-		s.Broke(server, popular, s.now-time.Millisecond, s.now)
-		s.Ended(server, s.now)
+		s.RecordBrokenConnection(server, popular, s.now-time.Millisecond, s.now)
+		s.RecordCrash(server, s.now)
 	}
 	s.settled()
-	assert.Equal(t, Free, s.state(popular))
+	assert.Equal(t, Allowed, s.state(popular))
 }
 
 // The same content, once it ends every server: it is quarantined after three that it was sent to one
 // after the other.
 func TestContentThatWasAnsweredIsQuarantinedToo(t *testing.T) {
 	s := newScript(t, "one")
-	s.Answered(named("x"), s.now)
+	s.RecordAnswer(named("x"), s.now)
 	for number := range endsForQuarantine {
 		s.wait(time.Second)
 		s.ends(fmt.Sprintf("server-%d", number), named("x"))
@@ -255,8 +255,8 @@
 		entry.ends(fmt.Sprintf("server-%d", zone), named("culprit"), named(fmt.Sprintf("harmless-%d", zone)))
 		entries = append(entries, entry)
 	}
-	for _, word := range entries[1].TakeWords() {
-		entries[0].Hear(word, entries[0].now)
+	for _, word := range entries[1].TakeReports() {
+		entries[0].Apply(word, entries[0].now)
 	}
 	assert.Equal(t, Suspected, entries[0].state(named("culprit")))
 	entries[2].tells(entries[0], 0)
@@ -298,18 +298,18 @@
 		s.ends(fmt.Sprintf("server-%d", number), named("x"))
 		s.wait(time.Second)
 	}
-	first := s.Judge(named("x"), s.now)
-	assert.InDelta(t, firstQuarantine.Seconds(), first.Left.Seconds(), 2)
-	s.wait(first.Left)
+	first := s.Evaluate(named("x"), s.now)
+	assert.InDelta(t, firstQuarantine.Seconds(), first.Remaining.Seconds(), 2)
+	s.wait(first.Remaining)
 	assert.Equal(t, Suspected, s.state(named("x")), "it is tried at one server")
 	s.ends("server-9", named("x"))
 	s.settled()
-	second := s.Judge(named("x"), s.now)
+	second := s.Evaluate(named("x"), s.now)
 	assert.Equal(t, InQuarantine, second.State)
-	assert.InDelta(t, 2*firstQuarantine.Seconds(), second.Left.Seconds(), 2)
-	s.wait(second.Left)
-	s.Answered(named("x"), s.now)
-	assert.Equal(t, Free, s.state(named("x")))
+	assert.InDelta(t, 2*firstQuarantine.Seconds(), second.Remaining.Seconds(), 2)
+	s.wait(second.Remaining)
+	s.RecordAnswer(named("x"), s.now)
+	assert.Equal(t, Allowed, s.state(named("x")))
 }
 
 // A word of a quarantine that an operator has ended comes from a zone that was cut off.
@@ -322,52 +322,52 @@
 	}
 	one.settled()
 	one.Tick(one.now)
-	late := one.TakeWords()
+	late := one.TakeReports()
 	assert.True(t, one.Release(named("x"), one.now))
 	assert.False(t, one.Release(named("y"), one.now), "nothing is held against it")
 	one.tells(other, 0)
 	for _, word := range late {
-		other.Hear(word, other.now)
+		other.Apply(word, other.now)
 	}
 	other.settled()
-	assert.Equal(t, Free, one.state(named("x")))
-	assert.Equal(t, Free, other.state(named("x")))
+	assert.Equal(t, Allowed, one.state(named("x")))
+	assert.Equal(t, Allowed, other.state(named("x")))
 }
 
 // A caller with many contents of the kind does not push out that of another.
 func TestManyContentsOfOneCallerDropNoneOfAnother(t *testing.T) {
 	s := newScript(t, "one")
-	shut := func(content Content) {
+	shut := func(content Fingerprint) {
 		s.wait(time.Second)
-		s.Hear(Word{Kind: Quarantined, At: s.now, Entry: "other", Content: content, Lasts: firstQuarantine}, s.now)
+		s.Apply(Report{Kind: Quarantined, At: s.now, Entry: "other", Fingerprint: content, Duration: firstQuarantine}, s.now)
 	}
 	shut(named("x"))
 	archive := NewArchive()
-	archive.Hold(Word{Kind: Quarantined, At: s.now, Entry: "other", Content: named("x"), Lasts: firstQuarantine}, s.now)
+	archive.Add(Report{Kind: Quarantined, At: s.now, Entry: "other", Fingerprint: named("x"), Duration: firstQuarantine}, s.now)
 	for number := range 2 * mostQuarantined {
 		attacker := contentOf("attacker", "", fmt.Sprint(number), "")
 		shut(attacker)
-		archive.Hold(Word{Kind: Quarantined, At: s.now, Entry: "other", Number: uint64(number) + 1, Content: attacker, Lasts: firstQuarantine}, s.now)
+		archive.Add(Report{Kind: Quarantined, At: s.now, Entry: "other", Number: uint64(number) + 1, Fingerprint: attacker, Duration: firstQuarantine}, s.now)
 	}
 	assert.Equal(t, InQuarantine, s.state(named("x")))
 	assert.LessOrEqual(t, len(s.Describe(s.now)), mostQuarantined)
 	words := archive.Since(0)
 	assert.LessOrEqual(t, len(words), mostShutWords)
-	assert.Equal(t, named("x"), words[0].Content)
+	assert.Equal(t, named("x"), words[0].Fingerprint)
 }
 
 func TestEvidenceIsBounded(t *testing.T) {
 	s := newScript(t, "one")
 	for number := range 4 * mostEnds {
-		contents := make([]Content, 0, 2*MostSuspects)
-		for suspect := range 2 * MostSuspects {
+		contents := make([]Fingerprint, 0, 2*MaxSuspects)
+		for suspect := range 2 * MaxSuspects {
 			contents = append(contents, named(fmt.Sprintf("%d-%d", number, suspect)))
 		}
 		s.wait(time.Second)
 		s.ends(fmt.Sprintf("server-%d", number), contents...)
 	}
 	assert.LessOrEqual(t, len(s.evidence.ends), mostEnds)
-	assert.LessOrEqual(t, len(s.evidence.held), mostEnds*MostSuspects)
+	assert.LessOrEqual(t, len(s.evidence.held), mostEnds*MaxSuspects)
 	s.wait(2 * evidenceMemory)
 	s.Tick(s.now)
 	assert.Empty(t, s.evidence.held)
@@ -383,7 +383,7 @@
 		contents := rapid.IntRange(1, 6).Draw(r, "contents")
 		for number := range rapid.IntRange(1, 12).Draw(r, "ends") {
 			teller.wait(time.Second)
-			var under []Content
+			var under []Fingerprint
 			for content := range contents {
 				if rapid.Bool().Draw(r, "under way") {
 					under = append(under, named(fmt.Sprint(content)))
@@ -392,15 +392,15 @@
 			teller.ends(fmt.Sprintf("server-%d", number), under...)
 		}
 		teller.settled()
-		words := teller.TakeWords()
+		words := teller.TakeReports()
 		order := rapid.Permutation(words).Draw(r, "order")
 		hearer := newScript(t, "hearer")
 		hearer.now = teller.now
 		for _, word := range order {
-			archive.Hold(word, teller.now)
+			archive.Add(word, teller.now)
 		}
 		for _, word := range archive.Since(0) {
-			hearer.Hear(word, hearer.now)
+			hearer.Apply(word, hearer.now)
 		}
 		for content := range contents {
 			assert.Equal(t, teller.evidence.leads(named(fmt.Sprint(content))), hearer.evidence.leads(named(fmt.Sprint(content))))
@@ -410,11 +410,11 @@
 
 func TestArchiveTakesAWordOnce(t *testing.T) {
 	archive := NewArchive()
-	word := Word{Kind: Ended, At: time.Minute, Entry: "one", Number: 1, Server: "server"}
-	assert.True(t, archive.Hold(word, time.Minute))
-	assert.False(t, archive.Hold(word, time.Minute))
+	word := Report{Kind: Crashed, At: time.Minute, Entry: "one", Number: 1, Server: "server"}
+	assert.True(t, archive.Add(word, time.Minute))
+	assert.False(t, archive.Add(word, time.Minute))
 	word.Number = 2
-	assert.True(t, archive.Hold(word, time.Minute))
+	assert.True(t, archive.Add(word, time.Minute))
 	assert.Len(t, archive.Since(0), 2)
 	assert.Len(t, archive.Since(1), 1)
 	archive.Expire(time.Minute + 2*evidenceMemory)
@@ -425,12 +425,12 @@
 func BenchmarkJudge(b *testing.B) {
 	tracker := New("one", 0)
 	for number := range 64 {
-		tracker.Hear(Word{Kind: Quarantined, Entry: "other", Content: named(fmt.Sprint(number)), Lasts: firstQuarantine}, 0)
+		tracker.Apply(Report{Kind: Quarantined, Entry: "other", Fingerprint: named(fmt.Sprint(number)), Duration: firstQuarantine}, 0)
 	}
 	content := named("x")
 	b.ReportAllocs()
 	for range b.N {
-		tracker.Judge(content, time.Minute)
-		tracker.Answered(content, time.Minute)
+		tracker.Evaluate(content, time.Minute)
+		tracker.RecordAnswer(content, time.Minute)
 	}
 }
--- a/coordination/quarantine/upkeep.go
+++ b/coordination/quarantine/upkeep.go
@@ -12,7 +12,7 @@
 	t.evidence.expire(now)
 	for content := range t.evidence.held {
 		if t.mayBeCause(content) {
-			t.Judge(content, now)
+			t.Evaluate(content, now)
 		}
 	}
 	for content, held := range t.quarantines {
@@ -24,12 +24,12 @@
 
 // Description is what is held against one content.
 type Description struct {
-	Content Content
-	State   State
-	Left    time.Duration
-	Round   int
-	Servers []string
-	By      string
+	Fingerprint Fingerprint
+	State       State
+	Remaining   time.Duration
+	Round       int
+	Servers     []string
+	Reporter    string
 }
 
 // Describe lists the contents that are quarantined or suspected.
@@ -40,19 +40,19 @@
 		if now < held.till {
 			state = InQuarantine
 		}
-		all = append(all, Description{Content: content, State: state, Left: max(0, held.till-now), Round: held.round, Servers: held.servers, By: held.by})
+		all = append(all, Description{Fingerprint: content, State: state, Remaining: max(0, held.till-now), Round: held.round, Servers: held.servers, Reporter: held.by})
 	}
 	for content := range t.evidence.held {
 		if t.quarantines[content] == nil && t.evidence.score(content) >= endsForSuspicion {
-			all = append(all, Description{Content: content, State: Suspected, Servers: t.endsOf(content)})
+			all = append(all, Description{Fingerprint: content, State: Suspected, Servers: t.endsOf(content)})
 		}
 	}
-	slices.SortFunc(all, func(a, b Description) int { return cmp.Compare(a.Content.String(), b.Content.String()) })
+	slices.SortFunc(all, func(a, b Description) int { return cmp.Compare(a.Fingerprint.String(), b.Fingerprint.String()) })
 	return all
 }
 
-// Quarantines counts the contents that are kept from servers now.
-func (t *Tracker) Quarantines(now time.Duration) int {
+// CountQuarantines counts the contents that are kept from servers now.
+func (t *Tracker) CountQuarantines(now time.Duration) int {
 	count := 0
 	for _, held := range t.quarantines {
 		if now < held.till {
--- a/coordination/quarantine/verdict.go
+++ b/coordination/quarantine/verdict.go
@@ -10,8 +10,8 @@
 
 // The states of contents.
 const (
-	// Free contents are sent to any server.
-	Free State = iota
+	// Allowed contents are sent to any server.
+	Allowed State = iota
 	// Suspected contents are sent to servers that have no other suspect.
 	Suspected
 	// Undecided contents are not sent until what others have to say is known.
@@ -23,8 +23,8 @@
 // Verdict is the state of a content now.
 type Verdict struct {
 	State State
-	// Left is how long the state lasts at the most; 0 where it has no end.
-	Left time.Duration
+	// Remaining is how long the state lasts at the most; 0 where it has no end.
+	Remaining time.Duration
 	// Servers are the last ones that the content has ended, as far as that is known.
 	Servers []string
 }
@@ -39,11 +39,11 @@
 	by string
 }
 
-// Judge decides what may be done with a content now.
-func (t *Tracker) Judge(content Content, now time.Duration) Verdict {
+// Evaluate decides what may be done with a content now.
+func (t *Tracker) Evaluate(content Fingerprint, now time.Duration) Verdict {
 	held := t.quarantines[content]
 	if held != nil && now < held.till {
-		return Verdict{State: InQuarantine, Left: held.till - now, Servers: held.servers}
+		return Verdict{State: InQuarantine, Remaining: held.till - now, Servers: held.servers}
 	}
 	last := t.evidence.last(content)
 	if held == nil && last == nil {
@@ -51,34 +51,34 @@
 	}
 	if last != nil && t.mayBeCause(content) {
 		if settled := last.at + settleTime; now < settled {
-			return Verdict{State: Undecided, Left: settled - now, Servers: t.endsOf(content)}
+			return Verdict{State: Undecided, Remaining: settled - now, Servers: t.endsOf(content)}
 		}
 		if t.isCause(content) {
 			t.startQuarantine(content, now)
-			return t.Judge(content, now)
+			return t.Evaluate(content, now)
 		}
 	}
 	if held == nil && t.evidence.score(content) < endsForSuspicion {
 		return Verdict{}
 	}
 	if _, runs := t.running[content]; runs {
-		return Verdict{State: Undecided, Left: oneAtATime, Servers: t.endsOf(content)}
+		return Verdict{State: Undecided, Remaining: oneAtATime, Servers: t.endsOf(content)}
 	}
 	return Verdict{State: Suspected, Servers: t.endsOf(content)}
 }
 
 // mayBeCause reports whether enough servers have ended under a content.
-func (t *Tracker) mayBeCause(content Content) bool {
+func (t *Tracker) mayBeCause(content Fingerprint) bool {
 	return t.evidence.score(content) >= t.endsNeeded(content)
 }
 
 // isCause reports whether no other content explains these ends as well.
-func (t *Tracker) isCause(content Content) bool {
+func (t *Tracker) isCause(content Fingerprint) bool {
 	return t.evidence.leads(content) >= t.endsNeeded(content) || t.evidence.score(content) >= endsAtMost
 }
 
 // endsNeeded is how many ends a content is quarantined after: one is enough after a quarantine.
-func (t *Tracker) endsNeeded(content Content) int {
+func (t *Tracker) endsNeeded(content Fingerprint) int {
 	if t.quarantines[content] != nil {
 		return 1
 	}
@@ -86,7 +86,7 @@
 }
 
 // startQuarantine quarantines a content, and tells the others.
-func (t *Tracker) startQuarantine(content Content, now time.Duration) {
+func (t *Tracker) startQuarantine(content Fingerprint, now time.Duration) {
 	fresh := &quarantine{at: t.evidence.last(content).at, servers: t.endsOf(content), by: t.self}
 	if former := t.quarantines[content]; former != nil {
 		fresh.round = former.round + 1
@@ -94,7 +94,7 @@
 	lasts := quarantineTime(fresh.round)
 	fresh.till = fresh.at + lasts
 	t.takeQuarantine(content, fresh, now)
-	t.tell(Word{Kind: Quarantined, At: fresh.at, Content: content, Servers: fresh.servers, Round: fresh.round, Lasts: lasts})
+	t.tell(Report{Kind: Quarantined, At: fresh.at, Fingerprint: content, Servers: fresh.servers, Round: fresh.round, Duration: lasts})
 }
 
 // mostDoublings is after how many the longest quarantine is reached.
@@ -106,7 +106,7 @@
 }
 
 // takeQuarantine takes over a quarantine, unless one is known that lasts longer.
-func (t *Tracker) takeQuarantine(content Content, fresh *quarantine, now time.Duration) {
+func (t *Tracker) takeQuarantine(content Fingerprint, fresh *quarantine, now time.Duration) {
 	held := t.quarantines[content]
 	if held != nil && held.till >= fresh.till {
 		return
@@ -120,7 +120,7 @@
 		t.evidence.explain(one)
 	}
 	if news {
-		t.changes = append(t.changes, Change{Kind: Quarantined, Content: content, Servers: fresh.servers, Left: fresh.till - now, Round: fresh.round, By: fresh.by})
+		t.changes = append(t.changes, Change{Kind: Quarantined, Fingerprint: content, Servers: fresh.servers, Remaining: fresh.till - now, Round: fresh.round, Reporter: fresh.by})
 	}
 }
 
@@ -130,7 +130,7 @@
 	for content := range t.quarantines {
 		counts[content.Caller]++
 	}
-	var oldest Content
+	var oldest Fingerprint
 	var found *quarantine
 	for content, held := range t.quarantines {
 		if found != nil && (counts[content.Caller] < counts[oldest.Caller] || (counts[content.Caller] == counts[oldest.Caller] && held.at >= found.at)) {
@@ -142,7 +142,7 @@
 }
 
 // endsOf names the last servers that have ended under a content.
-func (t *Tracker) endsOf(content Content) []string {
+func (t *Tracker) endsOf(content Fingerprint) []string {
 	var servers []string
 	if held := t.quarantines[content]; held != nil {
 		servers = append(servers, held.servers...)
--- a/coordination/quarantine/words.go
+++ b/coordination/quarantine/words.go
@@ -7,8 +7,8 @@
 
 // The kinds of words.
 const (
-	// Ended: a server has ended, with the teller's requests under way there.
-	Ended Kind = iota + 1
+	// Crashed: a server has ended, with the teller's requests under way there.
+	Crashed Kind = iota + 1
 	// Cleared: a content was answered, or released by an operator, and what was held against it before
 	// counts no more.
 	Cleared
@@ -19,12 +19,12 @@
 // Suspect is a content that was under way at a server when that ended, and how long before it was
 // sent there.
 type Suspect struct {
-	Content Content
-	Before  time.Duration
+	Fingerprint Fingerprint
+	SentBefore  time.Duration
 }
 
-// Word is what a process has found out.
-type Word struct {
+// Report is what a process has found out.
+type Report struct {
 	Kind Kind
 	// At is the moment of the end or the answer, or of the last end before a quarantine, in the time of
 	// the process that holds the word.
@@ -35,13 +35,13 @@
 	// Server and Suspects are those of an end.
 	Server   string
 	Suspects []Suspect
-	// Content is the one that was cleared or is quarantined.
-	Content Content
-	// Lifts is set when clearing has ended a quarantine.
-	Lifts bool
+	// Fingerprint is the one that was cleared or is quarantined.
+	Fingerprint Fingerprint
+	// LiftsQuarantine is set when clearing has ended a quarantine.
+	LiftsQuarantine bool
 	// Servers are the last ones that a quarantined content has ended, Round counts its quarantines, and
 	// Lasts is how long this one lasts after At.
-	Servers []string
-	Round   int
-	Lasts   time.Duration
+	Servers  []string
+	Round    int
+	Duration time.Duration
 }
--- a/internal/catalog/quarantine.go
+++ b/internal/catalog/quarantine.go
@@ -63,7 +63,7 @@
 }
 
 // QuarantineFunction is told what another process has found out. The word's moment counts from a time.
-type QuarantineFunction func(word quarantine.Word, from time.Time)
+type QuarantineFunction func(word quarantine.Report, from time.Time)
 
 // quarantineWords are the words of all entries. The catalog's mutex guards the archive.
 type quarantineWords struct {
@@ -83,11 +83,11 @@
 
 // TellQuarantine has all other processes told at once what this one has found out. The words' moments
 // count from a time.
-func (c *Catalog) TellQuarantine(words []quarantine.Word, from time.Time) {
+func (c *Catalog) TellQuarantine(words []quarantine.Report, from time.Time) {
 	c.mutex.Lock()
 	for _, word := range words {
 		word.At += from.Sub(c.started)
-		c.quarantine.archive.Hold(word, time.Since(c.started))
+		c.quarantine.archive.Add(word, time.Since(c.started))
 	}
 	c.mutex.Unlock()
 	c.passQuarantineSoon()
@@ -102,7 +102,7 @@
 		return
 	}
 	now := time.Since(c.started)
-	var news []quarantine.Word
+	var news []quarantine.Report
 	for _, told := range batch.Words {
 		word, err := told.checked(now)
 		if err != nil {
@@ -110,7 +110,7 @@
 			continue
 		}
 		c.mutex.Lock()
-		if c.quarantine.archive.Hold(word, now) {
+		if c.quarantine.archive.Add(word, now) {
 			news = append(news, word)
 		}
 		c.mutex.Unlock()
@@ -129,15 +129,15 @@
 
 // checked is a word that was received at a moment, if it can be meant: one faulty word does not cost
 // the others of its message.
-func (t toldWord) checked(now time.Duration) (quarantine.Word, error) {
-	word := quarantine.Word{
-		Kind: quarantine.Kind(t.Kind), Entry: t.Entry, Number: t.Number, Server: t.Server, Lifts: t.Lifts, Servers: t.Servers, Round: t.Round,
+func (t toldWord) checked(now time.Duration) (quarantine.Report, error) {
+	word := quarantine.Report{
+		Kind: quarantine.Kind(t.Kind), Entry: t.Entry, Number: t.Number, Server: t.Server, LiftsQuarantine: t.Lifts, Servers: t.Servers, Round: t.Round,
 	}
 	for _, one := range []struct {
 		field        string
 		milliseconds int64
 		target       *time.Duration
-	}{{"age", t.AgeMilliseconds, &word.At}, {"lasts", t.LastsMilliseconds, &word.Lasts}} {
+	}{{"age", t.AgeMilliseconds, &word.At}, {"lasts", t.LastsMilliseconds, &word.Duration}} {
 		if one.milliseconds < 0 || one.milliseconds > longestWordTime.Milliseconds() {
 			return word, &fault.InvalidFrame{Field: topicQuarantine, Reason: fmt.Sprintf("%s of %d ms", one.field, one.milliseconds)}
 		}
@@ -147,38 +147,38 @@
 	switch {
 	case t.Entry == "" || t.Round < 0 || len(t.Servers) > mostWordServers:
 		return word, &fault.InvalidFrame{Field: topicQuarantine, Reason: "no teller, a round below 0 or too many servers"}
-	case word.Kind == quarantine.Ended:
+	case word.Kind == quarantine.Crashed:
 		return word, t.readSuspects(&word)
 	case word.Kind == quarantine.Cleared || word.Kind == quarantine.Quarantined:
 		if t.Content == nil {
 			return word, &fault.InvalidFrame{Field: topicQuarantine, Reason: "no content"}
 		}
-		return word, t.Content.read(&word.Content)
+		return word, t.Content.read(&word.Fingerprint)
 	}
 	return word, &fault.InvalidFrame{Field: topicQuarantine, Reason: fmt.Sprintf("kind %d", t.Kind)}
 }
 
 // readSuspects reads the contents of an end.
-func (t toldWord) readSuspects(word *quarantine.Word) error {
-	if t.Server == "" || len(t.Suspects) > quarantine.MostSuspects {
+func (t toldWord) readSuspects(word *quarantine.Report) error {
+	if t.Server == "" || len(t.Suspects) > quarantine.MaxSuspects {
 		return &fault.InvalidFrame{Field: topicQuarantine, Reason: "an end without a server, or with too many contents"}
 	}
 	for _, told := range t.Suspects {
 		var one quarantine.Suspect
-		if err := told.Content.read(&one.Content); err != nil {
+		if err := told.Content.read(&one.Fingerprint); err != nil {
 			return err
 		}
 		if told.BeforeMilliseconds < 0 || told.BeforeMilliseconds > longestWordTime.Milliseconds() {
 			return &fault.InvalidFrame{Field: topicQuarantine, Reason: fmt.Sprintf("sent %d ms before", told.BeforeMilliseconds)}
 		}
-		one.Before = time.Duration(told.BeforeMilliseconds) * time.Millisecond
+		one.SentBefore = time.Duration(told.BeforeMilliseconds) * time.Millisecond
 		word.Suspects = append(word.Suspects, one)
 	}
 	return nil
 }
 
-func (t toldContent) read(content *quarantine.Content) error {
-	if len(t.ID) != quarantine.ContentSize {
+func (t toldContent) read(content *quarantine.Fingerprint) error {
+	if len(t.ID) != quarantine.FingerprintSize {
 		return &fault.InvalidFrame{Field: topicQuarantine, Reason: fmt.Sprintf("a content of %d bytes", len(t.ID))}
 	}
 	copy(content.ID[:], t.ID)
@@ -186,21 +186,21 @@
 	return nil
 }
 
-func toldContentOf(content quarantine.Content) toldContent {
+func toldContentOf(content quarantine.Fingerprint) toldContent {
 	return toldContent{ID: content.ID[:], Caller: content.Caller}
 }
 
 // toldWordOf is a word as it is passed on at a moment.
-func toldWordOf(word quarantine.Word, now time.Duration) toldWord {
+func toldWordOf(word quarantine.Report, now time.Duration) toldWord {
 	told := toldWord{
-		Kind: int(word.Kind), Entry: word.Entry, Number: word.Number, AgeMilliseconds: max(0, now-word.At).Milliseconds(), Server: word.Server, Lifts: word.Lifts,
-		Servers: word.Servers, Round: word.Round, LastsMilliseconds: word.Lasts.Milliseconds(),
+		Kind: int(word.Kind), Entry: word.Entry, Number: word.Number, AgeMilliseconds: max(0, now-word.At).Milliseconds(), Server: word.Server, Lifts: word.LiftsQuarantine,
+		Servers: word.Servers, Round: word.Round, LastsMilliseconds: word.Duration.Milliseconds(),
 	}
 	for _, one := range word.Suspects {
-		told.Suspects = append(told.Suspects, toldSuspect{Content: toldContentOf(one.Content), BeforeMilliseconds: one.Before.Milliseconds()})
+		told.Suspects = append(told.Suspects, toldSuspect{Content: toldContentOf(one.Fingerprint), BeforeMilliseconds: one.SentBefore.Milliseconds()})
 	}
-	if word.Kind != quarantine.Ended {
-		content := toldContentOf(word.Content)
+	if word.Kind != quarantine.Crashed {
+		content := toldContentOf(word.Fingerprint)
 		told.Content = &content
 	}
 	return told
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -36,7 +36,7 @@
 // QuarantineSource passes on what entries have found out of contents that end servers.
 type QuarantineSource interface {
 	// TellQuarantine has the other processes told; the words' moments count from a time.
-	TellQuarantine(words []quarantine.Word, from time.Time)
+	TellQuarantine(words []quarantine.Report, from time.Time)
 }
 
 // contents keeps contents that end servers from these.
@@ -67,7 +67,7 @@
 		func() float64 {
 			c.mutex.Lock()
 			defer c.mutex.Unlock()
-			return float64(c.tracker.Quarantines(c.since(time.Now())))
+			return float64(c.tracker.CountQuarantines(c.since(time.Now())))
 		}))
 	return c
 }
@@ -78,7 +78,7 @@
 func (c *contents) do(action func(tracker *quarantine.Tracker, now time.Duration)) {
 	c.mutex.Lock()
 	action(c.tracker, c.since(time.Now()))
-	words, changes := c.tracker.TakeWords(), c.tracker.TakeChanges()
+	words, changes := c.tracker.TakeReports(), c.tracker.TakeChanges()
 	c.mutex.Unlock()
 	for _, change := range changes {
 		c.report(change)
@@ -90,37 +90,37 @@
 
 func (c *contents) report(change quarantine.Change) {
 	switch change.Kind {
-	case quarantine.Ended:
+	case quarantine.Crashed:
 		c.ends.Inc()
-		named := change.Contents[:min(len(change.Contents), mostLoggedContents)]
-		c.log.Log(logging.ServerEnded, zap.String("server", change.Server), zap.Int("requests", len(change.Contents)), zap.Stringers("contents", named))
+		named := change.Fingerprints[:min(len(change.Fingerprints), mostLoggedContents)]
+		c.log.Log(logging.ServerEnded, zap.String("server", change.Server), zap.Int("requests", len(change.Fingerprints)), zap.Stringers("contents", named))
 	case quarantine.Quarantined:
 		by := "told"
-		if change.By == c.tracker.Self() {
+		if change.Reporter == c.tracker.Self() {
 			by = "found"
 		}
 		c.quarantines.WithLabelValues(by).Inc()
-		c.log.Log(logging.ContentShut, zap.Stringer("content", change.Content), zap.Strings("servers", change.Servers),
-			zap.Duration("left", change.Left), zap.Int("round", change.Round), zap.String("entry", change.By))
+		c.log.Log(logging.ContentShut, zap.Stringer("content", change.Fingerprint), zap.Strings("servers", change.Servers),
+			zap.Duration("left", change.Remaining), zap.Int("round", change.Round), zap.String("entry", change.Reporter))
 	case quarantine.Cleared:
-		c.log.Log(logging.ContentCleared, zap.Stringer("content", change.Content), zap.String("entry", change.By))
+		c.log.Log(logging.ContentCleared, zap.Stringer("content", change.Fingerprint), zap.String("entry", change.Reporter))
 	}
 }
 
 // HearQuarantine takes in what another process has found out, whose moment counts from a time.
-func (f *Forwarder) HearQuarantine(word quarantine.Word, from time.Time) {
+func (f *Forwarder) HearQuarantine(word quarantine.Report, from time.Time) {
 	word.At += from.Sub(f.contents.started)
-	f.contents.do(func(tracker *quarantine.Tracker, now time.Duration) { tracker.Hear(word, now) })
+	f.contents.do(func(tracker *quarantine.Tracker, now time.Duration) { tracker.Apply(word, now) })
 }
 
 // Release ends what is held against a content, at an operator's wish, and reports whether there was
 // anything.
-func (f *Forwarder) Release(id [quarantine.ContentSize]byte) bool {
+func (f *Forwarder) Release(id [quarantine.FingerprintSize]byte) bool {
 	released := false
 	f.contents.do(func(tracker *quarantine.Tracker, now time.Duration) {
 		for _, one := range tracker.Describe(now) {
-			if one.Content.ID == id {
-				released = tracker.Release(one.Content, now)
+			if one.Fingerprint.ID == id {
+				released = tracker.Release(one.Fingerprint, now)
 			}
 		}
 	})
@@ -135,7 +135,7 @@
 	w.wanted.Avoided = nil
 	refusal := (*fault.Refusal)(nil)
 	switch verdict.State {
-	case quarantine.Free:
+	case quarantine.Allowed:
 		return nil
 	case quarantine.Suspected:
 		w.suspect = true
@@ -146,9 +146,9 @@
 	default:
 		refusal = fault.NotRun(fault.ReasonSuspected, "servers have ended under requests with this content, among others")
 	}
-	refusal.RetryAfter = verdict.Left
+	refusal.RetryAfter = verdict.Remaining
 	w.log.Log(logging.ContentWithheld, zap.String("request", w.request.Call.RequestID), zap.Stringer("content", w.request.Content),
-		zap.String("reason", string(refusal.Reason)), zap.Strings("servers", verdict.Servers), zap.Duration("left", verdict.Left))
+		zap.String("reason", string(refusal.Reason)), zap.Strings("servers", verdict.Servers), zap.Duration("left", verdict.Remaining))
 	return refusal
 }
 
@@ -160,9 +160,9 @@
 
 // admit judges a content that is about to be sent. Nearly all are held against nothing: they need
 // no more than a look.
-func (c *contents) admit(content quarantine.Content) (verdict quarantine.Verdict) {
+func (c *contents) admit(content quarantine.Fingerprint) (verdict quarantine.Verdict) {
 	c.mutex.Lock()
-	free := c.tracker.Judge(content, c.since(time.Now())).State == quarantine.Free
+	free := c.tracker.Evaluate(content, c.since(time.Now())).State == quarantine.Allowed
 	c.mutex.Unlock()
 	if free {
 		return quarantine.Verdict{}
@@ -174,7 +174,7 @@
 func (c *contents) occupied() []string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.tracker.Occupied()
+	return c.tracker.TrialServers()
 }
 
 // sendSuspect notes where a suspect goes.
@@ -184,7 +184,7 @@
 	}
 	w.contents.mutex.Lock()
 	defer w.contents.mutex.Unlock()
-	w.contents.tracker.Begin(w.request.Content, target.ID)
+	w.contents.tracker.SetTrialServer(w.request.Content, target.ID)
 }
 
 // endSuspect notes that the request is under way no more.
@@ -195,12 +195,12 @@
 	w.suspect = false
 	w.contents.mutex.Lock()
 	defer w.contents.mutex.Unlock()
-	w.contents.tracker.End(w.request.Content)
+	w.contents.tracker.EndTrial(w.request.Content)
 }
 
 // contentAnswered notes that a server has answered the request whole.
 func (w *work) contentAnswered() {
-	w.contents.do(func(tracker *quarantine.Tracker, now time.Duration) { tracker.Answered(w.request.Content, now) })
+	w.contents.do(func(tracker *quarantine.Tracker, now time.Duration) { tracker.RecordAnswer(w.request.Content, now) })
 }
 
 // noteEnd draws the conclusion from a failed attempt on whether its server has ended. A server that is
@@ -212,7 +212,7 @@
 	case failed.execution == fault.ExecutionUnknown && connectionEnded(failed.cause) && !w.targets.leaving(target):
 		doubted := false
 		w.contents.do(func(tracker *quarantine.Tracker, now time.Duration) {
-			doubted = tracker.Broke(target.ID, w.request.Content, w.contents.since(w.sentAt), now)
+			doubted = tracker.RecordBrokenConnection(target.ID, w.request.Content, w.contents.since(w.sentAt), now)
 		})
 		switch {
 		case w.suspect:
@@ -237,7 +237,7 @@
 
 // serverEnded notes that a server has ended: its machine refuses connections, or another one is there.
 func (c *contents) serverEnded(server string) {
-	c.do(func(tracker *quarantine.Tracker, now time.Duration) { tracker.Ended(server, now) })
+	c.do(func(tracker *quarantine.Tracker, now time.Duration) { tracker.RecordCrash(server, now) })
 }
 
 // check finds out whether a server whose connections have broken still listens: a machine that refuses
@@ -264,7 +264,7 @@
 func (c *contents) doubts(server string) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.tracker.Doubts(server, c.since(time.Now()))
+	return c.tracker.HasBrokenConnections(server, c.since(time.Now()))
 }
 
 // tick decides what is due by time.
@@ -301,7 +301,7 @@
 		if one.State == quarantine.InQuarantine {
 			state = "quarantined"
 		}
-		views = append(views, ContentView{Content: one.Content.String(), State: state, Left: one.Left.Seconds(), Round: one.Round, Servers: one.Servers, By: one.By})
+		views = append(views, ContentView{Content: one.Fingerprint.String(), State: state, Left: one.Remaining.Seconds(), Round: one.Round, Servers: one.Servers, By: one.Reporter})
 	}
 	return views
 }
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -81,7 +81,7 @@
 	hasher := quarantine.NewHasher(callerOf(request), request.Host, request.Target)
 	request.Memory = g.memory.Open(callerOf(request))
 	refusal := readBody(writer, incoming, configuration.Limits, request, hasher)
-	request.Content = hasher.Content()
+	request.Content = hasher.Fingerprint()
 	return request, refusal
 }
 
--- a/internal/gateway/release.go
+++ b/internal/gateway/release.go
@@ -17,7 +17,7 @@
 const contentParameter = "content"
 
 func (g *Gateway) release(writer http.ResponseWriter, request *http.Request) {
-	var content [quarantine.ContentSize]byte
+	var content [quarantine.FingerprintSize]byte
 	decoded, err := hex.DecodeString(chi.URLParam(request, contentParameter))
 	if err != nil || copy(content[:], decoded) != len(content) || len(decoded) != len(content) {
 		http.Error(writer, "a content is named by 32 hexadecimal digits", http.StatusBadRequest)
