--- a/coordination/shedding/pressure.go
+++ b/coordination/shedding/pressure.go
@@ -2,40 +2,41 @@
 
 import "time"
 
-// easeTime is how long after the last refusal of a first attempt a late request is treated
-// like any other again. An entry sees some fifteen requests a second, so that overload which
-// lasts shows to it every few hundred milliseconds.
-const easeTime = time.Second
+// recoveryTime is the time after the last refusal of a first attempt until late requests are
+// treated like first attempts again. An entry receives about fifteen requests a second, so during a
+// lasting overload it sees a refusal every few hundred milliseconds.
+const recoveryTime = time.Second
 
-// OverloadDetector tells from refusals of first attempts whether there is overload now. Its zero value
-// knows of none.
+// OverloadDetector detects overload from refusals of first attempts. The zero value reports no
+// overload.
 type OverloadDetector struct {
-	refusedAt time.Duration
-	refused   bool
+	lastOverload time.Duration
+	refused      bool
 }
 
-// RecordRefusal notes the refusal of a request.
-func (p *OverloadDetector) RecordRefusal(now time.Duration, arrival Arrival) {
+// RecordRefusal records the refusal of a request. Only refusals of first attempts count.
+func (d *OverloadDetector) RecordRefusal(now time.Duration, arrival Arrival) {
 	if arrival.Elapsed == 0 {
-		p.refusedAt, p.refused = now, true
+		d.lastOverload, d.refused = now, true
 	}
 }
 
-// RecordFull notes that a first attempt was admitted to a full server. An overload that has begun goes on
-// as long as that is so: an entry of a large fleet refuses a caller every few hundred milliseconds
-// only, and would take those that came back in between.
-func (p *OverloadDetector) RecordFull(now time.Duration) {
-	if p.refused && now-p.refusedAt < easeTime {
-		p.refusedAt = now
+// RecordFull records that a first attempt was admitted to a full server, which prolongs an overload
+// that has already been detected. Without it, an entry of a large fleet, which refuses a caller
+// only every few hundred milliseconds, would admit retries between two refusals.
+func (d *OverloadDetector) RecordFull(now time.Duration) {
+	if d.refused && now-d.lastOverload < recoveryTime {
+		d.lastOverload = now
 	}
 }
 
-// LateFraction is the share for late requests: the least one while first attempts are refused, and
-// all that a first attempt may wait once none has been for a while.
-func (p *OverloadDetector) LateFraction(now time.Duration, least float64) float64 {
-	if !p.refused {
+// LateFraction returns the fraction of a first attempt's maximum wait that late requests may wait:
+// minFraction while first attempts are being refused, rising to 1 over recoveryTime after the last
+// refusal.
+func (d *OverloadDetector) LateFraction(now time.Duration, minFraction float64) float64 {
+	if !d.refused {
 		return 1
 	}
-	eased := min(1, float64(now-p.refusedAt)/float64(easeTime))
-	return least + (1-least)*eased
+	recovered := min(1, float64(now-d.lastOverload)/float64(recoveryTime))
+	return minFraction + (1-minFraction)*recovered
 }
--- a/coordination/shedding/shedding.go
+++ b/coordination/shedding/shedding.go
@@ -1,56 +1,59 @@
-// Package shedding decides in overload which requests are admitted, and from when on a
-// refused caller is asked to come back. A request whose answer can still be in time goes
-// before one whose answer is late in any case: about as many are served, more of them in time. What that is
-// worth stands in docs/design/server-choice.md. It does no I/O and reads no clock.
+// Package shedding decides which requests are admitted during overload, and when a refused caller
+// should retry. Requests that can still be answered within their target take precedence over
+// requests that will be late in any case: about as many are served, and more of them in time.
+// docs/design/server-choice.md gives the measured effect. The package does no I/O and reads no
+// clock.
 package shedding
 
 import "time"
 
-// Arrival is what a request's arrival shows of its caller.
+// Arrival describes the caller's time at the arrival of a request.
 type Arrival struct {
-	// Remaining is how long the caller waits from the arrival on; 0 is unknown.
+	// Remaining is the time until the caller's deadline; 0 is unknown.
 	Remaining time.Duration
-	// Elapsed is how long ago the caller asked for the first time, at least; 0 is a first
-	// attempt, as far as is known.
+	// Elapsed is a lower bound of the time since the caller's first attempt; 0 means that this is a
+	// first attempt, as far as is known.
 	Elapsed time.Duration
 }
 
-// MaxWait is how long a request may wait for others, where first attempts may wait for a time at most. What the
-// request takes by itself does not count: a limit of both leaves the room that there is in overload to the requests
-// that need least of it, and large ones unserved.
+// MaxWait returns how long a request may wait for other requests, given the limit for first
+// attempts. The request's own processing time does not count: if the limit covered both, the
+// capacity left during overload would go to the smallest requests, and large ones would not be
+// served.
 //
-// A caller that came back has used up the elapsed time of the wait. Once it can't be answered in time any more, it
-// goes behind those that can: it waits for a share, at most, of what a first attempt may wait. With 0 only
-// idle servers take it, with 1 it is treated like a first attempt.
-func MaxWait(most time.Duration, arrival Arrival, share float64) time.Duration {
+// For a retry, the elapsed time is deducted from the limit. A retry that can no longer be answered
+// in time yields to requests that can: it may wait for at most lateFraction of the limit. With 0
+// only idle servers accept it; with 1 it is treated like a first attempt.
+func MaxWait(limit time.Duration, arrival Arrival, lateFraction float64) time.Duration {
 	if arrival.Elapsed <= 0 {
-		return most
+		return limit
 	}
-	return max(most-arrival.Elapsed, time.Duration(share*float64(most)))
+	return max(limit-arrival.Elapsed, time.Duration(lateFraction*float64(limit)))
 }
 
-// Late reports whether a request that is expected to begin after some time begins later than
-// its target, counted from the first attempt.
+// Late reports whether a retry that is expected to start after the given time starts later than its
+// target, counted from the first attempt.
 func (a Arrival) Late(expected, target time.Duration) bool {
 	return a.Elapsed > 0 && a.Elapsed+expected > target
 }
 
-// Shares of the time left of a refused caller.
+// Fractions of a refused caller's remaining time.
 const (
-	// MaxRetryFraction is the part for which it heeds Retry-After, as the platform publishes.
+	// MaxRetryFraction is the longest Retry-After that callers honor, as documented by the
+	// platform.
 	MaxRetryFraction = 1.0 / 3
-	// patientShare is the part that it is asked to wait at least when it is refused in
-	// overload: its answer is late in any case.
-	patientShare = MaxRetryFraction / 2
+	// minRetryFraction is the shortest delay requested from a caller that is refused during
+	// overload, whose answer will be late in any case.
+	minRetryFraction = MaxRetryFraction / 2
 )
 
-// MinRetryDelay is the earliest time after which a refused caller is asked to come back, where the
-// soonest server would have it wait for others for a time and may keep them waiting for a
-// limit: when that server's queue will have come down to half of the limit, within bounds,
-// and not in the first half of the time that the caller heeds. Callers that are back sooner
-// stand before the same queue once more, and can't be told from first attempts where these
-// differ by as much.
-func MinRetryDelay(wait, limit, least, most time.Duration, arrival Arrival) time.Duration {
-	queue := min(max(wait-limit/2, least), most)
-	return max(queue, time.Duration(patientShare*float64(arrival.Remaining)))
+// MinRetryDelay returns the shortest delay after which a refused caller should retry. The inputs
+// are the wait at the server that can start the request soonest and the maximum wait there. The
+// delay lasts until that server's queue is expected to have shrunk to half of the maximum, within
+// minDelay and maxDelay, and at least for the first half of the time that the caller honors.
+// Callers that retry sooner meet the same queue again, and can't be told from first attempts where
+// the deadlines of first attempts differ by as much.
+func MinRetryDelay(wait, maxWait, minDelay, maxDelay time.Duration, arrival Arrival) time.Duration {
+	delay := min(max(wait-maxWait/2, minDelay), maxDelay)
+	return max(delay, time.Duration(minRetryFraction*float64(arrival.Remaining)))
 }
--- a/coordination/shedding/targets.go
+++ b/coordination/shedding/targets.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// targetWeight is the weight of one more request in the typical target: an entry of a full fleet sees some ten a second
-// of a service.
+// targetWeight is the weight of a new request in the typical target. At full load an entry receives
+// about ten requests a second for a service.
 const targetWeight = 1.0 / 64
 
-// TargetEstimator learns the typical target of a service's requests: the harmonic mean, which is near the shorter ones. Its
-// zero value knows none.
+// TargetEstimator estimates the typical target of a service's requests as their harmonic mean,
+// which lies near the shorter ones. The zero value has no estimate.
 type TargetEstimator struct {
-	// inverse is the mean of the inverse targets, in 1/s.
-	inverse float64
+	// meanInverse is the mean of 1/target, in 1/s.
+	meanInverse float64
 }
 
-// Record notes a request with a target.
-func (t *TargetEstimator) Record(target time.Duration) {
+// Record adds the target of a request to the estimate.
+func (e *TargetEstimator) Record(target time.Duration) {
 	if target <= 0 {
 		return
 	}
-	one := 1 / target.Seconds()
-	if t.inverse == 0 {
-		t.inverse = one
+	inverse := 1 / target.Seconds()
+	if e.meanInverse == 0 {
+		e.meanInverse = inverse
 	}
-	t.inverse += targetWeight * (one - t.inverse)
+	e.meanInverse += targetWeight * (inverse - e.meanInverse)
 }
 
-// Bound is the target by which a request's wait is bounded: its own, or the typical one where that is shorter. What
-// a request waits for others, others wait for it: were each bounded by its own target, those with the
-// longest one would take all places in overload.
-func (t *TargetEstimator) Bound(target time.Duration) time.Duration {
-	if t.inverse == 0 {
+// Bound returns the target that limits a request's wait: its own or the typical one, whichever is
+// shorter. While a request waits for others, later ones wait for it: if each were limited by its
+// own target only, requests with the longest target would take all slots during overload.
+func (e *TargetEstimator) Bound(target time.Duration) time.Duration {
+	if e.meanInverse == 0 {
 		return target
 	}
-	return min(target, time.Duration(float64(time.Second)/t.inverse))
+	return min(target, time.Duration(float64(time.Second)/e.meanInverse))
 }
--- a/coordination/shedding/unlearned.go
+++ b/coordination/shedding/unlearned.go
@@ -5,61 +5,62 @@
 	"time"
 )
 
-// Bounds of what is told of a route's callers that have only been seen while some of them may
-// have been coming back.
+// Limits of the estimate used before any arrivals are known to be first attempts.
 const (
-	// mixedKept is how many arrivals are looked at: an entry of a full fleet sees as many of a
-	// route within ten to thirty seconds.
-	mixedKept = 32
-	// mixedNeeded is how many are enough. First attempts are half of them at the least, so that
-	// the longest of eight is one but in one case of 256.
-	mixedNeeded = 8
+	// maxStartupArrivals is the number of arrivals kept. An entry at full load receives as many for
+	// a route within ten to thirty seconds.
+	maxStartupArrivals = 32
+	// minStartupArrivals is the number of arrivals needed for an estimate. At least half of all
+	// arrivals are first attempts, so the longest of eight is a first attempt in all but one of 256
+	// cases.
+	minStartupArrivals = 8
 )
 
-// mixed holds the times left of callers among which first attempts can't be told from returns by
-// what was learned before: the process has started in an overload, and none of its moments was
-// calm. It goes by how callers return. One whose first attempt had a time left has at most
-// 1-patientShare of it left when it is back, as it was asked to wait for that, and at the least
-// 1-HeededShare, as it heeds no more. Those with more are first attempts; those with less are
-// first attempts of callers that wait for a shorter time. Without it an overload in which all
-// entries are started goes on to be answered like one without any order: at a fleet with a quarter more requests
-// than places 0.77 of the credit that the places could give, with it 0.83 (TestEntriesThatStartInAnOverload).
-type mixed struct {
-	left [mixedKept]time.Duration
-	seen int
+// startupArrivals holds the remaining times of recent arrivals, first attempts and retries alike.
+// It identifies retries if the process has started during an overload and has had no period without
+// refusals to learn from. The estimate relies on when callers retry: a retry has at most
+// 1-minRetryFraction of its first attempt's remaining time, because the refusal asked for that
+// delay, and at least 1-MaxRetryFraction, because callers honor no longer delay. Arrivals above
+// that range are first attempts; those below it are first attempts of callers with shorter
+// deadlines. If all entries start during an overload, then without this estimate retries are never
+// deprioritized: at 1.25 times the capacity the fleet earned 0.77 of the attainable credit, with it
+// 0.83 (TestEntriesStartingDuringOverload).
+type startupArrivals struct {
+	remaining [maxStartupArrivals]time.Duration
+	seen      int
 }
 
-// add notes an arrival.
-func (m *mixed) add(left time.Duration) {
-	m.left[m.seen%mixedKept] = left
-	m.seen++
+// add records the remaining time of an arrival.
+func (a *startupArrivals) add(remaining time.Duration) {
+	a.remaining[a.seen%maxStartupArrivals] = remaining
+	a.seen++
 }
 
-// elapsed returns how long ago a caller with a time left first asked, at least; 0 is a first
+// elapsed returns a lower bound of the time since the caller's first attempt; 0 means a first
 // attempt, as far as can be told.
-func (m *mixed) elapsed(left time.Duration) time.Duration {
-	kept := m.left[:min(m.seen, mixedKept)]
-	if len(kept) < mixedNeeded {
+func (a *startupArrivals) elapsed(remaining time.Duration) time.Duration {
+	kept := a.remaining[:min(a.seen, maxStartupArrivals)]
+	if len(kept) < minStartupArrivals {
 		return 0
 	}
 	longest := slices.Max(kept)
-	firstFrom, returnedFrom := part(longest, 1-patientShare), part(longest, 1-MaxRetryFraction)
-	first, returned := 0, 0
-	for _, one := range kept {
+	minFirst, minRetry := fractionOf(longest, 1-minRetryFraction), fractionOf(longest, 1-MaxRetryFraction)
+	first, retries := 0, 0
+	for _, value := range kept {
 		switch {
-		case one > firstFrom:
+		case value > minFirst:
 			first++
-		case one >= returnedFrom:
-			returned++
+		case value >= minRetry:
+			retries++
 		}
 	}
-	// Each first attempt is followed by one return at most.
-	if left > firstFrom || left < returnedFrom || returned > first {
+	// Each first attempt is followed by at most one retry.
+	if remaining > minFirst || remaining < minRetry || retries > first {
 		return 0
 	}
-	return part(left, patientShare/(1-patientShare))
+	return fractionOf(remaining, minRetryFraction/(1-minRetryFraction))
 }
 
-func part(whole time.Duration, share float64) time.Duration {
-	return time.Duration(share * float64(whole))
+func fractionOf(total time.Duration, fraction float64) time.Duration {
+	return time.Duration(fraction * float64(total))
 }
--- a/coordination/shedding/usual.go
+++ b/coordination/shedding/usual.go
@@ -5,118 +5,125 @@
 	"time"
 )
 
-// Bounds of what is learned of a route's callers.
+// Limits of what is learned about a route's callers.
 const (
-	// samplesKept is how many first attempts the usual time left is taken from: half a minute
-	// of a route with two requests a second at an entry.
-	samplesKept = 64
-	// samplesNeeded is how many are enough to judge others by. Entries of a fleet that is full
-	// see one or two first attempts a second of a route; at 16 most of them knew nothing yet in an
-	// overload eight seconds after their start.
-	samplesNeeded = 6
-	// sparseMargin times the spread of the samples over their number is how much shorter than
-	// the shortest of them a first attempt may still be. Spread evenly, the shortest lies once
-	// that quotient above the least possible in the mean.
+	// maxSamples is the number of first attempts kept: half a minute of a route that receives two
+	// requests a second at an entry.
+	maxSamples = 64
+	// minSamples is the number of first attempts needed to identify retries. At full load an entry
+	// receives one or two first attempts a second for a route; with 16, most entries still knew
+	// nothing when an overload began eight seconds after their start.
+	minSamples = 6
+	// sparseMargin times the range of the samples, divided by their number, is how much shorter
+	// than the shortest sample a first attempt may be. For evenly distributed samples the shortest
+	// lies on average one such quotient above the true minimum.
 	sparseMargin = 2
-	// samplesAStray is how many samples there are to each one that is left out as a stray: a
-	// caller that came back after a refusal elsewhere. A group of callers with shorter
-	// deadlines than the others is not taken for late once it makes up some 5 in 100.
-	samplesAStray = 32
-	// mostReturned is the share of arrivals from which on those that seem to have come back
-	// can't all have done so, since each first attempt is followed by one return at most: the
-	// deadlines of the route's callers have changed, and are learned anew.
-	mostReturned = 0.75
-	// returnedWeight is what one arrival counts for in that share: the last hundred or so.
-	returnedWeight = 0.01
+	// samplesPerOutlier is the number of samples for each one that is discarded as an outlier, such
+	// as a caller that retries after a refusal by another entry. A group of callers with shorter
+	// deadlines is no longer taken for retries once it makes up about 5 in 100.
+	samplesPerOutlier = 32
+	// maxRetryRatio is the ratio of apparent retries to arrivals above which they can't all be
+	// retries, since each first attempt is followed by at most one. The deadlines of the route's
+	// callers must have changed, so learning starts over.
+	maxRetryRatio = 0.75
+	// retryWeight is the weight of one arrival in that ratio, which covers about the last hundred
+	// arrivals.
+	retryWeight = 0.01
 )
 
-// RetryDetector learns how much time the callers of one route have left when they ask for the first
-// time. A caller that comes back after a refusal has less left, by the time since its first
-// attempt. Its zero value knows nothing, and takes nobody for one that came back.
+// RetryDetector learns the remaining time that callers of one route have at their first attempt,
+// and identifies retries by their shorter remaining time: it is reduced by the time since the first
+// attempt. The zero value knows nothing and reports every arrival as a first attempt.
 type RetryDetector struct {
-	// left holds the times left of the last first attempts, next is the oldest of them.
-	left []time.Duration
-	next int
-	// least is the shortest time left that a first attempt is taken to have.
-	least time.Duration
-	// learnsFrom is when nobody can be coming back any more that was refused here, or, at the
-	// start of a process, before it knew of the route.
-	learnsFrom time.Duration
-	// returned is the share of the last arrivals that seem to have come back.
-	returned float64
-	// mixed tells callers apart as long as too few first attempts are known.
-	mixed mixed
+	// samples holds the remaining times of the latest first attempts; next is the index of the
+	// oldest.
+	samples []time.Duration
+	next    int
+	// minFirstAttempt is the shortest remaining time of a first attempt.
+	minFirstAttempt time.Duration
+	// learnAfter is the time after which no caller that was refused here can still retry. At
+	// startup it is set as if the first arrival had been refused, because retries of refusals
+	// before the start look like first attempts.
+	learnAfter time.Duration
+	// retryRatio is the ratio of apparent retries among the latest arrivals.
+	retryRatio float64
+	// startup identifies retries until enough first attempts are known.
+	startup startupArrivals
 }
 
-// RecordArrival notes a request whose caller waits for a time left, 0 for one that does not say. It
-// returns how long ago the caller first asked, at least; 0 is a first attempt, as far as is
+// RecordArrival records a request with the caller's remaining time, 0 if unknown. It returns a
+// lower bound of the time since the caller's first attempt; 0 means a first attempt, as far as is
 // known.
-func (u *RetryDetector) RecordArrival(now, left time.Duration) time.Duration {
-	if left <= 0 {
+func (d *RetryDetector) RecordArrival(now, remaining time.Duration) time.Duration {
+	if remaining <= 0 {
 		return 0
 	}
-	if u.learnsFrom == 0 {
-		u.RecordRefusal(now, left)
+	if d.learnAfter == 0 {
+		d.RecordRefusal(now, remaining)
 	}
-	if !u.known() {
-		return u.arrivedUnlearned(now, left)
+	if !d.hasEnoughSamples() {
+		return d.recordStartupArrival(now, remaining)
 	}
-	elapsed := u.elapsed(left)
-	u.countReturned(elapsed > 0)
-	if now >= u.learnsFrom {
-		u.learn(left)
+	elapsed := d.elapsed(remaining)
+	d.updateRetryRatio(elapsed > 0)
+	if now >= d.learnAfter {
+		d.addSample(remaining)
 	}
 	return elapsed
 }
 
-// known reports whether enough first attempts are known to judge others by.
-func (u *RetryDetector) known() bool { return len(u.left) >= samplesNeeded }
+// hasEnoughSamples reports whether enough first attempts are known to identify retries.
+func (d *RetryDetector) hasEnoughSamples() bool { return len(d.samples) >= minSamples }
 
-// arrivedUnlearned judges a caller by those that have come since the start, returns among them.
-func (u *RetryDetector) arrivedUnlearned(now, left time.Duration) time.Duration {
-	u.mixed.add(left)
-	if now >= u.learnsFrom {
-		u.learn(left)
+// recordStartupArrival records an arrival and compares it with the others since startup, which
+// include retries.
+func (d *RetryDetector) recordStartupArrival(now, remaining time.Duration) time.Duration {
+	d.startup.add(remaining)
+	if now >= d.learnAfter {
+		d.addSample(remaining)
 		return 0
 	}
-	return u.mixed.elapsed(left)
+	return d.startup.elapsed(remaining)
 }
 
-func (u *RetryDetector) elapsed(left time.Duration) time.Duration { return max(0, u.least-left) }
+func (d *RetryDetector) elapsed(remaining time.Duration) time.Duration {
+	return max(0, d.minFirstAttempt-remaining)
+}
 
-// countReturned forgets what was learned when more callers seem to have come back than can.
-func (u *RetryDetector) countReturned(returned bool) {
-	u.returned *= 1 - returnedWeight
-	if returned {
-		u.returned += returnedWeight
+// updateRetryRatio updates the ratio of retries, and discards everything learned if more callers
+// seem to have retried than possible.
+func (d *RetryDetector) updateRetryRatio(isRetry bool) {
+	d.retryRatio *= 1 - retryWeight
+	if isRetry {
+		d.retryRatio += retryWeight
 	}
-	if u.returned > mostReturned {
-		*u = RetryDetector{}
+	if d.retryRatio > maxRetryRatio {
+		*d = RetryDetector{}
 	}
 }
 
-// learn takes a time left for that of a first attempt: nobody has been refused lately who
-// might be coming back.
-func (u *RetryDetector) learn(left time.Duration) {
-	if len(u.left) < samplesKept {
-		u.left = append(u.left, left)
+// addSample adds the remaining time of a first attempt. It is called only while no refused caller
+// can be retrying.
+func (d *RetryDetector) addSample(remaining time.Duration) {
+	if len(d.samples) < maxSamples {
+		d.samples = append(d.samples, remaining)
 	} else {
-		u.left[u.next] = left
-		u.next = (u.next + 1) % samplesKept
+		d.samples[d.next] = remaining
+		d.next = (d.next + 1) % maxSamples
 	}
-	var kept [samplesKept]time.Duration
-	sorted := kept[:copy(kept[:], u.left)]
+	var kept [maxSamples]time.Duration
+	sorted := kept[:copy(kept[:], d.samples)]
 	slices.Sort(sorted)
-	shortest := sorted[len(sorted)/samplesAStray]
-	spread := sorted[len(sorted)-1] - shortest
-	u.least = shortest - sparseMargin*spread/time.Duration(len(sorted))
+	shortest := sorted[len(sorted)/samplesPerOutlier]
+	valueRange := sorted[len(sorted)-1] - shortest
+	d.minFirstAttempt = shortest - sparseMargin*valueRange/time.Duration(len(sorted))
 }
 
-// RecordRefusal notes that a caller with a time left was refused, and may come back. Of one that does
-// not say how long it waits nothing is learned when it does.
-func (u *RetryDetector) RecordRefusal(now, left time.Duration) {
-	if left <= 0 {
+// RecordRefusal records the refusal of a caller with the given remaining time, which may retry. A
+// caller without a deadline is ignored, because nothing is learned from its retry either.
+func (d *RetryDetector) RecordRefusal(now, remaining time.Duration) {
+	if remaining <= 0 {
 		return
 	}
-	u.learnsFrom = max(u.learnsFrom, now+time.Duration(MaxRetryFraction*float64(left)))
+	d.learnAfter = max(d.learnAfter, now+time.Duration(MaxRetryFraction*float64(remaining)))
 }
