--- a/coordination/admission/admission.go
+++ b/coordination/admission/admission.go
@@ -1,26 +1,27 @@
-// Package admission holds what many senders send to one receiver within a limit on any window
-// of time, without a message between them: each may send a fixed whole share in any window of
-// that length. It does no I/O and reads no clock.
+// Package admission limits what many senders send to one receiver in any window of time, without
+// messages between them: each sender may send a fixed, whole share in any window of that length.
+// The package does no I/O and reads no clock.
 //
-// A token bucket of rate r and depth d admits up to r + d in its worst second, so that with as
-// many senders as the limit allows requests each would be left a rate of 0. Counting what was
-// sent in the window itself admits the whole limit.
+// A token bucket of rate r and depth d admits up to r + d in its worst second, so with as many
+// senders as the limit allows requests each would be left with a rate of 0. Counting the events in
+// the window itself makes the whole limit usable.
 package admission
 
 import "time"
 
-// ColdWindow is the second over which requests to cold servers are counted, with room for what
-// lies between the choice of a server and its receiving the request: a connection is made
-// within some milliseconds.
+// ColdWindow is the window over which requests to cold servers are counted: one second, plus a
+// margin for the time between choosing a server and its receipt of the request. A connection is
+// made within some milliseconds.
 const ColdWindow = 1100 * time.Millisecond
 
-// LimitWindow is the span over which requests to servers that name a limit are counted: the longest over
-// which they judge it, with the same room. Over a second a low limit has no whole request for any sender.
+// LimitWindow is the window over which requests to servers with a rate limit are counted: the
+// longest interval over which servers enforce their limit, plus the same margin. Over one second,
+// no sender would have a share of one whole request of a low limit.
 const LimitWindow = 4200 * time.Millisecond
 
-// Share is how many of a limit's whole events the member of a rank may spend in a window, 0
-// the first. The shares of all members sum to the whole part of the limit: where there are
-// fewer events than members, the last in rank have none.
+// Share returns how many whole events of a limit the member with the given rank, counted from 0,
+// may spend in a window. The shares of all members sum to the whole part of the limit: where there
+// are fewer events than members, the last in rank have none.
 func Share(limit float64, rank, members int) int {
 	whole := int(limit)
 	if whole <= 0 || members <= 0 || rank >= members {
@@ -33,68 +34,69 @@
 	return share
 }
 
-// Window counts events over a sliding span.
+// Window counts events over a sliding window.
 type Window struct {
-	span time.Duration
-	// admitted are the times of the events of the last span, in order.
-	admitted []time.Duration
+	length time.Duration
+	// events holds the times of the events in the window, in order.
+	events []time.Duration
 }
 
-// NewWindow returns a window of a length in which nothing has happened.
-func NewWindow(span time.Duration) *Window { return &Window{span: span} }
+// NewWindow returns an empty window of the given length.
+func NewWindow(length time.Duration) *Window { return &Window{length: length} }
 
-// Allows reports whether another event would leave at most a number of them in a span that ends now, no
-// longer than the window's.
-func (w *Window) Allows(span, now time.Duration, most int) bool {
-	w.forget(now)
-	return w.after(now-span) < most
+// Allows reports whether another event would leave at most limit events in the interval that ends
+// now. The interval must not be longer than the window.
+func (w *Window) Allows(interval, now time.Duration, limit int) bool {
+	w.expire(now)
+	return w.countAfter(now-interval) < limit
 }
 
-// after is how many events there were later than a moment.
-func (w *Window) after(moment time.Duration) int {
+// countAfter returns the number of events later than the given time.
+func (w *Window) countAfter(since time.Duration) int {
 	count := 0
-	for count < len(w.admitted) && w.admitted[len(w.admitted)-1-count] > moment {
+	for count < len(w.events) && w.events[len(w.events)-1-count] > since {
 		count++
 	}
 	return count
 }
 
-// AllowsIn is how long it takes until a span that ends then holds fewer events than a number, if nothing
-// is added; 0 when it does now.
-func (w *Window) AllowsIn(span, now time.Duration, most int) time.Duration {
-	w.forget(now)
-	if most <= 0 {
-		return span
+// AllowsIn returns how long it takes until the interval that ends then holds fewer than limit
+// events, if none is added; 0 if it does now.
+func (w *Window) AllowsIn(interval, now time.Duration, limit int) time.Duration {
+	w.expire(now)
+	if limit <= 0 {
+		return interval
 	}
-	if w.after(now-span) < most {
+	if w.countAfter(now-interval) < limit {
 		return 0
 	}
-	return w.admitted[len(w.admitted)-most] + span - now
+	return w.events[len(w.events)-limit] + interval - now
 }
 
-// Add counts an event.
+// Add records an event.
 func (w *Window) Add(now time.Duration) {
-	w.forget(now)
-	w.admitted = append(w.admitted, now)
+	w.expire(now)
+	w.events = append(w.events, now)
 }
 
-// Count is how many events the span that ends now holds.
+// Count returns the number of events in the window that ends now.
 func (w *Window) Count(now time.Duration) int {
-	w.forget(now)
-	return len(w.admitted)
+	w.expire(now)
+	return len(w.events)
 }
 
-// Exhausted reports whether the events of all senders have used up a limit in the span that ends
-// now: told were counted at the receiver at a time, and this window's own since are not in that.
-func (w *Window) Exhausted(limit float64, told int, toldAt, now time.Duration) bool {
-	w.forget(now)
-	return told+w.after(toldAt) >= int(limit)
+// Exhausted reports whether the events of all senders have used up a limit in the window that ends
+// now: the number that the receiver reported at reportedAt, and this sender's own events since,
+// which that number does not include.
+func (w *Window) Exhausted(limit float64, reported int, reportedAt, now time.Duration) bool {
+	w.expire(now)
+	return reported+w.countAfter(reportedAt) >= int(limit)
 }
 
-func (w *Window) forget(now time.Duration) {
+func (w *Window) expire(now time.Duration) {
 	kept := 0
-	for kept < len(w.admitted) && now-w.admitted[kept] >= w.span {
+	for kept < len(w.events) && now-w.events[kept] >= w.length {
 		kept++
 	}
-	w.admitted = w.admitted[kept:]
+	w.events = w.events[kept:]
 }
