--- a/coordination/balance/announced.go
+++ b/coordination/balance/announced.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Announcements keeps the requests that were announced to a server, so that its load is known
-// also for those which its last report can't show yet. Its zero value holds none. Times
-// are of any one clock.
+// Announcements holds the requests that were announced to a server, so that its load includes
+// requests that its latest report can't show yet. The zero value is empty. Times may be of any one
+// clock.
 type Announcements struct {
 	requests []announcedRequest
 }
@@ -18,64 +18,64 @@
 }
 
 const (
-	// arrivalDelay is how long after its announcement a request has surely reached the
-	// server, which may first have to take a new connection: three ways between regions, of
-	// 1 to 2.8 ms each where this was measured, less the one of the announcement.
+	// arrivalDelay is the time after its announcement within which a request has reached the
+	// server, even if a new connection was needed: three one-way trips between regions, measured at
+	// 1 to 2.8 ms each, minus that of the announcement.
 	arrivalDelay = 5 * time.Millisecond
-	// announcedMemory is how long a request is remembered: several times the targets to the
-	// first event, within which admitted requests begin. What waits longer at a server is
-	// counted by its number alone.
-	announcedMemory = 3 * time.Second
-	// mostAnnounced bounds the memory; a server's places and queue are far fewer.
-	mostAnnounced = 256
+	// announcementTTL is how long a request is kept: several times the targets for the first event,
+	// within which admitted requests start. Requests that wait longer at a server are counted
+	// without their prompt size.
+	announcementTTL = 3 * time.Second
+	// maxAnnouncements bounds the memory; a server's slots and queue are far fewer.
+	maxAnnouncements = 256
 )
 
-// Add notes a request with a prompt of a number of tokens.
+// Add records a request with a prompt of the given number of tokens.
 func (a *Announcements) Add(at time.Duration, prompt int) {
-	if len(a.requests) == mostAnnounced {
+	if len(a.requests) == maxAnnouncements {
 		a.requests = slices.Delete(a.requests, 0, 1)
 	}
 	a.requests = append(a.requests, announcedRequest{at: at, prompt: prompt})
 }
 
-// Load is the server's load by a report of a time and what was announced since. The
-// requests that wait are taken for the newest; usualPrompt stands for those that nobody
-// has announced.
+// Load returns the server's load according to a report and the requests announced since. The
+// waiting requests are taken to be the latest ones; usualPrompt is used for those that were not
+// announced.
 func (a *Announcements) Load(reported Load, reportedAt, now time.Duration, usualPrompt float64) Load {
-	a.forget(now)
+	a.expire(now)
 	load := reported
-	for _, one := range a.requests {
-		if one.at > reportedAt-arrivalDelay {
+	for _, request := range a.requests {
+		if request.at > reportedAt-arrivalDelay {
 			load.Waiting++
 		}
 	}
-	known := min(load.Waiting, len(a.requests))
-	load.Unread = float64(load.Waiting-known) * usualPrompt
-	for _, one := range a.requests[len(a.requests)-known:] {
-		load.Unread += float64(one.prompt)
+	announced := min(load.Waiting, len(a.requests))
+	load.Unread = float64(load.Waiting-announced) * usualPrompt
+	for _, request := range a.requests[len(a.requests)-announced:] {
+		load.Unread += float64(request.prompt)
 	}
 	return load
 }
 
-// UnreadTokens estimates how many tokens of the announced prompts are still to be read now by a
-// server that began each as soon as it arrived, and reads as fast as its figures say with a
-// number of requests running. At a server with free places requests run from their arrival on,
-// so that a report does not count them as waiting, and reports may show them late: without this
-// estimate a server that many reach at once looks idle until its first events are late.
+// UnreadTokens estimates how many tokens of the announced prompts are still unread, for a server
+// that started each request on arrival and reads at the rate given by figures with the given number
+// of running requests. At a server with free slots, requests run as soon as they arrive, so a
+// report does not count them as waiting, and reports may show them late: without this estimate a
+// server that receives many requests at once looks idle until its first events are late.
 func (a *Announcements) UnreadTokens(now time.Duration, figures Server, running int) float64 {
-	if !figures.reads() {
+	if !figures.readsPrompts() {
 		return 0
 	}
-	perSecond := figures.readingRate(running)
-	unread, at := 0.0, time.Duration(0)
-	for _, one := range a.requests {
-		unread = max(0, unread-perSecond*(one.at-at).Seconds()) + float64(one.prompt)
-		at = one.at
+	rate := figures.readingRate(running)
+	unread, last := 0.0, time.Duration(0)
+	for _, request := range a.requests {
+		unread = max(0, unread-rate*(request.at-last).Seconds()) + float64(request.prompt)
+		last = request.at
 	}
-	return max(0, unread-perSecond*(now-at).Seconds())
+	return max(0, unread-rate*(now-last).Seconds())
 }
 
-// forget drops the requests that were announced too long ago.
-func (a *Announcements) forget(now time.Duration) {
-	a.requests = slices.DeleteFunc(a.requests, func(one announcedRequest) bool { return now-one.at > announcedMemory })
+// expire drops the requests that were announced too long ago.
+func (a *Announcements) expire(now time.Duration) {
+	a.requests = slices.DeleteFunc(a.requests, func(request announcedRequest) bool { return now-request.at > announcementTTL })
 }
--- a/coordination/balance/balance.go
+++ b/coordination/balance/balance.go
@@ -1,75 +1,75 @@
-// Package balance predicts how long a server will take to begin a request, so
-// that requests go where they begin soonest and those that would wait for too long
-// are refused at once. It does no I/O and reads no clock.
+// Package balance predicts how long a server takes to start a request, so that requests go to the
+// server that starts them soonest, and requests that would wait too long are refused at once. The
+// package does no I/O and reads no clock.
 package balance
 
 import (
 	"time"
 )
 
-// Server is the speed and size of a server. Times are in milliseconds.
+// Server describes the speed and size of a server. Times are in milliseconds.
 type Server struct {
 	Slots int
-	// A step that writes one token for each running request takes StepMilliseconds,
-	// PerSequence for each request, and ContextPerThousand for each thousand tokens
-	// of context; Stride steps make a pass.
+	// A step generates one token for each running request. It takes StepMilliseconds, plus
+	// PerSequence for each request, plus ContextPerThousand for each thousand tokens of context.
+	// Stride steps make up a pass, which ends with an event for each running request.
 	StepMilliseconds   float64
 	PerSequence        float64
 	ContextPerThousand float64
 	Stride             int
-	// ReadPerSecond is how many tokens of prompts are read in a second, ReadChunk how many
-	// at most in one pass; 0 stands for no bound.
+	// ReadPerSecond is the number of prompt tokens read (prefilled) in a second, ReadChunk the
+	// maximum in one pass; a ReadChunk of 0 means no limit.
 	ReadPerSecond float64
 	ReadChunk     int
 	// UsualPrompt and UsualAnswer are mean sizes in tokens.
 	UsualPrompt float64
 	UsualAnswer float64
-	// RequestMilliseconds is the mean time of a whole request at a server that reads
-	// no prompts.
+	// RequestMilliseconds is the mean time of a complete request at a server that reads no prompts.
 	RequestMilliseconds float64
 }
 
-// Load is what is known of a server's work.
+// Load is the known load of a server.
 type Load struct {
-	// Running requests have begun; Waiting ones have not.
+	// Running counts the requests that have started, Waiting those that have not.
 	Running int
 	Waiting int
 	// Unread is the number of prompt tokens of the waiting requests.
 	Unread float64
-	// Pace is over 1 when the server is slow; 0 stands for 1.
+	// Pace is the factor by which the server is slower than its figures; values up to 1, including
+	// 0, count as 1.
 	Pace float64
 }
 
-// reads reports whether the server reads prompts.
-func (s Server) reads() bool { return s.ReadPerSecond > 0 }
+// readsPrompts reports whether the server reads prompts.
+func (s Server) readsPrompts() bool { return s.ReadPerSecond > 0 }
 
-// step is the time of one step with a number of requests running.
-func (s Server) step(running float64) float64 {
+// stepTime returns the time of one step with the given number of running requests.
+func (s Server) stepTime(running float64) float64 {
 	return s.StepMilliseconds + running*(s.PerSequence+s.ContextPerThousand*s.UsualPrompt/1000)
 }
 
-// pass is the time of a pass with a number of requests running.
-func (s Server) pass(running float64) float64 { return float64(s.Stride) * s.step(running) }
+// passTime returns the time of a pass with the given number of running requests.
+func (s Server) passTime(running float64) float64 { return float64(s.Stride) * s.stepTime(running) }
 
-// ServiceTime is the mean time between two places becoming free at a full server.
+// ServiceTime returns the mean time between two slots becoming free at a full server.
 func (s Server) ServiceTime() time.Duration {
 	slots := float64(max(1, s.Slots))
-	if !s.reads() {
+	if !s.readsPrompts() {
 		return milliseconds(s.RequestMilliseconds / slots)
 	}
-	return milliseconds(s.step(slots)*s.UsualAnswer/slots + 1000*s.UsualPrompt/s.ReadPerSecond)
+	return milliseconds(s.stepTime(slots)*s.UsualAnswer/slots + 1000*s.UsualPrompt/s.ReadPerSecond)
 }
 
-// Passes that go by until a new prompt's first event is out, besides the reading: the
-// one that writes the event, and where others run the one under way and its rest.
-// Measured: with 0.098 s predicted at 1.5 passes, calm days had 0.138 s.
+// Number of passes until the first event of a new prompt, besides those for reading: the one that
+// writes the event and, if other requests are running, the current one and what remains of it. With
+// 1.5 passes, 0.098 s was predicted where days without overload measured 0.138 s.
 const (
-	ownPasses    = 1.0
-	passesBefore = 1.0
+	ownPasses       = 1.0
+	precedingPasses = 1.0
 )
 
-// readingPasses is how many passes the reading of prompts takes: each reads a chunk at
-// most, and writes for the running requests as well.
+// readingPasses returns the number of passes needed to read prompts: each pass reads at most one
+// chunk and also generates tokens for the running requests.
 func (s Server) readingPasses(tokens float64) float64 {
 	if s.ReadChunk <= 0 {
 		return 0
@@ -77,30 +77,29 @@
 	return tokens / float64(s.ReadChunk)
 }
 
-// readingRate is how many tokens of prompts are read in a second while requests run: each
-// chunk takes a pass beside the reading itself.
+// readingRate returns the number of prompt tokens read in a second while requests run: each chunk
+// takes a pass in addition to the reading itself.
 func (s Server) readingRate(running int) float64 {
 	perToken := 1 / s.ReadPerSecond
 	if s.ReadChunk > 0 {
-		perToken += s.pass(float64(running)) / float64(s.ReadChunk) / millisecondsASecond
+		perToken += s.passTime(float64(running)) / float64(s.ReadChunk) / millisecondsPerSecond
 	}
 	return 1 / perToken
 }
 
-// TimeToFirstEvent predicts the time until a request that is sent now begins to be
-// answered.
+// TimeToFirstEvent predicts the time until the first event of a request that is sent now.
 func (s Server) TimeToFirstEvent(load Load, prompt int) time.Duration {
-	held := load.Running + load.Waiting
-	full := max(0, held+1-s.Slots)
-	delay := float64(full) * float64(s.ServiceTime()) / float64(time.Millisecond)
-	if s.reads() {
+	total := load.Running + load.Waiting
+	ahead := max(0, total+1-s.Slots)
+	delay := float64(ahead) * float64(s.ServiceTime()) / float64(time.Millisecond)
+	if s.readsPrompts() {
 		unread := load.Unread + float64(prompt)
 		delay += 1000 * unread / s.ReadPerSecond
 		passes := max(ownPasses, s.readingPasses(unread))
 		if load.Running > 0 {
-			passes += passesBefore
+			passes += precedingPasses
 		}
-		delay += passes * s.pass(float64(load.Running))
+		delay += passes * s.passTime(float64(load.Running))
 	} else {
 		delay += s.RequestMilliseconds
 	}
@@ -110,29 +109,31 @@
 	return milliseconds(delay)
 }
 
-// IdleTimeToFirstEvent predicts when an idle server begins to answer a request.
+// IdleTimeToFirstEvent predicts the time until the first event of a request at an idle server.
 func (s Server) IdleTimeToFirstEvent(prompt int) time.Duration {
 	return s.TimeToFirstEvent(Load{}, prompt)
 }
 
-// Wait predicts how long a request that is sent now waits for others. It is the same for all sizes: reckoned with a
-// request's own size it would be longer for large ones, whose reading others slow down.
+// Wait predicts how long a request that is sent now waits for others. It is the same for all sizes:
+// based on the request's own size it would be longer for large requests, whose reading is slowed
+// down by others.
 func (s Server) Wait(load Load) time.Duration {
 	usual := int(s.UsualPrompt)
 	return s.TimeToFirstEvent(load, usual) - s.TimeToFirstEvent(Load{Pace: load.Pace}, usual)
 }
 
-// MaxWait is how long requests may wait for others where a usual one is to begin within a limit.
+// MaxWait returns how long requests may wait for others if a request of usual size is to start
+// within the limit.
 func (s Server) MaxWait(limit time.Duration) time.Duration {
 	return max(0, limit-s.IdleTimeToFirstEvent(int(s.UsualPrompt)))
 }
 
-// Duration predicts the time in which an answer of a number of tokens is written.
+// Duration predicts the time until an answer of the given number of tokens is complete.
 func (s Server) Duration(load Load, prompt, answer int) time.Duration {
-	step := s.step(float64(load.Running+1)) * max(1, load.Pace)
-	// Prompts of others are read between the steps.
-	const reading = 1.25
-	return s.TimeToFirstEvent(load, prompt) + milliseconds(reading*step*float64(answer))
+	step := s.stepTime(float64(load.Running+1)) * max(1, load.Pace)
+	// Between steps the server reads the prompts of other requests.
+	const readingFactor = 1.25
+	return s.TimeToFirstEvent(load, prompt) + milliseconds(readingFactor*step*float64(answer))
 }
 
 func milliseconds(value float64) time.Duration {
--- a/coordination/balance/balance_test.go
+++ b/coordination/balance/balance_test.go
@@ -12,49 +12,49 @@
 	ReadPerSecond: 20700, UsualPrompt: 979, UsualAnswer: 92,
 }
 
-// A server that has just come back holds few requests, yet a row of unread prompts
-// makes it slower to begin than a busy one.
+// Guards against sending requests to a server that has just returned: it runs few requests, but a
+// queue of unread prompts delays the first event more than many running requests do.
 func TestUnreadPromptsOutweighRunningRequests(t *testing.T) {
-	stormed := Load{Running: 0, Waiting: 6, Unread: 6 * 979}
+	queued := Load{Running: 0, Waiting: 6, Unread: 6 * 979}
 	busy := Load{Running: 9}
-	assert.Greater(t, engine.TimeToFirstEvent(stormed, 979), engine.TimeToFirstEvent(busy, 979))
+	assert.Greater(t, engine.TimeToFirstEvent(queued, 979), engine.TimeToFirstEvent(busy, 979))
 }
 
 func TestIdleServerReadsThePromptAndWritesOneEvent(t *testing.T) {
 	assert.InDelta(t, 47+46, float64(engine.TimeToFirstEvent(Load{}, 979))/float64(time.Millisecond), 1)
 }
 
-func TestFullServerWaitsForAPlace(t *testing.T) {
-	almost := engine.TimeToFirstEvent(Load{Running: 15}, 979)
+func TestFullServerWaitsForASlot(t *testing.T) {
+	almostFull := engine.TimeToFirstEvent(Load{Running: 15}, 979)
 	full := engine.TimeToFirstEvent(Load{Running: 16}, 979)
-	assert.InDelta(t, float64(engine.ServiceTime()), float64(full-almost), float64(2*time.Millisecond))
+	assert.InDelta(t, float64(engine.ServiceTime()), float64(full-almostFull), float64(2*time.Millisecond))
 	assert.InDelta(t, 108, float64(engine.ServiceTime())/float64(time.Millisecond), 5)
 }
 
-func TestSlowServersCountAsSlow(t *testing.T) {
-	even := float64(engine.TimeToFirstEvent(Load{Running: 4}, 500))
-	assert.InDelta(t, 3*even, float64(engine.TimeToFirstEvent(Load{Running: 4, Pace: 3}, 500)), float64(time.Microsecond))
+func TestPaceScalesTimeToFirstEvent(t *testing.T) {
+	normal := float64(engine.TimeToFirstEvent(Load{Running: 4}, 500))
+	assert.InDelta(t, 3*normal, float64(engine.TimeToFirstEvent(Load{Running: 4, Pace: 3}, 500)), float64(time.Microsecond))
 }
 
-func TestPlainServersQueue(t *testing.T) {
-	plain := Server{Slots: 6, RequestMilliseconds: 60}
-	assert.Equal(t, 60*time.Millisecond, plain.TimeToFirstEvent(Load{Running: 5}, 0))
-	assert.Equal(t, 90*time.Millisecond, plain.TimeToFirstEvent(Load{Running: 8}, 0))
+func TestQueueingAtServersThatReadNoPrompts(t *testing.T) {
+	noPrompts := Server{Slots: 6, RequestMilliseconds: 60}
+	assert.Equal(t, 60*time.Millisecond, noPrompts.TimeToFirstEvent(Load{Running: 5}, 0))
+	assert.Equal(t, 90*time.Millisecond, noPrompts.TimeToFirstEvent(Load{Running: 8}, 0))
 }
 
-// Prompts are read in chunks, and between two of them the server writes for those that
-// run: a long queue of prompts takes a pass for each chunk.
+// Prompts are read in chunks, and between two chunks the server generates tokens for running
+// requests, so a long queue of prompts takes one pass per chunk.
 func TestEachChunkOfReadingTakesAPass(t *testing.T) {
 	server := Server{Slots: 16, StepMilliseconds: 10, Stride: 6, ReadPerSecond: 30000, ReadChunk: 2000}
 	load := Load{Running: 10, Waiting: 5, Unread: 5000}
 	reading, passes := 200*time.Millisecond, 1+3
 	assert.Equal(t, reading+time.Duration(passes)*60*time.Millisecond, server.TimeToFirstEvent(load, 1000))
 	server.ReadChunk = 0
-	assert.Equal(t, reading+2*60*time.Millisecond, server.TimeToFirstEvent(load, 1000), "as long as no chunk is published")
+	assert.Equal(t, reading+2*60*time.Millisecond, server.TimeToFirstEvent(load, 1000), "no chunk size published")
 }
 
-// The wait for others grows with the load and with the pace of a slow server; an idle one makes nobody wait,
-// however slow it is. What may be waited is what a usual prompt leaves of a limit.
+// The wait for others must grow with the load and the pace of a slow server; an idle server must
+// cause no wait, however slow it is. The maximum wait is what a usual prompt leaves of the limit.
 func TestWaitForOthers(t *testing.T) {
 	server := Server{Slots: 16, StepMilliseconds: 7, Stride: 6, ReadPerSecond: 30000, ReadChunk: 2048, UsualPrompt: 1000, UsualAnswer: 100}
 	for _, pace := range []float64{0, 1, 4} {
@@ -67,7 +67,7 @@
 	limit := 400 * time.Millisecond
 	assert.Equal(t, limit-server.TimeToFirstEvent(Load{}, 1000), server.MaxWait(limit))
 	assert.Zero(t, server.MaxWait(10*time.Millisecond))
-	plain := Server{Slots: 4, RequestMilliseconds: 60}
-	assert.Zero(t, plain.Wait(Load{Running: 3}))
-	assert.Equal(t, 15*time.Millisecond, plain.Wait(Load{Running: 4}))
+	noPrompts := Server{Slots: 4, RequestMilliseconds: 60}
+	assert.Zero(t, noPrompts.Wait(Load{Running: 3}))
+	assert.Equal(t, 15*time.Millisecond, noPrompts.Wait(Load{Running: 4}))
 }
--- a/coordination/balance/learned.go
+++ b/coordination/balance/learned.go
@@ -2,31 +2,29 @@
 
 import "time"
 
-// Bounds of what is learned.
+// Parameters of the estimates.
 const (
-	// learnedShare of the older samples counts after each new one: the last hundred or
-	// so make up most of a figure.
-	learnedShare = 0.99
-	// enoughToFill is how many samples replace a figure that is not published.
-	enoughToFill = 5
-	// enoughToCorrect is how many samples replace a published figure that they
-	// contradict, and contradiction the factor between the two from which they do: what
-	// is seen from outside contains the network and other requests, which together make
-	// for a factor of about two.
-	enoughToCorrect = 50
-	contradiction   = 4.0
-	// outlier times its prediction is the most that one sample counts for: single
-	// requests are held up for seconds by lost packets and cut links.
-	outlier = 8
-	// leastReadingShare of the time until the first event is taken for reading, however
-	// long a pass seems.
-	leastReadingShare = 0.25
+	// decay is the factor by which each new sample reduces the weight of older ones: about the last
+	// hundred samples dominate a figure.
+	decay = 0.99
+	// minSamplesToFill is the number of samples that replace a figure that is not published.
+	minSamplesToFill = 5
+	// minSamplesToCorrect is the number of samples that replace a published figure, provided they
+	// differ from it by more than a factor of maxDeviation. Times observed by a client include the
+	// network and other requests, which together account for a factor of about two.
+	minSamplesToCorrect = 50
+	maxDeviation        = 4.0
+	// maxOutlierRatio limits a sample to this multiple of its prediction: single requests are
+	// delayed for seconds by lost packets and broken links.
+	maxOutlierRatio = 8
+	// minReadingFraction is the minimum fraction of the time to the first event that counts as
+	// reading, however long a pass seems.
+	minReadingFraction = 0.25
 
-	millisecondsASecond = 1000.0
+	millisecondsPerSecond = 1000.0
 )
 
-// Figures that are assumed until a few requests have been answered: of a middling
-// model server.
+// Default figures, typical of a model server, used until a few requests have been answered.
 const (
 	assumedSlots            = 8
 	assumedReadPerSecond    = 15000
@@ -35,66 +33,66 @@
 	assumedAnswer           = 100
 )
 
-// Estimator is what the answers of a service's servers show of their speed. Its zero
-// value knows nothing yet.
+// Estimator estimates the speed of a service's servers from their answers. The zero value has no
+// samples.
 type Estimator struct {
-	// reading holds prompt tokens over the seconds until the first event less the pass
-	// that writes it, at servers that had nothing else to do; idle holds the whole time
-	// over the one that the published figures predict.
-	reading mean
-	idle    mean
-	// pass holds the milliseconds between two events, prompt and events the sizes of
-	// requests.
-	pass   mean
-	prompt mean
-	events mean
+	// readRate is the number of prompt tokens divided by the seconds to the first event, without
+	// the pass that writes it, at servers with no other load; idleRatio is the time to the first
+	// event divided by the prediction from the published figures.
+	readRate  decayingMean
+	idleRatio decayingMean
+	// eventInterval is the number of milliseconds between two events; promptTokens and answerEvents
+	// are the sizes of requests.
+	eventInterval decayingMean
+	promptTokens  decayingMean
+	answerEvents  decayingMean
 }
 
-// mean is a fading quotient of two sums.
-type mean struct {
+// decayingMean is a ratio of two sums that decay with each sample.
+type decayingMean struct {
 	sum     float64
 	weight  float64
 	samples int
 }
 
-func (m *mean) add(value, weight float64) {
-	m.sum = learnedShare*m.sum + value
-	m.weight = learnedShare*m.weight + weight
+func (m *decayingMean) add(value, weight float64) {
+	m.sum = decay*m.sum + value
+	m.weight = decay*m.weight + weight
 	m.samples++
 }
 
-func (m *mean) value() float64 { return m.sum / m.weight }
+func (m *decayingMean) value() float64 { return m.sum / m.weight }
 
-// RecordIdleFirstEvent notes how long a server that had nothing else to do took until the
-// first event of a request, where the published figures are those given.
-func (l *Estimator) RecordIdleFirstEvent(published Server, prompt int, delay time.Duration) {
+// RecordIdleFirstEvent records the time to the first event of a request at a server with no other
+// load, given its published figures.
+func (e *Estimator) RecordIdleFirstEvent(published Server, prompt int, delay time.Duration) {
 	if prompt <= 0 || delay <= 0 {
 		return
 	}
-	pass := published.pass(0)
-	reading := max(delay.Seconds()-pass/millisecondsASecond, leastReadingShare*delay.Seconds())
-	l.reading.add(float64(prompt), reading)
+	pass := published.passTime(0)
+	reading := max(delay.Seconds()-pass/millisecondsPerSecond, minReadingFraction*delay.Seconds())
+	e.readRate.add(float64(prompt), reading)
 	if published.ReadPerSecond > 0 {
 		predicted := published.IdleTimeToFirstEvent(prompt)
-		l.idle.add(float64(min(delay, outlier*predicted)), float64(predicted))
+		e.idleRatio.add(float64(min(delay, maxOutlierRatio*predicted)), float64(predicted))
 	}
 }
 
-// RecordStream notes a complete answer: its events and the time from the first of them to
-// the last.
-func (l *Estimator) RecordStream(prompt, events int, writing time.Duration) {
+// RecordStream records a complete answer: its number of events and the time from the first to the
+// last.
+func (e *Estimator) RecordStream(prompt, events int, writing time.Duration) {
 	if prompt > 0 {
-		l.prompt.add(float64(prompt), 1)
+		e.promptTokens.add(float64(prompt), 1)
 	}
 	if events > 1 && writing > 0 {
-		l.pass.add(float64(writing)/float64(time.Millisecond), float64(events-1))
-		l.events.add(float64(events), 1)
+		e.eventInterval.add(float64(writing)/float64(time.Millisecond), float64(events-1))
+		e.answerEvents.add(float64(events), 1)
 	}
 }
 
-// Merge fills in the figures of a model server that are not published, and replaces
-// those that the answers contradict.
-func (l *Estimator) Merge(published Server) Server {
+// Merge fills in the figures of a model server that are not published, and replaces those that
+// differ too much from the observed answers.
+func (e *Estimator) Merge(published Server) Server {
 	server := published
 	if server.Slots < 1 {
 		server.Slots = assumedSlots
@@ -103,38 +101,38 @@
 		server.Stride = 1
 	}
 	stride := float64(server.Stride)
-	if published.ReadPerSecond <= 0 || l.idleContradicts() {
-		server.ReadPerSecond = l.reading.orElse(0, 1, assumedReadPerSecond)
+	if published.ReadPerSecond <= 0 || e.readRateDeviates() {
+		server.ReadPerSecond = e.readRate.resolve(0, 1, assumedReadPerSecond)
 	}
-	server.StepMilliseconds = l.pass.orElse(published.StepMilliseconds, 1/stride, assumedStepMilliseconds)
-	server.UsualPrompt = l.prompt.orElse(published.UsualPrompt, 1, assumedPrompt)
-	server.UsualAnswer = l.events.orElse(published.UsualAnswer, stride, assumedAnswer)
+	server.StepMilliseconds = e.eventInterval.resolve(published.StepMilliseconds, 1/stride, assumedStepMilliseconds)
+	server.UsualPrompt = e.promptTokens.resolve(published.UsualPrompt, 1, assumedPrompt)
+	server.UsualAnswer = e.answerEvents.resolve(published.UsualAnswer, stride, assumedAnswer)
 	return server
 }
 
-// idleContradicts reports whether idle servers begin requests so much sooner or later
-// than the published figures say that the reading rate can't be right.
-func (l *Estimator) idleContradicts() bool {
-	if l.idle.samples < enoughToCorrect {
+// readRateDeviates reports whether idle servers start requests so much sooner or later than
+// predicted that the published read rate can't be right.
+func (e *Estimator) readRateDeviates() bool {
+	if e.idleRatio.samples < minSamplesToCorrect {
 		return false
 	}
-	ratio := l.idle.value()
-	return ratio > contradiction || ratio < 1/contradiction
+	ratio := e.idleRatio.value()
+	return ratio > maxDeviation || ratio < 1/maxDeviation
 }
 
-// orElse returns the published figure unless it is missing or contradicted by the mean
-// times a scale; assumed is returned where there is neither.
-func (m *mean) orElse(published, scale, assumed float64) float64 {
+// resolve returns the published figure unless it is missing or differs too much from the mean times
+// scale. If it is missing and there are too few samples, resolve returns assumed.
+func (m *decayingMean) resolve(published, scale, assumed float64) float64 {
 	missing := published <= 0
-	if m.samples < enoughToFill || (!missing && m.samples < enoughToCorrect) {
+	if m.samples < minSamplesToFill || (!missing && m.samples < minSamplesToCorrect) {
 		if missing {
 			return assumed
 		}
 		return published
 	}
-	seen := m.value() * scale
-	if missing || seen > contradiction*published || seen < published/contradiction {
-		return seen
+	observed := m.value() * scale
+	if missing || observed > maxDeviation*published || observed < published/maxDeviation {
+		return observed
 	}
 	return published
 }
--- a/coordination/balance/margin_test.go
+++ b/coordination/balance/margin_test.go
@@ -8,13 +8,13 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The margin settles where the wanted share of requests begins in time, and goes back
-// when predictions are right again.
-func TestMarginKeepsAShareInTime(t *testing.T) {
+// The margin must settle where the wanted ratio of requests starts in time, and return once
+// predictions are right again.
+func TestMarginKeepsWantedRatioInTime(t *testing.T) {
 	const target = 400 * time.Millisecond
 	random := rand.New(rand.NewPCG(1, 1))
 	margin := &Margin{}
-	assert.Equal(t, 440*time.Millisecond, margin.Limit(target), "nothing is known yet")
+	assert.Equal(t, 440*time.Millisecond, margin.Limit(target), "no observations yet")
 	late, total := 0, 0
 	for number := range 2000 {
 		excess := time.Duration(random.Int64N(int64(200 * time.Millisecond)))
