--- a/coordination/attempt/attempt_test.go
+++ b/coordination/attempt/attempt_test.go
@@ -32,7 +32,7 @@
 	assert.Equal(t, Start, ledger.Submit(id))
 }
 
-func TestAnotherLifeRefuses(t *testing.T) {
+func TestOtherIncarnationIsRefused(t *testing.T) {
 	ledger := NewLedger(8)
 	id := ID{Incarnation: 7, Session: ledger.Open(), Sequence: 1}
 	assert.Equal(t, WrongIncarnation, ledger.Submit(id))
@@ -79,14 +79,14 @@
 	assert.LessOrEqual(t, len(ledger.sessions[session].attempts), Window+1)
 }
 
-// Whatever is submitted, revoked, finished, closed and asked, in any order:
-// nothing starts twice, and nothing that was once said not to have run runs.
-func TestPropertiesOfAnyHistory(t *testing.T) {
+// For any sequence of submissions, revocations, completions, closings and inquiries: nothing may
+// start twice, and an attempt that was reported as not run may never run.
+func TestNoAttemptStartsTwiceOrAfterNotRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ledger := NewLedger(1)
 		sessions := []uint64{ledger.Open()}
 		started := map[ID]bool{}
-		denied := map[ID]bool{}
+		notRun := map[ID]bool{}
 		draw := func() ID {
 			return ID{
 				Incarnation: rapid.Uint64Range(1, 2).Draw(t, "incarnation"),
@@ -102,8 +102,8 @@
 				if ledger.Submit(id) != Start {
 					return
 				}
-				if started[id] || denied[id] {
-					t.Fatalf("%v started again or after it was denied", id)
+				if started[id] || notRun[id] {
+					t.Fatalf("%v started again or after it was reported as not run", id)
 				}
 				started[id] = true
 			},
@@ -114,9 +114,9 @@
 					return
 				}
 				if started[id] {
-					t.Fatalf("%v is denied although it started", id)
+					t.Fatalf("%v is reported as not run although it started", id)
 				}
-				denied[id] = true
+				notRun[id] = true
 			},
 		})
 	})
