--- a/coordination/quarantine/archive.go
+++ b/coordination/quarantine/archive.go
@@ -5,139 +5,141 @@
 	"time"
 )
 
-// Bounds of what is held for others: ends as many as count, each with words of a few entries.
+// Limits of the reports kept for other processes: as many crashes as a Tracker keeps, each with
+// reports of a few entries.
 const (
-	mostEndWords     = 2 * mostEnds
-	mostClearedWords = 1024
-	mostShutWords    = mostQuarantined
+	maxCrashReports      = 2 * maxCrashes
+	maxClearedReports    = 1024
+	maxQuarantineReports = maxQuarantines
 )
 
-// wordKey names a word.
-type wordKey struct {
+// reportKey identifies a report.
+type reportKey struct {
 	entry  string
 	number uint64
 }
 
-// heldWord is a word with its place among those that were taken in.
-type heldWord struct {
-	word     Report
+// archivedReport is a report with its position in the order of arrival.
+type archivedReport struct {
+	report   Report
 	sequence uint64
 }
 
-// Archive holds words to pass them on, and for processes that start.
+// Archive keeps reports in order to pass them on to other processes, including those that start
+// later.
 type Archive struct {
-	held     map[wordKey]heldWord
+	reports  map[reportKey]archivedReport
 	sequence uint64
 }
 
 // NewArchive returns an empty archive.
-func NewArchive() *Archive { return &Archive{held: map[wordKey]heldWord{}} }
+func NewArchive() *Archive { return &Archive{reports: map[reportKey]archivedReport{}} }
 
-// Sequence is that of the word taken in last.
+// Sequence returns the sequence number of the latest report.
 func (a *Archive) Sequence() uint64 { return a.sequence }
 
-// Add takes a word in and reports whether it is news.
-func (a *Archive) Add(word Report, now time.Duration) bool {
-	key := wordKey{word.Entry, word.Number}
-	if _, known := a.held[key]; known || now-word.At > word.memory() {
+// Add adds a report and reports whether it was new.
+func (a *Archive) Add(report Report, now time.Duration) bool {
+	key := reportKey{report.Entry, report.Number}
+	if _, known := a.reports[key]; known || now-report.At > report.ttl() {
 		return false
 	}
-	if word.Kind == Quarantined && a.isLifted(word) {
+	if report.Kind == Quarantined && a.isLifted(report) {
 		return false
 	}
-	if word.Kind == Cleared && word.LiftsQuarantine {
-		a.dropLifted(word)
+	if report.Kind == Cleared && report.LiftsQuarantine {
+		a.dropLifted(report)
 	}
-	a.makeRoom(word.Kind)
+	a.makeRoom(report.Kind)
 	a.sequence++
-	a.held[key] = heldWord{word: word, sequence: a.sequence}
+	a.reports[key] = archivedReport{report: report, sequence: a.sequence}
 	return true
 }
 
-// memory is how long a word may still matter to somebody.
-func (w Report) memory() time.Duration {
+// ttl returns how long a report may still matter to some process.
+func (r Report) ttl() time.Duration {
 	switch {
-	case w.Kind == Quarantined:
-		return w.Duration + longestQuarantine
-	case w.Kind == Cleared && w.LiftsQuarantine:
-		return longestQuarantine
+	case r.Kind == Quarantined:
+		return r.Duration + maxQuarantine
+	case r.Kind == Cleared && r.LiftsQuarantine:
+		return maxQuarantine
 	}
-	return evidenceMemory
+	return evidenceTTL
 }
 
-// isLifted reports whether a quarantine is known to have been ended.
-func (a *Archive) isLifted(word Report) bool {
-	for _, one := range a.held {
-		if one.word.Kind == Cleared && one.word.LiftsQuarantine && one.word.Fingerprint == word.Fingerprint && one.word.At >= word.At {
+// isLifted reports whether a quarantine is known to have been lifted.
+func (a *Archive) isLifted(report Report) bool {
+	for _, archived := range a.reports {
+		if archived.report.Kind == Cleared && archived.report.LiftsQuarantine && archived.report.Fingerprint == report.Fingerprint && archived.report.At >= report.At {
 			return true
 		}
 	}
 	return false
 }
 
-// dropLifted drops the words of a quarantine that has been ended.
-func (a *Archive) dropLifted(by Report) {
-	for key, one := range a.held {
-		if one.word.Kind == Quarantined && one.word.Fingerprint == by.Fingerprint && one.word.At <= by.At {
-			delete(a.held, key)
+// dropLifted drops the reports of a quarantine that has been lifted.
+func (a *Archive) dropLifted(cleared Report) {
+	for key, archived := range a.reports {
+		if archived.report.Kind == Quarantined && archived.report.Fingerprint == cleared.Fingerprint && archived.report.At <= cleared.At {
+			delete(a.reports, key)
 		}
 	}
 }
 
-// makeRoom drops a word if there are as many of a kind as may be: the oldest one, of quarantines that
-// of the caller who has the most.
+// makeRoom drops a report if the limit of its kind is reached: the oldest one; of quarantine
+// reports the oldest of the caller with the most.
 func (a *Archive) makeRoom(kind Kind) {
-	var same []heldWord
+	var ofKind []archivedReport
 	counts := map[uint64]int{}
-	for _, one := range a.held {
-		if one.word.Kind == kind {
-			same = append(same, one)
-			counts[one.word.Fingerprint.Caller]++
+	for _, archived := range a.reports {
+		if archived.report.Kind == kind {
+			ofKind = append(ofKind, archived)
+			counts[archived.report.Fingerprint.Caller]++
 		}
 	}
-	if len(same) < mostOf(kind) {
+	if len(ofKind) < maxReports(kind) {
 		return
 	}
-	last := slices.MinFunc(same, func(x, y heldWord) int {
-		if kind == Quarantined && counts[x.word.Fingerprint.Caller] != counts[y.word.Fingerprint.Caller] {
-			return counts[y.word.Fingerprint.Caller] - counts[x.word.Fingerprint.Caller]
+	evicted := slices.MinFunc(ofKind, func(x, y archivedReport) int {
+		if kind == Quarantined && counts[x.report.Fingerprint.Caller] != counts[y.report.Fingerprint.Caller] {
+			return counts[y.report.Fingerprint.Caller] - counts[x.report.Fingerprint.Caller]
 		}
 		return int(x.sequence) - int(y.sequence)
 	})
-	delete(a.held, wordKey{last.word.Entry, last.word.Number})
+	delete(a.reports, reportKey{evicted.report.Entry, evicted.report.Number})
 }
 
-func mostOf(kind Kind) int {
+func maxReports(kind Kind) int {
 	switch kind {
 	case Crashed:
-		return mostEndWords
+		return maxCrashReports
 	case Cleared:
-		return mostClearedWords
+		return maxClearedReports
 	}
-	return mostShutWords
+	return maxQuarantineReports
 }
 
-// Since lists the words that were taken in after a sequence, in order.
+// Since returns the reports added after the given sequence number, in order.
 func (a *Archive) Since(sequence uint64) []Report {
-	var later []heldWord
-	for _, one := range a.held {
-		if one.sequence > sequence {
-			later = append(later, one)
+	var later []archivedReport
+	for _, archived := range a.reports {
+		if archived.sequence > sequence {
+			later = append(later, archived)
 		}
 	}
-	slices.SortFunc(later, func(x, y heldWord) int { return int(x.sequence) - int(y.sequence) })
-	words := make([]Report, 0, len(later))
-	for _, one := range later {
-		words = append(words, one.word)
+	slices.SortFunc(later, func(x, y archivedReport) int { return int(x.sequence) - int(y.sequence) })
+	reports := make([]Report, 0, len(later))
+	for _, archived := range later {
+		reports = append(reports, archived.report)
 	}
-	return words
+	return reports
 }
 
-// Expire drops what matters to nobody any more.
+// Expire drops the reports that no longer matter to any process.
 func (a *Archive) Expire(now time.Duration) {
-	for key, one := range a.held {
-		if now-one.word.At > one.word.memory() {
-			delete(a.held, key)
+	for key, archived := range a.reports {
+		if now-archived.report.At > archived.report.ttl() {
+			delete(a.reports, key)
 		}
 	}
 }
--- a/coordination/quarantine/content.go
+++ b/coordination/quarantine/content.go
@@ -7,30 +7,30 @@
 	"hash"
 )
 
-// FingerprintSize is the length of a content's identity in bytes: no tenant can find a second content
-// for the identity of another's in less than 2^128 tries.
+// FingerprintSize is the length of a fingerprint in bytes. Finding a second request for the
+// fingerprint of another tenant's takes about 2^128 attempts.
 const FingerprintSize = 16
 
-// Fingerprint identifies what a request asks for, whatever id it carries: two requests of a caller to
-// the same host and target with the same body are the same content.
+// Fingerprint identifies what a request asks for, whatever its id: two requests of a caller to the
+// same host and target with the same body have the same fingerprint.
 type Fingerprint struct {
 	ID [FingerprintSize]byte
-	// Caller tells contents of one caller from those of others, so that none fills the memory alone.
+	// Caller distinguishes the callers, so that no single caller can fill the memory.
 	Caller uint64
 }
 
-// String is the identity in hex, as logs, dumps and operators' commands name it.
-func (c Fingerprint) String() string { return hex.EncodeToString(c.ID[:]) }
+// String returns the fingerprint in hex, as used in logs, dumps and operators' commands.
+func (f Fingerprint) String() string { return hex.EncodeToString(f.ID[:]) }
 
-// Hasher computes a content's identity while the body is being read.
+// Hasher computes the fingerprint of a request while its body is being read.
 type Hasher struct {
 	state  hash.Hash
 	caller uint64
 }
 
-// NewHasher begins with what is known before the body: the tenant, or whoever the caller is, the
-// host, and the target, which is path and query. The caller is part of the identity, so that nobody
-// can shut out a content of somebody else by sending it.
+// NewHasher starts a fingerprint with what is known before the body: the caller (the tenant, if
+// there is one), the host, and the target, which consists of path and query. The caller is included
+// so that nobody can get another caller's request quarantined by sending the same one.
 func NewHasher(caller, host, target string) *Hasher {
 	h := &Hasher{state: sha256.New()}
 	h.add(caller)
@@ -40,7 +40,7 @@
 	return h
 }
 
-// add hashes one part behind its length, so that parts can't run into each other.
+// add hashes one part, prefixed by its length so that the boundaries between parts are unambiguous.
 func (h *Hasher) add(part string) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(part)))
@@ -52,9 +52,9 @@
 // Write implements io.Writer for the body.
 func (h *Hasher) Write(part []byte) (int, error) { return h.state.Write(part) }
 
-// Fingerprint returns the identity of what was written.
+// Fingerprint returns the fingerprint of what was written.
 func (h *Hasher) Fingerprint() Fingerprint {
-	content := Fingerprint{Caller: h.caller}
-	copy(content.ID[:], h.state.Sum(nil))
-	return content
+	fingerprint := Fingerprint{Caller: h.caller}
+	copy(fingerprint.ID[:], h.state.Sum(nil))
+	return fingerprint
 }
--- a/coordination/quarantine/content_test.go
+++ b/coordination/quarantine/content_test.go
@@ -6,34 +6,35 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func contentOf(caller, host, target, body string) Fingerprint {
+func hashOf(caller, host, target, body string) Fingerprint {
 	hasher := NewHasher(caller, host, target)
 	_, _ = hasher.Write([]byte(body))
 	return hasher.Fingerprint()
 }
 
-func TestContentTellsRequestsApartByEachPart(t *testing.T) {
-	same := contentOf("college", "a.example", "/x/1", "body")
-	assert.Equal(t, same, contentOf("college", "a.example", "/x/1", "body"))
+func TestFingerprintDependsOnEachPart(t *testing.T) {
+	same := hashOf("college", "a.example", "/x/1", "body")
+	assert.Equal(t, same, hashOf("college", "a.example", "/x/1", "body"))
 	for _, other := range []Fingerprint{
-		contentOf("other", "a.example", "/x/1", "body"), contentOf("college", "b.example", "/x/1", "body"),
-		contentOf("college", "a.example", "/x/2", "body"), contentOf("college", "a.example", "/x/1", "body "),
-		// Parts that would be the same text when joined.
-		contentOf("collegea", ".example", "/x/1", "body"), contentOf("college", "a.example/", "x/1", "body"),
-		contentOf("college", "a.example", "/x/1b", "ody"), contentOf("", "collegea.example", "/x/1", "body"),
+		hashOf("other", "a.example", "/x/1", "body"), hashOf("college", "b.example", "/x/1", "body"),
+		hashOf("college", "a.example", "/x/2", "body"), hashOf("college", "a.example", "/x/1", "body "),
+		// Parts that would be equal if concatenated without their lengths.
+		hashOf("collegea", ".example", "/x/1", "body"), hashOf("college", "a.example/", "x/1", "body"),
+		hashOf("college", "a.example", "/x/1b", "ody"), hashOf("", "collegea.example", "/x/1", "body"),
 	} {
 		assert.NotEqual(t, same.ID, other.ID)
 	}
 }
 
-func TestContentNamesItsCaller(t *testing.T) {
-	one, two := contentOf("college", "a.example", "/x/1", ""), contentOf("college", "b.example", "/y", "body")
-	assert.Equal(t, one.Caller, two.Caller)
-	assert.NotEqual(t, one.Caller, contentOf("other", "a.example", "/x/1", "").Caller)
+func TestFingerprintIdentifiesCaller(t *testing.T) {
+	first, second := hashOf("college", "a.example", "/x/1", ""), hashOf("college", "b.example", "/y", "body")
+	assert.Equal(t, first.Caller, second.Caller)
+	assert.NotEqual(t, first.Caller, hashOf("other", "a.example", "/x/1", "").Caller)
 }
 
-// BenchmarkContent is what a request costs an entry: with a prompt of usual size, and with a large body.
-func BenchmarkContent(b *testing.B) {
+// BenchmarkFingerprint measures the cost per request at an entry, with a prompt of usual size and
+// with a large body.
+func BenchmarkFingerprint(b *testing.B) {
 	for name, size := range map[string]int{"4KiB": 4 << 10, "1MiB": 1 << 20} {
 		body := make([]byte, size)
 		b.Run(name, func(b *testing.B) {
--- a/coordination/quarantine/doc.go
+++ b/coordination/quarantine/doc.go
@@ -1,18 +1,18 @@
-// Package quarantine finds out which content ends the servers that run it, and keeps it from further
-// ones. Such a request is known as a query of death.
+// Package quarantine identifies requests that crash the servers that run them (queries of death),
+// and keeps them from further servers. Requests are identified by their Fingerprint.
 //
-// A server that ends takes up to some dozens of requests with it, of which one did it. A Tracker
-// keeps, for each server that has ended, the contents that were under way there, as far as this
-// process and the others have told. A content that is under way at every end, and is never answered,
-// is the cause: after three ends of which no other content is as good an explanation it is
-// quarantined. With two it is a suspect and runs apart from other suspects, so that the next end
-// tells them apart. An answer clears a content of everything before.
+// A crash interrupts up to some dozens of requests, of which one is the cause. A Tracker keeps, for
+// each crash, the fingerprints of the requests under way at that server, as reported by this
+// process and the others. A fingerprint that was under way at every crash and is never answered is
+// the cause: after three crashes for which no other fingerprint is as likely a cause, it is
+// quarantined. After two it is a suspect and its requests run apart from other suspects, so that
+// the next crash tells them apart. An answer clears a fingerprint of all earlier crashes.
 //
-// An Archive holds the words from which other processes learn all that, also in processes that decide
-// nothing.
+// An Archive keeps the reports from which other processes learn all this, also in processes that
+// make no decisions themselves.
 //
-// A Tracker whose bounds are all full takes 4.1 MB of heap, one that has seen nothing some KB.
+// A Tracker with all its limits reached takes 4.1 MB of heap, an empty one some KB.
 //
-// The package does no I/O, reads no clock, takes no lock and starts no goroutine. Times are spans since
-// the process has started.
+// The package does no I/O, reads no clock, takes no locks and starts no goroutines. Times are
+// durations since the start of the process.
 package quarantine
--- a/coordination/quarantine/evidence.go
+++ b/coordination/quarantine/evidence.go
@@ -6,237 +6,241 @@
 	"time"
 )
 
-// Bounds of what is held of servers that have ended.
+// Limits of what is kept about crashes.
 const (
-	// evidenceMemory is how long an end counts. Callers come back within seconds; a content that
-	// ends a server each few minutes is found by it too.
-	evidenceMemory = 15 * time.Minute
-	// mostEnds and MostSuspects bound the memory: of a server's suspects those are kept that were sent
-	// last, since a content ends its server soon after it has begun.
-	mostEnds    = 256
+	// evidenceTTL is how long a crash counts. Callers retry within seconds; the time also suffices
+	// for a request that crashes a server every few minutes.
+	evidenceTTL = 15 * time.Minute
+	// maxCrashes and MaxSuspects limit the memory. Of the suspects of a crash, the latest sent are
+	// kept, because a request that crashes its server does so soon after it has started.
+	maxCrashes  = 256
 	MaxSuspects = 64
-	// sameEnd is by how much the moments may differ at which processes see the same end; a server is away
-	// for longer than that.
-	sameEnd = 500 * time.Millisecond
-	// oneLoss is how far apart servers may end that are lost together, as with the power of a zone or one
-	// after the other by an operator's script.
-	oneLoss = time.Second
-	// mostCleared bounds the cleared contents that are remembered.
-	mostCleared = 4096
+	// sameCrashTolerance is the maximum difference between the times at which processes observe the
+	// same crash; a server is down for longer than that.
+	sameCrashTolerance = 500 * time.Millisecond
+	// jointLossWindow is the maximum time between crashes that have a common cause, such as a power
+	// failure of a zone or an operator's script that stops one server after the other.
+	jointLossWindow = time.Second
+	// maxCleared limits the cleared fingerprints that are remembered.
+	maxCleared = 4096
 )
 
-// end is one server that has ended. A server may be listed again under its name, and end again.
-type end struct {
+// crash is the crash of one server. A server may return under the same name and crash again.
+type crash struct {
 	server string
 	at     time.Duration
-	// suspects are the contents that were under way there, by when they were sent.
+	// suspects maps the fingerprints of the requests under way to the times at which they were
+	// sent.
 	suspects map[Fingerprint]time.Duration
-	// explained is set once a quarantined content is known to have been the cause.
+	// explained is set once a quarantined fingerprint is known to be the cause.
 	explained bool
 }
 
-// clearing is the moment up to which a content is cleared, and whether that has ended a quarantine.
+// clearing is the time up to which a fingerprint is cleared, and whether that lifted a quarantine.
 type clearing struct {
-	at    time.Duration
-	lifts bool
+	at              time.Duration
+	liftsQuarantine bool
 }
 
-// evidence is every end that counts, and where each content was under way.
+// evidence holds the crashes that count, indexed by the fingerprints under way.
 type evidence struct {
-	ends []*end
-	// held lists the ends of each content that are not explained, in order of time.
-	held map[Fingerprint][]*end
-	// blamed says whether a content explains an end at a moment that it was part of.
-	blamed func(content Fingerprint, at time.Duration) bool
-	// cleared is until when ends do not count against a content.
+	crashes []*crash
+	// byFingerprint lists the unexplained crashes of each fingerprint, in order of time.
+	byFingerprint map[Fingerprint][]*crash
+	// explainsCrash reports whether a fingerprint is the known cause of a crash at the given time
+	// in which it was under way.
+	explainsCrash func(fingerprint Fingerprint, at time.Duration) bool
+	// cleared holds the time up to which crashes do not count against a fingerprint.
 	cleared map[Fingerprint]clearing
-	// answered contents were answered not long ago.
-	answered recentlyAnswered
+	// answered holds the fingerprints that were answered recently.
+	answered recentAnswers
 }
 
-// find returns the end of a server at a moment, which is made if it was not known.
-func (e *evidence) find(server string, at time.Duration) *end {
-	for _, one := range e.ends {
-		if one.server == server && (one.at-at).Abs() < sameEnd {
-			return one
+// findOrAdd returns the crash of a server at a time, and adds it if it was not known.
+func (e *evidence) findOrAdd(server string, at time.Duration) *crash {
+	for _, c := range e.crashes {
+		if c.server == server && (c.at-at).Abs() < sameCrashTolerance {
+			return c
 		}
 	}
 	e.expire(at)
-	if len(e.ends) >= mostEnds {
-		e.drop(e.ends[0])
+	if len(e.crashes) >= maxCrashes {
+		e.drop(e.crashes[0])
 	}
-	found := &end{server: server, at: at, suspects: map[Fingerprint]time.Duration{}}
-	e.ends = append(e.ends, found)
+	found := &crash{server: server, at: at, suspects: map[Fingerprint]time.Duration{}}
+	e.crashes = append(e.crashes, found)
 	return found
 }
 
-// known returns the end of a server within confirmWithin, or nil.
-func (e *evidence) known(server string, now time.Duration) *end {
-	for _, one := range e.ends {
-		if one.server == server && (now-one.at).Abs() < confirmWithin {
-			return one
+// recentCrash returns the crash of a server within confirmTimeout, or nil.
+func (e *evidence) recentCrash(server string, now time.Duration) *crash {
+	for _, c := range e.crashes {
+		if c.server == server && (now-c.at).Abs() < confirmTimeout {
+			return c
 		}
 	}
 	return nil
 }
 
-// add puts a content under suspicion of an end, and reports whether that is news.
-func (e *evidence) add(to *end, one Suspect) bool {
-	if _, known := to.suspects[one.Fingerprint]; known {
+// add adds a suspect to a crash and reports whether it was new.
+func (e *evidence) add(c *crash, suspect Suspect) bool {
+	if _, known := c.suspects[suspect.Fingerprint]; known {
 		return false
 	}
-	sent := to.at - one.SentBefore
-	if len(to.suspects) >= MaxSuspects && !e.makeRoom(to, sent) {
+	sent := c.at - suspect.SentBefore
+	if len(c.suspects) >= MaxSuspects && !e.evictEarliest(c, sent) {
 		return false
 	}
-	to.suspects[one.Fingerprint] = sent
-	if e.blamed(one.Fingerprint, to.at) {
-		e.explain(to)
+	c.suspects[suspect.Fingerprint] = sent
+	if e.explainsCrash(suspect.Fingerprint, c.at) {
+		e.markExplained(c)
 	}
-	if to.explained || to.at <= e.clearedAt(one.Fingerprint) {
+	if c.explained || c.at <= e.clearedAt(suspect.Fingerprint) {
 		return true
 	}
-	e.held[one.Fingerprint] = append(e.held[one.Fingerprint], to)
-	slices.SortFunc(e.held[one.Fingerprint], func(a, b *end) int { return cmp.Compare(a.at, b.at) })
+	e.byFingerprint[suspect.Fingerprint] = append(e.byFingerprint[suspect.Fingerprint], c)
+	slices.SortFunc(e.byFingerprint[suspect.Fingerprint], func(a, b *crash) int { return cmp.Compare(a.at, b.at) })
 	return true
 }
 
-// makeRoom takes the suspect off that was sent first, unless that was after a moment.
-func (e *evidence) makeRoom(of *end, sent time.Duration) bool {
+// evictEarliest removes the suspect that was sent first, unless that was not before the given time,
+// and reports whether it removed one.
+func (e *evidence) evictEarliest(c *crash, sent time.Duration) bool {
 	var first Fingerprint
 	earliest := sent
-	for content, at := range of.suspects {
+	for fingerprint, at := range c.suspects {
 		if at < earliest {
-			first, earliest = content, at
+			first, earliest = fingerprint, at
 		}
 	}
 	if earliest == sent {
 		return false
 	}
-	e.forget(first, of)
-	delete(of.suspects, first)
+	e.remove(first, c)
+	delete(c.suspects, first)
 	return true
 }
 
-// forget takes an end off a content's.
-func (e *evidence) forget(content Fingerprint, of *end) {
-	rest := slices.DeleteFunc(e.held[content], func(one *end) bool { return one == of })
+// remove removes a crash from those of a fingerprint.
+func (e *evidence) remove(fingerprint Fingerprint, c *crash) {
+	rest := slices.DeleteFunc(e.byFingerprint[fingerprint], func(other *crash) bool { return other == c })
 	if len(rest) == 0 {
-		delete(e.held, content)
+		delete(e.byFingerprint, fingerprint)
 		return
 	}
-	e.held[content] = rest
+	e.byFingerprint[fingerprint] = rest
 }
 
-// explain takes an end off all its suspects, since its cause is known.
-func (e *evidence) explain(one *end) {
-	one.explained = true
-	for content := range one.suspects {
-		e.forget(content, one)
+// markExplained marks a crash as explained and removes it from those of all its suspects.
+func (e *evidence) markExplained(c *crash) {
+	c.explained = true
+	for fingerprint := range c.suspects {
+		e.remove(fingerprint, c)
 	}
 }
 
-func (e *evidence) drop(one *end) {
-	for content := range one.suspects {
-		e.forget(content, one)
+func (e *evidence) drop(c *crash) {
+	for fingerprint := range c.suspects {
+		e.remove(fingerprint, c)
 	}
-	e.ends = slices.DeleteFunc(e.ends, func(other *end) bool { return other == one })
+	e.crashes = slices.DeleteFunc(e.crashes, func(other *crash) bool { return other == c })
 }
 
 // expire drops what is too old to count.
 func (e *evidence) expire(now time.Duration) {
-	for len(e.ends) > 0 && now-e.ends[0].at > evidenceMemory {
-		e.drop(e.ends[0])
+	for len(e.crashes) > 0 && now-e.crashes[0].at > evidenceTTL {
+		e.drop(e.crashes[0])
 	}
-	for content, one := range e.cleared {
-		if now-one.at > one.memory() {
-			delete(e.cleared, content)
+	for fingerprint, c := range e.cleared {
+		if now-c.at > c.ttl() {
+			delete(e.cleared, fingerprint)
 		}
 	}
 }
 
-// memory is how long a clearing is remembered: a word of a quarantine that it has ended may come from a
-// zone that was cut off for long.
-func (c clearing) memory() time.Duration {
-	if c.lifts {
-		return longestQuarantine
+// ttl returns how long a clearing is remembered: reports of a quarantine that it lifted may arrive
+// late from a zone that was partitioned for a long time.
+func (c clearing) ttl() time.Duration {
+	if c.liftsQuarantine {
+		return maxQuarantine
 	}
-	return evidenceMemory
+	return evidenceTTL
 }
 
-// noteCleared remembers up to when a content is cleared.
-func (e *evidence) noteCleared(content Fingerprint, at time.Duration, lifts bool) {
-	held, known := e.cleared[content]
-	if !known && len(e.cleared) >= mostCleared {
+// recordCleared records the time up to which a fingerprint is cleared.
+func (e *evidence) recordCleared(fingerprint Fingerprint, at time.Duration, liftsQuarantine bool) {
+	previous, known := e.cleared[fingerprint]
+	if !known && len(e.cleared) >= maxCleared {
 		return
 	}
-	e.cleared[content] = clearing{at: max(e.clearedAt(content), at), lifts: lifts || held.lifts}
+	e.cleared[fingerprint] = clearing{at: max(e.clearedAt(fingerprint), at), liftsQuarantine: liftsQuarantine || previous.liftsQuarantine}
 }
 
-func (e *evidence) clearedAt(content Fingerprint) time.Duration {
-	held, known := e.cleared[content]
+func (e *evidence) clearedAt(fingerprint Fingerprint) time.Duration {
+	previous, known := e.cleared[fingerprint]
 	if !known {
-		return -longestQuarantine
+		return -maxQuarantine
 	}
-	return held.at
+	return previous.at
 }
 
-// clear takes everything off a content that was held against it up to a moment, and reports whether
-// there was anything.
-func (e *evidence) clear(content Fingerprint, at time.Duration) bool {
-	counted := len(e.held[content]) > 0
-	for _, one := range slices.Clone(e.held[content]) {
-		if one.at <= at {
-			e.forget(content, one)
+// clear removes the crashes up to the given time from those of a fingerprint, and reports whether
+// there were any against it.
+func (e *evidence) clear(fingerprint Fingerprint, at time.Duration) bool {
+	counted := len(e.byFingerprint[fingerprint]) > 0
+	for _, c := range slices.Clone(e.byFingerprint[fingerprint]) {
+		if c.at <= at {
+			e.remove(fingerprint, c)
 		}
 	}
 	return counted
 }
 
-// score is how many ends count against a content. Of one that was answered not long ago those count
-// alone that it was sent to after the one before, and that are no part of the same loss: it is under way
-// at many servers at any time, and sent on from each that ends to another, so that many which end
-// together for another cause, as in a loss of power, say nothing of it.
-func (e *evidence) score(content Fingerprint) int {
-	held := e.held[content]
-	if !e.answered.has(content) {
-		return len(held)
-	}
-	count, last := 0, -longestQuarantine
-	for _, one := range held {
-		if one.suspects[content] > last && one.at-last >= oneLoss {
-			count, last = count+1, one.at
+// score returns how many crashes count against a fingerprint. For a recently answered one, a crash
+// counts only if the request was sent after the previous crash and the two are not part of the same
+// joint loss. Such a fingerprint is under way at many servers at any time, and its requests are
+// resent from each crashed server to another, so many crashes with a common cause, such as a power
+// failure, say nothing about it.
+func (e *evidence) score(fingerprint Fingerprint) int {
+	crashes := e.byFingerprint[fingerprint]
+	if !e.answered.has(fingerprint) {
+		return len(crashes)
+	}
+	count, last := 0, -maxQuarantine
+	for _, c := range crashes {
+		if c.suspects[fingerprint] > last && c.at-last >= jointLossWindow {
+			count, last = count+1, c.at
 		}
 	}
 	return count
 }
 
-// leads counts the ends of a content of which no other content is as good an explanation.
-func (e *evidence) leads(content Fingerprint) int {
-	own, count := e.score(content), 0
-	for _, one := range e.held[content] {
-		if !e.rivalled(one, content, own) {
+// uniqueScore counts the crashes for which no other fingerprint is as likely a cause.
+func (e *evidence) uniqueScore(fingerprint Fingerprint) int {
+	own, count := e.score(fingerprint), 0
+	for _, c := range e.byFingerprint[fingerprint] {
+		if !e.hasRival(c, fingerprint, own) {
 			count++
 		}
 	}
 	return min(count, own)
 }
 
-// rivalled reports whether another content has as many ends as one.
-func (e *evidence) rivalled(one *end, content Fingerprint, own int) bool {
-	for other := range one.suspects {
-		if other != content && e.score(other) >= own {
+// hasRival reports whether another suspect of a crash has a score of at least own.
+func (e *evidence) hasRival(c *crash, fingerprint Fingerprint, own int) bool {
+	for other := range c.suspects {
+		if other != fingerprint && e.score(other) >= own {
 			return true
 		}
 	}
 	return false
 }
 
-// last is the newest end of a content, or nil.
-func (e *evidence) last(content Fingerprint) *end {
-	held := e.held[content]
-	if len(held) == 0 {
+// latest returns the latest crash of a fingerprint, or nil.
+func (e *evidence) latest(fingerprint Fingerprint) *crash {
+	crashes := e.byFingerprint[fingerprint]
+	if len(crashes) == 0 {
 		return nil
 	}
-	return held[len(held)-1]
+	return crashes[len(crashes)-1]
 }
--- a/coordination/quarantine/recent.go
+++ b/coordination/quarantine/recent.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// Bounds of what is remembered of answered contents.
+// Limits of what is remembered of answered fingerprints.
 const (
-	// answeredMemory is for how long at least an answer speaks for a content, mostAnswered how many
-	// contents are remembered at once: what an entry answers in that time at ten times its share of
-	// 3,200 requests a second over 200 entries.
-	answeredMemory = 30 * time.Second
-	mostAnswered   = 4800
+	// answeredTTL is the minimum time for which an answer counts in favor of a fingerprint.
+	// maxAnswered is the number of fingerprints in each of the two sets: what an entry answers in
+	// that time at ten times its part of 3,200 requests a second over 200 entries.
+	answeredTTL = 30 * time.Second
+	maxAnswered = 4800
 )
 
-// recentlyAnswered remembers contents for one to two memories: it keeps two sets, of which the older is
-// dropped when the newer one's time is over or it is full.
-type recentlyAnswered struct {
+// recentAnswers remembers fingerprints for one to two times answeredTTL: it keeps two sets and
+// drops the older one when the newer one is old enough or full.
+type recentAnswers struct {
 	newer, older map[Fingerprint]struct{}
-	began        time.Duration
+	startedAt    time.Duration
 }
 
-func (r *recentlyAnswered) add(content Fingerprint, now time.Duration) {
-	if r.newer == nil || now-r.began >= answeredMemory || len(r.newer) >= mostAnswered {
-		r.older, r.newer, r.began = r.newer, map[Fingerprint]struct{}{}, now
+func (r *recentAnswers) add(fingerprint Fingerprint, now time.Duration) {
+	if r.newer == nil || now-r.startedAt >= answeredTTL || len(r.newer) >= maxAnswered {
+		r.older, r.newer, r.startedAt = r.newer, map[Fingerprint]struct{}{}, now
 	}
-	r.newer[content] = struct{}{}
+	r.newer[fingerprint] = struct{}{}
 }
 
-func (r *recentlyAnswered) has(content Fingerprint) bool {
-	if _, known := r.newer[content]; known {
+func (r *recentAnswers) has(fingerprint Fingerprint) bool {
+	if _, known := r.newer[fingerprint]; known {
 		return true
 	}
-	_, known := r.older[content]
+	_, known := r.older[fingerprint]
 	return known
 }
--- a/coordination/quarantine/tracker.go
+++ b/coordination/quarantine/tracker.go
@@ -5,275 +5,288 @@
 	"time"
 )
 
-// Bounds of quarantines.
+// Limits and durations of quarantines.
 const (
-	// endsForQuarantine is how many servers a content may end: fewer say too little, since a dozen
-	// harmless ones are under way at each.
-	endsForQuarantine = 3
-	// endsForSuspicion is from how many ends on a content runs apart from other suspects, one request
-	// at a time.
-	endsForSuspicion = endsForQuarantine - 1
-	// endsAtMost is how many a content may end that can't be told from another one: its servers are
-	// worth more than a content that was three times too often at the wrong server.
-	endsAtMost = endsForQuarantine + 2
-	// settleTime is how long the others' words on an end are waited for, so that a content is not blamed
-	// for what another entry's request has done: three hops between entries, each within 60 ms, and the
-	// news of the end itself. The content is not sent meanwhile.
+	// crashesForQuarantine is the number of crashes after which a fingerprint is quarantined: fewer
+	// are inconclusive, because about a dozen harmless requests are under way at each server.
+	crashesForQuarantine = 3
+	// crashesForSuspicion is the number of crashes from which requests with a fingerprint run apart
+	// from other suspects, one at a time.
+	crashesForSuspicion = crashesForQuarantine - 1
+	// maxAmbiguousCrashes is the number of crashes after which a fingerprint is quarantined even if
+	// it can't be told from another one: the servers matter more than a fingerprint that was under
+	// way at three crashes too many by coincidence.
+	maxAmbiguousCrashes = crashesForQuarantine + 2
+	// settleTime is how long to wait for the other entries' reports on a crash, so that a
+	// fingerprint is not quarantined for what a request of another entry caused: three hops between
+	// entries, each within 60 ms, plus the time to detect the crash. Requests with the fingerprint
+	// are not sent meanwhile.
 	settleTime = 400 * time.Millisecond
-	// firstQuarantine is how long the first one lasts; each later one of a content twice as long, up to
-	// longestQuarantine. A content that still ends its server costs one server each time.
-	firstQuarantine   = time.Hour
-	longestQuarantine = 24 * time.Hour
-	// mostQuarantined bounds the contents that are held. When there are more, the one goes that was
-	// quarantined first of the caller who has the most.
-	mostQuarantined = 1024
-	// confirmWithin is how long after a connection has broken its server's end must be known for the
-	// request to count as part of it: an agent finds it out within 0.25 s, and its word takes 0.3 s.
-	confirmWithin = time.Second
-	// checkPause is the time between two looks after a server whose connections go on breaking.
-	checkPause = 250 * time.Millisecond
-	// oneAtATime is when a caller may come back whose content is being tried at a server.
-	oneAtATime = time.Second
-	// namedServers is how many of the ended servers are told of.
-	namedServers = 5
+	// initialQuarantine is the duration of the first quarantine; each later one of the same
+	// fingerprint lasts twice as long, up to maxQuarantine. A request that still crashes its server
+	// costs one server each time.
+	initialQuarantine = time.Hour
+	maxQuarantine     = 24 * time.Hour
+	// maxQuarantines limits the number of quarantines. Beyond it, the oldest one of the caller with
+	// the most is dropped.
+	maxQuarantines = 1024
+	// confirmTimeout is how long after a broken connection the crash of its server must be known
+	// for the request to count as a suspect: an agent detects the crash within 0.25 s, and its
+	// report takes 0.3 s.
+	confirmTimeout = time.Second
+	// checkInterval is the minimum time between two checks of a server whose connections keep
+	// breaking.
+	checkInterval = 250 * time.Millisecond
+	// trialRetryDelay is when a caller should retry while a request with the same fingerprint is
+	// being tried at a server.
+	trialRetryDelay = time.Second
+	// maxListedServers is the number of crashed servers listed in reports.
+	maxListedServers = 5
 )
 
-// broken are the requests of this process whose connections to a server have broken lately, in order of
-// time.
-type broken struct {
+// brokenConnections holds the requests of this process whose connections to a server have recently
+// broken, in order of time.
+type brokenConnections struct {
 	requests []brokenRequest
-	// checkedAt is when the server was last to be looked after.
+	// checkedAt is when a check of the server was last requested.
 	checkedAt time.Duration
 }
 
-// brokenRequest is one of them: when it was sent, and when its connection broke.
+// brokenRequest records when a request was sent and when its connection broke.
 type brokenRequest struct {
-	content  Fingerprint
-	sent, at time.Duration
+	fingerprint      Fingerprint
+	sentAt, brokenAt time.Duration
 }
 
-// expire drops what broke too long ago to be part of an end now.
-func (b *broken) expire(now time.Duration) {
-	b.requests = slices.DeleteFunc(b.requests, func(one brokenRequest) bool { return now-one.at > confirmWithin })
+// expire drops the requests that broke too long ago to belong to a crash now.
+func (b *brokenConnections) expire(now time.Duration) {
+	b.requests = slices.DeleteFunc(b.requests, func(request brokenRequest) bool { return now-request.brokenAt > confirmTimeout })
 }
 
-// Change is what has changed, for people.
+// Change describes a change for logs and metrics.
 type Change struct {
 	Kind Kind
-	// Server and Contents are those of an end that this process has seen.
+	// Server and Fingerprints describe a crash that this process has observed.
 	Server       string
 	Fingerprints []Fingerprint
-	// Fingerprint was quarantined, for Left, after it had ended Servers; or it was cleared.
+	// Fingerprint was cleared, or quarantined for Remaining after it had crashed Servers.
 	Fingerprint Fingerprint
 	Servers     []string
 	Remaining   time.Duration
 	Round       int
-	// Reporter is the entry that has told it.
+	// Reporter is the entry that reported the change.
 	Reporter string
 }
 
-// Tracker decides which contents may be sent to servers.
+// Tracker decides which requests may be sent to servers.
 type Tracker struct {
 	self   string
 	number uint64
 
 	evidence    evidence
 	quarantines map[Fingerprint]*quarantine
-	// broken are by server; running are the suspects of this process that are under way, by content.
-	broken  map[string]*broken
-	running map[Fingerprint]string
+	// brokenConnections is indexed by server. trials maps the suspects of this process that are
+	// under way to their servers; "" means that none has been chosen yet.
+	brokenConnections map[string]*brokenConnections
+	trials            map[Fingerprint]string
 
-	words   []Report
+	reports []Report
 	changes []Change
 }
 
-// New returns a tracker that knows nothing. Words of a process that has started later have higher
-// numbers when it begins with a higher one.
+// New returns a tracker without any evidence. Processes that start later must use a higher
+// firstNumber, so that their reports are numbered higher.
 func New(self string, firstNumber uint64) *Tracker {
-	t := &Tracker{self: self, number: firstNumber, quarantines: map[Fingerprint]*quarantine{}, broken: map[string]*broken{}, running: map[Fingerprint]string{}}
-	t.evidence = evidence{held: map[Fingerprint][]*end{}, cleared: map[Fingerprint]clearing{}, blamed: t.inForce}
+	t := &Tracker{self: self, number: firstNumber, quarantines: map[Fingerprint]*quarantine{}, brokenConnections: map[string]*brokenConnections{}, trials: map[Fingerprint]string{}}
+	t.evidence = evidence{byFingerprint: map[Fingerprint][]*crash{}, cleared: map[Fingerprint]clearing{}, explainsCrash: t.explainsCrash}
 	return t
 }
 
-// inForce reports whether a content was quarantined at a moment. The ends of some time before that have
-// the same cause.
-func (t *Tracker) inForce(content Fingerprint, at time.Duration) bool {
-	held := t.quarantines[content]
-	return held != nil && at < held.till
+// explainsCrash reports whether a fingerprint is the known cause of a crash at the given time: it
+// was quarantined then or later. Crashes before the quarantine have the same cause.
+func (t *Tracker) explainsCrash(fingerprint Fingerprint, at time.Duration) bool {
+	q := t.quarantines[fingerprint]
+	return q != nil && at < q.until
 }
 
-// Self is the name of this process in words.
+// Self returns the name of this process in reports.
 func (t *Tracker) Self() string { return t.self }
 
-// tell has the others told what was found out.
-func (t *Tracker) tell(word Report) {
+// report queues a report for the other processes.
+func (t *Tracker) report(report Report) {
 	t.number++
-	word.Entry, word.Number = t.self, t.number
-	t.words = append(t.words, word)
+	report.Entry, report.Number = t.self, t.number
+	t.reports = append(t.reports, report)
 }
 
-// TakeReports returns what the others are to be told since the last call.
+// TakeReports returns the reports to send to the other processes since the last call.
 func (t *Tracker) TakeReports() []Report {
-	taken := t.words
-	t.words = nil
+	taken := t.reports
+	t.reports = nil
 	return taken
 }
 
-// TakeChanges returns what has changed since the last call.
+// TakeChanges returns the changes since the last call.
 func (t *Tracker) TakeChanges() []Change {
 	taken := t.changes
 	t.changes = nil
 	return taken
 }
 
-// RecordBrokenConnection notes that a request's connection to a server has ended before the answer had. That counts
-// once the server is known to have ended: connections also break by themselves. It reports whether the
-// server is to be looked after.
-func (t *Tracker) RecordBrokenConnection(server string, content Fingerprint, sent, now time.Duration) bool {
+// RecordBrokenConnection records that the connection to a server broke before the answer to a
+// request was complete. It counts only once the server is known to have crashed, because
+// connections also break for other reasons. It reports whether the server should be checked.
+func (t *Tracker) RecordBrokenConnection(server string, fingerprint Fingerprint, sentAt, now time.Duration) bool {
 	t.expireBroken(now)
-	held := t.broken[server]
-	if held == nil {
-		held = &broken{checkedAt: now - checkPause}
-		t.broken[server] = held
+	connections := t.brokenConnections[server]
+	if connections == nil {
+		connections = &brokenConnections{checkedAt: now - checkInterval}
+		t.brokenConnections[server] = connections
 	}
-	held.requests = append(held.requests, brokenRequest{content: content, sent: sent, at: now})
-	held.requests = held.requests[max(0, len(held.requests)-MaxSuspects):]
-	if known := t.evidence.known(server, now); known != nil && sent < known.at {
-		t.ended(server, known.at)
+	connections.requests = append(connections.requests, brokenRequest{fingerprint: fingerprint, sentAt: sentAt, brokenAt: now})
+	connections.requests = connections.requests[max(0, len(connections.requests)-MaxSuspects):]
+	if c := t.evidence.recentCrash(server, now); c != nil && sentAt < c.at {
+		t.addSuspects(server, c.at)
 		return false
 	}
-	if now-held.checkedAt < checkPause {
+	if now-connections.checkedAt < checkInterval {
 		return false
 	}
-	held.checkedAt = now
+	connections.checkedAt = now
 	return true
 }
 
 func (t *Tracker) expireBroken(now time.Duration) {
-	for server, held := range t.broken {
-		if held.expire(now); len(held.requests) == 0 {
-			delete(t.broken, server)
+	for server, connections := range t.brokenConnections {
+		if connections.expire(now); len(connections.requests) == 0 {
+			delete(t.brokenConnections, server)
 		}
 	}
 }
 
-// HasBrokenConnections reports whether connections to a server have broken lately and its end is not known.
+// HasBrokenConnections reports whether connections to a server have recently broken without a known
+// crash.
 func (t *Tracker) HasBrokenConnections(server string, now time.Duration) bool {
 	t.expireBroken(now)
-	return t.broken[server] != nil
+	return t.brokenConnections[server] != nil
 }
 
-// RecordCrash notes that a server has ended without a word: its machine refuses connections, or another one
-// is at its address.
+// RecordCrash records that a server has crashed without giving notice: its machine refuses
+// connections, or another server runs at its address.
 func (t *Tracker) RecordCrash(server string, now time.Duration) {
 	if t.HasBrokenConnections(server, now) {
-		requests := t.broken[server].requests
-		t.ended(server, requests[len(requests)-1].at)
+		requests := t.brokenConnections[server].requests
+		t.addSuspects(server, requests[len(requests)-1].brokenAt)
 	}
 }
 
-// ended takes the requests that broke over as suspects of an end, and tells the others. Those that broke
-// long before it had another cause, such as resets that went on for a while.
-func (t *Tracker) ended(server string, at time.Duration) {
-	requests := t.broken[server].requests
-	delete(t.broken, server)
-	one := t.evidence.find(server, at)
-	var fresh []Suspect
+// addSuspects adds the requests whose connections broke to the suspects of a crash, and reports
+// them. Those that broke long before the crash had another cause, such as connection resets over
+// some time.
+func (t *Tracker) addSuspects(server string, at time.Duration) {
+	requests := t.brokenConnections[server].requests
+	delete(t.brokenConnections, server)
+	c := t.evidence.findOrAdd(server, at)
+	var added []Suspect
 	for _, request := range requests {
-		suspect := Suspect{Fingerprint: request.content, SentBefore: max(0, one.at-request.sent)}
-		if (request.at-at).Abs() <= sameEnd && t.evidence.add(one, suspect) {
-			fresh = append(fresh, suspect)
+		suspect := Suspect{Fingerprint: request.fingerprint, SentBefore: max(0, c.at-request.sentAt)}
+		if (request.brokenAt-at).Abs() <= sameCrashTolerance && t.evidence.add(c, suspect) {
+			added = append(added, suspect)
 		}
 	}
-	if len(fresh) == 0 {
+	if len(added) == 0 {
 		return
 	}
-	t.tell(Report{Kind: Crashed, At: one.at, Server: server, Suspects: fresh})
+	t.report(Report{Kind: Crashed, At: c.at, Server: server, Suspects: added})
 	change := Change{Kind: Crashed, Server: server, Reporter: t.self}
-	for _, suspect := range fresh {
+	for _, suspect := range added {
 		change.Fingerprints = append(change.Fingerprints, suspect.Fingerprint)
 	}
 	t.changes = append(t.changes, change)
 }
 
-// RecordAnswer notes that a server has answered a content whole: it does not end its servers.
-func (t *Tracker) RecordAnswer(content Fingerprint, now time.Duration) {
-	t.evidence.answered.add(content, now)
-	t.clearAndTell(content, now)
+// RecordAnswer records that a server has answered a request completely, so that requests with its
+// fingerprint do not crash servers.
+func (t *Tracker) RecordAnswer(fingerprint Fingerprint, now time.Duration) {
+	t.evidence.answered.add(fingerprint, now)
+	t.clearAndReport(fingerprint, now)
 }
 
-// Release ends a quarantine at an operator's wish, and reports whether anything was held against
-// the content.
-func (t *Tracker) Release(content Fingerprint, now time.Duration) bool {
-	return t.clearAndTell(content, now)
+// Release lifts a quarantine on behalf of an operator, and reports whether there was any evidence
+// against the fingerprint.
+func (t *Tracker) Release(fingerprint Fingerprint, now time.Duration) bool {
+	return t.clearAndReport(fingerprint, now)
 }
 
-// clearAndTell takes back what is held against a content, and tells the others if there was anything.
-func (t *Tracker) clearAndTell(content Fingerprint, at time.Duration) bool {
-	counted, lifted := t.clear(content, at, t.self)
+// clearAndReport clears a fingerprint, and reports it to the other processes if there was any
+// evidence against it.
+func (t *Tracker) clearAndReport(fingerprint Fingerprint, at time.Duration) bool {
+	counted, lifted := t.clear(fingerprint, at, t.self)
 	if !counted && !lifted {
 		return false
 	}
-	t.evidence.noteCleared(content, at, lifted)
-	t.tell(Report{Kind: Cleared, At: at, Fingerprint: content, LiftsQuarantine: lifted})
+	t.evidence.recordCleared(fingerprint, at, lifted)
+	t.report(Report{Kind: Cleared, At: at, Fingerprint: fingerprint, LiftsQuarantine: lifted})
 	return true
 }
 
-// clear takes back what is held against a content up to a moment. It reports whether ends counted
-// against it, and whether that has ended a quarantine.
-func (t *Tracker) clear(content Fingerprint, at time.Duration, by string) (counted, lifted bool) {
-	counted = t.evidence.clear(content, at)
-	held := t.quarantines[content]
-	lifted = held != nil && held.at <= at
+// clear removes the evidence against a fingerprint up to the given time. It returns whether crashes
+// counted against it, and whether that lifted a quarantine.
+func (t *Tracker) clear(fingerprint Fingerprint, at time.Duration, reporter string) (counted, lifted bool) {
+	counted = t.evidence.clear(fingerprint, at)
+	q := t.quarantines[fingerprint]
+	lifted = q != nil && q.at <= at
 	if lifted {
-		delete(t.quarantines, content)
-		t.changes = append(t.changes, Change{Kind: Cleared, Fingerprint: content, Reporter: by})
+		delete(t.quarantines, fingerprint)
+		t.changes = append(t.changes, Change{Kind: Cleared, Fingerprint: fingerprint, Reporter: reporter})
 	}
 	return counted, lifted
 }
 
-// Apply takes in what another process has found out, or this one in an earlier life.
-func (t *Tracker) Apply(word Report, now time.Duration) {
-	at := min(word.At, now)
-	switch word.Kind {
+// Apply applies a report of another process, or of an earlier incarnation of this one.
+func (t *Tracker) Apply(report Report, now time.Duration) {
+	at := min(report.At, now)
+	switch report.Kind {
 	case Crashed:
-		one := t.evidence.find(word.Server, at)
-		for _, suspect := range word.Suspects {
-			t.evidence.add(one, suspect)
+		c := t.evidence.findOrAdd(report.Server, at)
+		for _, suspect := range report.Suspects {
+			t.evidence.add(c, suspect)
 		}
-		if t.HasBrokenConnections(word.Server, now) {
-			t.ended(word.Server, one.at)
+		if t.HasBrokenConnections(report.Server, now) {
+			t.addSuspects(report.Server, c.at)
 		}
 	case Cleared:
-		_, lifted := t.clear(word.Fingerprint, at, word.Entry)
-		t.evidence.noteCleared(word.Fingerprint, at, lifted || word.LiftsQuarantine)
+		_, lifted := t.clear(report.Fingerprint, at, report.Entry)
+		t.evidence.recordCleared(report.Fingerprint, at, lifted || report.LiftsQuarantine)
 	case Quarantined:
-		if at > t.evidence.clearedAt(word.Fingerprint) && at+word.Duration > now {
-			t.takeQuarantine(word.Fingerprint, &quarantine{at: at, till: at + word.Duration, round: word.Round, servers: word.Servers, by: word.Entry}, now)
+		if at > t.evidence.clearedAt(report.Fingerprint) && at+report.Duration > now {
+			t.applyQuarantine(report.Fingerprint, &quarantine{at: at, until: at + report.Duration, round: report.Round, servers: report.Servers, reporter: report.Entry}, now)
 		}
 	}
 }
 
-// Admit judges a content that is about to be sent. One that is a suspect counts as under way from now
-// on until End.
-func (t *Tracker) Admit(content Fingerprint, now time.Duration) Verdict {
-	verdict := t.Evaluate(content, now)
+// Admit evaluates the fingerprint of a request that is about to be sent. A suspect counts as under
+// way from now on until EndTrial.
+func (t *Tracker) Admit(fingerprint Fingerprint, now time.Duration) Verdict {
+	verdict := t.Evaluate(fingerprint, now)
 	if verdict.State == Suspected {
-		t.running[content] = ""
+		t.trials[fingerprint] = ""
 	}
 	return verdict
 }
 
-// SetTrialServer notes to which server a suspect is being sent.
-func (t *Tracker) SetTrialServer(content Fingerprint, server string) { t.running[content] = server }
+// SetTrialServer records the server to which a suspect is being sent.
+func (t *Tracker) SetTrialServer(fingerprint Fingerprint, server string) {
+	t.trials[fingerprint] = server
+}
 
-// EndTrial notes that it is not under way any more.
-func (t *Tracker) EndTrial(content Fingerprint) { delete(t.running, content) }
+// EndTrial records that a suspect is no longer under way.
+func (t *Tracker) EndTrial(fingerprint Fingerprint) { delete(t.trials, fingerprint) }
 
 // TrialServers lists the servers at which suspects of this process are under way.
 func (t *Tracker) TrialServers() []string {
 	var servers []string
-	for _, server := range t.running {
+	for _, server := range t.trials {
 		if server != "" {
 			servers = append(servers, server)
 		}
--- a/coordination/quarantine/tracker_test.go
+++ b/coordination/quarantine/tracker_test.go
@@ -9,428 +9,437 @@
 	"pgregory.net/rapid"
 )
 
-// script feeds one process's tracker, as requests and servers go.
-type script struct {
+// process drives the tracker of one process.
+type process struct {
 	t *testing.T
 	*Tracker
 	now time.Duration
 }
 
-func newScript(t *testing.T, self string) *script {
-	return &script{t: t, Tracker: New(self, 1000), now: time.Minute}
+func newProcess(t *testing.T, self string) *process {
+	return &process{t: t, Tracker: New(self, 1000), now: time.Minute}
 }
 
-func named(name string) Fingerprint { return contentOf("college", "a.example", "/"+name, "") }
+func fingerprintFor(name string) Fingerprint { return hashOf("college", "a.example", "/"+name, "") }
 
-func (s *script) wait(span time.Duration) { s.now += span }
+func (p *process) wait(duration time.Duration) { p.now += duration }
 
-// ends has a server end under requests of this process that were sent some time before.
-func (s *script) ends(server string, contents ...Fingerprint) {
-	for _, content := range contents {
-		s.RecordBrokenConnection(server, content, s.now-50*time.Millisecond, s.now)
+// crash simulates the crash of a server under requests of this process that were sent shortly
+// before.
+func (p *process) crash(server string, fingerprints ...Fingerprint) {
+	for _, fingerprint := range fingerprints {
+		p.RecordBrokenConnection(server, fingerprint, p.now-50*time.Millisecond, p.now)
 	}
-	s.RecordCrash(server, s.now)
+	p.RecordCrash(server, p.now)
 }
 
-// settled lets the others' words come.
-func (s *script) settled() { s.wait(settleTime) }
+// settle waits until the reports of other processes have arrived.
+func (p *process) settle() { p.wait(settleTime) }
 
-func (s *script) state(content Fingerprint) State { return s.Evaluate(content, s.now).State }
+func (p *process) state(fingerprint Fingerprint) State { return p.Evaluate(fingerprint, p.now).State }
 
-// tells passes everything new on to another process.
-func (s *script) tells(other *script, after time.Duration) {
-	for _, word := range s.TakeReports() {
-		word.At += other.now - s.now
-		other.Apply(word, other.now+after)
+// reportTo passes all new reports on to another process.
+func (p *process) reportTo(other *process, after time.Duration) {
+	for _, report := range p.TakeReports() {
+		report.At += other.now - p.now
+		other.Apply(report, other.now+after)
 	}
 }
 
-func TestContentAtThreeEndsIsQuarantined(t *testing.T) {
-	s := newScript(t, "one")
-	culprit := named("culprit")
-	for number := range endsForQuarantine {
-		s.ends(fmt.Sprintf("server-%d", number), culprit, named(fmt.Sprintf("harmless-%d", number)))
-		s.wait(time.Second)
+func TestThreeCrashesCauseQuarantine(t *testing.T) {
+	p := newProcess(t, "one")
+	culprit := fingerprintFor("culprit")
+	for number := range crashesForQuarantine {
+		p.crash(fmt.Sprintf("server-%d", number), culprit, fingerprintFor(fmt.Sprintf("harmless-%d", number)))
+		p.wait(time.Second)
 	}
-	verdict := s.Evaluate(culprit, s.now)
+	verdict := p.Evaluate(culprit, p.now)
 	assert.Equal(t, InQuarantine, verdict.State)
 	assert.Equal(t, []string{"server-0", "server-1", "server-2"}, verdict.Servers)
-	for number := range endsForQuarantine {
-		assert.Equal(t, Allowed, s.state(named(fmt.Sprintf("harmless-%d", number))))
+	for number := range crashesForQuarantine {
+		assert.Equal(t, Allowed, p.state(fingerprintFor(fmt.Sprintf("harmless-%d", number))))
 	}
 }
 
-// What others have to say of the last end is waited for; the content is not sent meanwhile.
-func TestThirdEndIsSettledBeforeTheVerdict(t *testing.T) {
-	s := newScript(t, "one")
-	for number := range endsForQuarantine {
-		s.wait(time.Second)
-		s.ends(fmt.Sprintf("server-%d", number), named("culprit"))
+// The tracker must wait for other processes' reports on the latest crash before it decides, and not
+// send the request meanwhile.
+func TestReportsAreAwaitedBeforeQuarantine(t *testing.T) {
+	p := newProcess(t, "one")
+	for number := range crashesForQuarantine {
+		p.wait(time.Second)
+		p.crash(fmt.Sprintf("server-%d", number), fingerprintFor("culprit"))
 	}
-	assert.Equal(t, Undecided, s.state(named("culprit")))
-	s.settled()
-	assert.Equal(t, InQuarantine, s.state(named("culprit")))
+	assert.Equal(t, Undecided, p.state(fingerprintFor("culprit")))
+	p.settle()
+	assert.Equal(t, InQuarantine, p.state(fingerprintFor("culprit")))
 }
 
-// A harmless content was under way at each server that the culprit has ended: both run apart, and the
-// next end tells which it was.
-func TestVictimOfTheSameServersIsNotShutOut(t *testing.T) {
-	s := newScript(t, "one")
-	culprit, victim := named("culprit"), named("victim")
-	for number := range endsForQuarantine {
-		s.ends(fmt.Sprintf("server-%d", number), culprit, victim)
-		s.wait(time.Second)
+// Guards against the quarantine of a harmless request that was under way at each crash: both
+// suspects must run apart, so that the next crash shows which one is the cause.
+func TestHarmlessSuspectIsNotQuarantined(t *testing.T) {
+	p := newProcess(t, "one")
+	culprit, victim := fingerprintFor("culprit"), fingerprintFor("victim")
+	for number := range crashesForQuarantine {
+		p.crash(fmt.Sprintf("server-%d", number), culprit, victim)
+		p.wait(time.Second)
 	}
-	assert.Equal(t, Suspected, s.state(culprit))
-	assert.Equal(t, Suspected, s.state(victim))
-	s.ends("server-3", culprit)
-	s.settled()
-	assert.Equal(t, InQuarantine, s.state(culprit))
-	assert.Equal(t, Allowed, s.state(victim))
+	assert.Equal(t, Suspected, p.state(culprit))
+	assert.Equal(t, Suspected, p.state(victim))
+	p.crash("server-3", culprit)
+	p.settle()
+	assert.Equal(t, InQuarantine, p.state(culprit))
+	assert.Equal(t, Allowed, p.state(victim))
 }
 
-// The culprit was sent by another entry, whose words come later than the third end.
-func TestVictimIsNotBlamedBeforeTheOthersWordsAreHere(t *testing.T) {
-	one, other := newScript(t, "one"), newScript(t, "other")
-	culprit, victim := named("culprit"), named("victim")
-	for number := range endsForQuarantine {
+// Guards against blaming a harmless request while the reports on its real cause, sent by another
+// entry, are still on their way after the third crash.
+func TestHarmlessSuspectIsNotQuarantinedBeforeReportsArrive(t *testing.T) {
+	one, other := newProcess(t, "one"), newProcess(t, "other")
+	culprit, victim := fingerprintFor("culprit"), fingerprintFor("victim")
+	for number := range crashesForQuarantine {
 		one.wait(time.Second)
 		other.wait(time.Second)
-		one.ends(fmt.Sprintf("server-%d", number), victim)
-		other.ends(fmt.Sprintf("server-%d", number), culprit)
+		one.crash(fmt.Sprintf("server-%d", number), victim)
+		other.crash(fmt.Sprintf("server-%d", number), culprit)
 	}
 	assert.Equal(t, Undecided, one.state(victim))
-	other.tells(one, 100*time.Millisecond)
-	one.settled()
+	other.reportTo(one, 100*time.Millisecond)
+	one.settle()
 	assert.Equal(t, Suspected, one.state(victim))
-	other.ends("server-3", culprit)
-	other.tells(one, 0)
-	one.settled()
+	other.crash("server-3", culprit)
+	other.reportTo(one, 0)
+	one.settle()
 	assert.Equal(t, InQuarantine, one.state(culprit))
 	assert.Equal(t, Allowed, one.state(victim))
 }
 
-// Two contents that can't be told apart don't end servers for ever.
-func TestContentsThatCanNotBeToldApartAreBothQuarantined(t *testing.T) {
-	s := newScript(t, "one")
-	for number := range endsAtMost {
-		s.ends(fmt.Sprintf("server-%d", number), named("one"), named("two"))
-		s.wait(time.Second)
+// Two fingerprints that can't be told apart must not crash servers for ever.
+func TestAmbiguousSuspectsAreQuarantined(t *testing.T) {
+	p := newProcess(t, "one")
+	for number := range maxAmbiguousCrashes {
+		p.crash(fmt.Sprintf("server-%d", number), fingerprintFor("one"), fingerprintFor("two"))
+		p.wait(time.Second)
 	}
-	assert.Equal(t, InQuarantine, s.state(named("one")))
+	assert.Equal(t, InQuarantine, p.state(fingerprintFor("one")))
 }
 
-// Suspects run one request at a time, and the servers that have one are known.
+// Requests with a suspected fingerprint must run one at a time, and the servers that run one must
+// be known.
 func TestSuspectRunsOneAtATime(t *testing.T) {
-	s := newScript(t, "one")
-	for number := range endsForSuspicion {
-		s.ends(fmt.Sprintf("server-%d", number), named("suspect"))
-		s.wait(time.Second)
+	p := newProcess(t, "one")
+	for number := range crashesForSuspicion {
+		p.crash(fmt.Sprintf("server-%d", number), fingerprintFor("suspect"))
+		p.wait(time.Second)
 	}
-	assert.Equal(t, Suspected, s.state(named("suspect")))
-	assert.Equal(t, Suspected, s.Admit(named("suspect"), s.now).State)
-	s.SetTrialServer(named("suspect"), "server-7")
-	assert.Equal(t, Undecided, s.state(named("suspect")))
-	assert.Equal(t, []string{"server-7"}, s.TrialServers())
-	s.EndTrial(named("suspect"))
-	assert.Equal(t, Suspected, s.state(named("suspect")))
-	assert.Empty(t, s.TrialServers())
+	assert.Equal(t, Suspected, p.state(fingerprintFor("suspect")))
+	assert.Equal(t, Suspected, p.Admit(fingerprintFor("suspect"), p.now).State)
+	p.SetTrialServer(fingerprintFor("suspect"), "server-7")
+	assert.Equal(t, Undecided, p.state(fingerprintFor("suspect")))
+	assert.Equal(t, []string{"server-7"}, p.TrialServers())
+	p.EndTrial(fingerprintFor("suspect"))
+	assert.Equal(t, Suspected, p.state(fingerprintFor("suspect")))
+	assert.Empty(t, p.TrialServers())
 }
 
-func TestAnswerClearsAContent(t *testing.T) {
-	s := newScript(t, "one")
-	for number := range endsForSuspicion {
-		s.ends(fmt.Sprintf("server-%d", number), named("x"))
-		s.wait(time.Second)
+func TestAnswerClearsFingerprint(t *testing.T) {
+	p := newProcess(t, "one")
+	for number := range crashesForSuspicion {
+		p.crash(fmt.Sprintf("server-%d", number), fingerprintFor("x"))
+		p.wait(time.Second)
 	}
-	s.RecordAnswer(named("x"), s.now)
-	assert.Equal(t, Allowed, s.state(named("x")))
-	s.wait(time.Second)
-	s.ends("server-9", named("x"))
-	s.settled()
-	assert.Equal(t, Allowed, s.state(named("x")), "one end since the answer")
+	p.RecordAnswer(fingerprintFor("x"), p.now)
+	assert.Equal(t, Allowed, p.state(fingerprintFor("x")))
+	p.wait(time.Second)
+	p.crash("server-9", fingerprintFor("x"))
+	p.settle()
+	assert.Equal(t, Allowed, p.state(fingerprintFor("x")), "one crash since the answer")
 }
 
-// A request that was under way when its content was quarantined is answered after all.
-func TestAnswerEndsAQuarantineEverywhere(t *testing.T) {
-	one, other := newScript(t, "one"), newScript(t, "other")
-	for number := range endsForQuarantine {
-		one.ends(fmt.Sprintf("server-%d", number), named("x"))
+// An answer to a request that was already under way when its fingerprint was quarantined must lift
+// the quarantine everywhere.
+func TestAnswerLiftsQuarantineEverywhere(t *testing.T) {
+	one, other := newProcess(t, "one"), newProcess(t, "other")
+	for number := range crashesForQuarantine {
+		one.crash(fmt.Sprintf("server-%d", number), fingerprintFor("x"))
 		one.wait(time.Second)
 		other.wait(time.Second)
 	}
-	assert.Equal(t, InQuarantine, one.state(named("x")))
-	one.tells(other, 0)
-	assert.Equal(t, InQuarantine, other.state(named("x")))
-	other.RecordAnswer(named("x"), other.now)
-	other.tells(one, 0)
-	assert.Equal(t, Allowed, one.state(named("x")))
-	assert.Equal(t, Allowed, other.state(named("x")))
+	assert.Equal(t, InQuarantine, one.state(fingerprintFor("x")))
+	one.reportTo(other, 0)
+	assert.Equal(t, InQuarantine, other.state(fingerprintFor("x")))
+	other.RecordAnswer(fingerprintFor("x"), other.now)
+	other.reportTo(one, 0)
+	assert.Equal(t, Allowed, one.state(fingerprintFor("x")))
+	assert.Equal(t, Allowed, other.state(fingerprintFor("x")))
 }
 
-// A connection that breaks while its server lives says nothing, and neither does one that broke long
-// before the end.
-func TestBrokenConnectionAloneIsNoEnd(t *testing.T) {
-	s := newScript(t, "one")
-	for number := range 2 * endsForQuarantine {
-		s.RecordBrokenConnection(fmt.Sprintf("server-%d", number), named("x"), s.now-time.Second, s.now)
-		assert.True(t, s.HasBrokenConnections(fmt.Sprintf("server-%d", number), s.now))
-		s.wait(2 * confirmWithin)
-		s.RecordCrash(fmt.Sprintf("server-%d", number), s.now)
+// A connection that breaks while its server keeps running must not count, and neither must one that
+// broke long before a crash.
+func TestBrokenConnectionAloneIsNoCrash(t *testing.T) {
+	p := newProcess(t, "one")
+	for number := range 2 * crashesForQuarantine {
+		p.RecordBrokenConnection(fmt.Sprintf("server-%d", number), fingerprintFor("x"), p.now-time.Second, p.now)
+		assert.True(t, p.HasBrokenConnections(fmt.Sprintf("server-%d", number), p.now))
+		p.wait(2 * confirmTimeout)
+		p.RecordCrash(fmt.Sprintf("server-%d", number), p.now)
 	}
-	s.settled()
-	assert.Equal(t, Allowed, s.state(named("x")))
-	assert.Empty(t, s.TakeReports())
+	p.settle()
+	assert.Equal(t, Allowed, p.state(fingerprintFor("x")))
+	assert.Empty(t, p.TakeReports())
 }
 
-// Connections to a server go on breaking for long before it ends, as at one that resets them: what broke
-// long before says nothing of its end, costs bounded memory, and the server is looked after again.
-func TestResetsThatGoOnAreBoundedAndDoNotCount(t *testing.T) {
-	s := newScript(t, "one")
-	looks := 0
+// Connections to a server may keep breaking long before it crashes, for example because it resets
+// them. The early ones must not count, memory must stay bounded, and the server must be checked
+// again.
+func TestRepeatedResetsAreBoundedAndDoNotCount(t *testing.T) {
+	p := newProcess(t, "one")
+	checks := 0
 	for number := range 2000 {
-		s.wait(10 * time.Millisecond)
-		if s.RecordBrokenConnection("server", named(fmt.Sprint(number)), s.now-time.Millisecond, s.now) {
-			looks++
+		p.wait(10 * time.Millisecond)
+		if p.RecordBrokenConnection("server", fingerprintFor(fmt.Sprint(number)), p.now-time.Millisecond, p.now) {
+			checks++
 		}
 	}
-	assert.InDelta(t, 20*time.Second/checkPause, looks, 1)
-	assert.LessOrEqual(t, len(s.broken["server"].requests), MaxSuspects)
-	s.RecordCrash("server", s.now)
-	assert.Equal(t, 1, len(s.evidence.held[named("1999")]))
-	assert.Empty(t, s.evidence.held[named("1900")], "it broke 1 s before")
+	assert.InDelta(t, 20*time.Second/checkInterval, checks, 1)
+	assert.LessOrEqual(t, len(p.brokenConnections["server"].requests), MaxSuspects)
+	p.RecordCrash("server", p.now)
+	assert.Equal(t, 1, len(p.evidence.byFingerprint[fingerprintFor("1999")]))
+	assert.Empty(t, p.evidence.byFingerprint[fingerprintFor("1900")], "the connection broke 1 s before the crash")
 }
 
-// All servers end at once, as in a loss of power, and a content that many callers ask for was under
-// way at most of them.
-func TestLossOfAllServersBlamesNoContentThatIsAnswered(t *testing.T) {
-	s := newScript(t, "one")
-	popular := named("popular")
-	s.RecordAnswer(popular, s.now)
-	s.wait(time.Second)
+// All servers are lost at once, as in a power failure, while a fingerprint that many callers send
+// is under way at most of them. It must not be quarantined.
+func TestJointLossQuarantinesNoAnsweredFingerprint(t *testing.T) {
+	p := newProcess(t, "one")
+	popular := fingerprintFor("popular")
+	p.RecordAnswer(popular, p.now)
+	p.wait(time.Second)
 	for number := range 20 {
-		s.ends(fmt.Sprintf("server-%d", number), popular)
+		p.crash(fmt.Sprintf("server-%d", number), popular)
 	}
-	s.settled()
-	assert.Equal(t, Allowed, s.state(popular))
-	s.wait(5 * time.Second)
-	s.RecordAnswer(popular, s.now)
-	assert.Equal(t, Allowed, s.state(popular))
+	p.settle()
+	assert.Equal(t, Allowed, p.state(popular))
+	p.wait(5 * time.Second)
+	p.RecordAnswer(popular, p.now)
+	assert.Equal(t, Allowed, p.state(popular))
 }
 
-// Guards against the quarantine of a content that everybody asks for: servers that are lost together end
-// some milliseconds apart, and its requests go from one that has ended to the next.
-func TestServersLostOneAfterTheOtherBlameNoContentThatIsAnswered(t *testing.T) {
-	s := newScript(t, "one")
-	popular := named("popular")
-	s.RecordAnswer(popular, s.now)
-	s.wait(time.Second)
+// Guards against the quarantine of a fingerprint that many callers send: servers that are lost
+// together crash some milliseconds apart, and its requests move from each crashed server to the
+// next.
+func TestSequentialLossQuarantinesNoAnsweredFingerprint(t *testing.T) {
+	p := newProcess(t, "one")
+	popular := fingerprintFor("popular")
+	p.RecordAnswer(popular, p.now)
+	p.wait(time.Second)
 	for number := range 8 {
 		server := fmt.Sprintf("server-%d", number)
-		s.wait(6 * time.Millisecond)
-		s.RecordBrokenConnection(server, popular, s.now-time.Millisecond, s.now)
-		s.RecordCrash(server, s.now)
+		p.wait(6 * time.Millisecond)
+		p.RecordBrokenConnection(server, popular, p.now-time.Millisecond, p.now)
+		p.RecordCrash(server, p.now)
 	}
-	s.settled()
-	assert.Equal(t, Allowed, s.state(popular))
+	p.settle()
+	assert.Equal(t, Allowed, p.state(popular))
 }
 
-// The same content, once it ends every server: it is quarantined after three that it was sent to one
-// after the other.
-func TestContentThatWasAnsweredIsQuarantinedToo(t *testing.T) {
-	s := newScript(t, "one")
-	s.RecordAnswer(named("x"), s.now)
-	for number := range endsForQuarantine {
-		s.wait(time.Second)
-		s.ends(fmt.Sprintf("server-%d", number), named("x"))
+// The same fingerprint must be quarantined once its requests crash three servers one after the
+// other.
+func TestAnsweredFingerprintCanBeQuarantined(t *testing.T) {
+	p := newProcess(t, "one")
+	p.RecordAnswer(fingerprintFor("x"), p.now)
+	for number := range crashesForQuarantine {
+		p.wait(time.Second)
+		p.crash(fmt.Sprintf("server-%d", number), fingerprintFor("x"))
 	}
-	s.settled()
-	assert.Equal(t, InQuarantine, s.state(named("x")))
+	p.settle()
+	assert.Equal(t, InQuarantine, p.state(fingerprintFor("x")))
 }
 
-func TestTriesAtTheSameMomentInThreeZonesCount(t *testing.T) {
-	var entries []*script
+func TestSimultaneousCrashesInThreeZonesCount(t *testing.T) {
+	var entries []*process
 	for zone := range 3 {
-		entry := newScript(t, fmt.Sprintf("entry-%d", zone))
-		entry.ends(fmt.Sprintf("server-%d", zone), named("culprit"), named(fmt.Sprintf("harmless-%d", zone)))
+		entry := newProcess(t, fmt.Sprintf("entry-%d", zone))
+		entry.crash(fmt.Sprintf("server-%d", zone), fingerprintFor("culprit"), fingerprintFor(fmt.Sprintf("harmless-%d", zone)))
 		entries = append(entries, entry)
 	}
-	for _, word := range entries[1].TakeReports() {
-		entries[0].Apply(word, entries[0].now)
+	for _, report := range entries[1].TakeReports() {
+		entries[0].Apply(report, entries[0].now)
 	}
-	assert.Equal(t, Suspected, entries[0].state(named("culprit")))
-	entries[2].tells(entries[0], 0)
-	entries[0].settled()
-	assert.Equal(t, InQuarantine, entries[0].state(named("culprit")))
-	entries[0].tells(entries[1], 0)
+	assert.Equal(t, Suspected, entries[0].state(fingerprintFor("culprit")))
+	entries[2].reportTo(entries[0], 0)
+	entries[0].settle()
+	assert.Equal(t, InQuarantine, entries[0].state(fingerprintFor("culprit")))
+	entries[0].reportTo(entries[1], 0)
 	entries[1].wait(settleTime)
-	assert.Equal(t, InQuarantine, entries[1].state(named("culprit")))
+	assert.Equal(t, InQuarantine, entries[1].state(fingerprintFor("culprit")))
 }
 
-// A server that starts again under its name ends again.
-func TestServerThatEndsAgainUnderItsNameCountsAgain(t *testing.T) {
-	s := newScript(t, "one")
-	for range endsForQuarantine {
-		s.ends("server", named("culprit"))
-		s.wait(2 * time.Second)
+// A server that returns under its name and crashes again must count again.
+func TestRepeatedCrashOfSameServerCountsAgain(t *testing.T) {
+	p := newProcess(t, "one")
+	for range crashesForQuarantine {
+		p.crash("server", fingerprintFor("culprit"))
+		p.wait(2 * time.Second)
 	}
-	assert.Equal(t, InQuarantine, s.state(named("culprit")))
+	assert.Equal(t, InQuarantine, p.state(fingerprintFor("culprit")))
 }
 
-// Two processes see the same end, at moments that differ a little.
-func TestSameEndOfTwoProcessesCountsOnce(t *testing.T) {
-	one, other := newScript(t, "one"), newScript(t, "other")
-	for number := range endsForSuspicion {
+// Two processes that observe the same crash at slightly different times must count it once.
+func TestCrashObservedByTwoProcessesCountsOnce(t *testing.T) {
+	one, other := newProcess(t, "one"), newProcess(t, "other")
+	for number := range crashesForSuspicion {
 		server := fmt.Sprintf("server-%d", number)
-		one.ends(server, named("x"))
+		one.crash(server, fingerprintFor("x"))
 		other.wait(150 * time.Millisecond)
-		other.ends(server, named("x"))
-		other.tells(one, 0)
+		other.crash(server, fingerprintFor("x"))
+		other.reportTo(one, 0)
 		one.wait(time.Second)
 		other.wait(time.Second - 150*time.Millisecond)
 	}
-	assert.Equal(t, Suspected, one.state(named("x")))
+	assert.Equal(t, Suspected, one.state(fingerprintFor("x")))
 }
 
-func TestQuarantineEndsByItselfAndLastsLongerEachTime(t *testing.T) {
-	s := newScript(t, "one")
-	for number := range endsForQuarantine {
-		s.ends(fmt.Sprintf("server-%d", number), named("x"))
-		s.wait(time.Second)
+func TestQuarantineExpiresAndDoublesEachTime(t *testing.T) {
+	p := newProcess(t, "one")
+	for number := range crashesForQuarantine {
+		p.crash(fmt.Sprintf("server-%d", number), fingerprintFor("x"))
+		p.wait(time.Second)
 	}
-	first := s.Evaluate(named("x"), s.now)
-	assert.InDelta(t, firstQuarantine.Seconds(), first.Remaining.Seconds(), 2)
-	s.wait(first.Remaining)
-	assert.Equal(t, Suspected, s.state(named("x")), "it is tried at one server")
-	s.ends("server-9", named("x"))
-	s.settled()
-	second := s.Evaluate(named("x"), s.now)
+	first := p.Evaluate(fingerprintFor("x"), p.now)
+	assert.InDelta(t, initialQuarantine.Seconds(), first.Remaining.Seconds(), 2)
+	p.wait(first.Remaining)
+	assert.Equal(t, Suspected, p.state(fingerprintFor("x")), "it is tried at one server")
+	p.crash("server-9", fingerprintFor("x"))
+	p.settle()
+	second := p.Evaluate(fingerprintFor("x"), p.now)
 	assert.Equal(t, InQuarantine, second.State)
-	assert.InDelta(t, 2*firstQuarantine.Seconds(), second.Remaining.Seconds(), 2)
-	s.wait(second.Remaining)
-	s.RecordAnswer(named("x"), s.now)
-	assert.Equal(t, Allowed, s.state(named("x")))
+	assert.InDelta(t, 2*initialQuarantine.Seconds(), second.Remaining.Seconds(), 2)
+	p.wait(second.Remaining)
+	p.RecordAnswer(fingerprintFor("x"), p.now)
+	assert.Equal(t, Allowed, p.state(fingerprintFor("x")))
 }
 
-// A word of a quarantine that an operator has ended comes from a zone that was cut off.
-func TestReleasedContentIsNotShutByALateWord(t *testing.T) {
-	one, other := newScript(t, "one"), newScript(t, "other")
-	for number := range endsForQuarantine {
-		one.ends(fmt.Sprintf("server-%d", number), named("x"))
+// A report of a quarantine that an operator has lifted may arrive late from a zone that was
+// partitioned. It must not restore the quarantine.
+func TestLateReportDoesNotRestoreLiftedQuarantine(t *testing.T) {
+	one, other := newProcess(t, "one"), newProcess(t, "other")
+	for number := range crashesForQuarantine {
+		one.crash(fmt.Sprintf("server-%d", number), fingerprintFor("x"))
 		one.wait(time.Second)
 		other.wait(time.Second)
 	}
-	one.settled()
+	one.settle()
 	one.Tick(one.now)
-	late := one.TakeReports()
-	assert.True(t, one.Release(named("x"), one.now))
-	assert.False(t, one.Release(named("y"), one.now), "nothing is held against it")
-	one.tells(other, 0)
-	for _, word := range late {
-		other.Apply(word, other.now)
+	lateReports := one.TakeReports()
+	assert.True(t, one.Release(fingerprintFor("x"), one.now))
+	assert.False(t, one.Release(fingerprintFor("y"), one.now), "there is no evidence against it")
+	one.reportTo(other, 0)
+	for _, report := range lateReports {
+		other.Apply(report, other.now)
 	}
-	other.settled()
-	assert.Equal(t, Allowed, one.state(named("x")))
-	assert.Equal(t, Allowed, other.state(named("x")))
+	other.settle()
+	assert.Equal(t, Allowed, one.state(fingerprintFor("x")))
+	assert.Equal(t, Allowed, other.state(fingerprintFor("x")))
 }
 
-// A caller with many contents of the kind does not push out that of another.
-func TestManyContentsOfOneCallerDropNoneOfAnother(t *testing.T) {
-	s := newScript(t, "one")
-	shut := func(content Fingerprint) {
-		s.wait(time.Second)
-		s.Apply(Report{Kind: Quarantined, At: s.now, Entry: "other", Fingerprint: content, Duration: firstQuarantine}, s.now)
+// A caller with many quarantined fingerprints must not displace those of another caller.
+func TestCallerDoesNotDisplaceQuarantinesOfOthers(t *testing.T) {
+	p := newProcess(t, "one")
+	addQuarantine := func(fingerprint Fingerprint) {
+		p.wait(time.Second)
+		p.Apply(Report{Kind: Quarantined, At: p.now, Entry: "other", Fingerprint: fingerprint, Duration: initialQuarantine}, p.now)
 	}
-	shut(named("x"))
+	addQuarantine(fingerprintFor("x"))
 	archive := NewArchive()
-	archive.Add(Report{Kind: Quarantined, At: s.now, Entry: "other", Fingerprint: named("x"), Duration: firstQuarantine}, s.now)
-	for number := range 2 * mostQuarantined {
-		attacker := contentOf("attacker", "", fmt.Sprint(number), "")
-		shut(attacker)
-		archive.Add(Report{Kind: Quarantined, At: s.now, Entry: "other", Number: uint64(number) + 1, Fingerprint: attacker, Duration: firstQuarantine}, s.now)
+	archive.Add(Report{Kind: Quarantined, At: p.now, Entry: "other", Fingerprint: fingerprintFor("x"), Duration: initialQuarantine}, p.now)
+	for number := range 2 * maxQuarantines {
+		attacker := hashOf("attacker", "", fmt.Sprint(number), "")
+		addQuarantine(attacker)
+		archive.Add(Report{Kind: Quarantined, At: p.now, Entry: "other", Number: uint64(number) + 1, Fingerprint: attacker, Duration: initialQuarantine}, p.now)
 	}
-	assert.Equal(t, InQuarantine, s.state(named("x")))
-	assert.LessOrEqual(t, len(s.Describe(s.now)), mostQuarantined)
-	words := archive.Since(0)
-	assert.LessOrEqual(t, len(words), mostShutWords)
-	assert.Equal(t, named("x"), words[0].Fingerprint)
+	assert.Equal(t, InQuarantine, p.state(fingerprintFor("x")))
+	assert.LessOrEqual(t, len(p.Describe(p.now)), maxQuarantines)
+	reports := archive.Since(0)
+	assert.LessOrEqual(t, len(reports), maxQuarantineReports)
+	assert.Equal(t, fingerprintFor("x"), reports[0].Fingerprint)
 }
 
 func TestEvidenceIsBounded(t *testing.T) {
-	s := newScript(t, "one")
-	for number := range 4 * mostEnds {
-		contents := make([]Fingerprint, 0, 2*MaxSuspects)
+	p := newProcess(t, "one")
+	for number := range 4 * maxCrashes {
+		fingerprints := make([]Fingerprint, 0, 2*MaxSuspects)
 		for suspect := range 2 * MaxSuspects {
-			contents = append(contents, named(fmt.Sprintf("%d-%d", number, suspect)))
+			fingerprints = append(fingerprints, fingerprintFor(fmt.Sprintf("%d-%d", number, suspect)))
 		}
-		s.wait(time.Second)
-		s.ends(fmt.Sprintf("server-%d", number), contents...)
+		p.wait(time.Second)
+		p.crash(fmt.Sprintf("server-%d", number), fingerprints...)
 	}
-	assert.LessOrEqual(t, len(s.evidence.ends), mostEnds)
-	assert.LessOrEqual(t, len(s.evidence.held), mostEnds*MaxSuspects)
-	s.wait(2 * evidenceMemory)
-	s.Tick(s.now)
-	assert.Empty(t, s.evidence.held)
-	assert.Empty(t, s.evidence.ends)
+	assert.LessOrEqual(t, len(p.evidence.crashes), maxCrashes)
+	assert.LessOrEqual(t, len(p.evidence.byFingerprint), maxCrashes*MaxSuspects)
+	p.wait(2 * evidenceTTL)
+	p.Tick(p.now)
+	assert.Empty(t, p.evidence.byFingerprint)
+	assert.Empty(t, p.evidence.crashes)
 }
 
-// Whoever hears the same words, in whatever order, decides the same; a process that starts learns it
-// from what another one holds.
-func TestWordsInAnyOrderGiveTheSameVerdicts(t *testing.T) {
+// All processes that receive the same reports must reach the same verdicts, whatever the order,
+// also a process that starts later and learns from another one's archive.
+func TestReportOrderDoesNotChangeVerdicts(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		teller := newScript(t, "teller")
+		reporter := newProcess(t, "reporter")
 		archive := NewArchive()
-		contents := rapid.IntRange(1, 6).Draw(r, "contents")
-		for number := range rapid.IntRange(1, 12).Draw(r, "ends") {
-			teller.wait(time.Second)
-			var under []Fingerprint
-			for content := range contents {
+		count := rapid.IntRange(1, 6).Draw(r, "fingerprints")
+		for number := range rapid.IntRange(1, 12).Draw(r, "crashes") {
+			reporter.wait(time.Second)
+			var underWay []Fingerprint
+			for fingerprint := range count {
 				if rapid.Bool().Draw(r, "under way") {
-					under = append(under, named(fmt.Sprint(content)))
+					underWay = append(underWay, fingerprintFor(fmt.Sprint(fingerprint)))
 				}
 			}
-			teller.ends(fmt.Sprintf("server-%d", number), under...)
+			reporter.crash(fmt.Sprintf("server-%d", number), underWay...)
 		}
-		teller.settled()
-		words := teller.TakeReports()
-		order := rapid.Permutation(words).Draw(r, "order")
-		hearer := newScript(t, "hearer")
-		hearer.now = teller.now
-		for _, word := range order {
-			archive.Add(word, teller.now)
+		reporter.settle()
+		reports := reporter.TakeReports()
+		order := rapid.Permutation(reports).Draw(r, "order")
+		receiver := newProcess(t, "receiver")
+		receiver.now = reporter.now
+		for _, report := range order {
+			archive.Add(report, reporter.now)
 		}
-		for _, word := range archive.Since(0) {
-			hearer.Apply(word, hearer.now)
+		for _, report := range archive.Since(0) {
+			receiver.Apply(report, receiver.now)
 		}
-		for content := range contents {
-			assert.Equal(t, teller.evidence.leads(named(fmt.Sprint(content))), hearer.evidence.leads(named(fmt.Sprint(content))))
+		for fingerprint := range count {
+			assert.Equal(t, reporter.evidence.uniqueScore(fingerprintFor(fmt.Sprint(fingerprint))), receiver.evidence.uniqueScore(fingerprintFor(fmt.Sprint(fingerprint))))
 		}
 	})
 }
 
-func TestArchiveTakesAWordOnce(t *testing.T) {
+func TestArchiveAddsReportOnce(t *testing.T) {
 	archive := NewArchive()
-	word := Report{Kind: Crashed, At: time.Minute, Entry: "one", Number: 1, Server: "server"}
-	assert.True(t, archive.Add(word, time.Minute))
-	assert.False(t, archive.Add(word, time.Minute))
-	word.Number = 2
-	assert.True(t, archive.Add(word, time.Minute))
+	report := Report{Kind: Crashed, At: time.Minute, Entry: "one", Number: 1, Server: "server"}
+	assert.True(t, archive.Add(report, time.Minute))
+	assert.False(t, archive.Add(report, time.Minute))
+	report.Number = 2
+	assert.True(t, archive.Add(report, time.Minute))
 	assert.Len(t, archive.Since(0), 2)
 	assert.Len(t, archive.Since(1), 1)
-	archive.Expire(time.Minute + 2*evidenceMemory)
+	archive.Expire(time.Minute + 2*evidenceTTL)
 	assert.Empty(t, archive.Since(0))
 }
 
-// BenchmarkJudge is what a request costs beside its hash, while 64 contents are quarantined.
-func BenchmarkJudge(b *testing.B) {
+// BenchmarkEvaluate measures the cost per request, besides hashing, while 64 fingerprints are
+// quarantined.
+func BenchmarkEvaluate(b *testing.B) {
 	tracker := New("one", 0)
 	for number := range 64 {
-		tracker.Apply(Report{Kind: Quarantined, Entry: "other", Fingerprint: named(fmt.Sprint(number)), Duration: firstQuarantine}, 0)
+		tracker.Apply(Report{Kind: Quarantined, Entry: "other", Fingerprint: fingerprintFor(fmt.Sprint(number)), Duration: initialQuarantine}, 0)
 	}
-	content := named("x")
+	fingerprint := fingerprintFor("x")
 	b.ReportAllocs()
 	for range b.N {
-		tracker.Evaluate(content, time.Minute)
-		tracker.RecordAnswer(content, time.Minute)
+		tracker.Evaluate(fingerprint, time.Minute)
+		tracker.RecordAnswer(fingerprint, time.Minute)
 	}
 }
--- a/coordination/quarantine/upkeep.go
+++ b/coordination/quarantine/upkeep.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// Tick decides what is due by time: contents that nobody asks for are quarantined too, so that others
-// learn of it, and quarantines are forgotten a while after they have ended.
+// Tick does what is due by time: it quarantines fingerprints also when no request with them
+// arrives, so that other processes learn of it, and drops quarantines some time after they have
+// ended.
 func (t *Tracker) Tick(now time.Duration) {
 	t.evidence.expire(now)
-	for content := range t.evidence.held {
-		if t.mayBeCause(content) {
-			t.Evaluate(content, now)
+	for fingerprint := range t.evidence.byFingerprint {
+		if t.mayBeCause(fingerprint) {
+			t.Evaluate(fingerprint, now)
 		}
 	}
-	for content, held := range t.quarantines {
-		if now-held.till > longestQuarantine {
-			delete(t.quarantines, content)
+	for fingerprint, q := range t.quarantines {
+		if now-q.until > maxQuarantine {
+			delete(t.quarantines, fingerprint)
 		}
 	}
 }
 
-// Description is what is held against one content.
+// Description describes the evidence against one fingerprint.
 type Description struct {
 	Fingerprint Fingerprint
 	State       State
@@ -32,30 +33,30 @@
 	Reporter    string
 }
 
-// Describe lists the contents that are quarantined or suspected.
+// Describe lists the fingerprints that are quarantined or suspected.
 func (t *Tracker) Describe(now time.Duration) []Description {
 	var all []Description
-	for content, held := range t.quarantines {
+	for fingerprint, q := range t.quarantines {
 		state := Suspected
-		if now < held.till {
+		if now < q.until {
 			state = InQuarantine
 		}
-		all = append(all, Description{Fingerprint: content, State: state, Remaining: max(0, held.till-now), Round: held.round, Servers: held.servers, Reporter: held.by})
+		all = append(all, Description{Fingerprint: fingerprint, State: state, Remaining: max(0, q.until-now), Round: q.round, Servers: q.servers, Reporter: q.reporter})
 	}
-	for content := range t.evidence.held {
-		if t.quarantines[content] == nil && t.evidence.score(content) >= endsForSuspicion {
-			all = append(all, Description{Fingerprint: content, State: Suspected, Servers: t.endsOf(content)})
+	for fingerprint := range t.evidence.byFingerprint {
+		if t.quarantines[fingerprint] == nil && t.evidence.score(fingerprint) >= crashesForSuspicion {
+			all = append(all, Description{Fingerprint: fingerprint, State: Suspected, Servers: t.crashedServers(fingerprint)})
 		}
 	}
 	slices.SortFunc(all, func(a, b Description) int { return cmp.Compare(a.Fingerprint.String(), b.Fingerprint.String()) })
 	return all
 }
 
-// CountQuarantines counts the contents that are kept from servers now.
+// CountQuarantines returns the number of fingerprints that are quarantined now.
 func (t *Tracker) CountQuarantines(now time.Duration) int {
 	count := 0
-	for _, held := range t.quarantines {
-		if now < held.till {
+	for _, q := range t.quarantines {
+		if now < q.until {
 			count++
 		}
 	}
--- a/coordination/quarantine/verdict.go
+++ b/coordination/quarantine/verdict.go
@@ -5,150 +5,154 @@
 	"time"
 )
 
-// State is what may be done with a content.
+// State determines whether requests with a fingerprint may be sent.
 type State int
 
-// The states of contents.
+// Possible states.
 const (
-	// Allowed contents are sent to any server.
+	// Allowed: the request may be sent to any server.
 	Allowed State = iota
-	// Suspected contents are sent to servers that have no other suspect.
+	// Suspected: the request is sent only to servers that run no other suspect.
 	Suspected
-	// Undecided contents are not sent until what others have to say is known.
+	// Undecided: the request is not sent until the reports of other processes have arrived, or
+	// until another trial of its fingerprint has ended.
 	Undecided
-	// InQuarantine: the content is sent to no server.
+	// InQuarantine: the request is not sent to any server.
 	InQuarantine
 )
 
-// Verdict is the state of a content now.
+// Verdict is the state of a fingerprint at a given time.
 type Verdict struct {
 	State State
-	// Remaining is how long the state lasts at the most; 0 where it has no end.
+	// Remaining is the longest time that the state lasts; 0 if it has no end.
 	Remaining time.Duration
-	// Servers are the last ones that the content has ended, as far as that is known.
+	// Servers are the latest ones that crashed under the fingerprint, as far as known.
 	Servers []string
 }
 
-// quarantine is one that lasts until a moment, or has lasted: from then on the content is a suspect of
-// which one more end is enough.
+// quarantine is a current or past quarantine. Once it has ended, the fingerprint is a suspect for
+// which one more crash is enough.
 type quarantine struct {
-	at, till time.Duration
-	round    int
-	servers  []string
-	// by is the entry that has told of it.
-	by string
+	at, until time.Duration
+	round     int
+	servers   []string
+	// reporter is the entry that reported the quarantine.
+	reporter string
 }
 
-// Evaluate decides what may be done with a content now.
-func (t *Tracker) Evaluate(content Fingerprint, now time.Duration) Verdict {
-	held := t.quarantines[content]
-	if held != nil && now < held.till {
-		return Verdict{State: InQuarantine, Remaining: held.till - now, Servers: held.servers}
+// Evaluate decides whether requests with a fingerprint may be sent now.
+func (t *Tracker) Evaluate(fingerprint Fingerprint, now time.Duration) Verdict {
+	q := t.quarantines[fingerprint]
+	if q != nil && now < q.until {
+		return Verdict{State: InQuarantine, Remaining: q.until - now, Servers: q.servers}
 	}
-	last := t.evidence.last(content)
-	if held == nil && last == nil {
+	last := t.evidence.latest(fingerprint)
+	if q == nil && last == nil {
 		return Verdict{}
 	}
-	if last != nil && t.mayBeCause(content) {
-		if settled := last.at + settleTime; now < settled {
-			return Verdict{State: Undecided, Remaining: settled - now, Servers: t.endsOf(content)}
+	if last != nil && t.mayBeCause(fingerprint) {
+		if settledAt := last.at + settleTime; now < settledAt {
+			return Verdict{State: Undecided, Remaining: settledAt - now, Servers: t.crashedServers(fingerprint)}
 		}
-		if t.isCause(content) {
-			t.startQuarantine(content, now)
-			return t.Evaluate(content, now)
+		if t.isCause(fingerprint) {
+			t.startQuarantine(fingerprint, now)
+			return t.Evaluate(fingerprint, now)
 		}
 	}
-	if held == nil && t.evidence.score(content) < endsForSuspicion {
+	if q == nil && t.evidence.score(fingerprint) < crashesForSuspicion {
 		return Verdict{}
 	}
-	if _, runs := t.running[content]; runs {
-		return Verdict{State: Undecided, Remaining: oneAtATime, Servers: t.endsOf(content)}
+	if _, running := t.trials[fingerprint]; running {
+		return Verdict{State: Undecided, Remaining: trialRetryDelay, Servers: t.crashedServers(fingerprint)}
 	}
-	return Verdict{State: Suspected, Servers: t.endsOf(content)}
+	return Verdict{State: Suspected, Servers: t.crashedServers(fingerprint)}
 }
 
-// mayBeCause reports whether enough servers have ended under a content.
-func (t *Tracker) mayBeCause(content Fingerprint) bool {
-	return t.evidence.score(content) >= t.endsNeeded(content)
+// mayBeCause reports whether enough servers have crashed under a fingerprint.
+func (t *Tracker) mayBeCause(fingerprint Fingerprint) bool {
+	return t.evidence.score(fingerprint) >= t.crashesNeeded(fingerprint)
 }
 
-// isCause reports whether no other content explains these ends as well.
-func (t *Tracker) isCause(content Fingerprint) bool {
-	return t.evidence.leads(content) >= t.endsNeeded(content) || t.evidence.score(content) >= endsAtMost
+// isCause reports whether no other fingerprint is as likely a cause of these crashes, or there have
+// been too many of them.
+func (t *Tracker) isCause(fingerprint Fingerprint) bool {
+	return t.evidence.uniqueScore(fingerprint) >= t.crashesNeeded(fingerprint) || t.evidence.score(fingerprint) >= maxAmbiguousCrashes
 }
 
-// endsNeeded is how many ends a content is quarantined after: one is enough after a quarantine.
-func (t *Tracker) endsNeeded(content Fingerprint) int {
-	if t.quarantines[content] != nil {
+// crashesNeeded returns the number of crashes after which a fingerprint is quarantined: after an
+// earlier quarantine, one is enough.
+func (t *Tracker) crashesNeeded(fingerprint Fingerprint) int {
+	if t.quarantines[fingerprint] != nil {
 		return 1
 	}
-	return endsForQuarantine
+	return crashesForQuarantine
 }
 
-// startQuarantine quarantines a content, and tells the others.
-func (t *Tracker) startQuarantine(content Fingerprint, now time.Duration) {
-	fresh := &quarantine{at: t.evidence.last(content).at, servers: t.endsOf(content), by: t.self}
-	if former := t.quarantines[content]; former != nil {
-		fresh.round = former.round + 1
+// startQuarantine quarantines a fingerprint and reports it to the other processes.
+func (t *Tracker) startQuarantine(fingerprint Fingerprint, now time.Duration) {
+	q := &quarantine{at: t.evidence.latest(fingerprint).at, servers: t.crashedServers(fingerprint), reporter: t.self}
+	if previous := t.quarantines[fingerprint]; previous != nil {
+		q.round = previous.round + 1
 	}
-	lasts := quarantineTime(fresh.round)
-	fresh.till = fresh.at + lasts
-	t.takeQuarantine(content, fresh, now)
-	t.tell(Report{Kind: Quarantined, At: fresh.at, Fingerprint: content, Servers: fresh.servers, Round: fresh.round, Duration: lasts})
+	duration := quarantineDuration(q.round)
+	q.until = q.at + duration
+	t.applyQuarantine(fingerprint, q, now)
+	t.report(Report{Kind: Quarantined, At: q.at, Fingerprint: fingerprint, Servers: q.servers, Round: q.round, Duration: duration})
 }
 
-// mostDoublings is after how many the longest quarantine is reached.
-const mostDoublings = 5
+// maxDoublings is the number of doublings after which maxQuarantine is reached.
+const maxDoublings = 5
 
-// quarantineTime is how long a quarantine lasts that follows a number of others of its content.
-func quarantineTime(round int) time.Duration {
-	return min(firstQuarantine<<min(round, mostDoublings), longestQuarantine)
+// quarantineDuration returns the duration of a quarantine that follows the given number of others
+// of the same fingerprint.
+func quarantineDuration(round int) time.Duration {
+	return min(initialQuarantine<<min(round, maxDoublings), maxQuarantine)
 }
 
-// takeQuarantine takes over a quarantine, unless one is known that lasts longer.
-func (t *Tracker) takeQuarantine(content Fingerprint, fresh *quarantine, now time.Duration) {
-	held := t.quarantines[content]
-	if held != nil && held.till >= fresh.till {
+// applyQuarantine puts a quarantine into force, unless one that lasts as long is known.
+func (t *Tracker) applyQuarantine(fingerprint Fingerprint, q *quarantine, now time.Duration) {
+	existing := t.quarantines[fingerprint]
+	if existing != nil && existing.until >= q.until {
 		return
 	}
-	if held == nil && len(t.quarantines) >= mostQuarantined {
+	if existing == nil && len(t.quarantines) >= maxQuarantines {
 		t.evictQuarantine()
 	}
-	news := held == nil || now >= held.till
-	t.quarantines[content] = fresh
-	for _, one := range slices.Clone(t.evidence.held[content]) {
-		t.evidence.explain(one)
+	isNew := existing == nil || now >= existing.until
+	t.quarantines[fingerprint] = q
+	for _, c := range slices.Clone(t.evidence.byFingerprint[fingerprint]) {
+		t.evidence.markExplained(c)
 	}
-	if news {
-		t.changes = append(t.changes, Change{Kind: Quarantined, Fingerprint: content, Servers: fresh.servers, Remaining: fresh.till - now, Round: fresh.round, Reporter: fresh.by})
+	if isNew {
+		t.changes = append(t.changes, Change{Kind: Quarantined, Fingerprint: fingerprint, Servers: q.servers, Remaining: q.until - now, Round: q.round, Reporter: q.reporter})
 	}
 }
 
 // evictQuarantine drops the oldest quarantine of the caller that has the most.
 func (t *Tracker) evictQuarantine() {
 	counts := map[uint64]int{}
-	for content := range t.quarantines {
-		counts[content.Caller]++
+	for fingerprint := range t.quarantines {
+		counts[fingerprint.Caller]++
 	}
 	var oldest Fingerprint
-	var found *quarantine
-	for content, held := range t.quarantines {
-		if found != nil && (counts[content.Caller] < counts[oldest.Caller] || (counts[content.Caller] == counts[oldest.Caller] && held.at >= found.at)) {
+	var evicted *quarantine
+	for fingerprint, q := range t.quarantines {
+		if evicted != nil && (counts[fingerprint.Caller] < counts[oldest.Caller] || (counts[fingerprint.Caller] == counts[oldest.Caller] && q.at >= evicted.at)) {
 			continue
 		}
-		oldest, found = content, held
+		oldest, evicted = fingerprint, q
 	}
 	delete(t.quarantines, oldest)
 }
 
-// endsOf names the last servers that have ended under a content.
-func (t *Tracker) endsOf(content Fingerprint) []string {
+// crashedServers lists the latest servers that have crashed under a fingerprint.
+func (t *Tracker) crashedServers(fingerprint Fingerprint) []string {
 	var servers []string
-	if held := t.quarantines[content]; held != nil {
-		servers = append(servers, held.servers...)
+	if q := t.quarantines[fingerprint]; q != nil {
+		servers = append(servers, q.servers...)
 	}
-	for _, one := range t.evidence.held[content] {
-		servers = append(servers, one.server)
+	for _, c := range t.evidence.byFingerprint[fingerprint] {
+		servers = append(servers, c.server)
 	}
-	return servers[max(0, len(servers)-namedServers):]
+	return servers[max(0, len(servers)-maxListedServers):]
 }
--- a/coordination/quarantine/words.go
+++ b/coordination/quarantine/words.go
@@ -2,45 +2,45 @@
 
 import "time"
 
-// Kind is what a word tells.
+// Kind is the kind of a report.
 type Kind int
 
-// The kinds of words.
+// Kinds of reports.
 const (
-	// Crashed: a server has ended, with the teller's requests under way there.
+	// Crashed: a server has crashed with requests of the reporter under way.
 	Crashed Kind = iota + 1
-	// Cleared: a content was answered, or released by an operator, and what was held against it before
-	// counts no more.
+	// Cleared: a fingerprint was answered, or released by an operator; earlier evidence against it
+	// no longer counts.
 	Cleared
-	// Quarantined: a content is kept from the servers.
+	// Quarantined: requests with a fingerprint are kept from the servers.
 	Quarantined
 )
 
-// Suspect is a content that was under way at a server when that ended, and how long before it was
-// sent there.
+// Suspect is the fingerprint of a request that was under way at a server when it crashed;
+// SentBefore is how long before the crash it was sent.
 type Suspect struct {
 	Fingerprint Fingerprint
 	SentBefore  time.Duration
 }
 
-// Report is what a process has found out.
+// Report is a finding of one process, sent to the others.
 type Report struct {
 	Kind Kind
-	// At is the moment of the end or the answer, or of the last end before a quarantine, in the time of
-	// the process that holds the word.
+	// At is the time of the crash or the answer, or of the last crash before a quarantine, in the
+	// time of the process that holds the report.
 	At time.Duration
-	// Entry is who found it out, Number orders its words.
+	// Entry is the reporter; Number orders its reports.
 	Entry  string
 	Number uint64
-	// Server and Suspects are those of an end.
+	// Server and Suspects describe a crash.
 	Server   string
 	Suspects []Suspect
 	// Fingerprint is the one that was cleared or is quarantined.
 	Fingerprint Fingerprint
-	// LiftsQuarantine is set when clearing has ended a quarantine.
+	// LiftsQuarantine is set if clearing has lifted a quarantine.
 	LiftsQuarantine bool
-	// Servers are the last ones that a quarantined content has ended, Round counts its quarantines, and
-	// Lasts is how long this one lasts after At.
+	// Servers are the latest ones that crashed under a quarantined fingerprint, Round counts its
+	// earlier quarantines, and Duration is how long this one lasts from At on.
 	Servers  []string
 	Round    int
 	Duration time.Duration
