--- a/coordination/quarantine/tracker.go
+++ b/coordination/quarantine/tracker.go
@@ -243,8 +243,8 @@
 	return counted, lifted
 }
 
-// Apply applies a report of another process, or of an earlier incarnation of this one.
-func (t *Tracker) Apply(report Report, now time.Duration) {
+// ApplyReport applies a report of another process, or of an earlier incarnation of this one.
+func (t *Tracker) ApplyReport(report Report, now time.Duration) {
 	at := min(report.At, now)
 	switch report.Kind {
 	case Crashed:
--- a/coordination/quarantine/tracker_test.go
+++ b/coordination/quarantine/tracker_test.go
@@ -42,7 +42,7 @@
 func (p *process) reportTo(other *process, after time.Duration) {
 	for _, report := range p.TakeReports() {
 		report.At += other.now - p.now
-		other.Apply(report, other.now+after)
+		other.ApplyReport(report, other.now+after)
 	}
 }
 
@@ -263,7 +263,7 @@
 		entries = append(entries, entry)
 	}
 	for _, report := range entries[1].TakeReports() {
-		entries[0].Apply(report, entries[0].now)
+		entries[0].ApplyReport(report, entries[0].now)
 	}
 	assert.Equal(t, Suspected, entries[0].state(fingerprintFor("culprit")))
 	entries[2].reportTo(entries[0], 0)
@@ -335,7 +335,7 @@
 	assert.False(t, one.Release(fingerprintFor("y"), one.now), "there is no evidence against it")
 	one.reportTo(other, 0)
 	for _, report := range lateReports {
-		other.Apply(report, other.now)
+		other.ApplyReport(report, other.now)
 	}
 	other.settle()
 	assert.Equal(t, Allowed, one.state(fingerprintFor("x")))
@@ -347,7 +347,7 @@
 	p := newProcess(t, "one")
 	addQuarantine := func(fingerprint Fingerprint) {
 		p.wait(time.Second)
-		p.Apply(Report{Kind: Quarantined, At: p.now, Entry: "other", Fingerprint: fingerprint, Duration: initialQuarantine}, p.now)
+		p.ApplyReport(Report{Kind: Quarantined, At: p.now, Entry: "other", Fingerprint: fingerprint, Duration: initialQuarantine}, p.now)
 	}
 	addQuarantine(fingerprintFor("x"))
 	archive := NewArchive()
@@ -408,7 +408,7 @@
 			archive.Add(report, reporter.now)
 		}
 		for _, report := range archive.Since(0) {
-			receiver.Apply(report, receiver.now)
+			receiver.ApplyReport(report, receiver.now)
 		}
 		for fingerprint := range count {
 			assert.Equal(t, reporter.evidence.uniqueScore(fingerprintFor(fmt.Sprint(fingerprint))), receiver.evidence.uniqueScore(fingerprintFor(fmt.Sprint(fingerprint))))
@@ -434,7 +434,7 @@
 func BenchmarkEvaluate(b *testing.B) {
 	tracker := New("one", 0)
 	for number := range 64 {
-		tracker.Apply(Report{Kind: Quarantined, Entry: "other", Fingerprint: fingerprintFor(fmt.Sprint(number)), Duration: initialQuarantine}, 0)
+		tracker.ApplyReport(Report{Kind: Quarantined, Entry: "other", Fingerprint: fingerprintFor(fmt.Sprint(number)), Duration: initialQuarantine}, 0)
 	}
 	fingerprint := fingerprintFor("x")
 	b.ReportAllocs()
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -110,7 +110,7 @@
 // HearQuarantine takes in what another process has found out, whose moment counts from a time.
 func (f *Forwarder) HearQuarantine(word quarantine.Report, from time.Time) {
 	word.At += from.Sub(f.contents.started)
-	f.contents.do(func(tracker *quarantine.Tracker, now time.Duration) { tracker.Apply(word, now) })
+	f.contents.do(func(tracker *quarantine.Tracker, now time.Duration) { tracker.ApplyReport(word, now) })
 }
 
 // Release ends what is held against a content, at an operator's wish, and reports whether there was
