--- a/coordination/balance/balance.go
+++ b/coordination/balance/balance.go
@@ -21,9 +21,9 @@
 	// maximum in one pass; a ReadChunk of 0 means no limit.
 	ReadPerSecond float64
 	ReadChunk     int
-	// UsualPrompt and UsualAnswer are mean sizes in tokens.
-	UsualPrompt float64
-	UsualAnswer float64
+	// TypicalPrompt and UsualAnswer are mean sizes in tokens.
+	TypicalPrompt float64
+	TypicalAnswer float64
 	// RequestMilliseconds is the mean time of a complete request at a server that reads no prompts.
 	RequestMilliseconds float64
 }
@@ -45,7 +45,7 @@
 
 // stepTime returns the time of one step with the given number of running requests.
 func (s Server) stepTime(running float64) float64 {
-	return s.StepMilliseconds + running*(s.PerSequence+s.ContextPerThousand*s.UsualPrompt/1000)
+	return s.StepMilliseconds + running*(s.PerSequence+s.ContextPerThousand*s.TypicalPrompt/1000)
 }
 
 // passTime returns the time of a pass with the given number of running requests.
@@ -57,7 +57,7 @@
 	if !s.readsPrompts() {
 		return milliseconds(s.RequestMilliseconds / slots)
 	}
-	return milliseconds(s.stepTime(slots)*s.UsualAnswer/slots + 1000*s.UsualPrompt/s.ReadPerSecond)
+	return milliseconds(s.stepTime(slots)*s.TypicalAnswer/slots + 1000*s.TypicalPrompt/s.ReadPerSecond)
 }
 
 // Number of passes until the first event of a new prompt, besides those for reading: the one that
@@ -118,14 +118,14 @@
 // based on the request's own size it would be longer for large requests, whose reading is slowed
 // down by others.
 func (s Server) Wait(load Load) time.Duration {
-	usual := int(s.UsualPrompt)
+	usual := int(s.TypicalPrompt)
 	return s.TimeToFirstEvent(load, usual) - s.TimeToFirstEvent(Load{Pace: load.Pace}, usual)
 }
 
 // MaxWait returns how long requests may wait for others if a request of usual size is to start
 // within the limit.
 func (s Server) MaxWait(limit time.Duration) time.Duration {
-	return max(0, limit-s.IdleTimeToFirstEvent(int(s.UsualPrompt)))
+	return max(0, limit-s.IdleTimeToFirstEvent(int(s.TypicalPrompt)))
 }
 
 // Duration predicts the time until an answer of the given number of tokens is complete.
--- a/coordination/balance/balance_test.go
+++ b/coordination/balance/balance_test.go
@@ -9,7 +9,7 @@
 
 var engine = Server{
 	Slots: 16, StepMilliseconds: 9.27, PerSequence: 0.0232, ContextPerThousand: 0.0322, Stride: 5,
-	ReadPerSecond: 20700, UsualPrompt: 979, UsualAnswer: 92,
+	ReadPerSecond: 20700, TypicalPrompt: 979, TypicalAnswer: 92,
 }
 
 // Guards against sending requests to a server that has just returned: it runs few requests, but a
@@ -56,7 +56,7 @@
 // The wait for others must grow with the load and the pace of a slow server; an idle server must
 // cause no wait, however slow it is. The maximum wait is what a usual prompt leaves of the limit.
 func TestWaitForOthers(t *testing.T) {
-	server := Server{Slots: 16, StepMilliseconds: 7, Stride: 6, ReadPerSecond: 30000, ReadChunk: 2048, UsualPrompt: 1000, UsualAnswer: 100}
+	server := Server{Slots: 16, StepMilliseconds: 7, Stride: 6, ReadPerSecond: 30000, ReadChunk: 2048, TypicalPrompt: 1000, TypicalAnswer: 100}
 	for _, pace := range []float64{0, 1, 4} {
 		assert.Zero(t, server.Wait(Load{Pace: pace}))
 	}
--- a/coordination/balance/learned.go
+++ b/coordination/balance/learned.go
@@ -105,8 +105,8 @@
 		server.ReadPerSecond = e.readRate.resolve(0, 1, assumedReadPerSecond)
 	}
 	server.StepMilliseconds = e.eventInterval.resolve(published.StepMilliseconds, 1/stride, assumedStepMilliseconds)
-	server.UsualPrompt = e.promptTokens.resolve(published.UsualPrompt, 1, assumedPrompt)
-	server.UsualAnswer = e.answerEvents.resolve(published.UsualAnswer, stride, assumedAnswer)
+	server.TypicalPrompt = e.promptTokens.resolve(published.TypicalPrompt, 1, assumedPrompt)
+	server.TypicalAnswer = e.answerEvents.resolve(published.TypicalAnswer, stride, assumedAnswer)
 	return server
 }
 
--- a/coordination/balance/learned_test.go
+++ b/coordination/balance/learned_test.go
@@ -30,8 +30,8 @@
 	merged := estimator.Merge(Server{Slots: 16, Stride: 5})
 	assert.InDelta(t, 11111, merged.ReadPerSecond, 1, "network time counts as reading")
 	assert.InDelta(t, 10, merged.StepMilliseconds, 0.01)
-	assert.InDelta(t, 1000, merged.UsualPrompt, 0.01)
-	assert.InDelta(t, 105, merged.UsualAnswer, 0.01)
+	assert.InDelta(t, 1000, merged.TypicalPrompt, 0.01)
+	assert.InDelta(t, 105, merged.TypicalAnswer, 0.01)
 }
 
 // A published figure must be kept as long as the answers agree with it within the effect of the
--- a/coordination/dispatch/dispatch_test.go
+++ b/coordination/dispatch/dispatch_test.go
@@ -39,6 +39,6 @@
 func copiedEngine() *Engine {
 	return &Engine{
 		Pieces: 100, CopyTime: 2500 * time.Millisecond,
-		Published: balance.Server{StepMilliseconds: 9, Stride: 5, ReadPerSecond: 20000, UsualPrompt: 1000, UsualAnswer: 100},
+		Published: balance.Server{StepMilliseconds: 9, Stride: 5, ReadPerSecond: 20000, TypicalPrompt: 1000, TypicalAnswer: 100},
 	}
 }
--- a/coordination/dispatch/prediction.go
+++ b/coordination/dispatch/prediction.go
@@ -26,7 +26,7 @@
 	if word.UnreadTokens > 0 {
 		load.Unread += max(0, float64(word.UnreadTokens-word.seen.unreadTokens))
 	} else {
-		load.Unread += float64(othersWaiting) * request.Figures.UsualPrompt
+		load.Unread += float64(othersWaiting) * request.Figures.TypicalPrompt
 	}
 	load.Running = max(0, k.outstanding(now)-load.Waiting)
 	load.Pace = word.Pace
--- a/coordination/dispatch/prediction_test.go
+++ b/coordination/dispatch/prediction_test.go
@@ -17,7 +17,7 @@
 	server := modelServer(now.Add(-20*time.Millisecond), 0)
 	core.byService["s"] = []*Candidate{server}
 	core.byAddress["10.0.0.1:1"] = server
-	engine := &Engine{Published: balance.Server{Slots: 16, StepMilliseconds: 7, Stride: 6, ReadPerSecond: 30000, UsualPrompt: 1000, UsualAnswer: 100}}
+	engine := &Engine{Published: balance.Server{Slots: 16, StepMilliseconds: 7, Stride: 6, ReadPerSecond: 30000, TypicalPrompt: 1000, TypicalAnswer: 100}}
 	return core, server, withFigures(Request{Service: "s", Others: others, Prompt: 1000, Target: 400 * time.Millisecond}, engine)
 }
 
--- a/coordination/dispatch/regionfleet_test.go
+++ b/coordination/dispatch/regionfleet_test.go
@@ -172,7 +172,7 @@
 	figures := scriptEngine.Published
 	one := &regionRequest{
 		bound:  f.random.Float64() < f.bound,
-		prompt: max(1, int(min(3, size(0.7))*figures.UsualPrompt)), passes: max(1, int(math.Round(size(0.6)*figures.UsualAnswer/float64(figures.Stride)))),
+		prompt: max(1, int(min(3, size(0.7))*figures.TypicalPrompt)), passes: max(1, int(math.Round(size(0.6)*figures.TypicalAnswer/float64(figures.Stride)))),
 		askedAt: f.now,
 	}
 	f.countOf(one).asked++
--- a/coordination/dispatch/scarcity.go
+++ b/coordination/dispatch/scarcity.go
@@ -64,7 +64,7 @@
 	if !bound {
 		return
 	}
-	ofUsual := float64(request.Prompt) / max(1, request.Figures.UsualPrompt)
+	ofUsual := float64(request.Prompt) / max(1, request.Figures.TypicalPrompt)
 	taken := time.Duration(ofUsual * float64(request.Figures.ServiceTime()))
 	held(c.demands, regionalService{service: request.Service, region: region}).Note(taken, c.since(now))
 }
--- a/coordination/dispatch/scarcity_test.go
+++ b/coordination/dispatch/scarcity_test.go
@@ -100,7 +100,7 @@
 func TestScarcityWeighsLessThanSilence(t *testing.T) {
 	s := newScript(t, "a1", "b1")
 	slow := *scriptEngine
-	slow.Published.UsualAnswer = 400
+	slow.Published.TypicalAnswer = 400
 	request := func() *Request {
 		one := s.request()
 		one.Engine = &slow
--- a/coordination/dispatch/script_test.go
+++ b/coordination/dispatch/script_test.go
@@ -22,7 +22,7 @@
 // Sizes of the scripts' fleets. A copy of a version takes 2.5 s.
 var scriptEngine = &Engine{
 	Pieces: 100, CopyTime: 2500 * time.Millisecond, Warm: 100 * time.Millisecond,
-	Published: balance.Server{Slots: 16, StepMilliseconds: 7, Stride: 6, ReadPerSecond: 30000, UsualPrompt: 1000, UsualAnswer: 100},
+	Published: balance.Server{Slots: 16, StepMilliseconds: 7, Stride: 6, ReadPerSecond: 30000, TypicalPrompt: 1000, TypicalAnswer: 100},
 }
 
 // newScript begins with servers by their names, whose first letter is their zone and its region,
--- a/coordination/dispatch/smallregion_test.go
+++ b/coordination/dispatch/smallregion_test.go
@@ -159,7 +159,7 @@
 	request.Residency = request.Residency.With(residency.AllowedRegions{"a"})
 	s.served(request, "a1")
 	once := s.core.BoundLoads(s.now)[0].Share
-	request.Prompt = int(3 * scriptEngine.Published.UsualPrompt)
+	request.Prompt = int(3 * scriptEngine.Published.TypicalPrompt)
 	s.served(request, "a1")
 	assert.InDelta(t, 4*once, s.core.BoundLoads(s.now)[0].Share, 0.001)
 }
--- a/coordination/shedding/simulation_test.go
+++ b/coordination/shedding/simulation_test.go
@@ -33,7 +33,7 @@
 // more for each running request, 19.1 prompt tokens per ms, events of 5 tokens.
 var figures = balance.Server{
 	Slots: 12, StepMilliseconds: 8.87, PerSequence: 0.0388, Stride: 5, ReadPerSecond: 19100, ReadChunk: readChunk,
-	UsualPrompt: 940, UsualAnswer: 98,
+	TypicalPrompt: 940, TypicalAnswer: 98,
 }
 
 // kind is a kind of request with its prompt and answer sizes; rate returns the requests per second.
--- a/internal/fleet/configuration.go
+++ b/internal/fleet/configuration.go
@@ -83,7 +83,7 @@
 	return balance.Server{
 		Slots: e.Slots, Stride: e.Stride,
 		StepMilliseconds: e.StepMilliseconds, PerSequence: e.PerSequenceMilliseconds, ContextPerThousand: e.ContextPerThousand,
-		ReadPerSecond: e.ReadPerSecond, ReadChunk: e.ReadChunk, UsualPrompt: e.UsualPrompt, UsualAnswer: e.UsualAnswer,
+		ReadPerSecond: e.ReadPerSecond, ReadChunk: e.ReadChunk, TypicalPrompt: e.UsualPrompt, TypicalAnswer: e.UsualAnswer,
 	}
 }
 
--- a/internal/forward/sizing.go
+++ b/internal/forward/sizing.go
@@ -63,7 +63,7 @@
 
 // countEnding counts how a generation has ended, by its size.
 func (w *work) countEnding(ending string) {
-	usual := fleet.GenerationSize(w.wanted.Figures.UsualPrompt, w.wanted.Figures.UsualAnswer)
+	usual := fleet.GenerationSize(w.wanted.Figures.TypicalPrompt, w.wanted.Figures.TypicalAnswer)
 	if w.wanted.Engine == nil || usual <= 0 {
 		return
 	}
--- a/internal/rollout/load.go
+++ b/internal/rollout/load.go
@@ -25,7 +25,7 @@
 // its report of a time can't show yet, and the prompts that are still to be read, whether their
 // requests wait or run.
 func withAnnounced(status fleet.MachineStatus, announced *balance.Announcements, reportedAt, now time.Duration, figures balance.Server) fleet.MachineStatus {
-	load := announced.Load(balance.Load{Running: status.Running, Waiting: status.Waiting}, reportedAt, now, figures.UsualPrompt)
+	load := announced.Load(balance.Load{Running: status.Running, Waiting: status.Waiting}, reportedAt, now, figures.TypicalPrompt)
 	unread := max(load.Unread, announced.UnreadTokens(now, figures, status.Running))
 	status.Waiting, status.UnreadTokens = load.Waiting, int(unread)
 	return status
--- a/internal/rollout/load_test.go
+++ b/internal/rollout/load_test.go
@@ -14,7 +14,7 @@
 // report; its agent tells what of their prompts is still to be read. Where requests wait, their
 // prompts count whole.
 func TestAgentTellsOfPromptsThatRunningRequestsHaveYetToRead(t *testing.T) {
-	figures := balance.Server{Slots: 12, Stride: 1, StepMilliseconds: 10, ReadPerSecond: 20000, UsualPrompt: 800}
+	figures := balance.Server{Slots: 12, Stride: 1, StepMilliseconds: 10, ReadPerSecond: 20000, TypicalPrompt: 800}
 	var announced balance.Announcements
 	for range 10 {
 		announced.Add(time.Second, 1000)
@@ -31,7 +31,7 @@
 // One false size does not make a server look as if it had to read for long: a prompt that is
 // larger than the service's memory for tokens is of unknown size, and counts as a request.
 func TestAnnouncedPromptThatTheServerCannotHoldIsOfUnknownSize(t *testing.T) {
-	figures := balance.Server{Slots: 12, Stride: 1, StepMilliseconds: 10, ReadPerSecond: 20000, UsualPrompt: 800}
+	figures := balance.Server{Slots: 12, Stride: 1, StepMilliseconds: 10, ReadPerSecond: 20000, TypicalPrompt: 800}
 	engine := &fleet.Engine{CacheTokens: 317000}
 	agent := &Agent{cold: newColdWord()}
 	for _, prompt := range []int{317001, -1000, 1000} {
