--- a/coordination/balance/announced.go
+++ b/coordination/balance/announced.go
@@ -39,9 +39,9 @@
 }
 
 // Load returns the server's load according to a report and the requests announced since. The
-// waiting requests are taken to be the latest ones; usualPrompt is used for those that were not
+// waiting requests are taken to be the latest ones; typicalPrompt is used for those that were not
 // announced.
-func (a *Announcements) Load(reported Load, reportedAt, now time.Duration, usualPrompt float64) Load {
+func (a *Announcements) Load(reported Load, reportedAt, now time.Duration, typicalPrompt float64) Load {
 	a.expire(now)
 	load := reported
 	for _, request := range a.requests {
@@ -50,7 +50,7 @@
 		}
 	}
 	announced := min(load.Waiting, len(a.requests))
-	load.Unread = float64(load.Waiting-announced) * usualPrompt
+	load.Unread = float64(load.Waiting-announced) * typicalPrompt
 	for _, request := range a.requests[len(a.requests)-announced:] {
 		load.Unread += float64(request.prompt)
 	}
--- a/coordination/balance/balance.go
+++ b/coordination/balance/balance.go
@@ -21,7 +21,7 @@
 	// maximum in one pass; a ReadChunk of 0 means no limit.
 	ReadPerSecond float64
 	ReadChunk     int
-	// TypicalPrompt and UsualAnswer are mean sizes in tokens.
+	// TypicalPrompt and TypicalAnswer are mean sizes in tokens.
 	TypicalPrompt float64
 	TypicalAnswer float64
 	// RequestMilliseconds is the mean time of a complete request at a server that reads no prompts.
@@ -118,11 +118,11 @@
 // based on the request's own size it would be longer for large requests, whose reading is slowed
 // down by others.
 func (s Server) Wait(load Load) time.Duration {
-	usual := int(s.TypicalPrompt)
-	return s.TimeToFirstEvent(load, usual) - s.TimeToFirstEvent(Load{Pace: load.Pace}, usual)
+	typical := int(s.TypicalPrompt)
+	return s.TimeToFirstEvent(load, typical) - s.TimeToFirstEvent(Load{Pace: load.Pace}, typical)
 }
 
-// MaxWait returns how long requests may wait for others if a request of usual size is to start
+// MaxWait returns how long requests may wait for others if a request of typical size is to start
 // within the limit.
 func (s Server) MaxWait(limit time.Duration) time.Duration {
 	return max(0, limit-s.IdleTimeToFirstEvent(int(s.TypicalPrompt)))
--- a/coordination/balance/balance_test.go
+++ b/coordination/balance/balance_test.go
@@ -54,7 +54,7 @@
 }
 
 // The wait for others must grow with the load and the pace of a slow server; an idle server must
-// cause no wait, however slow it is. The maximum wait is what a usual prompt leaves of the limit.
+// cause no wait, however slow it is. The maximum wait is what a typical prompt leaves of the limit.
 func TestWaitForOthers(t *testing.T) {
 	server := Server{Slots: 16, StepMilliseconds: 7, Stride: 6, ReadPerSecond: 30000, ReadChunk: 2048, TypicalPrompt: 1000, TypicalAnswer: 100}
 	for _, pace := range []float64{0, 1, 4} {
--- a/coordination/balance/margin.go
+++ b/coordination/balance/margin.go
@@ -13,7 +13,7 @@
 	marginStep = 0.015
 )
 
-// Margin learns how much sooner than its target a request of usual size must be expected to start,
+// Margin learns how much sooner than its target a request of typical size must be expected to start,
 // so that a given ratio of the requests that wait nearly as long as allowed do start in time.
 // During overload all admitted requests are expected near the limit: without a margin half of them
 // start too late, although shorter queues would keep the servers just as busy.
@@ -38,7 +38,7 @@
 // Fraction returns the margin as a fraction of the target.
 func (m *Margin) Fraction() float64 { return minMargin + m.offset }
 
-// Limit returns the latest time at which a request of usual size may be expected to start, given
+// Limit returns the latest time at which a request of typical size may be expected to start, given
 // its target.
 func (m *Margin) Limit(target time.Duration) time.Duration {
 	return time.Duration((1 - m.Fraction()) * float64(target))
--- a/coordination/quarantine/content_test.go
+++ b/coordination/quarantine/content_test.go
@@ -32,7 +32,7 @@
 	assert.NotEqual(t, first.Caller, hashOf("other", "a.example", "/x/1", "").Caller)
 }
 
-// BenchmarkFingerprint measures the cost per request at an entry, with a prompt of usual size and
+// BenchmarkFingerprint measures the cost per request at an entry, with a prompt of typical size and
 // with a large body.
 func BenchmarkFingerprint(b *testing.B) {
 	for name, size := range map[string]int{"4KiB": 4 << 10, "1MiB": 1 << 20} {
--- a/coordination/shedding/load_test.go
+++ b/coordination/shedding/load_test.go
@@ -78,12 +78,12 @@
 }
 
 // burstLoad returns a load that is higher from second 6 to second 9.
-func burstLoad(usual, higher float64) func(time.Duration) float64 {
+func burstLoad(base, higher float64) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		if at >= 6*time.Second && at < 9*time.Second {
 			return higher
 		}
-		return usual
+		return base
 	}
 }
 
@@ -205,7 +205,7 @@
 	requireMinCredit(t, scenario{kinds: requestKinds(steadyLoad(0.71)), up: up, reportAge: loadQueryAge}, 0.905)
 }
 
-// 1.7 times the usual load for three seconds.
+// 1.7 times the normal load for three seconds.
 func TestBurstOfCallers(t *testing.T) {
 	requireMinCredit(t, scenario{kinds: requestKinds(burstLoad(0.7, 1.2)), up: alwaysUp, reportAge: loadQueryAge}, 0.9)
 }
@@ -253,13 +253,13 @@
 // simulateShortDeadlines runs a fleet at full load in which one caller in ten has a shorter timeout
 // than the others of its route, and passes the counts of both groups to compare for each route.
 func simulateShortDeadlines(maxTimeout, restartAt time.Duration, compare func(others, short count)) {
-	usual, short := requestKinds(steadyLoad(0.9)), requestKinds(steadyLoad(0.1))
+	normal, short := requestKinds(steadyLoad(0.9)), requestKinds(steadyLoad(0.1))
 	for i := range short {
 		short[i].minTimeout, short[i].maxTimeout = maxTimeout*85/100, maxTimeout
 	}
-	_, out := simulateSeeds(scenario{kinds: append(usual, short...), up: alwaysUp, reportAge: loadQueryAge, restartAt: restartAt}, prioritized)
-	for i := range usual {
-		compare(out.byKind[i], out.byKind[i+len(usual)])
+	_, out := simulateSeeds(scenario{kinds: append(normal, short...), up: alwaysUp, reportAge: loadQueryAge, restartAt: restartAt}, prioritized)
+	for i := range normal {
+		compare(out.byKind[i], out.byKind[i+len(normal)])
 	}
 }
 
@@ -277,7 +277,7 @@
 	}
 }
 
-// After such a restart, callers that wait for two thirds to five sixths of the usual time can't be
+// After such a restart, callers that wait for two thirds to five sixths of the typical time can't be
 // told from retries. They must be served as often as the others, and in time at least half as
 // often.
 func TestCallersThatLookLikeRetriesAreServed(t *testing.T) {
--- a/coordination/shedding/simulation_test.go
+++ b/coordination/shedding/simulation_test.go
@@ -84,12 +84,12 @@
 	reportAge time.Duration
 	// restartAt is when all entries restart and lose what they have learned; 0 is never.
 	restartAt time.Duration
-	// entries is the number of entries; 0 selects usualEntries.
+	// entries is the number of entries; 0 selects defaultEntries.
 	entries int
 	seed    uint64
 }
 
-const usualEntries = 44
+const defaultEntries = 44
 
 // policy determines which callers are admitted and when refused ones should retry.
 type policy struct {
@@ -157,7 +157,7 @@
 func newFleet(sc scenario, p policy) *fleet {
 	f := &fleet{scenario: sc, policy: p, random: rand.New(rand.NewPCG(sc.seed, 1)), retries: map[time.Duration][]*caller{}}
 	if f.scenario.entries == 0 {
-		f.scenario.entries = usualEntries
+		f.scenario.entries = defaultEntries
 	}
 	f.out.byKind = make([]count, len(sc.kinds))
 	for part := range f.out.bySize {
--- a/coordination/shedding/usual_test.go
+++ b/coordination/shedding/usual_test.go
@@ -119,7 +119,7 @@
 }
 
 // There can't be more retries than first attempts: where more arrivals seem to be retries, their
-// remaining time is the usual one.
+// remaining time is the typical one.
 func TestMoreRetriesThanFirstAttemptsAreNotRetries(t *testing.T) {
 	detector := detectorStartedInOverload(20, 6*time.Second, 4600*time.Millisecond, 4700*time.Millisecond, 4800*time.Millisecond)
 	assert.Zero(t, detector.RecordArrival(time.Second, 4600*time.Millisecond))
