--- a/coordination/balance/margin.go
+++ b/coordination/balance/margin.go
@@ -13,10 +13,10 @@
 	marginStep = 0.015
 )
 
-// Margin learns how much sooner than its target a request of typical size must be expected to start,
-// so that a given ratio of the requests that wait nearly as long as allowed do start in time.
-// During overload all admitted requests are expected near the limit: without a margin half of them
-// start too late, although shorter queues would keep the servers just as busy.
+// Margin learns how much sooner than its target a request of typical size must be expected to
+// start, so that a given ratio of the requests that wait nearly as long as allowed do start in
+// time. During overload all admitted requests are expected near the limit: without a margin half of
+// them start too late, although shorter queues would keep the servers just as busy.
 type Margin struct {
 	// offset is the margin's distance from minMargin, as a fraction of the target.
 	offset float64
--- a/coordination/shedding/load_test.go
+++ b/coordination/shedding/load_test.go
@@ -277,8 +277,8 @@
 	}
 }
 
-// After such a restart, callers that wait for two thirds to five sixths of the typical time can't be
-// told from retries. They must be served as often as the others, and in time at least half as
+// After such a restart, callers that wait for two thirds to five sixths of the typical time can't
+// be told from retries. They must be served as often as the others, and in time at least half as
 // often.
 func TestCallersThatLookLikeRetriesAreServed(t *testing.T) {
 	simulateShortDeadlines(5*time.Second, 6*time.Second, func(others, short count) {
