--- a/coordination/dispatch/asked.go
+++ b/coordination/dispatch/asked.go
@@ -88,7 +88,7 @@
 func (c *Core) retainNotice(notice ServerNotice, at, now time.Time) {
 	retained, found := c.retained[notice.Server]
 	if !found {
-		retained = retainedServer{startTime: notice.StartTime, sentWindow: *admission.NewWindow(admission.LimitSpan)}
+		retained = retainedServer{startTime: notice.StartTime, sentWindow: *admission.NewWindow(admission.LimitWindow)}
 	}
 	if retained.startTime.Differs(notice.StartTime) {
 		return
@@ -123,7 +123,7 @@
 // maxClosedTime bounds how long a server that is excluded by its notices counts as closed: another entry may
 // have a share of the limit, or not be asked to back off, so a caller is not told to wait longer than the
 // window of the shares.
-const maxClosedTime = admission.LimitSpan
+const maxClosedTime = admission.LimitWindow
 
 // opensIn returns the time until a server excluded only by its notices may be sent a request; 0 means now.
 func (c *Core) opensIn(k *Candidate, now time.Time) time.Duration {
--- a/coordination/dispatch/cold.go
+++ b/coordination/dispatch/cold.go
@@ -74,12 +74,12 @@
 		return false
 	}
 	elapsed := c.members.elapsed(now)
-	if !k.sentWindow.Open(admission.ColdSpan, elapsed, c.members.share(k.ID, coldRatio*limit, now)) {
+	if !k.sentWindow.Allows(admission.ColdWindow, elapsed, c.members.share(k.ID, coldRatio*limit, now)) {
 		return true
 	}
 	// Shares cover only what each entry has sent itself. The agent's count covers the requests of all
 	// entries, including those sent before they learned that the server is cold.
-	return k.report.receivedCurrent(now) && k.sentWindow.Crowded(coldRatio*limit, k.report.Received, c.members.elapsed(k.report.at)-reportCountDelay, elapsed)
+	return k.report.receivedCurrent(now) && k.sentWindow.Exhausted(coldRatio*limit, k.report.Received, c.members.elapsed(k.report.at)-reportCountDelay, elapsed)
 }
 
 // countSent counts a request that is being sent to a server.
--- a/coordination/dispatch/core.go
+++ b/coordination/dispatch/core.go
@@ -73,7 +73,7 @@
 	// missing, as of the last decision.
 	minMissing map[uint64]int
 	// learned holds the engine figures learned from the answers of each service of model servers.
-	learned map[string]*balance.Learned
+	learned map[string]*balance.Estimator
 	// margins holds the learned margin of each service's refusal limit.
 	margins map[string]*balance.Margin
 	// demands estimates, by service and region, the load of requests that no other region may serve.
@@ -84,10 +84,10 @@
 	scarce map[string]float64
 	// retryDetectors learns, by route, the time that callers have left at first attempts. overloadDetectors
 	// learns whether each service is overloaded. Both count time since started.
-	retryDetectors map[string]*shedding.Usual
+	retryDetectors map[string]*shedding.RetryDetector
 	// targets learns the typical target of each service.
-	targets           map[string]*shedding.Targets
-	overloadDetectors map[string]*shedding.Pressure
+	targets           map[string]*shedding.TargetEstimator
+	overloadDetectors map[string]*shedding.OverloadDetector
 	started           time.Time
 
 	// health tracks the health of the servers by their answers, in time since started. healthChanges holds
@@ -112,9 +112,9 @@
 		zone: options.Zone, regions: options.Regions, policy: options.Policy, random: options.Random, shuffle: options.Shuffle,
 		byID: map[string]*Candidate{}, byService: map[string][]*Candidate{}, byAddress: map[string]*Candidate{},
 		reports: map[string]timedReport{}, minMissing: map[uint64]int{},
-		learned: map[string]*balance.Learned{}, margins: map[string]*balance.Margin{},
+		learned: map[string]*balance.Estimator{}, margins: map[string]*balance.Margin{},
 		demands: map[regionalService]*residency.Demand{}, scarce: map[string]float64{},
-		retryDetectors: map[string]*shedding.Usual{}, targets: map[string]*shedding.Targets{}, overloadDetectors: map[string]*shedding.Pressure{}, started: options.Started, health: health.New(options.Self),
+		retryDetectors: map[string]*shedding.RetryDetector{}, targets: map[string]*shedding.TargetEstimator{}, overloadDetectors: map[string]*shedding.OverloadDetector{}, started: options.Started, health: health.New(options.Self),
 		members: newMemberSet(options.Self, options.Started), retained: map[string]retainedServer{}, draining: newZoneDrain(),
 	}
 }
--- a/coordination/dispatch/kept.go
+++ b/coordination/dispatch/kept.go
@@ -40,7 +40,7 @@
 	retained, found := c.retained[server.ID]
 	delete(c.retained, server.ID)
 	if !found || retained.startTime.Differs(server.StartTime) {
-		candidate.sentWindow = *admission.NewWindow(admission.LimitSpan)
+		candidate.sentWindow = *admission.NewWindow(admission.LimitWindow)
 		return
 	}
 	candidate.sentWindow, candidate.rateLimit, candidate.notices = retained.sentWindow, retained.rateLimit, retained.notices
--- a/coordination/dispatch/learning.go
+++ b/coordination/dispatch/learning.go
@@ -9,16 +9,16 @@
 // Figures returns the figures for predictions of a service's model servers: the published ones, completed and
 // corrected by observed answers.
 func (c *Core) Figures(service string, engine *Engine) balance.Server {
-	return c.learnedOf(service).Complete(engine.Published)
+	return c.learnedOf(service).Merge(engine.Published)
 }
 
 // RecordStream records the time that a server took to write a stream from its first event to its last.
 func (c *Core) RecordStream(service string, prompt, events int, writing time.Duration) {
-	c.learnedOf(service).Stream(prompt, events, writing)
+	c.learnedOf(service).RecordStream(prompt, events, writing)
 }
 
 // learnedOf returns the learned figures of a service.
-func (c *Core) learnedOf(service string) *balance.Learned {
+func (c *Core) learnedOf(service string) *balance.Estimator {
 	return getOrCreate(c.learned, service)
 }
 
@@ -38,6 +38,6 @@
 // learnFirstEvent records the time to a request's first event, if the server was idle.
 func (c *Core) learnFirstEvent(send *Send, now time.Time) {
 	if send.idle {
-		c.learnedOf(send.service).IdleFirstEvent(send.engine.Published, send.prompt, now.Sub(send.sentAt))
+		c.learnedOf(send.service).RecordIdleFirstEvent(send.engine.Published, send.prompt, now.Sub(send.sentAt))
 	}
 }
--- a/coordination/dispatch/limit.go
+++ b/coordination/dispatch/limit.go
@@ -115,7 +115,7 @@
 // sharedTotal returns how many requests per window the entries with a share may send together: the rate
 // rounded to a whole number, and at least one. With none, no entry would learn that the limit has ended.
 func sharedTotal(perSecond float64) int {
-	return max(1, int(math.Round(perSecond*admission.LimitSpan.Seconds())))
+	return max(1, int(math.Round(perSecond*admission.LimitWindow.Seconds())))
 }
 
 // probeInterval returns the time between probes of entries without a share, each of which sends one request
@@ -123,9 +123,9 @@
 // is low.
 func probeInterval(perSecond float64) time.Duration {
 	if sharedTotal(perSecond) > 1 {
-		return probeTurns * admission.LimitSpan
+		return probeTurns * admission.LimitWindow
 	}
-	return sparseProbeTurns * admission.LimitSpan
+	return sparseProbeTurns * admission.LimitWindow
 }
 
 // nextProbeAt returns when an entry without a share may probe. Entries take turns by rank from the time at
@@ -150,7 +150,7 @@
 		return max(0, c.nextProbeAt(k, now).Sub(now))
 	}
 	elapsed, perSecond := c.members.elapsed(now), (share+limitWindowSeconds-1)/limitWindowSeconds
-	return max(k.sentWindow.OpensIn(admission.LimitSpan, elapsed, share), k.sentWindow.OpensIn(admission.ColdSpan, elapsed, perSecond))
+	return max(k.sentWindow.AllowsIn(admission.LimitWindow, elapsed, share), k.sentWindow.AllowsIn(admission.ColdWindow, elapsed, perSecond))
 }
 
 // countLimited records that a request is being sent to a server under its limit.
--- a/coordination/dispatch/prediction.go
+++ b/coordination/dispatch/prediction.go
@@ -26,7 +26,7 @@
 	if report.UnreadTokens > 0 {
 		load.Unread += max(0, float64(report.UnreadTokens-report.ownCounts.unreadTokens))
 	} else {
-		load.Unread += float64(othersWaiting) * request.Figures.UsualPrompt
+		load.Unread += float64(othersWaiting) * request.Figures.TypicalPrompt
 	}
 	load.Running = max(0, k.outstanding(now)-load.Waiting)
 	load.Pace = report.Pace
@@ -72,7 +72,7 @@
 // model returns the server's figures for predictions.
 func (k *Candidate) model(request *Request) balance.Server {
 	if request.Engine == nil {
-		return balance.Server{Slots: max(1, k.listing.server.Slots), WholeMilliseconds: max(k.answerTimes.meanMilliseconds, minMilliseconds)}
+		return balance.Server{Slots: max(1, k.listing.server.Slots), RequestMilliseconds: max(k.answerTimes.meanMilliseconds, minMilliseconds)}
 	}
 	server := request.Figures
 	if k.listing.server.Slots > 0 {
@@ -96,7 +96,7 @@
 
 // startByLoad predicts when the server would begin the request by its load alone.
 func (c *Core) startByLoad(k *Candidate, request *Request, now time.Time) time.Duration {
-	return k.model(request).FirstEvent(c.load(k, request, now), request.Prompt)
+	return k.model(request).TimeToFirstEvent(c.load(k, request, now), request.Prompt)
 }
 
 // startDelay returns the weighted recent lateness of the server, or its link's round-trip time if that is
--- a/coordination/dispatch/refusal.go
+++ b/coordination/dispatch/refusal.go
@@ -49,16 +49,16 @@
 	}
 	refusal := c.refuse(RefusedOverload, request, now)
 	refusal.Admission = c.admission(best, request, now)
-	refusal.RetryAfter = shedding.Return(refusal.Admission.Wait, refusal.Admission.MaxWait, refusalRetryFloor, refusalRetryCap, request.Arrival)
-	getOrCreate(c.overloadDetectors, request.Service).Refused(now.Sub(c.started), request.Arrival)
+	refusal.RetryAfter = shedding.MinRetryDelay(refusal.Admission.Wait, refusal.Admission.MaxWait, refusalRetryFloor, refusalRetryCap, request.Arrival)
+	getOrCreate(c.overloadDetectors, request.Service).RecordRefusal(now.Sub(c.started), request.Arrival)
 	return nil, refusal
 }
 
 // admission returns the figures by which a request is admitted or refused at a server.
 func (c *Core) admission(k *Candidate, request *Request, now time.Time) Admission {
 	return Admission{
-		IdleTimeToFirstEvent: k.model(request).Alone(request.Prompt), Wait: c.wait(k, request, now), Lateness: c.startDelay(k, now),
-		MaxWait: c.maxWait(k, request, now), Margin: c.marginOf(request.Service).Share(),
+		IdleTimeToFirstEvent: k.model(request).IdleTimeToFirstEvent(request.Prompt), Wait: c.wait(k, request, now), Lateness: c.startDelay(k, now),
+		MaxWait: c.maxWait(k, request, now), Margin: c.marginOf(request.Service).Fraction(),
 	}
 }
 
--- a/coordination/dispatch/regionfleet_test.go
+++ b/coordination/dispatch/regionfleet_test.go
@@ -173,7 +173,7 @@
 	figures := scriptEngine.Published
 	one := &regionRequest{
 		singleRegion: f.random.Float64() < f.singleRegion,
-		prompt:       max(1, int(min(3, size(0.7))*figures.UsualPrompt)), passes: max(1, int(math.Round(size(0.6)*figures.UsualAnswer/float64(figures.Stride)))),
+		prompt:       max(1, int(min(3, size(0.7))*figures.TypicalPrompt)), passes: max(1, int(math.Round(size(0.6)*figures.TypicalAnswer/float64(figures.Stride)))),
 		arrivedAt: f.now,
 	}
 	f.countOf(one).total++
@@ -257,7 +257,7 @@
 		count.lost++
 		return
 	}
-	latest := request.Arrival.Left / 3
+	latest := request.Arrival.Remaining / 3
 	earliest := min(refusal.RetryAfter, latest)
 	at := f.now.Add((earliest + time.Duration(f.random.Float64()*float64(latest-earliest))).Truncate(tick) + tick)
 	f.retries[at] = append(f.retries[at], caller)
--- a/coordination/dispatch/returns.go
+++ b/coordination/dispatch/returns.go
@@ -10,8 +10,8 @@
 // RecordArrival records a request whose caller has the given time left, 0 if not specified, and returns
 // whether it came back after a refusal.
 func (c *Core) RecordArrival(request *Request, left time.Duration, now time.Time) shedding.Arrival {
-	getOrCreate(c.targets, request.Service).Arrived(request.Target)
-	return shedding.Arrival{Left: left, Elapsed: getOrCreate(c.retryDetectors, request.Route).Arrived(now.Sub(c.started), left)}
+	getOrCreate(c.targets, request.Service).Record(request.Target)
+	return shedding.Arrival{Remaining: left, Elapsed: getOrCreate(c.retryDetectors, request.Route).RecordArrival(now.Sub(c.started), left)}
 }
 
 // RecordRefusal records that a request was refused, so that its caller may come back.
@@ -31,37 +31,37 @@
 	}
 	c.pauseLearning(request, now)
 	if request.Arrival.Elapsed == 0 {
-		getOrCreate(c.overloadDetectors, request.Service).Full(now.Sub(c.started))
+		getOrCreate(c.overloadDetectors, request.Service).RecordFull(now.Sub(c.started))
 	}
 }
 
 // pauseLearning pauses the learning of a route's callers for as long as those refused now may take to come
 // back.
 func (c *Core) pauseLearning(request *Request, now time.Time) {
-	getOrCreate(c.retryDetectors, request.Route).Refused(now.Sub(c.started), request.Arrival.Left)
+	getOrCreate(c.retryDetectors, request.Route).RecordRefusal(now.Sub(c.started), request.Arrival.Remaining)
 }
 
 // RetainRoutes drops what was learned of the callers of other routes.
 func (c *Core) RetainRoutes(retained map[string]bool) {
-	maps.DeleteFunc(c.retryDetectors, func(route string, _ *shedding.Usual) bool { return !retained[route] })
+	maps.DeleteFunc(c.retryDetectors, func(route string, _ *shedding.RetryDetector) bool { return !retained[route] })
 }
 
 // startLimit returns the latest predicted start of a request of usual size; at 0 or less, no request is
 // refused for load.
 func (c *Core) startLimit(request *Request) time.Duration {
-	target := getOrCreate(c.targets, request.Service).Common(request.Target)
+	target := getOrCreate(c.targets, request.Service).Bound(request.Target)
 	return time.Duration(c.policy.RefusalShare * float64(c.marginOf(request.Service).Limit(target)))
 }
 
 // firstAttemptWait returns how long a first attempt may queue at a server.
 func (c *Core) firstAttemptWait(k *Candidate, request *Request) time.Duration {
-	return k.model(request).MostWait(c.startLimit(request))
+	return k.model(request).MaxWait(c.startLimit(request))
 }
 
 // maxWait returns how long a request may queue at a server.
 func (c *Core) maxWait(k *Candidate, request *Request, now time.Time) time.Duration {
-	fraction := getOrCreate(c.overloadDetectors, request.Service).Share(now.Sub(c.started), c.policy.LateShare)
-	return shedding.Wait(c.firstAttemptWait(k, request), request.Arrival, fraction)
+	fraction := getOrCreate(c.overloadDetectors, request.Service).LateFraction(now.Sub(c.started), c.policy.LateShare)
+	return shedding.MaxWait(c.firstAttemptWait(k, request), request.Arrival, fraction)
 }
 
 // admits reports whether the request would queue at a server no longer than it may. Only the wait counts, not
--- a/coordination/dispatch/returns_test.go
+++ b/coordination/dispatch/returns_test.go
@@ -21,7 +21,7 @@
 		core.RecordArrival(&Request{Service: "s", Route: "r"}, 6*time.Second, epoch.Add(time.Duration(i)*time.Second))
 	}
 	if refused {
-		getOrCreate(core.overloadDetectors, "s").Refused(now.Sub(epoch), shedding.Arrival{})
+		getOrCreate(core.overloadDetectors, "s").RecordRefusal(now.Sub(epoch), shedding.Arrival{})
 	}
 	server.report.Running = 16
 	request.Route, request.Arrival = "r", core.RecordArrival(&Request{Service: "s", Route: "r"}, left, now)
@@ -61,7 +61,7 @@
 	require.NotNil(t, refusal)
 	assert.Equal(t, RefusedOverload, refusal.Reason)
 	assert.Equal(t, time.Second, refusal.RetryAfter, "the queue alone would have been shorter sooner")
-	assert.InDelta(t, 0.15, getOrCreate(core.overloadDetectors, "s").Share(now.Sub(epoch), 0.15), 1e-9)
+	assert.InDelta(t, 0.15, getOrCreate(core.overloadDetectors, "s").LateFraction(now.Sub(epoch), 0.15), 1e-9)
 }
 
 // Without a server that could serve a request there is no overload.
@@ -70,7 +70,7 @@
 	server.report.Version = 0
 	_, refusal := core.Choose(request, now)
 	require.NotNil(t, refusal)
-	assert.InDelta(t, 1, getOrCreate(core.overloadDetectors, "s").Share(now.Sub(epoch), 0.15), 1e-9)
+	assert.InDelta(t, 1, getOrCreate(core.overloadDetectors, "s").LateFraction(now.Sub(epoch), 0.15), 1e-9)
 }
 
 // While a refused caller may be coming back, the times left of arrivals are not learned as those of first
@@ -88,7 +88,7 @@
 func TestLongPromptsOfLateCallersAreAdmittedAtIdleServers(t *testing.T) {
 	core, server, request, now := returningCaller(5*time.Second, true)
 	server.report.Running, request.Prompt = 0, 9000
-	require.Greater(t, request.Figures.FirstEvent(balance.Load{}, request.Prompt), 300*time.Millisecond)
+	require.Greater(t, request.Figures.TimeToFirstEvent(balance.Load{}, request.Prompt), 300*time.Millisecond)
 	_, refusal := core.Choose(request, now)
 	assert.Nil(t, refusal)
 }
--- a/coordination/dispatch/scarcity.go
+++ b/coordination/dispatch/scarcity.go
@@ -64,7 +64,7 @@
 	if !found {
 		return
 	}
-	relativeSize := float64(request.Prompt) / max(1, request.Figures.UsualPrompt)
+	relativeSize := float64(request.Prompt) / max(1, request.Figures.TypicalPrompt)
 	serviceTime := time.Duration(relativeSize * float64(request.Figures.ServiceTime()))
 	getOrCreate(c.demands, regionalService{service: request.Service, region: region}).Note(serviceTime, c.elapsed(now))
 }
--- a/coordination/dispatch/scarcity_test.go
+++ b/coordination/dispatch/scarcity_test.go
@@ -76,7 +76,7 @@
 	s.refused(request, RefusedOverload)
 	once := s.core.SingleRegionLoads(s.now)[0].Utilization
 	for range 5 {
-		request.Arrival = shedding.Arrival{Left: time.Second, Elapsed: time.Second}
+		request.Arrival = shedding.Arrival{Remaining: time.Second, Elapsed: time.Second}
 		s.refused(request, RefusedOverload)
 	}
 	assert.InDelta(t, once, s.core.SingleRegionLoads(s.now)[0].Utilization, 0.001)
@@ -100,7 +100,7 @@
 func TestScarcityWeighsLessThanSilence(t *testing.T) {
 	s := newScript(t, "a1", "b1")
 	slow := *scriptEngine
-	slow.Published.UsualAnswer = 400
+	slow.Published.TypicalAnswer = 400
 	request := func() *Request {
 		one := s.request()
 		one.Engine = &slow
--- a/coordination/dispatch/script_test.go
+++ b/coordination/dispatch/script_test.go
@@ -22,7 +22,7 @@
 // scriptEngine is the engine of the scripts' fleets. A copy of a version takes 2.5 s.
 var scriptEngine = &Engine{
 	Pieces: 100, CopyTime: 2500 * time.Millisecond, ActivationTime: 100 * time.Millisecond,
-	Published: balance.Server{Slots: 16, StepMilliseconds: 7, Stride: 6, ReadPerSecond: 30000, UsualPrompt: 1000, UsualAnswer: 100},
+	Published: balance.Server{Slots: 16, StepMilliseconds: 7, Stride: 6, ReadPerSecond: 30000, TypicalPrompt: 1000, TypicalAnswer: 100},
 }
 
 // newScript returns a script with the named servers, seen from zone a. The first letter of a name is the
@@ -327,7 +327,7 @@
 	assert.Equal(t, share, sends())
 	s.at(time.Second)
 	assert.Zero(t, sends(), "the window includes the time to connect")
-	s.at(admission.ColdSpan)
+	s.at(admission.ColdWindow)
 	assert.Equal(t, share, sends())
 	servers, sent := s.core.ColdCounts(s.now)
 	assert.Equal(t, 1, servers)
@@ -381,7 +381,7 @@
 	}
 	refusal := s.refused(s.request(), RefusedOverload)
 	assert.Greater(t, refusal.Admission.Wait, refusal.Admission.MaxWait)
-	assert.Equal(t, scriptEngine.Published.MostWait(440*time.Millisecond), refusal.Admission.MaxWait)
+	assert.Equal(t, scriptEngine.Published.MaxWait(440*time.Millisecond), refusal.Admission.MaxWait)
 	assert.Equal(t, 200*time.Millisecond, refusal.OldestReport)
 	assert.Equal(t, min(refusal.Admission.Wait-refusal.Admission.MaxWait/2, refusalRetryCap), refusal.RetryAfter)
 	s.report("a6", 0, LoadReport{Version: 1})
@@ -418,7 +418,7 @@
 	s.fleet.Servers = listed
 	s.update()
 	assert.Equal(t, map[Eligibility]int{excludedCold: 1}, s.refused(s.request(), RefusedNoServer).Servers)
-	s.at(admission.ColdSpan)
+	s.at(admission.ColdWindow)
 	s.report("a1", 0, LoadReport{Version: 1})
 	s.served(s.request(), "a1")
 }
--- a/coordination/dispatch/word.go
+++ b/coordination/dispatch/word.go
@@ -42,7 +42,7 @@
 // receivedCurrent reports whether requests that the agent counted can still be in the cold window that ends
 // now.
 func (r *agentReport) receivedCurrent(now time.Time) bool {
-	return r.current(now) && now.Sub(r.at) < admission.ColdSpan
+	return r.current(now) && now.Sub(r.at) < admission.ColdWindow
 }
 
 // silent reports whether the server has an agent whose reports have stopped.
--- a/internal/catalog/quarantine.go
+++ b/internal/catalog/quarantine.go
@@ -65,7 +65,7 @@
 
 // QuarantineHandler is called with a report of another process. The time in the report counts from
 // the given one.
-type QuarantineHandler func(report quarantine.Word, from time.Time)
+type QuarantineHandler func(report quarantine.Report, from time.Time)
 
 // quarantineReports holds the reports of all entries. The catalog's mutex guards the archive.
 type quarantineReports struct {
@@ -85,11 +85,11 @@
 
 // AnnounceQuarantine sends reports of this process to all others at once. The times in the reports
 // count from the given one.
-func (c *Catalog) AnnounceQuarantine(reports []quarantine.Word, from time.Time) {
+func (c *Catalog) AnnounceQuarantine(reports []quarantine.Report, from time.Time) {
 	c.mutex.Lock()
 	for _, report := range reports {
 		report.At += from.Sub(c.started)
-		c.quarantine.archive.Hold(report, time.Since(c.started))
+		c.quarantine.archive.Add(report, time.Since(c.started))
 	}
 	c.mutex.Unlock()
 	c.scheduleQuarantine()
@@ -104,7 +104,7 @@
 		return
 	}
 	now := time.Since(c.started)
-	var added []quarantine.Word
+	var added []quarantine.Report
 	for _, wire := range batch.Reports {
 		report, err := wire.validated(now)
 		if err != nil {
@@ -112,7 +112,7 @@
 			continue
 		}
 		c.mutex.Lock()
-		if c.quarantine.archive.Hold(report, now) {
+		if c.quarantine.archive.Add(report, now) {
 			added = append(added, report)
 		}
 		c.mutex.Unlock()
@@ -131,15 +131,15 @@
 
 // validated converts a report received now, or rejects one with impossible values. An invalid
 // report does not affect the others of its message.
-func (m quarantineMessage) validated(now time.Duration) (quarantine.Word, error) {
-	report := quarantine.Word{
-		Kind: quarantine.Kind(m.Kind), Entry: m.Entry, Number: m.Number, Server: m.Server, Lifts: m.Lifts, Servers: m.Servers, Round: m.Round,
+func (m quarantineMessage) validated(now time.Duration) (quarantine.Report, error) {
+	report := quarantine.Report{
+		Kind: quarantine.Kind(m.Kind), Entry: m.Entry, Number: m.Number, Server: m.Server, LiftsQuarantine: m.Lifts, Servers: m.Servers, Round: m.Round,
 	}
 	for _, one := range []struct {
 		field        string
 		milliseconds int64
 		target       *time.Duration
-	}{{"age", m.AgeMilliseconds, &report.At}, {"lasts", m.LastsMilliseconds, &report.Lasts}} {
+	}{{"age", m.AgeMilliseconds, &report.At}, {"lasts", m.LastsMilliseconds, &report.Duration}} {
 		if one.milliseconds < 0 || one.milliseconds > maxReportDuration.Milliseconds() {
 			return report, &fault.InvalidFrame{Field: topicQuarantine, Reason: fmt.Sprintf("%s of %d ms", one.field, one.milliseconds)}
 		}
@@ -149,38 +149,38 @@
 	switch {
 	case m.Entry == "" || m.Round < 0 || len(m.Servers) > maxReportServers:
 		return report, &fault.InvalidFrame{Field: topicQuarantine, Reason: "no reporter, negative round or too many servers"}
-	case report.Kind == quarantine.Ended:
+	case report.Kind == quarantine.Crashed:
 		return report, m.decodeSuspects(&report)
 	case report.Kind == quarantine.Cleared || report.Kind == quarantine.Quarantined:
 		if m.Fingerprint == nil {
 			return report, &fault.InvalidFrame{Field: topicQuarantine, Reason: "no fingerprint"}
 		}
-		return report, m.Fingerprint.decode(&report.Content)
+		return report, m.Fingerprint.decode(&report.Fingerprint)
 	}
 	return report, &fault.InvalidFrame{Field: topicQuarantine, Reason: fmt.Sprintf("kind %d", m.Kind)}
 }
 
 // decodeSuspects decodes the suspects of a crash.
-func (m quarantineMessage) decodeSuspects(report *quarantine.Word) error {
-	if m.Server == "" || len(m.Suspects) > quarantine.MostSuspects {
+func (m quarantineMessage) decodeSuspects(report *quarantine.Report) error {
+	if m.Server == "" || len(m.Suspects) > quarantine.MaxSuspects {
 		return &fault.InvalidFrame{Field: topicQuarantine, Reason: "crash without a server, or with too many suspects"}
 	}
 	for _, wire := range m.Suspects {
 		var one quarantine.Suspect
-		if err := wire.Fingerprint.decode(&one.Content); err != nil {
+		if err := wire.Fingerprint.decode(&one.Fingerprint); err != nil {
 			return err
 		}
 		if wire.BeforeMilliseconds < 0 || wire.BeforeMilliseconds > maxReportDuration.Milliseconds() {
 			return &fault.InvalidFrame{Field: topicQuarantine, Reason: fmt.Sprintf("sent %d ms before the crash", wire.BeforeMilliseconds)}
 		}
-		one.Before = time.Duration(wire.BeforeMilliseconds) * time.Millisecond
+		one.SentBefore = time.Duration(wire.BeforeMilliseconds) * time.Millisecond
 		report.Suspects = append(report.Suspects, one)
 	}
 	return nil
 }
 
-func (m fingerprintMessage) decode(fingerprint *quarantine.Content) error {
-	if len(m.ID) != quarantine.ContentSize {
+func (m fingerprintMessage) decode(fingerprint *quarantine.Fingerprint) error {
+	if len(m.ID) != quarantine.FingerprintSize {
 		return &fault.InvalidFrame{Field: topicQuarantine, Reason: fmt.Sprintf("fingerprint of %d bytes", len(m.ID))}
 	}
 	copy(fingerprint.ID[:], m.ID)
@@ -188,21 +188,21 @@
 	return nil
 }
 
-func newFingerprintMessage(fingerprint quarantine.Content) fingerprintMessage {
+func newFingerprintMessage(fingerprint quarantine.Fingerprint) fingerprintMessage {
 	return fingerprintMessage{ID: fingerprint.ID[:], Caller: fingerprint.Caller}
 }
 
 // newQuarantineMessage converts a report to its wire form.
-func newQuarantineMessage(report quarantine.Word, now time.Duration) quarantineMessage {
+func newQuarantineMessage(report quarantine.Report, now time.Duration) quarantineMessage {
 	wire := quarantineMessage{
-		Kind: int(report.Kind), Entry: report.Entry, Number: report.Number, AgeMilliseconds: max(0, now-report.At).Milliseconds(), Server: report.Server, Lifts: report.Lifts,
-		Servers: report.Servers, Round: report.Round, LastsMilliseconds: report.Lasts.Milliseconds(),
+		Kind: int(report.Kind), Entry: report.Entry, Number: report.Number, AgeMilliseconds: max(0, now-report.At).Milliseconds(), Server: report.Server, Lifts: report.LiftsQuarantine,
+		Servers: report.Servers, Round: report.Round, LastsMilliseconds: report.Duration.Milliseconds(),
 	}
 	for _, one := range report.Suspects {
-		wire.Suspects = append(wire.Suspects, suspectMessage{Fingerprint: newFingerprintMessage(one.Content), BeforeMilliseconds: one.Before.Milliseconds()})
+		wire.Suspects = append(wire.Suspects, suspectMessage{Fingerprint: newFingerprintMessage(one.Fingerprint), BeforeMilliseconds: one.SentBefore.Milliseconds()})
 	}
-	if report.Kind != quarantine.Ended {
-		fingerprint := newFingerprintMessage(report.Content)
+	if report.Kind != quarantine.Crashed {
+		fingerprint := newFingerprintMessage(report.Fingerprint)
 		wire.Fingerprint = &fingerprint
 	}
 	return wire
--- a/internal/catalog/quarantine_test.go
+++ b/internal/catalog/quarantine_test.go
@@ -14,12 +14,12 @@
 
 // A report is the same at the receiver, apart from its transit time.
 func TestQuarantineReportsRoundTrip(t *testing.T) {
-	fingerprint := quarantine.NewHasher("tenant", "host", "/target").Content()
+	fingerprint := quarantine.NewHasher("tenant", "host", "/target").Fingerprint()
 	const madeAt, receivedAt = 10 * time.Second, 500 * time.Second
-	for _, report := range []quarantine.Word{
-		{Kind: quarantine.Ended, At: madeAt, Entry: "10.0.0.1", Number: 3, Server: "i-1", Suspects: []quarantine.Suspect{{Content: fingerprint, Before: 70 * time.Millisecond}}},
-		{Kind: quarantine.Cleared, At: madeAt, Entry: "10.0.0.1", Number: 4, Content: fingerprint, Lifts: true},
-		{Kind: quarantine.Quarantined, At: madeAt, Entry: "10.0.0.1", Number: 5, Content: fingerprint, Servers: []string{"i-1", "i-2"}, Round: 2, Lasts: time.Hour},
+	for _, report := range []quarantine.Report{
+		{Kind: quarantine.Crashed, At: madeAt, Entry: "10.0.0.1", Number: 3, Server: "i-1", Suspects: []quarantine.Suspect{{Fingerprint: fingerprint, SentBefore: 70 * time.Millisecond}}},
+		{Kind: quarantine.Cleared, At: madeAt, Entry: "10.0.0.1", Number: 4, Fingerprint: fingerprint, LiftsQuarantine: true},
+		{Kind: quarantine.Quarantined, At: madeAt, Entry: "10.0.0.1", Number: 5, Fingerprint: fingerprint, Servers: []string{"i-1", "i-2"}, Round: 2, Duration: time.Hour},
 	} {
 		sent, err := cbor.Marshal(newQuarantineMessage(report, madeAt+2*time.Second))
 		require.NoError(t, err)
@@ -35,9 +35,9 @@
 // A report with impossible values is rejected with a reason, as is one of a kind that only a later
 // build sends.
 func TestInvalidQuarantineReportsAreRejected(t *testing.T) {
-	id := make([]byte, quarantine.ContentSize)
+	id := make([]byte, quarantine.FingerprintSize)
 	valid := func(change func(*quarantineMessage)) quarantineMessage {
-		report := quarantineMessage{Kind: int(quarantine.Ended), Entry: "10.0.0.1", Number: 1, Server: "i-1", Suspects: []suspectMessage{{Fingerprint: fingerprintMessage{ID: id}}}}
+		report := quarantineMessage{Kind: int(quarantine.Crashed), Entry: "10.0.0.1", Number: 1, Server: "i-1", Suspects: []suspectMessage{{Fingerprint: fingerprintMessage{ID: id}}}}
 		change(&report)
 		return report
 	}
@@ -50,7 +50,7 @@
 		"no server":                     func(w *quarantineMessage) { w.Server = "" },
 		"short fingerprint":             func(w *quarantineMessage) { w.Suspects[0].Fingerprint.ID = id[1:] },
 		"sent after the crash":          func(w *quarantineMessage) { w.Suspects[0].BeforeMilliseconds = -1 },
-		"too many suspects":             func(w *quarantineMessage) { w.Suspects = make([]suspectMessage, quarantine.MostSuspects+1) },
+		"too many suspects":             func(w *quarantineMessage) { w.Suspects = make([]suspectMessage, quarantine.MaxSuspects+1) },
 		"unknown kind":                  func(w *quarantineMessage) { w.Kind = 99 },
 		"cleared without a fingerprint": func(w *quarantineMessage) { w.Kind = int(quarantine.Cleared) },
 		"duration too large":            func(w *quarantineMessage) { w.LastsMilliseconds = 1 << 60 },
