--- a/coordination/overlay/overlay.go
+++ b/coordination/overlay/overlay.go
@@ -23,30 +23,30 @@
 	Zone string
 	// Relays is how many members of each zone relay what its members say; Gates is how
 	// many of these link to the gates of other zones.
-	Relays int
-	Gates  int
+	Relays   int
+	Gateways int
 	// Feeders is how many relays feed each follower.
 	Feeders int
-	// Recent is the age of its last sign up to which a member counts as alive, unless
+	// AliveTimeout is the age of its last sign up to which a member counts as alive, unless
 	// it is suspected.
-	Recent time.Duration
-	// Memory is how long a member without signs is remembered.
-	Memory time.Duration
+	AliveTimeout time.Duration
+	// MemberTTL is how long a member without signs is remembered.
+	MemberTTL time.Duration
 	// Capacity is this member's own, as in Sign.
 	Capacity int
 }
 
-// Sign is what is known of a member: its zone, which is empty for one of which only
+// MemberInfo is what is known of a member: its zone, which is empty for one of which only
 // the address is known, and when it was last heard.
-type Sign struct {
-	Zone  string
-	Heard time.Time
+type MemberInfo struct {
+	Zone     string
+	LastSeen time.Time
 	// Capacity ranks members by what their machines can carry, higher first; 0 is unknown.
 	Capacity int
 }
 
 type member struct {
-	Sign
+	MemberInfo
 	// suspectedAt is when the member last failed to answer this process.
 	suspectedAt time.Time
 	// alive is whether it counted as alive at the last Advance, listed whether it was present
@@ -86,15 +86,15 @@
 	return o
 }
 
-// Hear notes a sign of a member at a time, and reports whether the member was not
+// Observe notes a sign of a member at a time, and reports whether the member was not
 // known before. An empty zone or an unknown capacity leaves what is known.
-func (o *Overlay) Hear(id string, sign Sign, now time.Time) bool {
+func (o *Overlay) Observe(id string, sign MemberInfo, now time.Time) bool {
 	if id == o.options.Self || id == "" {
 		return false
 	}
 	known, exists := o.members[id]
 	if !exists {
-		if now.Sub(sign.Heard) > o.options.Memory {
+		if now.Sub(sign.LastSeen) > o.options.MemberTTL {
 			return false
 		}
 		known = &member{}
@@ -102,26 +102,26 @@
 		o.arrivals++
 	}
 	known.learn(id, sign, o)
-	if sign.Heard.After(known.Heard) {
-		known.Heard = sign.Heard
+	if sign.LastSeen.After(known.LastSeen) {
+		known.LastSeen = sign.LastSeen
 	}
 	return !exists
 }
 
 // learn takes over what a sign tells of a member besides the time.
-func (m *member) learn(id string, sign Sign, o *Overlay) {
-	before := m.Sign
+func (m *member) learn(id string, sign MemberInfo, o *Overlay) {
+	before := m.MemberInfo
 	m.Zone = cmp.Or(sign.Zone, before.Zone)
 	m.Capacity = cmp.Or(sign.Capacity, before.Capacity)
 	if m.Zone == before.Zone && m.Capacity == before.Capacity {
 		return
 	}
-	m.identity = identity(id, m.Sign)
+	m.identity = identity(id, m.MemberInfo)
 	o.moved = true
 }
 
 func (o *Overlay) ownIdentity() uint64 {
-	return identity(o.options.Self, Sign{Zone: o.options.Zone, Capacity: o.options.Capacity})
+	return identity(o.options.Self, MemberInfo{Zone: o.options.Zone, Capacity: o.options.Capacity})
 }
 
 // Suspect notes that a member has not answered this process. It does not count as
@@ -139,12 +139,12 @@
 	o.moved = false
 	o.digest = o.ownIdentity()
 	for id, known := range o.members {
-		if now.Sub(known.Heard) > o.options.Memory {
+		if now.Sub(known.LastSeen) > o.options.MemberTTL {
 			delete(o.members, id)
 			changed = true
 			continue
 		}
-		alive := known.Zone != "" && now.Sub(known.Heard) < o.options.Recent && known.Heard.After(known.suspectedAt)
+		alive := known.Zone != "" && now.Sub(known.LastSeen) < o.options.AliveTimeout && known.LastSeen.After(known.suspectedAt)
 		changed = changed || alive != known.alive
 		known.alive = alive
 		known.listed = o.present(known, now)
@@ -200,8 +200,8 @@
 // is 0.
 func (o *Overlay) ZoneRank() int { return o.zoneRank }
 
-// IsGate reports whether this member links to other zones.
-func (o *Overlay) IsGate() bool { return o.Rank() < o.options.Gates }
+// IsGateway reports whether this member links to other zones.
+func (o *Overlay) IsGateway() bool { return o.Rank() < o.options.Gateways }
 
 // relays are those of a zone.
 func (o *Overlay) relays(zone string) []string { return first(o.zones[zone], o.options.Relays) }
@@ -232,10 +232,10 @@
 	for zone, ranked := range zones {
 		count := o.options.Relays
 		if zone != o.options.Zone {
-			if !o.IsGate() {
+			if !o.IsGateway() {
 				continue
 			}
-			count = o.options.Gates
+			count = o.options.Gateways
 		}
 		for _, id := range first(ranked, count) {
 			wanted[id] = true
@@ -243,10 +243,10 @@
 	}
 }
 
-// Mutual reports whether another member wants a link with this one as this one does
+// IsMutualPeer reports whether another member wants a link with this one as this one does
 // with it, as far as is known here. One of unknown zone was named by an operator only, and
 // need not know of this one.
-func (o *Overlay) Mutual(id string) bool {
+func (o *Overlay) IsMutualPeer(id string) bool {
 	known, exists := o.members[id]
 	if !exists || known.Zone == "" {
 		return false
@@ -254,7 +254,7 @@
 	if known.Zone == o.options.Zone {
 		return o.Rank() < o.options.Relays
 	}
-	return o.IsGate()
+	return o.IsGateway()
 }
 
 // Feeders are the members that feed a follower of a zone, the main one first: relays
@@ -266,7 +266,7 @@
 	candidates := o.relays(zone)
 	if len(candidates) == 0 {
 		for _, ranked := range o.zones {
-			candidates = append(candidates, first(ranked, o.options.Gates)...)
+			candidates = append(candidates, first(ranked, o.options.Gateways)...)
 		}
 	}
 	picked := placement.Top("feed/"+follower, candidates, o.options.Feeders)
@@ -280,14 +280,14 @@
 	return index >= 0, index == 0
 }
 
-// Arrivals counts the members that were new so far.
-func (o *Overlay) Arrivals() uint64 { return o.arrivals }
+// Joins counts the members that were new so far.
+func (o *Overlay) Joins() uint64 { return o.arrivals }
 
 // Members returns the signs of all members that are remembered, without this one.
-func (o *Overlay) Members() map[string]Sign {
-	signs := make(map[string]Sign, len(o.members))
+func (o *Overlay) Members() map[string]MemberInfo {
+	signs := make(map[string]MemberInfo, len(o.members))
 	for id, known := range o.members {
-		signs[id] = known.Sign
+		signs[id] = known.MemberInfo
 	}
 	return signs
 }
--- a/coordination/overlay/overlay_test.go
+++ b/coordination/overlay/overlay_test.go
@@ -20,7 +20,7 @@
 var start = time.Unix(1000, 0)
 
 func options(self, zone string) Options {
-	return Options{Self: self, Zone: zone, Relays: testRelays, Gates: testGates, Feeders: testFeeders, Recent: testRecent, Memory: testMemory}
+	return Options{Self: self, Zone: zone, Relays: testRelays, Gateways: testGates, Feeders: testFeeders, AliveTimeout: testRecent, MemberTTL: testMemory}
 }
 
 // zonesOf returns the members of a fleet with a number of members in each zone.
@@ -40,7 +40,7 @@
 	for id, zone := range zones {
 		all[id] = New(options(id, zone))
 		for other, otherZone := range zones {
-			all[id].Hear(other, Sign{Zone: otherZone, Heard: start}, start)
+			all[id].Observe(other, MemberInfo{Zone: otherZone, LastSeen: start}, start)
 		}
 		all[id].Advance(start)
 	}
@@ -117,7 +117,7 @@
 					if all[other] == nil {
 						picture.Suspect(other, now)
 					} else {
-						picture.Hear(other, Sign{Zone: zones[other], Heard: now}, now)
+						picture.Observe(other, MemberInfo{Zone: zones[other], LastSeen: now}, now)
 					}
 				}
 			}
@@ -136,7 +136,7 @@
 	one.Advance(start.Add(time.Second))
 	assert.Zero(t, one.Rank())
 	assert.Equal(t, map[string]bool{"m0-01": true}, one.Peers())
-	one.Hear("m0-01", Sign{Zone: "z0", Heard: start.Add(2 * time.Second)}, start.Add(2*time.Second))
+	one.Observe("m0-01", MemberInfo{Zone: "z0", LastSeen: start.Add(2 * time.Second)}, start.Add(2*time.Second))
 	one.Advance(start.Add(2 * time.Second))
 	assert.Len(t, one.zones["z0"], 2, "it counts as alive again")
 }
@@ -169,7 +169,7 @@
 	one.Advance(start.Add(testMemory + time.Second))
 	assert.Zero(t, one.Count())
 	assert.Empty(t, one.Peers())
-	assert.False(t, one.Hear("m0-09", Sign{Zone: "z0", Heard: start}, start.Add(testMemory+time.Second)), "an old sign brings nobody back")
+	assert.False(t, one.Observe("m0-09", MemberInfo{Zone: "z0", LastSeen: start}, start.Add(testMemory+time.Second)), "an old sign brings nobody back")
 }
 
 // Every follower has its feeders among the relays of its zone, no relay feeds many
@@ -208,11 +208,11 @@
 // make the link.
 func TestMemberOfUnknownZoneIsNotMutual(t *testing.T) {
 	o := New(options("m1", "z0"))
-	o.Hear("m0", Sign{Heard: start}, start)
+	o.Observe("m0", MemberInfo{LastSeen: start}, start)
 	o.Advance(start)
-	assert.False(t, o.Mutual("m0"))
-	o.Hear("m0", Sign{Zone: "z0", Heard: start}, start)
+	assert.False(t, o.IsMutualPeer("m0"))
+	o.Observe("m0", MemberInfo{Zone: "z0", LastSeen: start}, start)
 	o.Advance(start)
-	assert.True(t, o.Mutual("m0"))
-	assert.False(t, o.Mutual("m2"), "not known at all")
+	assert.True(t, o.IsMutualPeer("m0"))
+	assert.False(t, o.IsMutualPeer("m2"), "not known at all")
 }
--- a/coordination/overlay/roster.go
+++ b/coordination/overlay/roster.go
@@ -23,18 +23,18 @@
 	// Ages bound how long ago the members of each zone were heard, zones in order of name; none are told
 	// by a process that only says whom it knows.
 	Ages []time.Duration
-	// Late are the ages of members that are not within their zone's.
-	Late map[string]time.Duration
+	// OutlierAges are the ages of members that are not within their zone's.
+	OutlierAges map[string]time.Duration
 }
 
 // identity is a member's part of the digest.
-func identity(id string, sign Sign) uint64 {
+func identity(id string, sign MemberInfo) uint64 {
 	return placement.Score(sign.Zone, id) + uint64(sign.Capacity)
 }
 
 // present reports whether a member is part of the roster.
 func (o *Overlay) present(known *member, now time.Time) bool {
-	return known.Zone != "" && now.Sub(known.Heard) < o.options.Recent
+	return known.Zone != "" && now.Sub(known.LastSeen) < o.options.AliveTimeout
 }
 
 // Digest identifies the members present as of the last Advance.
@@ -57,10 +57,10 @@
 				bound = one.age
 				continue
 			}
-			if roster.Late == nil {
-				roster.Late = map[string]time.Duration{}
+			if roster.OutlierAges == nil {
+				roster.OutlierAges = map[string]time.Duration{}
 			}
-			roster.Late[one.id] = one.age
+			roster.OutlierAges[one.id] = one.age
 		}
 		roster.Ages = append(roster.Ages, bound)
 	}
@@ -78,15 +78,15 @@
 	zones := map[string][]presence{o.options.Zone: nil}
 	for id, known := range o.members {
 		if known.listed {
-			zones[known.Zone] = append(zones[known.Zone], presence{id: id, age: max(0, now.Sub(known.Heard))})
+			zones[known.Zone] = append(zones[known.Zone], presence{id: id, age: max(0, now.Sub(known.LastSeen))})
 		}
 	}
 	return zones
 }
 
-// Refresh takes over the ages that another process tells of the members present there, and reports
+// ApplyRoster takes over the ages that another process tells of the members present there, and reports
 // whether it could: that both have the same present. If not, only a list tells what the other knows.
-func (o *Overlay) Refresh(roster Roster, now time.Time) bool {
+func (o *Overlay) ApplyRoster(roster Roster, now time.Time) bool {
 	if roster.Digest != o.digest {
 		return false
 	}
@@ -102,11 +102,11 @@
 	}
 	for id, known := range o.members {
 		age, told := ages[known.Zone]
-		if late, isLate := roster.Late[id]; isLate {
+		if late, isLate := roster.OutlierAges[id]; isLate {
 			age, told = late, true
 		}
-		if heard := now.Add(-age); told && known.listed && heard.After(known.Heard) {
-			known.Heard = heard
+		if heard := now.Add(-age); told && known.listed && heard.After(known.LastSeen) {
+			known.LastSeen = heard
 		}
 	}
 	return true
--- a/coordination/overlay/roster_test.go
+++ b/coordination/overlay/roster_test.go
@@ -15,17 +15,17 @@
 	teller, told := all["m0-00"], all["m0-01"]
 	now := start.Add(2 * time.Second)
 	for _, id := range []string{"m0-01", "m0-02", "m1-00", "m1-01", "m1-02"} {
-		teller.Hear(id, Sign{Heard: now.Add(-100 * time.Millisecond)}, now)
+		teller.Observe(id, MemberInfo{LastSeen: now.Add(-100 * time.Millisecond)}, now)
 	}
 	teller.Advance(now)
 	told.Advance(now)
 	assert.Equal(t, teller.Digest(), told.Digest())
 	roster := teller.Roster(now)
 	assert.Equal(t, []time.Duration{100 * time.Millisecond, 100 * time.Millisecond}, roster.Ages)
-	assert.Empty(t, roster.Late)
-	assert.True(t, told.Refresh(roster, now))
+	assert.Empty(t, roster.OutlierAges)
+	assert.True(t, told.ApplyRoster(roster, now))
 	for _, id := range []string{"m0-00", "m0-02", "m1-00", "m1-01", "m1-02"} {
-		assert.Equal(t, now.Add(-100*time.Millisecond), told.Members()[id].Heard, id)
+		assert.Equal(t, now.Add(-100*time.Millisecond), told.Members()[id].LastSeen, id)
 	}
 }
 
@@ -35,32 +35,32 @@
 	teller, told := all["m0-00"], all["m0-01"]
 	now := start.Add(3 * time.Second)
 	for _, id := range []string{"m0-01", "m0-02", "m0-03"} {
-		teller.Hear(id, Sign{Heard: now}, now)
+		teller.Observe(id, MemberInfo{LastSeen: now}, now)
 	}
 	teller.Advance(now)
 	told.Advance(now)
 	roster := teller.Roster(now)
-	assert.Equal(t, map[string]time.Duration{"m0-04": 3 * time.Second}, roster.Late)
-	assert.True(t, told.Refresh(roster, now))
-	assert.Equal(t, now, told.Members()["m0-02"].Heard)
-	assert.Equal(t, start, told.Members()["m0-04"].Heard)
+	assert.Equal(t, map[string]time.Duration{"m0-04": 3 * time.Second}, roster.OutlierAges)
+	assert.True(t, told.ApplyRoster(roster, now))
+	assert.Equal(t, now, told.Members()["m0-02"].LastSeen)
+	assert.Equal(t, start, told.Members()["m0-04"].LastSeen)
 }
 
 // Processes that know different members, or the same one otherwise, do not take each other's ages.
 func TestRosterOfOthersIsNotTaken(t *testing.T) {
 	now := start.Add(time.Second)
 	for name, change := range map[string]func(*Overlay){
-		"one more":         func(o *Overlay) { o.Hear("m0-09", Sign{Zone: "z0", Heard: now}, now) },
-		"another zone":     func(o *Overlay) { o.Hear("m0-02", Sign{Zone: "z1", Heard: now}, now) },
-		"another capacity": func(o *Overlay) { o.Hear("m0-02", Sign{Capacity: 4, Heard: now}, now) },
+		"one more":         func(o *Overlay) { o.Observe("m0-09", MemberInfo{Zone: "z0", LastSeen: now}, now) },
+		"another zone":     func(o *Overlay) { o.Observe("m0-02", MemberInfo{Zone: "z1", LastSeen: now}, now) },
+		"another capacity": func(o *Overlay) { o.Observe("m0-02", MemberInfo{Capacity: 4, LastSeen: now}, now) },
 	} {
 		all := pictures(zonesOf(3))
 		teller, told := all["m0-00"], all["m0-01"]
 		change(teller)
 		teller.Advance(now)
 		told.Advance(now)
-		assert.False(t, told.Refresh(teller.Roster(now), now), name)
-		assert.Equal(t, start, told.Members()["m0-02"].Heard, name)
+		assert.False(t, told.ApplyRoster(teller.Roster(now), now), name)
+		assert.Equal(t, start, told.Members()["m0-02"].LastSeen, name)
 	}
 }
 
@@ -82,13 +82,13 @@
 				continue
 			}
 			heard[from] = now
-			all[to].Hear(from, Sign{Zone: zones[from], Heard: now}, now)
+			all[to].Observe(from, MemberInfo{Zone: zones[from], LastSeen: now}, now)
 			all[from].Advance(now)
 			all[to].Advance(now)
-			all[to].Refresh(all[from].Roster(now), now)
+			all[to].ApplyRoster(all[from].Roster(now), now)
 			for id, sign := range all[to].Members() {
 				if last, known := heard[id]; known {
-					assert.False(t, sign.Heard.After(last), "%s takes %s for heard at %s, last word at %s", to, id, sign.Heard, last)
+					assert.False(t, sign.LastSeen.After(last), "%s takes %s for heard at %s, last word at %s", to, id, sign.LastSeen, last)
 				}
 			}
 		}
@@ -105,7 +105,7 @@
 		if index <= strong {
 			capacity = 7
 		}
-		one.Hear(fmt.Sprintf("m0-%02d", index), Sign{Zone: "z0", Heard: start, Capacity: capacity}, start)
+		one.Observe(fmt.Sprintf("m0-%02d", index), MemberInfo{Zone: "z0", LastSeen: start, Capacity: capacity}, start)
 	}
 	one.Advance(start)
 	relays := one.relays("z0")
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -148,8 +148,8 @@
 		servers: map[string]fleet.Server{}, formerIncarnations: map[string]incarnation.Born{}, faulty: newFaultyRecords(), ages: map[string]versionAge{}, lapsed: map[string]lapsedServer{},
 		statuses: map[string]heldStatus{}, links: map[string]*peerLink{}, backupOf: map[string]bool{}, kick: make(chan struct{}, 1), haste: make(chan struct{}, 1),
 		overlay: overlay.New(overlay.Options{
-			Self: options.Self, Zone: options.Zone, Relays: relaysPerZone, Gates: gatesPerZone, Feeders: feedersPerAgent,
-			Recent: entryRecent, Memory: entryMemory, Capacity: capacityOf(options.LinkBytesPerSecond),
+			Self: options.Self, Zone: options.Zone, Relays: relaysPerZone, Gateways: gatesPerZone, Feeders: feedersPerAgent,
+			AliveTimeout: entryRecent, MemberTTL: entryMemory, Capacity: capacityOf(options.LinkBytesPerSecond),
 		}),
 	}
 	c.health, c.quarantine, c.asks = newHealthWords(c.started), newQuarantineWords(), newServerAsks(c.started)
--- a/internal/catalog/entries.go
+++ b/internal/catalog/entries.go
@@ -27,8 +27,8 @@
 }
 
 // at is the sign as of now.
-func (s entrySign) at(now time.Time) overlay.Sign {
-	return overlay.Sign{Zone: s.Zone, Heard: now.Add(-time.Duration(s.AgeMilliseconds) * time.Millisecond), Capacity: s.Capacity}
+func (s entrySign) at(now time.Time) overlay.MemberInfo {
+	return overlay.MemberInfo{Zone: s.Zone, LastSeen: now.Add(-time.Duration(s.AgeMilliseconds) * time.Millisecond), Capacity: s.Capacity}
 }
 
 // capacityOf is the class of a link's bytes a second: one more for each doubling. The classes are
@@ -53,7 +53,7 @@
 	for _, age := range known.Ages {
 		told.AgesMilliseconds = append(told.AgesMilliseconds, wholeMilliseconds(age))
 	}
-	for ip, age := range known.Late {
+	for ip, age := range known.OutlierAges {
 		if told.Late == nil {
 			told.Late = map[string]int64{}
 		}
@@ -69,12 +69,12 @@
 }
 
 func (r *roster) known() overlay.Roster {
-	known := overlay.Roster{Digest: r.Digest, Late: map[string]time.Duration{}}
+	known := overlay.Roster{Digest: r.Digest, OutlierAges: map[string]time.Duration{}}
 	for _, age := range r.AgesMilliseconds {
 		known.Ages = append(known.Ages, time.Duration(age)*time.Millisecond)
 	}
 	for ip, age := range r.Late {
-		known.Late[ip] = time.Duration(age) * time.Millisecond
+		known.OutlierAges[ip] = time.Duration(age) * time.Millisecond
 	}
 	return known
 }
@@ -88,14 +88,14 @@
 	if !c.listDue(peer, now) {
 		return
 	}
-	peer.listedAt, peer.listedArrivals = now, c.overlay.Arrivals()
+	peer.listedAt, peer.listedArrivals = now, c.overlay.Joins()
 	if peer.roster == message.Roster.Digest {
 		message.Roster = aged()
 		return
 	}
 	message.Entries = map[string]entrySign{}
 	for ip, sign := range c.overlay.Members() {
-		message.Entries[ip] = entrySign{Zone: sign.Zone, AgeMilliseconds: wholeMilliseconds(now.Sub(sign.Heard)), Capacity: sign.Capacity}
+		message.Entries[ip] = entrySign{Zone: sign.Zone, AgeMilliseconds: wholeMilliseconds(now.Sub(sign.LastSeen)), Capacity: sign.Capacity}
 	}
 }
 
@@ -111,7 +111,7 @@
 	if peer, linked := c.links[remote.ID]; linked {
 		peer.roster = news.Roster.Digest
 	}
-	c.overlay.Refresh(news.Roster.known(), now)
+	c.overlay.ApplyRoster(news.Roster.known(), now)
 }
 
 // listDue reports whether a link is to be sent the list of entries: from time to time,
@@ -122,13 +122,13 @@
 }
 
 func (c *Catalog) newEntriesDue(peer *peerLink, now time.Time) bool {
-	return peer.listedArrivals != c.overlay.Arrivals() && now.Sub(peer.listedAt) > newListPause
+	return peer.listedArrivals != c.overlay.Joins() && now.Sub(peer.listedAt) > newListPause
 }
 
 // hearEntry notes a sign of an entry; the mutex is held.
 func (c *Catalog) hearEntry(ip string, sign entrySign) {
 	now := time.Now()
-	if c.overlay.Hear(ip, sign.at(now), now) {
+	if c.overlay.Observe(ip, sign.at(now), now) {
 		c.kickExchange()
 	}
 }
@@ -147,7 +147,7 @@
 	defer c.mutex.Unlock()
 	var ids []string
 	for id, sign := range c.overlay.Members() {
-		if sign.Zone == c.options.Zone && now.Sub(sign.Heard) < entryRecent {
+		if sign.Zone == c.options.Zone && now.Sub(sign.LastSeen) < entryRecent {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/catalog/links.go
+++ b/internal/catalog/links.go
@@ -233,7 +233,7 @@
 // waitsForOther reports whether the link is for the other process to make, at first;
 // the mutex is held.
 func (c *Catalog) waitsForOther(peer *peerLink, now time.Time) bool {
-	return peer.ip < c.options.Self && c.overlay.Mutual(peer.ip) && now.Sub(peer.wantedSince) < mutualPause
+	return peer.ip < c.options.Self && c.overlay.IsMutualPeer(peer.ip) && now.Sub(peer.wantedSince) < mutualPause
 }
 
 func (c *Catalog) dial(ctx context.Context, peer *peerLink, address string) {
--- a/internal/catalog/links_test.go
+++ b/internal/catalog/links_test.go
@@ -37,7 +37,7 @@
 	c.hearEntry("10.0.0.2", entrySign{Zone: "z"})
 	assert.True(t, c.listDue(listed, now))
 	assert.Len(t, c.kick, 1, "it is told at once")
-	listed.listedArrivals = c.overlay.Arrivals()
+	listed.listedArrivals = c.overlay.Joins()
 	c.hearEntry("10.0.0.2", entrySign{Zone: "z"})
 	assert.False(t, c.listDue(listed, now), "it is known")
 	assert.False(t, c.listDue(&peerLink{listedAt: now}, now), "lists do not follow each other closely")
