--- a/coordination/dispatch/refusal.go
+++ b/coordination/dispatch/refusal.go
@@ -103,7 +103,7 @@
 	if refusal.anyAsked() {
 		refusal.RetryAfter = max(refusal.opensIn, refusalRetryFloor)
 	}
-	if !request.Residency.AnyOf(c.regions) {
+	if !request.Residency.AllowsAny(c.regions) {
 		refusal.RetryAfter = noRegionRetry
 	}
 	return refusal
--- a/coordination/dispatch/residency.go
+++ b/coordination/dispatch/residency.go
@@ -14,12 +14,12 @@
 // Allowed reports whether a server of a zone may be sent a request with a residency. A zone
 // that the settings do not name has no region, and is in none that is allowed.
 func (c *Core) Allowed(zone string, allowed residency.Residency) bool {
-	return !allowed.Restrict() || allowed.Allow(c.regions[zone])
+	return !allowed.Restricts() || allowed.Allows(c.regions[zone])
 }
 
 // allowedAt is the same for the server at an address; one that is not listed is nowhere.
 func (c *Core) allowedAt(address string, allowed residency.Residency) bool {
-	if !allowed.Restrict() {
+	if !allowed.Restricts() {
 		return true
 	}
 	holder := c.byAddress[address]
@@ -28,7 +28,7 @@
 
 // residencyDecides reports whether a server of another region would be sent the request.
 func (c *Core) residencyDecides(request *Request, now time.Time) bool {
-	if !request.Residency.Restrict() {
+	if !request.Residency.Restricts() {
 		return false
 	}
 	anywhere := *request
--- a/coordination/dispatch/scarcity.go
+++ b/coordination/dispatch/scarcity.go
@@ -39,11 +39,11 @@
 // onlyRegion is the one region with servers of the service in which a request may be served; false
 // when there are several, or none. Regions that are evacuated wholly count as without servers.
 func (c *Core) onlyRegion(request *Request) (only string, bound bool) {
-	if !request.Residency.Restrict() {
+	if !request.Residency.Restricts() {
 		return "", false
 	}
 	for region := range c.regionServers[request.Service] {
-		if !request.Residency.Allow(region) {
+		if !request.Residency.Allows(region) {
 			continue
 		}
 		if bound {
@@ -66,7 +66,7 @@
 	}
 	ofUsual := float64(request.Prompt) / max(1, request.Figures.UsualPrompt)
 	taken := time.Duration(ofUsual * float64(request.Figures.ServiceTime()))
-	held(c.demands, regionalService{service: request.Service, region: region}).Note(taken, c.since(now))
+	held(c.demands, regionalService{service: request.Service, region: region}).Record(taken, c.since(now))
 }
 
 // countRegions counts the servers that each service has in each region, and forgets the demand
--- a/coordination/residency/demand.go
+++ b/coordination/residency/demand.go
@@ -18,8 +18,8 @@
 	at    time.Duration
 }
 
-// Note notes a request that takes up one server for a time.
-func (d *Demand) Note(taken, now time.Duration) {
+// Record notes a request that takes up one server for a time.
+func (d *Demand) Record(taken, now time.Duration) {
 	d.asked = d.faded(now) + taken.Seconds()
 	d.at = now
 }
--- a/coordination/residency/demand_test.go
+++ b/coordination/residency/demand_test.go
@@ -14,7 +14,7 @@
 	now := time.Duration(0)
 	for range 10 * 60 {
 		now += 100 * time.Millisecond
-		demand.Note(100*time.Millisecond, now)
+		demand.Record(100*time.Millisecond, now)
 	}
 	assert.InDelta(t, 1, demand.Servers(now), 0.05)
 	assert.InDelta(t, 0.5, demand.Servers(now+demandHalfLife), 0.03)
--- a/coordination/residency/residency.go
+++ b/coordination/residency/residency.go
@@ -11,13 +11,13 @@
 // names allows no server at all, because dropping it would leave an empty one.
 type AllowedRegions []string
 
-// Restrict reports whether the list rules out any region.
-func (a AllowedRegions) Restrict() bool { return len(a) > 0 }
+// Restricts reports whether the list rules out any region.
+func (a AllowedRegions) Restricts() bool { return len(a) > 0 }
 
-// Allow reports whether requests may be served in a region. The empty name stands for a
+// Allows reports whether requests may be served in a region. The empty name stands for a
 // server whose region is not known: only an empty list allows it.
-func (a AllowedRegions) Allow(region string) bool {
-	return !a.Restrict() || (region != "" && slices.Contains(a, region))
+func (a AllowedRegions) Allows(region string) bool {
+	return !a.Restricts() || (region != "" && slices.Contains(a, region))
 }
 
 // Residency is every list of regions that binds one request: its route's and its tenant's,
@@ -26,37 +26,37 @@
 
 // With adds a list, unless it restricts nothing.
 func (r Residency) With(regions AllowedRegions) Residency {
-	if !regions.Restrict() {
+	if !regions.Restricts() {
 		return r
 	}
 	return append(r, regions)
 }
 
-// And joins what two configurations bind a request to.
-func (r Residency) And(other Residency) Residency {
+// Merge joins what two configurations bind a request to.
+func (r Residency) Merge(other Residency) Residency {
 	return append(slices.Clip(r), other...)
 }
 
-// Restrict reports whether any region is ruled out.
-func (r Residency) Restrict() bool { return len(r) > 0 }
+// Restricts reports whether any region is ruled out.
+func (r Residency) Restricts() bool { return len(r) > 0 }
 
-// Allow reports whether the request may be served in a region.
-func (r Residency) Allow(region string) bool {
+// Allows reports whether the request may be served in a region.
+func (r Residency) Allows(region string) bool {
 	for _, regions := range r {
-		if !regions.Allow(region) {
+		if !regions.Allows(region) {
 			return false
 		}
 	}
 	return true
 }
 
-// AnyOf reports whether the request may be served in a region of some zones.
-func (r Residency) AnyOf(regionsOfZones map[string]string) bool {
-	if !r.Restrict() {
+// AllowsAny reports whether the request may be served in a region of some zones.
+func (r Residency) AllowsAny(regionsOfZones map[string]string) bool {
+	if !r.Restricts() {
 		return true
 	}
 	for _, region := range regionsOfZones {
-		if r.Allow(region) {
+		if r.Allows(region) {
 			return true
 		}
 	}
@@ -65,12 +65,12 @@
 
 // Regions lists the names that every list has: none, when the lists contradict each other.
 func (r Residency) Regions() []string {
-	if !r.Restrict() {
+	if !r.Restricts() {
 		return nil
 	}
 	common := []string{}
 	for _, region := range r[0] {
-		if r.Allow(region) && !slices.Contains(common, region) {
+		if r.Allows(region) && !slices.Contains(common, region) {
 			common = append(common, region)
 		}
 	}
--- a/internal/fleet/regions_test.go
+++ b/internal/fleet/regions_test.go
@@ -18,7 +18,7 @@
 		{AllowedRegions{"a", "b"}, "b", true}, {AllowedRegions{"a", "a"}, "a", true}, {AllowedRegions{"a"}, "b", false},
 		{AllowedRegions{"a"}, "", false}, {AllowedRegions{""}, "", false}, {AllowedRegions{""}, "a", false}, {AllowedRegions{"A"}, "a", false},
 	} {
-		assert.Equal(t, one.want, one.regions.Allow(one.region), "%v, region %q", one.regions, one.region)
+		assert.Equal(t, one.want, one.regions.Allows(one.region), "%v, region %q", one.regions, one.region)
 	}
 }
 
@@ -27,14 +27,14 @@
 	route, tenant := &Route{AllowedRegions: AllowedRegions{"a", "b"}}, &Tenant{AllowedRegions: AllowedRegions{"b", "c"}}
 	both := ResidencyOf(route, tenant)
 	assert.Equal(t, []string{"b"}, both.Regions())
-	assert.False(t, both.Allow("a"))
-	assert.False(t, both.Allow("c"))
-	assert.True(t, both.Allow("b"))
-	contradiction := both.And(ResidencyOf(nil, &Tenant{AllowedRegions: AllowedRegions{"a"}}))
+	assert.False(t, both.Allows("a"))
+	assert.False(t, both.Allows("c"))
+	assert.True(t, both.Allows("b"))
+	contradiction := both.Merge(ResidencyOf(nil, &Tenant{AllowedRegions: AllowedRegions{"a"}}))
 	assert.Empty(t, contradiction.Regions())
-	assert.True(t, contradiction.Restrict())
+	assert.True(t, contradiction.Restricts())
 	assert.Equal(t, []string{"b"}, both.Regions(), "joining changes neither part")
-	assert.False(t, ResidencyOf(&Route{AllowedRegions: AllowedRegions{}}, nil).Restrict())
+	assert.False(t, ResidencyOf(&Route{AllowedRegions: AllowedRegions{}}, nil).Restricts())
 }
 
 // What a configuration binds a request to goes by its route and by the tenant of its key.
--- a/internal/forward/residency.go
+++ b/internal/forward/residency.go
@@ -34,7 +34,7 @@
 		return request.Residency
 	}
 	path, _, _ := strings.Cut(request.Target, "?")
-	return request.Residency.And(newest.ResidencyOf(request.Host, path, request.Call.Key))
+	return request.Residency.Merge(newest.ResidencyOf(request.Host, path, request.Call.Key))
 }
 
 // stillAllowed is asked right before a request is written: a connection may have been long
@@ -74,7 +74,7 @@
 // regionsField tells the log which regions are allowed; it is left out where all are. An
 // empty one means that the lists which bind the request contradict each other.
 func regionsField(residency fleet.Residency) zap.Field {
-	if !residency.Restrict() {
+	if !residency.Restricts() {
 		return zap.Skip()
 	}
 	return zap.Strings("allowed_regions", residency.Regions())
@@ -135,7 +135,7 @@
 			note(faultUnknownRegion, region)
 		}
 	}
-	if regions.Restrict() && !(fleet.Residency{regions}).AnyOf(z) {
+	if regions.Restricts() && !(fleet.Residency{regions}).AllowsAny(z) {
 		note(faultNoRegion, strings.Join(regions, " "))
 	}
 }
--- a/internal/forward/residency_test.go
+++ b/internal/forward/residency_test.go
@@ -236,7 +236,7 @@
 		c.work.bindResidency()
 		_, refusal := c.forwarder.targets.choose(c.work)
 		switch {
-		case refusal == nil && c.work.wanted.Residency.Restrict():
+		case refusal == nil && c.work.wanted.Residency.Restricts():
 			sorts["sent within a residency"]++
 		case refusal == nil:
 			sorts["sent anywhere"]++
