--- a/coordination/dispatch/versions.go
+++ b/coordination/dispatch/versions.go
@@ -22,7 +22,7 @@
 // version and the time from which it must not begin there: over a sound link, and over
 // one that is narrow or of which nothing is known.
 const (
-	soundLinkMargin  = turnover.SendsEnd
+	soundLinkMargin  = turnover.SendCutoff
 	narrowLinkMargin = 1500 * time.Millisecond
 	// orderTime is what a server needs from its last piece to its order, generously.
 	orderTime = 900 * time.Millisecond
--- a/coordination/turnover/announcement.go
+++ b/coordination/turnover/announcement.go
@@ -4,12 +4,12 @@
 
 // Times of an announcement.
 const (
-	// NoticeTime is how long before its change a member announces it: everyone must
+	// MinNotice is how long before its change a member announces it: everyone must
 	// have heard by then, so that nothing is sent that would wait for its end.
-	NoticeTime = 250 * time.Millisecond
-	// NoticeLimit is after how long a member changes over though requests that were
+	MinNotice = 250 * time.Millisecond
+	// MaxNotice is after how long a member changes over though requests that were
 	// sent before still wait at it.
-	NoticeLimit = time.Second
+	MaxNotice = time.Second
 )
 
 // Announcement is a member's notice that it is about to change over. The zero value
@@ -18,8 +18,8 @@
 	since time.Time
 }
 
-// Given reports whether the change is announced.
-func (a *Announcement) Given() bool { return !a.since.IsZero() }
+// Active reports whether the change is announced.
+func (a *Announcement) Active() bool { return !a.since.IsZero() }
 
 // Withdraw takes the announcement back.
 func (a *Announcement) Withdraw() { a.since = time.Time{} }
@@ -28,10 +28,10 @@
 // when that has not been done. Waiting is how many requests have not begun at the
 // member.
 func (a *Announcement) Ready(now time.Time, waiting int) bool {
-	if !a.Given() {
+	if !a.Active() {
 		a.since = now
 		return false
 	}
 	told := now.Sub(a.since)
-	return told >= NoticeLimit || (told >= NoticeTime && waiting == 0)
+	return told >= MaxNotice || (told >= MinNotice && waiting == 0)
 }
--- a/coordination/turnover/announcement_test.go
+++ b/coordination/turnover/announcement_test.go
@@ -11,23 +11,23 @@
 func TestAnnouncement(t *testing.T) {
 	start := time.Unix(1000, 0)
 	var announcement Announcement
-	assert.False(t, announcement.Given())
+	assert.False(t, announcement.Active())
 	for _, step := range []struct {
 		after   time.Duration
 		waiting int
 		ready   bool
 	}{
 		{0, 0, false},
-		{NoticeTime - time.Millisecond, 0, false},
-		{NoticeTime, 2, false},
-		{NoticeTime + 50*time.Millisecond, 0, true},
-		{NoticeLimit - time.Millisecond, 1, false},
-		{NoticeLimit, 1, true},
+		{MinNotice - time.Millisecond, 0, false},
+		{MinNotice, 2, false},
+		{MinNotice + 50*time.Millisecond, 0, true},
+		{MaxNotice - time.Millisecond, 1, false},
+		{MaxNotice, 1, true},
 	} {
 		assert.Equal(t, step.ready, announcement.Ready(start.Add(step.after), step.waiting), "after %s", step.after)
-		assert.True(t, announcement.Given())
+		assert.True(t, announcement.Active())
 	}
 	announcement.Withdraw()
-	assert.False(t, announcement.Given())
+	assert.False(t, announcement.Active())
 	assert.False(t, announcement.Ready(start.Add(time.Minute), 0), "announced anew")
 }
--- a/coordination/turnover/emptied_test.go
+++ b/coordination/turnover/emptied_test.go
@@ -20,8 +20,8 @@
 	emptied := func(zone string) bool { return zone == "z1" }
 	turns := map[time.Duration]bool{}
 	for _, self := range members {
-		assert.Equal(t, Turn(Order("v", members), self.ID, window), TurnBesideEmptied("v", members, self, nobody, window))
-		turn := TurnBesideEmptied("v", members, self, emptied, window)
+		assert.Equal(t, SwitchOffset(Order("v", members), self.ID, window), SwitchOffsetWithEvacuation("v", members, self, nobody, window))
+		turn := SwitchOffsetWithEvacuation("v", members, self, emptied, window)
 		if self.Zone == "z1" {
 			assert.Equal(t, window.Start, turn)
 			continue
@@ -31,5 +31,5 @@
 	assert.Equal(t, map[time.Duration]bool{time.Second: true, 2 * time.Second: true, 3 * time.Second: true, 4 * time.Second: true}, turns)
 	assert.Len(t, members, 6, "the list is left as it was")
 	inverted := Window{Start: 5 * time.Second, End: 4 * time.Second}
-	assert.Equal(t, inverted.End, TurnBesideEmptied("v", members, members[1], emptied, inverted))
+	assert.Equal(t, inverted.End, SwitchOffsetWithEvacuation("v", members, members[1], emptied, inverted))
 }
--- a/coordination/turnover/fallback.go
+++ b/coordination/turnover/fallback.go
@@ -14,9 +14,9 @@
 	worthwhileService = 1500 * time.Millisecond
 )
 
-// SendsEnd is how long before the bound of a version entries send nothing to a server with it over
+// SendCutoff is how long before the bound of a version entries send nothing to a server with it over
 // a sound link.
-const SendsEnd = time.Second
+const SendCutoff = time.Second
 
 // Transfer tells how far a server is with a version.
 type Transfer struct {
@@ -25,8 +25,8 @@
 	Pieces    int
 	Missing   int
 	Unsourced int
-	// Quiet is the time since a piece came, or since the transfer began.
-	Quiet time.Duration
+	// SinceProgress is the time since a piece came, or since the transfer began.
+	SinceProgress time.Duration
 	// CopyTime is that of one copy over the machine's link, OriginTime over the origin's.
 	CopyTime   time.Duration
 	OriginTime time.Duration
@@ -35,7 +35,7 @@
 // left estimates the time until the last piece is here; false when nobody can tell, because
 // nothing comes.
 func (t Transfer) left() (time.Duration, bool) {
-	if t.Pieces == 0 || (t.Missing > 0 && t.Quiet > stallTime) {
+	if t.Pieces == 0 || (t.Missing > 0 && t.SinceProgress > stallTime) {
 		return 0, false
 	}
 	overLink := t.CopyTime * time.Duration(t.Missing) / time.Duration(t.Pieces)
@@ -43,12 +43,12 @@
 	return max(overLink, fromOrigin), true
 }
 
-// TakesOlder decides whether a server that serves nothing first takes an older version, which
+// ShouldFetchOlder decides whether a server that serves nothing first takes an older version, which
 // its peers hold whole, because the newest is long in coming. Older is the time for which the
 // older one may still begin requests, warm that of taking a version into service. Where half of
 // the servers are replaced while the origin is away for six seconds, they serve four seconds
 // after they come instead of ten: 0.03 to 0.04 of a day's worth.
-func TakesOlder(newest Transfer, older, warm time.Duration) bool {
+func ShouldFetchOlder(newest Transfer, older, warm time.Duration) bool {
 	if newest.Missing == 0 || older-newest.CopyTime-warm < worthwhileService {
 		return false
 	}
@@ -56,7 +56,7 @@
 	return !known || left-newest.CopyTime > worthwhileGain
 }
 
-// KeepsOlder decides whether a server goes on with an older version that was not here whole when a
+// ShouldKeepOlder decides whether a server goes on with an older version that was not here whole when a
 // newer one was named, beside the newest. InForce is the time for which the older one may still
 // begin requests, warm that of taking a version into service, and lastTurn the time until the last
 // turn at which the server may leave what it serves, 0 for one that serves nothing. The older one
@@ -65,9 +65,9 @@
 // is named that follows another by three seconds, servers go on with the other until its bound: 0.10
 // of the worth of such a day at 99 servers. On two days on which the origin ends half a second after
 // the naming it is worth nothing.
-func KeepsOlder(newest, older Transfer, inForce, warm, lastTurn time.Duration) bool {
+func ShouldKeepOlder(newest, older Transfer, inForce, warm, lastTurn time.Duration) bool {
 	olderLeft, comes := older.left()
-	if !comes || newest.Missing == 0 || inForce-olderLeft-warm-SendsEnd < worthwhileService {
+	if !comes || newest.Missing == 0 || inForce-olderLeft-warm-SendCutoff < worthwhileService {
 		return false
 	}
 	newestLeft, comes := newest.left()
--- a/coordination/turnover/fallback_test.go
+++ b/coordination/turnover/fallback_test.go
@@ -9,9 +9,9 @@
 
 // An empty server takes the older version where that serves much sooner, and for long enough.
 func TestWhenAnEmptyServerTakesTheOlderVersion(t *testing.T) {
-	flowing := Transfer{Pieces: 100, Missing: 100, Unsourced: 0, Quiet: 50 * time.Millisecond, CopyTime: 2600 * time.Millisecond, OriginTime: 4300 * time.Millisecond}
+	flowing := Transfer{Pieces: 100, Missing: 100, Unsourced: 0, SinceProgress: 50 * time.Millisecond, CopyTime: 2600 * time.Millisecond, OriginTime: 4300 * time.Millisecond}
 	away := flowing
-	away.Missing, away.Unsourced, away.Quiet = 90, 90, stallTime+1
+	away.Missing, away.Unsourced, away.SinceProgress = 90, 90, stallTime+1
 	slowOrigin := flowing
 	slowOrigin.Unsourced, slowOrigin.OriginTime = 90, 9*time.Second
 	justNamed := flowing
@@ -30,9 +30,9 @@
 		{"nothing comes, and the older one is about to end", away, 4 * time.Second, false},
 		{"the origin needs far longer than the link", slowOrigin, 12 * time.Second, true},
 		{"the newest is here", done, 10 * time.Second, false},
-		{"no manifest for a while", Transfer{Missing: 1, Quiet: stallTime + 1, CopyTime: time.Second}, 10 * time.Second, true},
+		{"no manifest for a while", Transfer{Missing: 1, SinceProgress: stallTime + 1, CopyTime: time.Second}, 10 * time.Second, true},
 	} {
-		assert.Equal(t, one.want, TakesOlder(one.newest, one.older, 500*time.Millisecond), one.name)
+		assert.Equal(t, one.want, ShouldFetchOlder(one.newest, one.older, 500*time.Millisecond), one.name)
 	}
 }
 
@@ -41,7 +41,7 @@
 func TestWhenAVersionOnItsWayIsCompleted(t *testing.T) {
 	const warm = 300 * time.Millisecond
 	copyOf := func(missing, unsourced int, quiet time.Duration) Transfer {
-		return Transfer{Pieces: 64, Missing: missing, Unsourced: unsourced, Quiet: quiet, CopyTime: 2200 * time.Millisecond, OriginTime: 1700 * time.Millisecond}
+		return Transfer{Pieces: 64, Missing: missing, Unsourced: unsourced, SinceProgress: quiet, CopyTime: 2200 * time.Millisecond, OriginTime: 1700 * time.Millisecond}
 	}
 	older := copyOf(12, 0, 50*time.Millisecond)
 	nothing, coming, stalled := copyOf(64, 64, 0), copyOf(60, 50, 50*time.Millisecond), copyOf(60, 60, stallTime+1)
@@ -68,6 +68,6 @@
 		{"only the older one has stopped", nothing, copyOf(12, 12, stallTime+1), 8 * time.Second, 3 * time.Second, false},
 		{"a whole copy of the older one is missing, too", nothing, copyOf(64, 0, 0), 4500 * time.Millisecond, 3 * time.Second, false},
 	} {
-		assert.Equal(t, one.want, KeepsOlder(one.newest, one.older, one.inForce, warm, one.lastTurn), one.name)
+		assert.Equal(t, one.want, ShouldKeepOlder(one.newest, one.older, one.inForce, warm, one.lastTurn), one.name)
 	}
 }
--- a/coordination/turnover/layers.go
+++ b/coordination/turnover/layers.go
@@ -13,9 +13,9 @@
 	return l.From * pieces / layers, (l.To*pieces + layers - 1) / layers
 }
 
-// WholeLayers returns the longest range of layers, of a number in all, of which every piece is
+// CompleteLayers returns the longest range of layers, of a number in all, of which every piece is
 // held; the first one of several, and an empty one when no layer is whole.
-func WholeLayers(held []bool, layers int) Layers {
+func CompleteLayers(held []bool, layers int) Layers {
 	var longest, present Layers
 	for layer := range layers {
 		if !allHeld(held, Layers{From: layer, To: layer + 1}, layers) {
--- a/coordination/turnover/layers_test.go
+++ b/coordination/turnover/layers_test.go
@@ -37,7 +37,7 @@
 		{"no pieces at all", nil, 4, Layers{}},
 		{"no layers", heldBut(4), 0, Layers{}},
 	} {
-		assert.Equal(t, one.want, WholeLayers(one.held, one.layers), one.name)
+		assert.Equal(t, one.want, CompleteLayers(one.held, one.layers), one.name)
 	}
 }
 
@@ -58,7 +58,7 @@
 			}
 			return true
 		}
-		found := WholeLayers(held, layers)
+		found := CompleteLayers(held, layers)
 		assert.True(t, found.Count() == 0 || whole(found))
 		for from := range layers {
 			for to := from + found.Count() + 1; to <= layers; to++ {
--- a/coordination/turnover/turnover.go
+++ b/coordination/turnover/turnover.go
@@ -61,9 +61,9 @@
 	End   time.Duration
 }
 
-// Turn returns when a member's turn is. A member that is not among those ordered
+// SwitchOffset returns when a member's turn is. A member that is not among those ordered
 // goes last.
-func Turn(ordered []string, id string, window Window) time.Duration {
+func SwitchOffset(ordered []string, id string, window Window) time.Duration {
 	if window.End <= window.Start {
 		return window.End
 	}
--- a/coordination/turnover/turnover_test.go
+++ b/coordination/turnover/turnover_test.go
@@ -50,9 +50,9 @@
 func TestTurnsFillTheWindow(t *testing.T) {
 	window := Window{Start: 3 * time.Second, End: 7 * time.Second}
 	ordered := []string{"a", "b", "c", "d", "e"}
-	assert.Equal(t, 3*time.Second, Turn(ordered, "a", window))
-	assert.Equal(t, 5*time.Second, Turn(ordered, "c", window))
-	assert.Equal(t, 7*time.Second, Turn(ordered, "e", window))
-	assert.Equal(t, 7*time.Second, Turn(ordered, "unknown", window), "one that is not listed still goes in time")
-	assert.Equal(t, time.Second, Turn(ordered, "a", Window{Start: 3 * time.Second, End: time.Second}), "a late start shortens nothing below the end")
+	assert.Equal(t, 3*time.Second, SwitchOffset(ordered, "a", window))
+	assert.Equal(t, 5*time.Second, SwitchOffset(ordered, "c", window))
+	assert.Equal(t, 7*time.Second, SwitchOffset(ordered, "e", window))
+	assert.Equal(t, 7*time.Second, SwitchOffset(ordered, "unknown", window), "one that is not listed still goes in time")
+	assert.Equal(t, time.Second, SwitchOffset(ordered, "a", Window{Start: 3 * time.Second, End: time.Second}), "a late start shortens nothing below the end")
 }
--- a/internal/rollout/bound.go
+++ b/internal/rollout/bound.go
@@ -95,7 +95,7 @@
 // layer is left out, so that it begins nothing after its own bound. Without it 3 of the requests that
 // wait at four servers began up to 3.9 s late (TestNothingBeginsLateWhenOnlyAVersionBetweenIsHere).
 func (a *Agent) endingLayers(newest *transfer, engine *fleet.Engine, serving uint64) (*transfer, turnover.Layers) {
-	if layers := turnover.WholeLayers(newest.held(), engine.Layers); layers.Count() > 0 {
+	if layers := turnover.CompleteLayers(newest.held(), engine.Layers); layers.Count() > 0 {
 		return newest, layers
 	}
 	a.mutex.Lock()
@@ -104,7 +104,7 @@
 	if between == nil || between.version() <= serving {
 		return newest, turnover.Layers{}
 	}
-	layers := turnover.WholeLayers(between.held(), engine.Layers)
+	layers := turnover.CompleteLayers(between.held(), engine.Layers)
 	layers.To = min(layers.To, layers.From+engine.Layers-1)
 	return between, layers
 }
--- a/internal/rollout/fallback.go
+++ b/internal/rollout/fallback.go
@@ -88,12 +88,12 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	progress := turnover.Transfer{
-		Pieces: engine.Pieces, Missing: engine.Pieces, Unsourced: engine.Pieces, Quiet: t.now(),
+		Pieces: engine.Pieces, Missing: engine.Pieces, Unsourced: engine.Pieces, SinceProgress: t.now(),
 		CopyTime: engine.CopyTime(linkRate), OriginTime: engine.CopyTime(originRate),
 	}
 	if t.fetcher != nil {
 		progress.Missing, progress.Unsourced = t.fetcher.Missing(), t.fetcher.Unsourced()
-		progress.Quiet = t.now() - t.fetcher.LastProgress()
+		progress.SinceProgress = t.now() - t.fetcher.LastProgress()
 	}
 	return progress
 }
@@ -113,11 +113,11 @@
 	}
 	inForce, bounded := a.inForceFor(current.model, version)
 	progress := current.progress(engine)
-	if !bounded || !turnover.TakesOlder(progress, inForce, engine.Warm) {
+	if !bounded || !turnover.ShouldFetchOlder(progress, inForce, engine.Warm) {
 		return
 	}
 	a.log.Log(logging.FallbackBegun, zap.String("model", current.model), zap.Uint64("version", version), zap.Uint64("newest", current.version()),
-		zap.Int("missing", progress.Missing), zap.Duration("quiet", progress.Quiet), zap.Duration("in_force", inForce))
+		zap.Int("missing", progress.Missing), zap.Duration("quiet", progress.SinceProgress), zap.Duration("in_force", inForce))
 	a.staging.Lock()
 	current.takeUp(ctx)
 	a.staging.Unlock()
@@ -179,7 +179,7 @@
 		left, _ := a.inForceFor(older.model, serving)
 		lastTurn = left - dueMargin
 	}
-	return turnover.KeepsOlder(newest, older.progress(engine), inForce, engine.Warm, lastTurn)
+	return turnover.ShouldKeepOlder(newest, older.progress(engine), inForce, engine.Warm, lastTurn)
 }
 
 // dropOlder ends the transfer that a newer version has replaced; the mutex is held.
--- a/internal/rollout/keeper.go
+++ b/internal/rollout/keeper.go
@@ -74,7 +74,7 @@
 		a.planFallback(ctx, current, engine, serving)
 	}
 	switchAt := a.planSwitch(model, engine, serving, wanted, next != current)
-	due := !time.Now().Before(switchAt.Add(-turnover.NoticeTime))
+	due := !time.Now().Before(switchAt.Add(-turnover.MinNotice))
 	if !reachable || report.Busy || !complete || serving >= wanted || !due {
 		a.withdraw()
 		return
@@ -92,7 +92,7 @@
 // whether the order may be given.
 func (a *Agent) announce(waiting int) bool {
 	a.mutex.Lock()
-	first := !a.announcement.Given()
+	first := !a.announcement.Active()
 	ready := a.announcement.Ready(time.Now(), waiting)
 	a.mutex.Unlock()
 	if first {
@@ -194,7 +194,7 @@
 			window.Start = max(window.Start, window.End-fallbackWindow)
 		}
 		self := turnover.Member{ID: settings.IP, Zone: settings.Zone}
-		turn := turnover.TurnBesideEmptied(model+"/"+itoa(int(wanted)), a.members(), self, a.daemon.Catalog.View().Evacuated, window)
+		turn := turnover.SwitchOffsetWithEvacuation(model+"/"+itoa(int(wanted)), a.members(), self, a.daemon.Catalog.View().Evacuated, window)
 		planned = notice.Since.Add(turn)
 	}
 	a.mutex.Lock()
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -139,7 +139,7 @@
 		}
 	}
 	switch {
-	case a.ordering || a.report.Busy || a.announcement.Given():
+	case a.ordering || a.report.Busy || a.announcement.Active():
 		status.SwitchMilliseconds = 0
 	case !a.switchAt.IsZero() && status.Version != 0 && status.Version < status.Wanted:
 		// While pieces are missing the turn can't come before they are there.
