--- a/coordination/mirror/changes.go
+++ b/coordination/mirror/changes.go
@@ -8,11 +8,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Changes orders the keys of a mirror by their last change, so that what a peer lacks
+// ChangeLog orders the keys of a mirror by their last change, so that what a peer lacks
 // is found without looking at every record, and sums up all of them in a digest, so
 // that peers that hold the same need not send it to each other. It is not safe for
 // concurrent use.
-type Changes struct {
+type ChangeLog struct {
 	sequence uint64
 	// last is the sequence of each key's last change, order all of them by sequence;
 	// entries that a later change of the key has replaced stay until compact.
@@ -28,11 +28,13 @@
 	key      string
 }
 
-// NewChanges returns an empty order.
-func NewChanges() *Changes { return &Changes{last: map[string]uint64{}, summed: map[string]uint64{}} }
+// NewChangeLog returns an empty order.
+func NewChangeLog() *ChangeLog {
+	return &ChangeLog{last: map[string]uint64{}, summed: map[string]uint64{}}
+}
 
-// Note notes that a record has changed.
-func (c *Changes) Note(record Record) {
+// Add notes that a record has changed.
+func (c *ChangeLog) Add(record Record) {
 	c.sequence++
 	c.last[record.Key] = c.sequence
 	c.order = append(c.order, change{sequence: c.sequence, key: record.Key})
@@ -48,9 +50,9 @@
 
 // sum replaces what a key adds to the digest. A deleted key adds nothing: a peer that
 // never knew of it holds the same.
-func (c *Changes) sum(record Record) {
+func (c *ChangeLog) sum(record Record) {
 	c.digest ^= c.summed[record.Key]
-	if record.Gone {
+	if record.Deleted {
 		delete(c.summed, record.Key)
 		return
 	}
@@ -62,18 +64,18 @@
 	c.digest ^= sum
 }
 
-func (c *Changes) compact() {
+func (c *ChangeLog) compact() {
 	c.order = slices.DeleteFunc(c.order, func(one change) bool { return c.last[one.key] != one.sequence })
 }
 
 // Sequence is that of the last change.
-func (c *Changes) Sequence() uint64 { return c.sequence }
+func (c *ChangeLog) Sequence() uint64 { return c.sequence }
 
 // Digest sums up the keys that are not deleted and their revisions; it is 0 for none.
-func (c *Changes) Digest() uint64 { return c.digest }
+func (c *ChangeLog) Digest() uint64 { return c.digest }
 
 // After lists the keys that have changed after a sequence, by their last change.
-func (c *Changes) After(sequence uint64) []string {
+func (c *ChangeLog) After(sequence uint64) []string {
 	start, _ := slices.BinarySearchFunc(c.order, sequence+1, func(one change, wanted uint64) int {
 		return cmp.Compare(one.sequence, wanted)
 	})
--- a/coordination/mirror/changes_test.go
+++ b/coordination/mirror/changes_test.go
@@ -9,9 +9,9 @@
 )
 
 func TestChangesAreListedByTheirLast(t *testing.T) {
-	changes := NewChanges()
+	changes := NewChangeLog()
 	for revision, key := range []string{"a", "b", "a", "c"} {
-		changes.Note(Record{Key: key, Revision: uint64(revision + 1)})
+		changes.Add(Record{Key: key, Revision: uint64(revision + 1)})
 	}
 	assert.Equal(t, []string{"b", "a", "c"}, changes.After(0))
 	assert.Equal(t, []string{"a", "c"}, changes.After(2))
@@ -21,21 +21,21 @@
 // Copies that hold the same have the same digest, whatever came before; others differ.
 func TestDigestTellsCopiesApart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		one, other := NewChanges(), NewChanges()
+		one, other := NewChangeLog(), NewChangeLog()
 		final := map[string]Record{}
 		steps := rapid.IntRange(1, 600).Draw(t, "steps")
 		for revision := range steps {
 			key := fmt.Sprint(rapid.IntRange(0, 20).Draw(t, "key"))
-			record := Record{Key: key, Revision: uint64(revision + 1), Gone: rapid.Bool().Draw(t, "gone")}
-			one.Note(record)
+			record := Record{Key: key, Revision: uint64(revision + 1), Deleted: rapid.Bool().Draw(t, "gone")}
+			one.Add(record)
 			final[key] = record
 		}
 		for _, record := range final {
-			other.Note(record)
+			other.Add(record)
 		}
 		assert.Equal(t, one.Digest(), other.Digest())
 		assert.Len(t, one.After(0), len(final))
-		other.Note(Record{Key: "new", Revision: uint64(steps + 1)})
+		other.Add(Record{Key: "new", Revision: uint64(steps + 1)})
 		assert.NotEqual(t, one.Digest(), other.Digest())
 	})
 }
--- a/coordination/mirror/mirror.go
+++ b/coordination/mirror/mirror.go
@@ -16,8 +16,8 @@
 	Key      string `cbor:"1,keyasint" json:"key"`
 	Value    []byte `cbor:"2,keyasint,omitempty" json:"value,omitempty"`
 	Revision uint64 `cbor:"3,keyasint" json:"revision"`
-	// Gone marks a key that was deleted at the revision.
-	Gone bool `cbor:"4,keyasint,omitempty" json:"gone,omitempty"`
+	// Deleted marks a key that was deleted at the revision.
+	Deleted bool `cbor:"4,keyasint,omitempty" json:"gone,omitempty"`
 }
 
 // maximumGone bounds the deleted keys that are remembered.
@@ -57,7 +57,7 @@
 	update := slices.Clone(listed)
 	for _, held := range m.Select(prefix) {
 		if !present[held.Key] && held.Revision < at {
-			update = append(update, Record{Key: held.Key, Revision: at, Gone: true})
+			update = append(update, Record{Key: held.Key, Revision: at, Deleted: true})
 		}
 	}
 	return m.Merge(update)
@@ -65,19 +65,19 @@
 
 // Get returns a record that is not gone.
 func (m *Mirror) Get(key string) (Record, bool) {
-	record, known := m.Held(key)
-	return record, known && !record.Gone
+	record, known := m.Lookup(key)
+	return record, known && !record.Deleted
 }
 
-// Held returns a record as it is held, which may say that the key is gone.
-func (m *Mirror) Held(key string) (Record, bool) {
+// Lookup returns a record as it is held, which may say that the key is gone.
+func (m *Mirror) Lookup(key string) (Record, bool) {
 	record, known := m.records[key]
 	return record, known
 }
 
 // Select returns the records under a prefix that are not gone, in order of key.
 func (m *Mirror) Select(prefix string) []Record {
-	return slices.DeleteFunc(m.All(prefix), func(record Record) bool { return record.Gone })
+	return slices.DeleteFunc(m.All(prefix), func(record Record) bool { return record.Deleted })
 }
 
 // All returns the records under a prefix, deleted ones included, in order of key.
@@ -93,10 +93,10 @@
 }
 
 func (m *Mirror) put(held Record, known bool, record Record) {
-	if known && held.Gone {
+	if known && held.Deleted {
 		m.gone--
 	}
-	if record.Gone {
+	if record.Deleted {
 		m.gone++
 	}
 	m.records[record.Key] = record
@@ -107,7 +107,7 @@
 	if m.gone <= maximumGone {
 		return
 	}
-	deleted := slices.DeleteFunc(slices.Collect(maps.Values(m.records)), func(record Record) bool { return !record.Gone })
+	deleted := slices.DeleteFunc(slices.Collect(maps.Values(m.records)), func(record Record) bool { return !record.Deleted })
 	slices.SortFunc(deleted, func(a, b Record) int { return cmp.Compare(a.Revision, b.Revision) })
 	for _, record := range deleted[:len(deleted)/2] {
 		delete(m.records, record.Key)
--- a/coordination/mirror/mirror_test.go
+++ b/coordination/mirror/mirror_test.go
@@ -26,7 +26,7 @@
 // A deletion that was learnt first is not undone by an older write.
 func TestDeletedKeyStaysDeleted(t *testing.T) {
 	m := New()
-	m.Merge([]Record{{Key: "a", Revision: 9, Gone: true}})
+	m.Merge([]Record{{Key: "a", Revision: 9, Deleted: true}})
 	m.Merge([]Record{record("a", 8)})
 	_, present := m.Get("a")
 	assert.False(t, present)
@@ -55,7 +55,7 @@
 		var updates []Record
 		for revision := range count {
 			update := record(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key"), uint64(revision+1))
-			update.Gone = rapid.Bool().Draw(t, "gone")
+			update.Deleted = rapid.Bool().Draw(t, "gone")
 			updates = append(updates, update)
 		}
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -74,7 +74,7 @@
 	m := New()
 	m.Merge([]Record{record("kept", 1)})
 	for index := range 3 * maximumGone {
-		m.Merge([]Record{{Key: fmt.Sprint(index), Revision: uint64(index + 2), Gone: true}})
+		m.Merge([]Record{{Key: fmt.Sprint(index), Revision: uint64(index + 2), Deleted: true}})
 	}
 	assert.LessOrEqual(t, len(m.All("")), maximumGone+1)
 	_, present := m.Get("kept")
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -62,7 +62,7 @@
 	mutex  sync.Mutex
 	mirror *mirror.Mirror
 	// changes orders the records that are passed on to others.
-	changes *mirror.Changes
+	changes *mirror.ChangeLog
 	// urgent is the sequence of the last change that others are told of at once.
 	urgent uint64
 	// closeWatch follows that servers in use turn cold.
@@ -144,7 +144,7 @@
 		options.OnSilent = func(string, time.Duration) {}
 	}
 	c := &Catalog{
-		options: options, started: time.Now(), agentOffset: rand.N(agentSpread), mirror: mirror.New(), changes: mirror.NewChanges(), heads: map[string]uint64{}, pulls: map[string]pull{},
+		options: options, started: time.Now(), agentOffset: rand.N(agentSpread), mirror: mirror.New(), changes: mirror.NewChangeLog(), heads: map[string]uint64{}, pulls: map[string]pull{},
 		servers: map[string]fleet.Server{}, formerIncarnations: map[string]incarnation.Born{}, faulty: newFaultyRecords(), ages: map[string]versionAge{}, lapsed: map[string]lapsedServer{},
 		statuses: map[string]heldStatus{}, links: map[string]*peerLink{}, backupOf: map[string]bool{}, kick: make(chan struct{}, 1), haste: make(chan struct{}, 1),
 		overlay: overlay.New(overlay.Options{
@@ -296,7 +296,7 @@
 			c.heads[record.Key] = record.Revision
 			c.announceHeads(from)
 		case fleet.RecordServer, fleet.RecordVersion, fleet.RecordEvacuation:
-			c.changes.Note(record)
+			c.changes.Add(record)
 		case fleet.RecordOther:
 			continue
 		}
@@ -345,7 +345,7 @@
 // it is not among the listed ones meanwhile.
 func (c *Catalog) takeServer(record mirror.Record) bool {
 	old, known := c.servers[record.Key]
-	if record.Gone {
+	if record.Deleted {
 		c.dropServer(record.Key)
 		delete(c.faulty.reasons, record.Key)
 		return true
--- a/internal/catalog/evacuations.go
+++ b/internal/catalog/evacuations.go
@@ -25,7 +25,7 @@
 		evacuations = map[string]time.Time{}
 	}
 	next.Evacuations = evacuations
-	if record.Gone {
+	if record.Deleted {
 		delete(evacuations, evacuation.Zone)
 		return
 	}
--- a/internal/catalog/evacuations_test.go
+++ b/internal/catalog/evacuations_test.go
@@ -25,7 +25,7 @@
 	assert.Contains(t, c.View().Evacuations, "a")
 	assert.Contains(t, c.View().Evacuations, "b")
 	assert.Greater(t, c.urgent, urgent, "others are told at once, also by one who was told")
-	c.takeWatched([]mirror.Record{{Key: "op/evacuate/a", Revision: 8, Gone: true}})
+	c.takeWatched([]mirror.Record{{Key: "op/evacuate/a", Revision: 8, Deleted: true}})
 	c.takeTold([]mirror.Record{evacuationRecord("a", 5)}, nil)
 	assert.NotContains(t, c.View().Evacuations, "a")
 	c.replace("", fleet.Listing{At: 12})
--- a/internal/catalog/exchange.go
+++ b/internal/catalog/exchange.go
@@ -232,7 +232,7 @@
 func (c *Catalog) addChanges(message *update, peer *peerLink) {
 	var records []mirror.Record
 	for _, key := range c.changes.After(peer.sequence) {
-		record, known := c.mirror.Held(key)
+		record, known := c.mirror.Lookup(key)
 		if !known {
 			continue
 		}
--- a/internal/catalog/restarted_test.go
+++ b/internal/catalog/restarted_test.go
@@ -72,7 +72,7 @@
 	assert.Empty(t, c.Status().FaultyRecords)
 	assert.Len(t, c.View().Servers["m"], 1)
 	faulty(32, `{`)
-	c.takeWatched([]mirror.Record{{Key: "servers/s", Revision: 33, Gone: true}})
+	c.takeWatched([]mirror.Record{{Key: "servers/s", Revision: 33, Deleted: true}})
 	assert.Empty(t, c.Status().FaultyRecords)
 }
 
--- a/internal/catalog/view.go
+++ b/internal/catalog/view.go
@@ -147,7 +147,7 @@
 func (c *Catalog) decodeConfigurations(news []mirror.Record) map[uint64]decodedConfiguration {
 	var decoded map[uint64]decodedConfiguration
 	for _, record := range news {
-		if record.Gone || c.options.Decoder.Kind(record.Key) != fleet.RecordConfiguration {
+		if record.Deleted || c.options.Decoder.Kind(record.Key) != fleet.RecordConfiguration {
 			continue
 		}
 		if decoded == nil {
@@ -190,7 +190,7 @@
 }
 
 func (c *Catalog) takeConfiguration(next *View, record mirror.Record, decoded decodedConfiguration) {
-	if record.Gone {
+	if record.Deleted {
 		return
 	}
 	configuration, err := decoded.configuration, decoded.err
@@ -209,7 +209,7 @@
 
 func (c *Catalog) takeVersion(next *View, record mirror.Record) {
 	named, err := c.options.Decoder.Version(record)
-	if record.Gone || err != nil {
+	if record.Deleted || err != nil {
 		return
 	}
 	if held, known := next.Newest(named.Model); known && held.Version >= named.Version {
