--- a/coordination/escrow/escrow.go
+++ b/coordination/escrow/escrow.go
@@ -25,8 +25,8 @@
 	// RaiseDelay is how long a raised base share waits until it counts, so that
 	// those who had it before have surely lowered theirs.
 	RaiseDelay time.Duration
-	// KeptShare is the part of its base share that a process never grants away.
-	KeptShare float64
+	// ReservedFraction is the part of its base share that a process never grants away.
+	ReservedFraction float64
 	// Unsafe makes a donor take its grant back without the margin and a borrower
 	// count from receipt, so that tests can show that they notice it.
 	Unsafe bool
@@ -42,8 +42,8 @@
 	if o.RaiseDelay == 0 {
 		o.RaiseDelay = 10 * time.Second
 	}
-	if o.KeptShare == 0 {
-		o.KeptShare = 0.5
+	if o.ReservedFraction == 0 {
+		o.ReservedFraction = 0.5
 	}
 	return o
 }
@@ -134,8 +134,8 @@
 	return max(0, a.base-sum(a.lent)) + sum(a.borrowed)
 }
 
-// Ask makes a request for more.
-func (a *Account) Ask(amount float64, now time.Duration) Request {
+// NewRequest makes a request for more.
+func (a *Account) NewRequest(amount float64, now time.Duration) Request {
 	a.settle(now)
 	a.nextID++
 	a.asked[a.nextID] = now
@@ -148,11 +148,11 @@
 	return len(a.asked) > 0
 }
 
-// Answer grants what the process can do without, given what it needs itself.
+// HandleRequest grants what the process can do without, given what it needs itself.
 // Borrowed parts are never granted on. A zero amount grants nothing.
-func (a *Account) Answer(request Request, needed float64, now time.Duration) Grant {
+func (a *Account) HandleRequest(request Request, needed float64, now time.Duration) Grant {
 	a.settle(now)
-	kept := max(needed, a.base*a.options.KeptShare)
+	kept := max(needed, a.base*a.options.ReservedFraction)
 	spare := a.base - sum(a.lent) - kept
 	amount := max(0, min(request.Amount, spare))
 	if amount > 0 {
@@ -165,8 +165,8 @@
 	return Grant{ID: request.ID, Amount: amount}
 }
 
-// Receive takes a grant of a request that is still pending; others are void.
-func (a *Account) Receive(grant Grant, now time.Duration) bool {
+// ApplyGrant takes a grant of a request that is still pending; others are void.
+func (a *Account) ApplyGrant(grant Grant, now time.Duration) bool {
 	a.settle(now)
 	at, pending := a.asked[grant.ID]
 	if !pending {
--- a/coordination/escrow/escrow_test.go
+++ b/coordination/escrow/escrow_test.go
@@ -13,8 +13,8 @@
 	donor.SetBase(0.5, 0)
 	borrower.SetBase(0.5, 0)
 	now := 11 * time.Second
-	grant := donor.Answer(borrower.Ask(0.2, now), 0, now)
-	assert.True(t, borrower.Receive(grant, now))
+	grant := donor.HandleRequest(borrower.NewRequest(0.2, now), 0, now)
+	assert.True(t, borrower.ApplyGrant(grant, now))
 	assert.InDelta(t, 0.3, donor.Usable(now), 1e-9)
 	assert.InDelta(t, 0.7, borrower.Usable(now), 1e-9)
 	assert.InDelta(t, 0.5, borrower.Usable(now+4*time.Second), 1e-9)
@@ -24,8 +24,8 @@
 
 func TestAGrantThatComesTooLateIsVoid(t *testing.T) {
 	borrower := NewAccount(Options{})
-	request := borrower.Ask(0.2, 0)
-	assert.False(t, borrower.Receive(Grant{ID: request.ID, Amount: 0.2}, 4*time.Second))
+	request := borrower.NewRequest(0.2, 0)
+	assert.False(t, borrower.ApplyGrant(Grant{ID: request.ID, Amount: 0.2}, 4*time.Second))
 	assert.Zero(t, borrower.Usable(4*time.Second))
 }
 
@@ -33,7 +33,7 @@
 	donor := NewAccount(Options{})
 	donor.SetBase(0.4, 0)
 	now := 11 * time.Second
-	donor.Answer(Request{ID: 1, Amount: 1}, 0, now)
+	donor.HandleRequest(Request{ID: 1, Amount: 1}, 0, now)
 	assert.InDelta(t, 0.2, donor.Usable(now), 1e-9)
 }
 
@@ -85,7 +85,7 @@
 			if from == to {
 				t.Skip("nobody asks itself")
 			}
-			request := accounts[from].Ask(rapid.Float64Range(0, 0.5).Draw(t, "amount"), offset[from]+now)
+			request := accounts[from].NewRequest(rapid.Float64Range(0, 0.5).Draw(t, "amount"), offset[from]+now)
 			wire = append(wire, message{from: from, to: to, request: &request})
 		},
 		"deliver": func(t *rapid.T) {
@@ -97,10 +97,10 @@
 			wire = append(wire[:index], wire[index+1:]...)
 			at := offset[delivered.to] + now
 			if delivered.request != nil {
-				grant := accounts[delivered.to].Answer(*delivered.request, 0, at)
+				grant := accounts[delivered.to].HandleRequest(*delivered.request, 0, at)
 				wire = append(wire, message{from: delivered.to, to: delivered.from, grant: &grant})
 			} else {
-				accounts[delivered.to].Receive(*delivered.grant, at)
+				accounts[delivered.to].ApplyGrant(*delivered.grant, at)
 			}
 			measure()
 		},
@@ -138,9 +138,9 @@
 		donor.SetBase(0.5, 0)
 		borrower.SetBase(0.5, 0)
 		now := time.Second
-		grant := donor.Answer(borrower.Ask(0.2, now), 0, now)
+		grant := donor.HandleRequest(borrower.NewRequest(0.2, now), 0, now)
 		// The grant arrives late, and the donor looks again after a while.
-		borrower.Receive(grant, now+time.Second)
+		borrower.ApplyGrant(grant, now+time.Second)
 		now += 3 * time.Second
 		assert.InDelta(t, bound, donor.Usable(now)+borrower.Usable(now), 1e-9, "unsafe: %t", unsafe)
 	}
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -232,7 +232,7 @@
 		}
 		amount := demand*borrowReserve - usable
 		if amount > 0 {
-			result = append(result, wish{tenant: name, request: share.account.Ask(amount, clock)})
+			result = append(result, wish{tenant: name, request: share.account.NewRequest(amount, clock)})
 		}
 	}
 	return result
@@ -246,7 +246,7 @@
 	if !known {
 		return escrow.Grant{}, false
 	}
-	return share.account.Answer(request, share.decayed(l.clock())*borrowReserve, l.clock()), true
+	return share.account.HandleRequest(request, share.decayed(l.clock())*borrowReserve, l.clock()), true
 }
 
 // receive takes another entry's grant.
@@ -254,7 +254,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if share, known := l.tenants[tenant]; known {
-		share.account.Receive(grant, l.clock())
+		share.account.ApplyGrant(grant, l.clock())
 	}
 }
 
