--- a/coordination/dissemination/baselines.go
+++ b/coordination/dissemination/baselines.go
@@ -13,7 +13,7 @@
 func (starPlan) Providers(int, MachineID) []MachineID     { return nil }
 func (starPlan) OriginReaders(int, MachineID) []MachineID { return nil }
 func (starPlan) Zone(MachineID) string                    { return "" }
-func (starPlan) Mates(MachineID) []MachineID              { return nil }
+func (starPlan) Neighbors(MachineID) []MachineID          { return nil }
 func (starPlan) Height(int, MachineID) int                { return 0 }
 
 // linePlan arranges all machines as one heap-shaped tree over an order that
@@ -115,8 +115,8 @@
 // Zone implements Plan.
 func (p *linePlan) Zone(MachineID) string { return "" }
 
-// Mates implements Plan.
-func (p *linePlan) Mates(MachineID) []MachineID { return p.machines }
+// Neighbors implements Plan.
+func (p *linePlan) Neighbors(MachineID) []MachineID { return p.machines }
 
 // Height implements Plan.
 func (p *linePlan) Height(chunk int, self MachineID) int {
@@ -177,8 +177,8 @@
 // Zone implements Plan.
 func (p *pullPlan) Zone(MachineID) string { return "" }
 
-// Mates implements Plan.
-func (p *pullPlan) Mates(MachineID) []MachineID { return p.line.machines }
+// Neighbors implements Plan.
+func (p *pullPlan) Neighbors(MachineID) []MachineID { return p.line.machines }
 
 // Height implements Plan: a graph has no levels.
 func (*pullPlan) Height(int, MachineID) int { return 0 }
--- a/coordination/dissemination/batch_test.go
+++ b/coordination/dissemination/batch_test.go
@@ -11,14 +11,14 @@
 	turn := GroupByPeer([]Action{
 		{Kind: Offer, Peer: "b", Chunk: 1},
 		{Kind: Fetch, Peer: "a", Chunk: 7},
-		{Kind: Ask, Peer: "b", Chunk: 2},
+		{Kind: Query, Peer: "b", Chunk: 2},
 		{Kind: Offer, Peer: "a", Chunk: 1},
 		{Kind: Offer, Peer: "b", Chunk: 3},
 		{Kind: FetchOrigin, Chunk: 8},
 	})
 	assert.Equal(t, []Message{
 		{Peer: "b", Chunks: []int{1, 3}},
-		{Peer: "b", Ask: true, Chunks: []int{2}},
+		{Peer: "b", Query: true, Chunks: []int{2}},
 		{Peer: "a", Chunks: []int{1}},
 	}, turn.Messages)
 	assert.Equal(t, []Action{{Kind: Fetch, Peer: "a", Chunk: 7}, {Kind: FetchOrigin, Chunk: 8}}, turn.Fetches)
--- a/coordination/dissemination/fetcher.go
+++ b/coordination/dissemination/fetcher.go
@@ -12,8 +12,8 @@
 const (
 	// Offer tells a peer that this machine holds a chunk.
 	Offer ActionKind = iota + 1
-	// Ask asks a peer for a chunk; a peer that lacks it offers it later.
-	Ask
+	// Query asks a peer for a chunk; a peer that lacks it offers it later.
+	Query
 	// Fetch transfers a chunk from a peer, verifies and stores it.
 	Fetch
 	// FetchOrigin transfers a chunk from the origin, verifies and stores it.
@@ -52,9 +52,9 @@
 	Held []bool
 	// PeersOnly leaves the origin to others: chunks come from machines that offer them.
 	PeersOnly bool
-	// MaximumFetches is how many transfers from peers, and how many from the
+	// MaxFetches is how many transfers from peers, and how many from the
 	// origin, run at once.
-	MaximumFetches int
+	MaxFetches int
 	// OriginWindow is how many chunks past the number received may be requested from
 	// the origin, so that a fast origin is read at the pace of the fleet's links.
 	OriginWindow int
@@ -65,15 +65,15 @@
 	// LagChunks is how far a chunk may be behind the highest one heard of before
 	// it counts as late.
 	LagChunks int
-	// Patience is how long to wait for progress before asking around.
-	Patience time.Duration
-	// Distrust is how long a peer that failed is avoided.
-	Distrust time.Duration
+	// ProgressTimeout is how long to wait for progress before asking around.
+	ProgressTimeout time.Duration
+	// PeerBackoff is how long a peer that failed is avoided.
+	PeerBackoff time.Duration
 }
 
 func (o Options) applyDefaults() Options {
-	if o.MaximumFetches == 0 {
-		o.MaximumFetches = 64
+	if o.MaxFetches == 0 {
+		o.MaxFetches = 64
 	}
 	if o.OriginWindow == 0 {
 		o.OriginWindow = 128
@@ -81,11 +81,11 @@
 	if o.LagChunks == 0 {
 		o.LagChunks = 112
 	}
-	if o.Patience == 0 {
-		o.Patience = time.Second
+	if o.ProgressTimeout == 0 {
+		o.ProgressTimeout = time.Second
 	}
-	if o.Distrust == 0 {
-		o.Distrust = 30 * o.Patience
+	if o.PeerBackoff == 0 {
+		o.PeerBackoff = 30 * o.ProgressTimeout
 	}
 	return o
 }
@@ -204,12 +204,12 @@
 		return 0, true
 	}
 	age = now - state.pendingAt
-	trusted := !state.late || now-state.lateSince < trustedRounds*f.options.Patience
-	return age, trusted && state.pendingAt > 0 && age < pendingRounds*f.options.Patience
+	trusted := !state.late || now-state.lateSince < trustedRounds*f.options.ProgressTimeout
+	return age, trusted && state.pendingAt > 0 && age < pendingRounds*f.options.ProgressTimeout
 }
 
-// Take returns the actions since the last call.
-func (f *Fetcher) Take() []Action {
+// TakeActions returns the actions since the last call.
+func (f *Fetcher) TakeActions() []Action {
 	actions := f.actions
 	f.actions = nil
 	return actions
@@ -238,8 +238,8 @@
 	f.schedule(now)
 }
 
-// Offered records that a peer holds a chunk.
-func (f *Fetcher) Offered(from MachineID, chunk int, now time.Duration) {
+// RecordOffer records that a peer holds a chunk.
+func (f *Fetcher) RecordOffer(from MachineID, chunk int, now time.Duration) {
 	if !f.valid(chunk) {
 		return
 	}
@@ -259,10 +259,10 @@
 // further ones.
 const maximumBacklog = 4
 
-// Asked answers a peer that wants a chunk: it is held now, or is offered once
+// HandleChunkQuery answers a peer that wants a chunk: it is held now, or is offered once
 // it is here. The backlog is how many uploads wait at this machine; a busy one
 // does not say that it holds a chunk, so that the peer turns to another.
-func (f *Fetcher) Asked(from MachineID, chunk int, backlog int, now time.Duration) (held bool) {
+func (f *Fetcher) HandleChunkQuery(from MachineID, chunk int, backlog int, now time.Duration) (held bool) {
 	if !f.valid(chunk) {
 		return false
 	}
@@ -278,18 +278,18 @@
 	return state.held && backlog <= maximumBacklog
 }
 
-// AskDenied records that a peer answered a question and neither has nor expects
+// RecordDenial records that a peer answered a question and neither has nor expects
 // the chunk.
-func (f *Fetcher) AskDenied(peer MachineID, chunk int) {
+func (f *Fetcher) RecordDenial(peer MachineID, chunk int) {
 	f.reached(peer)
 	if f.valid(chunk) {
 		f.chunks[chunk].denials++
 	}
 }
 
-// AskPending records that a peer answered a question and has the chunk or expects it, by what
+// RecordPending records that a peer answered a question and has the chunk or expects it, by what
 // was known at first hand an age ago.
-func (f *Fetcher) AskPending(peer MachineID, chunk int, age, now time.Duration) {
+func (f *Fetcher) RecordPending(peer MachineID, chunk int, age, now time.Duration) {
 	f.reached(peer)
 	if f.valid(chunk) {
 		state := &f.chunks[chunk]
@@ -298,25 +298,25 @@
 	}
 }
 
-// AskFailed records that a peer did not answer a question.
-func (f *Fetcher) AskFailed(peer MachineID, chunk int, now time.Duration) {
+// RecordQueryFailure records that a peer did not answer a question.
+func (f *Fetcher) RecordQueryFailure(peer MachineID, chunk int, now time.Duration) {
 	f.unreached(peer, now)
 	if f.valid(chunk) {
 		f.chunks[chunk].nextAsk = now
 	}
 }
 
-// OfferFailed records that a peer did not take an offer; what it would have
+// RecordOfferFailure records that a peer did not take an offer; what it would have
 // passed on is offered to its children directly.
-func (f *Fetcher) OfferFailed(peer MachineID, chunk int, now time.Duration) {
+func (f *Fetcher) RecordOfferFailure(peer MachineID, chunk int, now time.Duration) {
 	f.unreached(peer, now)
 	if f.valid(chunk) {
 		f.offerBelow(peer, chunk, now)
 	}
 }
 
-// Fetched records a verified and stored chunk.
-func (f *Fetcher) Fetched(from MachineID, chunk int, now time.Duration) {
+// RecordFetched records a verified and stored chunk.
+func (f *Fetcher) RecordFetched(from MachineID, chunk int, now time.Duration) {
 	f.ended(from)
 	state := &f.chunks[chunk]
 	state.fetching = false
@@ -333,9 +333,9 @@
 	f.schedule(now)
 }
 
-// FetchFailed records a transfer that did not give the chunk. An empty source
+// RecordFetchFailure records a transfer that did not give the chunk. An empty source
 // is the origin.
-func (f *Fetcher) FetchFailed(from MachineID, chunk int, reason FailureReason, now time.Duration) {
+func (f *Fetcher) RecordFetchFailure(from MachineID, chunk int, reason FailureReason, now time.Duration) {
 	f.ended(from)
 	state := &f.chunks[chunk]
 	state.fetching = false
@@ -344,7 +344,7 @@
 	case from == "":
 		f.makeLate(state, now)
 		state.nextOrigin = f.originTurnAfterFailure(chunk, reason, now)
-		state.nextAsk = now + f.options.Patience
+		state.nextAsk = now + f.options.ProgressTimeout
 	case reason == Unreachable:
 		f.unreached(from, now)
 	case reason == Stalled || reason == Corrupted:
--- a/coordination/dissemination/peers.go
+++ b/coordination/dissemination/peers.go
@@ -48,16 +48,16 @@
 		zone := f.options.Plan.Zone(peer)
 		failed := f.zones[zone]
 		failed.failures++
-		failed.until = now + f.options.Distrust
+		failed.until = now + f.options.PeerBackoff
 		f.zones[zone] = failed
 	}
-	state.unreachable = now + f.options.Distrust
+	state.unreachable = now + f.options.PeerBackoff
 	f.peers[peer] = state
 }
 
 func (f *Fetcher) distrust(peer MachineID, now time.Duration) {
 	state := f.peers[peer]
-	state.distrusted = now + f.options.Distrust
+	state.distrusted = now + f.options.PeerBackoff
 	f.peers[peer] = state
 }
 
--- a/coordination/dissemination/plan.go
+++ b/coordination/dissemination/plan.go
@@ -45,8 +45,8 @@
 	OriginReaders(chunk int, self MachineID) []MachineID
 	// Zone returns the zone of a machine, or "" when it is not known.
 	Zone(machine MachineID) string
-	// Mates returns the machines that are near, the machine itself included.
-	Mates(self MachineID) []MachineID
+	// Neighbors returns the machines that are near, the machine itself included.
+	Neighbors(self MachineID) []MachineID
 	// Height is how many levels of machines get the chunk through this one.
 	Height(chunk int, self MachineID) int
 }
@@ -240,8 +240,8 @@
 // Zone implements Plan.
 func (p rotatedPlan) Zone(machine MachineID) string { return p.roster.Zone(machine) }
 
-// Mates implements Plan.
-func (p rotatedPlan) Mates(self MachineID) []MachineID { return p.roster.ZoneMates(self) }
+// Neighbors implements Plan.
+func (p rotatedPlan) Neighbors(self MachineID) []MachineID { return p.roster.ZoneMembers(self) }
 
 // topReaders ranks machines for a chunk by rendezvous hashing.
 func topReaders(chunk int, machines []MachineID) []MachineID {
--- a/coordination/dissemination/plan_test.go
+++ b/coordination/dissemination/plan_test.go
@@ -90,12 +90,12 @@
 		list := machines(2, 4)
 		plan := NewPlan(StrategyRotated, NewRoster(list))
 		const chunks = 8
-		fetcher := NewFetcher(Options{Self: list[0].ID, Plan: plan, Chunks: chunks, Patience: 1})
+		fetcher := NewFetcher(Options{Self: list[0].ID, Plan: plan, Chunks: chunks, ProgressTimeout: 1})
 		fetcher.Start(0)
 		running := map[Action]bool{}
 		now := time.Duration(0)
 		collect := func() {
-			for _, action := range fetcher.Take() {
+			for _, action := range fetcher.TakeActions() {
 				if action.Kind != Fetch && action.Kind != FetchOrigin {
 					continue
 				}
@@ -108,17 +108,20 @@
 		peer := func() MachineID { return list[rapid.IntRange(0, len(list)-1).Draw(t, "peer")].ID }
 		chunk := func() int { return rapid.IntRange(-1, chunks).Draw(t, "chunk") }
 		t.Repeat(map[string]func(*rapid.T){
-			"offered": func(*rapid.T) { fetcher.Offered(peer(), chunk(), now); collect() },
-			"asked":   func(*rapid.T) { fetcher.Asked(peer(), chunk(), 0, now); collect() },
-			"failed":  func(*rapid.T) { fetcher.AskFailed(peer(), chunk(), now); fetcher.OfferFailed(peer(), chunk(), now) },
-			"tick":    func(*rapid.T) { now += 3; fetcher.Tick(now); collect() },
+			"offered": func(*rapid.T) { fetcher.RecordOffer(peer(), chunk(), now); collect() },
+			"asked":   func(*rapid.T) { fetcher.HandleChunkQuery(peer(), chunk(), 0, now); collect() },
+			"failed": func(*rapid.T) {
+				fetcher.RecordQueryFailure(peer(), chunk(), now)
+				fetcher.RecordOfferFailure(peer(), chunk(), now)
+			},
+			"tick": func(*rapid.T) { now += 3; fetcher.Tick(now); collect() },
 			"ended": func(t *rapid.T) {
 				for action := range running {
 					delete(running, action)
 					if rapid.Bool().Draw(t, "good") {
-						fetcher.Fetched(action.Peer, action.Chunk, now)
+						fetcher.RecordFetched(action.Peer, action.Chunk, now)
 					} else {
-						fetcher.FetchFailed(action.Peer, action.Chunk, Stalled, now)
+						fetcher.RecordFetchFailure(action.Peer, action.Chunk, Stalled, now)
 					}
 					break
 				}
--- a/coordination/dissemination/repair.go
+++ b/coordination/dissemination/repair.go
@@ -20,7 +20,7 @@
 		return
 	}
 	quiet := 0
-	if now-f.lastProgress > 2*f.options.Patience {
+	if now-f.lastProgress > 2*f.options.ProgressTimeout {
 		quiet = quietChunks
 	}
 	idle := f.idle(now)
@@ -51,7 +51,7 @@
 
 // idle reports whether nothing has been under way for a while.
 func (f *Fetcher) idle(now time.Duration) bool {
-	return f.active == 0 && len(f.queue) == 0 && now-f.lastProgress >= f.options.Patience
+	return f.active == 0 && len(f.queue) == 0 && now-f.lastProgress >= f.options.ProgressTimeout
 }
 
 // isLate reports whether a chunk without a source is to be asked for: it was
@@ -90,7 +90,7 @@
 // desperate reports whether a chunk has been late for so long that a source
 // that failed before is tried again.
 func (f *Fetcher) desperate(state *chunkState, now time.Duration) bool {
-	return state.late && now-state.lateSince > desperateRounds*f.options.Patience
+	return state.late && now-state.lateSince > desperateRounds*f.options.ProgressTimeout
 }
 
 func (f *Fetcher) makeLate(state *chunkState, now time.Duration) {
@@ -106,15 +106,15 @@
 // the one to read the origin.
 func (f *Fetcher) repair(chunk int, now time.Duration) {
 	state := &f.chunks[chunk]
-	state.nextAsk = now + f.options.Patience
+	state.nextAsk = now + f.options.ProgressTimeout
 	for _, peer := range f.options.Plan.Providers(chunk, f.options.Self) {
 		if !f.isUnreachable(peer, now) && !f.failedSource(state, peer, now) {
-			f.act(Ask, peer, chunk)
+			f.act(Query, peer, chunk)
 			f.escalate(chunk, now)
 			return
 		}
 	}
-	if f.origin < f.options.MaximumFetches {
+	if f.origin < f.options.MaxFetches {
 		f.fetchOrigin(chunk, now)
 	}
 	state.nextAsk = min(state.nextAsk, max(now, state.nextOrigin))
@@ -149,10 +149,10 @@
 // are bounded without anyone counting them.
 func (f *Fetcher) escalate(chunk int, now time.Duration) {
 	waited := now - f.chunks[chunk].lateSince
-	if waited < f.options.Patience {
+	if waited < f.options.ProgressTimeout {
 		return
 	}
-	f.askMates(chunk, int(waited/f.options.Patience), now)
+	f.askMates(chunk, int(waited/f.options.ProgressTimeout), now)
 	turns := f.chunks[chunk].denials / f.deniedEnough()
 	if turns == 0 {
 		return
@@ -172,7 +172,7 @@
 const mateStride = 7
 
 func (f *Fetcher) askMates(chunk, round int, now time.Duration) {
-	mates := f.options.Plan.Mates(f.options.Self)
+	mates := f.options.Plan.Neighbors(f.options.Self)
 	if len(mates) == 0 {
 		return
 	}
@@ -180,7 +180,7 @@
 	for offset := range matesAsked {
 		mate := mates[(start+offset)%len(mates)]
 		if mate != f.options.Self && !f.isDistrusted(mate, now) {
-			f.act(Ask, mate, chunk)
+			f.act(Query, mate, chunk)
 		}
 	}
 }
--- a/coordination/dissemination/roster.go
+++ b/coordination/dissemination/roster.go
@@ -69,8 +69,8 @@
 // Len returns the number of machines.
 func (r *Roster) Len() int { return len(r.places) }
 
-// ZoneMates returns the machines in the same zone, the machine itself included.
-func (r *Roster) ZoneMates(machine MachineID) []MachineID {
+// ZoneMembers returns the machines in the same zone, the machine itself included.
+func (r *Roster) ZoneMembers(machine MachineID) []MachineID {
 	at, known := r.places[machine]
 	if !known {
 		return nil
--- a/coordination/dissemination/schedule.go
+++ b/coordination/dissemination/schedule.go
@@ -20,7 +20,7 @@
 // most machines wait for behind this one, then the earliest.
 func (f *Fetcher) schedule(now time.Duration) {
 	f.scheduleRoots(now)
-	for f.active < f.options.MaximumFetches && len(f.queue) > 0 {
+	for f.active < f.options.MaxFetches && len(f.queue) > 0 {
 		chunk := f.takeUrgent()
 		state := &f.chunks[chunk]
 		state.queued = false
@@ -101,7 +101,7 @@
 		if state.held || state.fetching || state.late || f.hasTrustedSource(state, now) {
 			continue
 		}
-		if f.origin >= f.options.MaximumFetches || f.chunks[chunk].ordinal > f.originLimit() || now < f.originTurn(chunk) {
+		if f.origin >= f.options.MaxFetches || f.chunks[chunk].ordinal > f.originLimit() || now < f.originTurn(chunk) {
 			kept = append(kept, f.rootChunks[i:]...)
 			break
 		}
@@ -145,9 +145,9 @@
 // 1.05, after an absence of 6 s. A machine that is not the chunk's root leaves the next turns to
 // that.
 func (f *Fetcher) originTurnAfterFailure(chunk int, reason FailureReason, now time.Duration) time.Duration {
-	soon := now + f.options.Patience
+	soon := now + f.options.ProgressTimeout
 	cycle := time.Duration(f.missing) * f.options.OriginInterval
-	comes := now-f.lastProgress <= 2*f.options.Patience
+	comes := now-f.lastProgress <= 2*f.options.ProgressTimeout
 	if cycle <= 0 || (comes && reason != Stalled) {
 		return soon
 	}
--- a/coordination/dissemination/schedule_test.go
+++ b/coordination/dissemination/schedule_test.go
@@ -16,16 +16,16 @@
 	)
 	fetcher := NewFetcher(Options{
 		Self: "a", Plan: NewPlan(StrategyRotated, NewRoster([]Machine{{ID: "a", Zone: "z", Region: "r"}})), Chunks: chunks,
-		MaximumFetches: chunks, OriginWindow: chunks, OriginInterval: interval, Patience: time.Second,
+		MaxFetches: chunks, OriginWindow: chunks, OriginInterval: interval, ProgressTimeout: time.Second,
 	})
 	begin := 5 * time.Second
 	fetcher.Start(begin)
 	asked := 0
 	for step := time.Duration(0); step <= chunks*interval; step += interval {
 		fetcher.Tick(begin + step)
-		for _, action := range fetcher.Take() {
+		for _, action := range fetcher.TakeActions() {
 			assert.Equal(t, FetchOrigin, action.Kind)
-			fetcher.Fetched("", action.Chunk, begin+step)
+			fetcher.RecordFetched("", action.Chunk, begin+step)
 			asked++
 		}
 		due := int(step/interval) + originAhead + 1
@@ -48,17 +48,17 @@
 	const chunks = 60
 	fetcher = NewFetcher(Options{
 		Self: "a", Plan: NewPlan(StrategyRotated, NewRoster([]Machine{{ID: "a", Zone: "z", Region: "r"}})), Chunks: chunks,
-		MaximumFetches: 10, OriginWindow: chunks, OriginInterval: pieceTime, Patience: patience, LagChunks: 24,
+		MaxFetches: 10, OriginWindow: chunks, OriginInterval: pieceTime, ProgressTimeout: patience, LagChunks: 24,
 	})
 	fetcher.Start(0)
 	for now := time.Duration(0); now < until; now += lookPeriod {
 		fetcher.Tick(now)
-		for _, action := range fetcher.Take() {
+		for _, action := range fetcher.TakeActions() {
 			attempts = append(attempts, now)
 			if away(now) {
-				fetcher.FetchFailed("", action.Chunk, Unreachable, now)
+				fetcher.RecordFetchFailure("", action.Chunk, Unreachable, now)
 			} else {
-				fetcher.Fetched("", action.Chunk, now)
+				fetcher.RecordFetched("", action.Chunk, now)
 			}
 		}
 	}
@@ -102,8 +102,8 @@
 	}
 	plan := NewPlan(StrategyRotated, NewRoster(machines))
 	fetcher := NewFetcher(Options{
-		Self: "a", Plan: plan, Chunks: 60, MaximumFetches: 10, OriginWindow: 60, OriginInterval: pieceTime,
-		Patience: patience, LagChunks: 24,
+		Self: "a", Plan: plan, Chunks: 60, MaxFetches: 10, OriginWindow: 60, OriginInterval: pieceTime,
+		ProgressTimeout: patience, LagChunks: 24,
 	})
 	fetcher.Start(0)
 	asked := 0
@@ -114,14 +114,14 @@
 	var pending []pendingFetch
 	for now := time.Duration(0); now < 8*time.Second; now += lookPeriod {
 		for len(pending) > 0 && pending[0].ends <= now {
-			fetcher.FetchFailed("", pending[0].chunk, Stalled, now)
+			fetcher.RecordFetchFailure("", pending[0].chunk, Stalled, now)
 			pending = pending[1:]
 		}
 		fetcher.Tick(now)
-		for _, action := range fetcher.Take() {
+		for _, action := range fetcher.TakeActions() {
 			switch action.Kind {
-			case Ask:
-				fetcher.AskDenied(action.Peer, action.Chunk)
+			case Query:
+				fetcher.RecordDenial(action.Peer, action.Chunk)
 			case FetchOrigin:
 				if _, hasParent := plan.Parent(action.Chunk, "a"); hasParent {
 					asked++
@@ -139,7 +139,7 @@
 func TestRootThatLivesIsLeftTheOrigin(t *testing.T) {
 	plan := NewPlan(StrategyRotated, NewRoster([]Machine{{ID: "a", Zone: "z", Region: "r"}, {ID: "b", Zone: "z", Region: "r"}, {ID: "c", Zone: "z", Region: "r"}}))
 	const chunk = 0
-	options := Options{Plan: plan, Chunks: 1, MaximumFetches: 4, OriginInterval: pieceTime, Patience: patience}
+	options := Options{Plan: plan, Chunks: 1, MaxFetches: 4, OriginInterval: pieceTime, ProgressTimeout: patience}
 	for _, self := range []MachineID{"a", "b", "c"} {
 		if _, hasParent := plan.Parent(chunk, self); hasParent {
 			options.Self = self
@@ -149,11 +149,11 @@
 	fetcher.Start(0)
 	_, expected := fetcher.Expects(chunk, time.Second)
 	assert.False(t, expected)
-	fetcher.AskPending("root", chunk, 0, time.Second)
+	fetcher.RecordPending("root", chunk, 0, time.Second)
 	age, expected := fetcher.Expects(chunk, 1200*time.Millisecond)
 	assert.True(t, expected)
 	assert.Equal(t, 200*time.Millisecond, age)
-	fetcher.AskPending("other", chunk, 3*time.Second, 4*time.Second)
+	fetcher.RecordPending("other", chunk, 3*time.Second, 4*time.Second)
 	_, expected = fetcher.Expects(chunk, 4*time.Second)
 	assert.False(t, expected, "others know no better")
 }
--- a/internal/agent/transfer.go
+++ b/internal/agent/transfer.go
@@ -237,7 +237,7 @@
 	t.progress.Chunks = len(manifest.Chunks)
 	t.fetcher = dissemination.NewFetcher(dissemination.Options{
 		Self: t.self(), Plan: t.plan, Chunks: len(manifest.Chunks), Held: held,
-		Patience: t.owner.options.RepairPatience,
+		ProgressTimeout: t.owner.options.RepairPatience,
 	})
 	t.fetcher.Start(t.now())
 	t.owner.node.Log.Log(logging.ManifestFetched, zap.String("model", manifest.Model),
@@ -246,26 +246,26 @@
 
 // take feeds an offer or a question to the fetcher and answers which of the
 // asked chunks can be had here.
-func (t *transfer) take(incoming offer) dissemination.Answer {
+func (t *transfer) take(incoming offer) dissemination.QueryReply {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.fetcher == nil {
-		return dissemination.Answer{}
+		return dissemination.QueryReply{}
 	}
 	defer t.poke()
 	if incoming.Ask {
-		return t.fetcher.AskedFor(incoming.From, incoming.Chunks, int(t.owner.waitingUploads.Load()), t.now())
+		return t.fetcher.HandleQuery(incoming.From, incoming.Chunks, int(t.owner.waitingUploads.Load()), t.now())
 	}
 	for _, chunk := range incoming.Chunks {
-		t.fetcher.Offered(incoming.From, chunk, t.now())
+		t.fetcher.RecordOffer(incoming.From, chunk, t.now())
 	}
-	return dissemination.Answer{}
+	return dissemination.QueryReply{}
 }
 
 // carryOut starts the fetcher's actions.
 func (t *transfer) carryOut(ctx context.Context) {
 	t.mutex.Lock()
-	actions := t.fetcher.Take()
+	actions := t.fetcher.TakeActions()
 	t.mutex.Unlock()
 	turn := dissemination.GroupByPeer(actions)
 	for _, action := range turn.Fetches {
@@ -277,16 +277,16 @@
 }
 
 func (t *transfer) sendOffer(ctx context.Context, message dissemination.Message) {
-	body := offer{From: t.self(), Manifest: t.progress.Manifest, Chunks: message.Chunks, Ask: message.Ask}
+	body := offer{From: t.self(), Manifest: t.progress.Manifest, Chunks: message.Chunks, Ask: message.Query}
 	answer, err := t.postOffer(ctx, message.Peer, body)
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.fetcher.Delivered(message.Peer, message.Chunks, message.Ask, err != nil, answer, t.now())
+	t.fetcher.RecordDelivery(message.Peer, message.Chunks, message.Query, err != nil, answer, t.now())
 	t.poke()
 }
 
-func (t *transfer) postOffer(ctx context.Context, peer dissemination.MachineID, body offer) (dissemination.Answer, error) {
-	var answer dissemination.Answer
+func (t *transfer) postOffer(ctx context.Context, peer dissemination.MachineID, body offer) (dissemination.QueryReply, error) {
+	var answer dissemination.QueryReply
 	address, known := t.owner.addressOf(peer)
 	if !known {
 		return answer, &fault.Unavailable{Target: string(peer), Operation: "offer"}
@@ -322,10 +322,10 @@
 		if t.progress.FirstAt.IsZero() {
 			t.progress.FirstAt = time.Now()
 		}
-		t.fetcher.Fetched(action.Peer, action.Chunk, t.now())
+		t.fetcher.RecordFetched(action.Peer, action.Chunk, t.now())
 		return
 	}
-	t.fetcher.FetchFailed(action.Peer, action.Chunk, t.reasonOf(err, action), t.now())
+	t.fetcher.RecordFetchFailure(action.Peer, action.Chunk, t.reasonOf(err, action), t.now())
 }
 
 func (t *transfer) reasonOf(err error, action dissemination.Action) dissemination.FailureReason {
--- a/internal/agent/weights.go
+++ b/internal/agent/weights.go
@@ -270,7 +270,7 @@
 
 // takeOffer gives an offer to its transfer, or keeps it until the manifest is
 // known.
-func (c *weightsController) takeOffer(incoming offer) dissemination.Answer {
+func (c *weightsController) takeOffer(incoming offer) dissemination.QueryReply {
 	c.mutex.Lock()
 	existing, running := c.transfers[incoming.Manifest]
 	_, manifestHere := c.manifests[incoming.Manifest]
@@ -280,7 +280,7 @@
 			c.earlyCount += len(incoming.Chunks)
 		}
 		c.mutex.Unlock()
-		return dissemination.Answer{}
+		return dissemination.QueryReply{}
 	}
 	c.mutex.Unlock()
 	return existing.take(incoming)
--- a/internal/experiment/rollout/simulation.go
+++ b/internal/experiment/rollout/simulation.go
@@ -219,7 +219,7 @@
 		}
 		copy(m.good, held)
 		m.fetcher = dissemination.NewFetcher(dissemination.Options{
-			Self: m.ID, Plan: plan, Chunks: s.options.Chunks, Held: held, Patience: patience,
+			Self: m.ID, Plan: plan, Chunks: s.options.Chunks, Held: held, ProgressTimeout: patience,
 		})
 	}
 }
@@ -269,11 +269,11 @@
 
 // carryOut does what a fetcher wants.
 func (s *simulation) carryOut(m *machine) {
-	for _, action := range m.fetcher.Take() {
+	for _, action := range m.fetcher.TakeActions() {
 		switch action.Kind {
 		case dissemination.Offer:
 			s.sendOffer(m, action)
-		case dissemination.Ask:
+		case dissemination.Query:
 			s.sendAsk(m, action)
 		case dissemination.Fetch:
 			s.sendFetch(m, action)
--- a/internal/experiment/rollout/transport.go
+++ b/internal/experiment/rollout/transport.go
@@ -29,12 +29,12 @@
 	s.After(controlDelay, func() {
 		peer := s.byID[action.Peer]
 		if s.reachable(m, peer) {
-			peer.fetcher.Offered(m.ID, action.Chunk, s.Now())
+			peer.fetcher.RecordOffer(m.ID, action.Chunk, s.Now())
 			s.carryOut(peer)
 			return
 		}
 		s.After(silenceTimeout, func() {
-			m.fetcher.OfferFailed(action.Peer, action.Chunk, s.Now())
+			m.fetcher.RecordOfferFailure(action.Peer, action.Chunk, s.Now())
 			s.carryOut(m)
 		})
 	})
@@ -46,21 +46,21 @@
 		peer := s.byID[action.Peer]
 		if !s.reachable(m, peer) {
 			s.After(silenceTimeout, func() {
-				m.fetcher.AskFailed(action.Peer, action.Chunk, s.Now())
+				m.fetcher.RecordQueryFailure(action.Peer, action.Chunk, s.Now())
 				s.carryOut(m)
 			})
 			return
 		}
-		held := peer.fetcher.Asked(m.ID, action.Chunk, len(peer.queue), s.Now())
+		held := peer.fetcher.HandleChunkQuery(m.ID, action.Chunk, len(peer.queue), s.Now())
 		s.After(controlDelay, func() {
 			age, expected := peer.fetcher.Expects(action.Chunk, s.Now())
 			switch {
 			case held:
-				m.fetcher.Offered(peer.ID, action.Chunk, s.Now())
+				m.fetcher.RecordOffer(peer.ID, action.Chunk, s.Now())
 			case expected:
-				m.fetcher.AskPending(peer.ID, action.Chunk, age, s.Now())
+				m.fetcher.RecordPending(peer.ID, action.Chunk, age, s.Now())
 			default:
-				m.fetcher.AskDenied(peer.ID, action.Chunk)
+				m.fetcher.RecordDenial(peer.ID, action.Chunk)
 			}
 			s.carryOut(m)
 		})
@@ -215,7 +215,7 @@
 	}
 	// A copy is right when its source's copy was and nothing happened on the way.
 	ended.to.good[ended.chunk] = !corrupt && (ended.from == nil || ended.from.good[ended.chunk])
-	ended.to.fetcher.Fetched(source, ended.chunk, s.Now())
+	ended.to.fetcher.RecordFetched(source, ended.chunk, s.Now())
 	s.carryOut(ended.to)
 	if ended.to.fetcher.Missing() == 0 && ended.to.complete < 0 {
 		ended.to.complete = s.Now()
@@ -253,6 +253,6 @@
 		return
 	}
 	s.result.Failed[reasonNames[reason]]++
-	failed.to.fetcher.FetchFailed(source, failed.chunk, reason, s.Now())
+	failed.to.fetcher.RecordFetchFailure(source, failed.chunk, reason, s.Now())
 	s.carryOut(failed.to)
 }
--- a/internal/rollout/agent.go
+++ b/internal/rollout/agent.go
@@ -260,10 +260,10 @@
 	return nil
 }
 
-func (a *Agent) takeOffer(incoming offer) dissemination.Answer {
+func (a *Agent) takeOffer(incoming offer) dissemination.QueryReply {
 	found := a.transferOf(incoming.Model, incoming.Version)
 	if found == nil {
-		return dissemination.Answer{Lacked: incoming.Pieces}
+		return dissemination.QueryReply{Missing: incoming.Pieces}
 	}
 	return found.take(incoming)
 }
--- a/internal/rollout/peers.go
+++ b/internal/rollout/peers.go
@@ -174,8 +174,8 @@
 	return answer, nil
 }
 
-func (p *peerClient) offer(ctx context.Context, machine dissemination.MachineID, body offer) (dissemination.Answer, error) {
-	var answer dissemination.Answer
+func (p *peerClient) offer(ctx context.Context, machine dissemination.MachineID, body offer) (dissemination.QueryReply, error) {
+	var answer dissemination.QueryReply
 	data, err := cbor.Marshal(body)
 	if err != nil {
 		return answer, &fault.InvalidFrame{Field: "offer", Reason: err.Error()}
--- a/internal/rollout/transfer.go
+++ b/internal/rollout/transfer.go
@@ -188,7 +188,7 @@
 func (t *transfer) fetcherOptions(held []bool) dissemination.Options {
 	return dissemination.Options{
 		Self: t.self(), Plan: t.plan, Chunks: len(held), Held: held, PeersOnly: t.peersOnly.Load(),
-		MaximumFetches: maximumFetches, OriginInterval: t.originPace, LagChunks: lagPieces, Patience: patience, Distrust: distrust,
+		MaxFetches: maximumFetches, OriginInterval: t.originPace, LagChunks: lagPieces, ProgressTimeout: patience, PeerBackoff: distrust,
 	}
 }
 
@@ -216,20 +216,20 @@
 func (t *transfer) takeHolders(holders map[int][]dissemination.MachineID) {
 	for index, machines := range holders {
 		for turn := range machines {
-			t.fetcher.Offered(machines[(index+turn)%len(machines)], index, t.now())
+			t.fetcher.RecordOffer(machines[(index+turn)%len(machines)], index, t.now())
 		}
 	}
 }
 
 // take feeds an offer or a question to the fetcher.
-func (t *transfer) take(incoming offer) dissemination.Answer {
+func (t *transfer) take(incoming offer) dissemination.QueryReply {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.fetcher == nil {
 		if len(t.early) < maximumEarlyOffers {
 			t.early = append(t.early, incoming)
 		}
-		return dissemination.Answer{}
+		return dissemination.QueryReply{}
 	}
 	return t.takeLocked(incoming)
 }
@@ -237,22 +237,22 @@
 // maximumEarlyOffers bounds the offers kept until the manifest is known.
 const maximumEarlyOffers = 512
 
-func (t *transfer) takeLocked(incoming offer) dissemination.Answer {
+func (t *transfer) takeLocked(incoming offer) dissemination.QueryReply {
 	defer t.poke()
 	if incoming.Ask {
-		return t.fetcher.AskedFor(incoming.From, incoming.Pieces, t.agent.uploads.backlog(), t.now())
+		return t.fetcher.HandleQuery(incoming.From, incoming.Pieces, t.agent.uploads.backlog(), t.now())
 	}
 	for _, piece := range incoming.Pieces {
-		t.fetcher.Offered(incoming.From, piece, t.now())
+		t.fetcher.RecordOffer(incoming.From, piece, t.now())
 	}
-	return dissemination.Answer{}
+	return dissemination.QueryReply{}
 }
 
 // carryOut starts what the fetcher wants done.
 func (t *transfer) carryOut(ctx context.Context) {
 	t.mutex.Lock()
 	fetcher := t.fetcher
-	actions := fetcher.Take()
+	actions := fetcher.TakeActions()
 	t.mutex.Unlock()
 	turn := dissemination.GroupByPeer(actions)
 	for _, action := range turn.Fetches {
@@ -264,11 +264,11 @@
 }
 
 func (t *transfer) sendOffer(ctx context.Context, message dissemination.Message) {
-	body := offer{From: t.self(), Model: t.model, Version: t.version(), Pieces: message.Chunks, Ask: message.Ask}
+	body := offer{From: t.self(), Model: t.model, Version: t.version(), Pieces: message.Chunks, Ask: message.Query}
 	answer, err := t.agent.peers.offer(ctx, message.Peer, body)
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.fetcher.Delivered(message.Peer, message.Chunks, message.Ask, err != nil, answer, t.now())
+	t.fetcher.RecordDelivery(message.Peer, message.Chunks, message.Query, err != nil, answer, t.now())
 	t.poke()
 }
 
@@ -292,7 +292,7 @@
 		return
 	}
 	if err != nil {
-		t.fetcher.FetchFailed(action.Peer, action.Chunk, t.judge(err, action), t.now())
+		t.fetcher.RecordFetchFailure(action.Peer, action.Chunk, t.judge(err, action), t.now())
 		return
 	}
 	if action.Kind == dissemination.FetchOrigin {
@@ -302,7 +302,7 @@
 		t.fromPeers += len(content)
 		t.agent.metrics.bytes.WithLabelValues(sourcePeer).Add(float64(len(content)))
 	}
-	t.fetcher.Fetched(action.Peer, action.Chunk, t.now())
+	t.fetcher.RecordFetched(action.Peer, action.Chunk, t.now())
 }
 
 func (t *transfer) readFrom(ctx context.Context, action dissemination.Action) ([]byte, error) {
--- a/internal/rollout/transfer_test.go
+++ b/internal/rollout/transfer_test.go
@@ -34,9 +34,9 @@
 	asked := 0
 	for range pieces {
 		one.fetcher.Tick(one.now())
-		for _, action := range one.fetcher.Take() {
+		for _, action := range one.fetcher.TakeActions() {
 			assert.Equal(t, dissemination.FetchOrigin, action.Kind)
-			one.fetcher.Fetched("", action.Chunk, one.now())
+			one.fetcher.RecordFetched("", action.Chunk, one.now())
 			asked++
 		}
 	}
