--- a/coordination/overlay/overlay.go
+++ b/coordination/overlay/overlay.go
@@ -1,10 +1,10 @@
-// Package overlay decides which processes of a fleet speak with each other. Each
-// zone has a few relays, picked by rendezvous hashing among the members that are
-// alive: every member links to the relays of its zone, some of the relays link to
-// those of other zones, and each follower (a process that only listens) is fed by
-// some of the relays of its zone. The number of links of a member that is no relay
-// does not grow with the fleet. Nobody leads: each process works from the signs of
-// life that it has heard. The package does no I/O and reads no clock.
+// Package overlay computes which processes of a fleet connect to each other. Each
+// zone has a few relays, picked by rendezvous hashing among its live members. Every
+// member links to the relays of its zone, the relays that are gateways link to the
+// gateways of other zones, and each follower (a process that only receives) is fed by
+// some of the relays of its zone. The number of links of a member that is not a relay
+// does not grow with the fleet. There is no leader: each process works from the
+// heartbeats that it has received. The package does no I/O and reads no clock.
 package overlay
 
 import (
@@ -16,32 +16,32 @@
 	"pinevane.example/pinevane/coordination/placement"
 )
 
-// Options describes a member and its overlay.
+// Options configures a member's overlay.
 type Options struct {
-	// Self and Zone are this member's.
+	// Self is the ID of this member, Zone its zone.
 	Self string
 	Zone string
-	// Relays is how many members of each zone relay what its members say; Gates is how
-	// many of these link to the gates of other zones.
+	// Relays is how many members of each zone relay the messages of its members; Gateways
+	// is how many of these link to the gateways of other zones.
 	Relays   int
 	Gateways int
 	// Feeders is how many relays feed each follower.
 	Feeders int
-	// AliveTimeout is the age of its last sign up to which a member counts as alive, unless
+	// AliveTimeout is how long after its last heartbeat a member counts as alive, unless
 	// it is suspected.
 	AliveTimeout time.Duration
-	// MemberTTL is how long a member without signs is remembered.
+	// MemberTTL is how long a member is kept after its last heartbeat.
 	MemberTTL time.Duration
-	// Capacity is this member's own, as in Sign.
+	// Capacity is the capacity of this member, as in MemberInfo.
 	Capacity int
 }
 
-// MemberInfo is what is known of a member: its zone, which is empty for one of which only
-// the address is known, and when it was last heard.
+// MemberInfo is what is known of a member: its zone, which is empty while only the
+// address is known, and the time of its last heartbeat.
 type MemberInfo struct {
 	Zone     string
 	LastSeen time.Time
-	// Capacity ranks members by what their machines can carry, higher first; 0 is unknown.
+	// Capacity ranks members by the capacity of their machines, higher first; 0 is unknown.
 	Capacity int
 }
 
@@ -49,95 +49,95 @@
 	MemberInfo
 	// suspectedAt is when the member last failed to answer this process.
 	suspectedAt time.Time
-	// alive is whether it counted as alive at the last Advance, listed whether it was present
-	// for the roster.
-	alive  bool
-	listed bool
-	// identity is the member's part of the digest.
-	identity uint64
+	// alive and inRoster say whether the member counted as alive, and was part of the
+	// roster, at the last Advance.
+	alive    bool
+	inRoster bool
+	// hash is the member's part of the digest.
+	hash uint64
 }
 
-// Overlay is one member's picture. It is not safe for concurrent use.
+// Overlay is one member's view of the fleet. It is not safe for concurrent use.
 type Overlay struct {
 	options Options
 	members map[string]*member
-	// arrivals counts the members that were new.
-	arrivals uint64
-	// moved is set when more has become known of a member's zone or capacity since the last Advance.
-	moved bool
-	// digest identifies the members present at the last Advance.
+	// joins include the members that were new.
+	joins uint64
+	// infoChanged is set when a member's zone or capacity has changed since the last Advance.
+	infoChanged bool
+	// digest identifies the members of the roster at the last Advance.
 	digest uint64
-	// zones holds the members alive of each zone, in the order of their ranks; this
-	// member is always among those of its own.
-	zones map[string][]string
-	// all holds those that are remembered, dead or alive, in the same way.
-	all map[string][]string
-	// zoneRank is the place of the own zone among zones.
+	// aliveByZone holds the live members of each zone in rank order, and always includes
+	// this member.
+	aliveByZone map[string][]string
+	// knownByZone holds all known members, alive or not, in the same way.
+	knownByZone map[string][]string
+	// zoneRank is the rank of this member's zone among the zones with live members.
 	zoneRank int
-	// feeders keeps the feeders of each follower until the members alive change.
+	// feeders caches the feeders of each follower until the set of live members changes.
 	feeders map[string][]string
 }
 
-// New returns the overlay of a member that knows nobody.
+// New returns the overlay of a member that knows no other members.
 func New(options Options) *Overlay {
 	o := &Overlay{options: options, members: map[string]*member{}}
-	o.digest = o.ownIdentity()
-	o.rank()
+	o.digest = o.ownHash()
+	o.rankMembers()
 	return o
 }
 
-// Observe notes a sign of a member at a time, and reports whether the member was not
-// known before. An empty zone or an unknown capacity leaves what is known.
-func (o *Overlay) Observe(id string, sign MemberInfo, now time.Time) bool {
+// Observe records information about a member, and reports whether the member was
+// unknown before. An empty zone or an unknown capacity does not replace a known one.
+func (o *Overlay) Observe(id string, info MemberInfo, now time.Time) bool {
 	if id == o.options.Self || id == "" {
 		return false
 	}
 	known, exists := o.members[id]
 	if !exists {
-		if now.Sub(sign.LastSeen) > o.options.MemberTTL {
+		if now.Sub(info.LastSeen) > o.options.MemberTTL {
 			return false
 		}
 		known = &member{}
 		o.members[id] = known
-		o.arrivals++
+		o.joins++
 	}
-	known.learn(id, sign, o)
-	if sign.LastSeen.After(known.LastSeen) {
-		known.LastSeen = sign.LastSeen
+	known.updateInfo(id, info, o)
+	if info.LastSeen.After(known.LastSeen) {
+		known.LastSeen = info.LastSeen
 	}
 	return !exists
 }
 
-// learn takes over what a sign tells of a member besides the time.
-func (m *member) learn(id string, sign MemberInfo, o *Overlay) {
+// updateInfo updates a member's zone and capacity.
+func (m *member) updateInfo(id string, info MemberInfo, o *Overlay) {
 	before := m.MemberInfo
-	m.Zone = cmp.Or(sign.Zone, before.Zone)
-	m.Capacity = cmp.Or(sign.Capacity, before.Capacity)
+	m.Zone = cmp.Or(info.Zone, before.Zone)
+	m.Capacity = cmp.Or(info.Capacity, before.Capacity)
 	if m.Zone == before.Zone && m.Capacity == before.Capacity {
 		return
 	}
-	m.identity = identity(id, m.MemberInfo)
-	o.moved = true
+	m.hash = memberHash(id, m.MemberInfo)
+	o.infoChanged = true
 }
 
-func (o *Overlay) ownIdentity() uint64 {
-	return identity(o.options.Self, MemberInfo{Zone: o.options.Zone, Capacity: o.options.Capacity})
+func (o *Overlay) ownHash() uint64 {
+	return memberHash(o.options.Self, MemberInfo{Zone: o.options.Zone, Capacity: o.options.Capacity})
 }
 
-// Suspect notes that a member has not answered this process. It does not count as
-// alive until a later sign of it is heard.
+// Suspect records that a member has not answered this process. It does not count as
+// alive until a later heartbeat arrives.
 func (o *Overlay) Suspect(id string, now time.Time) {
 	if known, exists := o.members[id]; exists {
 		known.suspectedAt = now
 	}
 }
 
-// Advance forgets the members that were not heard for long, and takes those that are
-// alive anew. Between two calls the answers below change with nothing.
+// Advance removes members whose MemberTTL has expired and recomputes which members are
+// alive. The results of the methods below change only with a call of Advance.
 func (o *Overlay) Advance(now time.Time) {
-	changed := o.moved
-	o.moved = false
-	o.digest = o.ownIdentity()
+	changed := o.infoChanged
+	o.infoChanged = false
+	o.digest = o.ownHash()
 	for id, known := range o.members {
 		if now.Sub(known.LastSeen) > o.options.MemberTTL {
 			delete(o.members, id)
@@ -147,41 +147,41 @@
 		alive := known.Zone != "" && now.Sub(known.LastSeen) < o.options.AliveTimeout && known.LastSeen.After(known.suspectedAt)
 		changed = changed || alive != known.alive
 		known.alive = alive
-		known.listed = o.present(known, now)
-		if known.listed {
-			o.digest ^= known.identity
+		known.inRoster = o.isPresent(known, now)
+		if known.inRoster {
+			o.digest ^= known.hash
 		}
 	}
 	if changed {
-		o.rank()
+		o.rankMembers()
 	}
 }
 
-// rank orders the members alive of each zone.
-func (o *Overlay) rank() {
+// rankMembers ranks the members of each zone, and the zones.
+func (o *Overlay) rankMembers() {
 	o.feeders = map[string][]string{}
-	o.zones = o.ranked(func(known *member) bool { return known.alive })
-	o.all = o.ranked(func(known *member) bool { return known.Zone != "" })
-	o.zoneRank = slices.Index(placement.Rank("zone", slices.Collect(maps.Keys(o.zones))), o.options.Zone)
+	o.aliveByZone = o.rankByZone(func(known *member) bool { return known.alive })
+	o.knownByZone = o.rankByZone(func(known *member) bool { return known.Zone != "" })
+	o.zoneRank = slices.Index(placement.Rank("zone", slices.Collect(maps.Keys(o.aliveByZone))), o.options.Zone)
 }
 
-// ranked orders this member and those that are to be counted, zone by zone.
-func (o *Overlay) ranked(counts func(*member) bool) map[string][]string {
+// rankByZone ranks this member and the members for which include is true, by zone.
+func (o *Overlay) rankByZone(include func(*member) bool) map[string][]string {
 	byZone := map[string][]string{o.options.Zone: {o.options.Self}}
 	for id, known := range o.members {
-		if counts(known) {
+		if include(known) {
 			byZone[known.Zone] = append(byZone[known.Zone], id)
 		}
 	}
 	for zone, ids := range byZone {
-		byZone[zone] = o.byCapacity(placement.Rank("relay/"+zone, ids))
+		byZone[zone] = o.sortByCapacity(placement.Rank("relay/"+zone, ids))
 	}
 	return byZone
 }
 
-// byCapacity moves members of larger capacity before the others, each in the order given: what
-// relays send grows with their zone, so that they are to have the links that carry it.
-func (o *Overlay) byCapacity(ids []string) []string {
+// sortByCapacity sorts members by descending capacity and otherwise keeps their order. The
+// traffic of a relay grows with its zone, so relays should be the members with the fastest links.
+func (o *Overlay) sortByCapacity(ids []string) []string {
 	slices.SortStableFunc(ids, func(a, b string) int { return cmp.Compare(o.capacity(b), o.capacity(a)) })
 	return ids
 }
@@ -193,25 +193,25 @@
 	return o.members[id].Capacity
 }
 
-// Rank is this member's place among those of its zone; the first is 0.
-func (o *Overlay) Rank() int { return slices.Index(o.zones[o.options.Zone], o.options.Self) }
+// Rank returns this member's rank among the live members of its zone, from 0.
+func (o *Overlay) Rank() int { return slices.Index(o.aliveByZone[o.options.Zone], o.options.Self) }
 
-// ZoneRank is the place of this member's zone among those with members alive; the first
-// is 0.
+// ZoneRank returns the rank of this member's zone among the zones with live members,
+// from 0.
 func (o *Overlay) ZoneRank() int { return o.zoneRank }
 
 // IsGateway reports whether this member links to other zones.
 func (o *Overlay) IsGateway() bool { return o.Rank() < o.options.Gateways }
 
-// relays are those of a zone.
-func (o *Overlay) relays(zone string) []string { return first(o.zones[zone], o.options.Relays) }
+// relays returns the relays of a zone.
+func (o *Overlay) relays(zone string) []string { return first(o.aliveByZone[zone], o.options.Relays) }
 
 func first(ids []string, count int) []string { return ids[:min(count, len(ids))] }
 
-// Peers lists the members that this one is to have a link with: the relays of its
-// zone, members of unknown zone, and, if it is a gate, those of the other zones. Those
-// that would be relays if they were alive are among them, so that two halves that have
-// lost each other try to meet again.
+// Peers returns the members that this one should have a link with: the relays of its
+// zone, members of unknown zone, and, if it is a gateway, the gateways of the other zones.
+// Members that would be relays if they were alive are included, so that the two sides
+// of a network partition keep trying to reconnect.
 func (o *Overlay) Peers() map[string]bool {
 	wanted := map[string]bool{}
 	for id, known := range o.members {
@@ -219,15 +219,15 @@
 			wanted[id] = true
 		}
 	}
-	for _, ranked := range []map[string][]string{o.zones, o.all} {
+	for _, ranked := range []map[string][]string{o.aliveByZone, o.knownByZone} {
 		o.addPeers(wanted, ranked)
 	}
 	delete(wanted, o.options.Self)
 	return wanted
 }
 
-// addPeers adds the relays of the own zone and, for a gate, the gates of others, by the
-// ranks given.
+// addPeers adds the relays of this member's zone and, for a gateway, the gateways of the
+// other zones, by the given ranking.
 func (o *Overlay) addPeers(wanted map[string]bool, zones map[string][]string) {
 	for zone, ranked := range zones {
 		count := o.options.Relays
@@ -243,9 +243,9 @@
 	}
 }
 
-// IsMutualPeer reports whether another member wants a link with this one as this one does
-// with it, as far as is known here. One of unknown zone was named by an operator only, and
-// need not know of this one.
+// IsMutualPeer reports whether a peer of this member has this member among its own peers,
+// as far as is known here. A peer of unknown zone comes from an operator's settings alone
+// and may not know this member.
 func (o *Overlay) IsMutualPeer(id string) bool {
 	known, exists := o.members[id]
 	if !exists || known.Zone == "" {
@@ -257,15 +257,15 @@
 	return o.IsGateway()
 }
 
-// Feeders are the members that feed a follower of a zone, the main one first: relays
-// of that zone, or gates of all others when none of the zone is alive.
+// Feeders returns the members that feed a follower of a zone, the main one first: relays
+// of that zone, or gateways of all other zones when no member of the zone is alive.
 func (o *Overlay) Feeders(follower, zone string) []string {
 	if known, exists := o.feeders[follower]; exists {
 		return known
 	}
 	candidates := o.relays(zone)
 	if len(candidates) == 0 {
-		for _, ranked := range o.zones {
+		for _, ranked := range o.aliveByZone {
 			candidates = append(candidates, first(ranked, o.options.Gateways)...)
 		}
 	}
@@ -274,26 +274,26 @@
 	return picked
 }
 
-// Feeds reports whether this member feeds a follower, and whether as the main one.
+// Feeds reports whether this member feeds a follower, and whether it is the main feeder.
 func (o *Overlay) Feeds(follower, zone string) (feeds, main bool) {
 	index := slices.Index(o.Feeders(follower, zone), o.options.Self)
 	return index >= 0, index == 0
 }
 
-// Joins counts the members that were new so far.
-func (o *Overlay) Joins() uint64 { return o.arrivals }
+// Joins include the members that were new so far.
+func (o *Overlay) Joins() uint64 { return o.joins }
 
-// Members returns the signs of all members that are remembered, without this one.
+// Members returns what is known of all members except this one.
 func (o *Overlay) Members() map[string]MemberInfo {
-	signs := make(map[string]MemberInfo, len(o.members))
+	infos := make(map[string]MemberInfo, len(o.members))
 	for id, known := range o.members {
-		signs[id] = known.MemberInfo
+		infos[id] = known.MemberInfo
 	}
-	return signs
+	return infos
 }
 
-// IDs lists the members that are remembered, without this one, in order.
+// IDs returns the sorted IDs of all known members except this one.
 func (o *Overlay) IDs() []string { return slices.Sorted(maps.Keys(o.members)) }
 
-// Count returns how many members are remembered, without this one.
+// Count returns the number of known members, without this one.
 func (o *Overlay) Count() int { return len(o.members) }
--- a/coordination/overlay/overlay_test.go
+++ b/coordination/overlay/overlay_test.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	testRelays  = 3
-	testGates   = 2
-	testFeeders = 2
-	testRecent  = 4 * time.Second
-	testMemory  = 12 * time.Second
+	testRelays       = 3
+	testGateways     = 2
+	testFeeders      = 2
+	testAliveTimeout = 4 * time.Second
+	testMemberTTL    = 12 * time.Second
 )
 
 var start = time.Unix(1000, 0)
 
 func options(self, zone string) Options {
-	return Options{Self: self, Zone: zone, Relays: testRelays, Gateways: testGates, Feeders: testFeeders, AliveTimeout: testRecent, MemberTTL: testMemory}
+	return Options{Self: self, Zone: zone, Relays: testRelays, Gateways: testGateways, Feeders: testFeeders, AliveTimeout: testAliveTimeout, MemberTTL: testMemberTTL}
 }
 
 // zonesOf returns the members of a fleet with a number of members in each zone.
@@ -34,8 +34,8 @@
 	return zones
 }
 
-// pictures builds the overlay of each member, each of which knows all others.
-func pictures(zones map[string]string) map[string]*Overlay {
+// buildOverlays returns the overlay of each member; each knows all others.
+func buildOverlays(zones map[string]string) map[string]*Overlay {
 	all := map[string]*Overlay{}
 	for id, zone := range zones {
 		all[id] = New(options(id, zone))
@@ -47,15 +47,15 @@
 	return all
 }
 
-func TestLinksOfAMemberDoNotGrowWithTheFleet(t *testing.T) {
+func TestPeerCountDoesNotGrowWithTheFleet(t *testing.T) {
 	for _, size := range []int{30, 150, 400} {
-		for _, picture := range pictures(zonesOf(size/5, size/5, size/5, size/5, size/5)) {
-			assert.LessOrEqual(t, len(picture.Peers()), testRelays+4*testGates)
+		for _, overlay := range buildOverlays(zonesOf(size/5, size/5, size/5, size/5, size/5)) {
+			assert.LessOrEqual(t, len(overlay.Peers()), testRelays+4*testGateways)
 		}
 	}
 }
 
-// Every member reaches every other one over the links that either wants.
+// Every member reaches every other one over the links that either side opens.
 func TestOverlayIsConnected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var counts []int
@@ -63,18 +63,18 @@
 			counts = append(counts, rapid.IntRange(1, 12).Draw(t, "members"))
 		}
 		zones := zonesOf(counts...)
-		assert.Len(t, reached(pictures(zones)), len(zones))
+		assert.Len(t, reachableMembers(buildOverlays(zones)), len(zones))
 	})
 }
 
-// reached returns the members that news of one of them come to.
-func reached(all map[string]*Overlay) map[string]bool {
+// reachableMembers returns the members that an update from one of them reaches.
+func reachableMembers(all map[string]*Overlay) map[string]bool {
 	links := map[string]map[string]bool{}
 	for id := range all {
 		links[id] = map[string]bool{}
 	}
-	for id, picture := range all {
-		for other := range picture.Peers() {
+	for id, overlay := range all {
+		for other := range overlay.Peers() {
 			if all[other] != nil {
 				links[id][other], links[other][id] = true, true
 			}
@@ -98,12 +98,12 @@
 	return found
 }
 
-// Any number of members die, or are replaced, at once: those who live are connected
-// again as soon as they have found out whom they don't reach.
-func TestSurvivorsMeetAgain(t *testing.T) {
+// After any number of members fail at once, the survivors are connected again as soon
+// as they have detected which members are unreachable.
+func TestSurvivorsReconnect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := zonesOf(rapid.IntRange(1, 10).Draw(t, "first"), rapid.IntRange(1, 10).Draw(t, "second"), rapid.IntRange(1, 10).Draw(t, "third"))
-		all := pictures(zones)
+		all := buildOverlays(zones)
 		for id := range zones {
 			if len(all) > 1 && rapid.Bool().Draw(t, "dies "+id) {
 				delete(all, id)
@@ -112,70 +112,71 @@
 		now := start
 		for range len(zones) + 1 {
 			now = now.Add(100 * time.Millisecond)
-			for _, picture := range all {
-				for other := range picture.Peers() {
+			for _, overlay := range all {
+				for other := range overlay.Peers() {
 					if all[other] == nil {
-						picture.Suspect(other, now)
+						overlay.Suspect(other, now)
 					} else {
-						picture.Observe(other, MemberInfo{Zone: zones[other], LastSeen: now}, now)
+						overlay.Observe(other, MemberInfo{Zone: zones[other], LastSeen: now}, now)
 					}
 				}
 			}
-			for _, picture := range all {
-				picture.Advance(now)
+			for _, overlay := range all {
+				overlay.Advance(now)
 			}
 		}
-		assert.Len(t, reached(all), len(all))
+		assert.Len(t, reachableMembers(all), len(all))
 	})
 }
 
-// Two halves of a zone that have suspected each other still try to meet.
+// Members of a zone that suspect each other keep trying to connect.
 func TestSuspectedRelaysAreStillDialled(t *testing.T) {
-	one := pictures(zonesOf(2))["m0-00"]
+	one := buildOverlays(zonesOf(2))["m0-00"]
 	one.Suspect("m0-01", start.Add(time.Second))
 	one.Advance(start.Add(time.Second))
 	assert.Zero(t, one.Rank())
 	assert.Equal(t, map[string]bool{"m0-01": true}, one.Peers())
 	one.Observe("m0-01", MemberInfo{Zone: "z0", LastSeen: start.Add(2 * time.Second)}, start.Add(2*time.Second))
 	one.Advance(start.Add(2 * time.Second))
-	assert.Len(t, one.zones["z0"], 2, "it counts as alive again")
+	assert.Len(t, one.aliveByZone["z0"], 2, "it counts as alive again")
 }
 
-// One zone is the first for everybody, and another one when its members are gone.
+// All members rank the zones alike, and the next zone becomes the first when all members
+// of the first are suspected.
 func TestZonesAreRanked(t *testing.T) {
-	all := pictures(zonesOf(2, 2, 2))
+	all := buildOverlays(zonesOf(2, 2, 2))
 	ranks := map[string]int{}
-	for _, picture := range all {
-		ranks[picture.options.Zone] = picture.ZoneRank()
+	for _, overlay := range all {
+		ranks[overlay.options.Zone] = overlay.ZoneRank()
 	}
 	assert.Len(t, ranks, 3)
 	assert.ElementsMatch(t, []int{0, 1, 2}, []int{ranks["z0"], ranks["z1"], ranks["z2"]})
-	for id, picture := range all {
-		if ranks[picture.options.Zone] != 1 {
+	for id, overlay := range all {
+		if ranks[overlay.options.Zone] != 1 {
 			continue
 		}
 		for other := range all {
 			if ranks[all[other].options.Zone] == 0 {
-				picture.Suspect(other, start.Add(time.Second))
+				overlay.Suspect(other, start.Add(time.Second))
 			}
 		}
-		picture.Advance(start.Add(time.Second))
-		assert.Zero(t, picture.ZoneRank(), id)
+		overlay.Advance(start.Add(time.Second))
+		assert.Zero(t, overlay.ZoneRank(), id)
 	}
 }
 
-func TestMembersWithoutSignsAreForgotten(t *testing.T) {
-	one := pictures(zonesOf(3))["m0-00"]
-	one.Advance(start.Add(testMemory + time.Second))
+func TestSilentMembersExpire(t *testing.T) {
+	one := buildOverlays(zonesOf(3))["m0-00"]
+	one.Advance(start.Add(testMemberTTL + time.Second))
 	assert.Zero(t, one.Count())
 	assert.Empty(t, one.Peers())
-	assert.False(t, one.Observe("m0-09", MemberInfo{Zone: "z0", LastSeen: start}, start.Add(testMemory+time.Second)), "an old sign brings nobody back")
+	assert.False(t, one.Observe("m0-09", MemberInfo{Zone: "z0", LastSeen: start}, start.Add(testMemberTTL+time.Second)), "an expired heartbeat does not add a member")
 }
 
-// Every follower has its feeders among the relays of its zone, no relay feeds many
-// more followers than the others, and without a member of its zone gates feed it.
+// The feeders of a follower are relays of its zone, no relay feeds many more followers
+// than the others, and gateways feed it when its zone has no live members.
 func TestFeeders(t *testing.T) {
-	one := pictures(zonesOf(30, 30))["m0-00"]
+	one := buildOverlays(zonesOf(30, 30))["m0-00"]
 	fed := map[string]int{}
 	const followers = 300
 	for index := range followers {
@@ -196,7 +197,7 @@
 func BenchmarkAdvance(b *testing.B) {
 	for _, size := range []int{30, 150, 400} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			one := pictures(zonesOf(size/5, size/5, size/5, size/5, size/5))["m0-00"]
+			one := buildOverlays(zonesOf(size/5, size/5, size/5, size/5, size/5))["m0-00"]
 			for b.Loop() {
 				one.Advance(start)
 			}
@@ -204,9 +205,9 @@
 	}
 }
 
-// A member that is known by its address only need not know of this one: it is not left to it to
-// make the link.
-func TestMemberOfUnknownZoneIsNotMutual(t *testing.T) {
+// A member of which only the address is known may not know this one, so this one must not
+// wait for it to open the link.
+func TestMemberOfUnknownZoneIsNotMutualPeer(t *testing.T) {
 	o := New(options("m1", "z0"))
 	o.Observe("m0", MemberInfo{LastSeen: start}, start)
 	o.Advance(start)
--- a/coordination/overlay/roster.go
+++ b/coordination/overlay/roster.go
@@ -9,51 +9,51 @@
 	"pinevane.example/pinevane/coordination/placement"
 )
 
-// lateMargin is how much longer than most of its zone a member must not have been heard for its
-// age to be told by itself. Ages of a zone's members differ by the pace of updates at each hop.
-const lateMargin = 500 * time.Millisecond
+// outlierMargin is how far a member's age must exceed the median of its zone for the age to be
+// sent individually. Ages within a zone differ by the update interval of each hop.
+const outlierMargin = 500 * time.Millisecond
 
-// Roster sums up the members that are present at a process: those of known zone that it has heard
-// within Options.Recent, and itself. Two processes with the same members present refresh each other's
-// signs with it instead of lists, whose size grows with the fleet.
+// Roster summarizes the live members known to a process: itself, and the members of known zone
+// whose last heartbeat is within Options.AliveTimeout. Two processes with the same members refresh
+// each other's heartbeat times with it instead of lists, whose size grows with the fleet.
 type Roster struct {
-	// Digest identifies the members with what is known of each; equal ones tell of the same
-	// members.
+	// Digest identifies the members with their zones and capacities; equal digests stand for the
+	// same members.
 	Digest uint64
-	// Ages bound how long ago the members of each zone were heard, zones in order of name; none are told
-	// by a process that only says whom it knows.
+	// Ages holds, for each zone in order of name, an upper bound of the time since the last heartbeat
+	// of its members. It is empty from a process that only announces which members it knows.
 	Ages []time.Duration
-	// OutlierAges are the ages of members that are not within their zone's.
+	// OutlierAges holds the ages of members that exceed their zone's bound.
 	OutlierAges map[string]time.Duration
 }
 
-// identity is a member's part of the digest.
-func identity(id string, sign MemberInfo) uint64 {
-	return placement.Score(sign.Zone, id) + uint64(sign.Capacity)
+// memberHash returns a member's part of the digest.
+func memberHash(id string, info MemberInfo) uint64 {
+	return placement.Score(info.Zone, id) + uint64(info.Capacity)
 }
 
-// present reports whether a member is part of the roster.
-func (o *Overlay) present(known *member, now time.Time) bool {
+// isPresent reports whether a member is part of the roster.
+func (o *Overlay) isPresent(known *member, now time.Time) bool {
 	return known.Zone != "" && now.Sub(known.LastSeen) < o.options.AliveTimeout
 }
 
-// Digest identifies the members present as of the last Advance.
+// Digest returns the digest of the members in the roster as of the last Advance.
 func (o *Overlay) Digest() uint64 { return o.digest }
 
-// Roster describes the members present as of the last Advance.
+// Roster returns the roster as of the last Advance.
 func (o *Overlay) Roster(now time.Time) Roster {
 	roster := Roster{Digest: o.digest}
 	zones := o.presentByZone(now)
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
 		members := zones[zone]
-		slices.SortFunc(members, func(a, b presence) int { return cmp.Compare(a.age, b.age) })
-		usual := time.Duration(0)
+		slices.SortFunc(members, func(a, b presentMember) int { return cmp.Compare(a.age, b.age) })
+		threshold := time.Duration(0)
 		if len(members) > 0 {
-			usual = members[len(members)/2].age + lateMargin
+			threshold = members[len(members)/2].age + outlierMargin
 		}
 		bound := time.Duration(0)
 		for _, one := range members {
-			if one.age <= usual {
+			if one.age <= threshold {
 				bound = one.age
 				continue
 			}
@@ -67,25 +67,25 @@
 	return roster
 }
 
-// presence is a member that is present, and how long ago it was heard.
-type presence struct {
+// presentMember is a member of the roster and the time since its last heartbeat.
+type presentMember struct {
 	id  string
 	age time.Duration
 }
 
-// presentByZone lists the members present by zone. This member's own zone is always among them.
-func (o *Overlay) presentByZone(now time.Time) map[string][]presence {
-	zones := map[string][]presence{o.options.Zone: nil}
+// presentByZone returns the members of the roster by zone. This member's zone is always included.
+func (o *Overlay) presentByZone(now time.Time) map[string][]presentMember {
+	zones := map[string][]presentMember{o.options.Zone: nil}
 	for id, known := range o.members {
-		if known.listed {
-			zones[known.Zone] = append(zones[known.Zone], presence{id: id, age: max(0, now.Sub(known.LastSeen))})
+		if known.inRoster {
+			zones[known.Zone] = append(zones[known.Zone], presentMember{id: id, age: max(0, now.Sub(known.LastSeen))})
 		}
 	}
 	return zones
 }
 
-// ApplyRoster takes over the ages that another process tells of the members present there, and reports
-// whether it could: that both have the same present. If not, only a list tells what the other knows.
+// ApplyRoster applies the ages in another process's roster. It reports whether it could: both
+// processes must have the same members. Otherwise the other process has to send its full list.
 func (o *Overlay) ApplyRoster(roster Roster, now time.Time) bool {
 	if roster.Digest != o.digest {
 		return false
@@ -101,12 +101,12 @@
 		}
 	}
 	for id, known := range o.members {
-		age, told := ages[known.Zone]
-		if late, isLate := roster.OutlierAges[id]; isLate {
-			age, told = late, true
+		age, hasAge := ages[known.Zone]
+		if outlierAge, isOutlier := roster.OutlierAges[id]; isOutlier {
+			age, hasAge = outlierAge, true
 		}
-		if heard := now.Add(-age); told && known.listed && heard.After(known.LastSeen) {
-			known.LastSeen = heard
+		if lastSeen := now.Add(-age); hasAge && known.inRoster && lastSeen.After(known.LastSeen) {
+			known.LastSeen = lastSeen
 		}
 	}
 	return true
