--- a/coordination/residency/demand.go
+++ b/coordination/residency/demand.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// demandHalfLife is the time in which half of a past demand is forgotten. An entry of a large
-// fleet sees two or three requests a second that only one region may serve: some fifteen of them
-// make up most of the figure.
+// demandHalfLife is the half-life of recorded demand. An entry of a large fleet receives two or
+// three requests per second that only one region may serve, so about fifteen of them make up most
+// of the estimate.
 const demandHalfLife = 4 * time.Second
 
-// Demand is how much time of a region's servers is asked for by requests that may be served
-// nowhere else. Its zero value knows of none. Times are of any one clock.
+// Demand estimates the load of a region by requests that may be served nowhere else. Its zero
+// value stands for no demand. All times must come from the same clock.
 type Demand struct {
-	// asked is a fading sum, in seconds, as of a time.
-	asked float64
-	at    time.Duration
+	// busySeconds is an exponentially decaying sum of service times, as of updatedAt.
+	busySeconds float64
+	updatedAt    time.Duration
 }
 
-// Record notes a request that takes up one server for a time.
-func (d *Demand) Record(taken, now time.Duration) {
-	d.asked = d.faded(now) + taken.Seconds()
-	d.at = now
+// Record adds a request that occupies one server for serviceTime.
+func (d *Demand) Record(serviceTime, now time.Duration) {
+	d.busySeconds = d.decayed(now) + serviceTime.Seconds()
+	d.updatedAt = now
 }
 
-// Servers is how many servers the demand keeps busy.
+// Servers returns how many servers the demand keeps busy.
 func (d *Demand) Servers(now time.Duration) float64 {
-	return d.faded(now) * math.Ln2 / demandHalfLife.Seconds()
+	return d.decayed(now) * math.Ln2 / demandHalfLife.Seconds()
 }
 
-func (d *Demand) faded(now time.Duration) float64 {
-	return d.asked * math.Exp2(-float64(now-d.at)/float64(demandHalfLife))
+func (d *Demand) decayed(now time.Duration) float64 {
+	return d.busySeconds * math.Exp2(-float64(now-d.updatedAt)/float64(demandHalfLife))
 }
--- a/coordination/residency/demand_test.go
+++ b/coordination/residency/demand_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Ten requests a second that take 0.1 s each keep one server busy; what has ended is forgotten.
-func TestDemandIsTheServersThatItKeepsBusy(t *testing.T) {
+// Ten requests per second that take 0.1 s each keep one server busy; past demand decays.
+func TestDemandIsTheNumberOfBusyServers(t *testing.T) {
 	var demand Demand
 	assert.Zero(t, demand.Servers(time.Second))
 	now := time.Duration(0)
--- a/coordination/residency/residency.go
+++ b/coordination/residency/residency.go
@@ -1,30 +1,30 @@
-// Package residency holds the lists of regions that bind where a request may be served. It
+// Package residency holds the lists of regions that restrict where a request may be served. It
 // does no I/O and reads no clock.
 package residency
 
 import "slices"
 
-// AllowedRegions are the regions in which the requests of a route or a tenant may be
+// AllowedRegions lists the regions in which the requests of a route or a tenant may be
 // served, cached and stored. An empty list restricts nothing: the platform publishes one
-// for every route and tenant whose requests may go anywhere, so that it can't stand for
-// "nowhere". A name that is no region of the fleet stays in the list: a list of only such
-// names allows no server at all, because dropping it would leave an empty one.
+// for every route and tenant whose requests may go anywhere, so it can't mean "nowhere".
+// A name that is not a region of the fleet stays in the list, because dropping it could
+// leave an empty list: a list of only such names allows no server at all.
 type AllowedRegions []string
 
-// Restricts reports whether the list rules out any region.
+// Restricts reports whether the list excludes any region.
 func (a AllowedRegions) Restricts() bool { return len(a) > 0 }
 
 // Allows reports whether requests may be served in a region. The empty name stands for a
-// server whose region is not known: only an empty list allows it.
+// server of unknown region, which only an empty list allows.
 func (a AllowedRegions) Allows(region string) bool {
 	return !a.Restricts() || (region != "" && slices.Contains(a, region))
 }
 
-// Residency is every list of regions that binds one request: its route's and its tenant's,
-// under each configuration that it falls under. A region must be in all of them.
+// Residency holds all lists of regions that apply to one request: those of its route and its
+// tenant, in each configuration that applies. A region must be in all of them.
 type Residency []AllowedRegions
 
-// With adds a list, unless it restricts nothing.
+// With returns r with a list added, unless the list restricts nothing.
 func (r Residency) With(regions AllowedRegions) Residency {
 	if !regions.Restricts() {
 		return r
@@ -32,12 +32,12 @@
 	return append(r, regions)
 }
 
-// Merge joins what two configurations bind a request to.
+// Merge returns the restrictions of two configurations together.
 func (r Residency) Merge(other Residency) Residency {
 	return append(slices.Clip(r), other...)
 }
 
-// Restricts reports whether any region is ruled out.
+// Restricts reports whether any region is excluded.
 func (r Residency) Restricts() bool { return len(r) > 0 }
 
 // Allows reports whether the request may be served in a region.
@@ -50,7 +50,7 @@
 	return true
 }
 
-// AllowsAny reports whether the request may be served in a region of some zones.
+// AllowsAny reports whether the request may be served in the region of any of the zones.
 func (r Residency) AllowsAny(regionsOfZones map[string]string) bool {
 	if !r.Restricts() {
 		return true
@@ -63,7 +63,7 @@
 	return false
 }
 
-// Regions lists the names that every list has: none, when the lists contradict each other.
+// Regions returns the names that are in every list: none when the lists contradict each other.
 func (r Residency) Regions() []string {
 	if !r.Restricts() {
 		return nil
