--- a/coordination/overlay/overlay.go
+++ b/coordination/overlay/overlay.go
@@ -61,7 +61,7 @@
 type Overlay struct {
 	options Options
 	members map[string]*member
-	// joins include the members that were new.
+	// joins counts the members added so far.
 	joins uint64
 	// infoChanged is set when a member's zone or capacity has changed since the last Advance.
 	infoChanged bool
@@ -280,7 +280,7 @@
 	return index >= 0, index == 0
 }
 
-// Joins include the members that were new so far.
+// Joins returns how many members have been added so far.
 func (o *Overlay) Joins() uint64 { return o.joins }
 
 // Members returns what is known of all members except this one.
--- a/coordination/turnover/announcement.go
+++ b/coordination/turnover/announcement.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// Times of an announcement.
+// Bounds of the time between an announcement and the switch.
 const (
-	// MinNotice is how long before its change a member announces it: everyone must
-	// have heard by then, so that nothing is sent that would wait for its end.
+	// MinNotice is how long before its switch a member announces it. By then every entry
+	// must have received the announcement, so that no request is sent that would have to
+	// wait for the end of the switch.
 	MinNotice = 250 * time.Millisecond
-	// MaxNotice is after how long a member changes over though requests that were
-	// sent before still wait at it.
+	// MaxNotice is how long after the announcement a member switches even if requests
+	// sent earlier are still queued at it.
 	MaxNotice = time.Second
 )
 
-// Announcement is a member's notice that it is about to change over. The zero value
-// is none.
+// Announcement is a member's announcement that it is about to switch versions. The zero
+// value means that nothing is announced.
 type Announcement struct {
-	since time.Time
+	announcedAt time.Time
 }
 
-// Active reports whether the change is announced.
-func (a *Announcement) Active() bool { return !a.since.IsZero() }
+// Active reports whether the switch has been announced.
+func (a *Announcement) Active() bool { return !a.announcedAt.IsZero() }
 
-// Withdraw takes the announcement back.
-func (a *Announcement) Withdraw() { a.since = time.Time{} }
+// Withdraw cancels the announcement.
+func (a *Announcement) Withdraw() { a.announcedAt = time.Time{} }
 
-// Ready reports whether the member may change over now, and announces the change
-// when that has not been done. Waiting is how many requests have not begun at the
-// member.
+// Ready reports whether the member may switch now, and announces the switch if that
+// has not been done yet. Waiting is the number of requests queued at the member.
 func (a *Announcement) Ready(now time.Time, waiting int) bool {
 	if !a.Active() {
-		a.since = now
+		a.announcedAt = now
 		return false
 	}
-	told := now.Sub(a.since)
-	return told >= MaxNotice || (told >= MinNotice && waiting == 0)
+	elapsed := now.Sub(a.announcedAt)
+	return elapsed >= MaxNotice || (elapsed >= MinNotice && waiting == 0)
 }
--- a/coordination/turnover/announcement_test.go
+++ b/coordination/turnover/announcement_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A change is announced first, waits for the requests sent before, and not for ever.
+// A switch is announced first, then waits for requests sent earlier, for a bounded time.
 func TestAnnouncement(t *testing.T) {
 	start := time.Unix(1000, 0)
 	var announcement Announcement
--- a/coordination/turnover/emptied_test.go
+++ b/coordination/turnover/evacuation_test.go
@@ -8,28 +8,28 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// While a zone is emptied, the servers of the others are as far from each other as the window
-// allows, and those of the emptied one go first.
-func TestTurnsBesideAnEmptiedZone(t *testing.T) {
+// While a zone is evacuated, the servers of the other zones switch as far apart as the window
+// allows, and those of the evacuated zone switch first.
+func TestSwitchOffsetsWithAnEvacuatedZone(t *testing.T) {
 	var members []Member
 	for index := range 6 {
 		members = append(members, Member{ID: fmt.Sprintf("m%d", index), Zone: fmt.Sprintf("z%d", index%3)})
 	}
 	window := Window{Start: time.Second, End: 4 * time.Second}
-	nobody := func(string) bool { return false }
-	emptied := func(zone string) bool { return zone == "z1" }
-	turns := map[time.Duration]bool{}
+	none := func(string) bool { return false }
+	evacuated := func(zone string) bool { return zone == "z1" }
+	offsets := map[time.Duration]bool{}
 	for _, self := range members {
-		assert.Equal(t, SwitchOffset(Order("v", members), self.ID, window), SwitchOffsetWithEvacuation("v", members, self, nobody, window))
-		turn := SwitchOffsetWithEvacuation("v", members, self, emptied, window)
+		assert.Equal(t, SwitchOffset(Order("v", members), self.ID, window), SwitchOffsetWithEvacuation("v", members, self, none, window))
+		offset := SwitchOffsetWithEvacuation("v", members, self, evacuated, window)
 		if self.Zone == "z1" {
-			assert.Equal(t, window.Start, turn)
+			assert.Equal(t, window.Start, offset)
 			continue
 		}
-		turns[turn] = true
+		offsets[offset] = true
 	}
-	assert.Equal(t, map[time.Duration]bool{time.Second: true, 2 * time.Second: true, 3 * time.Second: true, 4 * time.Second: true}, turns)
-	assert.Len(t, members, 6, "the list is left as it was")
+	assert.Equal(t, map[time.Duration]bool{time.Second: true, 2 * time.Second: true, 3 * time.Second: true, 4 * time.Second: true}, offsets)
+	assert.Len(t, members, 6, "the list is not changed")
 	inverted := Window{Start: 5 * time.Second, End: 4 * time.Second}
-	assert.Equal(t, inverted.End, SwitchOffsetWithEvacuation("v", members, members[1], emptied, inverted))
+	assert.Equal(t, inverted.End, SwitchOffsetWithEvacuation("v", members, members[1], evacuated, inverted))
 }
--- a/coordination/turnover/fallback.go
+++ b/coordination/turnover/fallback.go
@@ -2,39 +2,39 @@
 
 import "time"
 
-// Bounds of taking an older version first.
+// Bounds of falling back to an inForce version.
 const (
-	// stallTime is how long no piece of the newest version may come until its source is
-	// taken for away: many times the pace at which an origin hands them out.
+	// stallTime is how long a transfer may go without a new piece until its source counts
+	// as unavailable: many times the interval at which an origin sends pieces.
 	stallTime = 600 * time.Millisecond
-	// worthwhileGain is how much sooner a server must serve with the older version: its
-	// change-over to the newest costs it about as much again.
-	worthwhileGain = 2 * time.Second
-	// worthwhileService is the least time for which the older version must then serve.
-	worthwhileService = 1500 * time.Millisecond
+	// minGain is how much sooner a server must be able to serve with the inForce version:
+	// the later switch to the newest one costs about as much time again.
+	minGain = 2 * time.Second
+	// minService is how long the inForce version must then serve at least.
+	minService = 1500 * time.Millisecond
 )
 
-// SendCutoff is how long before the bound of a version entries send nothing to a server with it over
-// a sound link.
+// SendCutoff is how long before the deadline of a version entries stop sending requests to a server
+// that runs it, over a healthy link.
 const SendCutoff = time.Second
 
-// Transfer tells how far a server is with a version.
+// Transfer is the progress of a server in fetching a version.
 type Transfer struct {
-	// Pieces are those of one copy; Missing have not come, Unsourced of them are held by no
-	// machine known.
+	// Pieces is the number of pieces of one copy, Missing how many have not arrived, and
+	// Unsourced how many of the missing ones no known machine holds.
 	Pieces    int
 	Missing   int
 	Unsourced int
-	// SinceProgress is the time since a piece came, or since the transfer began.
+	// SinceProgress is the time since the last piece arrived or the transfer began.
 	SinceProgress time.Duration
-	// CopyTime is that of one copy over the machine's link, OriginTime over the origin's.
+	// CopyTime is the time for one copy over the machine's link, OriginTime over the origin's link.
 	CopyTime   time.Duration
 	OriginTime time.Duration
 }
 
-// left estimates the time until the last piece is here; false when nobody can tell, because
-// nothing comes.
-func (t Transfer) left() (time.Duration, bool) {
+// remaining estimates the time until the last piece arrives. It returns false when no estimate is
+// possible because the transfer has stalled.
+func (t Transfer) remaining() (time.Duration, bool) {
 	if t.Pieces == 0 || (t.Missing > 0 && t.SinceProgress > stallTime) {
 		return 0, false
 	}
@@ -43,40 +43,42 @@
 	return max(overLink, fromOrigin), true
 }
 
-// ShouldFetchOlder decides whether a server that serves nothing first takes an older version, which
-// its peers hold whole, because the newest is long in coming. Older is the time for which the
-// older one may still begin requests, warm that of taking a version into service. Where half of
-// the servers are replaced while the origin is away for six seconds, they serve four seconds
-// after they come instead of ten: 0.03 to 0.04 of a day's worth.
-func ShouldFetchOlder(newest Transfer, older, warm time.Duration) bool {
-	if newest.Missing == 0 || older-newest.CopyTime-warm < worthwhileService {
+// ShouldFetchOlder reports whether a server that serves nothing should first fetch an older
+// version, of which its peers hold complete copies, because the newest takes long to arrive.
+// InForce is the time for which the older version may still begin requests, activation the time to
+// put a version into service. Where half of the servers are replaced while the origin is
+// unavailable for six seconds, they serve four seconds after their start instead of ten: 0.03 to
+// 0.04 of a day's value.
+func ShouldFetchOlder(newest Transfer, inForce, activation time.Duration) bool {
+	if newest.Missing == 0 || inForce-newest.CopyTime-activation < minService {
 		return false
 	}
-	left, known := newest.left()
-	return !known || left-newest.CopyTime > worthwhileGain
+	remaining, known := newest.remaining()
+	return !known || remaining-newest.CopyTime > minGain
 }
 
-// ShouldKeepOlder decides whether a server goes on with an older version that was not here whole when a
-// newer one was named, beside the newest. InForce is the time for which the older one may still
-// begin requests, warm that of taking a version into service, and lastTurn the time until the last
-// turn at which the server may leave what it serves, 0 for one that serves nothing. The older one
-// is dropped when nothing of it comes any more, when too little service is left in it, and when the
-// newest has left the origin and comes in time. Where the origin ends half a second before a version
-// is named that follows another by three seconds, servers go on with the other until its bound: 0.10
-// of the worth of such a day at 99 servers. On two days on which the origin ends half a second after
-// the naming it is worth nothing.
-func ShouldKeepOlder(newest, older Transfer, inForce, warm, lastTurn time.Duration) bool {
-	olderLeft, comes := older.left()
-	if !comes || newest.Missing == 0 || inForce-olderLeft-warm-SendCutoff < worthwhileService {
+// ShouldKeepOlder reports whether a server continues to fetch an older version, which was
+// incomplete when a newer one was announced, beside the newest. InForce is the time for which the
+// older version may still begin requests, activation the time to put a version into service, and
+// lastSwitch the time until the last point at which the server may stop serving its current
+// version, 0 or less for a server that serves nothing. The older version is dropped when its
+// transfer has stalled, when too little time of service remains for it, and when the newest is
+// fully held by peers and arrives in time. Where the origin fails half a second before the
+// announcement of a version that follows another by three seconds, servers use the other one until
+// its deadline: 0.10 of the value of such a day at 99 servers. On two days on which the origin
+// fails half a second after the announcement there is no gain.
+func ShouldKeepOlder(newest, older Transfer, inForce, activation, lastSwitch time.Duration) bool {
+	olderRemaining, flowing := older.remaining()
+	if !flowing || newest.Missing == 0 || inForce-olderRemaining-activation-SendCutoff < minService {
 		return false
 	}
-	newestLeft, comes := newest.left()
+	newestRemaining, flowing := newest.remaining()
 	switch {
-	case newest.Missing == newest.Pieces || !comes:
+	case newest.Missing == newest.Pieces || !flowing:
 		return true
-	case lastTurn <= 0:
-		return newestLeft-olderLeft > worthwhileGain
+	case lastSwitch <= 0:
+		return newestRemaining-olderRemaining > minGain
 	}
-	// As long as the newest has not left the origin, when it comes is a guess.
-	return newest.Unsourced > 0 || newestLeft > lastTurn
+	// Until all of the newest has left the origin, its arrival time is uncertain.
+	return newest.Unsourced > 0 || newestRemaining > lastSwitch
 }
--- a/coordination/turnover/layers.go
+++ b/coordination/turnover/layers.go
@@ -5,16 +5,17 @@
 	From, To int
 }
 
-// Count is how many layers the range has.
+// Count returns the number of layers in the range.
 func (l Layers) Count() int { return l.To - l.From }
 
-// pieces are the pieces that layers consist of, end exclusive. Two layers may share a piece.
-func (l Layers) pieces(pieces, layers int) (first, end int) {
+// pieceRange returns the range of pieces that the layers consist of, end exclusive. Two adjacent
+// layers may share a piece.
+func (l Layers) pieceRange(pieces, layers int) (first, end int) {
 	return l.From * pieces / layers, (l.To*pieces + layers - 1) / layers
 }
 
-// CompleteLayers returns the longest range of layers, of a number in all, of which every piece is
-// held; the first one of several, and an empty one when no layer is whole.
+// CompleteLayers returns the longest range of layers of which every piece is held, out of layers
+// in total: the first of several equally long ones, an empty range when no layer is complete.
 func CompleteLayers(held []bool, layers int) Layers {
 	var longest, present Layers
 	for layer := range layers {
@@ -30,8 +31,8 @@
 	return longest
 }
 
-func allHeld(held []bool, one Layers, layers int) bool {
-	first, end := one.pieces(len(held), layers)
+func allHeld(held []bool, r Layers, layers int) bool {
+	first, end := r.pieceRange(len(held), layers)
 	for _, here := range held[first:end] {
 		if !here {
 			return false
@@ -40,13 +41,13 @@
 	return first < end
 }
 
-// Pieces lists the pieces that the layers consist of, of a model with a number of pieces and
-// layers.
+// Pieces returns the indexes of the pieces that the layers consist of, in a model with the given
+// numbers of pieces and layers.
 func (l Layers) Pieces(pieces, layers int) []int {
-	first, end := l.pieces(pieces, layers)
-	listed := make([]int, 0, end-first)
+	first, end := l.pieceRange(pieces, layers)
+	indexes := make([]int, 0, end-first)
 	for piece := first; piece < end; piece++ {
-		listed = append(listed, piece)
+		indexes = append(indexes, piece)
 	}
-	return listed
+	return indexes
 }
--- a/coordination/turnover/layers_test.go
+++ b/coordination/turnover/layers_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func heldBut(pieces int, missing ...int) []bool {
+func heldExcept(pieces int, missing ...int) []bool {
 	held := make([]bool, pieces)
 	for index := range held {
 		held[index] = true
@@ -18,31 +18,31 @@
 	return held
 }
 
-func TestWholeLayers(t *testing.T) {
+func TestCompleteLayers(t *testing.T) {
 	for _, one := range []struct {
 		name   string
 		held   []bool
 		layers int
 		want   Layers
 	}{
-		{"everything", heldBut(24), 4, Layers{0, 4}},
+		{"everything", heldExcept(24), 4, Layers{0, 4}},
 		{"nothing", make([]bool, 24), 4, Layers{}},
-		{"the last piece is missing", heldBut(24, 23), 4, Layers{0, 3}},
-		{"the first piece is missing", heldBut(24, 0), 4, Layers{1, 4}},
-		{"a piece in the middle is missing", heldBut(24, 7), 4, Layers{2, 4}},
-		{"one piece of each layer is missing", heldBut(24, 0, 6, 12, 18), 4, Layers{}},
-		{"two ranges of the same length", heldBut(24, 6, 18), 4, Layers{0, 1}},
-		{"a piece that two layers share", heldBut(10, 2), 4, Layers{2, 4}},
-		{"fewer pieces than layers", heldBut(2, 0), 4, Layers{2, 4}},
+		{"the last piece is missing", heldExcept(24, 23), 4, Layers{0, 3}},
+		{"the first piece is missing", heldExcept(24, 0), 4, Layers{1, 4}},
+		{"a piece in the middle is missing", heldExcept(24, 7), 4, Layers{2, 4}},
+		{"one piece of each layer is missing", heldExcept(24, 0, 6, 12, 18), 4, Layers{}},
+		{"two ranges of the same length", heldExcept(24, 6, 18), 4, Layers{0, 1}},
+		{"a piece that two layers share", heldExcept(10, 2), 4, Layers{2, 4}},
+		{"fewer pieces than layers", heldExcept(2, 0), 4, Layers{2, 4}},
 		{"no pieces at all", nil, 4, Layers{}},
-		{"no layers", heldBut(4), 0, Layers{}},
+		{"no layers", heldExcept(4), 0, Layers{}},
 	} {
 		assert.Equal(t, one.want, CompleteLayers(one.held, one.layers), one.name)
 	}
 }
 
-// Every piece of the layers found is held, and no longer range would do.
-func TestWholeLayersAreWhole(t *testing.T) {
+// Every piece of the layers found is held, and no longer range is complete.
+func TestCompleteLayersAreLongest(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 2000 {
 		pieces, layers := 1+random.IntN(40), 1+random.IntN(12)
@@ -50,7 +50,7 @@
 		for index := range held {
 			held[index] = random.Float64() < 0.8
 		}
-		whole := func(one Layers) bool {
+		complete := func(one Layers) bool {
 			for _, piece := range one.Pieces(pieces, layers) {
 				if !held[piece] {
 					return false
@@ -59,10 +59,10 @@
 			return true
 		}
 		found := CompleteLayers(held, layers)
-		assert.True(t, found.Count() == 0 || whole(found))
+		assert.True(t, found.Count() == 0 || complete(found))
 		for from := range layers {
 			for to := from + found.Count() + 1; to <= layers; to++ {
-				assert.False(t, whole(Layers{from, to}), "%v of %d layers in %v, found %v", Layers{from, to}, layers, held, found)
+				assert.False(t, complete(Layers{from, to}), "%v of %d layers in %v, found %v", Layers{from, to}, layers, held, found)
 			}
 		}
 	}
--- a/coordination/turnover/turnover.go
+++ b/coordination/turnover/turnover.go
@@ -1,7 +1,7 @@
-// Package turnover decides when each server of a service changes over to a new
-// version of its weights, so that never many are away at once and all have
-// changed in time. Every machine computes the same turns from its own list of
-// members; nobody leads. It does no I/O and reads no clock.
+// Package turnover schedules when each server of a service switches to a new version
+// of its weights, so that few servers are unavailable at once and all have switched
+// in time. Every machine computes the same schedule from its own list of members;
+// there is no leader. The package does no I/O and reads no clock.
 package turnover
 
 import (
@@ -12,14 +12,15 @@
 	"pinevane.example/pinevane/coordination/placement"
 )
 
-// Member is a server that takes part.
+// Member is a server of the service.
 type Member struct {
 	ID   string
 	Zone string
 }
 
-// Order ranks the members for one version: the zones take turns, so that at no
-// time one zone loses more of its servers than the others.
+// Order returns the order in which the members switch to a version. It interleaves the
+// zones, so that at no time one zone has a larger part of its servers unavailable than
+// the others.
 func Order(key string, members []Member) []string {
 	byZone := map[string][]string{}
 	var zones []string
@@ -32,37 +33,37 @@
 	slices.SortFunc(zones, func(a, b string) int {
 		return cmp.Or(cmp.Compare(len(byZone[b]), len(byZone[a])), cmp.Compare(a, b))
 	})
-	type place struct {
+	type slot struct {
 		id       string
 		fraction float64
 		zone     int
 	}
-	var places []place
+	var slots []slot
 	for zoneIndex, zone := range zones {
 		ranked := placement.Rank(key, byZone[zone])
 		for index, id := range ranked {
-			places = append(places, place{id: id, fraction: (float64(index) + 0.5) / float64(len(ranked)), zone: zoneIndex})
+			slots = append(slots, slot{id: id, fraction: (float64(index) + 0.5) / float64(len(ranked)), zone: zoneIndex})
 		}
 	}
-	slices.SortFunc(places, func(a, b place) int {
+	slices.SortFunc(slots, func(a, b slot) int {
 		return cmp.Or(cmp.Compare(a.fraction, b.fraction), cmp.Compare(a.zone, b.zone))
 	})
-	ordered := make([]string, 0, len(places))
-	for _, one := range places {
-		ordered = append(ordered, one.id)
+	ordered := make([]string, 0, len(slots))
+	for _, next := range slots {
+		ordered = append(ordered, next.id)
 	}
 	return ordered
 }
 
-// Window is the time in which the turns lie, counted from the naming of the
-// version.
+// Window is the interval in which the members switch, counted from the version
+// announcement.
 type Window struct {
 	Start time.Duration
 	End   time.Duration
 }
 
-// SwitchOffset returns when a member's turn is. A member that is not among those ordered
-// goes last.
+// SwitchOffset returns when a member switches, counted from the version announcement. A
+// member that is not in the order switches last.
 func SwitchOffset(ordered []string, id string, window Window) time.Duration {
 	if window.End <= window.Start {
 		return window.End
--- a/coordination/turnover/turnover_test.go
+++ b/coordination/turnover/turnover_test.go
@@ -19,7 +19,7 @@
 	return all
 }
 
-func TestEveryListGivesTheSameOrder(t *testing.T) {
+func TestOrderDoesNotDependOnTheListOrder(t *testing.T) {
 	all := members(4, 7, 3)
 	shuffled := members(4, 7, 3)
 	rand.New(rand.NewPCG(1, 2)).Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
@@ -27,9 +27,9 @@
 	assert.Len(t, Order("m/2", all), 14)
 }
 
-// At every point of the order each zone has given up its fair part, give or take
-// one server.
-func TestZonesTakeTurns(t *testing.T) {
+// At every point of the order each zone has switched its proportional number of servers,
+// plus or minus one.
+func TestOrderInterleavesZones(t *testing.T) {
 	all := members(4, 8, 4)
 	zoneOf := map[string]string{}
 	size := map[string]int{}
@@ -41,18 +41,18 @@
 	for index, id := range Order("m/2", all) {
 		done[zoneOf[id]]++
 		for zone, count := range done {
-			fair := float64(index+1) / float64(len(all)) * float64(size[zone])
-			assert.InDelta(t, fair, count, 1.01, "after %d of %d", index+1, len(all))
+			proportional := float64(index+1) / float64(len(all)) * float64(size[zone])
+			assert.InDelta(t, proportional, count, 1.01, "after %d of %d", index+1, len(all))
 		}
 	}
 }
 
-func TestTurnsFillTheWindow(t *testing.T) {
+func TestSwitchOffsetsFillTheWindow(t *testing.T) {
 	window := Window{Start: 3 * time.Second, End: 7 * time.Second}
 	ordered := []string{"a", "b", "c", "d", "e"}
 	assert.Equal(t, 3*time.Second, SwitchOffset(ordered, "a", window))
 	assert.Equal(t, 5*time.Second, SwitchOffset(ordered, "c", window))
 	assert.Equal(t, 7*time.Second, SwitchOffset(ordered, "e", window))
-	assert.Equal(t, 7*time.Second, SwitchOffset(ordered, "unknown", window), "one that is not listed still goes in time")
-	assert.Equal(t, time.Second, SwitchOffset(ordered, "a", Window{Start: 3 * time.Second, End: time.Second}), "a late start shortens nothing below the end")
+	assert.Equal(t, 7*time.Second, SwitchOffset(ordered, "unknown", window), "a member that is not listed still switches in time")
+	assert.Equal(t, time.Second, SwitchOffset(ordered, "a", Window{Start: 3 * time.Second, End: time.Second}), "a start after the end gives the end")
 }
