--- a/coordination/mirror/changes_test.go
+++ b/coordination/mirror/changes_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestChangesAreListedByTheirLast(t *testing.T) {
+func TestKeysAreOrderedByTheirLastChange(t *testing.T) {
 	changes := NewChangeLog()
 	for revision, key := range []string{"a", "b", "a", "c"} {
 		changes.Add(Record{Key: key, Revision: uint64(revision + 1)})
@@ -18,8 +18,8 @@
 	assert.Empty(t, changes.After(changes.Sequence()))
 }
 
-// Copies that hold the same have the same digest, whatever came before; others differ.
-func TestDigestTellsCopiesApart(t *testing.T) {
+// Copies with equal records have equal digests, whatever their history; other copies differ.
+func TestDigestIdentifiesContents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one, other := NewChangeLog(), NewChangeLog()
 		final := map[string]Record{}
--- a/coordination/mirror/mirror.go
+++ b/coordination/mirror/mirror.go
@@ -1,7 +1,7 @@
-// Package mirror keeps a copy of a store's records from many sources. Every
-// record carries the store's revision of its last change, and the newer revision
-// wins, so that copies converge whatever the order in which updates arrive, and
-// no key ever goes back. It does no I/O and reads no clock.
+// Package mirror keeps a copy of a store's records, received from many sources. Every
+// record carries the store revision of its last change, and the newer revision wins,
+// so that copies converge whatever the order in which updates arrive, and no key ever
+// reverts to an older value. It does no I/O and reads no clock.
 package mirror
 
 import (
@@ -11,7 +11,7 @@
 	"strings"
 )
 
-// Record is one key of the store as of a revision.
+// Record is the state of one key of the store as of a revision.
 type Record struct {
 	Key      string `cbor:"1,keyasint" json:"key"`
 	Value    []byte `cbor:"2,keyasint,omitempty" json:"value,omitempty"`
@@ -20,35 +20,36 @@
 	Deleted bool `cbor:"4,keyasint,omitempty" json:"gone,omitempty"`
 }
 
-// maximumGone bounds the deleted keys that are remembered.
-const maximumGone = 4096
+// maxTombstones bounds the deleted keys that are kept.
+const maxTombstones = 4096
 
-// Mirror is the copy. It is not safe for concurrent use.
+// Mirror is a copy of the records. It is not safe for concurrent use.
 type Mirror struct {
-	records map[string]Record
-	gone    int
+	records    map[string]Record
+	tombstones int
 }
 
 // New returns an empty mirror.
 func New() *Mirror { return &Mirror{records: map[string]Record{}} }
 
-// Merge takes in records and returns those that were news, in the order given.
+// Merge applies records and returns those that were newer than the copy, in the order given.
 func (m *Mirror) Merge(records []Record) []Record {
-	var news []Record
+	var updated []Record
 	for _, record := range records {
 		held, known := m.records[record.Key]
 		if known && held.Revision >= record.Revision {
 			continue
 		}
 		m.put(held, known, record)
-		news = append(news, record)
+		updated = append(updated, record)
 	}
-	m.forget()
-	return news
+	m.pruneTombstones()
+	return updated
 }
 
-// Replace takes in a listing of every key under a prefix that began at a
-// revision. Keys that it lacks and that did not change later are gone.
+// Replace applies a listing of every key under a prefix that began at a revision, and
+// returns the records that changed. Keys that the listing lacks are deleted unless they
+// changed later.
 func (m *Mirror) Replace(prefix string, listed []Record, at uint64) []Record {
 	present := make(map[string]bool, len(listed))
 	for _, record := range listed {
@@ -63,24 +64,24 @@
 	return m.Merge(update)
 }
 
-// Get returns a record that is not gone.
+// Get returns the record of a key that is not deleted.
 func (m *Mirror) Get(key string) (Record, bool) {
 	record, known := m.Lookup(key)
 	return record, known && !record.Deleted
 }
 
-// Lookup returns a record as it is held, which may say that the key is gone.
+// Lookup returns the record of a key, which may be marked as deleted.
 func (m *Mirror) Lookup(key string) (Record, bool) {
 	record, known := m.records[key]
 	return record, known
 }
 
-// Select returns the records under a prefix that are not gone, in order of key.
+// Select returns the records under a prefix that are not deleted, in order of key.
 func (m *Mirror) Select(prefix string) []Record {
 	return slices.DeleteFunc(m.All(prefix), func(record Record) bool { return record.Deleted })
 }
 
-// All returns the records under a prefix, deleted ones included, in order of key.
+// All returns the records under a prefix, including deleted ones, in order of key.
 func (m *Mirror) All(prefix string) []Record {
 	var selected []Record
 	for key, record := range m.records {
@@ -94,23 +95,23 @@
 
 func (m *Mirror) put(held Record, known bool, record Record) {
 	if known && held.Deleted {
-		m.gone--
+		m.tombstones--
 	}
 	if record.Deleted {
-		m.gone++
+		m.tombstones++
 	}
 	m.records[record.Key] = record
 }
 
-// forget drops the oldest half of the deleted keys when there are too many.
-func (m *Mirror) forget() {
-	if m.gone <= maximumGone {
+// pruneTombstones removes the older half of the deleted keys when there are too many.
+func (m *Mirror) pruneTombstones() {
+	if m.tombstones <= maxTombstones {
 		return
 	}
 	deleted := slices.DeleteFunc(slices.Collect(maps.Values(m.records)), func(record Record) bool { return !record.Deleted })
 	slices.SortFunc(deleted, func(a, b Record) int { return cmp.Compare(a.Revision, b.Revision) })
 	for _, record := range deleted[:len(deleted)/2] {
 		delete(m.records, record.Key)
-		m.gone--
+		m.tombstones--
 	}
 }
--- a/coordination/mirror/mirror_test.go
+++ b/coordination/mirror/mirror_test.go
@@ -13,8 +13,8 @@
 	return Record{Key: key, Value: fmt.Appendf(nil, "%s@%d", key, revision), Revision: revision}
 }
 
-// An update that arrives late, from a slower source, changes nothing.
-func TestOlderRecordIsNoNews(t *testing.T) {
+// An update that arrives late from a slower source changes nothing.
+func TestOlderRecordIsIgnored(t *testing.T) {
 	m := New()
 	assert.Len(t, m.Merge([]Record{record("a", 7)}), 1)
 	assert.Empty(t, m.Merge([]Record{record("a", 5), record("a", 7)}))
@@ -23,7 +23,7 @@
 	assert.Equal(t, uint64(7), held.Revision)
 }
 
-// A deletion that was learnt first is not undone by an older write.
+// A deletion that arrives first is not undone by an older write.
 func TestDeletedKeyStaysDeleted(t *testing.T) {
 	m := New()
 	m.Merge([]Record{{Key: "a", Revision: 9, Deleted: true}})
@@ -35,12 +35,12 @@
 	assert.True(t, present)
 }
 
-// A listing takes away what it lacks, but nothing that changed after it began.
+// A listing deletes the keys it lacks, except those that changed after it began.
 func TestListingRemovesWhatItLacks(t *testing.T) {
 	m := New()
 	m.Merge([]Record{record("s/a", 3), record("s/b", 4), record("s/c", 20), record("other", 1)})
-	news := m.Replace("s/", []Record{record("s/b", 4), record("s/d", 9)}, 10)
-	assert.Len(t, news, 2)
+	updated := m.Replace("s/", []Record{record("s/b", 4), record("s/d", 9)}, 10)
+	assert.Len(t, updated, 2)
 	var keys []string
 	for _, held := range m.Select("") {
 		keys = append(keys, held.Key)
@@ -48,7 +48,7 @@
 	assert.Equal(t, []string{"other", "s/b", "s/c", "s/d"}, keys)
 }
 
-// Copies that take the same updates in any order, with repeats, end up equal.
+// Copies that apply the same updates in any order, with repeats, end up equal.
 func TestCopiesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 30).Draw(t, "count")
@@ -69,14 +69,14 @@
 	})
 }
 
-// The memory of deleted keys is bounded, and what is held is never dropped.
+// The number of deleted keys kept is bounded, and present keys are never removed.
 func TestDeletedKeysAreBounded(t *testing.T) {
 	m := New()
 	m.Merge([]Record{record("kept", 1)})
-	for index := range 3 * maximumGone {
+	for index := range 3 * maxTombstones {
 		m.Merge([]Record{{Key: fmt.Sprint(index), Revision: uint64(index + 2), Deleted: true}})
 	}
-	assert.LessOrEqual(t, len(m.All("")), maximumGone+1)
+	assert.LessOrEqual(t, len(m.All("")), maxTombstones+1)
 	_, present := m.Get("kept")
 	assert.True(t, present)
 }
--- a/coordination/turnover/evacuation.go
+++ b/coordination/turnover/evacuation.go
@@ -6,8 +6,8 @@
 )
 
 // SwitchOffsetWithEvacuation returns when a member switches while some zones are evacuated.
-// Servers in evacuated zones receive no requests and switch at the start of the window; the
-// others spread over the whole window, because they alone serve.
+// Their servers receive no requests and switch at the beginning of the window; the
+// others divide the window among themselves, because they are all that serves.
 func SwitchOffsetWithEvacuation(key string, members []Member, self Member, evacuated func(zone string) bool, window Window) time.Duration {
 	if evacuated(self.Zone) {
 		return min(window.Start, window.End)
