--- a/coordination/escrow/escrow_test.go
+++ b/coordination/escrow/escrow_test.go
@@ -8,36 +8,36 @@
 	"pgregory.net/rapid"
 )
 
-func TestADonorDoesWithoutUntilTheGrantHasSurelyExpired(t *testing.T) {
-	donor, borrower := NewAccount(Options{}), NewAccount(Options{})
-	donor.SetBase(0.5, 0)
+func TestLenderGivesUpTheGrantUntilItHasExpired(t *testing.T) {
+	lender, borrower := NewAccount(Options{}), NewAccount(Options{})
+	lender.SetBase(0.5, 0)
 	borrower.SetBase(0.5, 0)
 	now := 11 * time.Second
-	grant := donor.HandleRequest(borrower.NewRequest(0.2, now), 0, now)
+	grant := lender.HandleRequest(borrower.NewRequest(0.2, now), 0, now)
 	assert.True(t, borrower.ApplyGrant(grant, now))
-	assert.InDelta(t, 0.3, donor.Usable(now), 1e-9)
+	assert.InDelta(t, 0.3, lender.Usable(now), 1e-9)
 	assert.InDelta(t, 0.7, borrower.Usable(now), 1e-9)
 	assert.InDelta(t, 0.5, borrower.Usable(now+4*time.Second), 1e-9)
-	assert.InDelta(t, 0.3, donor.Usable(now+4*time.Second), 1e-9)
-	assert.InDelta(t, 0.5, donor.Usable(now+5*time.Second), 1e-9)
+	assert.InDelta(t, 0.3, lender.Usable(now+4*time.Second), 1e-9)
+	assert.InDelta(t, 0.5, lender.Usable(now+5*time.Second), 1e-9)
 }
 
-func TestAGrantThatComesTooLateIsVoid(t *testing.T) {
+func TestLateGrantIsIgnored(t *testing.T) {
 	borrower := NewAccount(Options{})
 	request := borrower.NewRequest(0.2, 0)
 	assert.False(t, borrower.ApplyGrant(Grant{ID: request.ID, Amount: 0.2}, 4*time.Second))
 	assert.Zero(t, borrower.Usable(4*time.Second))
 }
 
-func TestAProcessKeepsAFloor(t *testing.T) {
-	donor := NewAccount(Options{})
-	donor.SetBase(0.4, 0)
+func TestReservedFractionIsNotLent(t *testing.T) {
+	lender := NewAccount(Options{})
+	lender.SetBase(0.4, 0)
 	now := 11 * time.Second
-	donor.HandleRequest(Request{ID: 1, Amount: 1}, 0, now)
-	assert.InDelta(t, 0.2, donor.Usable(now), 1e-9)
+	lender.HandleRequest(Request{ID: 1, Amount: 1}, 0, now)
+	assert.InDelta(t, 0.2, lender.Usable(now), 1e-9)
 }
 
-func TestARaisedShareWaits(t *testing.T) {
+func TestRaisedShareTakesEffectAfterTheDelay(t *testing.T) {
 	account := NewAccount(Options{})
 	account.SetBase(0.5, 0)
 	assert.Zero(t, account.Usable(9*time.Second))
@@ -46,19 +46,19 @@
 	assert.InDelta(t, 0.2, account.Usable(11*time.Second), 1e-9)
 }
 
-// message is a request or grant under way between two accounts.
+// message is a request or grant in flight between two accounts.
 type message struct {
 	from, to int
 	request  *Request
 	grant    *Grant
 }
 
-// explore runs any schedule of asking, losing, delaying, repeating and pausing,
-// and returns the largest sum that was usable at once.
+// explore runs a random schedule of requests, losses, delays and restarts, and
+// returns the largest sum that was usable at once.
 func explore(t *rapid.T, options Options) float64 {
 	const processes = 3
 	var accounts [processes]*Account
-	// Each clock has a zero of its own.
+	// Each process's clock has its own zero.
 	var offset [processes]time.Duration
 	for i := range accounts {
 		accounts[i] = NewAccount(options)
@@ -67,7 +67,7 @@
 	}
 	now := time.Minute
 	largest := 0.0
-	var wire []message
+	var inFlight []message
 	measure := func() {
 		total := 0.0
 		for i, account := range accounts {
@@ -83,47 +83,47 @@
 		"ask": func(t *rapid.T) {
 			from, to := rapid.IntRange(0, processes-1).Draw(t, "from"), rapid.IntRange(0, processes-1).Draw(t, "to")
 			if from == to {
-				t.Skip("nobody asks itself")
+				t.Skip("a process sends no requests to itself")
 			}
 			request := accounts[from].NewRequest(rapid.Float64Range(0, 0.5).Draw(t, "amount"), offset[from]+now)
-			wire = append(wire, message{from: from, to: to, request: &request})
+			inFlight = append(inFlight, message{from: from, to: to, request: &request})
 		},
 		"deliver": func(t *rapid.T) {
-			if len(wire) == 0 {
-				t.Skip("nothing is under way")
+			if len(inFlight) == 0 {
+				t.Skip("nothing is in flight")
 			}
-			index := rapid.IntRange(0, len(wire)-1).Draw(t, "message")
-			delivered := wire[index]
-			wire = append(wire[:index], wire[index+1:]...)
+			index := rapid.IntRange(0, len(inFlight)-1).Draw(t, "message")
+			delivered := inFlight[index]
+			inFlight = append(inFlight[:index], inFlight[index+1:]...)
 			at := offset[delivered.to] + now
 			if delivered.request != nil {
 				grant := accounts[delivered.to].HandleRequest(*delivered.request, 0, at)
-				wire = append(wire, message{from: delivered.to, to: delivered.from, grant: &grant})
+				inFlight = append(inFlight, message{from: delivered.to, to: delivered.from, grant: &grant})
 			} else {
 				accounts[delivered.to].ApplyGrant(*delivered.grant, at)
 			}
 			measure()
 		},
 		"restart": func(t *rapid.T) {
-			// A new life holds nothing until the raise delay has passed, by which time
-			// what the old one lent and borrowed has expired.
+			// A restarted process holds nothing until the raise delay has passed, when all
+			// that the previous incarnation lent and borrowed has expired.
 			index := rapid.IntRange(0, processes-1).Draw(t, "process")
 			accounts[index] = NewAccount(options)
 			accounts[index].SetBase(1.0/processes, offset[index]+now)
-			kept := wire[:0]
-			for _, m := range wire {
+			kept := inFlight[:0]
+			for _, m := range inFlight {
 				if m.to != index {
 					kept = append(kept, m)
 				}
 			}
-			wire = kept
+			inFlight = kept
 			measure()
 		},
 	})
 	return largest
 }
 
-func TestTheSumNeverExceedsTheLimit(t *testing.T) {
+func TestSumNeverExceedsTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		if largest := explore(t, Options{}); largest > 1+1e-9 {
 			t.Fatalf("%.3f of the limit was usable at once", largest)
@@ -131,17 +131,17 @@
 	})
 }
 
-func TestWithoutTheSafeguardTheSumIsExceeded(t *testing.T) {
+func TestSumExceedsTheLimitWithoutTheSafeguard(t *testing.T) {
 	for unsafe, bound := range map[bool]float64{false: 1, true: 1.2} {
 		options := Options{Unsafe: unsafe, RaiseDelay: time.Nanosecond}
-		donor, borrower := NewAccount(options), NewAccount(options)
-		donor.SetBase(0.5, 0)
+		lender, borrower := NewAccount(options), NewAccount(options)
+		lender.SetBase(0.5, 0)
 		borrower.SetBase(0.5, 0)
 		now := time.Second
-		grant := donor.HandleRequest(borrower.NewRequest(0.2, now), 0, now)
-		// The grant arrives late, and the donor looks again after a while.
+		grant := lender.HandleRequest(borrower.NewRequest(0.2, now), 0, now)
+		// The grant arrives late, and the lender reclaims it early.
 		borrower.ApplyGrant(grant, now+time.Second)
 		now += 3 * time.Second
-		assert.InDelta(t, bound, donor.Usable(now)+borrower.Usable(now), 1e-9, "unsafe: %t", unsafe)
+		assert.InDelta(t, bound, lender.Usable(now)+borrower.Usable(now), 1e-9, "unsafe: %t", unsafe)
 	}
 }
--- a/coordination/monotonic/monotonic.go
+++ b/coordination/monotonic/monotonic.go
@@ -1,6 +1,6 @@
-// Package monotonic replicates a versioned set of documents that never goes
-// back to an older version. A Feed is a pure state machine: the caller feeds it
-// updates and takes out updates for others; it does no I/O and reads no clock.
+// Package monotonic replicates a versioned set of documents that never reverts
+// to an older version. A Feed is a pure state machine: the caller applies updates
+// and reads out updates for others; it does no I/O and reads no clock.
 package monotonic
 
 import (
@@ -10,8 +10,8 @@
 	"sort"
 )
 
-// Version orders the states of a publication. Epoch grows when the publishing
-// service starts over with smaller revisions.
+// Version orders the states of a publication. Epoch increases when the publishing
+// service restarts with smaller revisions.
 type Version struct {
 	Epoch    uint64 `cbor:"1,keyasint" json:"epoch"`
 	Revision uint64 `cbor:"2,keyasint" json:"revision"`
@@ -32,7 +32,7 @@
 	return 0
 }
 
-// IsZero reports whether no version was seen yet.
+// IsZero reports whether v is the zero version, which stands for none.
 func (v Version) IsZero() bool { return v == Version{} }
 
 func (v Version) String() string { return fmt.Sprintf("%d.%d", v.Epoch, v.Revision) }
@@ -61,11 +61,11 @@
 	Applied Outcome = iota + 1
 	// Stale means that the update is not newer than the feed.
 	Stale
-	// Gap means that the update starts from a version this feed does not hold.
+	// Gap means that the base of the update is not the feed's version.
 	Gap
 )
 
-// HistoryLimit is how many past versions a feed can produce deltas from.
+// HistoryLimit is the number of past versions for which a feed can produce deltas.
 const HistoryLimit = 64
 
 type change struct {
@@ -77,7 +77,7 @@
 type Feed struct {
 	version   Version
 	documents map[string][]byte
-	// history lists the keys touched by each version, oldest first.
+	// history lists the keys changed by each version, oldest first.
 	history []change
 	// floor is the version before the oldest entry of history.
 	floor Version
@@ -90,8 +90,8 @@
 	return &Feed{documents: map[string][]byte{}, monotonic: true}
 }
 
-// DisableOrdering makes the feed accept older versions. It exists so that
-// tests can show that they notice it.
+// DisableOrdering makes the feed accept older versions, so that tests can show
+// that they detect the fault.
 func (f *Feed) DisableOrdering() { f.monotonic = false }
 
 // Version returns the newest version applied.
@@ -101,7 +101,7 @@
 // must not be changed.
 func (f *Feed) Documents() map[string][]byte { return maps.Clone(f.documents) }
 
-// Apply moves the feed forward, or says why it does not.
+// Apply applies an update, or returns why it can't be applied.
 func (f *Feed) Apply(update Update) Outcome {
 	if f.monotonic && update.Version.Compare(f.version) <= 0 {
 		return Stale
@@ -122,7 +122,7 @@
 	for _, document := range update.Changed {
 		documents[document.Key] = document.Data
 	}
-	touched := differingKeys(f.documents, documents)
+	changed := differingKeys(f.documents, documents)
 	previous := f.version
 	f.documents = documents
 	f.version = update.Version
@@ -131,7 +131,7 @@
 		f.floor = update.Version
 		return
 	}
-	f.remember(change{version: update.Version, keys: touched})
+	f.appendHistory(change{version: update.Version, keys: changed})
 }
 
 func (f *Feed) advance(update Update) {
@@ -145,10 +145,10 @@
 		keys = append(keys, key)
 	}
 	f.version = update.Version
-	f.remember(change{version: update.Version, keys: keys})
+	f.appendHistory(change{version: update.Version, keys: keys})
 }
 
-func (f *Feed) remember(c change) {
+func (f *Feed) appendHistory(c change) {
 	f.history = append(f.history, c)
 	if len(f.history) > HistoryLimit {
 		f.floor = f.history[0].version
@@ -156,14 +156,14 @@
 	}
 }
 
-// Since returns the update that takes a holder of base to the feed's version:
-// a delta when base is within the history, else every document. The second
-// result is false when the holder is already up to date.
+// Since returns the update from base to the feed's version: a delta when base is
+// within the history, else every document. The second result is false when base
+// is up to date.
 func (f *Feed) Since(base Version) (Update, bool) {
 	if base.Compare(f.version) >= 0 {
 		return Update{}, false
 	}
-	keys, known := f.touchedSince(base)
+	keys, known := f.keysChangedSince(base)
 	if !known {
 		return f.full(), true
 	}
@@ -186,7 +186,7 @@
 	return update
 }
 
-func (f *Feed) touchedSince(base Version) ([]string, bool) {
+func (f *Feed) keysChangedSince(base Version) ([]string, bool) {
 	start := -1
 	if base == f.floor && !base.IsZero() {
 		start = 0
@@ -199,13 +199,13 @@
 	if start < 0 {
 		return nil, false
 	}
-	touched := map[string]struct{}{}
+	changed := map[string]struct{}{}
 	for _, c := range f.history[start:] {
 		for _, key := range c.keys {
-			touched[key] = struct{}{}
+			changed[key] = struct{}{}
 		}
 	}
-	return slices.Sorted(maps.Keys(touched)), true
+	return slices.Sorted(maps.Keys(changed)), true
 }
 
 func differingKeys(before, after map[string][]byte) []string {
--- a/coordination/monotonic/monotonic_test.go
+++ b/coordination/monotonic/monotonic_test.go
@@ -13,7 +13,7 @@
 	return Update{Version: version, Changed: documents}
 }
 
-func TestNeverGoesBack(t *testing.T) {
+func TestNeverRevertsToAnOlderVersion(t *testing.T) {
 	feed := NewFeed()
 	assert.Equal(t, Applied, feed.Apply(full(revision(5), Document{Key: "a", Data: []byte("5")})))
 	assert.Equal(t, Stale, feed.Apply(full(revision(4), Document{Key: "a", Data: []byte("4")})))
@@ -21,28 +21,28 @@
 	assert.Equal(t, "5", string(feed.Documents()["a"]))
 }
 
-func TestARestartedServiceGoesOnWithAHigherEpoch(t *testing.T) {
+func TestRestartedServiceContinuesWithAHigherEpoch(t *testing.T) {
 	feed := NewFeed()
 	feed.Apply(full(revision(900)))
 	assert.Equal(t, Applied, feed.Apply(full(Version{Epoch: 2, Revision: 1})))
 }
 
-func TestWithoutOrderingItGoesBack(t *testing.T) {
+func TestWithoutOrderingItReverts(t *testing.T) {
 	feed := NewFeed()
 	feed.DisableOrdering()
 	feed.Apply(full(revision(5)))
 	assert.Equal(t, Applied, feed.Apply(full(revision(4))))
 }
 
-func TestADeltaFromElsewhereIsAGap(t *testing.T) {
+func TestDeltaFromAnotherBaseIsAGap(t *testing.T) {
 	feed := NewFeed()
 	feed.Apply(full(revision(1)))
 	assert.Equal(t, Gap, feed.Apply(Update{Base: revision(2), Version: revision(3)}))
 	assert.Equal(t, revision(1), feed.Version())
 }
 
-// A follower that takes any subset of updates, late, twice and out of order,
-// moves only forward, and ends equal to the source once it has caught up.
+// A follower that applies any subset of updates, late, twice and out of order,
+// never reverts to an older version, and equals the source once it has caught up.
 func TestFollowersConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source, follower := NewFeed(), NewFeed()
@@ -94,6 +94,6 @@
 	assert.Len(t, feed.history, HistoryLimit)
 	delta, _ := feed.Since(revision(5*HistoryLimit - 3))
 	assert.False(t, delta.Base.IsZero())
-	whole, _ := feed.Since(revision(1))
-	assert.True(t, whole.Base.IsZero())
+	complete, _ := feed.Since(revision(1))
+	assert.True(t, complete.Base.IsZero())
 }
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -1,6 +1,6 @@
 // Package placement ranks machines for a key by rendezvous hashing, so that
-// processes with the same list agree without talking, and a change of the list
-// moves only what it must.
+// processes with the same list agree without communication, and a change of the
+// list moves as few keys as possible.
 package placement
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Score is a machine's rank value for a key; higher goes first.
+// Score returns a machine's score for a key; higher scores rank first.
 func Score(key, machine string) uint64 {
 	hasher := xxhash.New()
 	_, _ = hasher.WriteString(key)
@@ -19,18 +19,18 @@
 	return hasher.Sum64()
 }
 
-type scored struct {
+type scoredMachine struct {
 	machine string
 	score   uint64
 }
 
-// Rank returns the machines in order of preference for a key.
+// Rank returns the machines sorted by descending score for a key.
 func Rank(key string, machines []string) []string {
-	ranked := make([]scored, 0, len(machines))
+	ranked := make([]scoredMachine, 0, len(machines))
 	for _, machine := range machines {
-		ranked = append(ranked, scored{machine: machine, score: Score(key, machine)})
+		ranked = append(ranked, scoredMachine{machine: machine, score: Score(key, machine)})
 	}
-	slices.SortFunc(ranked, func(a, b scored) int {
+	slices.SortFunc(ranked, func(a, b scoredMachine) int {
 		if order := cmp.Compare(b.score, a.score); order != 0 {
 			return order
 		}
@@ -49,29 +49,29 @@
 	return ranked[:min(count, len(ranked))]
 }
 
-// Demand asks for replicas of a model on distinct machines of one zone.
+// Demand is the number of replicas of a model wanted on distinct machines of one zone.
 type Demand struct {
 	Model    string
 	Replicas int
 }
 
-// Assign gives each demand its machines, each machine holding at most capacity
-// models. Demands are served in the order given. The result maps a machine to
-// the models it holds; a demand that does not fit gets fewer replicas.
+// Assign assigns machines to each demand, with at most capacity models on each
+// machine. Demands are served in the order given. The result maps a machine to
+// the models assigned to it; a demand that does not fit gets fewer replicas.
 func Assign(demands []Demand, machines []string, capacity int) map[string][]string {
-	held := map[string][]string{}
+	assigned := map[string][]string{}
 	for _, demand := range demands {
 		remaining := demand.Replicas
 		for _, machine := range Rank(demand.Model, machines) {
 			if remaining == 0 {
 				break
 			}
-			if len(held[machine]) >= capacity {
+			if len(assigned[machine]) >= capacity {
 				continue
 			}
-			held[machine] = append(held[machine], demand.Model)
+			assigned[machine] = append(assigned[machine], demand.Model)
 			remaining--
 		}
 	}
-	return held
+	return assigned
 }
