--- a/coordination/dissemination/baselines.go
+++ b/coordination/dissemination/baselines.go
@@ -16,19 +16,19 @@
 func (starPlan) Neighbors(MachineID) []MachineID          { return nil }
 func (starPlan) Height(int, MachineID) int                { return 0 }
 
-// linePlan arranges all machines as one heap-shaped tree over an order that
-// may differ from chunk to chunk.
-type linePlan struct {
+// treePlan arranges all machines as one heap-shaped tree over an order that may
+// differ from chunk to chunk.
+type treePlan struct {
 	arity int
-	// order maps a position to a machine and back for a chunk.
+	// permute maps indexes of machines to positions in the tree of a chunk.
 	machines []MachineID
 	index    map[MachineID]int
 	permute  func(chunk, size int) (multiplier, offset int)
 }
 
-func fixedOrder(int, int) (multiplier, offset int) { return 1, 0 }
+func identityOrder(int, int) (multiplier, offset int) { return 1, 0 }
 
-// hashedOrder derives an affine permutation of the machines from the chunk.
+// hashedOrder returns an affine permutation of the machines, seeded by the chunk.
 func hashedOrder(chunk, size int) (multiplier, offset int) {
 	generator := rand.New(rand.NewPCG(uint64(chunk), 0x9e3779b97f4a7c15))
 	multiplier = 1 + generator.IntN(size)
@@ -38,8 +38,8 @@
 	return multiplier, generator.IntN(size)
 }
 
-func newLinePlan(roster *Roster, arity int, permute func(int, int) (int, int)) *linePlan {
-	plan := &linePlan{arity: arity, index: map[MachineID]int{}, permute: permute}
+func newTreePlan(roster *Roster, arity int, permute func(int, int) (int, int)) *treePlan {
+	plan := &treePlan{arity: arity, index: map[MachineID]int{}, permute: permute}
 	for _, members := range roster.zones {
 		for _, machine := range members.machines {
 			plan.index[machine] = len(plan.machines)
@@ -49,7 +49,7 @@
 	return plan
 }
 
-func (p *linePlan) position(chunk int, self MachineID) (int, bool) {
+func (p *treePlan) position(chunk int, self MachineID) (int, bool) {
 	index, known := p.index[self]
 	if !known {
 		return 0, false
@@ -59,7 +59,7 @@
 	return (index*multiplier + offset) % size, true
 }
 
-func (p *linePlan) machineAt(chunk, position int) MachineID {
+func (p *treePlan) machineAt(chunk, position int) MachineID {
 	size := len(p.machines)
 	multiplier, offset := p.permute(chunk, size)
 	inverse := modularInverse(multiplier%size, size)
@@ -81,7 +81,7 @@
 }
 
 // Parent implements Plan.
-func (p *linePlan) Parent(chunk int, self MachineID) (MachineID, bool) {
+func (p *treePlan) Parent(chunk int, self MachineID) (MachineID, bool) {
 	position, known := p.position(chunk, self)
 	if !known || position == 0 {
 		return "", false
@@ -90,7 +90,7 @@
 }
 
 // Children implements Plan.
-func (p *linePlan) Children(chunk int, self MachineID) []MachineID {
+func (p *treePlan) Children(chunk int, self MachineID) []MachineID {
 	position, known := p.position(chunk, self)
 	if !known {
 		return nil
@@ -103,23 +103,23 @@
 }
 
 // OriginReaders implements Plan.
-func (p *linePlan) OriginReaders(chunk int, _ MachineID) []MachineID {
-	return topReaders(chunk, p.machines)
+func (p *treePlan) OriginReaders(chunk int, _ MachineID) []MachineID {
+	return rankOriginReaders(chunk, p.machines)
 }
 
 // Providers implements Plan.
-func (p *linePlan) Providers(chunk int, self MachineID) []MachineID {
+func (p *treePlan) Providers(chunk int, self MachineID) []MachineID {
 	return ancestorsOf(p, chunk, self)
 }
 
 // Zone implements Plan.
-func (p *linePlan) Zone(MachineID) string { return "" }
+func (p *treePlan) Zone(MachineID) string { return "" }
 
 // Neighbors implements Plan.
-func (p *linePlan) Neighbors(MachineID) []MachineID { return p.machines }
+func (p *treePlan) Neighbors(MachineID) []MachineID { return p.machines }
 
 // Height implements Plan.
-func (p *linePlan) Height(chunk int, self MachineID) int {
+func (p *treePlan) Height(chunk int, self MachineID) int {
 	position, known := p.position(chunk, self)
 	if !known || p.arity == 1 {
 		return 0
@@ -127,21 +127,21 @@
 	return heapHeight(position, len(p.machines), p.arity)
 }
 
-// pullPeers is how many peers a machine announces its chunks to.
+// pullPeers is about how many peers a machine announces its chunks to.
 const pullPeers = 6
 
-// pullPlan gives each machine fixed random peers.
+// pullPlan assigns fixed random peers to each machine.
 type pullPlan struct {
-	line  *linePlan
+	tree  *treePlan
 	peers map[MachineID][]MachineID
 }
 
 func newPullPlan(roster *Roster) *pullPlan {
-	plan := &pullPlan{line: newLinePlan(roster, 1, hashedOrder), peers: map[MachineID][]MachineID{}}
-	for _, machine := range plan.line.machines {
+	plan := &pullPlan{tree: newTreePlan(roster, 1, hashedOrder), peers: map[MachineID][]MachineID{}}
+	for _, machine := range plan.tree.machines {
 		generator := rand.New(rand.NewPCG(xxhash.Sum64String(string(machine)), 1))
-		for range min(pullPeers/2, len(plan.line.machines)-1) {
-			other := plan.line.machines[generator.IntN(len(plan.line.machines))]
+		for range min(pullPeers/2, len(plan.tree.machines)-1) {
+			other := plan.tree.machines[generator.IntN(len(plan.tree.machines))]
 			if other != machine {
 				plan.peers[machine] = append(plan.peers[machine], other)
 				plan.peers[other] = append(plan.peers[other], machine)
@@ -151,9 +151,9 @@
 	return plan
 }
 
-// Parent implements Plan; a machine has no parent but its peers.
+// Parent implements Plan. A machine's parent for a chunk is one of its peers.
 func (p *pullPlan) Parent(chunk int, self MachineID) (MachineID, bool) {
-	if position, known := p.line.position(chunk, self); known && position == 0 {
+	if position, known := p.tree.position(chunk, self); known && position == 0 {
 		return "", false
 	}
 	peers := p.peers[self]
@@ -168,7 +168,7 @@
 
 // OriginReaders implements Plan.
 func (p *pullPlan) OriginReaders(chunk int, self MachineID) []MachineID {
-	return p.line.OriginReaders(chunk, self)
+	return p.tree.OriginReaders(chunk, self)
 }
 
 // Providers implements Plan.
@@ -178,7 +178,7 @@
 func (p *pullPlan) Zone(MachineID) string { return "" }
 
 // Neighbors implements Plan.
-func (p *pullPlan) Neighbors(MachineID) []MachineID { return p.line.machines }
+func (p *pullPlan) Neighbors(MachineID) []MachineID { return p.tree.machines }
 
-// Height implements Plan: a graph has no levels.
+// Height implements Plan. A graph of peers has no levels.
 func (*pullPlan) Height(int, MachineID) int { return 0 }
--- a/coordination/dissemination/batch.go
+++ b/coordination/dissemination/batch.go
@@ -1,44 +1,44 @@
 package dissemination
 
-// Message tells one peer of chunks that are here, or asks it for them. A peer is told of all
-// chunks of a turn at once: each is a request of its own to it otherwise.
+// Message offers chunks to one peer or queries it for them. All chunks of a batch go to a peer in
+// one message, because each message is a request of its own.
 type Message struct {
 	Peer MachineID
-	// Query is set for a question, and not for an offer.
+	// Query is true for a query and false for an offer.
 	Query  bool
 	Chunks []int
 }
 
-// Batch is what a Fetcher wants done at a time.
+// Batch holds the actions that a Fetcher requests at one time.
 type Batch struct {
-	// Messages are the offers and questions, at most one of each for a peer, in the order in
-	// which peers were first named.
+	// Messages holds the offers and queries, at most one of each per peer, in the order of each
+	// peer's first action.
 	Messages []Message
-	// Fetches are the transfers of chunks, of kind Fetch or FetchOrigin.
+	// Fetches holds the transfers of chunks, of kind Fetch or FetchOrigin.
 	Fetches []Action
 }
 
-// GroupByPeer joins the offers and questions to each peer.
+// GroupByPeer combines the offers and queries to each peer.
 func GroupByPeer(actions []Action) Batch {
 	type recipient struct {
-		peer MachineID
-		ask  bool
+		peer  MachineID
+		query bool
 	}
-	var turn Batch
+	var batch Batch
 	indexes := map[recipient]int{}
 	for _, action := range actions {
 		if action.Kind == Fetch || action.Kind == FetchOrigin {
-			turn.Fetches = append(turn.Fetches, action)
+			batch.Fetches = append(batch.Fetches, action)
 			continue
 		}
-		to := recipient{peer: action.Peer, ask: action.Kind == Query}
+		to := recipient{peer: action.Peer, query: action.Kind == Query}
 		index, known := indexes[to]
 		if !known {
-			index = len(turn.Messages)
+			index = len(batch.Messages)
 			indexes[to] = index
-			turn.Messages = append(turn.Messages, Message{Peer: to.peer, Query: to.ask})
+			batch.Messages = append(batch.Messages, Message{Peer: to.peer, Query: to.query})
 		}
-		turn.Messages[index].Chunks = append(turn.Messages[index].Chunks, action.Chunk)
+		batch.Messages[index].Chunks = append(batch.Messages[index].Chunks, action.Chunk)
 	}
-	return turn
+	return batch
 }
--- a/coordination/dissemination/batch_test.go
+++ b/coordination/dissemination/batch_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Offers and questions to one peer go together, each kind in one message; transfers stay single.
+// Offers to one peer go in one message, as do queries; transfers stay single.
 func TestGroupByPeer(t *testing.T) {
-	turn := GroupByPeer([]Action{
+	batch := GroupByPeer([]Action{
 		{Kind: Offer, Peer: "b", Chunk: 1},
 		{Kind: Fetch, Peer: "a", Chunk: 7},
 		{Kind: Query, Peer: "b", Chunk: 2},
@@ -20,7 +20,7 @@
 		{Peer: "b", Chunks: []int{1, 3}},
 		{Peer: "b", Query: true, Chunks: []int{2}},
 		{Peer: "a", Chunks: []int{1}},
-	}, turn.Messages)
-	assert.Equal(t, []Action{{Kind: Fetch, Peer: "a", Chunk: 7}, {Kind: FetchOrigin, Chunk: 8}}, turn.Fetches)
+	}, batch.Messages)
+	assert.Equal(t, []Action{{Kind: Fetch, Peer: "a", Chunk: 7}, {Kind: FetchOrigin, Chunk: 8}}, batch.Fetches)
 	assert.Empty(t, GroupByPeer(nil))
 }
--- a/coordination/dissemination/fetcher.go
+++ b/coordination/dissemination/fetcher.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// ActionKind is what a Fetcher wants done.
+// ActionKind is the kind of an action that a Fetcher requests.
 type ActionKind int
 
 // The kinds of actions.
 const (
-	// Offer tells a peer that this machine holds a chunk.
+	// Offer announces to a peer that this machine holds a chunk.
 	Offer ActionKind = iota + 1
-	// Query asks a peer for a chunk; a peer that lacks it offers it later.
+	// Query queries a peer for a chunk; a peer that lacks it offers it later.
 	Query
 	// Fetch transfers a chunk from a peer, verifies and stores it.
 	Fetch
@@ -20,15 +20,15 @@
 	FetchOrigin
 )
 
-// Action is one thing for the caller to do. The caller reports the end of each
-// Fetch and FetchOrigin, and the failure of each Offer and Ask.
+// Action is an operation for the caller to run. The caller reports the result of each
+// Fetch and FetchOrigin, and the failure of each Offer and Query.
 type Action struct {
 	Kind  ActionKind
 	Peer  MachineID
 	Chunk int
 }
 
-// FailureReason says why a fetch failed.
+// FailureReason is the reason why a fetch failed.
 type FailureReason int
 
 // The failure reasons.
@@ -43,31 +43,32 @@
 	NotHeld
 )
 
-// Options tunes a Fetcher. Times are in the unit of the caller's clock.
+// Options configures a Fetcher. Times are in the unit of the caller's clock.
 type Options struct {
 	Self   MachineID
 	Plan   Plan
 	Chunks int
 	// Held marks the chunks that are already here; nil means none.
 	Held []bool
-	// PeersOnly leaves the origin to others: chunks come from machines that offer them.
+	// PeersOnly makes the machine fetch chunks only from machines that offer them, never from
+	// the origin.
 	PeersOnly bool
-	// MaxFetches is how many transfers from peers, and how many from the
-	// origin, run at once.
+	// MaxFetches is how many transfers from peers, and how many from the origin, run at
+	// once.
 	MaxFetches int
-	// OriginWindow is how many chunks past the number received may be requested from
-	// the origin, so that a fast origin is read at the pace of the fleet's links.
+	// OriginWindow is how many chunks beyond the number received may be requested from
+	// the origin, so that a fast origin is read at the rate of the fleet's links.
 	OriginWindow int
-	// OriginInterval is how long the origin takes for a chunk; 0 when that is not
-	// known. The machines then read their chunks one after the other, so that the
-	// first ones come soon and few connections stand at the origin at a time.
+	// OriginInterval is the time that the origin takes to send a chunk, or 0 when it is
+	// not known. It paces the machines' reads, so that the first chunks arrive early
+	// and few connections to the origin are open at a time.
 	OriginInterval time.Duration
-	// LagChunks is how far a chunk may be behind the highest one heard of before
-	// it counts as late.
+	// LagChunks is how far a chunk may be behind the highest chunk known to be
+	// available before it counts as late.
 	LagChunks int
-	// ProgressTimeout is how long to wait for progress before asking around.
+	// ProgressTimeout is how long to wait for progress before querying peers.
 	ProgressTimeout time.Duration
-	// PeerBackoff is how long a peer that failed is avoided.
+	// PeerBackoff is how long a peer is avoided after a failure.
 	PeerBackoff time.Duration
 }
 
@@ -90,61 +91,63 @@
 	return o
 }
 
-// chunkState is what a Fetcher knows of one chunk.
+// chunkState is the state of one chunk.
 type chunkState struct {
-	// ordinal counts the chunks before this one that were missing at the start.
+	// ordinal is the number of chunks before this one that were missing at the start.
 	ordinal  int
 	held     bool
 	fetching bool
 	queued   bool
-	// late is set once the chunk is to be asked for, since lateSince.
+	// late is set at lateSince, when the chunk is overdue and peers are to be queried.
 	late      bool
 	lateSince time.Duration
-	nextAsk   time.Duration
-	// nextOrigin is when the origin may be asked for the chunk again after it has failed.
+	nextQuery time.Duration
+	// nextOrigin is when the chunk may be requested from the origin again after a failure.
 	nextOrigin time.Duration
-	// pendingAt is when a machine last knew at first hand that the chunk is to come.
+	// pendingAt is when a machine that has a source for the chunk, or reads it from the
+	// origin, last confirmed that the chunk is expected.
 	pendingAt time.Duration
-	// denials counts the answers that the chunk is not there, since one that it is.
+	// denials counts the replies that the chunk is missing since the last one that it is
+	// held or pending.
 	denials int
-	// sources have offered the chunk.
+	// sources are the machines that have offered the chunk.
 	sources []MachineID
-	// interested have asked for the chunk before it was here.
-	interested []MachineID
+	// requesters are the machines that have queried for the chunk before it was here.
+	requesters []MachineID
 }
 
-// Fetcher is the state machine of one machine for one manifest.
+// Fetcher is one machine's state machine for fetching the chunks of one manifest.
 type Fetcher struct {
 	options Options
 	chunks  []chunkState
 	missing int
-	// wanted is how many chunks were missing at the start.
-	wanted int
-	active int
-	// origin counts transfers from the origin under way.
-	origin int
-	// highest is the highest ordinal heard of.
-	highest int
-	// queue lists chunks with a source that are not being fetched.
+	// initiallyMissing is how many chunks were missing at the start.
+	initiallyMissing int
+	peerFetches      int
+	// originFetches counts the transfers from the origin in progress.
+	originFetches int
+	// highestOrdinal is the highest ordinal of a chunk that was offered or fetched.
+	highestOrdinal int
+	// queue lists the chunks with a source that are not being fetched.
 	queue        []int
 	lastProgress time.Duration
 	started      time.Duration
 	peers        map[MachineID]peerState
-	// zones counts, for each zone, the machines that failed since one answered.
+	// zones counts, for each zone, the machines that failed since the last one answered.
 	zones map[string]zoneState
-	// rootChunks lists the chunks this machine is to read from the origin.
+	// rootChunks lists the chunks that this machine reads from the origin.
 	rootChunks []int
 	actions    []Action
 }
 
-// NewFetcher returns a fetcher that has not started.
+// NewFetcher returns a fetcher; Start begins the transfer.
 func NewFetcher(options Options) *Fetcher {
 	fetcher := &Fetcher{
-		options: options.applyDefaults(),
-		chunks:  make([]chunkState, options.Chunks),
-		peers:   map[MachineID]peerState{},
-		zones:   map[string]zoneState{},
-		highest: -1,
+		options:        options.applyDefaults(),
+		chunks:         make([]chunkState, options.Chunks),
+		peers:          map[MachineID]peerState{},
+		zones:          map[string]zoneState{},
+		highestOrdinal: -1,
 	}
 	for chunk := range fetcher.chunks {
 		fetcher.chunks[chunk].ordinal = fetcher.missing
@@ -154,17 +157,17 @@
 		}
 		fetcher.missing++
 	}
-	fetcher.wanted = fetcher.missing
+	fetcher.initiallyMissing = fetcher.missing
 	return fetcher
 }
 
-// Missing returns how many chunks are not here yet.
+// Missing returns the number of chunks that are not here yet.
 func (f *Fetcher) Missing() int { return f.missing }
 
-// HasSource reports whether a peer has offered a chunk that is not here.
+// HasSource reports whether a peer has offered a chunk that is missing here.
 func (f *Fetcher) HasSource(chunk int) bool { return len(f.chunks[chunk].sources) > 0 }
 
-// Unsourced returns how many of the missing chunks are offered by nobody.
+// Unsourced returns how many of the missing chunks no peer has offered.
 func (f *Fetcher) Unsourced() int {
 	count := 0
 	for chunk := range f.chunks {
@@ -175,26 +178,25 @@
 	return count
 }
 
-// LastProgress returns when a chunk last came, or the transfer began.
+// LastProgress returns when the last chunk arrived or the transfer began.
 func (f *Fetcher) LastProgress() time.Duration { return f.lastProgress }
 
 // Holds reports whether a chunk is here.
 func (f *Fetcher) Holds(chunk int) bool { return f.chunks[chunk].held }
 
-// pendingRounds is for how many rounds of asking the word counts that the root of a chunk lives:
-// as many as it takes to reach the last machine of a zone, and some lost answers.
+// pendingRounds is for how many query rounds a confirmation that a chunk is expected stays valid:
+// as many as it takes to reach the last machine of a zone, plus a margin for lost replies.
 const pendingRounds = 8
 
-// trustedRounds is for how many rounds a late chunk is left to a root that lives: for an
-// origin's usual absence of some seconds. One that does not bring it for longer is taken for
-// stuck.
-const trustedRounds = 24
+// rootTrustRounds is for how many query rounds a late chunk is left to a live root, which covers a
+// typical origin outage of some seconds. A root that takes longer counts as stuck.
+const rootTrustRounds = 24
 
-// Expects reports whether a chunk is here, has a source, or is to be read from the origin by
-// this machine or by one that has said so; and how long ago that was known at first hand. So
-// the whole zone knows that the root of a chunk lives while the origin is away, and leaves the
-// origin to it. Ages only grow on the way, so that machines whose lists differ can't keep each
-// other believing.
+// Expects reports whether a chunk is here, has a source, or will be read from the origin by this
+// machine or by one that has confirmed it, and how long ago that was confirmed. So the whole zone
+// knows that the root of a chunk is alive while the origin is unavailable, and leaves the origin to
+// it. Ages only grow from machine to machine, so that machines whose membership lists differ can't
+// keep renewing each other's expectation.
 func (f *Fetcher) Expects(chunk int, now time.Duration) (age time.Duration, expected bool) {
 	if !f.valid(chunk) {
 		return 0, false
@@ -204,7 +206,7 @@
 		return 0, true
 	}
 	age = now - state.pendingAt
-	trusted := !state.late || now-state.lateSince < trustedRounds*f.options.ProgressTimeout
+	trusted := !state.late || now-state.lateSince < rootTrustRounds*f.options.ProgressTimeout
 	return age, trusted && state.pendingAt > 0 && age < pendingRounds*f.options.ProgressTimeout
 }
 
@@ -215,7 +217,7 @@
 	return actions
 }
 
-// Start begins the transfer. Chunks that are already here are offered at once.
+// Start begins the transfer. Chunks that are already here are offered immediately.
 func (f *Fetcher) Start(now time.Duration) {
 	f.lastProgress, f.started = now, now
 	f.SetPlan(f.options.Plan, now)
@@ -243,8 +245,8 @@
 	if !f.valid(chunk) {
 		return
 	}
-	f.reached(from)
-	f.hear(chunk)
+	f.recordReachable(from)
+	f.recordOrdinal(chunk)
 	state := &f.chunks[chunk]
 	if state.held || slices.Contains(state.sources, from) {
 		return
@@ -255,42 +257,42 @@
 	f.schedule(now)
 }
 
-// maximumBacklog is how many uploads may wait at a machine that still invites
-// further ones.
-const maximumBacklog = 4
+// maxBacklog is how many uploads may be queued at a machine that still accepts
+// more.
+const maxBacklog = 4
 
-// HandleChunkQuery answers a peer that wants a chunk: it is held now, or is offered once
-// it is here. The backlog is how many uploads wait at this machine; a busy one
-// does not say that it holds a chunk, so that the peer turns to another.
+// HandleChunkQuery handles a peer's query for a chunk. It reports whether the chunk
+// is held; a missing chunk is offered to the peer once it is here. The backlog is how
+// many uploads are queued at this machine; a busy machine does not report a chunk as
+// held, so that the peer queries another.
 func (f *Fetcher) HandleChunkQuery(from MachineID, chunk int, backlog int, now time.Duration) (held bool) {
 	if !f.valid(chunk) {
 		return false
 	}
-	f.reached(from)
+	f.recordReachable(from)
 	state := &f.chunks[chunk]
-	if !state.held && !slices.Contains(state.interested, from) {
-		state.interested = append(state.interested, from)
+	if !state.held && !slices.Contains(state.requesters, from) {
+		state.requesters = append(state.requesters, from)
 	}
 	if !state.held && !state.fetching && f.isRoot(chunk) {
 		f.fetchOrigin(chunk, now)
 	}
-	f.noteBypass(from, chunk, now)
-	return state.held && backlog <= maximumBacklog
+	f.recordBypass(from, chunk, now)
+	return state.held && backlog <= maxBacklog
 }
 
-// RecordDenial records that a peer answered a question and neither has nor expects
-// the chunk.
+// RecordDenial records a peer's reply that it neither holds nor expects the chunk.
 func (f *Fetcher) RecordDenial(peer MachineID, chunk int) {
-	f.reached(peer)
+	f.recordReachable(peer)
 	if f.valid(chunk) {
 		f.chunks[chunk].denials++
 	}
 }
 
-// RecordPending records that a peer answered a question and has the chunk or expects it, by what
-// was known at first hand an age ago.
+// RecordPending records a peer's reply that it holds or expects the chunk, as confirmed an age
+// ago.
 func (f *Fetcher) RecordPending(peer MachineID, chunk int, age, now time.Duration) {
-	f.reached(peer)
+	f.recordReachable(peer)
 	if f.valid(chunk) {
 		state := &f.chunks[chunk]
 		state.denials = 0
@@ -298,26 +300,26 @@
 	}
 }
 
-// RecordQueryFailure records that a peer did not answer a question.
+// RecordQueryFailure records that a peer did not reply to a query.
 func (f *Fetcher) RecordQueryFailure(peer MachineID, chunk int, now time.Duration) {
-	f.unreached(peer, now)
+	f.recordUnreachable(peer, now)
 	if f.valid(chunk) {
-		f.chunks[chunk].nextAsk = now
+		f.chunks[chunk].nextQuery = now
 	}
 }
 
-// RecordOfferFailure records that a peer did not take an offer; what it would have
-// passed on is offered to its children directly.
+// RecordOfferFailure records that an offer to a peer failed. The chunk is offered to
+// the peer's children directly.
 func (f *Fetcher) RecordOfferFailure(peer MachineID, chunk int, now time.Duration) {
-	f.unreached(peer, now)
+	f.recordUnreachable(peer, now)
 	if f.valid(chunk) {
-		f.offerBelow(peer, chunk, now)
+		f.offerToDescendants(peer, chunk, now)
 	}
 }
 
-// RecordFetched records a verified and stored chunk.
+// RecordFetched records that a chunk was verified and stored.
 func (f *Fetcher) RecordFetched(from MachineID, chunk int, now time.Duration) {
-	f.ended(from)
+	f.endTransfer(from)
 	state := &f.chunks[chunk]
 	state.fetching = false
 	if state.held {
@@ -327,83 +329,85 @@
 	state.sources = nil
 	f.missing--
 	f.lastProgress = now
-	f.hear(chunk)
+	f.recordOrdinal(chunk)
 	f.offerToChildren(chunk, now)
-	f.offerToInterested(chunk)
+	f.offerToRequesters(chunk)
 	f.schedule(now)
 }
 
-// RecordFetchFailure records a transfer that did not give the chunk. An empty source
-// is the origin.
+// RecordFetchFailure records a failed transfer. An empty source stands for the
+// origin.
 func (f *Fetcher) RecordFetchFailure(from MachineID, chunk int, reason FailureReason, now time.Duration) {
-	f.ended(from)
+	f.endTransfer(from)
 	state := &f.chunks[chunk]
 	state.fetching = false
 	state.sources = slices.DeleteFunc(state.sources, func(source MachineID) bool { return source == from })
 	switch {
 	case from == "":
-		f.makeLate(state, now)
-		state.nextOrigin = f.originTurnAfterFailure(chunk, reason, now)
-		state.nextAsk = now + f.options.ProgressTimeout
+		f.markLate(state, now)
+		state.nextOrigin = f.originRetryTime(chunk, reason, now)
+		state.nextQuery = now + f.options.ProgressTimeout
 	case reason == Unreachable:
-		f.unreached(from, now)
+		f.recordUnreachable(from, now)
 	case reason == Stalled || reason == Corrupted:
-		f.distrust(from, now)
+		f.avoid(from, now)
 	}
 	if len(state.sources) > 0 {
 		f.enqueue(chunk)
 	} else {
-		f.makeLate(state, now)
+		f.markLate(state, now)
 	}
 	f.schedule(now)
 }
 
 func (f *Fetcher) valid(chunk int) bool { return chunk >= 0 && chunk < len(f.chunks) }
 
-func (f *Fetcher) hear(chunk int) { f.highest = max(f.highest, f.chunks[chunk].ordinal) }
+func (f *Fetcher) recordOrdinal(chunk int) {
+	f.highestOrdinal = max(f.highestOrdinal, f.chunks[chunk].ordinal)
+}
 
-func (f *Fetcher) ended(from MachineID) {
+func (f *Fetcher) endTransfer(from MachineID) {
 	if from == "" {
-		f.origin--
+		f.originFetches--
 		return
 	}
-	f.active--
+	f.peerFetches--
 }
 
-func (f *Fetcher) act(kind ActionKind, peer MachineID, chunk int) {
+func (f *Fetcher) addAction(kind ActionKind, peer MachineID, chunk int) {
 	f.actions = append(f.actions, Action{Kind: kind, Peer: peer, Chunk: chunk})
 }
 
-func (f *Fetcher) offer(peer MachineID, chunk int) { f.act(Offer, peer, chunk) }
+func (f *Fetcher) offer(peer MachineID, chunk int) { f.addAction(Offer, peer, chunk) }
 
 func (f *Fetcher) offerToChildren(chunk int, now time.Duration) {
-	f.offerBelow(f.options.Self, chunk, now)
+	f.offerToDescendants(f.options.Self, chunk, now)
 }
 
-// offerToInterested offers a chunk to those who asked before it was here and are
-// no children, up to a number that the uplink can serve.
-func (f *Fetcher) offerToInterested(chunk int) {
+// offerToRequesters offers a chunk to the machines that queried for it before it was
+// here and are not children, up to a number that the uplink can serve.
+func (f *Fetcher) offerToRequesters(chunk int) {
 	state := &f.chunks[chunk]
 	children := f.options.Plan.Children(chunk, f.options.Self)
 	offered := 0
-	for _, peer := range state.interested {
-		if offered < maximumBacklog && !slices.Contains(children, peer) {
+	for _, peer := range state.requesters {
+		if offered < maxBacklog && !slices.Contains(children, peer) {
 			f.offer(peer, chunk)
 			offered++
 		}
 	}
-	state.interested = nil
+	state.requesters = nil
 }
 
-// offerBelow offers a chunk to the children of a machine. The children of one
-// that can't pass it on get it from here. No machine is offered it twice, also in
-// plans that are no trees.
-func (f *Fetcher) offerBelow(machine MachineID, chunk int, now time.Duration) {
+// offerToDescendants offers a chunk to the children of a machine. The children of a
+// peer that can't forward it are offered it from here. No machine is offered it twice,
+// even in plans that are not trees.
+func (f *Fetcher) offerToDescendants(machine MachineID, chunk int, now time.Duration) {
 	seen := map[MachineID]bool{f.options.Self: true, machine: true}
-	below := slices.Clone(f.options.Plan.Children(chunk, machine))
-	for len(below) > 0 {
-		peer := below[0]
-		below = below[1:]
+	descendants := slices.Clone(f.options.Plan.Children(chunk, machine))
+	for len(descendants) > 0 {
+		peer := descendants[0]
+		descendants = descendants[1:]
 		if seen[peer] {
 			continue
 		}
@@ -411,8 +415,8 @@
 		if !f.isUnreachable(peer, now) {
 			f.offer(peer, chunk)
 		}
-		if f.isDistrusted(peer, now) {
-			below = append(below, f.options.Plan.Children(chunk, peer)...)
+		if f.isAvoided(peer, now) {
+			descendants = append(descendants, f.options.Plan.Children(chunk, peer)...)
 		}
 	}
 }
--- a/coordination/dissemination/peers.go
+++ b/coordination/dissemination/peers.go
@@ -2,78 +2,79 @@
 
 import "time"
 
-// peerState is why a peer is avoided, and until when.
+// peerState holds until when a peer is avoided, and why.
 type peerState struct {
-	// unreachable peers are sent nothing.
-	unreachable time.Duration
-	// distrusted peers are not fetched from while there is another source.
-	distrusted time.Duration
+	// unreachableUntil is until when nothing is sent to the peer.
+	unreachableUntil time.Duration
+	// avoidedUntil is until when chunks are not fetched from the peer while there is another
+	// source.
+	avoidedUntil time.Duration
 }
 
-// zoneState is what the failures of its machines say of a zone.
+// zoneState counts the failures of a zone's machines.
 type zoneState struct {
 	failures int
-	// until is when the failures are forgotten.
+	// until is when the failures expire.
 	until time.Duration
 }
 
-// cutZoneFailures is how many machines of a zone must fail, with none answering,
-// until the whole zone is taken for unreachable.
-const cutZoneFailures = 3
+// unreachableZoneFailures is how many machines of a zone must fail, with no other
+// answering, until the whole zone counts as unreachable.
+const unreachableZoneFailures = 3
 
-// noteBypass draws a conclusion from a question of a grandchild: it has passed
-// over its parent, which therefore does not send. What that parent is to pass
-// on is offered to its children from here for a while.
-func (f *Fetcher) noteBypass(from MachineID, chunk int, now time.Duration) {
+// recordBypass handles a query from a grandchild. It means that the grandchild's
+// parent does not forward chunks, so for a while this machine offers chunks to that
+// parent's children directly.
+func (f *Fetcher) recordBypass(from MachineID, chunk int, now time.Duration) {
 	parent, exists := f.options.Plan.Parent(chunk, from)
 	if !exists || parent == f.options.Self {
 		return
 	}
 	if grandparent, _ := f.options.Plan.Parent(chunk, parent); grandparent == f.options.Self {
-		f.distrust(parent, now)
+		f.avoid(parent, now)
 	}
 }
 
-func (f *Fetcher) reached(peer MachineID) {
+func (f *Fetcher) recordReachable(peer MachineID) {
 	delete(f.zones, f.options.Plan.Zone(peer))
 	if state, known := f.peers[peer]; known {
-		state.unreachable = 0
+		state.unreachableUntil = 0
 		f.peers[peer] = state
 	}
 }
 
-func (f *Fetcher) unreached(peer MachineID, now time.Duration) {
+func (f *Fetcher) recordUnreachable(peer MachineID, now time.Duration) {
 	state := f.peers[peer]
-	if now >= state.unreachable {
+	if now >= state.unreachableUntil {
 		zone := f.options.Plan.Zone(peer)
-		failed := f.zones[zone]
-		failed.failures++
-		failed.until = now + f.options.PeerBackoff
-		f.zones[zone] = failed
+		failing := f.zones[zone]
+		failing.failures++
+		failing.until = now + f.options.PeerBackoff
+		f.zones[zone] = failing
 	}
-	state.unreachable = now + f.options.PeerBackoff
+	state.unreachableUntil = now + f.options.PeerBackoff
 	f.peers[peer] = state
 }
 
-func (f *Fetcher) distrust(peer MachineID, now time.Duration) {
+func (f *Fetcher) avoid(peer MachineID, now time.Duration) {
 	state := f.peers[peer]
-	state.distrusted = now + f.options.PeerBackoff
+	state.avoidedUntil = now + f.options.PeerBackoff
 	f.peers[peer] = state
 }
 
 func (f *Fetcher) isUnreachable(peer MachineID, now time.Duration) bool {
-	return now < f.peers[peer].unreachable || f.isCutOff(f.options.Plan.Zone(peer), now)
+	return now < f.peers[peer].unreachableUntil || f.isZoneUnreachable(f.options.Plan.Zone(peer), now)
 }
 
-// isCutOff reports whether another zone seems unreachable as a whole.
-func (f *Fetcher) isCutOff(zone string, now time.Duration) bool {
+// isZoneUnreachable reports whether another zone seems unreachable as a whole.
+func (f *Fetcher) isZoneUnreachable(zone string, now time.Duration) bool {
 	state, failing := f.zones[zone]
-	return failing && state.failures >= cutZoneFailures && now < state.until && zone != f.options.Plan.Zone(f.options.Self)
+	return failing && state.failures >= unreachableZoneFailures && now < state.until && zone != f.options.Plan.Zone(f.options.Self)
 }
 
-// parentLost reports whether the machine that is to bring a chunk, which is due,
-// can't be reached.
-func (f *Fetcher) parentLost(chunk int, now time.Duration) bool {
+// parentUnreachable reports whether a chunk is due and the parent that should offer
+// it is unreachable.
+func (f *Fetcher) parentUnreachable(chunk int, now time.Duration) bool {
 	if len(f.peers) == 0 || f.chunks[chunk].ordinal > f.originLimit() {
 		return false
 	}
@@ -81,6 +82,6 @@
 	return exists && f.isUnreachable(parent, now)
 }
 
-func (f *Fetcher) isDistrusted(peer MachineID, now time.Duration) bool {
-	return now < f.peers[peer].distrusted || f.isUnreachable(peer, now)
+func (f *Fetcher) isAvoided(peer MachineID, now time.Duration) bool {
+	return now < f.peers[peer].avoidedUntil || f.isUnreachable(peer, now)
 }
--- a/coordination/dissemination/plan_test.go
+++ b/coordination/dissemination/plan_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func machines(zones, perZone int) []Machine {
+func machinesInZones(zones, perZone int) []Machine {
 	var list []Machine
 	for zone := range zones {
 		for index := range perZone {
@@ -25,7 +25,7 @@
 // the origin, is its parent's child, and is reached from a root.
 func TestPlansReachEveryMachineOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		list := machines(rapid.IntRange(1, 6).Draw(t, "zones"), rapid.IntRange(1, 20).Draw(t, "machines"))
+		list := machinesInZones(rapid.IntRange(1, 6).Draw(t, "zones"), rapid.IntRange(1, 20).Draw(t, "machines"))
 		chunk := rapid.IntRange(0, 500).Draw(t, "chunk")
 		strategy := rapid.SampledFrom([]Strategy{StrategyChain, StrategyTree, StrategyRotated}).Draw(t, "strategy")
 		copies := rapid.IntRange(1, 4).Draw(t, "copies")
@@ -38,7 +38,7 @@
 				return
 			}
 			for _, child := range plan.Children(chunk, machine) {
-				if parent, has := plan.Parent(chunk, child); !has || parent != machine {
+				if parent, hasParent := plan.Parent(chunk, child); !hasParent || parent != machine {
 					t.Fatalf("%s is a child of %s, but has the parent %s", child, machine, parent)
 				}
 				walk(child)
@@ -46,7 +46,7 @@
 		}
 		roots := 0
 		for _, machine := range list {
-			if _, has := plan.Parent(chunk, machine.ID); !has {
+			if _, hasParent := plan.Parent(chunk, machine.ID); !hasParent {
 				roots++
 				walk(machine.ID)
 			}
@@ -62,8 +62,8 @@
 	})
 }
 
-func TestRotationSharesTheWork(t *testing.T) {
-	list := machines(1, 50)
+func TestRotationBalancesUploads(t *testing.T) {
+	list := machinesInZones(1, 50)
 	plan := NewPlan(StrategyRotated, NewRoster(list))
 	const chunks = 500
 	for _, machine := range list {
@@ -76,7 +76,7 @@
 }
 
 func TestRostersDoNotDependOnOrder(t *testing.T) {
-	list := machines(3, 7)
+	list := machinesInZones(3, 7)
 	reversed := make([]Machine, 0, len(list))
 	for i := range list {
 		reversed = append(reversed, list[len(list)-1-i])
@@ -84,22 +84,22 @@
 	assert.Equal(t, NewRoster(list), NewRoster(reversed))
 }
 
-// A fetcher survives any message about any chunk, from anybody, twice or late.
-func TestFetcherTakesAnyHistory(t *testing.T) {
+// A fetcher accepts any message about any chunk from any machine, also repeated or late.
+func TestFetcherAcceptsAnyMessageHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		list := machines(2, 4)
+		list := machinesInZones(2, 4)
 		plan := NewPlan(StrategyRotated, NewRoster(list))
 		const chunks = 8
-		fetcher := NewFetcher(Options{Self: list[0].ID, Plan: plan, Chunks: chunks, ProgressTimeout: 1})
-		fetcher.Start(0)
+		f := NewFetcher(Options{Self: list[0].ID, Plan: plan, Chunks: chunks, ProgressTimeout: 1})
+		f.Start(0)
 		running := map[Action]bool{}
 		now := time.Duration(0)
 		collect := func() {
-			for _, action := range fetcher.TakeActions() {
+			for _, action := range f.TakeActions() {
 				if action.Kind != Fetch && action.Kind != FetchOrigin {
 					continue
 				}
-				if fetcher.Holds(action.Chunk) {
+				if f.Holds(action.Chunk) {
 					t.Fatalf("fetches chunk %d, which it holds", action.Chunk)
 				}
 				running[action] = true
@@ -108,20 +108,17 @@
 		peer := func() MachineID { return list[rapid.IntRange(0, len(list)-1).Draw(t, "peer")].ID }
 		chunk := func() int { return rapid.IntRange(-1, chunks).Draw(t, "chunk") }
 		t.Repeat(map[string]func(*rapid.T){
-			"offered": func(*rapid.T) { fetcher.RecordOffer(peer(), chunk(), now); collect() },
-			"asked":   func(*rapid.T) { fetcher.HandleChunkQuery(peer(), chunk(), 0, now); collect() },
-			"failed": func(*rapid.T) {
-				fetcher.RecordQueryFailure(peer(), chunk(), now)
-				fetcher.RecordOfferFailure(peer(), chunk(), now)
-			},
-			"tick": func(*rapid.T) { now += 3; fetcher.Tick(now); collect() },
+			"offered": func(*rapid.T) { f.RecordOffer(peer(), chunk(), now); collect() },
+			"asked":   func(*rapid.T) { f.HandleChunkQuery(peer(), chunk(), 0, now); collect() },
+			"failed":  func(*rapid.T) { f.RecordQueryFailure(peer(), chunk(), now); f.RecordOfferFailure(peer(), chunk(), now) },
+			"tick":    func(*rapid.T) { now += 3; f.Tick(now); collect() },
 			"ended": func(t *rapid.T) {
 				for action := range running {
 					delete(running, action)
 					if rapid.Bool().Draw(t, "good") {
-						fetcher.RecordFetched(action.Peer, action.Chunk, now)
+						f.RecordFetched(action.Peer, action.Chunk, now)
 					} else {
-						fetcher.RecordFetchFailure(action.Peer, action.Chunk, Stalled, now)
+						f.RecordFetchFailure(action.Peer, action.Chunk, Stalled, now)
 					}
 					break
 				}
@@ -131,8 +128,8 @@
 	})
 }
 
-// Every machine passes on about as many chunks as every other, also when the
-// size of a zone shares a divisor with the number of zones.
+// All machines forward about the same number of chunks, also when the size of a zone
+// shares a divisor with the number of zones.
 func TestRotatedPlanLoadsMachinesEvenly(t *testing.T) {
 	const chunks = 96
 	for _, sizes := range [][]int{{7, 6, 7}, {6, 6, 6}, {4, 4, 4}, {9, 15, 9}, {11, 12, 11, 11}} {
@@ -144,16 +141,16 @@
 			}
 		}
 		plan := NewPlan(StrategyRotated, NewRoster(machines))
-		most, total := 0, 0
+		maxSends, total := 0, 0
 		for _, machine := range machines {
 			sends := 0
 			for chunk := range chunks {
 				sends += len(plan.Children(chunk, machine.ID))
 			}
-			most = max(most, sends)
+			maxSends = max(maxSends, sends)
 			total += sends
 		}
 		mean := float64(total) / float64(len(machines))
-		assert.LessOrEqual(t, float64(most), 1.2*mean, "zones of %v", sizes)
+		assert.LessOrEqual(t, float64(maxSends), 1.2*mean, "zones of %v", sizes)
 	}
 }
--- a/coordination/dissemination/repair.go
+++ b/coordination/dissemination/repair.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// Bounds of repair.
+// Limits of the repair of late chunks.
 const (
-	// maximumAsks is how many chunks are asked for in one tick.
-	maximumAsks = 16
-	// quietChunks is how many of the earliest missing chunks are taken for late
-	// when nothing at all arrives.
-	quietChunks = 4
+	// maxQueriesPerTick is for how many chunks peers are queried in one tick.
+	maxQueriesPerTick = 16
+	// stalledChunks is how many of the earliest missing chunks count as late when
+	// nothing at all arrives.
+	stalledChunks = 4
 )
 
-// Tick looks for chunks that are late and asks for them.
+// Tick detects late chunks and queries peers for them.
 func (f *Fetcher) Tick(now time.Duration) {
 	if f.missing == 0 {
 		return
 	}
-	quiet := 0
+	forcedLate := 0
 	if now-f.lastProgress > 2*f.options.ProgressTimeout {
-		quiet = quietChunks
+		forcedLate = stalledChunks
 	}
 	idle := f.idle(now)
-	asked := 0
+	queried := 0
 	for chunk := range f.chunks {
 		state := &f.chunks[chunk]
 		if state.held || state.fetching {
@@ -33,154 +33,153 @@
 		if len(state.sources) > 0 {
 			f.enqueue(chunk)
 		}
-		if f.hasTrustedSource(state, now) {
+		if f.hasUsableSource(state, now) {
 			continue
 		}
-		if quiet == 0 && !f.isLate(chunk, idle, now) {
+		if forcedLate == 0 && !f.isLate(chunk, idle, now) {
 			continue
 		}
-		quiet = max(0, quiet-1)
-		f.makeLate(state, now)
-		if now >= state.nextAsk && asked < maximumAsks {
-			asked++
+		forcedLate = max(0, forcedLate-1)
+		f.markLate(state, now)
+		if now >= state.nextQuery && queried < maxQueriesPerTick {
+			queried++
 			f.repair(chunk, now)
 		}
 	}
 	f.schedule(now)
 }
 
-// idle reports whether nothing has been under way for a while.
+// idle reports whether no transfer is in progress and none has completed for a while.
 func (f *Fetcher) idle(now time.Duration) bool {
-	return f.active == 0 && len(f.queue) == 0 && now-f.lastProgress >= f.options.ProgressTimeout
+	return f.peerFetches == 0 && len(f.queue) == 0 && now-f.lastProgress >= f.options.ProgressTimeout
 }
 
-// isLate reports whether a chunk without a source is to be asked for: it was
-// before, the machine has nothing else to do, the chunk has fallen behind the
-// newest one heard of, or the machine that is to bring it can't be reached.
+// isLate reports whether a chunk without a source is late: it already was, the
+// machine is idle, the chunk has fallen too far behind the highest one known, or the
+// parent that should offer it is unreachable.
 func (f *Fetcher) isLate(chunk int, idle bool, now time.Duration) bool {
 	state := &f.chunks[chunk]
-	behind := f.highest - state.ordinal
+	behind := f.highestOrdinal - state.ordinal
 	switch {
 	case state.late:
 		return true
 	case idle && behind > 0:
 		return true
-	case behind > f.lagOf(chunk):
+	case behind > f.maxLag(chunk):
 		return true
 	}
-	return f.parentLost(chunk, now)
+	return f.parentUnreachable(chunk, now)
 }
 
-// Each level of machines that waits behind this one makes a chunk count as late
-// some chunks earlier, because it is to come here earlier.
+// Each level of machines that waits behind this one makes a chunk count as late some
+// chunks earlier, because it should arrive here earlier.
 const (
 	lagPerLevel = 8
-	minimumLag  = 16
+	minLag      = 16
 )
 
-// lagOf is how far a chunk may be behind before it counts as late.
-func (f *Fetcher) lagOf(chunk int) int {
-	return max(minimumLag, f.options.LagChunks-lagPerLevel*f.Height(chunk))
+// maxLag returns how far a chunk may be behind before it counts as late.
+func (f *Fetcher) maxLag(chunk int) int {
+	return max(minLag, f.options.LagChunks-lagPerLevel*f.Height(chunk))
 }
 
-// desperateRounds is how many rounds of asking come before a source that failed
+// failedSourceRetryRounds is how many query rounds pass before a source that failed
 // is tried again.
-const desperateRounds = 4
+const failedSourceRetryRounds = 4
 
-// desperate reports whether a chunk has been late for so long that a source
-// that failed before is tried again.
-func (f *Fetcher) desperate(state *chunkState, now time.Duration) bool {
-	return state.late && now-state.lateSince > desperateRounds*f.options.ProgressTimeout
+// mayRetryFailedSource reports whether a chunk has been late for so long that a
+// source that failed is tried again.
+func (f *Fetcher) mayRetryFailedSource(state *chunkState, now time.Duration) bool {
+	return state.late && now-state.lateSince > failedSourceRetryRounds*f.options.ProgressTimeout
 }
 
-func (f *Fetcher) makeLate(state *chunkState, now time.Duration) {
+func (f *Fetcher) markLate(state *chunkState, now time.Duration) {
 	if !state.late {
 		state.late = true
 		state.lateSince = now
-		state.nextAsk = now
+		state.nextQuery = now
 	}
 }
 
-// repair asks for a late chunk the nearest machine that is to bring it and
-// lives; that machine is then waited for. When there is none, this machine is
-// the one to read the origin.
+// repair queries the nearest live provider for a late chunk and waits for it. When
+// there is none, this machine reads the chunk from the origin.
 func (f *Fetcher) repair(chunk int, now time.Duration) {
 	state := &f.chunks[chunk]
-	state.nextAsk = now + f.options.ProgressTimeout
+	state.nextQuery = now + f.options.ProgressTimeout
 	for _, peer := range f.options.Plan.Providers(chunk, f.options.Self) {
-		if !f.isUnreachable(peer, now) && !f.failedSource(state, peer, now) {
-			f.act(Query, peer, chunk)
+		if !f.isUnreachable(peer, now) && !f.isFailedSource(state, peer, now) {
+			f.addAction(Query, peer, chunk)
 			f.escalate(chunk, now)
 			return
 		}
 	}
-	if f.origin < f.options.MaxFetches {
+	if f.originFetches < f.options.MaxFetches {
 		f.fetchOrigin(chunk, now)
 	}
-	state.nextAsk = min(state.nextAsk, max(now, state.nextOrigin))
+	state.nextQuery = min(state.nextQuery, max(now, state.nextOrigin))
 }
 
-// failedSource reports whether a peer holds the chunk but could not send it.
-func (f *Fetcher) failedSource(state *chunkState, peer MachineID, now time.Duration) bool {
-	return f.isDistrusted(peer, now) && !f.desperate(state, now)
+// isFailedSource reports whether a peer failed and is not yet due to be tried again.
+func (f *Fetcher) isFailedSource(state *chunkState, peer MachineID, now time.Duration) bool {
+	return f.isAvoided(peer, now) && !f.mayRetryFailedSource(state, now)
 }
 
-// deniedEnough is how many machines must lack a chunk, for each turn, until a
-// reader takes it that the zone lacks it. For the last few chunks fewer will do:
-// the whole zone waits, and reading one twice costs little.
+// denialsPerReader is how many denials of a chunk each origin reader, in order of rank,
+// waits for before it concludes that the zone lacks the chunk. For the last few chunks
+// fewer suffice: the whole zone waits, and reading a chunk twice costs little.
 const (
-	deniedEnough     = 24
-	deniedEnoughLast = 6
-	lastChunks       = 2
+	denialsPerReader     = 24
+	denialsPerReaderLast = 6
+	lastChunks           = 2
 )
 
-func (f *Fetcher) deniedEnough() int {
+func (f *Fetcher) requiredDenials() int {
 	if f.missing <= lastChunks {
-		return deniedEnoughLast
+		return denialsPerReaderLast
 	}
-	return deniedEnough
+	return denialsPerReader
 }
 
-// escalate deals with a chunk that the machines waited for do not bring, perhaps
-// because lists differ and they wait for this one. Other machines of the zone
-// are asked, a few at a time. When all of them lack it the zone's readers for
-// the chunk read it from the origin in turn; they are picked by rendezvous
-// hashing, on which differing lists almost agree, so that the origin's copies
-// are bounded without anyone counting them.
+// escalate handles a chunk that the provider does not deliver, perhaps because
+// membership lists differ and the provider waits for this machine. Other machines of
+// the zone are queried, a few at a time. When all of them lack the chunk, its origin
+// readers in the zone read it from the origin one after the other. They are picked by
+// rendezvous hashing, which gives almost the same result for lists that differ, so
+// that the number of copies from the origin is bounded without coordination.
 func (f *Fetcher) escalate(chunk int, now time.Duration) {
 	waited := now - f.chunks[chunk].lateSince
 	if waited < f.options.ProgressTimeout {
 		return
 	}
-	f.askMates(chunk, int(waited/f.options.ProgressTimeout), now)
-	turns := f.chunks[chunk].denials / f.deniedEnough()
-	if turns == 0 {
+	f.queryNeighbors(chunk, int(waited/f.options.ProgressTimeout), now)
+	readers := f.chunks[chunk].denials / f.requiredDenials()
+	if readers == 0 {
 		return
 	}
 	rank := slices.Index(f.options.Plan.OriginReaders(chunk, f.options.Self), f.options.Self)
-	// One at a time: while the origin is away every reader finds that its zone lacks every
-	// chunk, and what they had queued up would fill its link on its return.
-	if rank >= 0 && turns > rank && f.origin == 0 {
+	// One at a time: while the origin is unavailable every reader finds that its zone lacks
+	// every chunk, and their queued reads would saturate the origin's link on its return.
+	if rank >= 0 && readers > rank && f.originFetches == 0 {
 		f.fetchOrigin(chunk, now)
 	}
 }
 
-// matesAsked is how many machines of the zone are asked in a round.
-const matesAsked = 4
+// neighborsPerRound is how many machines of the zone are queried in a round.
+const neighborsPerRound = 4
 
-// mateStride spreads the rounds of different chunks over the zone.
-const mateStride = 7
+// neighborStride spreads the rounds of different chunks over the zone.
+const neighborStride = 7
 
-func (f *Fetcher) askMates(chunk, round int, now time.Duration) {
-	mates := f.options.Plan.Neighbors(f.options.Self)
-	if len(mates) == 0 {
+func (f *Fetcher) queryNeighbors(chunk, round int, now time.Duration) {
+	neighbors := f.options.Plan.Neighbors(f.options.Self)
+	if len(neighbors) == 0 {
 		return
 	}
-	start := (chunk*mateStride + round*matesAsked) % len(mates)
-	for offset := range matesAsked {
-		mate := mates[(start+offset)%len(mates)]
-		if mate != f.options.Self && !f.isDistrusted(mate, now) {
-			f.act(Query, mate, chunk)
+	start := (chunk*neighborStride + round*neighborsPerRound) % len(neighbors)
+	for offset := range neighborsPerRound {
+		neighbor := neighbors[(start+offset)%len(neighbors)]
+		if neighbor != f.options.Self && !f.isAvoided(neighbor, now) {
+			f.addAction(Query, neighbor, chunk)
 		}
 	}
 }
--- a/coordination/dissemination/schedule.go
+++ b/coordination/dissemination/schedule.go
@@ -16,29 +16,29 @@
 	f.queue = append(f.queue, chunk)
 }
 
-// schedule starts the transfers that the limits allow: first the chunks that
-// most machines wait for behind this one, then the earliest.
+// schedule starts the transfers that the limits allow: first the chunks for which most
+// levels of machines wait behind this one, then the earliest.
 func (f *Fetcher) schedule(now time.Duration) {
 	f.scheduleRoots(now)
-	for f.active < f.options.MaxFetches && len(f.queue) > 0 {
-		chunk := f.takeUrgent()
+	for f.peerFetches < f.options.MaxFetches && len(f.queue) > 0 {
+		chunk := f.popMostUrgent()
 		state := &f.chunks[chunk]
 		state.queued = false
 		if state.held || state.fetching || len(state.sources) == 0 {
 			continue
 		}
-		source, trusted := f.bestSource(state, now)
-		if !trusted && !f.desperate(state, now) {
-			f.makeLate(state, now)
+		source, usable := f.bestSource(state, now)
+		if !usable && !f.mayRetryFailedSource(state, now) {
+			f.markLate(state, now)
 			continue
 		}
 		state.fetching = true
-		f.active++
-		f.act(Fetch, source, chunk)
+		f.peerFetches++
+		f.addAction(Fetch, source, chunk)
 	}
 }
 
-func (f *Fetcher) takeUrgent() int {
+func (f *Fetcher) popMostUrgent() int {
 	best := 0
 	for i := 1; i < len(f.queue); i++ {
 		if f.moreUrgent(f.queue[i], f.queue[best]) {
@@ -54,28 +54,28 @@
 	return MoreUrgent(f.Height(a), a, f.Height(b), b)
 }
 
-// Height returns how many levels of machines wait for a chunk behind this one.
+// Height returns the number of levels of machines that wait for a chunk behind this one.
 func (f *Fetcher) Height(chunk int) int {
 	return f.options.Plan.Height(chunk, f.options.Self)
 }
 
-// levelChunks is how many chunks of age one level of waiting machines outweighs.
-const levelChunks = 16
+// chunksPerLevel is how many chunks of age weigh as much as one level of waiting machines.
+const chunksPerLevel = 16
 
-// MoreUrgent orders transfers: each level of machines that waits behind the
-// receiver counts as much as a number of chunks of age, so that inner machines go
-// first but nothing waits for ever.
+// MoreUrgent reports whether transfer A goes before transfer B. Each level of machines
+// that waits behind the receiver counts as much as chunksPerLevel chunks of age, so that
+// inner nodes go first but no transfer starves.
 func MoreUrgent(heightA, chunkA, heightB, chunkB int) bool {
-	urgencyA, urgencyB := heightA*levelChunks-chunkA, heightB*levelChunks-chunkB
+	urgencyA, urgencyB := heightA*chunksPerLevel-chunkA, heightB*chunksPerLevel-chunkB
 	if urgencyA != urgencyB {
 		return urgencyA > urgencyB
 	}
 	return chunkA < chunkB
 }
 
-func (f *Fetcher) hasTrustedSource(state *chunkState, now time.Duration) bool {
+func (f *Fetcher) hasUsableSource(state *chunkState, now time.Duration) bool {
 	for _, source := range state.sources {
-		if !f.isDistrusted(source, now) {
+		if !f.isAvoided(source, now) {
 			return true
 		}
 	}
@@ -84,24 +84,24 @@
 
 func (f *Fetcher) bestSource(state *chunkState, now time.Duration) (MachineID, bool) {
 	for _, source := range state.sources {
-		if !f.isDistrusted(source, now) {
+		if !f.isAvoided(source, now) {
 			return source, true
 		}
 	}
 	return state.sources[0], false
 }
 
-// scheduleRoots reads from the origin the chunks that this machine is the root
-// of, not far ahead of what this machine has reached.
+// scheduleRoots reads from the origin the chunks of which this machine is the root,
+// at most originLimit ahead.
 func (f *Fetcher) scheduleRoots(now time.Duration) {
 	kept := f.rootChunks[:0]
 	for i, chunk := range f.rootChunks {
 		state := &f.chunks[chunk]
-		// What a peer holds already need not come from the origin once more.
-		if state.held || state.fetching || state.late || f.hasTrustedSource(state, now) {
+		// A chunk that a peer already holds need not be read from the origin again.
+		if state.held || state.fetching || state.late || f.hasUsableSource(state, now) {
 			continue
 		}
-		if f.origin >= f.options.MaxFetches || f.chunks[chunk].ordinal > f.originLimit() || now < f.originTurn(chunk) {
+		if f.originFetches >= f.options.MaxFetches || f.chunks[chunk].ordinal > f.originLimit() || now < f.originReadTime(chunk) {
 			kept = append(kept, f.rootChunks[i:]...)
 			break
 		}
@@ -110,74 +110,75 @@
 	f.rootChunks = kept
 }
 
-// The origin is read ahead of the number of chunks received, first by a few.
+// The window of chunks that may be read from the origin ahead of the number received
+// starts at initialWindow and grows by windowGrowth per chunk received.
 const (
-	startWindow  = 16
-	windowGrowth = 4
+	initialWindow = 16
+	windowGrowth  = 4
 )
 
-// originLimit is the highest ordinal that may be read from the origin now.
+// originLimit returns the highest ordinal that may be read from the origin now.
 func (f *Fetcher) originLimit() int {
-	received := f.wanted - f.missing
-	return received + min(f.options.OriginWindow, startWindow+windowGrowth*received)
+	received := f.initiallyMissing - f.missing
+	return received + min(f.options.OriginWindow, initialWindow+windowGrowth*received)
 }
 
-// originAhead is how many chunks before its turn a chunk is asked for, so that the
-// origin is never idle though the machines' clocks of the transfer differ.
-const originAhead = 10
+// originLead is how many chunk intervals early a chunk is requested, so that the origin
+// is never idle although the machines start the transfer at different times.
+const originLead = 10
 
-// originTurn is when a chunk is to be asked of the origin.
-func (f *Fetcher) originTurn(chunk int) time.Duration {
-	before := max(0, f.chunks[chunk].ordinal-originAhead)
-	return f.started + time.Duration(before)*f.options.OriginInterval
+// originReadTime returns when a chunk is to be requested from the origin.
+func (f *Fetcher) originReadTime(chunk int) time.Duration {
+	preceding := max(0, f.chunks[chunk].ordinal-originLead)
+	return f.started + time.Duration(preceding)*f.options.OriginInterval
 }
 
-// readerCycles is how many turns of a chunk a machine that is not its root leaves out after a
+// skippedCycles is how many retry cycles of a chunk a machine that is not its root skips after a
 // failure.
-const readerCycles = 2
-
-// originTurnAfterFailure is when the origin is to be asked again for a chunk that it has not
-// given. A chunk that came spoilt or was refused while others come is asked for soon. When the
-// origin does not answer, or nothing comes from anywhere, it is away or its link is full: the
-// machines then ask in a cycle of turns, at the pace at which the link carries what is missing.
-// Were they all to ask every few hundred milliseconds, it would carry all chunks at once, each
-// so slowly that most are given up and sent again: 16 s and 1.65 copies for what takes 6 s and
-// 1.05, after an absence of 6 s. A machine that is not the chunk's root leaves the next turns to
-// that.
-func (f *Fetcher) originTurnAfterFailure(chunk int, reason FailureReason, now time.Duration) time.Duration {
+const skippedCycles = 2
+
+// originRetryTime returns when a chunk may be requested from the origin again after a failure. A
+// chunk that was corrupt or refused while others arrive is retried soon. When a transfer stalls,
+// or nothing arrives from any source, the origin is unavailable or its link is saturated: the
+// machines then retry in cycles, at the rate at which the link carries the missing chunks. If all
+// of them retried every few hundred milliseconds, the link would carry all chunks at once, each so
+// slowly that most would time out and be sent again: after an outage of 6 s that took 16 s and
+// 1.65 copies instead of 6 s and 1.05. A machine that is not the chunk's root leaves the next
+// cycles to the root.
+func (f *Fetcher) originRetryTime(chunk int, reason FailureReason, now time.Duration) time.Duration {
 	soon := now + f.options.ProgressTimeout
 	cycle := time.Duration(f.missing) * f.options.OriginInterval
-	comes := now-f.lastProgress <= 2*f.options.ProgressTimeout
-	if cycle <= 0 || (comes && reason != Stalled) {
+	progressing := now-f.lastProgress <= 2*f.options.ProgressTimeout
+	if cycle <= 0 || (progressing && reason != Stalled) {
 		return soon
 	}
 	if !f.isRoot(chunk) {
-		soon += readerCycles * cycle
+		soon += skippedCycles * cycle
 	}
-	turn := f.started + (time.Duration(f.missingBefore(chunk))*f.options.OriginInterval+f.originOffset(cycle))%cycle
-	cycles := max(0, (soon-turn+cycle-1)/cycle)
-	return turn + cycles*cycle
+	slot := f.started + (time.Duration(f.missingBefore(chunk))*f.options.OriginInterval+f.originOffset(cycle))%cycle
+	cycles := max(0, (soon-slot+cycle-1)/cycle)
+	return slot + cycles*cycle
 }
 
-// originOffset spreads the turns of machines that take themselves for the root of the same
-// chunk, because their lists differ: the first of them brings it to the others.
+// originOffset spreads the retries of machines that consider themselves the root of the same chunk
+// because their membership lists differ: the first one to fetch it passes it to the others.
 func (f *Fetcher) originOffset(cycle time.Duration) time.Duration {
 	const steps = 1 << 10
 	return cycle * time.Duration(xxhash.Sum64String(string(f.options.Self))%steps) / steps
 }
 
-// missingBefore counts the missing chunks before one.
+// missingBefore returns the number of missing chunks before a chunk.
 func (f *Fetcher) missingBefore(chunk int) int {
 	count := 0
-	for before := range chunk {
-		if !f.chunks[before].held {
+	for preceding := range chunk {
+		if !f.chunks[preceding].held {
 			count++
 		}
 	}
 	return count
 }
 
-// isRoot reports whether this machine is to read a chunk from the origin.
+// isRoot reports whether this machine reads a chunk from the origin.
 func (f *Fetcher) isRoot(chunk int) bool {
 	_, hasParent := f.options.Plan.Parent(chunk, f.options.Self)
 	return !hasParent && !f.options.PeersOnly
@@ -188,6 +189,6 @@
 		return
 	}
 	f.chunks[chunk].fetching = true
-	f.origin++
-	f.act(FetchOrigin, "", chunk)
+	f.originFetches++
+	f.addAction(FetchOrigin, "", chunk)
 }
