--- a/coordination/dissemination/repair.go
+++ b/coordination/dissemination/repair.go
@@ -124,8 +124,8 @@
 	return f.isAvoided(peer, now) && !f.mayRetryFailedSource(state, now)
 }
 
-// denialsPerReader is how many denials of a chunk each origin reader, in order of rank,
-// waits for before it concludes that the zone lacks the chunk. For the last few chunks
+// denialsPerReader is after how many denials of a chunk the next origin reader, in order
+// of rank, concludes that the zone lacks the chunk. For the last few chunks
 // fewer suffice: the whole zone waits, and reading a chunk twice costs little.
 const (
 	denialsPerReader     = 24
--- a/coordination/mirror/changes_test.go
+++ b/coordination/mirror/changes_test.go
@@ -21,21 +21,21 @@
 // Copies with equal records have equal digests, whatever their history; other copies differ.
 func TestDigestIdentifiesContents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		one, other := NewChangeLog(), NewChangeLog()
+		first, second := NewChangeLog(), NewChangeLog()
 		final := map[string]Record{}
 		steps := rapid.IntRange(1, 600).Draw(t, "steps")
 		for revision := range steps {
 			key := fmt.Sprint(rapid.IntRange(0, 20).Draw(t, "key"))
 			record := Record{Key: key, Revision: uint64(revision + 1), Deleted: rapid.Bool().Draw(t, "gone")}
-			one.Add(record)
+			first.Add(record)
 			final[key] = record
 		}
 		for _, record := range final {
-			other.Add(record)
+			second.Add(record)
 		}
-		assert.Equal(t, one.Digest(), other.Digest())
-		assert.Len(t, one.After(0), len(final))
-		other.Add(Record{Key: "new", Revision: uint64(steps + 1)})
-		assert.NotEqual(t, one.Digest(), other.Digest())
+		assert.Equal(t, first.Digest(), second.Digest())
+		assert.Len(t, first.After(0), len(final))
+		second.Add(Record{Key: "new", Revision: uint64(steps + 1)})
+		assert.NotEqual(t, first.Digest(), second.Digest())
 	})
 }
--- a/coordination/overlay/overlay.go
+++ b/coordination/overlay/overlay.go
@@ -92,18 +92,18 @@
 	if id == o.options.Self || id == "" {
 		return false
 	}
-	known, exists := o.members[id]
+	m, exists := o.members[id]
 	if !exists {
 		if now.Sub(info.LastSeen) > o.options.MemberTTL {
 			return false
 		}
-		known = &member{}
-		o.members[id] = known
+		m = &member{}
+		o.members[id] = m
 		o.joins++
 	}
-	known.updateInfo(id, info, o)
-	if info.LastSeen.After(known.LastSeen) {
-		known.LastSeen = info.LastSeen
+	m.updateInfo(id, info, o)
+	if info.LastSeen.After(m.LastSeen) {
+		m.LastSeen = info.LastSeen
 	}
 	return !exists
 }
@@ -127,8 +127,8 @@
 // Suspect records that a member has not answered this process. It does not count as
 // alive until a later heartbeat arrives.
 func (o *Overlay) Suspect(id string, now time.Time) {
-	if known, exists := o.members[id]; exists {
-		known.suspectedAt = now
+	if m, exists := o.members[id]; exists {
+		m.suspectedAt = now
 	}
 }
 
@@ -138,18 +138,18 @@
 	changed := o.infoChanged
 	o.infoChanged = false
 	o.digest = o.ownHash()
-	for id, known := range o.members {
-		if now.Sub(known.LastSeen) > o.options.MemberTTL {
+	for id, m := range o.members {
+		if now.Sub(m.LastSeen) > o.options.MemberTTL {
 			delete(o.members, id)
 			changed = true
 			continue
 		}
-		alive := known.Zone != "" && now.Sub(known.LastSeen) < o.options.AliveTimeout && known.LastSeen.After(known.suspectedAt)
-		changed = changed || alive != known.alive
-		known.alive = alive
-		known.inRoster = o.isPresent(known, now)
-		if known.inRoster {
-			o.digest ^= known.hash
+		alive := m.Zone != "" && now.Sub(m.LastSeen) < o.options.AliveTimeout && m.LastSeen.After(m.suspectedAt)
+		changed = changed || alive != m.alive
+		m.alive = alive
+		m.inRoster = o.isPresent(m, now)
+		if m.inRoster {
+			o.digest ^= m.hash
 		}
 	}
 	if changed {
@@ -160,17 +160,17 @@
 // rankMembers ranks the members of each zone, and the zones.
 func (o *Overlay) rankMembers() {
 	o.feeders = map[string][]string{}
-	o.aliveByZone = o.rankByZone(func(known *member) bool { return known.alive })
-	o.knownByZone = o.rankByZone(func(known *member) bool { return known.Zone != "" })
+	o.aliveByZone = o.rankByZone(func(m *member) bool { return m.alive })
+	o.knownByZone = o.rankByZone(func(m *member) bool { return m.Zone != "" })
 	o.zoneRank = slices.Index(placement.Rank("zone", slices.Collect(maps.Keys(o.aliveByZone))), o.options.Zone)
 }
 
 // rankByZone ranks this member and the members for which include is true, by zone.
 func (o *Overlay) rankByZone(include func(*member) bool) map[string][]string {
 	byZone := map[string][]string{o.options.Zone: {o.options.Self}}
-	for id, known := range o.members {
-		if include(known) {
-			byZone[known.Zone] = append(byZone[known.Zone], id)
+	for id, m := range o.members {
+		if include(m) {
+			byZone[m.Zone] = append(byZone[m.Zone], id)
 		}
 	}
 	for zone, ids := range byZone {
@@ -213,22 +213,22 @@
 // Members that would be relays if they were alive are included, so that the two sides
 // of a network partition keep trying to reconnect.
 func (o *Overlay) Peers() map[string]bool {
-	wanted := map[string]bool{}
-	for id, known := range o.members {
-		if known.Zone == "" {
-			wanted[id] = true
+	peers := map[string]bool{}
+	for id, m := range o.members {
+		if m.Zone == "" {
+			peers[id] = true
 		}
 	}
 	for _, ranked := range []map[string][]string{o.aliveByZone, o.knownByZone} {
-		o.addPeers(wanted, ranked)
+		o.addPeers(peers, ranked)
 	}
-	delete(wanted, o.options.Self)
-	return wanted
+	delete(peers, o.options.Self)
+	return peers
 }
 
 // addPeers adds the relays of this member's zone and, for a gateway, the gateways of the
 // other zones, by the given ranking.
-func (o *Overlay) addPeers(wanted map[string]bool, zones map[string][]string) {
+func (o *Overlay) addPeers(peers map[string]bool, zones map[string][]string) {
 	for zone, ranked := range zones {
 		count := o.options.Relays
 		if zone != o.options.Zone {
@@ -238,7 +238,7 @@
 			count = o.options.Gateways
 		}
 		for _, id := range first(ranked, count) {
-			wanted[id] = true
+			peers[id] = true
 		}
 	}
 }
@@ -247,11 +247,11 @@
 // as far as is known here. A peer of unknown zone comes from an operator's settings alone
 // and may not know this member.
 func (o *Overlay) IsMutualPeer(id string) bool {
-	known, exists := o.members[id]
-	if !exists || known.Zone == "" {
+	m, exists := o.members[id]
+	if !exists || m.Zone == "" {
 		return false
 	}
-	if known.Zone == o.options.Zone {
+	if m.Zone == o.options.Zone {
 		return o.Rank() < o.options.Relays
 	}
 	return o.IsGateway()
@@ -260,8 +260,8 @@
 // Feeders returns the members that feed a follower of a zone, the main one first: relays
 // of that zone, or gateways of all other zones when no member of the zone is alive.
 func (o *Overlay) Feeders(follower, zone string) []string {
-	if known, exists := o.feeders[follower]; exists {
-		return known
+	if cached, exists := o.feeders[follower]; exists {
+		return cached
 	}
 	candidates := o.relays(zone)
 	if len(candidates) == 0 {
@@ -286,8 +286,8 @@
 // Members returns what is known of all members except this one.
 func (o *Overlay) Members() map[string]MemberInfo {
 	infos := make(map[string]MemberInfo, len(o.members))
-	for id, known := range o.members {
-		infos[id] = known.MemberInfo
+	for id, m := range o.members {
+		infos[id] = m.MemberInfo
 	}
 	return infos
 }
--- a/coordination/overlay/overlay_test.go
+++ b/coordination/overlay/overlay_test.go
@@ -131,14 +131,14 @@
 
 // Members of a zone that suspect each other keep trying to connect.
 func TestSuspectedRelaysAreStillDialled(t *testing.T) {
-	one := buildOverlays(zonesOf(2))["m0-00"]
-	one.Suspect("m0-01", start.Add(time.Second))
-	one.Advance(start.Add(time.Second))
-	assert.Zero(t, one.Rank())
-	assert.Equal(t, map[string]bool{"m0-01": true}, one.Peers())
-	one.Observe("m0-01", MemberInfo{Zone: "z0", LastSeen: start.Add(2 * time.Second)}, start.Add(2*time.Second))
-	one.Advance(start.Add(2 * time.Second))
-	assert.Len(t, one.aliveByZone["z0"], 2, "it counts as alive again")
+	overlay := buildOverlays(zonesOf(2))["m0-00"]
+	overlay.Suspect("m0-01", start.Add(time.Second))
+	overlay.Advance(start.Add(time.Second))
+	assert.Zero(t, overlay.Rank())
+	assert.Equal(t, map[string]bool{"m0-01": true}, overlay.Peers())
+	overlay.Observe("m0-01", MemberInfo{Zone: "z0", LastSeen: start.Add(2 * time.Second)}, start.Add(2*time.Second))
+	overlay.Advance(start.Add(2 * time.Second))
+	assert.Len(t, overlay.aliveByZone["z0"], 2, "it counts as alive again")
 }
 
 // All members rank the zones alike, and the next zone becomes the first when all members
@@ -166,24 +166,24 @@
 }
 
 func TestSilentMembersExpire(t *testing.T) {
-	one := buildOverlays(zonesOf(3))["m0-00"]
-	one.Advance(start.Add(testMemberTTL + time.Second))
-	assert.Zero(t, one.Count())
-	assert.Empty(t, one.Peers())
-	assert.False(t, one.Observe("m0-09", MemberInfo{Zone: "z0", LastSeen: start}, start.Add(testMemberTTL+time.Second)), "an expired heartbeat does not add a member")
+	overlay := buildOverlays(zonesOf(3))["m0-00"]
+	overlay.Advance(start.Add(testMemberTTL + time.Second))
+	assert.Zero(t, overlay.Count())
+	assert.Empty(t, overlay.Peers())
+	assert.False(t, overlay.Observe("m0-09", MemberInfo{Zone: "z0", LastSeen: start}, start.Add(testMemberTTL+time.Second)), "an expired heartbeat does not add a member")
 }
 
 // The feeders of a follower are relays of its zone, no relay feeds many more followers
 // than the others, and gateways feed it when its zone has no live members.
 func TestFeeders(t *testing.T) {
-	one := buildOverlays(zonesOf(30, 30))["m0-00"]
+	overlay := buildOverlays(zonesOf(30, 30))["m0-00"]
 	fed := map[string]int{}
 	const followers = 300
 	for index := range followers {
-		feeders := one.Feeders(fmt.Sprintf("f%d", index), "z0")
+		feeders := overlay.Feeders(fmt.Sprintf("f%d", index), "z0")
 		assert.Len(t, feeders, testFeeders)
 		for _, feeder := range feeders {
-			assert.Contains(t, one.relays("z0"), feeder)
+			assert.Contains(t, overlay.relays("z0"), feeder)
 			fed[feeder]++
 		}
 	}
@@ -191,15 +191,15 @@
 	for relay, count := range fed {
 		assert.InDelta(t, fair, count, 0.25*float64(fair), relay)
 	}
-	assert.Len(t, one.Feeders("lonely", "nowhere"), testFeeders)
+	assert.Len(t, overlay.Feeders("lonely", "nowhere"), testFeeders)
 }
 
 func BenchmarkAdvance(b *testing.B) {
 	for _, size := range []int{30, 150, 400} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			one := buildOverlays(zonesOf(size/5, size/5, size/5, size/5, size/5))["m0-00"]
+			overlay := buildOverlays(zonesOf(size/5, size/5, size/5, size/5, size/5))["m0-00"]
 			for b.Loop() {
-				one.Advance(start)
+				overlay.Advance(start)
 			}
 		})
 	}
--- a/coordination/overlay/roster.go
+++ b/coordination/overlay/roster.go
@@ -33,8 +33,8 @@
 }
 
 // isPresent reports whether a member is part of the roster.
-func (o *Overlay) isPresent(known *member, now time.Time) bool {
-	return known.Zone != "" && now.Sub(known.LastSeen) < o.options.AliveTimeout
+func (o *Overlay) isPresent(m *member, now time.Time) bool {
+	return m.Zone != "" && now.Sub(m.LastSeen) < o.options.AliveTimeout
 }
 
 // Digest returns the digest of the members in the roster as of the last Advance.
@@ -52,15 +52,15 @@
 			threshold = members[len(members)/2].age + outlierMargin
 		}
 		bound := time.Duration(0)
-		for _, one := range members {
-			if one.age <= threshold {
-				bound = one.age
+		for _, m := range members {
+			if m.age <= threshold {
+				bound = m.age
 				continue
 			}
 			if roster.OutlierAges == nil {
 				roster.OutlierAges = map[string]time.Duration{}
 			}
-			roster.OutlierAges[one.id] = one.age
+			roster.OutlierAges[m.id] = m.age
 		}
 		roster.Ages = append(roster.Ages, bound)
 	}
@@ -76,9 +76,9 @@
 // presentByZone returns the members of the roster by zone. This member's zone is always included.
 func (o *Overlay) presentByZone(now time.Time) map[string][]presentMember {
 	zones := map[string][]presentMember{o.options.Zone: nil}
-	for id, known := range o.members {
-		if known.inRoster {
-			zones[known.Zone] = append(zones[known.Zone], presentMember{id: id, age: max(0, now.Sub(known.LastSeen))})
+	for id, m := range o.members {
+		if m.inRoster {
+			zones[m.Zone] = append(zones[m.Zone], presentMember{id: id, age: max(0, now.Sub(m.LastSeen))})
 		}
 	}
 	return zones
@@ -100,13 +100,13 @@
 			ages[zone] = roster.Ages[index]
 		}
 	}
-	for id, known := range o.members {
-		age, hasAge := ages[known.Zone]
+	for id, m := range o.members {
+		age, hasAge := ages[m.Zone]
 		if outlierAge, isOutlier := roster.OutlierAges[id]; isOutlier {
 			age, hasAge = outlierAge, true
 		}
-		if lastSeen := now.Add(-age); hasAge && known.inRoster && lastSeen.After(known.LastSeen) {
-			known.LastSeen = lastSeen
+		if lastSeen := now.Add(-age); hasAge && m.inRoster && lastSeen.After(m.LastSeen) {
+			m.LastSeen = lastSeen
 		}
 	}
 	return true
--- a/coordination/overlay/roster_test.go
+++ b/coordination/overlay/roster_test.go
@@ -102,26 +102,26 @@
 // capacity when these fail: a relay's traffic grows with its zone.
 func TestRelaysHaveTheLargestCapacity(t *testing.T) {
 	const size, large = 70, 7
-	one := New(options("m0-00", "z0"))
+	overlay := New(options("m0-00", "z0"))
 	for index := 1; index < size; index++ {
 		capacity := 3
 		if index <= large {
 			capacity = 7
 		}
-		one.Observe(fmt.Sprintf("m0-%02d", index), MemberInfo{Zone: "z0", LastSeen: start, Capacity: capacity}, start)
+		overlay.Observe(fmt.Sprintf("m0-%02d", index), MemberInfo{Zone: "z0", LastSeen: start, Capacity: capacity}, start)
 	}
-	one.Advance(start)
-	relays := one.relays("z0")
+	overlay.Advance(start)
+	relays := overlay.relays("z0")
 	assert.Len(t, relays, testRelays)
 	for _, id := range relays {
-		assert.Equal(t, 7, one.capacity(id), id)
+		assert.Equal(t, 7, overlay.capacity(id), id)
 	}
 	for index := 1; index <= large; index++ {
-		one.Suspect(fmt.Sprintf("m0-%02d", index), start.Add(time.Millisecond))
+		overlay.Suspect(fmt.Sprintf("m0-%02d", index), start.Add(time.Millisecond))
 	}
-	one.Advance(start.Add(time.Millisecond))
-	assert.Len(t, one.relays("z0"), testRelays)
-	for _, id := range one.relays("z0") {
-		assert.NotEqual(t, 7, one.capacity(id), id)
+	overlay.Advance(start.Add(time.Millisecond))
+	assert.Len(t, overlay.relays("z0"), testRelays)
+	for _, id := range overlay.relays("z0") {
+		assert.NotEqual(t, 7, overlay.capacity(id), id)
 	}
 }
--- a/coordination/residency/demand.go
+++ b/coordination/residency/demand.go
@@ -15,7 +15,7 @@
 type Demand struct {
 	// busySeconds is an exponentially decaying sum of service times, as of updatedAt.
 	busySeconds float64
-	updatedAt    time.Duration
+	updatedAt   time.Duration
 }
 
 // Record adds a request that occupies one server for serviceTime.
--- a/coordination/turnover/fallback.go
+++ b/coordination/turnover/fallback.go
@@ -10,7 +10,7 @@
 	// minGain is how much sooner a server must be able to serve with the inForce version:
 	// the later switch to the newest one costs about as much time again.
 	minGain = 2 * time.Second
-	// minService is how long the inForce version must then serve at least.
+	// minService is how long the older version must then serve at least.
 	minService = 1500 * time.Millisecond
 )
 
--- a/coordination/turnover/fallback_test.go
+++ b/coordination/turnover/fallback_test.go
@@ -19,7 +19,7 @@
 	justAnnounced.Unsourced = 100
 	done := stalled
 	done.Missing = 0
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name    string
 		newest  Transfer
 		inForce time.Duration
@@ -33,7 +33,7 @@
 		{"the newest is complete", done, 10 * time.Second, false},
 		{"no manifest arrives for a while", Transfer{Missing: 1, SinceProgress: stallTime + 1, CopyTime: time.Second}, 10 * time.Second, true},
 	} {
-		assert.Equal(t, one.want, ShouldFetchOlder(one.newest, one.inForce, 500*time.Millisecond), one.name)
+		assert.Equal(t, test.want, ShouldFetchOlder(test.newest, test.inForce, 500*time.Millisecond), test.name)
 	}
 }
 
@@ -48,7 +48,7 @@
 	nothing, arriving, stalled := copyOf(64, 64, 0), copyOf(60, 50, 50*time.Millisecond), copyOf(60, 60, stallTime+1)
 	flowing, slow := copyOf(60, 0, 50*time.Millisecond), arriving
 	slow.OriginTime = 9 * time.Second
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name       string
 		newest     Transfer
 		older      Transfer
@@ -69,6 +69,6 @@
 		{"only the older one has stalled", nothing, copyOf(12, 12, stallTime+1), 8 * time.Second, 3 * time.Second, false},
 		{"all of the older one is missing, too", nothing, copyOf(64, 0, 0), 4500 * time.Millisecond, 3 * time.Second, false},
 	} {
-		assert.Equal(t, one.want, ShouldKeepOlder(one.newest, one.older, one.inForce, activation, one.lastSwitch), one.name)
+		assert.Equal(t, test.want, ShouldKeepOlder(test.newest, test.older, test.inForce, activation, test.lastSwitch), test.name)
 	}
 }
--- a/coordination/turnover/layers_test.go
+++ b/coordination/turnover/layers_test.go
@@ -19,7 +19,7 @@
 }
 
 func TestCompleteLayers(t *testing.T) {
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name   string
 		held   []bool
 		layers int
@@ -37,7 +37,7 @@
 		{"no pieces at all", nil, 4, Layers{}},
 		{"no layers", heldExcept(4), 0, Layers{}},
 	} {
-		assert.Equal(t, one.want, CompleteLayers(one.held, one.layers), one.name)
+		assert.Equal(t, test.want, CompleteLayers(test.held, test.layers), test.name)
 	}
 }
 
@@ -50,8 +50,8 @@
 		for index := range held {
 			held[index] = random.Float64() < 0.8
 		}
-		complete := func(one Layers) bool {
-			for _, piece := range one.Pieces(pieces, layers) {
+		complete := func(r Layers) bool {
+			for _, piece := range r.Pieces(pieces, layers) {
 				if !held[piece] {
 					return false
 				}
