--- a/coordination/overlay/overlay.go
+++ b/coordination/overlay/overlay.go
@@ -133,7 +133,7 @@
 }
 
 // Advance removes members whose MemberTTL has expired and recomputes which members are
-// alive. The results of the methods below change only with a call of Advance.
+// alive. Ranks, relays, feeders and the digest change only with a call of Advance.
 func (o *Overlay) Advance(now time.Time) {
 	changed := o.infoChanged
 	o.infoChanged = false
--- a/coordination/turnover/fallback.go
+++ b/coordination/turnover/fallback.go
@@ -61,7 +61,7 @@
 // incomplete when a newer one was announced, beside the newest. InForce is the time for which the
 // older version may still begin requests, activation the time to put a version into service, and
 // lastSwitch the time until the last point at which the server may stop serving its current
-// version, 0 or less for a server that serves nothing. The older version is dropped when its
+// version, 0 for a server that serves nothing. The older version is dropped when its
 // transfer has stalled, when too little time of service remains for it, and when the newest is
 // fully held by peers and arrives in time. Where the origin fails half a second before the
 // announcement of a version that follows another by three seconds, servers use the other one until
