--- a/coordination/dispatch/refusal.go
+++ b/coordination/dispatch/refusal.go
@@ -100,7 +100,7 @@
 	if refusal.anyByNotice() {
 		refusal.RetryAfter = max(refusal.opensIn, refusalRetryFloor)
 	}
-	if !request.Residency.AnyOf(c.regions) {
+	if !request.Residency.AllowsAny(c.regions) {
 		refusal.RetryAfter = noRegionRetry
 	}
 	return refusal
--- a/coordination/dispatch/residency.go
+++ b/coordination/dispatch/residency.go
@@ -14,12 +14,12 @@
 // Allowed reports whether the residency allows servers of a zone. A zone that the settings do not name has no
 // region, and so is in no allowed one.
 func (c *Core) Allowed(zone string, allowed residency.Residency) bool {
-	return !allowed.Restrict() || allowed.Allow(c.regions[zone])
+	return !allowed.Restricts() || allowed.Allows(c.regions[zone])
 }
 
 // allowedAt is Allowed for the server at an address; an address that is not listed is in no region.
 func (c *Core) allowedAt(address string, allowed residency.Residency) bool {
-	if !allowed.Restrict() {
+	if !allowed.Restricts() {
 		return true
 	}
 	holder := c.byAddress[address]
@@ -28,7 +28,7 @@
 
 // residencyExcludes reports whether the request could be served if every region were allowed.
 func (c *Core) residencyExcludes(request *Request, now time.Time) bool {
-	if !request.Residency.Restrict() {
+	if !request.Residency.Restricts() {
 		return false
 	}
 	anywhere := *request
--- a/coordination/dispatch/scarcity.go
+++ b/coordination/dispatch/scarcity.go
@@ -39,11 +39,11 @@
 // onlyRegion returns the one region with servers of the service in which a request may be served, and false
 // if there are several or none. Regions evacuated completely count as having no servers.
 func (c *Core) onlyRegion(request *Request) (only string, found bool) {
-	if !request.Residency.Restrict() {
+	if !request.Residency.Restricts() {
 		return "", false
 	}
 	for region := range c.regionServers[request.Service] {
-		if !request.Residency.Allow(region) {
+		if !request.Residency.Allows(region) {
 			continue
 		}
 		if found {
@@ -66,7 +66,7 @@
 	}
 	relativeSize := float64(request.Prompt) / max(1, request.Figures.TypicalPrompt)
 	serviceTime := time.Duration(relativeSize * float64(request.Figures.ServiceTime()))
-	getOrCreate(c.demands, regionalService{service: request.Service, region: region}).Note(serviceTime, c.elapsed(now))
+	getOrCreate(c.demands, regionalService{service: request.Service, region: region}).Record(serviceTime, c.elapsed(now))
 }
 
 // countRegions counts the servers of each service by region, and drops the demand where there are none.
--- a/coordination/dispatch/versions.go
+++ b/coordination/dispatch/versions.go
@@ -21,7 +21,7 @@
 // Margins between the expected start of a request at a server with an older version and that version's
 // deadline, over a sound link and over one that is narrow or unknown.
 const (
-	soundLinkMargin  = turnover.SendsEnd
+	soundLinkMargin  = turnover.SendCutoff
 	narrowLinkMargin = 1500 * time.Millisecond
 	// activationOrderTime is an upper estimate of the time between a server's last piece and its activation
 	// order.
--- a/coordination/dissemination/answer.go
+++ b/coordination/dissemination/answer.go
@@ -2,58 +2,59 @@
 
 import "time"
 
-// Answer says which of the chunks that a peer asked for can be had here.
-type Answer struct {
-	// Held chunks are here, Pending ones are expected, Lacked ones neither.
+// QueryReply says which of the chunks that a peer queried are available here.
+type QueryReply struct {
+	// Held lists the chunks that are here, Pending those that are expected, and Missing those
+	// that are neither.
 	Held    []int `cbor:"1,keyasint,omitempty"`
 	Pending []int `cbor:"2,keyasint,omitempty"`
-	Lacked  []int `cbor:"3,keyasint,omitempty"`
-	// Ages tells, for each pending chunk, how long ago that was known at first hand, in
-	// milliseconds.
-	Ages []int64 `cbor:"4,keyasint,omitempty"`
+	Missing []int `cbor:"3,keyasint,omitempty"`
+	// PendingAges holds, for each pending chunk, the milliseconds since this was last confirmed
+	// by a machine that has a source for the chunk or reads it from the origin.
+	PendingAges []int64 `cbor:"4,keyasint,omitempty"`
 }
 
-// AskedFor answers a peer's question for some chunks.
-func (f *Fetcher) AskedFor(from MachineID, chunks []int, backlog int, now time.Duration) Answer {
-	var answer Answer
+// HandleQuery replies to a peer's query for chunks.
+func (f *Fetcher) HandleQuery(from MachineID, chunks []int, backlog int, now time.Duration) QueryReply {
+	var reply QueryReply
 	for _, chunk := range chunks {
-		held := f.Asked(from, chunk, backlog, now)
+		held := f.HandleChunkQuery(from, chunk, backlog, now)
 		age, expected := f.Expects(chunk, now)
 		switch {
 		case held:
-			answer.Held = append(answer.Held, chunk)
+			reply.Held = append(reply.Held, chunk)
 		case expected:
-			answer.Pending = append(answer.Pending, chunk)
-			answer.Ages = append(answer.Ages, age.Milliseconds())
+			reply.Pending = append(reply.Pending, chunk)
+			reply.PendingAges = append(reply.PendingAges, age.Milliseconds())
 		default:
-			answer.Lacked = append(answer.Lacked, chunk)
+			reply.Missing = append(reply.Missing, chunk)
 		}
 	}
-	return answer
+	return reply
 }
 
-// Delivered records a peer's answer to an offer of some chunks, or to a question
-// for them. A delivery that failed says that the peer can't be reached.
-func (f *Fetcher) Delivered(peer MachineID, chunks []int, question, failed bool, answer Answer, now time.Duration) {
+// RecordDelivery records a peer's reply to an offer of chunks or a query for them. A
+// failed delivery means that the peer is unreachable.
+func (f *Fetcher) RecordDelivery(peer MachineID, chunks []int, query, failed bool, reply QueryReply, now time.Duration) {
 	for _, chunk := range chunks {
 		switch {
-		case failed && question:
-			f.AskFailed(peer, chunk, now)
+		case failed && query:
+			f.RecordQueryFailure(peer, chunk, now)
 		case failed:
-			f.OfferFailed(peer, chunk, now)
+			f.RecordOfferFailure(peer, chunk, now)
 		}
 	}
-	for _, chunk := range answer.Held {
-		f.Offered(peer, chunk, now)
+	for _, chunk := range reply.Held {
+		f.RecordOffer(peer, chunk, now)
 	}
-	for at, chunk := range answer.Pending {
+	for index, chunk := range reply.Pending {
 		age := time.Duration(0)
-		if at < len(answer.Ages) {
-			age = time.Duration(max(0, answer.Ages[at])) * time.Millisecond
+		if index < len(reply.PendingAges) {
+			age = time.Duration(max(0, reply.PendingAges[index])) * time.Millisecond
 		}
-		f.AskPending(peer, chunk, age, now)
+		f.RecordPending(peer, chunk, age, now)
 	}
-	for _, chunk := range answer.Lacked {
-		f.AskDenied(peer, chunk)
+	for _, chunk := range reply.Missing {
+		f.RecordDenial(peer, chunk)
 	}
 }
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -62,7 +62,7 @@
 	mutex  sync.Mutex
 	mirror *mirror.Mirror
 	// changes orders the records to be sent to peers.
-	changes *mirror.Changes
+	changes *mirror.ChangeLog
 	// urgentSequence is the sequence of the last change that peers are sent at once.
 	urgentSequence uint64
 	// watchPacer shortens the watch interval when a server in use turns cold.
@@ -146,12 +146,12 @@
 		options.OnSilent = func(string, time.Duration) {}
 	}
 	c := &Catalog{
-		options: options, started: time.Now(), agentReadDelay: rand.N(agentReadJitter), mirror: mirror.New(), changes: mirror.NewChanges(), heads: map[string]uint64{}, pulls: map[string]pendingPull{},
+		options: options, started: time.Now(), agentReadDelay: rand.N(agentReadJitter), mirror: mirror.New(), changes: mirror.NewChangeLog(), heads: map[string]uint64{}, pulls: map[string]pendingPull{},
 		servers: map[string]fleet.Server{}, formerIncarnations: map[string]incarnation.StartTime{}, faulty: newFaultyRecords(), versionAges: map[string]versionAge{}, expired: map[string]expiredServer{},
 		statuses: map[string]heldStatus{}, links: map[string]*peerLink{}, backupOf: map[string]bool{}, wake: make(chan struct{}, 1), flush: make(chan struct{}, 1),
 		overlay: overlay.New(overlay.Options{
-			Self: options.Self, Zone: options.Zone, Relays: relaysPerZone, Gates: gatesPerZone, Feeders: feedersPerAgent,
-			Recent: entryTimeout, Memory: entryTTL, Capacity: capacityClass(options.LinkBytesPerSecond),
+			Self: options.Self, Zone: options.Zone, Relays: relaysPerZone, Gateways: gatesPerZone, Feeders: feedersPerAgent,
+			AliveTimeout: entryTimeout, MemberTTL: entryTTL, Capacity: capacityClass(options.LinkBytesPerSecond),
 		}),
 	}
 	c.health, c.quarantine, c.notices = newHealthReports(c.started), newQuarantineReports(), newServerNotices(c.started)
@@ -298,7 +298,7 @@
 			c.heads[record.Key] = record.Revision
 			c.announceHeads(from)
 		case fleet.RecordServer, fleet.RecordVersion, fleet.RecordEvacuation:
-			c.changes.Note(record)
+			c.changes.Add(record)
 		case fleet.RecordOther:
 			continue
 		}
@@ -347,7 +347,7 @@
 // listed in the meantime.
 func (c *Catalog) applyServer(record mirror.Record) bool {
 	old, known := c.servers[record.Key]
-	if record.Gone {
+	if record.Deleted {
 		c.removeServer(record.Key)
 		delete(c.faulty.reasons, record.Key)
 		return true
--- a/internal/catalog/entries.go
+++ b/internal/catalog/entries.go
@@ -27,8 +27,8 @@
 }
 
 // toOverlay converts the heartbeat, with its age counted from now.
-func (s entryHeartbeat) toOverlay(now time.Time) overlay.Sign {
-	return overlay.Sign{Zone: s.Zone, Heard: now.Add(-time.Duration(s.AgeMilliseconds) * time.Millisecond), Capacity: s.Capacity}
+func (s entryHeartbeat) toOverlay(now time.Time) overlay.MemberInfo {
+	return overlay.MemberInfo{Zone: s.Zone, LastSeen: now.Add(-time.Duration(s.AgeMilliseconds) * time.Millisecond), Capacity: s.Capacity}
 }
 
 // capacityClass returns the class of a link's bandwidth, one more for each doubling. The classes
@@ -55,7 +55,7 @@
 	for _, age := range known.Ages {
 		result.AgesMilliseconds = append(result.AgesMilliseconds, ceilMilliseconds(age))
 	}
-	for ip, age := range known.Late {
+	for ip, age := range known.OutlierAges {
 		if result.Late == nil {
 			result.Late = map[string]int64{}
 		}
@@ -71,12 +71,12 @@
 }
 
 func (r *roster) toOverlay() overlay.Roster {
-	known := overlay.Roster{Digest: r.Digest, Late: map[string]time.Duration{}}
+	known := overlay.Roster{Digest: r.Digest, OutlierAges: map[string]time.Duration{}}
 	for _, age := range r.AgesMilliseconds {
 		known.Ages = append(known.Ages, time.Duration(age)*time.Millisecond)
 	}
 	for ip, age := range r.Late {
-		known.Late[ip] = time.Duration(age) * time.Millisecond
+		known.OutlierAges[ip] = time.Duration(age) * time.Millisecond
 	}
 	return known
 }
@@ -90,14 +90,14 @@
 	if !c.listDue(peer, now) {
 		return
 	}
-	peer.listedAt, peer.listedArrivals = now, c.overlay.Arrivals()
+	peer.listedAt, peer.listedArrivals = now, c.overlay.Joins()
 	if peer.rosterDigest == message.Roster.Digest {
 		message.Roster = aged()
 		return
 	}
 	message.Entries = map[string]entryHeartbeat{}
 	for ip, heartbeat := range c.overlay.Members() {
-		message.Entries[ip] = entryHeartbeat{Zone: heartbeat.Zone, AgeMilliseconds: ceilMilliseconds(now.Sub(heartbeat.Heard)), Capacity: heartbeat.Capacity}
+		message.Entries[ip] = entryHeartbeat{Zone: heartbeat.Zone, AgeMilliseconds: ceilMilliseconds(now.Sub(heartbeat.LastSeen)), Capacity: heartbeat.Capacity}
 	}
 }
 
@@ -114,7 +114,7 @@
 	if peer, linked := c.links[remote.ID]; linked {
 		peer.rosterDigest = peerUpdate.Roster.Digest
 	}
-	c.overlay.Refresh(peerUpdate.Roster.toOverlay(), now)
+	c.overlay.ApplyRoster(peerUpdate.Roster.toOverlay(), now)
 }
 
 // listDue reports whether a link is due the list of entries: periodically, and soon after a new
@@ -124,13 +124,13 @@
 }
 
 func (c *Catalog) newEntriesDue(peer *peerLink, now time.Time) bool {
-	return peer.listedArrivals != c.overlay.Arrivals() && now.Sub(peer.listedAt) > minListInterval
+	return peer.listedArrivals != c.overlay.Joins() && now.Sub(peer.listedAt) > minListInterval
 }
 
 // recordEntry records a heartbeat of an entry. The mutex must be held.
 func (c *Catalog) recordEntry(ip string, heartbeat entryHeartbeat) {
 	now := time.Now()
-	if c.overlay.Hear(ip, heartbeat.toOverlay(now), now) {
+	if c.overlay.Observe(ip, heartbeat.toOverlay(now), now) {
 		c.wakeExchange()
 	}
 }
@@ -149,7 +149,7 @@
 	defer c.mutex.Unlock()
 	var ids []string
 	for id, heartbeat := range c.overlay.Members() {
-		if heartbeat.Zone == c.options.Zone && now.Sub(heartbeat.Heard) < entryTimeout {
+		if heartbeat.Zone == c.options.Zone && now.Sub(heartbeat.LastSeen) < entryTimeout {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/catalog/evacuations_test.go
+++ b/internal/catalog/evacuations_test.go
@@ -25,7 +25,7 @@
 	assert.Contains(t, c.View().Evacuations, "a")
 	assert.Contains(t, c.View().Evacuations, "b")
 	assert.Greater(t, c.urgentSequence, urgent, "others are sent it at once, even by a process that received it from a peer")
-	c.applyWatched([]mirror.Record{{Key: "op/evacuate/a", Revision: 8, Gone: true}})
+	c.applyWatched([]mirror.Record{{Key: "op/evacuate/a", Revision: 8, Deleted: true}})
 	c.applyReceived([]mirror.Record{evacuationRecord("a", 5)}, nil)
 	assert.NotContains(t, c.View().Evacuations, "a")
 	c.applyListing("", fleet.Listing{At: 12})
--- a/internal/catalog/links.go
+++ b/internal/catalog/links.go
@@ -232,7 +232,7 @@
 
 // waitsForPeer reports whether the link is still left to the peer to make. The mutex must be held.
 func (c *Catalog) waitsForPeer(peer *peerLink, now time.Time) bool {
-	return peer.ip < c.options.Self && c.overlay.Mutual(peer.ip) && now.Sub(peer.wantedSince) < mutualDialDelay
+	return peer.ip < c.options.Self && c.overlay.IsMutualPeer(peer.ip) && now.Sub(peer.wantedSince) < mutualDialDelay
 }
 
 func (c *Catalog) dial(ctx context.Context, peer *peerLink, address string) {
--- a/internal/catalog/links_test.go
+++ b/internal/catalog/links_test.go
@@ -37,7 +37,7 @@
 	c.recordEntry("10.0.0.2", entryHeartbeat{Zone: "z"})
 	assert.True(t, c.listDue(listed, now))
 	assert.Len(t, c.wake, 1, "it is announced at once")
-	listed.listedArrivals = c.overlay.Arrivals()
+	listed.listedArrivals = c.overlay.Joins()
 	c.recordEntry("10.0.0.2", entryHeartbeat{Zone: "z"})
 	assert.False(t, c.listDue(listed, now), "it is known")
 	assert.False(t, c.listDue(&peerLink{listedAt: now}, now), "lists have a minimum interval")
--- a/internal/catalog/restarted_test.go
+++ b/internal/catalog/restarted_test.go
@@ -74,7 +74,7 @@
 	assert.Empty(t, c.Status().FaultyRecords)
 	assert.Len(t, c.View().Servers["m"], 1)
 	faulty(32, `{`)
-	c.applyWatched([]mirror.Record{{Key: "servers/s", Revision: 33, Gone: true}})
+	c.applyWatched([]mirror.Record{{Key: "servers/s", Revision: 33, Deleted: true}})
 	assert.Empty(t, c.Status().FaultyRecords)
 }
 
