--- a/internal/catalog/asks.go
+++ b/internal/catalog/asks.go
@@ -66,8 +66,8 @@
 // OnAsk registers a function that is called with each word of another entry. It must be registered before Run.
 func (c *Catalog) OnAsk(function AskFunction) { c.asks.onWord = function }
 
-// TellAsk has the other entries told at once what a server has asked of this one at a time.
-func (c *Catalog) TellAsk(ask dispatch.Ask, at time.Time) {
+// AnnounceNotice has the other entries told at once what a server has asked of this one at a time.
+func (c *Catalog) AnnounceNotice(ask dispatch.Ask, at time.Time) {
 	c.mutex.Lock()
 	word := heldWord[dispatch.Ask]{word: ask, at: at, number: c.asks.nextNumber()}
 	c.asks.hold(wordKey{entry: c.options.Self, server: ask.Server}, word, time.Now())
--- a/internal/catalog/health.go
+++ b/internal/catalog/health.go
@@ -75,8 +75,8 @@
 // registered before Run.
 func (c *Catalog) OnHealth(function HealthFunction) { c.health.onWord = function }
 
-// TellHealth has the zone's other entries told what this one has found out at a time, at the next pace.
-func (c *Catalog) TellHealth(words []health.Word, at time.Time) {
+// AnnounceHealth has the zone's other entries told what this one has found out at a time, at the next pace.
+func (c *Catalog) AnnounceHealth(words []health.Word, at time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := time.Now()
--- a/internal/catalog/health_test.go
+++ b/internal/catalog/health_test.go
@@ -22,7 +22,7 @@
 func TestWordsOnHealthArePassedOnByRelays(t *testing.T) {
 	c := newTestCatalog()
 	now := time.Now()
-	c.TellHealth([]health.Word{ejectedWord("10.0.0.1", "i-1")}, now)
+	c.AnnounceHealth([]health.Word{ejectedWord("10.0.0.1", "i-1")}, now)
 	other := toldHealth{Server: "i-2", Entry: "10.0.0.2", Ejected: true, Number: 7, AgeMilliseconds: 100}.held(now)
 	assert.True(t, c.holdHealth(other, now))
 	servers := func(ip string, isRelay bool, told uint64) []string {
--- a/internal/catalog/quarantine.go
+++ b/internal/catalog/quarantine.go
@@ -81,9 +81,9 @@
 // registered before Run.
 func (c *Catalog) OnQuarantine(function QuarantineFunction) { c.quarantine.onWord = function }
 
-// TellQuarantine has all other processes told at once what this one has found out. The words' moments
+// AnnounceQuarantine has all other processes told at once what this one has found out. The words' moments
 // count from a time.
-func (c *Catalog) TellQuarantine(words []quarantine.Word, from time.Time) {
+func (c *Catalog) AnnounceQuarantine(words []quarantine.Word, from time.Time) {
 	c.mutex.Lock()
 	for _, word := range words {
 		word.At += from.Sub(c.started)
--- a/internal/forward/asked.go
+++ b/internal/forward/asked.go
@@ -11,10 +11,10 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// AskSource is what entries tell each other of what servers ask in their answers.
-type AskSource interface {
-	// TellAsk has the others told what a server has asked at a time.
-	TellAsk(ask dispatch.Ask, at time.Time)
+// NoticeAnnouncer is what entries tell each other of what servers ask in their answers.
+type NoticeAnnouncer interface {
+	// AnnounceNotice has the others told what a server has asked at a time.
+	AnnounceNotice(ask dispatch.Ask, at time.Time)
 }
 
 // sawAsked notes what an answer says its server asks for. An answer of another server says nothing of this
@@ -23,7 +23,7 @@
 	if head.Instance != "" && head.Instance != k.ID {
 		return
 	}
-	defer t.news.deliver(&t.mutex, func(one askNews) { t.asks.TellAsk(one.ask, one.at) })
+	defer t.news.deliver(&t.mutex, func(one askNews) { t.asks.AnnounceNotice(one.ask, one.at) })
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := time.Now()
@@ -89,8 +89,8 @@
 	t.news.add(askNews{ask: t.core.AskOf(k.Candidate), at: at})
 }
 
-// HearAsk takes in what a server has asked of another entry, and when.
-func (f *Forwarder) HearAsk(ask dispatch.Ask, entry string, at time.Time) {
+// ReceiveNotice takes in what a server has asked of another entry, and when.
+func (f *Forwarder) ReceiveNotice(ask dispatch.Ask, entry string, at time.Time) {
 	t := f.targets
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/forward/asking.go
+++ b/internal/forward/asking.go
@@ -13,10 +13,10 @@
 // after 0.25 s (median) where it came after 0.68 s; by answers to questions it is 0.35 s and
 // 0.37 s. Measured on days of 45 to 76 servers with overload, 0.01 to 0.04 of their worth.
 
-// LoadSource asks the agents beside model servers, named by the servers' addresses.
-type LoadSource interface {
-	// Ask returns the answers that come within some ten milliseconds.
-	Ask(ctx context.Context, servers []string) []fleet.MachineStatus
+// LoadQuerier asks the agents beside model servers, named by the servers' addresses.
+type LoadQuerier interface {
+	// Query returns the answers that come within some ten milliseconds.
+	Query(ctx context.Context, servers []string) []fleet.MachineStatus
 	// Announce tells of a request that is being sent to a server.
 	Announce(server string, promptTokens int)
 }
@@ -40,7 +40,7 @@
 			return
 		}
 		asked = append(asked, next...)
-		answers := w.options.Loads.Ask(ctx, addressesOf(next))
+		answers := w.options.Loads.Query(ctx, addressesOf(next))
 		answered := w.targets.takeAnswers(next, answers)
 		w.metrics.loadQueries.WithLabelValues(queryAnswered).Add(float64(len(answered)))
 		w.metrics.loadQueries.WithLabelValues(queryMissed).Add(float64(len(next) - len(answered)))
--- a/internal/forward/asking_test.go
+++ b/internal/forward/asking_test.go
@@ -22,7 +22,7 @@
 	announced map[string]int
 }
 
-func (a *agentsOfTest) Ask(_ context.Context, servers []string) []fleet.MachineStatus {
+func (a *agentsOfTest) Query(_ context.Context, servers []string) []fleet.MachineStatus {
 	a.asked = append(a.asked, servers...)
 	var answers []fleet.MachineStatus
 	for _, server := range servers {
@@ -45,7 +45,7 @@
 func asking(agents *agentsOfTest, servers ...string) *work {
 	w := askingUnheard(agents, servers...)
 	for _, address := range servers {
-		w.TakeStatus(fleet.MachineStatus{Address: address, Reachable: true, Version: 1, SwitchMilliseconds: fleet.NoSwitch}, time.Now().Add(-50*time.Millisecond), false)
+		w.ApplyStatus(fleet.MachineStatus{Address: address, Reachable: true, Version: 1, SwitchMilliseconds: fleet.NoSwitch}, time.Now().Add(-50*time.Millisecond), false)
 	}
 	return w
 }
@@ -141,7 +141,7 @@
 func TestServerThatNobodyTellsOfIsAsked(t *testing.T) {
 	agents := &agentsOfTest{answers: map[string]fleet.MachineStatus{"10.0.0.1:1": full, "10.0.0.2:1": {Running: 3}}}
 	w := askingUnheard(agents, "10.0.0.1:1", "10.0.0.2:1")
-	w.TakeStatus(fleet.MachineStatus{Address: "10.0.0.2:1", Reachable: true, Version: 1, SwitchMilliseconds: fleet.NoSwitch}, time.Now().Add(-50*time.Millisecond), false)
+	w.ApplyStatus(fleet.MachineStatus{Address: "10.0.0.2:1", Reachable: true, Version: 1, SwitchMilliseconds: fleet.NoSwitch}, time.Now().Add(-50*time.Millisecond), false)
 	for range 5 {
 		w.askLoads(context.Background())
 		assert.Contains(t, agents.asked, "10.0.0.1:1")
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -73,7 +73,7 @@
 	w.sent++
 	w.wanted.Tried = append(w.wanted.Tried, target.Candidate)
 	w.log.Log(logging.RequestSent, zap.String("request", w.request.Call.RequestID), zap.Int("attempt", w.sent),
-		zap.String("server", target.ID), zap.String("zone", target.Zone), zap.Stringer("content", w.request.Content), zap.Int("outstanding", chosen.Outstanding),
+		zap.String("server", target.ID), zap.String("zone", target.Zone), zap.Stringer("content", w.request.Fingerprint), zap.Int("outstanding", chosen.Outstanding),
 		zap.Int("running", chosen.Load.Running), zap.Int("waiting", chosen.Load.Waiting), zap.Int("unread_tokens", int(chosen.Load.Unread)),
 		zap.Int("prompt_tokens", w.wanted.Prompt),
 		zap.Duration("time_left", send.Deadline), zap.Duration("since_first_attempt", w.wanted.Arrival.Elapsed), zap.Duration("expected", chosen.Expected), zap.Duration("status_age", chosen.WordAge), zap.Int("candidates", chosen.Considered), zap.Uint64("version", send.Version),
--- a/internal/forward/decision_benchmark_test.go
+++ b/internal/forward/decision_benchmark_test.go
@@ -38,7 +38,7 @@
 
 func benchmarkWords(f *Forwarder, view *catalog.View) {
 	for number, server := range view.Servers["s"] {
-		f.TakeStatus(fleet.MachineStatus{
+		f.ApplyStatus(fleet.MachineStatus{
 			Address: server.Address, Reachable: true, Model: "m", Version: 1, Running: number % 9, Waiting: number % 3,
 			SwitchMilliseconds: fleet.NoSwitch,
 		}, time.Now(), false)
--- a/internal/forward/dump.go
+++ b/internal/forward/dump.go
@@ -12,29 +12,29 @@
 
 // ServerView is what the entry believes of one server, with ages.
 type ServerView struct {
-	ID              string              `json:"id"`
-	Service         string              `json:"service"`
-	Address         string              `json:"address"`
-	Zone            string              `json:"zone"`
-	Draining        bool                `json:"draining"`
-	InFlight        int                 `json:"in_flight"`
-	Outstanding     int                 `json:"outstanding"`
-	Version         uint64              `json:"version"`
-	EjectedFor      float64             `json:"ejected_for_seconds"`
-	Health          HealthView          `json:"health"`
-	Status          fleet.MachineStatus `json:"status"`
-	StatusAge       float64             `json:"status_age_seconds"`
-	MeanMillisecond float64             `json:"mean_milliseconds"`
+	ID               string              `json:"id"`
+	Service          string              `json:"service"`
+	Address          string              `json:"address"`
+	Zone             string              `json:"zone"`
+	Draining         bool                `json:"draining"`
+	InFlight         int                 `json:"in_flight"`
+	Outstanding      int                 `json:"outstanding"`
+	Version          uint64              `json:"version"`
+	EjectedFor       float64             `json:"ejected_for_seconds"`
+	Health           HealthView          `json:"health"`
+	Status           fleet.MachineStatus `json:"status"`
+	StatusAge        float64             `json:"status_age_seconds"`
+	MeanMilliseconds float64             `json:"mean_milliseconds"`
 	// ColdFor is how much longer the server counts as cold; Evacuated servers are sent
 	// nothing new.
 	ColdFor   float64 `json:"cold_for_seconds"`
 	Evacuated bool    `json:"evacuated"`
 	// Limit is the rate that the server names in its answers; nil when it names none.
 	Limit *LimitView `json:"limit,omitempty"`
-	// RestLeft is for how much longer the server wants nothing from this entry; SaidLeaving is set when an
+	// BackoffLeft is for how much longer the server wants nothing from this entry; SaidLeaving is set when an
 	// answer has said that it is about to end.
-	RestLeft    float64 `json:"rest_seconds"`
-	SaidLeaving bool    `json:"said_leaving"`
+	BackoffLeft      float64 `json:"rest_seconds"`
+	AnnouncedLeaving bool    `json:"said_leaving"`
 }
 
 // LimitView is a rate that a server has named.
@@ -49,15 +49,15 @@
 type HealthView struct {
 	State string `json:"state"`
 	// Evidence is this entry's own, Hinted that of the zone's other entries.
-	Evidence float64 `json:"evidence"`
-	Hinted   float64 `json:"hinted"`
+	Evidence     float64 `json:"evidence"`
+	PeerEvidence float64 `json:"hinted"`
 	// Round counts the ejections that are not forgotten; By is the entry that told the last.
-	Round int    `json:"round"`
-	By    string `json:"by"`
+	Round    int    `json:"round"`
+	Reporter string `json:"by"`
 }
 
 func healthView(held health.View) HealthView {
-	return HealthView{State: held.State.String(), Evidence: held.Evidence, Hinted: held.Hinted, Round: held.Round, By: held.By}
+	return HealthView{State: held.State.String(), Evidence: held.Evidence, PeerEvidence: held.Hinted, Round: held.Round, Reporter: held.By}
 }
 
 // Servers lists the servers in view in order of ID.
@@ -73,8 +73,8 @@
 		view := ServerView{
 			ID: server.ID, Service: server.Service, Address: server.Address, Zone: server.Zone,
 			Draining: server.Draining, InFlight: one.InFlight, Outstanding: one.Outstanding, Version: one.Version,
-			EjectedFor: one.Health.Left.Seconds(), Health: healthView(one.Health), StatusAge: one.WordAge.Seconds(), MeanMillisecond: one.MeanMilliseconds,
-			ColdFor: one.ColdFor.Seconds(), Evacuated: one.Evacuated, RestLeft: one.RestLeft.Seconds(), SaidLeaving: one.SaidLeaving,
+			EjectedFor: one.Health.Left.Seconds(), Health: healthView(one.Health), StatusAge: one.WordAge.Seconds(), MeanMilliseconds: one.MeanMilliseconds,
+			ColdFor: one.ColdFor.Seconds(), Evacuated: one.Evacuated, BackoffLeft: one.RestLeft.Seconds(), AnnouncedLeaving: one.SaidLeaving,
 		}
 		if one.Limit.InForce {
 			view.Limit = &LimitView{PerSecond: one.Limit.PerSecond, Age: one.Limit.Named.Seconds(), Share: one.Limit.Share}
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -37,8 +37,8 @@
 	Body   []byte
 	// Memory is charged with what is held of the request and its answer; nil is bounded by nothing.
 	Memory *bytequota.Account
-	// Content identifies caller, host, target and body: the same for each try of a request.
-	Content quarantine.Content
+	// Fingerprint identifies caller, host, target and body: the same for each try of a request.
+	Fingerprint quarantine.Content
 	// Arrived is when the request's head was read; Deadline is when its answer is
 	// due at the latest.
 	Arrived  time.Time
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -35,13 +35,13 @@
 	Self    string
 	Entries func() []string
 	// Health shares servers' health with the zone's other entries; nil shares with nobody.
-	Health HealthSource
+	Health HealthAnnouncer
 	// Quarantine shares which contents end servers with the other processes; nil with nobody.
-	Quarantine QuarantineSource
-	// Asks shares what servers ask in their answers with the other entries; nil with nobody.
-	Asks AskSource
+	Quarantine QuarantineAnnouncer
+	// Notices shares what servers ask in their answers with the other entries; nil with nobody.
+	Notices NoticeAnnouncer
 	// Loads asks agents before requests are sent; nil asks nobody.
-	Loads    LoadSource
+	Loads    LoadQuerier
 	Registry prometheus.Registerer
 	Policy   Policy
 }
@@ -91,9 +91,9 @@
 	}
 }
 
-// TakeStatus notes an agent's word on its server, when that was said, and whether it was
+// ApplyStatus notes an agent's word on its server, when that was said, and whether it was
 // said to this process itself.
-func (f *Forwarder) TakeStatus(status fleet.MachineStatus, at time.Time, direct bool) {
+func (f *Forwarder) ApplyStatus(status fleet.MachineStatus, at time.Time, direct bool) {
 	f.targets.takeStatus(status, at, direct)
 }
 
--- a/internal/forward/health.go
+++ b/internal/forward/health.go
@@ -23,10 +23,10 @@
 	overdueEvidenceShare  = 0.8
 )
 
-// HealthSource is what entries of a zone tell each other of servers.
-type HealthSource interface {
-	// TellHealth has the others told what was found out at a time: ages in the words are those of then.
-	TellHealth(words []health.Word, at time.Time)
+// HealthAnnouncer is what entries of a zone tell each other of servers.
+type HealthAnnouncer interface {
+	// AnnounceHealth has the others told what was found out at a time: ages in the words are those of then.
+	AnnounceHealth(words []health.Word, at time.Time)
 	// ZoneEntries lists the others.
 	ZoneEntries() []string
 }
@@ -35,7 +35,7 @@
 // said otherwise.
 type healthReporter struct {
 	// source is nil in an entry that shares nothing.
-	source   HealthSource
+	source   HealthAnnouncer
 	lookedAt time.Time
 	// findings are what the source is still to be told.
 	findings outbox[finding]
@@ -100,7 +100,7 @@
 
 // tellZone has the zone told what was found out; the mutex is not held.
 func (t *targets) tellZone() {
-	t.health.findings.deliver(&t.mutex, func(one finding) { t.health.source.TellHealth(one.words, one.at) })
+	t.health.findings.deliver(&t.mutex, func(one finding) { t.health.source.AnnounceHealth(one.words, one.at) })
 }
 
 func (t *targets) logHealth(change health.Change) {
@@ -117,8 +117,8 @@
 	t.log.Log(logging.ServerReturned, fields...)
 }
 
-// HearHealth takes in what another entry of the zone has said of a server, and when.
-func (f *Forwarder) HearHealth(word health.Word, at time.Time) {
+// ReceiveHealth takes in what another entry of the zone has said of a server, and when.
+func (f *Forwarder) ReceiveHealth(word health.Word, at time.Time) {
 	t := f.targets
 	defer t.tellZone()
 	t.mutex.Lock()
--- a/internal/forward/health_lock_test.go
+++ b/internal/forward/health_lock_test.go
@@ -31,7 +31,7 @@
 	s.forwarder.targets.mutex.Unlock()
 }
 
-func (s *lockedSource) TellHealth(words []health.Word, _ time.Time) {
+func (s *lockedSource) AnnounceHealth(words []health.Word, _ time.Time) {
 	s.note("tell")
 	s.words = append(s.words, words...)
 }
@@ -66,7 +66,7 @@
 		w.observe(f.server("i-0"), health.Unreached)
 	}
 	time.Sleep(300 * time.Millisecond)
-	f.HearHealth(health.Word{Server: "i-1", Entry: "10.0.0.9", Ejected: true, Round: 1}, time.Now())
+	f.ReceiveHealth(health.Word{Server: "i-1", Entry: "10.0.0.9", Ejected: true, Round: 1}, time.Now())
 	w.endTrial()
 	require.Len(t, source.words, 2)
 	assert.False(t, source.words[0].Ejected)
--- a/internal/forward/health_wait_test.go
+++ b/internal/forward/health_wait_test.go
@@ -23,7 +23,7 @@
 	toldAt        []time.Time
 }
 
-func (s *slowSource) TellHealth(words []health.Word, at time.Time) {
+func (s *slowSource) AnnounceHealth(words []health.Word, at time.Time) {
 	s.once.Do(func() { close(s.entered) })
 	<-s.tell
 	s.toldAt = append(s.toldAt, at)
--- a/internal/forward/outbox_test.go
+++ b/internal/forward/outbox_test.go
@@ -21,8 +21,8 @@
 	told    []dispatch.Ask
 }
 
-// TellAsk implements AskSource.
-func (s *slowAsks) TellAsk(ask dispatch.Ask, _ time.Time) {
+// AnnounceNotice implements AskSource.
+func (s *slowAsks) AnnounceNotice(ask dispatch.Ask, _ time.Time) {
 	if !s.later.Swap(true) {
 		close(s.begun)
 		<-s.proceed
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -33,10 +33,10 @@
 	mostLoggedContents = 24
 )
 
-// QuarantineSource passes on what entries have found out of contents that end servers.
-type QuarantineSource interface {
-	// TellQuarantine has the other processes told; the words' moments count from a time.
-	TellQuarantine(words []quarantine.Word, from time.Time)
+// QuarantineAnnouncer passes on what entries have found out of contents that end servers.
+type QuarantineAnnouncer interface {
+	// AnnounceQuarantine has the other processes told; the words' moments count from a time.
+	AnnounceQuarantine(words []quarantine.Word, from time.Time)
 }
 
 // contents keeps contents that end servers from these.
@@ -44,7 +44,7 @@
 	log     *logging.Logger
 	started time.Time
 	// source is nil in an entry that shares nothing.
-	source QuarantineSource
+	source QuarantineAnnouncer
 
 	mutex   sync.Mutex
 	tracker *quarantine.Tracker
@@ -84,7 +84,7 @@
 		c.report(change)
 	}
 	if len(words) > 0 && c.source != nil {
-		c.source.TellQuarantine(words, c.started)
+		c.source.AnnounceQuarantine(words, c.started)
 	}
 }
 
@@ -107,15 +107,15 @@
 	}
 }
 
-// HearQuarantine takes in what another process has found out, whose moment counts from a time.
-func (f *Forwarder) HearQuarantine(word quarantine.Word, from time.Time) {
+// ReceiveQuarantine takes in what another process has found out, whose moment counts from a time.
+func (f *Forwarder) ReceiveQuarantine(word quarantine.Word, from time.Time) {
 	word.At += from.Sub(f.contents.started)
 	f.contents.do(func(tracker *quarantine.Tracker, now time.Duration) { tracker.Hear(word, now) })
 }
 
-// Release ends what is held against a content, at an operator's wish, and reports whether there was
+// ReleaseQuarantine ends what is held against a content, at an operator's wish, and reports whether there was
 // anything.
-func (f *Forwarder) Release(id [quarantine.ContentSize]byte) bool {
+func (f *Forwarder) ReleaseQuarantine(id [quarantine.ContentSize]byte) bool {
 	released := false
 	f.contents.do(func(tracker *quarantine.Tracker, now time.Duration) {
 		for _, one := range tracker.Describe(now) {
@@ -131,7 +131,7 @@
 // that is a suspect goes to a server that has no other suspect of this entry.
 func (w *work) admitContent() *fault.Refusal {
 	w.endSuspect()
-	verdict := w.contents.admit(w.request.Content)
+	verdict := w.contents.admit(w.request.Fingerprint)
 	w.wanted.Avoided = nil
 	refusal := (*fault.Refusal)(nil)
 	switch verdict.State {
@@ -147,7 +147,7 @@
 		refusal = fault.NotRun(fault.ReasonSuspected, "servers have ended under requests with this content, among others")
 	}
 	refusal.RetryAfter = verdict.Left
-	w.log.Log(logging.ContentWithheld, zap.String("request", w.request.Call.RequestID), zap.Stringer("content", w.request.Content),
+	w.log.Log(logging.ContentWithheld, zap.String("request", w.request.Call.RequestID), zap.Stringer("content", w.request.Fingerprint),
 		zap.String("reason", string(refusal.Reason)), zap.Strings("servers", verdict.Servers), zap.Duration("left", verdict.Left))
 	return refusal
 }
@@ -184,7 +184,7 @@
 	}
 	w.contents.mutex.Lock()
 	defer w.contents.mutex.Unlock()
-	w.contents.tracker.Begin(w.request.Content, target.ID)
+	w.contents.tracker.Begin(w.request.Fingerprint, target.ID)
 }
 
 // endSuspect notes that the request is under way no more.
@@ -195,12 +195,12 @@
 	w.suspect = false
 	w.contents.mutex.Lock()
 	defer w.contents.mutex.Unlock()
-	w.contents.tracker.End(w.request.Content)
+	w.contents.tracker.End(w.request.Fingerprint)
 }
 
 // contentAnswered notes that a server has answered the request whole.
 func (w *work) contentAnswered() {
-	w.contents.do(func(tracker *quarantine.Tracker, now time.Duration) { tracker.Answered(w.request.Content, now) })
+	w.contents.do(func(tracker *quarantine.Tracker, now time.Duration) { tracker.Answered(w.request.Fingerprint, now) })
 }
 
 // noteEnd draws the conclusion from a failed attempt on whether its server has ended. A server that is
@@ -212,7 +212,7 @@
 	case failed.execution == fault.ExecutionUnknown && connectionEnded(failed.cause) && !w.targets.leaving(target):
 		doubted := false
 		w.contents.do(func(tracker *quarantine.Tracker, now time.Duration) {
-			doubted = tracker.Broke(target.ID, w.request.Content, w.contents.since(w.sentAt), now)
+			doubted = tracker.Broke(target.ID, w.request.Fingerprint, w.contents.since(w.sentAt), now)
 		})
 		switch {
 		case w.suspect:
@@ -279,29 +279,29 @@
 	return t.core.Leaving(k.Candidate)
 }
 
-// ContentView is what is held against one content.
-type ContentView struct {
-	Content string `json:"content"`
+// FingerprintView is what is held against one content.
+type FingerprintView struct {
+	Fingerprint string `json:"content"`
 	// State is "quarantined" or "suspected".
-	State string  `json:"state"`
-	Left  float64 `json:"left_seconds"`
-	Round int     `json:"round"`
+	State     string  `json:"state"`
+	Remaining float64 `json:"left_seconds"`
+	Round     int     `json:"round"`
 	// Servers are the last ones that have ended under it, By the entry that found that out.
-	Servers []string `json:"servers"`
-	By      string   `json:"by,omitempty"`
+	Servers  []string `json:"servers"`
+	Reporter string   `json:"by,omitempty"`
 }
 
-// Contents lists the contents that are quarantined or suspected.
-func (f *Forwarder) Contents() []ContentView {
+// Fingerprints lists the contents that are quarantined or suspected.
+func (f *Forwarder) Fingerprints() []FingerprintView {
 	f.contents.mutex.Lock()
 	defer f.contents.mutex.Unlock()
-	views := []ContentView{}
+	views := []FingerprintView{}
 	for _, one := range f.contents.tracker.Describe(f.contents.since(time.Now())) {
 		state := "suspected"
 		if one.State == quarantine.InQuarantine {
 			state = "quarantined"
 		}
-		views = append(views, ContentView{Content: one.Content.String(), State: state, Left: one.Left.Seconds(), Round: one.Round, Servers: one.Servers, By: one.By})
+		views = append(views, FingerprintView{Fingerprint: one.Content.String(), State: state, Remaining: one.Left.Seconds(), Round: one.Round, Servers: one.Servers, Reporter: one.By})
 	}
 	return views
 }
--- a/internal/forward/returning_test.go
+++ b/internal/forward/returning_test.go
@@ -11,7 +11,7 @@
 func TestRefusedCallersComeBackSpread(t *testing.T) {
 	early, late := 0, 0
 	for range 1000 {
-		after := ReturnAfter(500*time.Millisecond, 6*time.Second)
+		after := SpreadRetryAfter(500*time.Millisecond, 6*time.Second)
 		assert.GreaterOrEqual(t, after, 500*time.Millisecond)
 		assert.Less(t, after, 2*time.Second)
 		if after < 1250*time.Millisecond {
@@ -22,6 +22,6 @@
 	}
 	assert.Greater(t, early, 400)
 	assert.Greater(t, late, 400)
-	assert.Equal(t, 3*time.Second, ReturnAfter(3*time.Second, 6*time.Second), "nobody is told less than it takes")
-	assert.Equal(t, 200*time.Millisecond, ReturnAfter(200*time.Millisecond, -time.Second))
+	assert.Equal(t, 3*time.Second, SpreadRetryAfter(3*time.Second, 6*time.Second), "nobody is told less than it takes")
+	assert.Equal(t, 200*time.Millisecond, SpreadRetryAfter(200*time.Millisecond, -time.Second))
 }
--- a/internal/forward/shedding.go
+++ b/internal/forward/shedding.go
@@ -39,7 +39,7 @@
 	if refusal == nil || refusal.RetryAfter <= 0 || isWithheld(refusal) {
 		return
 	}
-	refusal.RetryAfter = ReturnAfter(refusal.RetryAfter, time.Until(w.request.Deadline))
+	refusal.RetryAfter = SpreadRetryAfter(refusal.RetryAfter, time.Until(w.request.Deadline))
 	w.metrics.told.WithLabelValues(attemptOf(w.wanted.Arrival), string(refusal.Reason)).Observe(refusal.RetryAfter.Seconds())
 	w.targets.mutex.Lock()
 	defer w.targets.mutex.Unlock()
--- a/internal/forward/targets.go
+++ b/internal/forward/targets.go
@@ -45,7 +45,7 @@
 	// unreadable are the fields of servers' answers that could not be read: that is logged once.
 	unreadable map[unreadableField]bool
 	// asks is nil in an entry that shares nothing; news is what it is still to be told.
-	asks AskSource
+	asks NoticeAnnouncer
 	news outbox[askNews]
 	// rests counts the answers that have asked for rest.
 	rests prometheus.Counter
@@ -55,7 +55,7 @@
 
 func newTargets(options Options, now time.Time) *targets {
 	t := &targets{
-		log: options.Log, health: newHealthReporter(options), entries: options.Entries, asks: options.Asks,
+		log: options.Log, health: newHealthReporter(options), entries: options.Entries, asks: options.Notices,
 		core: dispatch.New(dispatch.Options{
 			Zone: options.Zone, Regions: options.Regions, Policy: dispatch.Policy(options.Policy), Self: options.Self, Started: now,
 			Random: rand.Float64, Shuffle: rand.Shuffle,
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -67,7 +67,7 @@
 	configuration := g.daemon.Catalog.View().Configuration
 	if configuration == nil {
 		refusal := fault.NotRun(fault.ReasonNotReady, "no configuration is known yet")
-		refusal.RetryAfter = forward.ReturnAfter(unconfiguredRetry, call.Deadline)
+		refusal.RetryAfter = forward.SpreadRetryAfter(unconfiguredRetry, call.Deadline)
 		return request, refusal
 	}
 	if refusal := admit(configuration, request); refusal != nil {
@@ -81,7 +81,7 @@
 	hasher := quarantine.NewHasher(callerOf(request), request.Host, request.Target)
 	request.Memory = g.memory.Open(callerOf(request))
 	refusal := readBody(writer, incoming, configuration.Limits, request, hasher)
-	request.Content = hasher.Content()
+	request.Fingerprint = hasher.Content()
 	return request, refusal
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -54,17 +54,17 @@
 	base.Section("callers", func() any { return g.memory.Status() })
 	g.forwarder = forward.New(forward.Options{
 		Zone: settings.Zone, Regions: settings.Regions, Bounds: settings.Bounds, Dialect: options.Dialect, Log: base.Log,
-		Peers: base.Catalog.Peers, Self: settings.IP, Entries: base.Catalog.Entries, Health: base.Catalog, Quarantine: base.Catalog, Asks: base.Catalog, Loads: g.loads,
+		Peers: base.Catalog.Peers, Self: settings.IP, Entries: base.Catalog.Entries, Health: base.Catalog, Quarantine: base.Catalog, Notices: base.Catalog, Loads: g.loads,
 		Registry: base.Registry, Policy: options.Policy,
 	})
 	base.Catalog.OnChange(g.forwarder.Update)
-	base.Catalog.OnStatus(g.forwarder.TakeStatus)
-	base.Catalog.OnHealth(g.forwarder.HearHealth)
-	base.Catalog.OnQuarantine(g.forwarder.HearQuarantine)
-	base.Catalog.OnAsk(g.forwarder.HearAsk)
+	base.Catalog.OnStatus(g.forwarder.ApplyStatus)
+	base.Catalog.OnHealth(g.forwarder.ReceiveHealth)
+	base.Catalog.OnQuarantine(g.forwarder.ReceiveQuarantine)
+	base.Catalog.OnAsk(g.forwarder.ReceiveNotice)
 	base.OnSettings(g.forwarder.SetSettings)
 	base.Action(ReleasePath+"{"+contentParameter+"}", g.release)
-	base.Section("contents", func() any { return g.forwarder.Contents() })
+	base.Section("contents", func() any { return g.forwarder.Fingerprints() })
 	base.Section("servers", func() any { return g.forwarder.Servers() })
 	return g
 }
--- a/internal/gateway/release.go
+++ b/internal/gateway/release.go
@@ -23,7 +23,7 @@
 		http.Error(writer, "a content is named by 32 hexadecimal digits", http.StatusBadRequest)
 		return
 	}
-	if !g.forwarder.Release(content) {
+	if !g.forwarder.ReleaseQuarantine(content) {
 		http.Error(writer, "nothing is held against this content here", http.StatusNotFound)
 		return
 	}
--- a/internal/loadquery/benchmark_test.go
+++ b/internal/loadquery/benchmark_test.go
@@ -34,6 +34,6 @@
 	defer client.Close()
 	b.ReportAllocs()
 	for b.Loop() {
-		client.Ask(context.Background(), []string{server.address})
+		client.Query(context.Background(), []string{server.address})
 	}
 }
--- a/internal/loadquery/client.go
+++ b/internal/loadquery/client.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// Ask asks the agents beside some servers, named by their addresses, how the servers do.
+// Query asks the agents beside some servers, named by their addresses, how the servers do.
 // It returns the answers that come in time, in no order.
-func (c *Client) Ask(ctx context.Context, servers []string) []fleet.MachineStatus {
+func (c *Client) Query(ctx context.Context, servers []string) []fleet.MachineStatus {
 	// Each question has room for its answer, so that the reader never waits.
 	answers := make(chan fleet.MachineStatus, len(servers))
 	numbers := c.expect(len(servers), answers)
--- a/internal/loadquery/loadquery_test.go
+++ b/internal/loadquery/loadquery_test.go
@@ -72,7 +72,7 @@
 func TestEveryAgentAnswersForItsServer(t *testing.T) {
 	one, two := &loadedServer{address: "127.0.31.1:8001", waiting: 3}, &loadedServer{address: "127.0.31.2:8001", waiting: 5}
 	client := openClient(t, respond(t, one, two))
-	answers := client.Ask(context.Background(), []string{one.address, two.address})
+	answers := client.Query(context.Background(), []string{one.address, two.address})
 	require.Len(t, answers, 2)
 	waiting := map[string]int{}
 	for _, status := range answers {
@@ -89,8 +89,8 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = silent.Close() })
 	began := time.Now()
-	assert.Len(t, client.Ask(context.Background(), []string{"127.0.32.2:8001", one.address}), 1)
-	assert.Empty(t, client.Ask(context.Background(), []string{"127.0.32.2:8001"}))
+	assert.Len(t, client.Query(context.Background(), []string{"127.0.32.2:8001", one.address}), 1)
+	assert.Empty(t, client.Query(context.Background(), []string{"127.0.32.2:8001"}))
 	assert.Less(t, time.Since(began), time.Second)
 	assert.Empty(t, client.waiting, "questions without an answer are forgotten")
 }
@@ -136,14 +136,14 @@
 	require.NoError(t, err)
 	_, err = socket.Write([]byte("no question"))
 	require.NoError(t, err)
-	assert.Len(t, client.Ask(context.Background(), []string{one.address}), 1)
+	assert.Len(t, client.Query(context.Background(), []string{one.address}), 1)
 	assert.Empty(t, one.told())
 }
 
 // Before the socket is open, and for what is no address, nobody is asked.
 func TestClientWithoutASocketAsksNobody(t *testing.T) {
 	client := NewClient(1, logging.Nop())
-	assert.Empty(t, client.Ask(context.Background(), []string{"127.0.0.1:8001", "no address"}))
+	assert.Empty(t, client.Query(context.Background(), []string{"127.0.0.1:8001", "no address"}))
 	client.Announce("127.0.0.1:8001", 1)
 	client.Close()
 }
--- a/internal/sitetest/crashing_test.go
+++ b/internal/sitetest/crashing_test.go
@@ -295,7 +295,7 @@
 		assert.Greater(t, retryAfter(t, answer), time.Minute, "when the caller may come back")
 	}
 	f.Site.CrashOn(site.Crashing{})
-	held, isList := f.Process(Name(catalog.RoleEntry, 0, 0)).Dump()["contents"].([]forward.ContentView)
+	held, isList := f.Process(Name(catalog.RoleEntry, 0, 0)).Dump()["contents"].([]forward.FingerprintView)
 	require.True(t, isList)
 	require.Len(t, held, 1)
 	assert.Equal(t, "quarantined", held[0].State)
@@ -308,7 +308,7 @@
 	}
 	assert.Equal(t, http.StatusBadRequest, release("short"))
 	assert.Equal(t, http.StatusNotFound, release(strings.Repeat("0", 32)))
-	assert.Equal(t, http.StatusNoContent, release(held[0].Content))
+	assert.Equal(t, http.StatusNoContent, release(held[0].Fingerprint))
 	f.Eventually("every entry sends the content", 2*time.Second, func() bool {
 		for _, answer := range f.askEverywhere("released") {
 			if answer.Status != http.StatusOK {
--- a/internal/sitetest/told_asks_test.go
+++ b/internal/sitetest/told_asks_test.go
@@ -64,7 +64,7 @@
 	leaving.SayLeaving(true)
 	f.askPlainAt(0, 0, leaving.ID(), "leaving")
 	f.Eventually("all know that it leaves", toldWithin, func() bool {
-		return f.everyEntry(leaving.ID(), func(view forward.ServerView) bool { return view.SaidLeaving })
+		return f.everyEntry(leaving.ID(), func(view forward.ServerView) bool { return view.AnnouncedLeaving })
 	})
 	limited.NameLimit("3")
 	f.askPlainAt(0, 1, limited.ID(), "limited")
@@ -75,7 +75,7 @@
 	f.StartEntry(2, 1)
 	f.WaitReady()
 	f.Eventually("the new entry knows both", toldWithin, func() bool {
-		return f.viewAt(2, 1, leaving.ID()).SaidLeaving && named(f.viewAt(2, 1, limited.ID()))
+		return f.viewAt(2, 1, leaving.ID()).AnnouncedLeaving && named(f.viewAt(2, 1, limited.ID()))
 	})
 
 	limited.NameLimit("")
