--- a/internal/loadquery/loadquery_test.go
+++ b/internal/loadquery/loadquery_test.go
@@ -26,7 +26,7 @@
 	announced []int
 }
 
-func (s *loadedServer) LoadNow() fleet.MachineStatus {
+func (s *loadedServer) CurrentLoad() fleet.MachineStatus {
 	return fleet.MachineStatus{Address: s.address, Reachable: true, Waiting: s.waiting}
 }
 
--- a/internal/loadquery/responder.go
+++ b/internal/loadquery/responder.go
@@ -13,8 +13,8 @@
 
 // Server is the model server that an agent answers for.
 type Server interface {
-	// LoadNow tells how the server does, announced requests included.
-	LoadNow() fleet.MachineStatus
+	// CurrentLoad tells how the server does, announced requests included.
+	CurrentLoad() fleet.MachineStatus
 	// Announce notes that a request with a prompt of a number of tokens is on its way.
 	Announce(promptTokens int)
 }
@@ -58,7 +58,7 @@
 		r.server.Announce(fleet.KnownTokens(received.Prompt, fleet.MostTokens))
 		return
 	}
-	data, err := encode(answer{Number: received.Number, Status: r.server.LoadNow()})
+	data, err := encode(answer{Number: received.Number, Status: r.server.CurrentLoad()})
 	if err != nil {
 		r.log.Log(logging.FrameRejected, zap.Error(err))
 		return
--- a/internal/rollout/load.go
+++ b/internal/rollout/load.go
@@ -7,9 +7,9 @@
 	"pinevane.example/pinevane/internal/fleet"
 )
 
-// LoadNow implements loadquery.Server: the machine's status, with the requests that were
+// CurrentLoad implements loadquery.Server: the machine's status, with the requests that were
 // announced since the server's last report.
-func (a *Agent) LoadNow() fleet.MachineStatus {
+func (a *Agent) CurrentLoad() fleet.MachineStatus {
 	now := time.Now()
 	status := a.status(now)
 	var figures balance.Server
