--- a/internal/loadquery/benchmark_test.go
+++ b/internal/loadquery/benchmark_test.go
@@ -9,10 +9,10 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// BenchmarkQuestion measures what the question to one agent and its answer cost both
-// processes together, over loopback.
-func BenchmarkQuestion(b *testing.B) {
-	server := &loadedServer{address: "127.0.35.1:8001", waiting: 3}
+// BenchmarkQuery measures the cost of a query to one agent and its answer in both processes
+// together, over loopback.
+func BenchmarkQuery(b *testing.B) {
+	server := &fakeServer{address: "127.0.35.1:8001", waiting: 3}
 	responder, err := NewResponder("127.0.35.1:0", server, logging.Nop())
 	if err != nil {
 		b.Fatal(err)
--- a/internal/loadquery/client.go
+++ b/internal/loadquery/client.go
@@ -14,33 +14,33 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// Times of a question.
+// Timeouts of a query.
 const (
-	// answerTimeout is how long any answer is waited for: a tenth of the usual target to
-	// the first event, and a way to another region and back many times.
+	// answerTimeout is the maximum wait for any answer: a tenth of the usual target for the first
+	// event, and many times a round trip to another region.
 	answerTimeout = 40 * time.Millisecond
-	// lateTimeout is how long further answers are waited for at the least once one is there.
-	lateTimeout = 10 * time.Millisecond
+	// minFurtherTimeout is the minimum wait for further answers once one has arrived.
+	minFurtherTimeout = 10 * time.Millisecond
 )
 
-// Client asks agents. All machines of agents listen on the same port.
+// Client sends load queries to agents. All agents listen on the same port.
 type Client struct {
 	port int
 	log  *logging.Logger
 
 	mutex sync.Mutex
 	// socket is nil until Open.
-	socket  *net.UDPConn
-	number  uint64
-	waiting map[uint64]chan<- fleet.MachineStatus
+	socket     *net.UDPConn
+	lastNumber uint64
+	pending    map[uint64]chan<- fleet.MachineStatus
 }
 
-// NewClient returns a client that asks agents on a port. Until Open it asks nobody.
+// NewClient returns a client that queries agents on a port. Until Open it sends nothing.
 func NewClient(port int, log *logging.Logger) *Client {
-	return &Client{port: port, log: log, waiting: map[uint64]chan<- fleet.MachineStatus{}}
+	return &Client{port: port, log: log, pending: map[uint64]chan<- fleet.MachineStatus{}}
 }
 
-// Open begins to send from an address of the own machine; Close ends it.
+// Open opens a socket on an address of the own machine; Close closes it.
 func (c *Client) Open(ip string) error {
 	socket, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(ip)})
 	if err != nil {
@@ -49,11 +49,11 @@
 	c.mutex.Lock()
 	c.socket = socket
 	c.mutex.Unlock()
-	go receive(socket, c.log, func(data []byte, _ netip.AddrPort) { c.take(data) })
+	go receive(socket, c.log, func(data []byte, _ netip.AddrPort) { c.handleAnswer(data) })
 	return nil
 }
 
-// Close ends what Open began.
+// Close closes the socket.
 func (c *Client) Close() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -62,31 +62,31 @@
 	}
 }
 
-func (c *Client) take(data []byte) {
+func (c *Client) handleAnswer(data []byte) {
 	var received answer
 	if err := decode(data, &received); err != nil {
 		c.log.Log(logging.FrameRejected, zap.Error(err))
 		return
 	}
 	c.mutex.Lock()
-	waiting := c.waiting[received.Number]
-	delete(c.waiting, received.Number)
+	waiting := c.pending[received.Number]
+	delete(c.pending, received.Number)
 	c.mutex.Unlock()
 	if waiting != nil {
 		waiting <- received.Status
 	}
 }
 
-// Query asks the agents beside some servers, named by their addresses, how the servers do.
-// It returns the answers that come in time, in no order.
+// Query asks the agents beside some servers, named by their addresses, for the servers' load. It
+// returns the answers that arrive in time, in no order.
 func (c *Client) Query(ctx context.Context, servers []string) []fleet.MachineStatus {
-	// Each question has room for its answer, so that the reader never waits.
+	// The channel has room for each query's answer, so that the receiver never blocks.
 	answers := make(chan fleet.MachineStatus, len(servers))
-	numbers := c.expect(len(servers), answers)
-	defer c.forget(numbers)
+	numbers := c.register(len(servers), answers)
+	defer c.unregister(numbers)
 	sent := 0
 	for at, server := range servers {
-		if c.send(server, question{Number: numbers[at]}) {
+		if c.send(server, query{Number: numbers[at]}) {
 			sent++
 		}
 	}
@@ -103,7 +103,7 @@
 		case status := <-answers:
 			collected = append(collected, status)
 			if len(collected) == 1 {
-				timeout.Reset(lateWait(time.Since(began)))
+				timeout.Reset(furtherTimeout(time.Since(began)))
 			}
 		case <-timeout.C:
 			return collected
@@ -114,34 +114,34 @@
 	return collected
 }
 
-// Announce tells the agent beside a server of a request that is being sent there.
+// Announce notifies the agent beside a server of a request that is being sent there.
 func (c *Client) Announce(server string, promptTokens int) {
-	c.send(server, question{Prompt: promptTokens})
+	c.send(server, query{Prompt: promptTokens})
 }
 
-// expect numbers a few questions whose answers go to a channel.
-func (c *Client) expect(count int, answers chan<- fleet.MachineStatus) []uint64 {
+// register assigns numbers to a few queries whose answers go to a channel.
+func (c *Client) register(count int, answers chan<- fleet.MachineStatus) []uint64 {
 	numbers := make([]uint64, 0, count)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for range count {
-		c.number++
-		c.waiting[c.number] = answers
-		numbers = append(numbers, c.number)
+		c.lastNumber++
+		c.pending[c.lastNumber] = answers
+		numbers = append(numbers, c.lastNumber)
 	}
 	return numbers
 }
 
-func (c *Client) forget(numbers []uint64) {
+func (c *Client) unregister(numbers []uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, number := range numbers {
-		delete(c.waiting, number)
+		delete(c.pending, number)
 	}
 }
 
-// send reports whether a datagram has left; one that has not is as good as lost.
-func (c *Client) send(server string, message question) bool {
+// send reports whether a datagram was sent; one that was not counts as lost.
+func (c *Client) send(server string, message query) bool {
 	host, _, err := net.SplitHostPort(server)
 	if err != nil {
 		return false
@@ -161,10 +161,10 @@
 	return err == nil
 }
 
-// lateWait is how long further answers are waited for after a first one that took some time: as
-// long again, within answerTimeout. On a busy machine all answers take long, and those that are not
-// waited for count as missing: their servers are asked last for a second, and the others get all
-// requests.
-func lateWait(took time.Duration) time.Duration {
-	return max(lateTimeout, min(took, answerTimeout-took))
+// furtherTimeout is how long further answers are waited for after a first one that took the given
+// time: as long again, within answerTimeout. On a busy machine all answers take long, and those
+// that are not waited for count as missing: their servers are queried last for a second, and the
+// others get all requests.
+func furtherTimeout(took time.Duration) time.Duration {
+	return max(minFurtherTimeout, min(took, answerTimeout-took))
 }
--- a/internal/loadquery/loadquery.go
+++ b/internal/loadquery/loadquery.go
@@ -1,11 +1,11 @@
-// Package loadquery lets an entry ask agents how their servers do right now, before it
-// sends a request to one of them, and announce the request to the agent of the server
-// that it has chosen. What agents tell all the time is some hundred milliseconds old, in
-// which as many requests reach a busy server as it begins; an answer is one way old.
+// Package loadquery lets an entry query agents for the current load of their servers before it
+// sends a request to one of them, and announce the request to the agent of the chosen server.
+// Periodic status reports are a few hundred milliseconds old, in which as many requests reach a
+// busy server as it begins; an answer is only as old as its one-way trip.
 //
-// Questions, answers and announcements are single datagrams in CBOR. A lost one costs a
-// short wait or leaves one request uncounted; no process keeps any state of another, and
-// the cost of a request does not grow with the fleet.
+// Queries, answers and announcements are single datagrams in CBOR. A lost one costs a short wait or
+// leaves one request uncounted. No process keeps state of another, and the cost of a request does
+// not grow with the fleet.
 package loadquery
 
 import (
@@ -21,27 +21,26 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// maximumDatagram bounds a message; an answer takes about 100 bytes.
-const maximumDatagram = 1200
+// maxDatagramBytes bounds a message; an answer takes about 100 bytes.
+const maxDatagramBytes = 1200
 
-// question asks an agent for the load of its server, or announces a request to it when
-// the number is 0.
-type question struct {
-	// Number tells which question an answer belongs to.
+// query asks an agent for the load of its server, or announces a request to it if the number is 0.
+type query struct {
+	// Number identifies the query that an answer belongs to.
 	Number uint64 `cbor:"1,keyasint,omitempty"`
 	// Prompt is the size of an announced request's prompt in tokens.
 	Prompt int `cbor:"2,keyasint,omitempty"`
 }
 
-// answer tells how the agent's server does.
+// answer returns the load of the agent's server.
 type answer struct {
 	Number uint64              `cbor:"1,keyasint"`
 	Status fleet.MachineStatus `cbor:"2,keyasint"`
 }
 
-// receive hands each datagram to a function until the socket is closed.
+// receive passes each datagram to a function until the socket is closed.
 func receive(socket *net.UDPConn, log *logging.Logger, take func(data []byte, from netip.AddrPort)) {
-	buffer := make([]byte, maximumDatagram)
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		count, from, err := socket.ReadFromUDPAddrPort(buffer)
 		switch {
--- a/internal/loadquery/responder.go
+++ b/internal/loadquery/responder.go
@@ -11,22 +11,22 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// Server is the model server that an agent answers for.
+// Server is the model server whose load an agent reports.
 type Server interface {
-	// CurrentLoad tells how the server does, announced requests included.
+	// CurrentLoad returns the server's load, including announced requests.
 	CurrentLoad() fleet.MachineStatus
-	// Announce notes that a request with a prompt of a number of tokens is on its way.
+	// Announce records that a request with a prompt of the given number of tokens is on its way.
 	Announce(promptTokens int)
 }
 
-// Responder answers the questions that reach an agent.
+// Responder answers the load queries that reach an agent.
 type Responder struct {
 	socket *net.UDPConn
 	server Server
 	log    *logging.Logger
 }
 
-// NewResponder listens at an address; Close ends it.
+// NewResponder listens at an address; Close closes the socket.
 func NewResponder(address string, server Server, log *logging.Logger) (*Responder, error) {
 	local, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
@@ -39,17 +39,17 @@
 	return &Responder{socket: socket, server: server, log: log}, nil
 }
 
-// Address is where questions are taken.
+// Address is the address of the socket.
 func (r *Responder) Address() string { return r.socket.LocalAddr().String() }
 
 // Close ends Run.
 func (r *Responder) Close() { _ = r.socket.Close() }
 
-// Run answers until Close.
-func (r *Responder) Run() { receive(r.socket, r.log, r.take) }
+// Run answers queries until Close.
+func (r *Responder) Run() { receive(r.socket, r.log, r.handleQuery) }
 
-func (r *Responder) take(data []byte, from netip.AddrPort) {
-	var received question
+func (r *Responder) handleQuery(data []byte, from netip.AddrPort) {
+	var received query
 	if err := decode(data, &received); err != nil {
 		r.log.Log(logging.FrameRejected, zap.Stringer("peer", from), zap.Error(err))
 		return
@@ -63,6 +63,6 @@
 		r.log.Log(logging.FrameRejected, zap.Error(err))
 		return
 	}
-	// An answer that can't be sent is a lost datagram: the entry does not wait for long.
+	// An answer that can't be sent is a lost datagram, for which the entry does not wait long.
 	_, _ = r.socket.WriteToUDPAddrPort(data, from)
 }
