--- a/internal/waiting/waiting.go
+++ b/internal/waiting/waiting.go
@@ -1,4 +1,4 @@
-// Package waiting waits for a time or the end of a context, whichever is first.
+// Package waiting waits for a duration or the end of a context, whichever is first.
 package waiting
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// For waits for a duration and reports whether it passed before the context ended.
-// A duration of zero or less has passed already.
+// For waits for a duration and reports whether it passed before the context ended. It returns at
+// once if the duration is zero or less.
 func For(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
