--- a/internal/forward/asking.go
+++ b/internal/forward/asking.go
@@ -8,84 +8,87 @@
 	"pinevane.example/pinevane/internal/fleet"
 )
 
-// What agents tell all the time is 0.1 s old in the own zone and 0.3 s from others. At full
-// servers, each of which gets nine requests a second, choices by it expected the first event
-// after 0.25 s (median) where it came after 0.68 s; by answers to questions it is 0.35 s and
-// 0.37 s. Measured on days of 45 to 76 servers with overload, 0.01 to 0.04 of their worth.
+// Periodic status reports are 0.1 s old in the entry's own zone and 0.3 s old from other zones. At
+// full servers, each of which gets nine requests a second, choices based on them expected the first
+// event after 0.25 s (median) where it came after 0.68 s; based on answers to load queries it is
+// 0.35 s and 0.37 s. Measured on days of 45 to 76 servers with overload, load queries are worth
+// 0.01 to 0.04 of a day's score.
 
-// LoadQuerier asks the agents beside model servers, named by the servers' addresses.
+// LoadQuerier sends load queries to the agents beside model servers, named by the servers'
+// addresses.
 type LoadQuerier interface {
-	// Query returns the answers that come within some ten milliseconds.
+	// Query returns the answers that arrive within some tens of milliseconds.
 	Query(ctx context.Context, servers []string) []fleet.MachineStatus
-	// Announce tells of a request that is being sent to a server.
+	// Announce notifies a server's agent of a request that is being sent to the server.
 	Announce(server string, promptTokens int)
 }
 
-// askingRounds is how often agents are asked: others, when the request would wait for too long at each of
-// the first servers.
-const askingRounds = 2
+// queryRounds is the maximum number of query rounds. The second round asks other servers' agents,
+// and takes place if the request would wait too long at each server of the first.
+const queryRounds = 2
 
-// askLoads asks the agents of a few servers how these do, and leaves the ones that have
-// answered as the candidates for the next attempt. Without any answer the choice goes by
-// what agents have told before.
-func (w *work) askLoads(ctx context.Context) {
-	w.wanted.Asked = nil
-	if w.options.Loads == nil || w.wanted.Engine == nil {
+// queryLoads queries the agents of a few servers and makes the servers whose agents answered the
+// candidates for the next attempt. Without any answer the choice is based on earlier status
+// reports.
+func (w *forwarding) queryLoads(ctx context.Context) {
+	w.criteria.Asked = nil
+	if w.options.Loads == nil || w.criteria.Engine == nil {
 		return
 	}
-	var asked []*dispatch.Candidate
-	for range askingRounds {
-		next := w.targets.toAsk(&w.wanted, asked)
+	var queried []*dispatch.Candidate
+	for range queryRounds {
+		next := w.targets.serversToQuery(&w.criteria, queried)
 		if len(next) == 0 {
 			return
 		}
-		asked = append(asked, next...)
+		queried = append(queried, next...)
 		answers := w.options.Loads.Query(ctx, addressesOf(next))
-		answered := w.targets.takeAnswers(next, answers)
+		answered := w.targets.applyLoadAnswers(next, answers)
 		w.metrics.loadQueries.WithLabelValues(queryAnswered).Add(float64(len(answered)))
 		w.metrics.loadQueries.WithLabelValues(queryMissed).Add(float64(len(next) - len(answered)))
-		w.wanted.Asked = append(w.wanted.Asked, answered...)
-		if ctx.Err() != nil || w.targets.anyAdmits(&w.wanted) {
+		w.criteria.Asked = append(w.criteria.Asked, answered...)
+		if ctx.Err() != nil || w.targets.anyAdmits(&w.criteria) {
 			return
 		}
 	}
 }
 
-func addressesOf(asked []*dispatch.Candidate) []string {
-	addresses := make([]string, 0, len(asked))
-	for _, one := range asked {
+func addressesOf(queried []*dispatch.Candidate) []string {
+	addresses := make([]string, 0, len(queried))
+	for _, one := range queried {
 		addresses = append(addresses, one.Address)
 	}
 	return addresses
 }
 
-// announce tells the agent of the chosen server of the request.
-func (w *work) announce(chosen *target) {
-	if w.options.Loads != nil && w.wanted.Engine != nil {
-		w.options.Loads.Announce(chosen.Address, w.wanted.Prompt)
+// announce notifies the agent of the chosen server of the request.
+func (w *forwarding) announce(chosen *target) {
+	if w.options.Loads != nil && w.criteria.Engine != nil {
+		w.options.Loads.Announce(chosen.Address, w.criteria.Prompt)
 	}
 }
 
-// toAsk picks the servers whose agents to ask, without those that were asked before.
-func (t *targets) toAsk(wanted *dispatch.Request, before []*dispatch.Candidate) []*dispatch.Candidate {
+// serversToQuery picks the servers whose agents to query, leaving out those queried before.
+func (t *targets) serversToQuery(criteria *dispatch.Request, earlier []*dispatch.Candidate) []*dispatch.Candidate {
 	now := t.lockWithMembers()
 	defer t.mutex.Unlock()
-	return t.core.ToAsk(wanted, before, now)
+	return t.core.ToAsk(criteria, earlier, now)
 }
 
-// takeAnswers takes over what the asked agents have told, and returns their servers.
-func (t *targets) takeAnswers(asked []*dispatch.Candidate, answers []fleet.MachineStatus) []*dispatch.Candidate {
+// applyLoadAnswers applies the answers of the queried agents and returns the servers they belong
+// to.
+func (t *targets) applyLoadAnswers(queried []*dispatch.Candidate, answers []fleet.MachineStatus) []*dispatch.Candidate {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, status := range answers {
-		t.told[status.Address] = status
+		t.statuses[status.Address] = status
 	}
-	return t.core.TakeAnswers(asked, wordsOf(answers), time.Now())
+	return t.core.TakeAnswers(queried, statusReportsOf(answers), time.Now())
 }
 
-// anyAdmits reports whether one of the asked servers may be sent the request, by how long it would wait there.
-func (t *targets) anyAdmits(wanted *dispatch.Request) bool {
+// anyAdmits reports whether the expected wait at one of the queried servers admits the request.
+func (t *targets) anyAdmits(criteria *dispatch.Request) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.core.AnyAdmits(wanted, time.Now())
+	return t.core.AnyAdmits(criteria, time.Now())
 }
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -17,93 +17,93 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// versionMargin is how long before the bound no older version is asked for.
+// versionMargin is how long before a version's bound older versions are no longer requested.
 const versionMargin = 500 * time.Millisecond
 
-// bindVersion sets which version the next attempt needs, and until when older ones
-// may begin it.
-func (w *work) bindVersion() {
-	if w.wanted.Engine == nil {
+// bindVersion sets which version the next attempt needs, and until when older ones may begin it.
+func (w *forwarding) bindVersion() {
+	if w.criteria.Engine == nil {
 		return
 	}
 	view := w.targets.currentView()
 	apply := w.targets.bounds.Load().VersionApply
-	w.wanted.Bounds = boundsOf(view.Versions[w.request.Call.Model], apply)
-	w.wanted.AtLeast = view.Due(w.request.Call.Model, apply-versionMargin, time.Now())
+	w.criteria.Bounds = versionBoundsOf(view.Versions[w.request.Call.Model], apply)
+	w.criteria.AtLeast = view.Due(w.request.Call.Model, apply-versionMargin, time.Now())
 }
 
-// expectedVersion is the version that a server is asked to check. Once the bound of
-// some version has passed that is the one which the server is known to have, so that
-// it is not turned away for having a newer one.
-func (w *work) expectedVersion(serving uint64) uint64 {
+// expectedVersion is the version that a server is asked to check. Once the bound of a version has
+// passed, it is the version the server is known to have, so that a request is not rejected because
+// the server has a newer one.
+func (w *forwarding) expectedVersion(serving uint64) uint64 {
 	switch {
-	case w.wanted.Exactly != 0:
-		return w.wanted.Exactly
-	case w.wanted.AtLeast != 0:
-		return max(serving, w.wanted.AtLeast)
+	case w.criteria.Exactly != 0:
+		return w.criteria.Exactly
+	case w.criteria.AtLeast != 0:
+		return max(serving, w.criteria.AtLeast)
 	}
 	return 0
 }
 
-// attempt sends the request to one server. The failure's execution says whether
-// it may have run there.
-func (w *work) attempt(ctx context.Context) (*exchange, *fault.Refusal, *failure) {
-	if refusal := w.admitContent(); refusal != nil {
+// attempt sends the request to one server. The failure's execution says whether the request may
+// have run there.
+func (w *forwarding) attempt(ctx context.Context) (*exchange, *fault.Refusal, *failure) {
+	if refusal := w.admitFingerprint(); refusal != nil {
 		return nil, refusal, nil
 	}
 	w.bindVersion()
 	w.bindResidency()
-	w.wanted.LastAttempt = w.lastAttempt()
-	w.wanted.Left, w.wanted.Patience = time.Until(w.request.Deadline), patienceOf(w.request.Route)
-	w.askLoads(ctx)
+	w.criteria.LastAttempt = w.isLastAttempt()
+	w.criteria.Left, w.criteria.Patience = time.Until(w.request.Deadline), minOverdueOf(w.request.Route)
+	w.queryLoads(ctx)
 	chosen, refusal := w.choose()
 	if refusal != nil {
 		return nil, refusal, nil
 	}
 	target := chosen.target
-	w.sendSuspect(target)
+	w.recordSuspectSend(target)
 	w.announce(target)
 	send := fleet.SendHeader{
 		Deadline: time.Until(w.request.Deadline), Instance: target.ID, Version: w.expectedVersion(chosen.Version),
-		Tenant: w.request.Tenant, Priority: w.rank(chosen.Expected),
+		Tenant: w.request.Tenant, Priority: w.priorityFor(chosen.Expected),
 	}
 	if w.lastEvent != w.request.Call.LastEventID {
 		send.LastEventID = w.lastEvent
 	}
-	w.sent++
-	w.wanted.Tried = append(w.wanted.Tried, target.Candidate)
-	w.log.Log(logging.RequestSent, zap.String("request", w.request.Call.RequestID), zap.Int("attempt", w.sent),
+	w.attempts++
+	w.criteria.Tried = append(w.criteria.Tried, target.Candidate)
+	w.log.Log(logging.RequestSent, zap.String("request", w.request.Call.RequestID), zap.Int("attempt", w.attempts),
 		zap.String("server", target.ID), zap.String("zone", target.Zone), zap.Stringer("content", w.request.Fingerprint), zap.Int("outstanding", chosen.Outstanding),
 		zap.Int("running", chosen.Load.Running), zap.Int("waiting", chosen.Load.Waiting), zap.Int("unread_tokens", int(chosen.Load.Unread)),
-		zap.Int("prompt_tokens", w.wanted.Prompt),
-		zap.Duration("time_left", send.Deadline), zap.Duration("since_first_attempt", w.wanted.Arrival.Elapsed), zap.Duration("expected", chosen.Expected), zap.Duration("status_age", chosen.WordAge), zap.Int("candidates", chosen.Considered), zap.Uint64("version", send.Version),
+		zap.Int("prompt_tokens", w.criteria.Prompt),
+		zap.Duration("time_left", send.Deadline), zap.Duration("since_first_attempt", w.criteria.Arrival.Elapsed), zap.Duration("expected", chosen.Expected), zap.Duration("status_age", chosen.WordAge), zap.Int("candidates", chosen.Considered), zap.Uint64("version", send.Version),
 		zap.String("resume_after", send.LastEventID))
 	began := time.Now()
 	w.sentAt = began
-	w.request.usual = w.targets.usualWait(chosen, &w.wanted)
-	w.patience = chosen.Patience
-	started, failed := w.open(ctx, w.request, send, target, w.silence(target, chosen.Version))
+	w.request.usual = w.targets.usualWait(chosen, &w.criteria)
+	w.overdueTimeout = chosen.Patience
+	started, failed := w.open(ctx, w.request, send, target, w.newSilenceCheck(target, chosen.Version))
 	if failed == nil {
-		failed = w.judge(started, send.Version)
+		failed = w.classifyAnswer(started, send.Version)
 	}
 	if failed != nil {
-		w.unsent()
-		w.noteFailure(target, failed, time.Since(began))
+		w.releaseAttempt()
+		w.recordFailure(target, failed, time.Since(began))
 		return nil, nil, failed
 	}
-	w.targets.sawVersion(target, started.head.Version)
+	w.targets.recordVersion(target, started.head.Version)
 	return started, nil, nil
 }
 
-// judge turns an answer that is no answer to the request into a failure.
-func (w *work) judge(started *exchange, version uint64) *failure {
+// classifyAnswer returns a failure if an answer rejects the request, is unsigned or has an old
+// version.
+func (w *forwarding) classifyAnswer(started *exchange, version uint64) *failure {
 	status := started.response.StatusCode
 	switch {
 	case started.head.NotRun:
 		started.drain()
 		if instance := started.head.Instance; instance != "" && instance != started.target.ID {
 			w.targets.supersede(started.target, instance)
-			w.contents.serverEnded(started.target.ID)
+			w.quarantine.serverCrashed(started.target.ID)
 			return &failure{reason: fault.ReasonIncarnation, execution: fault.ExecutionNotRun, cause: statusError(status)}
 		}
 		if status == http.StatusMisdirectedRequest {
@@ -120,58 +120,59 @@
 	return nil
 }
 
-var errUnsigned = errors.New("the answer bears no signature")
+var errUnsigned = errors.New("answer is not signed")
 
 type statusError int
 
 func (e statusError) Error() string { return "status " + strconv.Itoa(int(e)) }
 
-// maximumDrained bounds what is read of an answer that is of no use.
-const maximumDrained = 64 << 10
+// maxDrainedBytes bounds how much of an unusable answer is read.
+const maxDrainedBytes = 64 << 10
 
-// drain reads a useless answer to its end, so that its connection can be kept.
+// drain reads an unusable answer to its end, so that its connection can be reused.
 func (x *exchange) drain() {
-	count, err := io.Copy(io.Discard, io.LimitReader(x.response.Body, maximumDrained))
-	if err != nil || count == maximumDrained {
+	count, err := io.Copy(io.Discard, io.LimitReader(x.response.Body, maxDrainedBytes))
+	if err != nil || count == maxDrainedBytes {
 		x.abort()
 		return
 	}
 	x.finish()
 }
 
-// noteFailure logs a failed attempt and draws the conclusion on the server.
-func (w *work) noteFailure(target *target, failed *failure, took time.Duration) {
+// recordFailure logs a failed attempt and updates the server's health.
+func (w *forwarding) recordFailure(target *target, failed *failure, took time.Duration) {
 	w.mayHaveRun = w.mayHaveRun || failed.execution == fault.ExecutionUnknown
-	w.log.Log(logging.AttemptFailed, zap.String("request", w.request.Call.RequestID), zap.Int("attempt", w.sent),
+	w.log.Log(logging.AttemptFailed, zap.String("request", w.request.Call.RequestID), zap.Int("attempt", w.attempts),
 		zap.String("server", target.ID), zap.String("reason", string(failed.reason)),
 		zap.String("execution", string(failed.execution)), zap.NamedError("cause", failed.cause), zap.Duration("took", took))
 	w.metrics.attempts.WithLabelValues(string(failed.reason)).Inc()
 	switch failed.reason {
 	case fault.ReasonConnectionSilent, fault.ReasonOverdue:
-		w.renew(target)
+		w.allowSameServer(target)
 	}
-	w.noteEnd(target, failed)
+	w.detectCrash(target, failed)
 	w.observeFailure(target, failed)
 }
 
-// renew lets the next attempt use the same server again, over a connection that was opened
-// after this one fell silent, which is at least UnacknowledgedLimit ago.
-func (w *work) renew(target *target) {
-	w.silentAt = append(w.silentAt, target.Candidate)
-	w.request.freshFrom = w.watch.now() - silence.UnacknowledgedLimit
+// allowSameServer lets the next attempt use the same server again, over a connection that was
+// opened after this one fell silent, which is at least the silence detector's limit for
+// unacknowledged data ago.
+func (w *forwarding) allowSameServer(target *target) {
+	w.silentServers = append(w.silentServers, target.Candidate)
+	w.request.openedAfter = w.watcher.now() - silence.UnacknowledgedLimit
 }
 
-// silence decides when a server that sends nothing is given up. Slowness alone is
-// no reason: the agent beside it must have lost it, or fallen silent too. A request
-// that has not begun is taken back before the time of the server's version is over.
-func (w *work) silence(target *target, version uint64) silenceJudge {
-	w.attemptBegun, w.overdueNoted = false, false
+// newSilenceCheck returns the check that decides when an attempt at a silent server is abandoned.
+// Slowness alone is no reason: the server's agent must have lost it, or be silent too. A request
+// that the server has not begun is withdrawn before the bound of the server's version.
+func (w *forwarding) newSilenceCheck(target *target, version uint64) silenceCheck {
+	w.attemptBegun, w.overdueRecorded = false, false
 	return func(silent, usual time.Duration) error {
 		w.observeOverdue(target, silent, usual)
 		switch {
 		case w.waitsBeyondBound(version):
-			return errBound
-		case w.request.Route.MayRepeat() && silent > suspectSilence && w.targets.suspect(target, w.sentAt):
+			return errVersionBound
+		case w.request.Route.MayRepeat() && silent > suspectTimeout && w.targets.isSuspect(target, w.sentAt):
 			return errStalled
 		case w.request.Route.MayRepeat() && w.overdue(silent, usual) && w.reserveRetry():
 			return errOverdue
@@ -180,39 +181,37 @@
 	}
 }
 
-// waitsBeyondBound reports whether a request that has not begun at a server with a version is
-// to be taken back. It goes by the versions known now: one may have been named, or heard of,
-// after the send, and a request may wait for as long as versions take to be in force.
-func (w *work) waitsBeyondBound(version uint64) bool {
-	if w.wanted.Engine == nil || w.attemptBegun {
+// waitsBeyondBound reports whether a request that a server has not begun must be withdrawn because
+// of the server's version. It uses the versions known now: one may have been announced, or received
+// here, after the send, and a request may wait for as long as it takes to apply a version.
+func (w *forwarding) waitsBeyondBound(version uint64) bool {
+	if w.criteria.Engine == nil || w.attemptBegun {
 		return false
 	}
 	notice, superseded := w.targets.currentView().FirstAfter(w.request.Call.Model, version)
-	return superseded && time.Until(notice.Since.Add(w.targets.bounds.Load().VersionApply)) < takeBackMargin
+	return superseded && time.Until(notice.Since.Add(w.targets.bounds.Load().VersionApply)) < withdrawMargin
 }
 
-// takeBackMargin is how long before the bound of an old version a request is taken
-// back from a server that has not begun it. A silent connection is looked at each
-// lookPeriod.
-const takeBackMargin = 2 * lookPeriod
+// withdrawMargin is how long before the bound of an old version a request is withdrawn from a
+// server that has not begun it. Silent connections are checked every silenceCheckPeriod.
+const withdrawMargin = 2 * silenceCheckPeriod
 
-// suspectSilence is the silence after which a suspect server is given up.
-const suspectSilence = 350 * time.Millisecond
+// suspectTimeout is the silence after which an attempt at a suspect server is abandoned.
+const suspectTimeout = 350 * time.Millisecond
 
-// mayTryAgain decides whether a failed attempt is followed by another, and says
-// why not.
-func (w *work) mayTryAgain(ctx context.Context, failed *failure) bool {
+// mayRetry reports whether a failed attempt may be followed by another, and logs the reason if not.
+func (w *forwarding) mayRetry(ctx context.Context, failed *failure) bool {
 	withheld := ""
 	switch {
 	case ctx.Err() != nil || failed.reason == fault.ReasonCanceled:
 		withheld = "caller left"
 	case w.mayHaveRun && !w.request.Route.MayRepeat():
 		withheld = "may have run"
-	case w.sent >= w.request.Route.Attempts:
+	case w.attempts >= w.request.Route.Attempts:
 		withheld = "attempts"
-	case time.Until(w.request.Deadline) < minimumTime:
+	case time.Until(w.request.Deadline) < minAttemptTime:
 		withheld = "time"
-	case !w.retryReserved && !w.takeRetry(w.wanted.Service):
+	case !w.retryReserved && !w.spendRetry(w.criteria.Service):
 		withheld = "budget"
 	}
 	w.retryReserved = false
@@ -221,25 +220,25 @@
 		return true
 	}
 	w.log.Log(logging.RetryWithheld, zap.String("request", w.request.Call.RequestID), zap.String("because", withheld),
-		zap.Int("attempts", w.sent), zap.Int("most_attempts", w.request.Route.Attempts))
+		zap.Int("attempts", w.attempts), zap.Int("most_attempts", w.request.Route.Attempts))
 	return false
 }
 
-// lastAttempt reports whether no other attempt would follow the next one if that fails, or waits for
-// an answer until it is overdue: such a request is not sent to a server to find out whether it serves.
-func (w *work) lastAttempt() bool {
+// isLastAttempt reports whether no attempt could follow the next one if that fails or is overdue.
+// Such a request is not used to probe whether a server works.
+func (w *forwarding) isLastAttempt() bool {
 	switch {
-	case w.sent+1 >= w.request.Route.Attempts, time.Until(w.request.Deadline) < 2*patienceOf(w.request.Route):
+	case w.attempts+1 >= w.request.Route.Attempts, time.Until(w.request.Deadline) < 2*minOverdueOf(w.request.Route):
 		return true
 	}
-	return !w.retryReserved && !w.hasRetry(w.wanted.Service)
+	return !w.retryReserved && !w.retryAvailable(w.criteria.Service)
 }
 
-// minimumTime is the least time for which an attempt is worth while.
-const minimumTime = 30 * time.Millisecond
+// minAttemptTime is the minimum remaining time for which an attempt is worthwhile.
+const minAttemptTime = 30 * time.Millisecond
 
-// giveUp is the answer to a request whose last attempt failed.
-func (w *work) giveUp(failed *failure) *fault.Refusal {
+// finalRefusal returns the refusal of a request whose last attempt failed.
+func (w *forwarding) finalRefusal(failed *failure) *fault.Refusal {
 	if !w.mayHaveRun {
 		refusal := fault.NotRun(failed.reason, "no server took the request")
 		refusal.RetryAfter = dispatch.NoServerRetry
--- a/internal/forward/whole.go
+++ b/internal/forward/buffered.go
@@ -17,118 +17,118 @@
 	"pinevane.example/pinevane/internal/network"
 )
 
-// maximumBuffered is the largest answer that is read whole before any of it is
-// passed on; a longer one, or one that can't be held, is passed on as it comes.
-const maximumBuffered = 1 << 20
+// maxBufferedBytes is the largest answer that is read completely before any of it is written. A
+// longer one, or one that exceeds the memory quota, is written as it arrives.
+const maxBufferedBytes = 1 << 20
 
-// answerBody is what was read of an answer before any of it is passed on.
+// answerBody is the part of an answer that was read before any of it was written.
 type answerBody struct {
 	bytes []byte
-	// whole is set when that is all of it; otherwise the rest is still to be read.
-	whole bool
+	// complete is set if that is the whole body; otherwise the rest is still to be read.
+	complete bool
 }
 
-// whole forwards a request whose answer has an end that is soon reached. The
-// answer is read before it is passed on, so that a broken one can be replaced.
-func (w *work) whole(ctx context.Context) *fault.Refusal {
+// serveBuffered forwards a request with a short answer. The answer is read before it is written, so
+// that a broken one can be replaced.
+func (w *forwarding) serveBuffered(ctx context.Context) *fault.Refusal {
 	for {
 		started, refusal, failed := w.attempt(ctx)
 		if refusal != nil {
-			return w.refuseAfter(refusal)
+			return w.adjustRefusal(refusal)
 		}
 		var body answerBody
 		if failed == nil {
-			body, failed = w.readWhole(started)
+			body, failed = w.readAnswer(started)
 		}
 		if failed == nil && started.response.StatusCode >= http.StatusInternalServerError && w.retryServerError(ctx, started) {
 			continue
 		}
 		if failed == nil {
-			w.pass(started, body)
+			w.writeAnswer(started, body)
 			return nil
 		}
-		if !w.mayTryAgain(ctx, failed) {
-			return w.giveUp(failed)
+		if !w.mayRetry(ctx, failed) {
+			return w.finalRefusal(failed)
 		}
 	}
 }
 
-// refuseAfter turns a refusal to try again into the request's answer: after an
-// attempt that may have run it promises nothing.
-func (w *work) refuseAfter(refusal *fault.Refusal) *fault.Refusal {
+// adjustRefusal converts the refusal of a further attempt to the request's refusal. If an earlier
+// attempt may have run, it guarantees nothing.
+func (w *forwarding) adjustRefusal(refusal *fault.Refusal) *fault.Refusal {
 	if w.mayHaveRun {
 		refusal.Execution, refusal.RetryAfter = fault.ExecutionUnknown, 0
 	}
 	return refusal
 }
 
-// readWhole reads an answer's body to its end, if it can be held: the server's place is free then,
-// however slowly the caller reads.
-func (w *work) readWhole(started *exchange) (answerBody, *failure) {
+// readAnswer reads an answer's body to its end if it can be buffered. The server's slot is then
+// free, however slowly the caller reads.
+func (w *forwarding) readAnswer(started *exchange) (answerBody, *failure) {
 	began := time.Now()
 	body, err := w.buffer(started.response)
-	if err == nil && body.whole {
+	if err == nil && body.complete {
 		started.finish()
 	} else if err != nil {
 		started.abort()
 	}
-	w.unsent()
+	w.releaseAttempt()
 	if err == nil {
-		w.targets.succeed(started.target, time.Since(w.request.Arrived))
+		w.targets.recordAnswerTime(started.target, time.Since(w.request.Arrived))
 		w.observeAnswer(started.target, started.response.StatusCode)
-		if body.whole {
-			w.contentAnswered()
+		if body.complete {
+			w.confirmFingerprint()
 		}
 		return body, nil
 	}
-	failed := &failure{reason: reasonOf(err, fault.ReasonBackendFailed), execution: fault.ExecutionUnknown, cause: err}
-	w.noteFailure(started.target, failed, time.Since(began))
+	failed := &failure{reason: failureReason(err, fault.ReasonBackendFailed), execution: fault.ExecutionUnknown, cause: err}
+	w.recordFailure(started.target, failed, time.Since(began))
 	return answerBody{}, failed
 }
 
-// buffer reads an answer as far as it may be held.
-func (w *work) buffer(response *http.Response) (answerBody, error) {
-	size := min(response.ContentLength, maximumBuffered+1)
-	bytes, err := bytequota.ReadAll(io.LimitReader(response.Body, maximumBuffered+1), size, w.request.Memory)
+// buffer reads as much of an answer as may be buffered.
+func (w *forwarding) buffer(response *http.Response) (answerBody, error) {
+	size := min(response.ContentLength, maxBufferedBytes+1)
+	bytes, err := bytequota.ReadAll(io.LimitReader(response.Body, maxBufferedBytes+1), size, w.request.Memory)
 	if errors.Is(err, bytequota.ErrExhausted) {
 		return answerBody{bytes: bytes}, nil
 	}
-	return answerBody{bytes: bytes, whole: len(bytes) <= maximumBuffered}, err
+	return answerBody{bytes: bytes, complete: len(bytes) <= maxBufferedBytes}, err
 }
 
-// retryServerError decides whether a server's own failure is tried elsewhere.
-func (w *work) retryServerError(ctx context.Context, started *exchange) bool {
+// retryServerError reports whether a server error is retried at another server.
+func (w *forwarding) retryServerError(ctx context.Context, started *exchange) bool {
 	status := started.response.StatusCode
 	failed := &failure{reason: fault.ReasonBackendFailed, execution: fault.ExecutionUnknown, cause: statusError(status)}
 	if !w.request.Route.MayRepeat() || status == http.StatusGatewayTimeout {
 		return false
 	}
 	started.abort()
-	w.noteFailure(started.target, failed, 0)
-	return w.mayTryAgain(ctx, failed)
+	w.recordFailure(started.target, failed, 0)
+	return w.mayRetry(ctx, failed)
 }
 
-// pass writes a server's answer to the caller.
-func (w *work) pass(started *exchange, body answerBody) {
+// writeAnswer writes a server's answer to the caller.
+func (w *forwarding) writeAnswer(started *exchange, body answerBody) {
 	w.copyHead(started)
-	if body.whole && started.response.Header.Get("Content-Length") == "" {
+	if body.complete && started.response.Header.Get("Content-Length") == "" {
 		w.writer.Header().Set("Content-Length", strconv.Itoa(len(body.bytes)))
 	}
 	w.writer.WriteHeader(started.response.StatusCode)
 	_, err := w.writer.Write(body.bytes)
-	if !body.whole {
+	if !body.complete {
 		_, err = io.Copy(w.writer, started.response.Body)
 		started.finish()
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
-		w.contentAnswered()
+		w.confirmFingerprint()
 	}
-	w.answered(started, err)
+	w.recordAnswered(started, err)
 }
 
 // copyHead copies the head of a server's answer.
-func (w *work) copyHead(started *exchange) {
+func (w *forwarding) copyHead(started *exchange) {
 	header := w.writer.Header()
 	for name, values := range started.response.Header {
 		if !network.IsConnectionHeader(name) {
@@ -136,12 +136,12 @@
 		}
 	}
 	if header.Get("Content-Type") == "" {
-		// The library would guess one.
+		// net/http would guess one.
 		header["Content-Type"] = nil
 	}
 }
 
-func (w *work) answered(started *exchange, err error) {
+func (w *forwarding) recordAnswered(started *exchange, err error) {
 	took := time.Since(w.request.Arrived)
 	kind := "whole"
 	if w.request.Route.Kind == fleet.Streaming {
@@ -151,8 +151,8 @@
 	w.countEnding(endingAnswered)
 	w.log.Log(logging.RequestAnswered, append(w.request.SizeFields(),
 		zap.String("request", w.request.Call.RequestID), zap.Int("status", started.response.StatusCode),
-		zap.String("server", started.target.ID), zap.Int("attempts", w.sent), zap.Int("events", w.events),
-		zap.Uint64("version", started.head.Version), zap.Duration("took", took), zap.Duration("first_event", w.firstAfter),
+		zap.String("server", started.target.ID), zap.Int("attempts", w.attempts), zap.Int("events", w.events),
+		zap.Uint64("version", started.head.Version), zap.Duration("took", took), zap.Duration("first_event", w.firstEventAfter),
 		zap.Duration("longest_pause", w.longestPause), zap.Duration("target", w.request.Route.Target),
 		zap.Duration("target_gap", w.request.Route.TargetGap), zap.String("route", w.request.Route.Name), zap.Error(err))...)
 }
--- a/internal/forward/choice.go
+++ b/internal/forward/choice.go
@@ -12,51 +12,51 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// choice is a decided server, with its connections.
+// choice is a chosen server with its connections.
 type choice struct {
 	dispatch.Decision
 	target *target
 }
 
-// choose picks a server, also one that was tried over a connection that was silent if there
-// is no other.
-func (w *work) choose() (choice, *fault.Refusal) {
+// choose picks a server. If there is no other, it may be one that was tried over a silent
+// connection.
+func (w *forwarding) choose() (choice, *fault.Refusal) {
 	chosen, refusal := w.targets.choose(w)
-	if refusal == nil || len(w.silentAt) == 0 {
+	if refusal == nil || len(w.silentServers) == 0 {
 		return chosen, refusal
 	}
-	w.wanted.Tried = slices.DeleteFunc(w.wanted.Tried, func(k *dispatch.Candidate) bool { return slices.Contains(w.silentAt, k) })
-	w.silentAt = nil
+	w.criteria.Tried = slices.DeleteFunc(w.criteria.Tried, func(k *dispatch.Candidate) bool { return slices.Contains(w.silentServers, k) })
+	w.silentServers = nil
 	return w.targets.choose(w)
 }
 
-// choose picks the server for a request and counts the request as in flight. A
-// refusal is proof that nothing was sent.
-func (t *targets) choose(w *work) (choice, *fault.Refusal) {
-	defer t.tellZone()
+// choose picks the server for a request and counts the request as in flight. A refusal guarantees
+// that nothing was sent.
+func (t *targets) choose(w *forwarding) (choice, *fault.Refusal) {
+	defer t.announceHealth()
 	now := t.lockWithMembers()
 	defer t.mutex.Unlock()
-	decision, refusal := t.core.Choose(&w.wanted, now)
+	decision, refusal := t.core.Choose(&w.criteria, now)
 	if refusal != nil {
 		w.request.Admission = refusal.Admission
 		t.logRefusal(w, refusal)
 		return choice{}, refusalOf(refusal)
 	}
-	w.placed, w.request.Admission = decision.Send, decision.Admission
+	w.currentSend, w.request.Admission = decision.Send, decision.Admission
 	if decision.Trial {
-		t.noteTrial(w, decision.Candidate, now)
+		t.recordTrial(w, decision.Candidate, now)
 	}
 	return choice{Decision: decision, target: t.targetOf(decision.Candidate)}, nil
 }
 
-// lockWithMembers takes the mutex for a decision at the time returned, after the decisions were told
-// which other entries there are where that is due. It does not hold the mutex while it asks for them:
-// who knows them has a mutex of its own, which is held while it works through what all agents tell.
-// One request asks, and others go on with the entries known before.
+// lockWithMembers locks the mutex for a decision at the returned time, after refreshing the known
+// entries where that is due. The mutex is not held during the refresh: the catalog has a mutex of
+// its own, which is held while it processes the status reports of all agents. One request
+// refreshes, and the others go on with the entries known before.
 func (t *targets) lockWithMembers() time.Time {
 	t.mutex.Lock()
 	now := time.Now()
-	entriesDue, zoneDue := t.core.EntriesDue(now), t.zoneDue(now)
+	entriesDue, zoneDue := t.core.EntriesDue(now), t.zoneRefreshDue(now)
 	if !entriesDue && !zoneDue {
 		return now
 	}
@@ -64,7 +64,7 @@
 		t.core.BeginEntries()
 	}
 	if zoneDue {
-		t.health.lookedAt = now
+		t.health.zoneRefreshedAt = now
 	}
 	t.mutex.Unlock()
 	var entries, zone []string
@@ -72,7 +72,7 @@
 		entries = t.entries()
 	}
 	if zoneDue {
-		zone = t.health.source.ZoneEntries()
+		zone = t.health.announcer.ZoneEntries()
 	}
 	t.mutex.Lock()
 	now = time.Now()
@@ -85,50 +85,51 @@
 	return now
 }
 
-// logRefusal logs why no server was chosen: how many servers fall out for which
-// reason, and how long the soonest of the others would have the request wait.
-func (t *targets) logRefusal(w *work, refusal *dispatch.Refusal) {
-	t.log.Log(logging.NoServerChosen, zap.String("request", w.request.Call.RequestID), zap.String("service", w.wanted.Service),
+// logRefusal logs why no server was chosen: how many servers were excluded for which reason, and
+// the shortest wait at the remaining ones.
+func (t *targets) logRefusal(w *forwarding, refusal *dispatch.Refusal) {
+	t.log.Log(logging.NoServerChosen, zap.String("request", w.request.Call.RequestID), zap.String("service", w.criteria.Service),
 		zap.Any("servers", refusal.Servers), zap.Duration("oldest_status", refusal.OldestWord),
-		zap.Int("prompt_tokens", w.wanted.Prompt), zap.Inline(admissionFields(refusal.Admission)),
-		zap.Duration("since_first_attempt", w.wanted.Arrival.Elapsed), zap.Uint64("at_least_version", w.wanted.AtLeast), zap.Uint64("exactly_version", w.wanted.Exactly),
-		regionsField(w.wanted.Residency))
+		zap.Int("prompt_tokens", w.criteria.Prompt), zap.Inline(admissionFields(refusal.Admission)),
+		zap.Duration("since_first_attempt", w.criteria.Arrival.Elapsed), zap.Uint64("at_least_version", w.criteria.AtLeast), zap.Uint64("exactly_version", w.criteria.Exactly),
+		regionsField(w.criteria.Residency))
 }
 
-// describe fills in what a request wants of a model server of its service.
-func (t *targets) describe(wanted *dispatch.Request) {
+// fillEngine fills in the description of the service's model server. A prompt size beyond what that
+// can hold counts as unknown.
+func (t *targets) fillEngine(criteria *dispatch.Request) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	wanted.Engine = t.engines[wanted.Service]
-	if wanted.Engine != nil {
-		wanted.Figures = t.core.Figures(wanted.Service, wanted.Engine)
-		wanted.Prompt = fleet.KnownTokens(wanted.Prompt, wanted.Engine.MostPrompt)
+	criteria.Engine = t.engines[criteria.Service]
+	if criteria.Engine != nil {
+		criteria.Figures = t.core.Figures(criteria.Service, criteria.Engine)
+		criteria.Prompt = fleet.KnownTokens(criteria.Prompt, criteria.Engine.MostPrompt)
 	}
 }
 
 // usualWait is how long the first byte of an answer usually takes.
-func (t *targets) usualWait(chosen choice, wanted *dispatch.Request) time.Duration {
+func (t *targets) usualWait(chosen choice, criteria *dispatch.Request) time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.core.UsualWait(chosen.Decision, wanted)
+	return t.core.UsualWait(chosen.Decision, criteria)
 }
 
-// evacuated reports whether a server's zone is to be sent nothing new.
+// evacuated reports whether a server is in an evacuated zone, which gets no new requests.
 func (t *targets) evacuated(k *target) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.core.Evacuated(k.Zone)
 }
 
-// allowed reports whether a server may be sent a request with a residency.
+// allowed reports whether a residency allows a server's zone.
 func (t *targets) allowed(k *target, residency fleet.Residency) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.core.Allowed(k.Zone, residency)
 }
 
-// sawCold notes what an answer has said of how much longer its server is cold.
-func (t *targets) sawCold(k *target, left time.Duration) {
+// applyCold records how much longer a server is cold according to its answer.
+func (t *targets) applyCold(k *target, left time.Duration) {
 	if left <= 0 {
 		return
 	}
@@ -137,15 +138,15 @@
 	t.core.SawCold(k.Candidate, left, time.Now())
 }
 
-// evacuationCounts tells how many requests are open in evacuated zones, and how long the last
-// of each zone took to end.
+// evacuationCounts returns how many requests are open in evacuated zones, and how long each zone
+// took to become idle.
 func (t *targets) evacuationCounts() (open int, took map[string]time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.core.EvacuationCounts()
 }
 
-// coldCounts returns how many servers are cold, and how many requests were sent to cold ones.
+// coldCounts returns the number of cold servers and the number of requests sent to them.
 func (t *targets) coldCounts() (servers int, sent uint64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/forward/choice_test.go
+++ b/internal/forward/choice_test.go
@@ -8,13 +8,13 @@
 	"pinevane.example/pinevane/coordination/dispatch"
 )
 
-// BUDGET: after a version's bound a server that has a newer one is not asked for the
-// older, which it would turn away.
-func TestServerIsAskedForTheVersionItHas(t *testing.T) {
+// BUDGET: after a version's bound a server that has a newer version is not sent the older one as
+// the expected version, because it would reject the request.
+func TestExpectedVersionIsTheServersOwn(t *testing.T) {
 	for _, one := range []struct{ exactly, atLeast, serving, want uint64 }{
 		{want: 0, serving: 2}, {atLeast: 2, serving: 2, want: 2}, {atLeast: 2, serving: 3, want: 3}, {exactly: 2, atLeast: 2, serving: 3, want: 2},
 	} {
-		w := &work{wanted: dispatch.Request{Exactly: one.exactly, AtLeast: one.atLeast}}
+		w := &forwarding{criteria: dispatch.Request{Exactly: one.exactly, AtLeast: one.atLeast}}
 		assert.Equal(t, one.want, w.expectedVersion(one.serving))
 	}
 }
--- a/internal/forward/cold_test.go
+++ b/internal/forward/cold_test.go
@@ -14,22 +14,22 @@
 	"pinevane.example/pinevane/internal/fleet"
 )
 
-// What a server's answer says of how long it is cold is taken over, and what can't be read is not.
-func TestAnswersThatSayHowLongTheirServerIsCold(t *testing.T) {
-	for said, cold := range map[string]time.Duration{"0": 0, "soon": 0, "800.5": 800500 * time.Microsecond, "50000000": 3 * time.Second, "1e300": 0} {
+// The remaining cold time that an answer names is applied, and an invalid one is ignored.
+func TestColdTimeInAnswers(t *testing.T) {
+	for value, cold := range map[string]time.Duration{"0": 0, "soon": 0, "800.5": 800500 * time.Microsecond, "50000000": 3 * time.Second, "1e300": 0} {
 		f := testForwarder()
-		server := scripted(t, func(connection net.Conn, request *http.Request, _ int) {
-			_, _ = fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nCold-Ms: %s\r\nContent-Length: 0\r\n\r\n", request.Header.Get("Request-Id"), said)
+		server := startScriptedServer(t, func(connection net.Conn, request *http.Request, _ int) {
+			_, _ = fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nCold-Ms: %s\r\nContent-Length: 0\r\n\r\n", request.Header.Get("Request-Id"), value)
 		})
 		f.Update(&catalog.View{
 			Configuration: &fleet.Configuration{Services: map[string]fleet.Service{"s": {ColdRate: 26, ColdTime: 3 * time.Second}}},
 			Servers:       map[string][]fleet.Server{"s": {{ID: "i-1", Service: "s", Address: server.Address, Zone: "z"}}},
 		})
 		server = f.targets.targetOf(f.targets.core.Candidates("s")[0])
-		_, failed := exchangeOnce(t, f, server, testRequest("a", ""))
+		_, failed := roundTrip(t, f, server, testRequest("a", ""))
 		require.Nil(t, failed)
 		left := f.Servers()[0].ColdFor
-		assert.LessOrEqual(t, left, cold.Seconds(), said)
-		assert.Equal(t, cold > 0, left > 0, said)
+		assert.LessOrEqual(t, left, cold.Seconds(), value)
+		assert.Equal(t, cold > 0, left > 0, value)
 	}
 }
--- a/internal/forward/configuration.go
+++ b/internal/forward/configuration.go
@@ -7,17 +7,17 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// checkConfiguration looks a new configuration through for what it lacks or can't mean.
+// checkConfiguration checks a new configuration for missing and invalid values.
 func (f *Forwarder) checkConfiguration(configuration *fleet.Configuration) {
-	if configuration == nil || configuration == f.checked {
+	if configuration == nil || configuration == f.lastChecked {
 		return
 	}
-	f.checked = configuration
+	f.lastChecked = configuration
 	f.checkFigures(configuration)
 	f.checkRegions(configuration)
 }
 
-// checkFigures logs and counts the figures that a configuration lacks.
+// checkFigures logs and counts the model server parameters that a configuration lacks.
 func (f *Forwarder) checkFigures(configuration *fleet.Configuration) {
 	count := 0
 	for name, service := range configuration.Services {
--- a/internal/forward/configuration_benchmark_test.go
+++ b/internal/forward/configuration_benchmark_test.go
@@ -21,19 +21,20 @@
 	"pinevane.example/pinevane/platform/platformtest"
 )
 
-// Conditions of BenchmarkForwardingWhileConfigurationsChange.
+// Parameters of BenchmarkForwardingWhileConfigurationsChange.
 const (
-	// benchmarkCallers send requests at a pace of callerPace each, as a busy entry gets them.
+	// benchmarkCallers send one request per callerPace each, like the callers of a busy entry.
 	benchmarkCallers = 8
 	callerPace       = 5 * time.Millisecond
-	// changePeriod is the pace of changes in a storm of them.
+	// changePeriod is the interval of configuration changes.
 	changePeriod = 250 * time.Millisecond
-	// daemonMemory and daemonGarbage are the limits that a daemon sets itself.
+	// daemonMemory and daemonGarbage are the memory limit and GC percentage that a daemon sets
+	// itself.
 	daemonMemory  = 24 << 20
 	daemonGarbage = 40
 )
 
-// limitLikeDaemon sets the limits of memory that a daemon runs with for the time of a benchmark.
+// limitLikeDaemon sets a daemon's memory limits for the duration of a benchmark.
 func limitLikeDaemon(b *testing.B) {
 	memory, garbage := debug.SetMemoryLimit(daemonMemory), debug.SetGCPercent(daemonGarbage)
 	b.Cleanup(func() {
@@ -42,7 +43,7 @@
 	})
 }
 
-// changer takes configurations into force as an entry does: one is decoded, the view is told.
+// changer applies configurations as an entry does: one is decoded, and the view is updated.
 type changer struct {
 	f       *Forwarder
 	view    catalog.View
@@ -58,7 +59,8 @@
 	c.f.Update(&next)
 }
 
-// startChanger knows one server, which answers at once, and two versions of a configuration.
+// startChanger returns a changer with one server, which answers at once, and two versions of a
+// configuration.
 func startChanger(b *testing.B, routes int) *changer {
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		writer.Header().Set("Request-Id", request.Header.Get("Request-Id"))
@@ -79,7 +81,7 @@
 	return c
 }
 
-// forward sends one request by the configuration in force and returns how long its answer took.
+// forward sends one request under the current configuration and returns how long its answer took.
 func (c *changer) forward(b *testing.B, number, routes int) time.Duration {
 	began := time.Now()
 	configuration := c.f.targets.currentView().Configuration
@@ -97,7 +99,7 @@
 	return time.Since(began)
 }
 
-// load sends the benchmark's requests and returns how long each took, the shortest first.
+// load sends the benchmark's requests and returns how long each took, in ascending order.
 func (c *changer) load(b *testing.B, routes int) []time.Duration {
 	took := make([]time.Duration, b.N)
 	var work sync.WaitGroup
@@ -117,8 +119,7 @@
 }
 
 // BenchmarkForwardingWhileConfigurationsChange measures how long requests take while large
-// configurations are decoded and taken into force, and without any change, under the limits of
-// memory of a daemon.
+// configurations are decoded and applied, and without any change, under a daemon's memory limits.
 func BenchmarkForwardingWhileConfigurationsChange(b *testing.B) {
 	for _, routes := range []int{1000, 10000} {
 		for _, changing := range []bool{false, true} {
@@ -155,8 +156,8 @@
 }
 
 func report(b *testing.B, took []time.Duration, changes int, spent time.Duration) {
-	milliseconds := func(share float64) float64 {
-		return took[min(len(took)-1, int(share*float64(len(took))))].Seconds() * 1000
+	milliseconds := func(fraction float64) float64 {
+		return took[min(len(took)-1, int(fraction*float64(len(took))))].Seconds() * 1000
 	}
 	b.ReportMetric(milliseconds(0.5), "p50-ms")
 	b.ReportMetric(milliseconds(0.99), "p99-ms")
--- a/internal/forward/connection.go
+++ b/internal/forward/connection.go
@@ -14,61 +14,61 @@
 	"pinevane.example/pinevane/internal/network"
 )
 
-// Times and sizes of connections to servers.
+// Timeouts and sizes of connections to servers.
 const (
-	// dialTimeout bounds the making of a connection.
+	// dialTimeout bounds the time to connect.
 	dialTimeout = 600 * time.Millisecond
-	// idleWithoutWord is how long a connection rests when the server names no time.
-	idleWithoutWord = 2 * time.Second
-	// trustedRest is how long a connection may have rested to be used again. Servers
-	// may forget one sooner than they say; what is sent on it then must be sent again.
-	trustedRest = 1500 * time.Millisecond
-	// maximumIdle bounds the connections kept for each server.
-	maximumIdle = 24
-	// lookPeriod is how often a silent server's answer is looked at again.
-	lookPeriod       = 200 * time.Millisecond
-	readBufferBytes  = 4 << 10
-	writeBufferBytes = 2 << 10
+	// defaultIdleTimeout is how long an idle connection is kept if the server names no timeout.
+	defaultIdleTimeout = 2 * time.Second
+	// maxReuseIdle is how long a connection may have been idle to be reused. Servers may close one
+	// earlier than they announce, and a request sent on it must then be sent again.
+	maxReuseIdle = 1500 * time.Millisecond
+	// maxIdleConnections bounds the idle connections kept for each server.
+	maxIdleConnections = 24
+	// silenceCheckPeriod is how often the silence of a connection is checked.
+	silenceCheckPeriod = 200 * time.Millisecond
+	readBufferBytes    = 4 << 10
+	writeBufferBytes   = 2 << 10
 )
 
 var (
-	errStalled  = errors.New("the server fell silent")
-	errDeadline = errors.New("the time of the request is over")
-	errLeft     = errors.New("the caller has left")
-	errBound    = errors.New("the time of the server's version is over")
-	errSilent   = errors.New("the connection has gone silent")
-	errOverdue  = errors.New("the answer takes many times as long as usual")
+	errStalled      = errors.New("suspect server does not respond")
+	errDeadline     = errors.New("request deadline exceeded")
+	errCallerLeft   = errors.New("caller disconnected")
+	errVersionBound = errors.New("bound of the server's version reached")
+	errSilent       = errors.New("connection is silent")
+	errOverdue      = errors.New("answer is overdue: it takes many times as long as usual")
 )
 
-// silenceJudge says why a server that has sent nothing for a while, where that usually takes
-// some time, is given up; nil while it is not.
-type silenceJudge func(silent, usual time.Duration) error
+// silenceCheck returns why an attempt is abandoned after a silence of the server, given the usual
+// wait, or nil if it is not.
+type silenceCheck func(silent, usual time.Duration) error
 
-// connection is one kept connection to a server. It carries one request at a
-// time; nothing is ever sent twice on it.
+// connection is a persistent connection to a server. It carries one request at a time, and no
+// request is sent twice on it.
 type connection struct {
-	watched
+	watchState
 	net    net.Conn
 	reader *bufio.Reader
 	writer *bufio.Writer
-	// restedSince is when the last request ended; expires is until when it may rest.
-	restedSince time.Time
-	expires     time.Time
-	// used counts the requests carried before.
-	used int
+	// idleSince is when the last request ended; idleUntil is when the idle timeout expires.
+	idleSince time.Time
+	idleUntil time.Time
+	// requestsCarried counts the earlier requests.
+	requestsCarried int
 
 	// The fields below belong to the request being carried.
-	ctx      context.Context
-	deadline time.Time
-	silence  silenceJudge
-	heardAt  time.Time
-	received atomic.Int64
-	// patience is the least silence after which the answer can be overdue.
-	patience time.Duration
-	// beginning is how long the answer is expected to take to begin.
-	beginning time.Duration
-	// parts counts the reads that brought bytes.
-	parts int
+	ctx          context.Context
+	deadline     time.Time
+	checkSilence silenceCheck
+	lastRead     time.Time
+	received     atomic.Int64
+	// minOverdue is the minimum silence after which the answer can be overdue.
+	minOverdue time.Duration
+	// expectedStart is how long the answer is expected to take to begin.
+	expectedStart time.Duration
+	// reads counts the reads that returned bytes.
+	reads int
 }
 
 func dial(ctx context.Context, address string, deadline time.Time) (*connection, error) {
@@ -86,36 +86,37 @@
 	return c, nil
 }
 
-// begin binds the connection to a request. The silence function is asked, from
-// time to time, whether a server that has sent nothing for a while is given up.
-func (c *connection) begin(ctx context.Context, deadline time.Time, silence silenceJudge) (release func()) {
-	c.ctx, c.deadline, c.silence = ctx, deadline, silence
-	c.heardAt = time.Now()
+// begin assigns the connection to a request. The silence check is called from time to time to
+// decide whether an attempt at a silent server is abandoned.
+func (c *connection) begin(ctx context.Context, deadline time.Time, check silenceCheck) (release func()) {
+	c.ctx, c.deadline, c.checkSilence = ctx, deadline, check
+	c.lastRead = time.Now()
 	c.received.Store(0)
-	c.parts = 0
-	if c.watch != nil {
-		c.asked.Store(int64(c.watch.now()))
-		c.carrying.Store(true)
+	c.reads = 0
+	if c.watcher != nil {
+		c.requestedAt.Store(int64(c.watcher.now()))
+		c.awaiting.Store(true)
 	}
 	_ = c.net.SetWriteDeadline(deadline)
 	stop := context.AfterFunc(ctx, func() { _ = c.net.SetDeadline(time.Unix(1, 0)) })
 	return func() { stop() }
 }
 
-// Read implements io.Reader under the rules of the present request.
+// Read implements io.Reader and observes the deadline, context and silence check of the current
+// request.
 func (c *connection) Read(buffer []byte) (int, error) {
 	for {
 		now := time.Now()
-		_ = c.net.SetReadDeadline(minTime(c.deadline, c.nextLook(now)))
+		_ = c.net.SetReadDeadline(minTime(c.deadline, c.nextSilenceCheck(now)))
 		if c.ctx.Err() != nil {
-			return 0, errLeft
+			return 0, errCallerLeft
 		}
 		if c.silent.Load() {
 			return 0, errSilent
 		}
 		count, err := c.net.Read(buffer)
 		if count > 0 {
-			c.hear(count)
+			c.recordRead(count)
 			return count, nil
 		}
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -123,61 +124,61 @@
 		}
 		switch now = time.Now(); {
 		case c.ctx.Err() != nil:
-			return 0, errLeft
+			return 0, errCallerLeft
 		case !now.Before(c.deadline):
 			return 0, errDeadline
 		case c.silent.Load():
 			return 0, errSilent
-		case c.silence != nil:
-			if err := c.silence(now.Sub(c.heardAt), time.Duration(c.usual.Load())); err != nil {
+		case c.checkSilence != nil:
+			if err := c.checkSilence(now.Sub(c.lastRead), time.Duration(c.usual.Load())); err != nil {
 				return 0, err
 			}
 		}
 	}
 }
 
-// nextLook is when a silent server is looked at again: after lookPeriod, or when its answer is
-// overdue, whichever comes first.
-func (c *connection) nextLook(now time.Time) time.Time {
-	next := now.Add(lookPeriod)
+// nextSilenceCheck is when a silent connection is checked next: after silenceCheckPeriod, or when
+// its answer is overdue, whichever comes first.
+func (c *connection) nextSilenceCheck(now time.Time) time.Time {
+	next := now.Add(silenceCheckPeriod)
 	usual := time.Duration(c.usual.Load())
 	if usual == 0 {
 		return next
 	}
-	if due := c.heardAt.Add(overdueAfter(c.patience, usual)); due.After(now) {
+	if due := c.lastRead.Add(overdueAfter(c.minOverdue, usual)); due.After(now) {
 		return minTime(next, due)
 	}
 	return next
 }
 
-// hear notes that bytes have come. What is usual from the second part of an answer on is the
-// longest pause so far.
-func (c *connection) hear(count int) {
+// recordRead records that bytes have arrived. From the second part of an answer on, the longest
+// pause so far is the usual wait.
+func (c *connection) recordRead(count int) {
 	now := time.Now()
-	pause := now.Sub(c.heardAt)
-	switch parts := c.parts; {
+	pause := now.Sub(c.lastRead)
+	switch parts := c.reads; {
 	case parts == 0:
-		c.expected.Store(int64(c.beginning))
+		c.expected.Store(int64(c.expectedStart))
 	case parts == 1:
 		c.usual.Store(int64(pause))
 	case parts > 1:
 		c.usual.Store(max(c.usual.Load(), int64(pause)))
 	}
-	c.parts++
-	c.heardAt = now
+	c.reads++
+	c.lastRead = now
 	c.received.Add(int64(count))
-	if c.watch != nil {
-		c.heard.Store(int64(c.watch.now()))
+	if c.watcher != nil {
+		c.readAt.Store(int64(c.watcher.now()))
 	}
 }
 
-// leastUsual stands for a usual time that is known to be short; 0 is one that is not known.
-const leastUsual = time.Millisecond
+// minUsual stands for a usual wait that is known to be short; 0 means that it is unknown.
+const minUsual = time.Millisecond
 
-// startPauses makes what is usual the longest pause between the parts from now on.
-func (c *connection) startPauses() {
-	c.usual.Store(int64(leastUsual))
-	c.parts = 1
+// trackPauses makes the longest pause between the parts from now on the usual wait.
+func (c *connection) trackPauses() {
+	c.usual.Store(int64(minUsual))
+	c.reads = 1
 }
 
 func minTime(a, b time.Time) time.Time {
@@ -188,9 +189,9 @@
 }
 
 func (c *connection) close() {
-	c.carrying.Store(false)
-	if c.watch != nil {
-		c.watch.remove(c)
+	c.awaiting.Store(false)
+	if c.watcher != nil {
+		c.watcher.remove(c)
 	}
 	_ = c.net.Close()
 }
@@ -202,27 +203,28 @@
 	closed bool
 }
 
-// take returns the idle connection used last that is sound, has rested for at most a time and
-// was opened after a moment, or nil.
-func (p *pool) take(restedAtMost, openedAfter time.Duration) *connection {
+// get returns the most recently used idle connection that is healthy, has been idle for at most
+// maxIdle and was opened after openedAfter, or nil.
+func (p *pool) get(maxIdle, openedAfter time.Duration) *connection {
 	for {
-		candidate := p.pick(restedAtMost, openedAfter)
+		candidate := p.pick(maxIdle, openedAfter)
 		if candidate == nil {
 			return nil
 		}
-		if !candidate.silent.Load() && time.Now().Before(candidate.expires) && candidate.reader.Buffered() == 0 && network.CheckIdle(candidate.net) == nil {
+		if !candidate.silent.Load() && time.Now().Before(candidate.idleUntil) && candidate.reader.Buffered() == 0 && network.CheckIdle(candidate.net) == nil {
 			return candidate
 		}
 		candidate.close()
 	}
 }
 
-// pick takes a connection out that fulfils the conditions of take but for its soundness.
-func (p *pool) pick(restedAtMost, openedAfter time.Duration) *connection {
+// pick removes and returns a connection that meets the conditions of get, except that its health is
+// not checked.
+func (p *pool) pick(maxIdle, openedAfter time.Duration) *connection {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for index, candidate := range slices.Backward(p.idle) {
-		if time.Since(candidate.restedSince) > restedAtMost {
+		if time.Since(candidate.idleSince) > maxIdle {
 			return nil
 		}
 		if openedAfter == 0 || candidate.opened >= openedAfter {
@@ -233,30 +235,30 @@
 	return nil
 }
 
-// put keeps a connection after an answer, for as long as the server allows.
-func (p *pool) put(c *connection, rest time.Duration) {
-	c.used++
-	c.carrying.Store(false)
-	p.add(c, rest)
+// put returns a connection to the pool after an answer, for as long as the server allows.
+func (p *pool) put(c *connection, keepFor time.Duration) {
+	c.requestsCarried++
+	c.awaiting.Store(false)
+	p.add(c, keepFor)
 }
 
-// add keeps a connection for later.
-func (p *pool) add(c *connection, rest time.Duration) {
-	c.restedSince = time.Now()
-	c.expires = c.restedSince.Add(rest)
-	// The last request's time limits would fail the check of the resting connection.
+// add adds a connection to the pool.
+func (p *pool) add(c *connection, keepFor time.Duration) {
+	c.idleSince = time.Now()
+	c.idleUntil = c.idleSince.Add(keepFor)
+	// The deadlines of the last request would fail the health check of the idle connection.
 	_ = c.net.SetDeadline(time.Time{})
-	c.ctx, c.silence = context.Background(), nil
+	c.ctx, c.checkSilence = context.Background(), nil
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.closed || len(p.idle) >= maximumIdle {
+	if p.closed || len(p.idle) >= maxIdleConnections {
 		c.close()
 		return
 	}
 	p.idle = append(p.idle, c)
 }
 
-// close ends the idle connections and keeps no more.
+// close closes the idle connections and stops the pool from keeping others.
 func (p *pool) close() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -267,13 +269,13 @@
 	p.idle = nil
 }
 
-// sweep ends the connections that have rested for too long.
+// sweep closes the connections whose idle timeout has expired.
 func (p *pool) sweep(now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	kept := p.idle[:0]
 	for _, idle := range p.idle {
-		if now.After(idle.expires) || idle.silent.Load() {
+		if now.After(idle.idleUntil) || idle.silent.Load() {
 			idle.close()
 			continue
 		}
--- a/internal/forward/convert.go
+++ b/internal/forward/convert.go
@@ -11,7 +11,7 @@
 	"pinevane.example/pinevane/internal/fleet"
 )
 
-// fleetOf is what the decisions need of a view.
+// fleetOf converts a view to the fleet that dispatch works on.
 func fleetOf(view *catalog.View, bounds *fleet.Bounds) dispatch.Fleet {
 	published := dispatch.Fleet{Services: map[string]dispatch.Service{}}
 	for _, servers := range view.Servers {
@@ -40,7 +40,7 @@
 	return listed
 }
 
-// enginesOf describes the model servers of a configuration, by their services.
+// enginesOf returns the model server descriptions of a configuration, by service.
 func enginesOf(configuration *fleet.Configuration) map[string]*dispatch.Engine {
 	engines := map[string]*dispatch.Engine{}
 	if configuration == nil {
@@ -57,7 +57,7 @@
 	return engines
 }
 
-func wordOf(status fleet.MachineStatus) dispatch.Word {
+func statusReportOf(status fleet.MachineStatus) dispatch.Word {
 	return dispatch.Word{
 		Address: status.Address, Reachable: status.Reachable, Version: status.Version, Running: status.Running, Waiting: status.Waiting,
 		UnreadTokens: status.UnreadTokens, Pace: status.Pace,
@@ -67,17 +67,17 @@
 	}
 }
 
-func wordsOf(statuses []fleet.MachineStatus) []dispatch.Word {
-	words := make([]dispatch.Word, 0, len(statuses))
+func statusReportsOf(statuses []fleet.MachineStatus) []dispatch.Word {
+	reports := make([]dispatch.Word, 0, len(statuses))
 	for _, status := range statuses {
-		words = append(words, wordOf(status))
+		reports = append(reports, statusReportOf(status))
 	}
-	return words
+	return reports
 }
 
-// boundsOf tells until when servers with older versions than the named ones may begin requests,
-// where each is to be in force some time after its naming.
-func boundsOf(notices []catalog.Notice, apply time.Duration) dispatch.VersionBounds {
+// versionBoundsOf returns until when servers with older versions than the announced ones may begin
+// requests. Each version takes effect the given time after its announcement.
+func versionBoundsOf(notices []catalog.Notice, apply time.Duration) dispatch.VersionBounds {
 	bounds := make(dispatch.VersionBounds, 0, len(notices))
 	for _, notice := range notices {
 		bounds = append(bounds, dispatch.VersionBound{Version: notice.Version, Until: notice.Since.Add(apply)})
@@ -85,7 +85,7 @@
 	return bounds
 }
 
-// refusalOf is the answer to a request that is sent to no server.
+// refusalOf converts a dispatch refusal to the answer for a request that was sent to no server.
 func refusalOf(decided *dispatch.Refusal) *fault.Refusal {
 	var refusal *fault.Refusal
 	switch decided.Reason {
--- a/internal/forward/decision_benchmark_test.go
+++ b/internal/forward/decision_benchmark_test.go
@@ -13,8 +13,8 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// benchmarkFleet is a forwarder that knows model servers in four zones of two regions, each
-// with a word that was just told.
+// benchmarkFleet returns a forwarder that knows model servers in four zones of two regions, each
+// with a fresh status report.
 func benchmarkFleet(servers int) (*Forwarder, *fleet.Route) {
 	zones := []string{"a1", "a2", "b1", "b2"}
 	f := New(Options{
@@ -32,11 +32,11 @@
 		})
 	}
 	f.Update(view)
-	benchmarkWords(f, view)
+	applyBenchmarkStatuses(f, view)
 	return f, &fleet.Route{Kind: fleet.Streaming, Target: 400 * time.Millisecond}
 }
 
-func benchmarkWords(f *Forwarder, view *catalog.View) {
+func applyBenchmarkStatuses(f *Forwarder, view *catalog.View) {
 	for number, server := range view.Servers["s"] {
 		f.ApplyStatus(fleet.MachineStatus{
 			Address: server.Address, Reachable: true, Model: "m", Version: 1, Running: number % 9, Waiting: number % 3,
@@ -45,19 +45,19 @@
 	}
 }
 
-// BenchmarkDecision is the whole decision on one request: whom to ask, the choice, and what
-// is noted when the request begins and ends. The network is left out.
+// BenchmarkDecision measures the complete decision on one request: which agents to query, the
+// choice, and the updates when the request begins and ends. The network is left out.
 func BenchmarkDecision(b *testing.B) {
 	for _, servers := range []int{58, 200} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
 			f, route := benchmarkFleet(servers)
 			b.ReportAllocs()
-			told := time.Now()
+			reported := time.Now()
 			for b.Loop() {
-				if time.Since(told) > time.Second/2 {
+				if time.Since(reported) > time.Second/2 {
 					b.StopTimer()
-					benchmarkWords(f, f.targets.currentView())
-					told = time.Now()
+					applyBenchmarkStatuses(f, f.targets.currentView())
+					reported = time.Now()
 					b.StartTimer()
 				}
 				decideOnce(b, f, route)
@@ -67,16 +67,16 @@
 }
 
 func decideOnce(b *testing.B, f *Forwarder, route *fleet.Route) {
-	w := &work{Forwarder: f, request: &Request{Route: route}}
-	w.wanted = dispatch.Request{Service: "s", Target: route.Target, Streaming: true, Others: 8, Prompt: 1000, Answer: 100}
-	f.targets.describe(&w.wanted)
+	w := &forwarding{Forwarder: f, request: &Request{Route: route}}
+	w.criteria = dispatch.Request{Service: "s", Target: route.Target, Streaming: true, Others: 8, Prompt: 1000, Answer: 100}
+	f.targets.fillEngine(&w.criteria)
 	w.bindVersion()
-	if len(f.targets.toAsk(&w.wanted, nil)) == 0 {
-		b.Fatal("nobody to ask")
+	if len(f.targets.serversToQuery(&w.criteria, nil)) == 0 {
+		b.Fatal("no server to query")
 	}
 	if _, refusal := f.targets.choose(w); refusal != nil {
 		b.Fatal(refusal)
 	}
 	w.attemptBegun = true
-	w.unsent()
+	w.releaseAttempt()
 }
--- a/internal/forward/dump.go
+++ b/internal/forward/dump.go
@@ -10,7 +10,7 @@
 	"pinevane.example/pinevane/internal/fleet"
 )
 
-// ServerView is what the entry believes of one server, with ages.
+// ServerView is the entry's state of one server, with ages.
 type ServerView struct {
 	ID               string              `json:"id"`
 	Service          string              `json:"service"`
@@ -25,42 +25,42 @@
 	Status           fleet.MachineStatus `json:"status"`
 	StatusAge        float64             `json:"status_age_seconds"`
 	MeanMilliseconds float64             `json:"mean_milliseconds"`
-	// ColdFor is how much longer the server counts as cold; Evacuated servers are sent
-	// nothing new.
+	// ColdFor is how much longer the server counts as cold. Evacuated servers get no new requests.
 	ColdFor   float64 `json:"cold_for_seconds"`
 	Evacuated bool    `json:"evacuated"`
-	// Limit is the rate that the server names in its answers; nil when it names none.
+	// Limit is the rate limit that the server names in its answers; nil if it names none.
 	Limit *LimitView `json:"limit,omitempty"`
-	// BackoffLeft is for how much longer the server wants nothing from this entry; SaidLeaving is set when an
-	// answer has said that it is about to end.
+	// BackoffLeft is how much longer the server wants no requests from this entry. AnnouncedLeaving
+	// is set once an answer has announced that the server is about to stop.
 	BackoffLeft      float64 `json:"rest_seconds"`
 	AnnouncedLeaving bool    `json:"said_leaving"`
 }
 
-// LimitView is a rate that a server has named.
+// LimitView is a rate limit that a server has named.
 type LimitView struct {
 	PerSecond float64 `json:"per_second"`
 	Age       float64 `json:"age_seconds"`
-	// Share is how many requests this entry may send in four seconds.
+	// Share is the number of requests this entry may send in four seconds.
 	Share int `json:"share"`
 }
 
-// HealthView is what the entry holds of one server's health.
+// HealthView is the entry's health record of one server.
 type HealthView struct {
 	State string `json:"state"`
-	// Evidence is this entry's own, Hinted that of the zone's other entries.
+	// Evidence was collected by this entry, PeerEvidence by the zone's other entries.
 	Evidence     float64 `json:"evidence"`
 	PeerEvidence float64 `json:"hinted"`
-	// Round counts the ejections that are not forgotten; By is the entry that told the last.
+	// Round counts the ejections that have not expired. Reporter is the entry that reported the
+	// last.
 	Round    int    `json:"round"`
 	Reporter string `json:"by"`
 }
 
-func healthView(held health.View) HealthView {
-	return HealthView{State: held.State.String(), Evidence: held.Evidence, PeerEvidence: held.Hinted, Round: held.Round, Reporter: held.By}
+func healthView(v health.View) HealthView {
+	return HealthView{State: v.State.String(), Evidence: v.Evidence, PeerEvidence: v.Hinted, Round: v.Round, Reporter: v.By}
 }
 
-// Servers lists the servers in view in order of ID.
+// Servers lists the servers in view, ordered by ID.
 func (f *Forwarder) Servers() []ServerView {
 	t := f.targets
 	t.mutex.Lock()
@@ -80,7 +80,7 @@
 			view.Limit = &LimitView{PerSecond: one.Limit.PerSecond, Age: one.Limit.Named.Seconds(), Share: one.Limit.Share}
 		}
 		if one.WordAge != dispatch.NoWord {
-			view.Status = t.told[server.Address]
+			view.Status = t.statuses[server.Address]
 		}
 		views = append(views, view)
 	}
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -9,7 +9,7 @@
 	"pinevane.example/pinevane/internal/bytequota"
 )
 
-// event is one whole event of a stream, with the blank line that ends it.
+// event is one complete event of a stream, including the blank line that ends it.
 type event struct {
 	bytes []byte
 	id    string
@@ -17,73 +17,73 @@
 
 // Sizes of events.
 const (
-	eventBufferBytes  = 1 << 10
-	maximumEventBytes = 1 << 20
-	// usualEventBytes is the part of an event, or of several that came together, that is not charged to
-	// the caller.
-	usualEventBytes = 16 << 10
+	eventBufferBytes = 1 << 10
+	maxEventBytes    = 1 << 20
+	// unchargedEventBytes is the size up to which pending events are not charged to the caller.
+	unchargedEventBytes = 16 << 10
 )
 
 var (
-	errTornEvent = errors.New("the stream ended in the middle of an event")
-	errLongEvent = errors.New("an event is too long")
+	errTruncatedEvent = errors.New("stream ended in the middle of an event")
+	errEventTooLong   = errors.New("event is too long")
 )
 
-// eventSplitter cuts a stream into whole events.
+// eventSplitter splits a stream into complete events.
 type eventSplitter struct {
 	source  io.Reader
 	pending []byte
-	failure error
-	// memory is charged with what is pending beyond usualEventBytes, charged is how much was.
+	err     error
+	// memory is charged with the pending bytes beyond unchargedEventBytes; charged is the amount.
 	memory  *bytequota.Account
 	charged int
 }
 
-// next returns the next whole event. The error io.EOF means that the stream is
-// complete; any other means that it broke off.
+// next returns the next complete event. The error io.EOF means that the stream is complete; any
+// other error means that it was interrupted.
 func (s *eventSplitter) next() (event, error) {
 	for {
 		if end := eventEnd(s.pending); end > 0 {
-			whole := s.pending[:end]
+			complete := s.pending[:end]
 			s.pending = s.pending[end:]
-			return event{bytes: whole, id: eventID(whole)}, nil
+			return event{bytes: complete, id: eventID(complete)}, nil
 		}
-		if s.failure != nil {
-			return s.last()
+		if s.err != nil {
+			return s.finish()
 		}
-		if len(s.pending) > maximumEventBytes {
-			s.failure = errLongEvent
+		if len(s.pending) > maxEventBytes {
+			s.err = errEventTooLong
 			continue
 		}
 		s.read()
 	}
 }
 
-// last ends the stream; a rest that is no whole event means that it was torn.
-func (s *eventSplitter) last() (event, error) {
-	if errors.Is(s.failure, io.EOF) && len(bytes.TrimSpace(s.pending)) > 0 {
-		return event{}, errTornEvent
+// finish ends the stream. Remaining data that is no complete event means that the stream was
+// truncated.
+func (s *eventSplitter) finish() (event, error) {
+	if errors.Is(s.err, io.EOF) && len(bytes.TrimSpace(s.pending)) > 0 {
+		return event{}, errTruncatedEvent
 	}
-	if errors.Is(s.failure, io.EOF) && len(s.pending) > 0 {
-		rest := s.pending
+	if errors.Is(s.err, io.EOF) && len(s.pending) > 0 {
+		remainder := s.pending
 		s.pending = nil
-		return event{bytes: rest}, io.EOF
+		return event{bytes: remainder}, io.EOF
 	}
-	return event{}, s.failure
+	return event{}, s.err
 }
 
 func (s *eventSplitter) read() {
-	if len(s.pending) >= usualEventBytes+s.charged {
-		if !s.memory.Take(usualEventBytes) {
-			s.failure = bytequota.ErrExhausted
+	if len(s.pending) >= unchargedEventBytes+s.charged {
+		if !s.memory.Take(unchargedEventBytes) {
+			s.err = bytequota.ErrExhausted
 			return
 		}
-		s.charged += usualEventBytes
+		s.charged += unchargedEventBytes
 	}
 	buffer := make([]byte, eventBufferBytes)
 	count, err := s.source.Read(buffer)
 	s.pending = append(s.pending[:len(s.pending):len(s.pending)], buffer[:count]...)
-	s.failure = err
+	s.err = err
 }
 
 var (
@@ -91,7 +91,7 @@
 	blankLineReturn = []byte("\r\n\r\n")
 )
 
-// eventEnd returns the length of the first whole event, or 0.
+// eventEnd returns the length of the first complete event, or 0.
 func eventEnd(data []byte) int {
 	end := 0
 	if at := bytes.Index(data, blankLine); at >= 0 {
@@ -113,8 +113,8 @@
 	return ""
 }
 
-// laterEvent reports whether an event's id comes after another's. Ids that are no
-// numbers are taken for later.
+// laterEvent reports whether an event's id comes after another's. Ids that are not numbers count as
+// later.
 func laterEvent(id, than string) bool {
 	a, errA := strconv.ParseUint(id, 10, 64)
 	b, errB := strconv.ParseUint(than, 10, 64)
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -18,16 +18,16 @@
 	"pinevane.example/pinevane/internal/fleet"
 )
 
-// Request is a caller's request on its way to a server.
+// Request is a caller's request that is forwarded to a server.
 type Request struct {
 	Call   fleet.CallHeader
 	Route  *fleet.Route
 	Tenant string
-	// Configuration is the one that the request was admitted under, Residency what it
-	// bound the request to.
+	// Configuration is the one that the request was admitted under, and Residency the restriction
+	// that follows from it.
 	Configuration *fleet.Configuration
 	Residency     fleet.Residency
-	// Priority is the rank told to servers, 0 first.
+	// Priority is the priority sent to servers, 0 first.
 	Priority int
 	Method   string
 	// Target is the path and query, byte for byte.
@@ -35,27 +35,28 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Memory is charged with what is held of the request and its answer; nil is bounded by nothing.
+	// Memory is charged with the buffered parts of the request and its answer; nil means no limit.
 	Memory *bytequota.Account
-	// Fingerprint identifies caller, host, target and body: the same for each try of a request.
+	// Fingerprint identifies caller, host, target and body. It is the same for each try of a
+	// request.
 	Fingerprint quarantine.Content
-	// Arrived is when the request's head was read; Deadline is when its answer is
-	// due at the latest.
+	// Arrived is when the request's head was read. Deadline is when its answer is due at the
+	// latest.
 	Arrived  time.Time
 	Deadline time.Time
 
-	// Admission is what the last decision on the request went by.
+	// Admission holds the figures behind the last decision on the request.
 	Admission dispatch.Admission
 
-	// usual is how long the first byte of the answer usually takes at the server chosen.
+	// usual is how long the first byte of the answer usually takes at the chosen server.
 	usual time.Duration
-	// freshFrom is set once an attempt has ended on a connection that was silent: others
-	// that were opened before it fell silent are not used for this request.
-	freshFrom time.Duration
+	// openedAfter is set once an attempt has ended on a silent connection: connections that were
+	// opened before it fell silent are not used for this request.
+	openedAfter time.Duration
 }
 
-// failure is why an attempt gave no answer. Execution tells whether the request
-// may have run at the server.
+// failure is why an attempt gave no answer. Its execution says whether the request may have run at
+// the server.
 type failure struct {
 	reason    fault.Reason
 	execution fault.Execution
@@ -69,36 +70,36 @@
 	return string(f.reason)
 }
 
-// exchange is one request at one server, whose answer's head has been read.
+// exchange is one request at one server. The head of the answer has been read.
 type exchange struct {
 	target     *target
 	connection *connection
 	release    func()
 	response   *http.Response
 	head       fleet.AnswerHeader
-	// written is closed once the whole request has been sent, with its error.
+	// written receives the result of sending the request.
 	written chan error
 	done    bool
 }
 
-// longBody is the size from which a body is sent beside the reading of the
-// answer, because a server may answer before it has read all.
-const longBody = 16 << 10
+// asyncBodyBytes is the size from which a body is sent concurrently with reading the answer,
+// because a server may answer before it has read the whole body.
+const asyncBodyBytes = 16 << 10
 
-// maximumSurplus is how many late answers to earlier requests are skipped.
-const maximumSurplus = 3
+// maxSkippedAnswers is how many late answers to earlier requests are skipped.
+const maxSkippedAnswers = 3
 
 // open sends a request to a server and reads the head of its answer.
-func (f *Forwarder) open(ctx context.Context, request *Request, send fleet.SendHeader, chosen *target, silence silenceJudge) (*exchange, *failure) {
-	carrier := f.rested(request, chosen)
+func (f *Forwarder) open(ctx context.Context, request *Request, send fleet.SendHeader, chosen *target, check silenceCheck) (*exchange, *failure) {
+	carrier := f.idleConnection(request, chosen)
 	if carrier == nil {
-		began := f.watch.now()
+		began := f.watcher.now()
 		fresh, err := dial(ctx, chosen.Address, request.Deadline)
 		if err != nil {
-			return nil, &failure{reason: reasonOf(err, fault.ReasonLinkLost), execution: fault.ExecutionNotRun, cause: err}
+			return nil, &failure{reason: failureReason(err, fault.ReasonLinkLost), execution: fault.ExecutionNotRun, cause: err}
 		}
 		f.metrics.connections.Inc()
-		f.watch.add(fresh, chosen, began)
+		f.watcher.add(fresh, chosen, began)
 		carrier = fresh
 		if f.targets.evacuated(chosen) {
 			carrier.close()
@@ -106,63 +107,64 @@
 		}
 	}
 	carrier.usual.Store(int64(request.usual))
-	carrier.beginning = request.usual
+	carrier.expectedStart = request.usual
 	carrier.repeatable.Store(request.Route.MayRepeat())
-	carrier.patience = patienceOf(request.Route)
+	carrier.minOverdue = minOverdueOf(request.Route)
 	if !f.stillAllowed(request, chosen) {
 		carrier.close()
-		return nil, &failure{reason: fault.ReasonResidency, execution: fault.ExecutionNotRun, cause: errNarrowed}
+		return nil, &failure{reason: fault.ReasonResidency, execution: fault.ExecutionNotRun, cause: errRegionDisallowed}
 	}
 	if f.targets.unwilling(chosen) {
 		carrier.close()
 		return nil, &failure{reason: fault.ReasonServerUnwilling, execution: fault.ExecutionNotRun}
 	}
-	if err := stillInTime(silence); err != nil {
+	if err := checkBeforeSend(check); err != nil {
 		carrier.close()
-		return nil, &failure{reason: reasonOf(err, fault.ReasonVersionBound), execution: fault.ExecutionNotRun, cause: err}
+		return nil, &failure{reason: failureReason(err, fault.ReasonVersionBound), execution: fault.ExecutionNotRun, cause: err}
 	}
 	started := &exchange{target: chosen, connection: carrier, written: make(chan error, 1)}
-	started.release = carrier.begin(ctx, request.Deadline, silence)
+	started.release = carrier.begin(ctx, request.Deadline, check)
 	sentAt := time.Now()
 	outgoing := f.outgoing(request, send)
 	if err := started.write(outgoing, len(request.Body)); err != nil {
 		started.abort()
-		return nil, &failure{reason: reasonOf(err, fault.ReasonLinkLost), execution: fault.ExecutionUnknown, cause: err}
+		return nil, &failure{reason: failureReason(err, fault.ReasonLinkLost), execution: fault.ExecutionUnknown, cause: err}
 	}
 	if err := started.readHead(f.dialect, outgoing, request.Call.RequestID); err != nil {
 		started.abort()
-		return nil, &failure{reason: reasonOf(err, fault.ReasonBackendFailed), execution: fault.ExecutionUnknown, cause: err}
+		return nil, &failure{reason: failureReason(err, fault.ReasonBackendFailed), execution: fault.ExecutionUnknown, cause: err}
 	}
-	f.targets.sawCold(chosen, started.head.ColdFor)
-	f.targets.sawAsked(chosen, started.head, sentAt)
+	f.targets.applyCold(chosen, started.head.ColdFor)
+	f.targets.applyNotice(chosen, started.head, sentAt)
 	return started, nil
 }
 
-// stillInTime asks once more, right before the send, whether the request would be taken back: the
-// making of a connection takes up to dialTimeout, and a request that is not sent needs no
-// cancelling to arrive (TestNothingIsSentWhenTheBoundNearsWhileConnecting).
-func stillInTime(silence silenceJudge) error {
-	if silence == nil {
+// checkBeforeSend runs the silence check again right before the send. Connecting takes up to
+// dialTimeout, and a request that is not sent needs no cancellation that may fail to arrive
+// (TestNothingIsSentWhenTheBoundNearsWhileConnecting).
+func checkBeforeSend(check silenceCheck) error {
+	if check == nil {
 		return nil
 	}
-	return silence(0, 0)
+	return check(0, 0)
 }
 
-// rested takes a kept connection for a request, or nil. One that must not run twice always gets
-// a new connection: a kept one may have been forgotten or gone silent without a word, and what
-// is lost with it can't be sent again, whereas a connection that does not come up proves that
-// nothing ran. That costs an eighth more connections to servers, 0.0001 of a day's worth in
-// prices, and saves the calls of about the third of a second until a silence is found.
-func (f *Forwarder) rested(request *Request, chosen *target) *connection {
+// idleConnection takes an idle connection from the pool for a request, or returns nil. A request
+// that must not run twice always gets a new connection: an idle one may have been dropped by the
+// server or gone silent unnoticed, and a request lost with it can't be sent again, whereas a failed
+// connect proves that nothing ran. This costs an eighth more connections to servers, 0.0001 of a
+// day's score in price, and saves the calls of about the third of a second until a silence is
+// detected.
+func (f *Forwarder) idleConnection(request *Request, chosen *target) *connection {
 	if !request.Route.MayRepeat() {
 		return nil
 	}
-	return chosen.pool.take(trustedRest, request.freshFrom)
+	return chosen.pool.get(maxReuseIdle, request.openedAfter)
 }
 
-func reasonOf(err error, other fault.Reason) fault.Reason {
+func failureReason(err error, other fault.Reason) fault.Reason {
 	switch {
-	case errors.Is(err, errLeft), errors.Is(err, context.Canceled):
+	case errors.Is(err, errCallerLeft), errors.Is(err, context.Canceled):
 		return fault.ReasonCanceled
 	case errors.Is(err, errDeadline):
 		return fault.ReasonDeadline
@@ -172,7 +174,7 @@
 		return fault.ReasonOverdue
 	case errors.Is(err, errStalled):
 		return fault.ReasonStalled
-	case errors.Is(err, errBound):
+	case errors.Is(err, errVersionBound):
 		return fault.ReasonVersionBound
 	}
 	return other
@@ -182,7 +184,7 @@
 	header := request.Header.Clone()
 	f.dialect.WriteSend(header, send)
 	if _, named := header["User-Agent"]; !named {
-		// The library would add its own.
+		// net/http would add its own.
 		header["User-Agent"] = []string{""}
 	}
 	outgoing := &http.Request{
@@ -195,7 +197,7 @@
 	return outgoing
 }
 
-// write sends the request; a long one is sent beside the reading of the answer.
+// write sends the request. A long body is sent concurrently with reading the answer.
 func (x *exchange) write(outgoing *http.Request, bodyBytes int) error {
 	send := func() error {
 		if err := outgoing.Write(x.connection.writer); err != nil {
@@ -203,7 +205,7 @@
 		}
 		return x.connection.writer.Flush()
 	}
-	if bodyBytes < longBody {
+	if bodyBytes < asyncBodyBytes {
 		err := send()
 		x.written <- err
 		return err
@@ -212,10 +214,10 @@
 	return nil
 }
 
-// readHead reads up to the answer that belongs to the request. Answers to earlier
+// readHead reads up to the head of the answer that belongs to the request. Answers to earlier
 // requests on the connection, which a server may send late, are skipped.
 func (x *exchange) readHead(dialect fleet.Dialect, outgoing *http.Request, requestID string) error {
-	for surplus := 0; ; {
+	for skipped := 0; ; {
 		response, err := http.ReadResponse(x.connection.reader, outgoing)
 		if err != nil {
 			return err
@@ -228,11 +230,11 @@
 		if x.head.RequestID == requestID {
 			return nil
 		}
-		if x.head.RequestID == "" && x.head.NotRun && x.connection.used == 0 {
+		if x.head.RequestID == "" && x.head.NotRun && x.connection.requestsCarried == 0 {
 			return nil
 		}
-		surplus++
-		if surplus > maximumSurplus || !framed(response) {
+		skipped++
+		if skipped > maxSkippedAnswers || !isDelimited(response) {
 			return &fault.InvalidFrame{Field: "answer", Reason: "belongs to another request"}
 		}
 		if _, err := io.Copy(io.Discard, response.Body); err != nil {
@@ -241,13 +243,13 @@
 	}
 }
 
-// framed reports whether the end of an answer is told by more than the end of its
-// connection.
-func framed(response *http.Response) bool {
+// isDelimited reports whether an answer's end is marked by a length or chunking and not only by the
+// close of its connection.
+func isDelimited(response *http.Response) bool {
 	return response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 }
 
-// finish gives the connection back after a whole answer.
+// finish returns the connection to the pool after a complete answer.
 func (x *exchange) finish() {
 	if x.done {
 		return
@@ -260,16 +262,16 @@
 		sent = err == nil
 	default:
 	}
-	rest := restTime(x.response.Header)
-	reusable := sent && !x.response.Close && framed(x.response) && x.connection.reader.Buffered() == 0 && rest > 0
+	keepFor := idleTimeout(x.response.Header)
+	reusable := sent && !x.response.Close && isDelimited(x.response) && x.connection.reader.Buffered() == 0 && keepFor > 0
 	if !reusable || x.connection.ctx.Err() != nil {
 		x.connection.close()
 		return
 	}
-	x.target.pool.put(x.connection, rest)
+	x.target.pool.put(x.connection, keepFor)
 }
 
-// abort ends the connection, which tells the server to stop.
+// abort closes the connection, which makes the server stop.
 func (x *exchange) abort() {
 	if x.done {
 		return
@@ -279,19 +281,19 @@
 	x.connection.close()
 }
 
-// restShare is the part of the server's own time for which a connection is kept.
-const restShare = 0.7
+// idleTimeoutRatio is the fraction of the server's own timeout for which a connection is kept.
+const idleTimeoutRatio = 0.7
 
-// restTime is how long a connection may rest after an answer.
-func restTime(header http.Header) time.Duration {
+// idleTimeout is how long a connection may stay idle after an answer.
+func idleTimeout(header http.Header) time.Duration {
 	for part := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
 		if seconds, err := strconv.ParseFloat(value, 64); err == nil {
-			return time.Duration(restShare * seconds * float64(time.Second))
+			return time.Duration(idleTimeoutRatio * seconds * float64(time.Second))
 		}
 	}
-	return idleWithoutWord
+	return defaultIdleTimeout
 }
--- a/internal/forward/exchange_test.go
+++ b/internal/forward/exchange_test.go
@@ -24,9 +24,9 @@
 	"pinevane.example/pinevane/platform"
 )
 
-// scripted is a server that answers each request of a connection by a function,
-// which writes raw bytes.
-func scripted(t *testing.T, answer func(connection net.Conn, request *http.Request, number int)) *target {
+// startScriptedServer starts a server that answers each request of a connection with a function
+// that writes raw bytes.
+func startScriptedServer(t *testing.T, answer func(connection net.Conn, request *http.Request, number int)) *target {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -66,7 +66,7 @@
 	}
 }
 
-func exchangeOnce(t *testing.T, f *Forwarder, server *target, request *Request) (string, *failure) {
+func roundTrip(t *testing.T, f *Forwarder, server *target, request *Request) (string, *failure) {
 	t.Helper()
 	started, failed := f.open(context.Background(), request, fleet.SendHeader{Deadline: time.Second, Instance: "i-1"}, server, nil)
 	if failed != nil {
@@ -81,41 +81,41 @@
 	return string(body), nil
 }
 
-func whole(id, body string) string {
+func completeAnswer(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nResponse-Seal: s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// MIXED: a late answer to the request before, in the place of the next one's, is
-// given to nobody.
+// MIXED: a late answer to an earlier request, which arrives in place of the next one's, is
+// discarded.
 func TestLateAnswerIsSkipped(t *testing.T) {
-	server := scripted(t, func(connection net.Conn, request *http.Request, number int) {
+	server := startScriptedServer(t, func(connection net.Conn, request *http.Request, number int) {
 		id := request.Header.Get("Request-Id")
 		if number == 1 {
-			_, _ = io.WriteString(connection, whole("first", "late"))
+			_, _ = io.WriteString(connection, completeAnswer("first", "late"))
 		}
-		_, _ = io.WriteString(connection, whole(id, "answer to "+id))
+		_, _ = io.WriteString(connection, completeAnswer(id, "answer to "+id))
 	})
 	f := testForwarder()
 	for _, id := range []string{"first", "second", "third"} {
-		body, failed := exchangeOnce(t, f, server, testRequest(id, "b"))
+		body, failed := roundTrip(t, f, server, testRequest(id, "b"))
 		require.Nil(t, failed)
 		assert.Equal(t, "answer to "+id, body)
 	}
 }
 
-// A connection that has rested for longer than a look at a silent server takes is used
-// again, but none, however recent, for a request that must not be sent twice.
-func TestRestedConnectionIsUsedAgain(t *testing.T) {
-	server := scripted(t, func(connection net.Conn, request *http.Request, _ int) {
+// A connection that was idle for longer than the silence check period is reused, but no connection,
+// however recent, is reused for a request that must not be sent twice.
+func TestIdleConnectionIsReused(t *testing.T) {
+	server := startScriptedServer(t, func(connection net.Conn, request *http.Request, _ int) {
 		id := request.Header.Get("Request-Id")
-		_, _ = io.WriteString(connection, whole(id, "from "+connection.RemoteAddr().String()))
+		_, _ = io.WriteString(connection, completeAnswer(id, "from "+connection.RemoteAddr().String()))
 	})
 	f := testForwarder()
 	var callers []string
 	for number, kind := range []fleet.RouteKind{fleet.Repeatable, fleet.Repeatable, fleet.AtMostOnce} {
 		request := testRequest(fmt.Sprint("request-", number), "b")
 		request.Route = &fleet.Route{Kind: kind}
-		body, failed := exchangeOnce(t, f, server, request)
+		body, failed := roundTrip(t, f, server, request)
 		require.Nil(t, failed)
 		callers = append(callers, body)
 		time.Sleep(550 * time.Millisecond)
@@ -125,44 +125,43 @@
 	for _, id := range []string{"once-1", "once-2"} {
 		request := testRequest(id, "b")
 		request.Route = &fleet.Route{Kind: fleet.AtMostOnce}
-		body, failed := exchangeOnce(t, f, server, request)
+		body, failed := roundTrip(t, f, server, request)
 		require.Nil(t, failed)
 		assert.NotContains(t, callers, body)
 		callers = append(callers, body)
 	}
 }
 
-// MIXED: bytes after a whole answer belong to no request; the connection is not used
-// again.
-func TestSurplusBytesEndTheConnection(t *testing.T) {
-	server := scripted(t, func(connection net.Conn, request *http.Request, number int) {
+// MIXED: bytes after a complete answer belong to no request; the connection is not reused.
+func TestSurplusBytesCloseTheConnection(t *testing.T) {
+	server := startScriptedServer(t, func(connection net.Conn, request *http.Request, number int) {
 		id := request.Header.Get("Request-Id")
-		_, _ = io.WriteString(connection, whole(id, "answer to "+id)+whole(id, "again"))
+		_, _ = io.WriteString(connection, completeAnswer(id, "answer to "+id)+completeAnswer(id, "again"))
 	})
 	f := testForwarder()
 	for _, id := range []string{"first", "second"} {
-		body, failed := exchangeOnce(t, f, server, testRequest(id, "b"))
+		body, failed := roundTrip(t, f, server, testRequest(id, "b"))
 		require.Nil(t, failed)
 		assert.Equal(t, "answer to "+id, body)
 		time.Sleep(20 * time.Millisecond)
-		assert.Nil(t, server.pool.take(time.Minute, 0))
+		assert.Nil(t, server.pool.get(time.Minute, 0))
 	}
 }
 
-// MIXED, TWICE: an answer to another request only, or none, leaves it open whether
-// the request ran; it is not sent again here.
+// MIXED, TWICE: with an answer to another request only, or none, it is unknown whether the request
+// ran, and it is not sent again at this level.
 func TestOutcomeIsUnknownWithoutAnAnswer(t *testing.T) {
 	for name, text := range map[string]string{
-		"another's answer": whole("other", "x"), "no answer": "", "no HTTP": "garbage\r\n\r\n",
+		"another's answer": completeAnswer("other", "x"), "no answer": "", "no HTTP": "garbage\r\n\r\n",
 		"cut in the body": "HTTP/1.1 200 OK\r\nRequest-Id: r\r\nContent-Length: 10\r\n\r\nabc",
 	} {
 		seen := 0
-		server := scripted(t, func(connection net.Conn, _ *http.Request, _ int) {
+		server := startScriptedServer(t, func(connection net.Conn, _ *http.Request, _ int) {
 			seen++
 			_, _ = io.WriteString(connection, text)
 			_ = connection.Close()
 		})
-		_, failed := exchangeOnce(t, testForwarder(), server, testRequest("r", "b"))
+		_, failed := roundTrip(t, testForwarder(), server, testRequest("r", "b"))
 		require.NotNil(t, failed, name)
 		assert.Equal(t, fault.ExecutionUnknown, failed.execution, name)
 		assert.Equal(t, 1, seen, name)
@@ -175,14 +174,14 @@
 	require.NoError(t, err)
 	address := listener.Addr().String()
 	require.NoError(t, listener.Close())
-	_, failed := exchangeOnce(t, testForwarder(), &target{Candidate: &dispatch.Candidate{ID: "i-1", Address: address}}, testRequest("r", "b"))
+	_, failed := roundTrip(t, testForwarder(), &target{Candidate: &dispatch.Candidate{ID: "i-1", Address: address}}, testRequest("r", "b"))
 	require.NotNil(t, failed)
 	assert.Equal(t, fault.ExecutionNotRun, failed.execution)
 }
 
-// UNASKED: a server that answers before it has read a long body is sent nothing else
-// where the rest of that body is due.
-func TestEarlyAnswerEndsTheConnection(t *testing.T) {
+// UNASKED: a server that answers before it has read a long body is sent no other request where the
+// rest of that body is due.
+func TestEarlyAnswerClosesTheConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = listener.Close() }()
@@ -196,29 +195,29 @@
 			if err != nil {
 				continue
 			}
-			_, _ = io.WriteString(connection, whole(request.Header.Get("Request-Id"), "early"))
+			_, _ = io.WriteString(connection, completeAnswer(request.Header.Get("Request-Id"), "early"))
 			time.Sleep(300 * time.Millisecond)
 		}
 	}()
 	server := &target{Candidate: &dispatch.Candidate{ID: "i-1", Address: listener.Addr().String()}}
-	body, failed := exchangeOnce(t, testForwarder(), server, testRequest("r", strings.Repeat("x", 8<<20)))
+	body, failed := roundTrip(t, testForwarder(), server, testRequest("r", strings.Repeat("x", 8<<20)))
 	require.Nil(t, failed)
 	assert.Equal(t, "early", body)
-	assert.Nil(t, server.pool.take(time.Minute, 0))
+	assert.Nil(t, server.pool.get(time.Minute, 0))
 }
 
-// The path and query, the body and the method go on byte for byte.
-func TestRequestGoesOnUnchanged(t *testing.T) {
-	server := scripted(t, func(connection net.Conn, request *http.Request, _ int) {
+// Method, path, query, host and body are forwarded byte for byte.
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	server := startScriptedServer(t, func(connection net.Conn, request *http.Request, _ int) {
 		body, _ := io.ReadAll(request.Body)
-		_, _ = io.WriteString(connection, whole(request.Header.Get("Request-Id"), request.Method+" "+request.RequestURI+" "+request.Host+" "+string(body)))
+		_, _ = io.WriteString(connection, completeAnswer(request.Header.Get("Request-Id"), request.Method+" "+request.RequestURI+" "+request.Host+" "+string(body)))
 	})
-	body, failed := exchangeOnce(t, testForwarder(), server, testRequest("r", "words"))
+	body, failed := roundTrip(t, testForwarder(), server, testRequest("r", "words"))
 	require.Nil(t, failed)
 	assert.Equal(t, "POST /x/?a=%20b h.example words", body)
 }
 
-func TestEventsAreCutWhole(t *testing.T) {
+func TestStreamIsSplitIntoCompleteEvents(t *testing.T) {
 	read, write := io.Pipe()
 	go func() {
 		for _, part := range []string{"id: 1\ndata: a", "\n\nid: 2\nda", "ta: b\n\n", "id: 3\r\ndata: c\r\n\r\nid: 4\nda"} {
@@ -233,24 +232,24 @@
 		assert.Equal(t, id, next.id)
 	}
 	_, err := splitter.next()
-	assert.ErrorIs(t, err, errTornEvent, "a stream that ends in the middle of an event is not complete")
+	assert.ErrorIs(t, err, errTruncatedEvent, "a truncated event means an incomplete stream")
 }
 
-// VERSION: a request that a server has not begun is taken back shortly before the time
-// of the server's version is over; one that has begun goes on.
-func TestRequestIsTakenBackBeforeTheVersionsBound(t *testing.T) {
+// VERSION: a request that a server has not begun is withdrawn shortly before the bound of the
+// server's version; one that has begun continues.
+func TestRequestIsWithdrawnBeforeTheVersionBound(t *testing.T) {
 	for _, begun := range []bool{false, true} {
-		server := scripted(t, func(net.Conn, *http.Request, int) { time.Sleep(3 * time.Second) })
+		server := startScriptedServer(t, func(net.Conn, *http.Request, int) { time.Sleep(3 * time.Second) })
 		f := testForwarder()
 		request := testRequest("late", "b")
 		f.targets.bounds.Store(&fleet.Bounds{VersionApply: 8 * time.Second})
 		request.Call.Model = "m"
 		f.targets.update(&catalog.View{Versions: map[string][]catalog.Notice{"m": {{Version: 2, Since: time.Now().Add(-7 * time.Second)}}}})
-		w := &work{Forwarder: f, request: request, wanted: dispatch.Request{Engine: &dispatch.Engine{}}}
-		judge := w.silence(server, 1)
+		w := &forwarding{Forwarder: f, request: request, criteria: dispatch.Request{Engine: &dispatch.Engine{}}}
+		check := w.newSilenceCheck(server, 1)
 		w.attemptBegun = begun
 		began := time.Now()
-		_, failed := f.open(context.Background(), request, fleet.SendHeader{Deadline: time.Second, Instance: "i-1"}, server, judge)
+		_, failed := f.open(context.Background(), request, fleet.SendHeader{Deadline: time.Second, Instance: "i-1"}, server, check)
 		require.NotNil(t, failed)
 		if begun {
 			assert.Equal(t, fault.ReasonDeadline, failed.reason)
@@ -258,41 +257,38 @@
 		}
 		assert.Equal(t, fault.ReasonVersionBound, failed.reason)
 		assert.Equal(t, fault.ExecutionUnknown, failed.execution)
-		assert.Less(t, time.Since(began), time.Second, "the bound")
+		assert.Less(t, time.Since(began), time.Second, "withdrawn before the bound")
 	}
 }
 
-// Seen: with a store whose watches heard nothing for a second, requests that had been sent
-// meanwhile waited at full servers and began on the old version 10 to 133 ms past its bound.
-// Cause: until when a request may wait was settled as it was sent, by the versions known then.
-//
-// VERSION: a request that waits is taken back for a version that is heard of after its send.
-func TestRequestIsTakenBackForAVersionHeardOfLater(t *testing.T) {
+// VERSION: a waiting request is withdrawn for a version that is announced after it was sent. If the
+// bound is fixed at the send, from the versions known then, a request sent while the store's watch
+// received nothing for a second waits at a full server and begins on the old version 10 to 133 ms
+// past its bound.
+func TestRequestIsWithdrawnForAVersionAnnouncedLater(t *testing.T) {
 	f := testForwarder()
 	f.targets.bounds.Store(&fleet.Bounds{VersionApply: 8 * time.Second})
-	w := &work{Forwarder: f, request: testRequest("early", "b"), wanted: dispatch.Request{Engine: &dispatch.Engine{}}}
+	w := &forwarding{Forwarder: f, request: testRequest("early", "b"), criteria: dispatch.Request{Engine: &dispatch.Engine{}}}
 	w.request.Call.Model = "m"
-	judge := w.silence(&target{}, 1)
-	require.NoError(t, judge(time.Millisecond, time.Second))
+	check := w.newSilenceCheck(&target{}, 1)
+	require.NoError(t, check(time.Millisecond, time.Second))
 	f.targets.update(&catalog.View{Versions: map[string][]catalog.Notice{"m": {{Version: 2, Since: time.Now().Add(-7800 * time.Millisecond)}}}})
-	assert.ErrorIs(t, judge(time.Millisecond, time.Second), errBound)
+	assert.ErrorIs(t, check(time.Millisecond, time.Second), errVersionBound)
 }
 
-// Seen: read in a review. Cause: whether a version's time is nearly over was looked at before the
-// connection was made, which takes up to dialTimeout, and then 0.2 s after the send; until then
-// only a cancelling that arrives kept the request from beginning late.
-//
-// VERSION: after the making of a connection the bound is looked at again, and nothing is sent.
+// VERSION: the bound is checked again after connecting, and nothing is sent once it is near. If it
+// were checked only before connecting, which takes up to dialTimeout, and again 0.2 s after the
+// send, only a cancellation that arrives in time would keep the request from beginning late.
 func TestNothingIsSentWhenTheBoundNearsWhileConnecting(t *testing.T) {
 	var received atomic.Int64
-	server := scripted(t, func(net.Conn, *http.Request, int) { received.Add(1) })
+	server := startScriptedServer(t, func(net.Conn, *http.Request, int) { received.Add(1) })
 	f := testForwarder()
 	f.targets.bounds.Store(&fleet.Bounds{VersionApply: 8 * time.Second})
-	w := &work{Forwarder: f, request: testRequest("late", "b"), wanted: dispatch.Request{Engine: &dispatch.Engine{}}}
+	w := &forwarding{Forwarder: f, request: testRequest("late", "b"), criteria: dispatch.Request{Engine: &dispatch.Engine{}}}
 	w.request.Call.Model = "m"
-	judge := w.silence(server, 1)
+	check := w.newSilenceCheck(server, 1)
 	f.targets.update(&catalog.View{Versions: map[string][]catalog.Notice{"m": {{Version: 2, Since: time.Now().Add(-7800 * time.Millisecond)}}}})
-	_, failed := f.open(context.Background(), w.request, fleet.SendHeader{Deadline: time.Second, Instance: "i-1"}, server, judge)
+	_, failed := f.open(context.Background(), w.request, fleet.SendHeader{Deadline: time.Second, Instance: "i-1"}, server, check)
 	require.NotNil(t, failed)
 	assert.Equal(t, fault.ReasonVersionBound, failed.reason)
 	assert.Equal(t, fault.ExecutionNotRun, failed.execution)
@@ -300,18 +296,18 @@
 	assert.Zero(t, received.Load(), "requests that reached the server")
 }
 
-// Guards against a request that is written to a server which has asked for rest, or said that it leaves, in an
-// answer to another one while the connection for this one was being made.
-func TestNothingIsSentToAServerThatAskedToBeSparedWhileConnecting(t *testing.T) {
+// Guards against sending a request to a server that requested a backoff, or announced that it is
+// leaving, in an answer to another request while the connection for this one was being made.
+func TestNothingIsSentToAServerThatBecameUnwillingWhileConnecting(t *testing.T) {
 	for what, head := range map[string]fleet.AnswerHeader{
 		"rest":    {Rest: fleet.Rest{For: time.Second}},
 		"leaving": {Leaving: true},
 	} {
 		t.Run(what, func(t *testing.T) {
 			var received atomic.Int64
-			server := scripted(t, func(net.Conn, *http.Request, int) { received.Add(1) })
+			server := startScriptedServer(t, func(net.Conn, *http.Request, int) { received.Add(1) })
 			f := testForwarder()
-			f.targets.sawAsked(server, head, time.Now())
+			f.targets.applyNotice(server, head, time.Now())
 			_, failed := f.open(context.Background(), testRequest("unwilling", "b"), fleet.SendHeader{Deadline: time.Second, Instance: "i-1"}, server, nil)
 			require.NotNil(t, failed)
 			assert.Equal(t, fault.ReasonServerUnwilling, failed.reason)
@@ -322,23 +318,23 @@
 	}
 }
 
-// An answer that names another server says nothing of the one that was asked, and one without a signature
-// does not end a limit.
-func TestWhoseAnswerSaysWhatAServerAsks(t *testing.T) {
-	server := scripted(t, func(net.Conn, *http.Request, int) {})
+// An answer that names another instance says nothing about this server, and an answer without a
+// signature does not lift a limit.
+func TestWhichAnswersCarryServerNotices(t *testing.T) {
+	server := startScriptedServer(t, func(net.Conn, *http.Request, int) {})
 	f := testForwarder()
 	limits := func() int { servers, _ := f.targets.limitCounts(); return servers }
 	named := fleet.RequestLimit{Word: fleet.LimitNamed, PerSecond: 2}
 	f.targets.core.Update(dispatch.Fleet{Servers: []dispatch.Server{{ID: server.ID, Service: "s", Address: server.Address, Zone: server.Zone}}}, time.Now())
 	listed := &target{Candidate: f.targets.core.Candidates("s")[0]}
-	f.targets.sawAsked(listed, fleet.AnswerHeader{Instance: "another", Limit: named}, time.Now())
+	f.targets.applyNotice(listed, fleet.AnswerHeader{Instance: "another", Limit: named}, time.Now())
 	assert.Zero(t, limits())
-	f.targets.sawAsked(listed, fleet.AnswerHeader{Limit: named}, time.Now())
+	f.targets.applyNotice(listed, fleet.AnswerHeader{Limit: named}, time.Now())
 	assert.Equal(t, 1, limits())
-	f.targets.sawAsked(listed, fleet.AnswerHeader{}, time.Now().Add(time.Second))
+	f.targets.applyNotice(listed, fleet.AnswerHeader{}, time.Now().Add(time.Second))
 	assert.Equal(t, 1, limits(), "unsigned")
-	f.targets.sawAsked(listed, fleet.AnswerHeader{Signed: true, Limit: fleet.RequestLimit{Word: fleet.LimitUnreadable}}, time.Now().Add(time.Second))
+	f.targets.applyNotice(listed, fleet.AnswerHeader{Signed: true, Limit: fleet.RequestLimit{Word: fleet.LimitUnreadable}}, time.Now().Add(time.Second))
 	assert.Equal(t, 1, limits(), "unreadable")
-	f.targets.sawAsked(listed, fleet.AnswerHeader{Signed: true}, time.Now().Add(time.Second))
+	f.targets.applyNotice(listed, fleet.AnswerHeader{Signed: true}, time.Now().Add(time.Second))
 	assert.Zero(t, limits())
 }
--- a/internal/forward/health.go
+++ b/internal/forward/health.go
@@ -14,45 +14,46 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// Evidence of answers that do not come, which counts before a request is given up for it: the
-// other servers' requests show whether it is usual. At three times the usual time, and half of the
-// least patience, so many answers counted at a fleet's limit that servers which were well failed
-// their trials.
+// Thresholds from which a pending answer is recorded as overdue, before the request is abandoned
+// for it: the other servers' requests show whether the delay is usual. At three times the usual
+// wait, and half of the minimum overdue time, so many answers counted in a fleet at its limit that
+// healthy servers failed their trials.
 const (
 	overdueEvidenceFactor = 4
-	overdueEvidenceShare  = 0.8
+	overdueEvidenceRatio  = 0.8
 )
 
-// HealthAnnouncer is what entries of a zone tell each other of servers.
+// HealthAnnouncer exchanges health reports on servers with the zone's other entries.
 type HealthAnnouncer interface {
-	// AnnounceHealth has the others told what was found out at a time: ages in the words are those of then.
-	AnnounceHealth(words []health.Word, at time.Time)
-	// ZoneEntries lists the others.
+	// AnnounceHealth sends health reports made at the given time; ages in the reports count from
+	// then.
+	AnnounceHealth(reports []health.Word, at time.Time)
+	// ZoneEntries lists the other entries of the zone.
 	ZoneEntries() []string
 }
 
-// healthReporter tells of servers' health; the mutex of the set of servers guards it but for what is
-// said otherwise.
+// healthReporter logs, counts and announces changes of servers' health. Unless noted otherwise, the
+// mutex of targets guards it.
 type healthReporter struct {
-	// source is nil in an entry that shares nothing.
-	source   HealthAnnouncer
-	lookedAt time.Time
-	// findings are what the source is still to be told.
-	findings outbox[finding]
+	// announcer is nil in an entry that shares nothing.
+	announcer       HealthAnnouncer
+	zoneRefreshedAt time.Time
+	// pending holds the reports that are still to be announced.
+	pending outbox[healthReports]
 
 	ejections *prometheus.CounterVec
 	trials    prometheus.Counter
 }
 
-// finding is what was found out at a time.
-type finding struct {
-	words []health.Word
-	at    time.Time
+// healthReports holds the reports made at one time.
+type healthReports struct {
+	reports []health.Word
+	at      time.Time
 }
 
 func newHealthReporter(options Options) *healthReporter {
 	return &healthReporter{
-		source: options.Health,
+		announcer: options.Health,
 		ejections: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "pinevane_server_ejections_total", Help: "Ejections of servers, by what decided them; told: another entry of the zone."}, []string{"by"}),
 		trials: prometheus.NewCounter(prometheus.CounterOpts{
@@ -60,8 +61,8 @@
 	}
 }
 
-// registerHealth tells of servers' health as metrics.
-func registerHealth(registry prometheus.Registerer, t *targets) {
+// registerHealthMetrics registers the metrics of servers' health.
+func registerHealthMetrics(registry prometheus.Registerer, t *targets) {
 	registry.MustRegister(t.health.ejections, t.health.trials, prometheus.NewGaugeFunc(
 		prometheus.GaugeOpts{Name: "pinevane_ejected_servers", Help: "Servers that are ejected or on trial."},
 		func() float64 {
@@ -71,36 +72,36 @@
 		}))
 }
 
-// zonePeriod is how often the entries of the zone are looked through.
-const zonePeriod = 250 * time.Millisecond
+// zoneRefreshPeriod is how often the zone's entries are refreshed.
+const zoneRefreshPeriod = 250 * time.Millisecond
 
-// zoneDue reports whether the entries of the zone are to be looked through; the mutex is held.
-func (t *targets) zoneDue(now time.Time) bool {
-	return t.health.source != nil && now.Sub(t.health.lookedAt) >= zonePeriod
+// zoneRefreshDue reports whether the zone's entries are to be refreshed. The mutex is held.
+func (t *targets) zoneRefreshDue(now time.Time) bool {
+	return t.health.announcer != nil && now.Sub(t.health.zoneRefreshedAt) >= zoneRefreshPeriod
 }
 
-// noteTrial logs and counts a request that is the trial of its server; the mutex is held.
-func (t *targets) noteTrial(w *work, k *dispatch.Candidate, now time.Time) {
+// recordTrial logs and counts a request that is the trial of its server. The mutex is held.
+func (t *targets) recordTrial(w *forwarding, k *dispatch.Candidate, now time.Time) {
 	t.health.trials.Inc()
 	t.log.Log(logging.ServerTried, zap.String("server", k.ID), zap.String("request", w.request.Call.RequestID))
 	t.reportHealth(now)
 }
 
-// reportHealth logs and counts what has changed with servers' health now, and keeps what the zone is
-// to be told of that; the mutex is held.
+// reportHealth logs and counts the recent changes of servers' health, and queues the reports to
+// announce. The mutex is held.
 func (t *targets) reportHealth(now time.Time) {
-	news := t.core.TakeHealthNews()
-	for _, change := range news.Changes {
+	updates := t.core.TakeHealthNews()
+	for _, change := range updates.Changes {
 		t.logHealth(change)
 	}
-	if t.health.source != nil && len(news.Words) > 0 {
-		t.health.findings.add(finding{words: news.Words, at: now})
+	if t.health.announcer != nil && len(updates.Words) > 0 {
+		t.health.pending.add(healthReports{reports: updates.Words, at: now})
 	}
 }
 
-// tellZone has the zone told what was found out; the mutex is not held.
-func (t *targets) tellZone() {
-	t.health.findings.deliver(&t.mutex, func(one finding) { t.health.source.AnnounceHealth(one.words, one.at) })
+// announceHealth sends the queued reports to the zone's other entries. The mutex is not held.
+func (t *targets) announceHealth() {
+	t.health.pending.deliver(&t.mutex, func(one healthReports) { t.health.announcer.AnnounceHealth(one.reports, one.at) })
 }
 
 func (t *targets) logHealth(change health.Change) {
@@ -117,33 +118,33 @@
 	t.log.Log(logging.ServerReturned, fields...)
 }
 
-// ReceiveHealth takes in what another entry of the zone has said of a server, and when.
-func (f *Forwarder) ReceiveHealth(word health.Word, at time.Time) {
+// ReceiveHealth applies a health report that another entry of the zone made at the given time.
+func (f *Forwarder) ReceiveHealth(report health.Word, at time.Time) {
 	t := f.targets
-	defer t.tellZone()
+	defer t.announceHealth()
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := time.Now()
-	t.core.HearHealth(word, at, now)
+	t.core.HearHealth(report, at, now)
 	t.reportHealth(now)
 }
 
-// observe notes what the present attempt has shown of its server.
-func (w *work) observe(k *target, outcome health.Outcome) {
+// observe records the outcome of the current attempt for its server's health.
+func (w *forwarding) observe(k *target, outcome health.Outcome) {
 	t := w.targets
-	defer t.tellZone()
+	defer t.announceHealth()
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := time.Now()
 	t.core.Observe(k.Candidate, dispatch.Outcome{
-		Outcome: outcome, Class: w.request.Route.Name, SentAt: w.sentAt, Repeated: len(w.wanted.Tried) > 1,
+		Outcome: outcome, Class: w.request.Route.Name, SentAt: w.sentAt, Repeated: len(w.criteria.Tried) > 1,
 	}, now)
 	t.reportHealth(now)
 }
 
-// observeAnswer notes what a whole answer has shown. A server's answer that the time of the
-// request is over says nothing of the server.
-func (w *work) observeAnswer(k *target, status int) {
+// observeAnswer records the outcome of a complete answer. An answer that the request's deadline has
+// passed says nothing about the server.
+func (w *forwarding) observeAnswer(k *target, status int) {
 	switch {
 	case status == http.StatusGatewayTimeout:
 		w.endTrial()
@@ -154,22 +155,22 @@
 	}
 }
 
-// observeOverdue notes, once an attempt, that its answer takes many times as long as usual.
-// The request itself may wait on: one that may not be run twice has to.
-func (w *work) observeOverdue(k *target, silent, usual time.Duration) {
-	if w.overdueNoted || w.attemptBegun || usual <= 0 {
+// observeOverdue records, once per attempt, that the answer takes many times as long as usual. The
+// request itself may go on waiting; one that must not run twice has to.
+func (w *forwarding) observeOverdue(k *target, silent, usual time.Duration) {
+	if w.overdueRecorded || w.attemptBegun || usual <= 0 {
 		return
 	}
-	least := time.Duration(overdueEvidenceShare * float64(patienceOf(w.request.Route)))
-	if silent < max(least, overdueEvidenceFactor*usual) {
+	minimum := time.Duration(overdueEvidenceRatio * float64(minOverdueOf(w.request.Route)))
+	if silent < max(minimum, overdueEvidenceFactor*usual) {
 		return
 	}
-	w.overdueNoted = true
+	w.overdueRecorded = true
 	w.observe(k, health.Overdue)
 }
 
-// observeFailure notes what a failed attempt has shown.
-func (w *work) observeFailure(k *target, failed *failure) {
+// observeFailure records the outcome of a failed attempt.
+func (w *forwarding) observeFailure(k *target, failed *failure) {
 	var status statusError
 	switch failed.reason {
 	case fault.ReasonLinkLost:
@@ -179,15 +180,15 @@
 		}
 		w.observe(k, health.Broken)
 	case fault.ReasonOverdue, fault.ReasonStalled:
-		if !w.overdueNoted {
-			w.overdueNoted = true
+		if !w.overdueRecorded {
+			w.overdueRecorded = true
 			w.observe(k, health.Overdue)
 		}
 	case fault.ReasonOverloaded, fault.ReasonWrongVersion:
 		w.observe(k, health.Declined)
 	case fault.ReasonBackendFailed:
 		if errors.As(failed.cause, &status) {
-			// The answer has been observed.
+			// The answer was observed when it was read.
 			return
 		}
 		w.observe(k, health.Broken)
@@ -196,13 +197,13 @@
 	}
 }
 
-// endTrial notes that an attempt has ended that says nothing of its server.
-func (w *work) endTrial() {
+// endTrial records the end of an attempt that says nothing about its server.
+func (w *forwarding) endTrial() {
 	t := w.targets
-	defer t.tellZone()
+	defer t.announceHealth()
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := time.Now()
-	t.core.EndTrial(w.placed, now)
+	t.core.EndTrial(w.currentSend, now)
 	t.reportHealth(now)
 }
--- a/internal/forward/health_test.go
+++ b/internal/forward/health_test.go
@@ -18,7 +18,7 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// eject has a server ejected, as connections that do not come up do.
+// eject has a server ejected by failed connects.
 func eject(t *targets, k *dispatch.Candidate) {
 	now := time.Now()
 	for range 2 {
@@ -26,8 +26,8 @@
 	}
 }
 
-// healthFleet is a forwarder with plain servers i-0, i-1 and so on, and a request for them.
-func healthFleet(kind fleet.RouteKind, servers int) (*Forwarder, *work) {
+// healthFleet returns a forwarder with plain servers i-0, i-1 and so on, and a request for them.
+func healthFleet(kind fleet.RouteKind, servers int) (*Forwarder, *forwarding) {
 	f := New(Options{Zone: "z", Log: logging.Nop(), Registry: prometheus.NewRegistry(), Policy: DefaultPolicy(), Peers: func() int { return 1 }})
 	view := &catalog.View{Configuration: &fleet.Configuration{}, Servers: map[string][]fleet.Server{}}
 	for number := range servers {
@@ -35,12 +35,12 @@
 		view.Servers["s"] = append(view.Servers["s"], fleet.Server{ID: "i-" + id, Service: "s", Address: "10.0.0." + id + ":1", Zone: "z", Slots: 4})
 	}
 	f.Update(view)
-	w := &work{Forwarder: f, request: &Request{Route: &fleet.Route{Name: "r", Kind: kind, Target: time.Second, Attempts: 3}}, sentAt: time.Now()}
-	w.wanted = dispatch.Request{Service: "s", Target: time.Second, RunsOnce: kind == fleet.AtMostOnce}
+	w := &forwarding{Forwarder: f, request: &Request{Route: &fleet.Route{Name: "r", Kind: kind, Target: time.Second, Attempts: 3}}, sentAt: time.Now()}
+	w.criteria = dispatch.Request{Service: "s", Target: time.Second, RunsOnce: kind == fleet.AtMostOnce}
 	return f, w
 }
 
-// server returns one of them.
+// server returns the target of a server.
 func (f *Forwarder) server(id string) *target {
 	for _, candidate := range f.targets.core.Candidates("s") {
 		if candidate.ID == id {
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// state is what the entry holds of a server.
+// state returns the entry's health state of a server.
 func (f *Forwarder) state(id string) string {
 	for _, view := range f.Servers() {
 		if view.ID == id {
@@ -60,21 +60,21 @@
 	return ""
 }
 
-// chosen counts how often each server is chosen.
-func chosen(t *testing.T, f *Forwarder, w *work, times int) map[string]int {
+// countChoices counts how often each server is chosen.
+func countChoices(t *testing.T, f *Forwarder, w *forwarding, times int) map[string]int {
 	t.Helper()
 	counts := map[string]int{}
 	for range times {
 		choice, refusal := f.targets.choose(w)
 		require.Nil(t, refusal)
 		counts[choice.target.ID]++
-		f.targets.release(w.placed)
+		f.targets.release(w.currentSend)
 	}
 	return counts
 }
 
-// An answer that tells of a failure counts against its server, also when the request is not
-// sent again; an answer that the request's time is over does not.
+// A server error counts against its server, also if the request is not sent again; an answer that
+// the request's deadline has passed does not.
 func TestFailureAnswersEjectServers(t *testing.T) {
 	for _, kind := range []fleet.RouteKind{fleet.Repeatable, fleet.AtMostOnce} {
 		f, w := healthFleet(kind, 3)
@@ -82,16 +82,16 @@
 		for range 5 {
 			w.observeAnswer(server, http.StatusGatewayTimeout)
 		}
-		assert.Positive(t, chosen(t, f, w, 60)["i-0"])
+		assert.Positive(t, countChoices(t, f, w, 60)["i-0"])
 		for range 2 {
 			w.observeAnswer(server, http.StatusInternalServerError)
 		}
-		assert.Zero(t, chosen(t, f, w, 60)["i-0"])
+		assert.Zero(t, countChoices(t, f, w, 60)["i-0"])
 	}
 }
 
-// What failures say of a server, by their reasons.
-func TestWhatFailuresSayOfAServer(t *testing.T) {
+// The effect of failures on a server's health, by their reasons.
+func TestHealthAfterFailures(t *testing.T) {
 	for _, one := range []struct {
 		failed failure
 		state  health.State
@@ -106,24 +106,24 @@
 		{failure{reason: fault.ReasonCanceled, execution: fault.ExecutionUnknown}, health.InOrder},
 	} {
 		f, w := healthFleet(fleet.Repeatable, 3)
-		w.noteFailure(f.server("i-0"), &one.failed, 0)
+		w.recordFailure(f.server("i-0"), &one.failed, 0)
 		assert.Equal(t, one.state.String(), f.state("i-0"), one.failed.Error())
 	}
 }
 
-// An answer that is overdue counts once, before the request is given up, and one that may not
-// be repeated goes on waiting.
-func TestOverdueAnswersCountBeforeTheyAreGivenUp(t *testing.T) {
+// An overdue answer counts once, before the request is abandoned, and a request that must not be
+// repeated goes on waiting.
+func TestOverdueAnswersCountBeforeTheyAreAbandoned(t *testing.T) {
 	f, w := healthFleet(fleet.AtMostOnce, 3)
 	server := f.server("i-0")
 	for range 3 {
-		judge := w.silence(server, 0)
+		check := w.newSilenceCheck(server, 0)
 		for silent := 50 * time.Millisecond; silent < 3*time.Second; silent += 50 * time.Millisecond {
-			require.NoError(t, judge(silent, 20*time.Millisecond))
+			require.NoError(t, check(silent, 20*time.Millisecond))
 		}
 	}
 	assert.Equal(t, health.Ejected.String(), f.state("i-0"))
 	w.request.Route.Kind = fleet.Repeatable
-	judge := w.silence(server, 0)
-	require.ErrorIs(t, judge(suspectSilence+time.Millisecond, 0), errStalled, "what may be repeated need not wait at such a server")
+	check := w.newSilenceCheck(server, 0)
+	require.ErrorIs(t, check(suspectTimeout+time.Millisecond, 0), errStalled, "a repeatable request does not wait at an ejected server")
 }
--- a/internal/forward/health_trial_test.go
+++ b/internal/forward/health_trial_test.go
@@ -21,9 +21,9 @@
 	"pinevane.example/pinevane/platform"
 )
 
-// The trial of a server that was not reached has the time that the service's answers usually
-// take: those of a service that answers after half a second else all fail, for good.
-func TestTrialHasTheUsualTime(t *testing.T) {
+// The trial of a server that was unreachable is given the time that the service's answers usually
+// take. Otherwise all trials of a service that answers after half a second would fail, for good.
+func TestTrialIsGivenTheUsualTime(t *testing.T) {
 	f, w := healthFleet(fleet.Repeatable, 3)
 	server := f.server("i-0")
 	eject(f.targets, server.Candidate)
@@ -32,12 +32,12 @@
 	require.Nil(t, refusal)
 	require.True(t, choice.Trial)
 	w.sentAt = time.Now()
-	judge := w.silence(server, 0)
-	assert.NoError(t, judge(450*time.Millisecond, 500*time.Millisecond))
+	check := w.newSilenceCheck(server, 0)
+	assert.NoError(t, check(450*time.Millisecond, 500*time.Millisecond))
 }
 
-// The only server of a service is given the usual time too, whatever it has shown before.
-func TestOnlyServerHasTheUsualTime(t *testing.T) {
+// The only server of a service is given the usual time too, whatever its health state.
+func TestOnlyServerIsGivenTheUsualTime(t *testing.T) {
 	f, w := healthFleet(fleet.Repeatable, 1)
 	server := f.server("i-0")
 	eject(f.targets, server.Candidate)
@@ -45,19 +45,19 @@
 	choice, refusal := f.targets.choose(w)
 	require.Nil(t, refusal)
 	w.sentAt = time.Now()
-	judge := w.silence(choice.target, 0)
-	assert.NoError(t, judge(450*time.Millisecond, 500*time.Millisecond))
+	check := w.newSilenceCheck(choice.target, 0)
+	assert.NoError(t, check(450*time.Millisecond, 500*time.Millisecond))
 }
 
-// A service that answers after half a second gets a server back that was not reached for a
-// moment.
-func TestServerOfASlowServiceReturns(t *testing.T) {
+// A server of a service that answers after half a second is readmitted after it was unreachable for
+// a moment.
+func TestServerOfASlowServiceIsReadmitted(t *testing.T) {
 	for _, servers := range []int{1, 3} {
-		t.Run(fmt.Sprint(servers, " servers"), func(t *testing.T) { playSlowService(t, servers) })
+		t.Run(fmt.Sprint(servers, " servers"), func(t *testing.T) { testSlowService(t, servers) })
 	}
 }
 
-func playSlowService(t *testing.T, servers int) {
+func testSlowService(t *testing.T, servers int) {
 	t.Helper()
 	f := New(Options{Zone: "z", Dialect: platform.Dialect{}, Log: logging.Nop(), Registry: prometheus.NewRegistry(),
 		Bounds: fleet.Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 400}, Policy: DefaultPolicy(), Peers: func() int { return 1 }})
@@ -66,18 +66,18 @@
 	go f.Run(ctx)
 	view := &catalog.View{Configuration: &fleet.Configuration{}, Servers: map[string][]fleet.Server{}}
 	for number := range servers {
-		server := scripted(t, func(connection net.Conn, request *http.Request, _ int) {
+		server := startScriptedServer(t, func(connection net.Conn, request *http.Request, _ int) {
 			time.Sleep(500 * time.Millisecond)
-			_, _ = io.WriteString(connection, whole(request.Header.Get("Request-Id"), "b"))
+			_, _ = io.WriteString(connection, completeAnswer(request.Header.Get("Request-Id"), "b"))
 		})
 		view.Servers["s"] = append(view.Servers["s"], fleet.Server{ID: fmt.Sprint("i-", number), Service: "s", Address: server.Address, Zone: "z", Slots: 20})
 	}
 	f.Update(view)
 	refused := 0
-	play := func(span time.Duration) {
-		for began, number := time.Now(), 0; time.Since(began) < span; number++ {
+	sendAll := func(duration time.Duration) {
+		for began, number := time.Now(), 0; time.Since(began) < duration; number++ {
 			now := time.Now()
-			id := fmt.Sprint(span, "-", number)
+			id := fmt.Sprint(duration, "-", number)
 			request := &Request{
 				Call: fleet.CallHeader{RequestID: id}, Method: http.MethodPost, Target: "/plain", Host: "h.example",
 				Header: http.Header{"Request-Id": {id}}, Body: []byte("b"), Arrived: now, Deadline: now.Add(3 * time.Second),
@@ -88,16 +88,16 @@
 			}
 		}
 	}
-	play(3 * time.Second)
+	sendAll(3 * time.Second)
 	eject(f.targets, f.server("i-0").Candidate)
 	require.Equal(t, health.Ejected.String(), f.state("i-0"))
-	play(10 * time.Second)
+	sendAll(10 * time.Second)
 	t.Log(f.state("i-0"), refused)
 	assert.Zero(t, refused)
 	assert.Equal(t, health.InOrder.String(), f.state("i-0"))
 }
 
-// A request for which no other attempt would follow is no trial.
+// A request that could not be followed by another attempt is not used as a trial.
 func TestTrialsLeaveTimeForAnotherAttempt(t *testing.T) {
 	for name, one := range map[string]struct {
 		attempts, sent int
@@ -109,29 +109,29 @@
 		"both":     {attempts: 2, left: 4 * time.Second},
 		"attempts": {attempts: 1, left: 4 * time.Second, last: true},
 		"sent":     {attempts: 2, sent: 1, left: 4 * time.Second, last: true},
-		"time":     {attempts: 2, left: 2*streamPatience - time.Millisecond, last: true},
+		"time":     {attempts: 2, left: 2*streamMinOverdue - time.Millisecond, last: true},
 		"budget":   {attempts: 2, left: 4 * time.Second, spent: true, last: true},
 		"reserved": {attempts: 2, left: 4 * time.Second, spent: true, reserved: true},
 	} {
-		f, _ := slowForwarder(false)
-		w := &work{Forwarder: f, request: &Request{Route: &fleet.Route{Kind: fleet.Streaming, Attempts: one.attempts}, Deadline: time.Now().Add(one.left)}, sent: one.sent}
-		w.wanted.Service = "s"
-		for one.spent && f.takeRetry("s") {
+		f, _ := forwarderWithBlockingAnnouncer(false)
+		w := &forwarding{Forwarder: f, request: &Request{Route: &fleet.Route{Kind: fleet.Streaming, Attempts: one.attempts}, Deadline: time.Now().Add(one.left)}, attempts: one.sent}
+		w.criteria.Service = "s"
+		for one.spent && f.spendRetry("s") {
 		}
 		w.retryReserved = one.reserved
-		assert.Equal(t, one.last, w.lastAttempt(), name)
+		assert.Equal(t, one.last, w.isLastAttempt(), name)
 	}
 }
 
-// The trial of a lost server is overdue by its own patience until it has brought an event.
-func TestPatienceOfALostServersTrial(t *testing.T) {
-	w := &work{request: &Request{Route: &fleet.Route{Kind: fleet.Streaming}}, patience: 2 * time.Second}
+// The trial of a lost server is overdue after its own timeout until it has returned an event.
+func TestOverdueTimeoutOfALostServersTrial(t *testing.T) {
+	w := &forwarding{request: &Request{Route: &fleet.Route{Kind: fleet.Streaming}}, overdueTimeout: 2 * time.Second}
 	const usual = 500 * time.Millisecond
 	assert.False(t, w.overdue(2*time.Second-1, usual))
 	assert.True(t, w.overdue(2*time.Second, usual))
 	w.attemptBegun = true
-	assert.False(t, w.overdue(patienceFactor*usual-1, usual))
-	w.attemptBegun, w.patience = false, 0
-	assert.False(t, w.overdue(patienceFactor*usual-1, usual))
-	assert.True(t, w.overdue(patienceFactor*usual, usual))
+	assert.False(t, w.overdue(overdueFactor*usual-1, usual))
+	w.attemptBegun, w.overdueTimeout = false, 0
+	assert.False(t, w.overdue(overdueFactor*usual-1, usual))
+	assert.True(t, w.overdue(overdueFactor*usual, usual))
 }
--- a/internal/forward/health_wait_test.go
+++ b/internal/forward/health_wait_test.go
@@ -14,47 +14,49 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// slowSource holds back whoever asks or tells it something.
-type slowSource struct {
-	tell, entered chan struct{}
-	once          sync.Once
-	entryCalls    chan struct{}
-	hold          chan struct{}
-	toldAt        []time.Time
+// blockingAnnouncer blocks its callers until the test lets them proceed.
+type blockingAnnouncer struct {
+	proceed, entered chan struct{}
+	once             sync.Once
+	entryCalls       chan struct{}
+	hold             chan struct{}
+	announcedAt      []time.Time
 }
 
-func (s *slowSource) AnnounceHealth(words []health.Word, at time.Time) {
+func (s *blockingAnnouncer) AnnounceHealth(reports []health.Word, at time.Time) {
 	s.once.Do(func() { close(s.entered) })
-	<-s.tell
-	s.toldAt = append(s.toldAt, at)
+	<-s.proceed
+	s.announcedAt = append(s.announcedAt, at)
 }
-func (s *slowSource) ZoneEntries() []string { return []string{"10.0.0.9"} }
-func (s *slowSource) entries() []string {
+func (s *blockingAnnouncer) ZoneEntries() []string { return []string{"10.0.0.9"} }
+func (s *blockingAnnouncer) entries() []string {
 	s.entryCalls <- struct{}{}
 	<-s.hold
 	return []string{"10.0.0.9"}
 }
 
-// slowForwarder is a forwarder of two servers with such a source, also of which entries there are if so wanted.
-func slowForwarder(entries bool) (*Forwarder, *slowSource) {
-	source := &slowSource{tell: make(chan struct{}), entered: make(chan struct{}), entryCalls: make(chan struct{}, 100), hold: make(chan struct{})}
+// forwarderWithBlockingAnnouncer returns a forwarder of two servers with a blockingAnnouncer, which
+// also lists the entries if requested.
+func forwarderWithBlockingAnnouncer(entries bool) (*Forwarder, *blockingAnnouncer) {
+	announcer := &blockingAnnouncer{proceed: make(chan struct{}), entered: make(chan struct{}), entryCalls: make(chan struct{}, 100), hold: make(chan struct{})}
 	options := Options{Zone: "z", Self: "10.0.0.1", Log: logging.Nop(), Registry: prometheus.NewRegistry(), Policy: DefaultPolicy(),
-		Peers: func() int { return 1 }, Health: source, Bounds: fleet.Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 400, ColdOvershoot: 1.3, ColdSlack: 2}}
+		Peers: func() int { return 1 }, Health: announcer, Bounds: fleet.Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 400, ColdOvershoot: 1.3, ColdSlack: 2}}
 	if entries {
-		options.Entries = source.entries
+		options.Entries = announcer.entries
 	}
 	f := New(options)
 	view := &catalog.View{Configuration: &fleet.Configuration{Services: map[string]fleet.Service{"s": {ColdRate: 26, ColdTime: time.Minute}}}, Servers: map[string][]fleet.Server{
 		"s": {{ID: "i-0", Service: "s", Address: "10.0.0.2:1", Zone: "z", Slots: 4}, {ID: "i-1", Service: "s", Address: "10.0.0.3:1", Zone: "z", Slots: 4}},
 	}}
 	f.Update(view)
-	return f, source
+	return f, announcer
 }
 
-// A request that has nothing to tell must not wait while another one's words are being told.
-func TestRequestsDoNotWaitForWhatOthersTell(t *testing.T) {
-	f, source := slowForwarder(false)
-	defer close(source.tell)
+// A request that has nothing to announce must not wait while another one's reports are being
+// announced.
+func TestRequestsDoNotWaitForOthersAnnouncements(t *testing.T) {
+	f, announcer := forwarderWithBlockingAnnouncer(false)
+	defer close(announcer.proceed)
 	_, w := healthFleet(fleet.Repeatable, 1)
 	w.Forwarder = f
 	server := f.server("i-0")
@@ -66,21 +68,21 @@
 	go fail()
 	go fail()
 	go fail()
-	<-source.entered
+	<-announcer.entered
 	time.Sleep(50 * time.Millisecond)
 	done := make(chan struct{})
 	go func() { _, _ = f.targets.choose(w); close(done) }()
 	select {
 	case <-done:
 	case <-time.After(500 * time.Millisecond):
-		require.Fail(t, "a request that tells nothing waits for the catalog")
+		require.Fail(t, "a request with nothing to announce waits for the catalog")
 	}
 }
 
-// One request asks which entries there are, and others go on.
-func TestOneRequestLooksAtEntries(t *testing.T) {
-	f, source := slowForwarder(true)
-	f.targets.sawCold(f.server("i-1"), 3*time.Second)
+// One request refreshes the known entries, and the others go on.
+func TestOneRequestRefreshesEntries(t *testing.T) {
+	f, announcer := forwarderWithBlockingAnnouncer(true)
+	f.targets.applyCold(f.server("i-1"), 3*time.Second)
 	var wait sync.WaitGroup
 	for range 5 {
 		_, w := healthFleet(fleet.Repeatable, 1)
@@ -89,31 +91,31 @@
 		go func() { defer wait.Done(); _, _ = f.targets.choose(w) }()
 	}
 	time.Sleep(200 * time.Millisecond)
-	calls := len(source.entryCalls)
-	close(source.hold)
-	close(source.tell)
+	calls := len(announcer.entryCalls)
+	close(announcer.hold)
+	close(announcer.proceed)
 	wait.Wait()
 	require.Equal(t, 1, calls)
 }
 
-// What waits for another request's telling is told with the time at which it was found out.
-func TestWordsAreToldWithTheirTime(t *testing.T) {
-	f, source := slowForwarder(false)
+// A report that waits for another request's announcement is announced with the time of its finding.
+func TestHealthReportsCarryTheTimeOfTheFinding(t *testing.T) {
+	f, announcer := forwarderWithBlockingAnnouncer(false)
 	observe := func(server *target) {
 		_, w := healthFleet(fleet.Repeatable, 1)
 		w.Forwarder = f
 		w.observe(server, health.Unreached)
 	}
 	server := f.server("i-0")
-	told := make(chan struct{})
-	go func() { observe(server); close(told) }()
-	<-source.entered
+	done := make(chan struct{})
+	go func() { observe(server); close(done) }()
+	<-announcer.entered
 	observe(server)
 	found := time.Now()
 	time.Sleep(100 * time.Millisecond)
-	close(source.tell)
-	<-told
-	require.Len(t, source.toldAt, 2)
-	require.False(t, source.toldAt[1].After(found))
-	require.True(t, source.toldAt[0].Before(source.toldAt[1]))
+	close(announcer.proceed)
+	<-done
+	require.Len(t, announcer.announcedAt, 2)
+	require.False(t, announcer.announcedAt[1].After(found))
+	require.True(t, announcer.announcedAt[0].Before(announcer.announcedAt[1]))
 }
--- a/internal/forward/metrics.go
+++ b/internal/forward/metrics.go
@@ -3,25 +3,25 @@
 import "github.com/prometheus/client_golang/prometheus"
 
 type metrics struct {
-	answers     *prometheus.HistogramVec
-	firstEvent  prometheus.Histogram
-	attempts    *prometheus.CounterVec
-	retries     prometheus.Counter
-	connections prometheus.Counter
-	cut         *prometheus.CounterVec
-	silent      *prometheus.CounterVec
-	loadQueries *prometheus.CounterVec
-	arrivals    *prometheus.CounterVec
-	told        *prometheus.HistogramVec
-	endings     *prometheus.CounterVec
-	// missingFigures counts what the configuration in force does not tell of model servers.
+	answers           *prometheus.HistogramVec
+	firstEvent        prometheus.Histogram
+	attempts          *prometheus.CounterVec
+	retries           prometheus.Counter
+	connections       prometheus.Counter
+	cutStreams        *prometheus.CounterVec
+	silentConnections *prometheus.CounterVec
+	loadQueries       *prometheus.CounterVec
+	arrivals          *prometheus.CounterVec
+	retryAfter        *prometheus.HistogramVec
+	endings           *prometheus.CounterVec
+	// missingFigures counts the model server parameters that the current configuration lacks.
 	missingFigures prometheus.Gauge
-	// unservedOwners counts the routes and tenants of the configuration in force whose
-	// allowed regions have no zone.
+	// unservedOwners counts the routes and tenants of the current configuration whose allowed
+	// regions have no zone.
 	unservedOwners prometheus.Gauge
 }
 
-// Outcomes of load queries, as labels.
+// Outcomes of load queries, as label values.
 const (
 	queryAnswered = "answered"
 	queryMissed   = "missed"
@@ -41,16 +41,16 @@
 			Name: "pinevane_repeats_total", Help: "Requests sent to a further server."}),
 		connections: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "pinevane_server_connections_total", Help: "Connections made to servers."}),
-		cut: prometheus.NewCounterVec(prometheus.CounterOpts{
+		cutStreams: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "pinevane_cut_streams_total", Help: "Streams that ended before their last event, by reason."}, []string{"reason"}),
 	}
-	m.silent = prometheus.NewCounterVec(prometheus.CounterOpts{
+	m.silentConnections = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "pinevane_silent_server_connections_total", Help: "Connections to servers that were found silent, or are distrusted with those, by what showed it."}, []string{"by"})
 	m.loadQueries = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "pinevane_load_queries_total", Help: "Agents asked how their servers do before a request was sent, by outcome."}, []string{"outcome"})
 	m.arrivals = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "pinevane_arrivals_total", Help: "Requests that arrived, by whether their caller asked for the first time or came back after a refusal."}, []string{"attempt"})
-	m.told = prometheus.NewHistogramVec(prometheus.HistogramOpts{
+	m.retryAfter = prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Name: "pinevane_retry_after_seconds", Help: "Times after which refused callers were asked to come back.", Buckets: latencyBuckets}, []string{"attempt", "reason"})
 	m.endings = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "pinevane_generations_ended_total", Help: "Generations that have ended, by their size against the usual one of their service, and how they ended."}, []string{"size", "ending"})
@@ -58,22 +58,22 @@
 		Name: "pinevane_missing_figures", Help: "Figures of model servers that the configuration in force lacks."})
 	m.unservedOwners = prometheus.NewGauge(prometheus.GaugeOpts{
 		Name: "pinevane_unserved_residencies", Help: "Routes and tenants of the configuration in force whose allowed regions have no zone."})
-	registry.MustRegister(m.answers, m.firstEvent, m.attempts, m.retries, m.connections, m.cut, m.silent, m.loadQueries, m.arrivals, m.told, m.endings, m.missingFigures, m.unservedOwners)
+	registry.MustRegister(m.answers, m.firstEvent, m.attempts, m.retries, m.connections, m.cutStreams, m.silentConnections, m.loadQueries, m.arrivals, m.retryAfter, m.endings, m.missingFigures, m.unservedOwners)
 	return m
 }
 
-// evacuationCollector tells how the evacuated zones become idle.
+// evacuationCollector exports how the evacuated zones become idle.
 type evacuationCollector struct {
-	targets *targets
-	open    *prometheus.Desc
-	took    *prometheus.Desc
+	targets   *targets
+	open      *prometheus.Desc
+	idleAfter *prometheus.Desc
 }
 
 func newEvacuationCollector(t *targets) *evacuationCollector {
 	return &evacuationCollector{
 		targets: t,
 		open:    prometheus.NewDesc("pinevane_evacuated_requests", "Requests of this entry that are open at servers of evacuated zones.", nil, nil),
-		took: prometheus.NewDesc("pinevane_evacuation_idle_seconds",
+		idleAfter: prometheus.NewDesc("pinevane_evacuation_idle_seconds",
 			"Time from hearing of the newest evacuation of a zone until the last request of this entry there had ended.", []string{"zone"}, nil),
 	}
 }
@@ -81,7 +81,7 @@
 // Describe implements prometheus.Collector.
 func (c *evacuationCollector) Describe(descriptions chan<- *prometheus.Desc) {
 	descriptions <- c.open
-	descriptions <- c.took
+	descriptions <- c.idleAfter
 }
 
 // Collect implements prometheus.Collector.
@@ -89,34 +89,34 @@
 	open, took := c.targets.evacuationCounts()
 	collected <- prometheus.MustNewConstMetric(c.open, prometheus.GaugeValue, float64(open))
 	for zone, duration := range took {
-		collected <- prometheus.MustNewConstMetric(c.took, prometheus.GaugeValue, duration.Seconds(), zone)
+		collected <- prometheus.MustNewConstMetric(c.idleAfter, prometheus.GaugeValue, duration.Seconds(), zone)
 	}
 }
 
-// boundLoadCollector tells what bound requests ask of regions.
+// boundLoadCollector exports the load on regions from requests that only one region may serve.
 type boundLoadCollector struct {
 	targets *targets
-	share   *prometheus.Desc
+	load    *prometheus.Desc
 }
 
 func newBoundLoadCollector(t *targets) *boundLoadCollector {
-	return &boundLoadCollector{targets: t, share: prometheus.NewDesc("pinevane_bound_load",
+	return &boundLoadCollector{targets: t, load: prometheus.NewDesc("pinevane_bound_load",
 		"This entry's part of the share of a service's model servers in a region that is kept busy by requests which no other region may serve; the sum over the entries is the share.",
 		[]string{"service", "region"}, nil)}
 }
 
 // Describe implements prometheus.Collector.
-func (c *boundLoadCollector) Describe(descriptions chan<- *prometheus.Desc) { descriptions <- c.share }
+func (c *boundLoadCollector) Describe(descriptions chan<- *prometheus.Desc) { descriptions <- c.load }
 
 // Collect implements prometheus.Collector.
 func (c *boundLoadCollector) Collect(collected chan<- prometheus.Metric) {
 	for _, one := range c.targets.boundLoads() {
-		collected <- prometheus.MustNewConstMetric(c.share, prometheus.GaugeValue, one.Share, one.Service, one.Region)
+		collected <- prometheus.MustNewConstMetric(c.load, prometheus.GaugeValue, one.Share, one.Service, one.Region)
 	}
 }
 
-// registerCold tells of cold servers as metrics.
-func registerCold(registry prometheus.Registerer, t *targets) {
+// registerColdMetrics registers the metrics of cold servers.
+func registerColdMetrics(registry prometheus.Registerer, t *targets) {
 	registry.MustRegister(
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "pinevane_cold_servers", Help: "Servers that are cold, or count as cold."},
 			func() float64 { servers, _ := t.coldCounts(); return float64(servers) }),
--- a/internal/forward/outbox.go
+++ b/internal/forward/outbox.go
@@ -5,39 +5,40 @@
 	"sync/atomic"
 )
 
-// outbox keeps what is found out about servers, under their mutex, until whoever passes it on is told without
-// that: it has a mutex of its own, which is held while it works through what thousands of agents tell. Only one request
-// waits for it at a time: it tells what others find out meanwhile too, in the order in which that was found out, and looks
-// again after it has let go of telling, because what was found out just before has been left to it.
+// outbox queues messages, under the mutex of targets, until they are sent without holding it: the
+// receiving catalog has a mutex of its own, which is held while it processes the reports of
+// thousands of agents. Only one request at a time waits for the catalog. It also sends what others
+// queue meanwhile, in the order queued, and checks the queue again after releasing the delivering
+// mutex, because others leave to it what they queued just before.
 type outbox[T any] struct {
-	// found is guarded by the servers' mutex; untold is whether there is any.
-	found  []T
-	untold atomic.Bool
-	// telling is taken before the servers' mutex.
-	telling sync.Mutex
+	// queued is guarded by the mutex of targets; pending is set while it is not empty.
+	queued  []T
+	pending atomic.Bool
+	// delivering is locked before the mutex of targets.
+	delivering sync.Mutex
 }
 
-// add keeps one thing; the servers' mutex is held.
-func (o *outbox[T]) add(one T) {
-	o.found = append(o.found, one)
-	o.untold.Store(true)
+// add queues a message. The mutex of targets is held.
+func (o *outbox[T]) add(message T) {
+	o.queued = append(o.queued, message)
+	o.pending.Store(true)
 }
 
-// deliver tells everything that was kept; the servers' mutex is not held.
-func (o *outbox[T]) deliver(servers sync.Locker, tell func(T)) {
-	for o.untold.Load() && o.telling.TryLock() {
-		for _, one := range o.take(servers) {
-			tell(one)
+// deliver sends all queued messages. The mutex of targets is not held.
+func (o *outbox[T]) deliver(servers sync.Locker, send func(T)) {
+	for o.pending.Load() && o.delivering.TryLock() {
+		for _, message := range o.take(servers) {
+			send(message)
 		}
-		o.telling.Unlock()
+		o.delivering.Unlock()
 	}
 }
 
 func (o *outbox[T]) take(servers sync.Locker) []T {
 	servers.Lock()
 	defer servers.Unlock()
-	found := o.found
-	o.found = nil
-	o.untold.Store(false)
-	return found
+	messages := o.queued
+	o.queued = nil
+	o.pending.Store(false)
+	return messages
 }
--- a/internal/forward/outbox_test.go
+++ b/internal/forward/outbox_test.go
@@ -12,41 +12,42 @@
 	"pinevane.example/pinevane/internal/fleet"
 )
 
-// slowAsks takes its time with the first thing that it is told; later is set once it was told that.
-type slowAsks struct {
-	later   atomic.Bool
-	begun   chan struct{}
-	proceed chan struct{}
-	mutex   sync.Mutex
-	told    []dispatch.Ask
+// blockingNoticeAnnouncer blocks the first announcement until the test lets it proceed; later is
+// set once that has begun.
+type blockingNoticeAnnouncer struct {
+	later     atomic.Bool
+	begun     chan struct{}
+	proceed   chan struct{}
+	mutex     sync.Mutex
+	announced []dispatch.Ask
 }
 
-// AnnounceNotice implements AskSource.
-func (s *slowAsks) AnnounceNotice(ask dispatch.Ask, _ time.Time) {
+// AnnounceNotice implements NoticeAnnouncer.
+func (s *blockingNoticeAnnouncer) AnnounceNotice(notice dispatch.Ask, _ time.Time) {
 	if !s.later.Swap(true) {
 		close(s.begun)
 		<-s.proceed
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.told = append(s.told, ask)
+	s.announced = append(s.announced, notice)
 }
 
-// Guards against a limit that has ended and is told after its end: the others number what they are told, and pass the last
-// on to entries that start.
-func TestOthersAreToldInTheOrderInWhichAServerHasAsked(t *testing.T) {
+// Guards against a lifted limit being announced after its end: other entries number the notices
+// they receive, and pass the last one on to entries that start.
+func TestNoticesAreAnnouncedInOrder(t *testing.T) {
 	f := testForwarder()
-	source := &slowAsks{begun: make(chan struct{}), proceed: make(chan struct{})}
-	f.targets.asks = source
+	announcer := &blockingNoticeAnnouncer{begun: make(chan struct{}), proceed: make(chan struct{})}
+	f.targets.notices = announcer
 	f.targets.core.Update(dispatch.Fleet{Servers: []dispatch.Server{{ID: "i-1", Service: "s", Address: "10.0.0.1:1", Zone: "a"}}}, time.Now())
 	listed := &target{Candidate: f.targets.core.Candidates("s")[0]}
 	var first sync.WaitGroup
 	first.Go(func() {
-		f.targets.sawAsked(listed, fleet.AnswerHeader{Limit: fleet.RequestLimit{Word: fleet.LimitNamed, PerSecond: 2}}, time.Now())
+		f.targets.applyNotice(listed, fleet.AnswerHeader{Limit: fleet.RequestLimit{Word: fleet.LimitNamed, PerSecond: 2}}, time.Now())
 	})
-	<-source.begun
-	f.targets.sawAsked(listed, fleet.AnswerHeader{Signed: true}, time.Now().Add(time.Second))
-	close(source.proceed)
+	<-announcer.begun
+	f.targets.applyNotice(listed, fleet.AnswerHeader{Signed: true}, time.Now().Add(time.Second))
+	close(announcer.proceed)
 	first.Wait()
-	assert.Equal(t, []dispatch.Ask{{Server: "i-1", Limited: true, PerSecond: 2}, {Server: "i-1"}}, source.told)
+	assert.Equal(t, []dispatch.Ask{{Server: "i-1", Limited: true, PerSecond: 2}, {Server: "i-1"}}, announcer.announced)
 }
--- a/internal/forward/outcome.go
+++ b/internal/forward/outcome.go
@@ -6,69 +6,71 @@
 	"pinevane.example/pinevane/coordination/dispatch"
 )
 
-// What attempts show is told to the decisions here.
+// The functions below pass the outcomes of attempts to dispatch.
 
-// succeed notes how long a whole answer took.
-func (t *targets) succeed(k *target, took time.Duration) {
+// recordAnswerTime records how long a complete answer took.
+func (t *targets) recordAnswerTime(k *target, took time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.core.SawWhole(k.Candidate, took)
 }
 
-// sawFirst notes how long a stream's first event took.
-func (t *targets) sawFirst(k *target, took time.Duration) {
+// recordFirstEvent records how long a stream's first event took.
+func (t *targets) recordFirstEvent(k *target, took time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.core.SawFirstEvent(k.Candidate, took)
 }
 
-// sawVersion notes the version that an answer named.
-func (t *targets) sawVersion(k *target, version uint64) {
+// recordVersion records the version that an answer named.
+func (t *targets) recordVersion(k *target, version uint64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.core.SawVersion(k.Candidate, version)
 }
 
-// release takes a request off its server's count.
+// release removes a request from its server's in-flight count.
 func (t *targets) release(send *dispatch.Send) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.core.Release(send)
 	for _, change := range t.core.Emptied(time.Now()) {
-		t.follow(change)
+		t.applyChange(change)
 	}
 }
 
-// readPrompt takes a request's prompt off its server's unread ones.
-func (t *targets) readPrompt(send *dispatch.Send, begun bool) {
+// recordPromptRead removes a request's prompt from its server's unread tokens.
+func (t *targets) recordPromptRead(send *dispatch.Send, begun bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.core.PromptRead(send, begun, time.Now())
 }
 
-// suspect reports whether there is evidence against a server, for a request sent at a time.
-func (t *targets) suspect(k *target, sentAt time.Time) bool {
+// isSuspect reports whether there is evidence against a server for a request sent at the given
+// time.
+func (t *targets) isSuspect(k *target, sentAt time.Time) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.core.Suspect(k.Candidate, sentAt, time.Now())
 }
 
-// unsent takes an attempt that gave nothing, or a whole answer, off the server's counts.
-func (w *work) unsent() {
-	w.targets.release(w.placed)
-	if w.wanted.Engine != nil {
-		w.targets.readPrompt(w.placed, w.attemptBegun)
+// releaseAttempt removes an attempt that failed, or whose answer is complete, from the server's
+// counts.
+func (w *forwarding) releaseAttempt() {
+	w.targets.release(w.currentSend)
+	if w.criteria.Engine != nil {
+		w.targets.recordPromptRead(w.currentSend, w.attemptBegun)
 	}
 }
 
-// learnStream notes a stream that one server has written from its first event to its
-// last.
-func (w *work) learnStream() {
-	if w.wanted.Engine == nil || w.sent != 1 {
+// recordStream records the size and duration of a stream that one server has written from its first
+// event to its last.
+func (w *forwarding) recordStream() {
+	if w.criteria.Engine == nil || w.attempts != 1 {
 		return
 	}
-	writing := w.eventAt.Sub(w.request.Arrived.Add(w.firstAfter))
+	writing := w.lastEventAt.Sub(w.request.Arrived.Add(w.firstEventAfter))
 	w.targets.mutex.Lock()
 	defer w.targets.mutex.Unlock()
-	w.targets.core.LearnStream(w.wanted.Service, w.wanted.Prompt, w.events, writing)
+	w.targets.core.LearnStream(w.criteria.Service, w.criteria.Prompt, w.events, writing)
 }
--- a/internal/forward/policy.go
+++ b/internal/forward/policy.go
@@ -6,8 +6,8 @@
 	"pinevane.example/pinevane/internal/fault"
 )
 
-// Policy holds the mechanisms by which an entry decides, so that each can be measured
-// by switching it off. The tags make flags of the entry command of the fields.
+// Policy holds the weights of the mechanisms that an entry decides by, so that the effect of each
+// can be measured by switching it off. The tags define flags of the entry command.
 type Policy struct {
 	RefusalShare float64 `long:"refusal-share" env:"PINEVANE_REFUSAL_SHARE" default:"1" description:"weight of the limit within which a request of usual size is to begin; what it leaves is how long any request may wait for others, 0 (never refuse) to 10"`
 	InTimeShare  float64 `long:"in-time-share" env:"PINEVANE_IN_TIME_SHARE" default:"0.7" description:"share of the requests that wait for nearly as long as they may that are to begin in time, 0 (a fixed limit of 1.1 targets) to 0.99"`
@@ -19,36 +19,36 @@
 	SampleSize   int     `long:"sample-size" env:"PINEVANE_SAMPLE_SIZE" default:"4" description:"servers that are compared for a request, 1 to 64"`
 }
 
-// DefaultPolicy is what the flags' defaults say.
+// DefaultPolicy returns the flags' default values.
 func DefaultPolicy() Policy {
 	return Policy{RefusalShare: 1, InTimeShare: 0.7, LateShare: 0.15, UnseenLoad: 1, Lateness: 1, SwitchWeight: 2, Scarcity: 1, SampleSize: 4}
 }
 
-// Bounds of the policy's figures.
+// Upper bounds of the policy's values.
 const (
-	mostWeight       = 2
-	mostRefusalShare = 10
-	mostInTimeShare  = 0.99
-	mostLateShare    = 1
-	mostSampleSize   = 64
+	maxWeight       = 2
+	maxRefusalShare = 10
+	maxInTimeShare  = 0.99
+	maxLateShare    = 1
+	maxSampleSize   = 64
 )
 
-// Check returns a *fault.InvalidSetting for a figure that is out of its range.
+// Check returns a *fault.InvalidSetting for a value that is out of range.
 func (p Policy) Check() error {
 	for _, one := range []struct {
 		flag  string
 		value float64
-		most  float64
+		max   float64
 	}{
-		{"--refusal-share", p.RefusalShare, mostRefusalShare}, {"--in-time-share", p.InTimeShare, mostInTimeShare}, {"--late-share", p.LateShare, mostLateShare}, {"--unseen-load", p.UnseenLoad, mostWeight},
-		{"--lateness", p.Lateness, mostWeight}, {"--switch-weight", p.SwitchWeight, mostWeight}, {"--scarcity", p.Scarcity, mostWeight},
+		{"--refusal-share", p.RefusalShare, maxRefusalShare}, {"--in-time-share", p.InTimeShare, maxInTimeShare}, {"--late-share", p.LateShare, maxLateShare}, {"--unseen-load", p.UnseenLoad, maxWeight},
+		{"--lateness", p.Lateness, maxWeight}, {"--switch-weight", p.SwitchWeight, maxWeight}, {"--scarcity", p.Scarcity, maxWeight},
 	} {
-		if !(one.value >= 0 && one.value <= one.most) {
-			return &fault.InvalidSetting{Flag: one.flag, Value: strconv.FormatFloat(one.value, 'g', -1, 64), Allowed: "0 to " + strconv.FormatFloat(one.most, 'g', -1, 64)}
+		if !(one.value >= 0 && one.value <= one.max) {
+			return &fault.InvalidSetting{Flag: one.flag, Value: strconv.FormatFloat(one.value, 'g', -1, 64), Allowed: "0 to " + strconv.FormatFloat(one.max, 'g', -1, 64)}
 		}
 	}
-	if p.SampleSize < 1 || p.SampleSize > mostSampleSize {
-		return &fault.InvalidSetting{Flag: "--sample-size", Value: strconv.Itoa(p.SampleSize), Allowed: "1 to " + strconv.Itoa(mostSampleSize)}
+	if p.SampleSize < 1 || p.SampleSize > maxSampleSize {
+		return &fault.InvalidSetting{Flag: "--sample-size", Value: strconv.Itoa(p.SampleSize), Allowed: "1 to " + strconv.Itoa(maxSampleSize)}
 	}
 	return nil
 }
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -17,107 +17,111 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// A request can end each server that begins to run it, and come again and again at any entry. Without
-// the quarantine of its content it ends a server or two each time for as long as it is asked: 32 of 8
-// servers in 8 s, in TestContentThatEndsItsServersIsKeptFromThem, instead of 3 to 6.
+// A request can crash each server that begins to run it, and be retried again and again at any
+// entry. Without a quarantine of its fingerprint it crashes a server or two each time: 32 crashes
+// of 8 servers in 8 s, instead of 3 to 6, in the test of package sitetest that sends such a
+// request.
 
-// Times of looking after a server whose connections have broken.
+// Timeouts and limits of probing a server whose connections have broken.
 const (
-	// checkAgainAfter is when a server that took a connection right after others broke is asked once
-	// more: its socket may have closed last.
-	checkAgainAfter = 150 * time.Millisecond
-	// checkTimeout bounds a connection that is made for that, far longer than the way to another region
-	// and back.
-	checkTimeout = 500 * time.Millisecond
-	// mostLoggedContents bounds the contents that a line of the log names.
-	mostLoggedContents = 24
+	// reprobeAfter is when a server that accepted a connection right after others broke is probed
+	// once more: its listening socket may have closed last.
+	reprobeAfter = 150 * time.Millisecond
+	// probeTimeout bounds the probing connection. It is far longer than a round trip to another
+	// region.
+	probeTimeout = 500 * time.Millisecond
+	// maxLoggedFingerprints bounds the fingerprints that a log line names.
+	maxLoggedFingerprints = 24
 )
 
-// QuarantineAnnouncer passes on what entries have found out of contents that end servers.
+// QuarantineAnnouncer announces entries' findings on fingerprints that crash servers.
 type QuarantineAnnouncer interface {
-	// AnnounceQuarantine has the other processes told; the words' moments count from a time.
-	AnnounceQuarantine(words []quarantine.Word, from time.Time)
+	// AnnounceQuarantine sends quarantine reports to the other processes. The offsets in the
+	// reports count from the given time.
+	AnnounceQuarantine(reports []quarantine.Word, from time.Time)
 }
 
-// contents keeps contents that end servers from these.
-type contents struct {
+// quarantineManager keeps fingerprints that crash servers away from them.
+type quarantineManager struct {
 	log     *logging.Logger
 	started time.Time
-	// source is nil in an entry that shares nothing.
-	source QuarantineAnnouncer
+	// announcer is nil in an entry that shares nothing.
+	announcer QuarantineAnnouncer
 
 	mutex   sync.Mutex
 	tracker *quarantine.Tracker
 
-	ends        prometheus.Counter
+	crashes     prometheus.Counter
 	quarantines *prometheus.CounterVec
 }
 
-func newContents(options Options, started time.Time) *contents {
-	c := &contents{
-		log: options.Log, started: started, source: options.Quarantine,
+func newQuarantineManager(options Options, started time.Time) *quarantineManager {
+	m := &quarantineManager{
+		log: options.Log, started: started, announcer: options.Quarantine,
 		tracker: quarantine.New(options.Self, uint64(started.UnixNano())),
-		ends: prometheus.NewCounter(prometheus.CounterOpts{
+		crashes: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "pinevane_server_ends_total", Help: "Servers that have ended without a word while requests of this entry were under way there."}),
 		quarantines: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "pinevane_quarantines_total", Help: "Quarantines of contents that end their servers, by whether this entry has found out or was told."}, []string{"by"}),
 	}
-	options.Registry.MustRegister(c.ends, c.quarantines, prometheus.NewGaugeFunc(
+	options.Registry.MustRegister(m.crashes, m.quarantines, prometheus.NewGaugeFunc(
 		prometheus.GaugeOpts{Name: "pinevane_quarantined_contents", Help: "Contents that are kept from servers because they end them."},
 		func() float64 {
-			c.mutex.Lock()
-			defer c.mutex.Unlock()
-			return float64(c.tracker.Quarantines(c.since(time.Now())))
+			m.mutex.Lock()
+			defer m.mutex.Unlock()
+			return float64(m.tracker.Quarantines(m.since(time.Now())))
 		}))
-	return c
+	return m
 }
 
-func (c *contents) since(at time.Time) time.Duration { return at.Sub(c.started) }
+func (m *quarantineManager) since(at time.Time) time.Duration { return at.Sub(m.started) }
 
-// do has the tracker do something now, logs what that changes, and has the others told of it.
-func (c *contents) do(action func(tracker *quarantine.Tracker, now time.Duration)) {
-	c.mutex.Lock()
-	action(c.tracker, c.since(time.Now()))
-	words, changes := c.tracker.TakeWords(), c.tracker.TakeChanges()
-	c.mutex.Unlock()
+// update runs an action on the tracker, logs the resulting changes and announces the resulting
+// reports.
+func (m *quarantineManager) update(action func(tracker *quarantine.Tracker, now time.Duration)) {
+	m.mutex.Lock()
+	action(m.tracker, m.since(time.Now()))
+	reports, changes := m.tracker.TakeWords(), m.tracker.TakeChanges()
+	m.mutex.Unlock()
 	for _, change := range changes {
-		c.report(change)
+		m.logChange(change)
 	}
-	if len(words) > 0 && c.source != nil {
-		c.source.AnnounceQuarantine(words, c.started)
+	if len(reports) > 0 && m.announcer != nil {
+		m.announcer.AnnounceQuarantine(reports, m.started)
 	}
 }
 
-func (c *contents) report(change quarantine.Change) {
+func (m *quarantineManager) logChange(change quarantine.Change) {
 	switch change.Kind {
 	case quarantine.Ended:
-		c.ends.Inc()
-		named := change.Contents[:min(len(change.Contents), mostLoggedContents)]
-		c.log.Log(logging.ServerEnded, zap.String("server", change.Server), zap.Int("requests", len(change.Contents)), zap.Stringers("contents", named))
+		m.crashes.Inc()
+		logged := change.Contents[:min(len(change.Contents), maxLoggedFingerprints)]
+		m.log.Log(logging.ServerEnded, zap.String("server", change.Server), zap.Int("requests", len(change.Contents)), zap.Stringers("contents", logged))
 	case quarantine.Quarantined:
 		by := "told"
-		if change.By == c.tracker.Self() {
+		if change.By == m.tracker.Self() {
 			by = "found"
 		}
-		c.quarantines.WithLabelValues(by).Inc()
-		c.log.Log(logging.ContentShut, zap.Stringer("content", change.Content), zap.Strings("servers", change.Servers),
+		m.quarantines.WithLabelValues(by).Inc()
+		m.log.Log(logging.ContentShut, zap.Stringer("content", change.Content), zap.Strings("servers", change.Servers),
 			zap.Duration("left", change.Left), zap.Int("round", change.Round), zap.String("entry", change.By))
 	case quarantine.Cleared:
-		c.log.Log(logging.ContentCleared, zap.Stringer("content", change.Content), zap.String("entry", change.By))
+		m.log.Log(logging.ContentCleared, zap.Stringer("content", change.Content), zap.String("entry", change.By))
 	}
 }
 
-// ReceiveQuarantine takes in what another process has found out, whose moment counts from a time.
-func (f *Forwarder) ReceiveQuarantine(word quarantine.Word, from time.Time) {
-	word.At += from.Sub(f.contents.started)
-	f.contents.do(func(tracker *quarantine.Tracker, now time.Duration) { tracker.Hear(word, now) })
+// ReceiveQuarantine applies a quarantine report of another process, whose offset counts from the
+// given time.
+func (f *Forwarder) ReceiveQuarantine(report quarantine.Word, from time.Time) {
+	report.At += from.Sub(f.quarantine.started)
+	f.quarantine.update(func(tracker *quarantine.Tracker, now time.Duration) { tracker.Hear(report, now) })
 }
 
-// ReleaseQuarantine ends what is held against a content, at an operator's wish, and reports whether there was
-// anything.
+// ReleaseQuarantine clears a fingerprint at an operator's request, and reports whether there was
+// anything to clear.
 func (f *Forwarder) ReleaseQuarantine(id [quarantine.ContentSize]byte) bool {
 	released := false
-	f.contents.do(func(tracker *quarantine.Tracker, now time.Duration) {
+	f.quarantine.update(func(tracker *quarantine.Tracker, now time.Duration) {
 		for _, one := range tracker.Describe(now) {
 			if one.Content.ID == id {
 				released = tracker.Release(one.Content, now)
@@ -127,19 +131,20 @@
 	return released
 }
 
-// admitContent refuses a request whose content is kept from servers, before each of its attempts. One
-// that is a suspect goes to a server that has no other suspect of this entry.
-func (w *work) admitContent() *fault.Refusal {
+// admitFingerprint refuses a request whose fingerprint is quarantined or may not run now. It is
+// called before each attempt. A suspect request goes to a server that has no other suspect of this
+// entry.
+func (w *forwarding) admitFingerprint() *fault.Refusal {
 	w.endSuspect()
-	verdict := w.contents.admit(w.request.Fingerprint)
-	w.wanted.Avoided = nil
+	verdict := w.quarantine.admit(w.request.Fingerprint)
+	w.criteria.Avoided = nil
 	refusal := (*fault.Refusal)(nil)
 	switch verdict.State {
 	case quarantine.Free:
 		return nil
 	case quarantine.Suspected:
-		w.suspect = true
-		w.wanted.Avoided = w.contents.occupied()
+		w.isSuspect = true
+		w.criteria.Avoided = w.quarantine.suspectServers()
 		return nil
 	case quarantine.InQuarantine:
 		refusal = fault.NotRun(fault.ReasonQuarantined, "servers have ended under requests with this content")
@@ -152,81 +157,81 @@
 	return refusal
 }
 
-// isWithheld reports whether a request was refused for its content. That says nothing of the load, and
-// its caller is not asked back.
-func isWithheld(refusal *fault.Refusal) bool {
+// isQuarantineRefusal reports whether a request was refused for its fingerprint. Such a refusal
+// says nothing about the load, and no retry of its caller is expected.
+func isQuarantineRefusal(refusal *fault.Refusal) bool {
 	return refusal.Reason == fault.ReasonQuarantined || refusal.Reason == fault.ReasonSuspected
 }
 
-// admit judges a content that is about to be sent. Nearly all are held against nothing: they need
-// no more than a look.
-func (c *contents) admit(content quarantine.Content) (verdict quarantine.Verdict) {
-	c.mutex.Lock()
-	free := c.tracker.Judge(content, c.since(time.Now())).State == quarantine.Free
-	c.mutex.Unlock()
+// admit classifies a fingerprint that is about to be sent. Nearly all are clear and need no more
+// than a lookup.
+func (m *quarantineManager) admit(fingerprint quarantine.Content) (verdict quarantine.Verdict) {
+	m.mutex.Lock()
+	free := m.tracker.Judge(fingerprint, m.since(time.Now())).State == quarantine.Free
+	m.mutex.Unlock()
 	if free {
 		return quarantine.Verdict{}
 	}
-	c.do(func(tracker *quarantine.Tracker, now time.Duration) { verdict = tracker.Admit(content, now) })
+	m.update(func(tracker *quarantine.Tracker, now time.Duration) { verdict = tracker.Admit(fingerprint, now) })
 	return verdict
 }
 
-func (c *contents) occupied() []string {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	return c.tracker.Occupied()
+func (m *quarantineManager) suspectServers() []string {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	return m.tracker.Occupied()
 }
 
-// sendSuspect notes where a suspect goes.
-func (w *work) sendSuspect(target *target) {
-	if !w.suspect {
+// recordSuspectSend records which server a suspect request is sent to.
+func (w *forwarding) recordSuspectSend(target *target) {
+	if !w.isSuspect {
 		return
 	}
-	w.contents.mutex.Lock()
-	defer w.contents.mutex.Unlock()
-	w.contents.tracker.Begin(w.request.Fingerprint, target.ID)
+	w.quarantine.mutex.Lock()
+	defer w.quarantine.mutex.Unlock()
+	w.quarantine.tracker.Begin(w.request.Fingerprint, target.ID)
 }
 
-// endSuspect notes that the request is under way no more.
-func (w *work) endSuspect() {
-	if !w.suspect {
+// endSuspect records that a suspect request is no longer in flight.
+func (w *forwarding) endSuspect() {
+	if !w.isSuspect {
 		return
 	}
-	w.suspect = false
-	w.contents.mutex.Lock()
-	defer w.contents.mutex.Unlock()
-	w.contents.tracker.End(w.request.Fingerprint)
+	w.isSuspect = false
+	w.quarantine.mutex.Lock()
+	defer w.quarantine.mutex.Unlock()
+	w.quarantine.tracker.End(w.request.Fingerprint)
 }
 
-// contentAnswered notes that a server has answered the request whole.
-func (w *work) contentAnswered() {
-	w.contents.do(func(tracker *quarantine.Tracker, now time.Duration) { tracker.Answered(w.request.Fingerprint, now) })
+// confirmFingerprint records that a server has answered the request completely.
+func (w *forwarding) confirmFingerprint() {
+	w.quarantine.update(func(tracker *quarantine.Tracker, now time.Duration) { tracker.Answered(w.request.Fingerprint, now) })
 }
 
-// noteEnd draws the conclusion from a failed attempt on whether its server has ended. A server that is
-// leaving ends as planned.
-func (w *work) noteEnd(target *target, failed *failure) {
+// detectCrash determines from a failed attempt whether its server has crashed. A server that is
+// leaving stops as planned.
+func (w *forwarding) detectCrash(target *target, failed *failure) {
 	switch {
 	case errors.Is(failed.cause, syscall.ECONNREFUSED):
-		w.contents.serverEnded(target.ID)
-	case failed.execution == fault.ExecutionUnknown && connectionEnded(failed.cause) && !w.targets.leaving(target):
-		doubted := false
-		w.contents.do(func(tracker *quarantine.Tracker, now time.Duration) {
-			doubted = tracker.Broke(target.ID, w.request.Fingerprint, w.contents.since(w.sentAt), now)
+		w.quarantine.serverCrashed(target.ID)
+	case failed.execution == fault.ExecutionUnknown && closedByPeer(failed.cause) && !w.targets.leaving(target):
+		crashSuspected := false
+		w.quarantine.update(func(tracker *quarantine.Tracker, now time.Duration) {
+			crashSuspected = tracker.Broke(target.ID, w.request.Fingerprint, w.quarantine.since(w.sentAt), now)
 		})
 		switch {
-		case w.suspect:
-			// Its next attempt needs to know: made at once it ended a fourth server before the end of the
-			// third was found.
-			w.contents.check(target.ID, target.Address)
-		case doubted:
-			go w.contents.check(target.ID, target.Address)
+		case w.isSuspect:
+			// The next attempt of a suspect has to wait for the result: when it was made at once,
+			// it crashed a fourth server before the crash of the third was detected.
+			w.quarantine.probeServer(target.ID, target.Address)
+		case crashSuspected:
+			go w.quarantine.probeServer(target.ID, target.Address)
 		}
 	}
 }
 
-// connectionEnded reports whether an error is that the other end has closed or reset a connection.
-func connectionEnded(err error) bool {
+// closedByPeer reports whether an error means that the peer has closed or reset the connection.
+func closedByPeer(err error) bool {
 	for _, one := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, one) {
 			return true
@@ -235,24 +240,26 @@
 	return false
 }
 
-// serverEnded notes that a server has ended: its machine refuses connections, or another one is there.
-func (c *contents) serverEnded(server string) {
-	c.do(func(tracker *quarantine.Tracker, now time.Duration) { tracker.Ended(server, now) })
+// serverCrashed records that a server has crashed: its machine refuses connections, or another
+// instance has its address.
+func (m *quarantineManager) serverCrashed(server string) {
+	m.update(func(tracker *quarantine.Tracker, now time.Duration) { tracker.Ended(server, now) })
 }
 
-// check finds out whether a server whose connections have broken still listens: a machine that refuses
-// connections is there and has no server. One that answers nothing may be cut off, or stand still.
-func (c *contents) check(server, address string) {
-	for _, pause := range []time.Duration{0, checkAgainAfter} {
+// probeServer checks whether a server whose connections have broken still listens. A machine that
+// refuses connections is reachable but runs no server. One that does not answer may be partitioned
+// or frozen.
+func (m *quarantineManager) probeServer(server, address string) {
+	for _, pause := range []time.Duration{0, reprobeAfter} {
 		time.Sleep(pause)
-		if !c.doubts(server) {
+		if !m.crashSuspected(server) {
 			return
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), checkTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 		connection, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 		cancel()
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			c.serverEnded(server)
+			m.serverCrashed(server)
 			return
 		}
 		if err == nil {
@@ -261,42 +268,43 @@
 	}
 }
 
-func (c *contents) doubts(server string) bool {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	return c.tracker.Doubts(server, c.since(time.Now()))
+func (m *quarantineManager) crashSuspected(server string) bool {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	return m.tracker.Doubts(server, m.since(time.Now()))
 }
 
-// tick decides what is due by time.
-func (c *contents) tick() {
-	c.do(func(tracker *quarantine.Tracker, now time.Duration) { tracker.Tick(now) })
+// tick applies what is due by time.
+func (m *quarantineManager) tick() {
+	m.update(func(tracker *quarantine.Tracker, now time.Duration) { tracker.Tick(now) })
 }
 
-// leaving reports whether a server is to be sent nothing more because it leaves.
+// leaving reports whether a server gets no more requests because it is leaving.
 func (t *targets) leaving(k *target) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.core.Leaving(k.Candidate)
 }
 
-// FingerprintView is what is held against one content.
+// FingerprintView is the quarantine state of one fingerprint.
 type FingerprintView struct {
 	Fingerprint string `json:"content"`
 	// State is "quarantined" or "suspected".
 	State     string  `json:"state"`
 	Remaining float64 `json:"left_seconds"`
 	Round     int     `json:"round"`
-	// Servers are the last ones that have ended under it, By the entry that found that out.
+	// Servers are the last ones that have crashed under the fingerprint. Reporter is the entry that
+	// detected it.
 	Servers  []string `json:"servers"`
 	Reporter string   `json:"by,omitempty"`
 }
 
-// Fingerprints lists the contents that are quarantined or suspected.
+// Fingerprints lists the fingerprints that are quarantined or suspected.
 func (f *Forwarder) Fingerprints() []FingerprintView {
-	f.contents.mutex.Lock()
-	defer f.contents.mutex.Unlock()
+	f.quarantine.mutex.Lock()
+	defer f.quarantine.mutex.Unlock()
 	views := []FingerprintView{}
-	for _, one := range f.contents.tracker.Describe(f.contents.since(time.Now())) {
+	for _, one := range f.quarantine.tracker.Describe(f.quarantine.since(time.Now())) {
 		state := "suspected"
 		if one.State == quarantine.InQuarantine {
 			state = "quarantined"
--- a/internal/forward/residency.go
+++ b/internal/forward/residency.go
@@ -13,20 +13,20 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// Data residency: a request is sent only to servers in the regions that its route and its
-// tenant allow; coordination/dispatch holds every choice to that.
+// Data residency: a request is sent only to servers in the regions that its route and its tenant
+// allow. Package coordination/dispatch enforces that for every choice.
 //
-// A request is bound by the configuration that it was admitted under and by the newest one
-// known, by both: an attempt that follows a narrowed configuration must not go by the older
-// one, and one that follows a widened configuration was accepted under the older's promise.
+// A request is restricted by both the configuration that it was admitted under and the newest one
+// known: an attempt that follows a narrowed configuration must not use the older one, and a request
+// that was accepted under the older configuration keeps its restriction when that is widened.
 
-// errNarrowed ends an attempt whose server is no longer in an allowed region.
-var errNarrowed = errors.New("a newer configuration does not allow the server's region")
+// errRegionDisallowed ends an attempt whose server is no longer in an allowed region.
+var errRegionDisallowed = errors.New("a newer configuration does not allow the server's region")
 
 // bindResidency sets in which regions the next attempt may be served.
-func (w *work) bindResidency() { w.wanted.Residency = w.targets.residencyOf(w.request) }
+func (w *forwarding) bindResidency() { w.criteria.Residency = w.targets.residencyOf(w.request) }
 
-// residencyOf is what binds a request now.
+// residencyOf returns the current restriction of a request.
 func (t *targets) residencyOf(request *Request) fleet.Residency {
 	newest := t.currentView().Configuration
 	admitted := request.Configuration
@@ -37,25 +37,25 @@
 	return request.Residency.And(newest.ResidencyOf(request.Host, path, request.Call.Key))
 }
 
-// stillAllowed is asked right before a request is written: a connection may have been long
-// in the making, and a configuration may have narrowed the regions meanwhile.
+// stillAllowed is checked right before a request is written: connecting may have taken long, and a
+// new configuration may have narrowed the regions in the meantime.
 func (f *Forwarder) stillAllowed(request *Request, chosen *target) bool {
 	return f.targets.allowed(chosen, f.targets.residencyOf(request))
 }
 
-// zoneRegions maps the fleet's zones to their regions. It is replaced as a whole when settings
-// are read again, never changed.
+// zoneRegions maps the fleet's zones to their regions. It is never changed; a reload of the
+// settings replaces the whole map.
 type zoneRegions map[string]string
 
-// zoneRegions is the map in force.
+// zoneRegions returns the current map.
 func (t *targets) zoneRegions() zoneRegions {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.core.Regions()
 }
 
-// has reports whether a zone of the fleet is in a region of that name.
-func (z zoneRegions) has(name string) bool {
+// hasRegion reports whether a zone of the fleet is in a region of that name.
+func (z zoneRegions) hasRegion(name string) bool {
 	for _, region := range z {
 		if region == name && name != "" {
 			return true
@@ -64,15 +64,15 @@
 	return false
 }
 
-// boundLoads tells what bound requests of this entry ask of regions.
+// boundLoads returns the load that this entry's region-bound requests put on regions.
 func (t *targets) boundLoads() []dispatch.BoundLoad {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.core.BoundLoads(time.Now())
 }
 
-// regionsField tells the log which regions are allowed; it is left out where all are. An
-// empty one means that the lists which bind the request contradict each other.
+// regionsField returns the log field of the allowed regions. It is omitted if all are allowed. An
+// empty list means that the lists which restrict the request contradict each other.
 func regionsField(residency fleet.Residency) zap.Field {
 	if !residency.Restrict() {
 		return zap.Skip()
@@ -87,55 +87,55 @@
 	faultNoRegion       = "no zone has any of the regions"
 )
 
-// mostNamed is how many routes and tenants a log line names; a configuration may have a
+// maxLoggedOwners is how many routes and tenants a log line names. A configuration may have a
 // thousand with the same fault.
-const mostNamed = 5
+const maxLoggedOwners = 5
 
-// doubt is a fault with the region that it concerns.
-type doubt struct {
+// regionFault is a fault with the region that it concerns.
+type regionFault struct {
 	fault  string
 	region string
 }
 
-// checkRegions logs what can't be meant in a configuration's lists of allowed regions, one
-// line for each fault and region, and counts the routes and tenants that no server may serve.
+// checkRegions logs the faults in a configuration's lists of allowed regions, one line for each
+// fault and region, and counts the routes and tenants that no server may serve.
 func (f *Forwarder) checkRegions(configuration *fleet.Configuration) {
-	doubts, zones := map[doubt][]string{}, f.targets.zoneRegions()
+	faults, zones := map[regionFault][]string{}, f.targets.zoneRegions()
 	for i := range configuration.Routes {
 		route := &configuration.Routes[i]
-		zones.doubtsOf(route.AllowedRegions, "route "+route.Name, doubts)
+		zones.findFaults(route.AllowedRegions, "route "+route.Name, faults)
 	}
 	for i := range configuration.Tenants {
 		tenant := &configuration.Tenants[i]
-		zones.doubtsOf(tenant.AllowedRegions, "tenant "+tenant.Name, doubts)
+		zones.findFaults(tenant.AllowedRegions, "tenant "+tenant.Name, faults)
 	}
 	unserved := 0
-	for one, owners := range doubts {
+	for one, owners := range faults {
 		if one.fault == faultNoRegion {
 			unserved += len(owners)
 		}
 		f.log.Log(logging.RegionsDoubtful, zap.String("fault", one.fault), zap.String("region", one.region),
-			zap.Strings("owners", owners[:min(mostNamed, len(owners))]), zap.Int("owner_count", len(owners)),
+			zap.Strings("owners", owners[:min(maxLoggedOwners, len(owners))]), zap.Int("owner_count", len(owners)),
 			zap.Uint64("configuration", configuration.Version))
 	}
 	f.metrics.unservedOwners.Set(float64(unserved))
 }
 
-// doubtsOf adds the faults of one list under the name of its owner.
-func (z zoneRegions) doubtsOf(regions fleet.AllowedRegions, owner string, doubts map[doubt][]string) {
-	note := func(wrong, region string) {
-		one := doubt{fault: wrong, region: region}
-		doubts[one] = append(doubts[one], owner)
+// findFaults adds the faults of one list under the name of its owner.
+func (z zoneRegions) findFaults(regions fleet.AllowedRegions, owner string, faults map[regionFault][]string) {
+	add := func(kind, region string) {
+		one := regionFault{fault: kind, region: region}
+		faults[one] = append(faults[one], owner)
 	}
 	for i, region := range regions {
 		switch {
 		case slices.Contains(regions[:i], region):
-			note(faultRepeatedRegion, region)
-		case !z.has(region):
-			note(faultUnknownRegion, region)
+			add(faultRepeatedRegion, region)
+		case !z.hasRegion(region):
+			add(faultUnknownRegion, region)
 		}
 	}
 	if regions.Restrict() && !(fleet.Residency{regions}).AnyOf(z) {
-		note(faultNoRegion, strings.Join(regions, " "))
+		add(faultNoRegion, strings.Join(regions, " "))
 	}
 }
--- a/internal/forward/residency_test.go
+++ b/internal/forward/residency_test.go
@@ -26,10 +26,11 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// draws turns bytes into the decisions of a generated case; without more bytes each is 0.
-type draws struct{ data []byte }
+// caseGenerator derives the decisions of a generated case from bytes; each is 0 when the bytes are
+// used up.
+type caseGenerator struct{ data []byte }
 
-func (d *draws) below(limit int) int {
+func (d *caseGenerator) intn(limit int) int {
 	if len(d.data) == 0 {
 		return 0
 	}
@@ -38,50 +39,51 @@
 	return int(next) % limit
 }
 
-func (d *draws) yes() bool { return d.below(2) == 1 }
+func (d *caseGenerator) flag() bool { return d.intn(2) == 1 }
 
 // Sizes of generated cases.
 const (
 	generatedZones = 5
-	mostServers    = 9
-	mostRegions    = 3
-	// corpusSize and corpusBytes are the generated cases that every run of the tests plays.
+	maxServers     = 9
+	maxRegions     = 3
+	// corpusSize and corpusBytes are the number and size of the generated cases that every test run
+	// covers.
 	corpusSize  = 400
 	corpusBytes = 96
 )
 
-// regionNames include one that no zone has, the empty one, and one in another case.
+// regionNames include one that no zone has, the empty one, and one that differs only in case.
 var regionNames = []string{"north", "south", "east", "nowhere", "", "North"}
 
-// regions draws a list of allowed regions; most lists are empty.
-func (d *draws) regions() fleet.AllowedRegions {
-	if d.yes() {
+// regions generates a list of allowed regions; most lists are empty.
+func (d *caseGenerator) regions() fleet.AllowedRegions {
+	if d.flag() {
 		return nil
 	}
 	var regions fleet.AllowedRegions
-	for range d.below(mostRegions + 1) {
-		regions = append(regions, regionNames[d.below(len(regionNames))])
+	for range d.intn(maxRegions + 1) {
+		regions = append(regions, regionNames[d.intn(len(regionNames))])
 	}
 	return regions
 }
 
 const (
-	residencyHost   = "h.example"
-	residencyKey    = "key"
-	residencyPath   = "/x/"
-	residencyPlaces = "plain"
+	residencyHost    = "h.example"
+	residencyKey     = "key"
+	residencyPath    = "/x/"
+	residencyService = "plain"
 )
 
-// configuration draws one with a route, and a tenant, that the request may fall under.
-func (d *draws) configuration(version uint64) *fleet.Configuration {
+// configuration generates a configuration whose routes and tenants may match the request.
+func (d *caseGenerator) configuration(version uint64) *fleet.Configuration {
 	configuration := &fleet.Configuration{Version: version}
 	for _, prefix := range []string{"/", residencyPath, "/other/"} {
-		if d.below(4) != 0 {
+		if d.intn(4) != 0 {
 			configuration.Routes = append(configuration.Routes, fleet.Route{Name: prefix, Host: residencyHost, Prefix: prefix, AllowedRegions: d.regions()})
 		}
 	}
 	for _, key := range []string{residencyKey, "another"} {
-		if d.below(4) != 0 {
+		if d.intn(4) != 0 {
 			configuration.Tenants = append(configuration.Tenants, fleet.Tenant{Name: key, Keys: []string{key}, AllowedRegions: d.regions()})
 		}
 	}
@@ -89,9 +91,9 @@
 	return configuration
 }
 
-// bound lists what a configuration's text says of the request, found without the code that is
-// tested.
-func bound(configuration *fleet.Configuration) [][]string {
+// allowedLists returns the lists of allowed regions that a configuration holds for the request,
+// without using the code under test.
+func allowedLists(configuration *fleet.Configuration) [][]string {
 	var lists [][]string
 	longest := -1
 	var ofRoute []string
@@ -109,7 +111,7 @@
 	return lists
 }
 
-// mayServe judges a server by the lists, without the code that is tested.
+// mayServe reports whether the lists allow a region, without using the code under test.
 func mayServe(region string, lists [][]string) bool {
 	for _, list := range lists {
 		if len(list) > 0 && (region == "" || !slices.Contains(list, region)) {
@@ -121,19 +123,19 @@
 
 // residencyCase is one generated case.
 type residencyCase struct {
-	forwarder *Forwarder
-	work      *work
-	lists     [][]string
-	regions   map[string]string
+	forwarder  *Forwarder
+	forwarding *forwarding
+	lists      [][]string
+	regions    map[string]string
 }
 
-// draw makes servers in some zones and states, the configuration that a request was admitted
-// under and the newest one.
-func (d *draws) residencyCase() residencyCase {
+// residencyCase generates servers in some zones and states, the configuration that a request was
+// admitted under and the newest one.
+func (d *caseGenerator) residencyCase() residencyCase {
 	c := residencyCase{regions: map[string]string{}}
 	for zone := range generatedZones {
 		// A zone may be missing from the settings.
-		if region := d.below(4); region < 3 {
+		if region := d.intn(4); region < 3 {
 			c.regions[fmt.Sprintf("z%d", zone)] = regionNames[region]
 		}
 	}
@@ -141,61 +143,62 @@
 		Zone: "z0", Regions: c.regions, Log: logging.Nop(), Registry: prometheus.NewRegistry(), Policy: DefaultPolicy(),
 		Peers: func() int { return 1 },
 	})
-	admitted, newest := d.configuration(1), d.configuration(uint64(d.below(3)))
+	admitted, newest := d.configuration(1), d.configuration(uint64(d.intn(3)))
 	view := &catalog.View{Configuration: newest, Servers: map[string][]fleet.Server{}}
-	for number := range d.below(mostServers) {
-		view.Servers[residencyPlaces] = append(view.Servers[residencyPlaces], fleet.Server{
-			ID: fmt.Sprintf("i-%d", number), Service: residencyPlaces, Address: fmt.Sprintf("10.0.0.%d:1", number),
-			Zone: fmt.Sprintf("z%d", d.below(generatedZones+1)), Slots: 4, Draining: d.below(5) == 0,
+	for number := range d.intn(maxServers) {
+		view.Servers[residencyService] = append(view.Servers[residencyService], fleet.Server{
+			ID: fmt.Sprintf("i-%d", number), Service: residencyService, Address: fmt.Sprintf("10.0.0.%d:1", number),
+			Zone: fmt.Sprintf("z%d", d.intn(generatedZones+1)), Slots: 4, Draining: d.intn(5) == 0,
 		})
 	}
 	c.forwarder.Update(view)
-	c.lists = bound(admitted)
+	c.lists = allowedLists(admitted)
 	if newest.Version >= admitted.Version {
-		c.lists = append(c.lists, bound(newest)...)
+		c.lists = append(c.lists, allowedLists(newest)...)
 	}
-	c.work = &work{Forwarder: c.forwarder, request: &Request{
+	c.forwarding = &forwarding{Forwarder: c.forwarder, request: &Request{
 		Call: fleet.CallHeader{Key: residencyKey}, Host: residencyHost, Target: residencyPath + "?q", Route: &fleet.Route{Target: time.Second},
 		Configuration: admitted, Residency: admitted.ResidencyOf(residencyHost, residencyPath, residencyKey),
 	}}
-	c.work.wanted = dispatch.Request{Service: residencyPlaces, Target: c.work.request.Route.Target}
+	c.forwarding.criteria = dispatch.Request{Service: residencyService, Target: c.forwarding.request.Route.Target}
 	for _, server := range c.servers() {
-		if d.below(3) == 0 {
+		if d.intn(3) == 0 {
 			eject(c.forwarder.targets, server)
 		}
-		if d.below(5) == 0 {
-			c.work.wanted.Tried = append(c.work.wanted.Tried, server)
+		if d.intn(5) == 0 {
+			c.forwarding.criteria.Tried = append(c.forwarding.criteria.Tried, server)
 		}
-		if d.below(4) == 0 {
-			c.work.wanted.Asked = append(c.work.wanted.Asked, server)
+		if d.intn(4) == 0 {
+			c.forwarding.criteria.Asked = append(c.forwarding.criteria.Asked, server)
 		}
 	}
 	return c
 }
 
-// servers lists all servers.
+// servers returns all servers.
 func (c residencyCase) servers() []*dispatch.Candidate {
-	return c.forwarder.targets.core.Candidates(residencyPlaces)
+	return c.forwarder.targets.core.Candidates(residencyService)
 }
 
-// left lists the servers that are in place and in an allowed region.
+// left returns the servers that are available and in an allowed region.
 func (c residencyCase) left() []*dispatch.Candidate {
 	draining := map[string]bool{}
-	for _, server := range c.forwarder.targets.currentView().Servers[residencyPlaces] {
+	for _, server := range c.forwarder.targets.currentView().Servers[residencyService] {
 		draining[server.ID] = server.Draining
 	}
 	var left []*dispatch.Candidate
 	for _, server := range c.servers() {
-		if !draining[server.ID] && !slices.Contains(c.work.wanted.Tried, server) && mayServe(c.regions[server.Zone], c.lists) {
+		if !draining[server.ID] && !slices.Contains(c.forwarding.criteria.Tried, server) && mayServe(c.regions[server.Zone], c.lists) {
 			left = append(left, server)
 		}
 	}
 	return left
 }
 
-// Whatever the configurations say and the servers do, a request is sent, and its load asked
-// for, only in regions that every list allows; and it is refused only where none is left.
-func FuzzHomes(f *testing.F) {
+// Whatever the configurations and the states of the servers are, a request is sent, and load
+// queries are made, only in regions that every list allows; it is refused only if no server is left
+// there.
+func FuzzResidency(f *testing.F) {
 	random := rand.New(rand.NewPCG(1, 1))
 	for range corpusSize {
 		data := make([]byte, corpusBytes)
@@ -205,13 +208,13 @@
 		f.Add(data)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		c := (&draws{data: data}).residencyCase()
-		c.work.bindResidency()
+		c := (&caseGenerator{data: data}).residencyCase()
+		c.forwarding.bindResidency()
 		left := c.left()
-		for _, asked := range c.forwarder.targets.toAsk(&c.work.wanted, nil) {
-			assert.Contains(t, left, asked)
+		for _, queried := range c.forwarder.targets.serversToQuery(&c.forwarding.criteria, nil) {
+			assert.Contains(t, left, queried)
 		}
-		chosen, refusal := c.forwarder.targets.choose(c.work)
+		chosen, refusal := c.forwarder.targets.choose(c.forwarding)
 		if refusal != nil {
 			assert.Empty(t, left, "refused with %s though a server is left", refusal.Reason)
 			assert.Equal(t, fault.ExecutionNotRun, refusal.Execution)
@@ -219,12 +222,12 @@
 			return
 		}
 		assert.Contains(t, left, chosen.Candidate)
-		assert.True(t, c.forwarder.stillAllowed(c.work.request, chosen.target))
+		assert.True(t, c.forwarder.stillAllowed(c.forwarding.request, chosen.target))
 	})
 }
 
-// The generated cases are of every sort, so that the property is not empty.
-func TestGeneratedResidenciesAreOfEverySort(t *testing.T) {
+// The generated cases cover every outcome, so that the fuzz test is not vacuous.
+func TestGeneratedResidencyCasesCoverEveryOutcome(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	sorts := map[string]int{}
 	for range corpusSize {
@@ -232,11 +235,11 @@
 		for at := range data {
 			data[at] = byte(random.Uint32())
 		}
-		c := (&draws{data: data}).residencyCase()
-		c.work.bindResidency()
-		_, refusal := c.forwarder.targets.choose(c.work)
+		c := (&caseGenerator{data: data}).residencyCase()
+		c.forwarding.bindResidency()
+		_, refusal := c.forwarder.targets.choose(c.forwarding)
 		switch {
-		case refusal == nil && c.work.wanted.Residency.Restrict():
+		case refusal == nil && c.forwarding.criteria.Residency.Restrict():
 			sorts["sent within a residency"]++
 		case refusal == nil:
 			sorts["sent anywhere"]++
@@ -250,7 +253,7 @@
 	}
 }
 
-// residencyTargets is a fleet of two regions with one plain server in each zone.
+// residencyTargets returns a forwarder for three zones in two regions.
 func residencyTargets(log *logging.Logger) *Forwarder {
 	f := New(Options{
 		Zone: "a1", Regions: map[string]string{"a1": "a", "a2": "a", "b1": "b"}, Log: log, Registry: prometheus.NewRegistry(),
@@ -259,9 +262,9 @@
 	return f
 }
 
-// The time to return goes by the servers of the allowed regions: it is not another region's,
-// and where the fleet has no zone in any of them it is that of an operator.
-func TestTimeToReturnIsThatOfTheAllowedRegions(t *testing.T) {
+// The retry time depends on the servers of the allowed regions, not on another region's. If the
+// fleet has no zone in any of them, it is the time that an operator takes.
+func TestRetryAfterIsThatOfTheAllowedRegions(t *testing.T) {
 	f := residencyTargets(logging.Nop())
 	engine := &fleet.Engine{Pieces: 100, PieceBytes: 25_000, Warm: 100 * time.Millisecond}
 	configuration := &fleet.Configuration{Services: map[string]fleet.Service{
@@ -274,10 +277,10 @@
 	f.ApplyStatus(fleet.MachineStatus{Address: "10.0.1.1:1", Reachable: true, Missing: 60, SwitchMilliseconds: fleet.NoSwitch}, now, false)
 	f.ApplyStatus(fleet.MachineStatus{Address: "10.0.2.1:1", Reachable: true, Missing: 20, SwitchMilliseconds: fleet.NoSwitch}, now, false)
 	refused := func(regions ...string) time.Duration {
-		w := &work{Forwarder: f, request: &Request{}, wanted: dispatch.Request{Service: "s"}}
-		f.targets.describe(&w.wanted)
+		w := &forwarding{Forwarder: f, request: &Request{}, criteria: dispatch.Request{Service: "s"}}
+		f.targets.fillEngine(&w.criteria)
 		if len(regions) > 0 {
-			w.wanted.Residency = fleet.Residency{regions}
+			w.criteria.Residency = fleet.Residency{regions}
 		}
 		_, refusal := f.targets.choose(w)
 		require.NotNil(t, refusal)
@@ -287,17 +290,17 @@
 	const afterTransfer = 100*time.Millisecond + 800*time.Millisecond/2
 	assert.Equal(t, 1500*time.Millisecond+afterTransfer, refused("a"))
 	assert.Equal(t, 500*time.Millisecond+afterTransfer, refused("b"))
-	assert.Equal(t, refused("b"), refused(), "without residency the soonest counts")
+	assert.Equal(t, refused("b"), refused(), "without residency the shortest time counts")
 	assert.Equal(t, 5*time.Second, refused("c"))
 }
 
-// A home decides a refusal only where another region's server would have been sent the
+// Residency is the reason for a refusal only if another region's server would have been sent the
 // request.
 func TestResidencyIsTheReasonOnlyWhereItDecides(t *testing.T) {
 	f := residencyTargets(logging.Nop())
-	view := &catalog.View{Servers: map[string][]fleet.Server{residencyPlaces: {{ID: "far", Service: residencyPlaces, Address: "10.0.2.1:1", Zone: "b1", Slots: 1}}}}
+	view := &catalog.View{Servers: map[string][]fleet.Server{residencyService: {{ID: "far", Service: residencyService, Address: "10.0.2.1:1", Zone: "b1", Slots: 1}}}}
 	f.Update(view)
-	w := &work{Forwarder: f, request: &Request{}, wanted: dispatch.Request{Service: residencyPlaces, Residency: fleet.Residency{{"a"}}}}
+	w := &forwarding{Forwarder: f, request: &Request{}, criteria: dispatch.Request{Service: residencyService, Residency: fleet.Residency{{"a"}}}}
 	_, refusal := f.targets.choose(w)
 	require.NotNil(t, refusal)
 	assert.Equal(t, fault.ReasonResidency, refusal.Reason)
@@ -307,9 +310,9 @@
 	assert.Equal(t, fault.ReasonNoReplica, refusal.Reason)
 }
 
-// While a connection is made a configuration may come that does not allow the server's region
-// any more: nothing is written, and the attempt is known not to have run.
-func TestNothingIsWrittenAfterARegionIsNoLongerAllowed(t *testing.T) {
+// If a new configuration disallows the server's region while a connection is being made, nothing is
+// written, and the attempt is known not to have run.
+func TestNothingIsSentToARegionDisallowedWhileConnecting(t *testing.T) {
 	f := residencyTargets(logging.Nop())
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -329,11 +332,11 @@
 	wide.Index()
 	narrow := &fleet.Configuration{Version: 2, Routes: []fleet.Route{{Host: residencyHost, Prefix: "/", AllowedRegions: fleet.AllowedRegions{"a"}}}}
 	narrow.Index()
-	servers := map[string][]fleet.Server{residencyPlaces: {{ID: "far", Service: residencyPlaces, Address: listener.Addr().String(), Zone: "b1", Slots: 1}}}
+	servers := map[string][]fleet.Server{residencyService: {{ID: "far", Service: residencyService, Address: listener.Addr().String(), Zone: "b1", Slots: 1}}}
 	f.Update(&catalog.View{Configuration: wide, Servers: servers})
 	request := &Request{Host: residencyHost, Target: residencyPath, Route: &wide.Routes[0], Configuration: wide, Deadline: time.Now().Add(time.Second), Header: http.Header{}}
-	w := &work{Forwarder: f, request: request}
-	w.wanted = dispatch.Request{Service: residencyPlaces}
+	w := &forwarding{Forwarder: f, request: request}
+	w.criteria = dispatch.Request{Service: residencyService}
 	w.bindResidency()
 	chosen, refusal := f.targets.choose(w)
 	require.Nil(t, refusal)
@@ -345,16 +348,16 @@
 	assert.Zero(t, received.Load())
 }
 
-// logLines collects what is logged.
-type logLines struct{ bytes.Buffer }
+// logBuffer collects log lines.
+type logBuffer struct{ bytes.Buffer }
 
 // Sync implements zapcore.WriteSyncer.
-func (*logLines) Sync() error { return nil }
+func (*logBuffer) Sync() error { return nil }
 
-// What can't be meant in lists of regions is logged once for a configuration, with its
-// version and the names of a few owners, however many there are.
-func TestDoubtfulRegionsAreLogged(t *testing.T) {
-	lines := &logLines{}
+// Faults in lists of regions are logged once per configuration, with its version and the names of a
+// few owners, however many there are.
+func TestFaultyRegionListsAreLogged(t *testing.T) {
+	lines := &logBuffer{}
 	log := logging.NewBounded(zapcore.InfoLevel, "entry-1", lines)
 	f := residencyTargets(log)
 	configuration := &fleet.Configuration{
@@ -394,7 +397,7 @@
 	assert.InDelta(t, 9, gaugeValue(t, f, "pinevane_unserved_residencies"), 0)
 }
 
-// gaugeValue reads a gauge as it is published.
+// gaugeValue returns the exported value of a gauge.
 func gaugeValue(t *testing.T, f *Forwarder, name string) float64 {
 	t.Helper()
 	families, err := f.options.Registry.(*prometheus.Registry).Gather()
@@ -408,8 +411,8 @@
 	return 0
 }
 
-// What requests that only one region may serve ask of its servers is published, by service and
-// region.
+// The load on a region's servers from requests that only that region may serve is exported by
+// service and region.
 func TestBoundLoadIsPublished(t *testing.T) {
 	f := residencyTargets(logging.Nop())
 	engine := &fleet.Engine{Pieces: 100, PieceBytes: 25_000}
@@ -418,9 +421,9 @@
 		Servers:       map[string][]fleet.Server{"s": {{ID: "near", Service: "s", Address: "10.0.1.1:1", Zone: "a1"}, {ID: "far", Service: "s", Address: "10.0.2.1:1", Zone: "b1"}}},
 	})
 	for range 10 {
-		w := &work{Forwarder: f, request: &Request{}, wanted: dispatch.Request{Service: "s", Prompt: 1000, Residency: fleet.Residency{{"b"}}}}
-		f.targets.describe(&w.wanted)
-		_, _ = f.targets.choose(w) // Refused or not, it is asked for.
+		w := &forwarding{Forwarder: f, request: &Request{}, criteria: dispatch.Request{Service: "s", Prompt: 1000, Residency: fleet.Residency{{"b"}}}}
+		f.targets.fillEngine(&w.criteria)
+		_, _ = f.targets.choose(w) // Counts as load whether it is refused or not.
 	}
 	assert.Positive(t, gaugeValue(t, f, "pinevane_bound_load"))
 }
