--- a/internal/forward/returning_test.go
+++ b/internal/forward/returning_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Refused callers come back spread over the time that they heed, not before they may be served.
-func TestRefusedCallersComeBackSpread(t *testing.T) {
+// The retries of refused callers are spread over the time that callers observe, and do not come
+// before they may be served.
+func TestRetryAfterIsSpread(t *testing.T) {
 	early, late := 0, 0
 	for range 1000 {
 		after := SpreadRetryAfter(500*time.Millisecond, 6*time.Second)
@@ -22,6 +23,6 @@
 	}
 	assert.Greater(t, early, 400)
 	assert.Greater(t, late, 400)
-	assert.Equal(t, 3*time.Second, SpreadRetryAfter(3*time.Second, 6*time.Second), "nobody is told less than it takes")
+	assert.Equal(t, 3*time.Second, SpreadRetryAfter(3*time.Second, 6*time.Second), "never less than the earliest time")
 	assert.Equal(t, 200*time.Millisecond, SpreadRetryAfter(200*time.Millisecond, -time.Second))
 }
--- a/internal/forward/settings.go
+++ b/internal/forward/settings.go
@@ -6,15 +6,14 @@
 	"pinevane.example/pinevane/internal/fleet"
 )
 
-// SetSettings takes over what settings that were read again say of bounds and zones. It holds for
-// every decision from then on, also on requests that are open. The window of the retry budgets
-// stays as it was at the start.
+// SetSettings applies the bounds and zones of reloaded settings. They hold for every decision from
+// then on, also for open requests. The window of the retry budgets stays as it was at the start.
 func (f *Forwarder) SetSettings(settings fleet.Settings) {
 	bounds := settings.Bounds
 	f.targets.setSettings(&bounds, settings.Regions)
 	f.mutex.Lock()
-	for _, held := range f.budgets {
-		held.SetRatio(ratioShare * bounds.RetryRatio)
+	for _, b := range f.budgets {
+		b.SetRatio(retryRatioFraction * bounds.RetryRatio)
 	}
 	f.mutex.Unlock()
 	if configuration := f.targets.currentView().Configuration; configuration != nil {
@@ -28,6 +27,6 @@
 	t.bounds.Store(bounds)
 	t.core.SetRegions(regions)
 	for _, change := range t.core.Update(fleetOf(t.view, bounds), time.Now()) {
-		t.follow(change)
+		t.applyChange(change)
 	}
 }
--- a/internal/forward/shedding.go
+++ b/internal/forward/shedding.go
@@ -9,57 +9,58 @@
 	"pinevane.example/pinevane/internal/fleet"
 )
 
-// Attempts of callers, as labels.
+// Kinds of arrivals, as label values.
 const (
 	attemptFirst    = "first"
 	attemptReturned = "returned"
 )
 
-// attemptOf is the label of an arrival.
-func attemptOf(arrival shedding.Arrival) string {
+// attemptLabel is the label of an arrival.
+func attemptLabel(arrival shedding.Arrival) string {
 	if arrival.Elapsed > 0 {
 		return attemptReturned
 	}
 	return attemptFirst
 }
 
-// noteArrival tells the decisions of a request that has arrived, and whether its caller came
-// back after a refusal.
-func (f *Forwarder) noteArrival(wanted *dispatch.Request, left time.Duration) shedding.Arrival {
+// recordArrival records a request's arrival for load shedding, and returns whether its caller
+// retries after a refusal.
+func (f *Forwarder) recordArrival(criteria *dispatch.Request, left time.Duration) shedding.Arrival {
 	f.targets.mutex.Lock()
 	defer f.targets.mutex.Unlock()
-	arrival := f.targets.core.Arrived(wanted, left, time.Now())
-	f.metrics.arrivals.WithLabelValues(attemptOf(arrival)).Inc()
+	arrival := f.targets.core.Arrived(criteria, left, time.Now())
+	f.metrics.arrivals.WithLabelValues(attemptLabel(arrival)).Inc()
 	return arrival
 }
 
-// noteRefusal spreads the time after which a refused caller is asked to come back, and tells
-// the decisions of the refusal.
-func (w *work) noteRefusal(refusal *fault.Refusal) {
-	if refusal == nil || refusal.RetryAfter <= 0 || isWithheld(refusal) {
+// recordRefusal spreads the time after which a refused caller should retry, and records the refusal
+// for load shedding.
+func (w *forwarding) recordRefusal(refusal *fault.Refusal) {
+	if refusal == nil || refusal.RetryAfter <= 0 || isQuarantineRefusal(refusal) {
 		return
 	}
 	refusal.RetryAfter = SpreadRetryAfter(refusal.RetryAfter, time.Until(w.request.Deadline))
-	w.metrics.told.WithLabelValues(attemptOf(w.wanted.Arrival), string(refusal.Reason)).Observe(refusal.RetryAfter.Seconds())
+	w.metrics.retryAfter.WithLabelValues(attemptLabel(w.criteria.Arrival), string(refusal.Reason)).Observe(refusal.RetryAfter.Seconds())
 	w.targets.mutex.Lock()
 	defer w.targets.mutex.Unlock()
-	w.targets.core.Refused(&w.wanted, time.Now())
+	w.targets.core.Refused(&w.criteria, time.Now())
 }
 
-// rank is the rank told to the server: at full servers, a request that is late in any case
-// waits behind those that can be in time.
-func (w *work) rank(expected time.Duration) int {
-	if w.options.Policy.LateShare < 1 && w.wanted.Engine != nil && w.wanted.Arrival.Late(expected, w.wanted.Target) {
-		return min(w.request.Priority+1, lastRank)
+// priorityFor is the priority sent to the server. At full servers a request that is late in any
+// case waits behind those that can be in time.
+func (w *forwarding) priorityFor(expected time.Duration) int {
+	if w.options.Policy.LateShare < 1 && w.criteria.Engine != nil && w.criteria.Arrival.Late(expected, w.criteria.Target) {
+		return min(w.request.Priority+1, lowestPriority)
 	}
 	return w.request.Priority
 }
 
-// lastRank is the least urgent rank that servers know.
-const lastRank = 9
+// lowestPriority is the least urgent priority that servers know.
+const lowestPriority = 9
 
-// routeNames are the names of a configuration's routes; nil where that is in force already. They
-// are collected without the mutex, which every request takes: of 10,000 routes that takes 1 ms.
+// routeNames returns the names of a configuration's routes, or nil if the configuration is already
+// the current one. They are collected without the mutex, which every request takes: for 10,000
+// routes that takes 1 ms.
 func (t *targets) routeNames(configuration *fleet.Configuration) map[string]bool {
 	if configuration == nil || configuration == t.currentView().Configuration {
 		return nil
--- a/internal/forward/shedding_test.go
+++ b/internal/forward/shedding_test.go
@@ -15,50 +15,50 @@
 	"pinevane.example/pinevane/internal/fleet"
 )
 
-// arriving is a request of a caller that waits for some time, at an entry that has served
-// others of its route, all of which had six seconds left.
-func arriving(left time.Duration) *work {
-	w := asking(&agentsOfTest{}, "10.0.0.1:1")
+// arrivedRequest returns a request of a caller with the given time left, at an entry that has
+// served others of its route, all of which had six seconds left.
+func arrivedRequest(left time.Duration) *forwarding {
+	w := newForwarding(&fakeAgents{}, "10.0.0.1:1")
 	now := time.Now()
 	for i := range 40 {
 		w.targets.core.Arrived(&dispatch.Request{Service: "s", Route: "r"}, 6*time.Second, now.Add(time.Duration(i)*time.Second))
 	}
 	w.request = &Request{Route: &fleet.Route{Name: "r"}, Call: fleet.CallHeader{Deadline: left}, Deadline: now.Add(left)}
-	w.wanted.Route = "r"
-	w.wanted.Arrival = w.noteArrival(&w.wanted, left)
+	w.criteria.Route = "r"
+	w.criteria.Arrival = w.recordArrival(&w.criteria, left)
 	return w
 }
 
-// A refused caller is told when to come back, and the metrics tell who was refused and what
-// it was told. It is known when it comes back.
-func TestRefusedCallersAreToldAndCounted(t *testing.T) {
-	w := arriving(6 * time.Second)
+// A refused caller gets a retry time, and the metrics count the refusal and the retry time. The
+// caller is recognized when it retries.
+func TestRefusedCallersGetRetryAfterAndAreCounted(t *testing.T) {
+	w := arrivedRequest(6 * time.Second)
 	refusal := fault.NotRun(fault.ReasonOverloaded, "")
 	refusal.RetryAfter = time.Second
-	w.noteRefusal(refusal)
+	w.recordRefusal(refusal)
 	assert.GreaterOrEqual(t, refusal.RetryAfter, 990*time.Millisecond)
 	assert.LessOrEqual(t, refusal.RetryAfter, 2*time.Second)
 	assert.Equal(t, map[string]float64{attemptFirst: 1}, byAttempt(t, w.Forwarder, "pinevane_retry_after_seconds"))
 
 	back := &Request{Route: w.request.Route, Call: fleet.CallHeader{Deadline: 4500 * time.Millisecond}}
-	assert.Equal(t, 1500*time.Millisecond, w.noteArrival(&w.wanted, back.Call.Deadline).Elapsed)
+	assert.Equal(t, 1500*time.Millisecond, w.recordArrival(&w.criteria, back.Call.Deadline).Elapsed)
 	assert.Equal(t, map[string]float64{attemptFirst: 1, attemptReturned: 1}, byAttempt(t, w.Forwarder, "pinevane_arrivals_total"))
 }
 
-// At a server, a late request waits behind those that can still be in time.
-func TestLateRequestsHaveALowerRank(t *testing.T) {
-	first, late := arriving(6*time.Second), arriving(5*time.Second)
-	assert.Equal(t, 0, first.rank(100*time.Millisecond))
-	assert.Equal(t, 1, late.rank(100*time.Millisecond))
-	late.request.Priority = lastRank
-	assert.Equal(t, lastRank, late.rank(100*time.Millisecond))
+// A late request gets a lower priority at its server than those that can still be in time.
+func TestLateRequestsHaveLowerPriority(t *testing.T) {
+	first, late := arrivedRequest(6*time.Second), arrivedRequest(5*time.Second)
+	assert.Equal(t, 0, first.priorityFor(100*time.Millisecond))
+	assert.Equal(t, 1, late.priorityFor(100*time.Millisecond))
+	late.request.Priority = lowestPriority
+	assert.Equal(t, lowestPriority, late.priorityFor(100*time.Millisecond))
 	late.request.Priority, late.options.Policy.LateShare = 0, 1
-	assert.Equal(t, 0, late.rank(100*time.Millisecond), "where the mechanism is off")
+	assert.Equal(t, 0, late.priorityFor(100*time.Millisecond), "with the mechanism switched off")
 }
 
-// A configuration without a route lets go of what was learned of its callers.
-func TestRoutesOfAnOlderConfigurationAreForgotten(t *testing.T) {
-	w := arriving(6 * time.Second)
+// A configuration without a route drops what was learned about the route's callers.
+func TestArrivalsOfRemovedRoutesAreForgotten(t *testing.T) {
+	w := arrivedRequest(6 * time.Second)
 	for _, one := range []struct {
 		routes []fleet.Route
 		want   shedding.Arrival
@@ -68,11 +68,11 @@
 	} {
 		w.Update(&catalog.View{Configuration: &fleet.Configuration{Routes: one.routes}})
 		late := &Request{Route: w.request.Route, Call: fleet.CallHeader{Deadline: 5 * time.Second}}
-		assert.Equal(t, one.want, w.noteArrival(&w.wanted, late.Call.Deadline))
+		assert.Equal(t, one.want, w.recordArrival(&w.criteria, late.Call.Deadline))
 	}
 }
 
-// byAttempt returns what a metric has counted, by its label of the attempt.
+// byAttempt returns the counts of a metric by its attempt label.
 func byAttempt(t *testing.T, f *Forwarder, name string) map[string]float64 {
 	t.Helper()
 	families, err := f.options.Registry.(*prometheus.Registry).Gather()
--- a/internal/forward/silence.go
+++ b/internal/forward/silence.go
@@ -14,229 +14,232 @@
 	"pinevane.example/pinevane/internal/network"
 )
 
-// Times of looking for silent connections.
+// Times of the search for silent connections.
 const (
-	// watchPeriod is how often connections with open requests are looked at: a tenth of
-	// the time after which silence.Judge tries a new connection.
+	// watchPeriod is how often connections with open requests are checked: a tenth of the time
+	// after which the silence detector requests a probe.
 	watchPeriod = 25 * time.Millisecond
-	// lookAfter is the silence of a connection from which all are looked at: shortly before
-	// the least after which silence.Judge draws conclusions.
-	lookAfter = 200 * time.Millisecond
-	// inspectAfter is the silence from which the kernel is asked about a connection then: a
-	// request sent shortly before needs no explanation.
+	// checkAfter is the silence of one connection from which all are checked, shortly before the
+	// minimum from which the silence detector draws conclusions.
+	checkAfter = 200 * time.Millisecond
+	// inspectAfter is the silence from which the kernel's state of a connection is read. A request
+	// sent more recently needs no explanation.
 	inspectAfter = 50 * time.Millisecond
 )
 
-// watch looks after all connections to servers together, because what silences one of them
-// without a word, such as a middlebox that starts anew, silences others of its age too. Found
-// one by one, each costs a request its time limit.
-type watch struct {
+// silenceWatcher monitors all connections to servers together, because what silently breaks one of
+// them, such as a restarted middlebox, also breaks others of its age. If they were found one by
+// one, each would cost a request its time limit.
+type silenceWatcher struct {
 	log     *logging.Logger
 	metrics *metrics
 	started time.Time
 
-	mutex  sync.Mutex
-	judge  *silence.Judge
-	open   map[*connection]bool
-	nextID uint64
+	mutex       sync.Mutex
+	detector    *silence.Judge
+	connections map[*connection]bool
+	nextID      uint64
 }
 
-func newWatch(log *logging.Logger, metrics *metrics, started time.Time) *watch {
-	return &watch{log: log, metrics: metrics, started: started, judge: silence.NewJudge(), open: map[*connection]bool{}}
+func newSilenceWatcher(log *logging.Logger, metrics *metrics, started time.Time) *silenceWatcher {
+	return &silenceWatcher{log: log, metrics: metrics, started: started, detector: silence.NewJudge(), connections: map[*connection]bool{}}
 }
 
-func (v *watch) now() time.Duration { return time.Since(v.started) }
+func (v *silenceWatcher) now() time.Duration { return time.Since(v.started) }
 
-// watched is what a connection's watch reads while a request is carried.
-type watched struct {
-	id     uint64
-	target *target
-	watch  *watch
-	// opened is when its making began, an offset like the others.
-	opened time.Duration
-	asked  atomic.Int64
-	heard  atomic.Int64
-	usual  atomic.Int64
-	// expected is how long the answer heard last was expected to take to begin.
+// watchState is what the watcher reads of a connection while a request is carried. Times are
+// offsets from the watcher's start.
+type watchState struct {
+	id      uint64
+	target  *target
+	watcher *silenceWatcher
+	// opened is when the dial began.
+	opened      time.Duration
+	requestedAt atomic.Int64
+	readAt      atomic.Int64
+	usual       atomic.Int64
+	// expected is how long the last answer was expected to take to begin.
 	expected atomic.Int64
 	// repeatable is set while the request carried may be sent again.
 	repeatable atomic.Bool
-	// carrying is set while an answer is awaited.
-	carrying atomic.Bool
-	// silent is set once the connection is given up.
+	// awaiting is set while an answer is awaited.
+	awaiting atomic.Bool
+	// silent is set once the connection has been found silent.
 	silent atomic.Bool
 }
 
-// add takes a new connection in.
-func (v *watch) add(c *connection, chosen *target, began time.Duration) {
+// add registers a new connection.
+func (v *silenceWatcher) add(c *connection, chosen *target, began time.Duration) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	v.nextID++
-	c.id, c.target, c.watch, c.opened = v.nextID, chosen, v, began
-	c.heard.Store(int64(began))
-	v.open[c] = true
+	c.id, c.target, c.watcher, c.opened = v.nextID, chosen, v, began
+	c.readAt.Store(int64(began))
+	v.connections[c] = true
 }
 
-func (v *watch) remove(c *connection) {
+func (v *silenceWatcher) remove(c *connection) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	delete(v.open, c)
+	delete(v.connections, c)
 }
 
-// Run looks at the connections until the context ends.
-func (v *watch) Run(ctx context.Context) {
+// Run checks the connections periodically until the context ends.
+func (v *silenceWatcher) Run(ctx context.Context) {
 	ticker := time.NewTicker(watchPeriod)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			v.look(ctx)
+			v.check(ctx)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// look takes one look at all connections and does what follows.
-func (v *watch) look(ctx context.Context) {
+// check checks all connections once and acts on the result.
+func (v *silenceWatcher) check(ctx context.Context) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	now := v.now()
-	if !v.worthALook(now) {
-		v.judge.Skip(now)
+	if !v.needsCheck(now) {
+		v.detector.Skip(now)
 		return
 	}
 	all, connections := v.observe(now)
-	verdict := v.judge.Tick(now, all)
+	verdict := v.detector.Tick(now, all)
 	for _, server := range verdict.Try {
 		for _, one := range connections {
 			if one.target.Address == server {
-				go v.try(ctx, one.target)
+				go v.probe(ctx, one.target)
 				break
 			}
 		}
 	}
-	for _, distrust := range verdict.Distrust {
-		v.giveUp(now, distrust, all, connections)
+	for _, silent := range verdict.Distrust {
+		v.closeSilent(now, silent, all, connections)
 	}
 }
 
-// worthALook reports whether an answer has been awaited for long.
-func (v *watch) worthALook(now time.Duration) bool {
-	for one := range v.open {
-		if one.carrying.Load() && int64(now)-max(one.asked.Load(), one.heard.Load()) >= int64(lookAfter) {
+// needsCheck reports whether an answer has been awaited for at least checkAfter.
+func (v *silenceWatcher) needsCheck(now time.Duration) bool {
+	for one := range v.connections {
+		if one.awaiting.Load() && int64(now)-max(one.requestedAt.Load(), one.readAt.Load()) >= int64(checkAfter) {
 			return true
 		}
 	}
 	return false
 }
 
-func (v *watch) observe(now time.Duration) (all []silence.Observation, connections []*connection) {
-	for one := range v.open {
+func (v *silenceWatcher) observe(now time.Duration) (all []silence.Observation, connections []*connection) {
+	for one := range v.connections {
 		all, connections = append(all, one.observe(now)), append(connections, one)
 	}
 	return all, connections
 }
 
-// try makes a new connection to a server, as a proof, and keeps it for the next request. Under
-// traffic there are new ones anyhow; a lone stream begins after 0.39 s instead of 1.1 s by it.
-func (v *watch) try(ctx context.Context, chosen *target) {
+// probe makes a new connection to a server as evidence that it is reachable, and keeps it for the
+// next request. Under traffic there are new connections anyway; for a single stream it reduces the
+// time to the first event from 1.1 s to 0.39 s.
+func (v *silenceWatcher) probe(ctx context.Context, chosen *target) {
 	began := v.now()
 	fresh, err := dial(ctx, chosen.Address, time.Now().Add(dialTimeout))
 	if err == nil {
 		v.metrics.connections.Inc()
 		v.add(fresh, chosen, began)
-		chosen.pool.add(fresh, idleWithoutWord)
+		chosen.pool.add(fresh, defaultIdleTimeout)
 	}
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	v.judge.Connected(chosen.Address, began, err == nil)
+	v.detector.Connected(chosen.Address, began, err == nil)
 }
 
-// giveUp ends the connections that are distrusted: resting ones are closed, requests on the
-// others learn of it. The mutex is held.
-func (v *watch) giveUp(now time.Duration, distrust silence.Distrust, all []silence.Observation, connections []*connection) {
-	resting, carrying := 0, 0
+// closeSilent marks connections as silent, which closes idle ones and fails the requests on the
+// others. The mutex is held.
+func (v *silenceWatcher) closeSilent(now time.Duration, silent silence.Distrust, all []silence.Observation, connections []*connection) {
+	idle, carrying := 0, 0
 	for index, one := range connections {
-		if !distrust.Covers(all[index]) || one.silent.Swap(true) {
+		if !silent.Covers(all[index]) || one.silent.Swap(true) {
 			continue
 		}
 		if all[index].Waiting {
 			carrying++
 		} else {
-			resting++
+			idle++
 		}
 		_ = one.net.SetDeadline(time.Unix(1, 0))
 	}
-	if resting+carrying == 0 {
+	if idle+carrying == 0 {
 		return
 	}
 	by := "unacknowledged"
-	if distrust.ByAnswers {
+	if silent.ByAnswers {
 		by = "unanswered"
 	}
-	proof := min(len(distrust.Proof), resting+carrying)
-	v.metrics.silent.WithLabelValues(by).Add(float64(proof))
-	v.metrics.silent.WithLabelValues("distrusted").Add(float64(resting + carrying - proof))
-	v.log.Log(logging.ConnectionsSilent, zap.String("server", distrust.Server), zap.String("by", by), zap.Int("proof", len(distrust.Proof)),
-		zap.Int("with_requests", carrying), zap.Int("resting", resting), zap.Duration("older_than", now-distrust.Before))
+	confirmed := min(len(silent.Proof), idle+carrying)
+	v.metrics.silentConnections.WithLabelValues(by).Add(float64(confirmed))
+	v.metrics.silentConnections.WithLabelValues("distrusted").Add(float64(idle + carrying - confirmed))
+	v.log.Log(logging.ConnectionsSilent, zap.String("server", silent.Server), zap.String("by", by), zap.Int("proof", len(silent.Proof)),
+		zap.Int("with_requests", carrying), zap.Int("resting", idle), zap.Duration("older_than", now-silent.Before))
 }
 
-// observe tells what the watch sees of the connection.
+// observe returns the observable state of the connection.
 func (c *connection) observe(now time.Duration) silence.Observation {
-	seen := silence.Observation{
-		ID: c.id, Server: c.target.Address, Opened: c.opened, Waiting: c.carrying.Load() && !c.silent.Load(),
-		Asked: time.Duration(c.asked.Load()), Heard: time.Duration(c.heard.Load()), Usual: time.Duration(c.usual.Load()),
+	observed := silence.Observation{
+		ID: c.id, Server: c.target.Address, Opened: c.opened, Waiting: c.awaiting.Load() && !c.silent.Load(),
+		Asked: time.Duration(c.requestedAt.Load()), Heard: time.Duration(c.readAt.Load()), Usual: time.Duration(c.usual.Load()),
 		Expected: time.Duration(c.expected.Load()), Repeatable: c.repeatable.Load(),
 	}
-	mute := now - max(seen.Asked, seen.Heard)
-	if !seen.Waiting || mute < inspectAfter {
-		return seen
+	silentFor := now - max(observed.Asked, observed.Heard)
+	if !observed.Waiting || silentFor < inspectAfter {
+		return observed
 	}
 	if state, known := network.ReadTransport(c.net); known {
-		seen.Known, seen.Unacknowledged, seen.Acknowledged, seen.Packet = true, state.Unacknowledged(mute), !state.Waiting, now-state.SinceHeard
+		observed.Known, observed.Unacknowledged, observed.Acknowledged, observed.Packet = true, state.Unacknowledged(silentFor), !state.Waiting, now-state.SinceHeard
 	}
-	return seen
+	return observed
 }
 
-// Times after which a repeatable request is given up on a connection that brings nothing,
-// without any other proof: a request for its whole answer, a stream for its next event. They
-// are far beyond what is usual, because a server that was slow has worked in vain.
+// Minimum times after which a repeatable request is abandoned on a connection that returns nothing,
+// without other evidence: for a plain request until the complete answer, for a stream until the
+// next event. They are far beyond the usual times, because the work of a server that was merely
+// slow is wasted.
 const (
-	patienceFactor = 10
-	plainPatience  = 300 * time.Millisecond
-	streamPatience = time.Second
+	overdueFactor    = 10
+	plainMinOverdue  = 300 * time.Millisecond
+	streamMinOverdue = time.Second
 )
 
-// reserveRetry reports whether the request may be sent again, and draws on the retry budget for
-// it: an answer that is late is not given up for nothing.
-func (w *work) reserveRetry() bool {
-	if w.sent >= w.request.Route.Attempts || time.Until(w.request.Deadline) < max(minimumTime, w.request.usual) {
+// reserveRetry reports whether the request may be sent again, and charges the retry budget for it:
+// a late answer is not abandoned unless a retry can follow.
+func (w *forwarding) reserveRetry() bool {
+	if w.attempts >= w.request.Route.Attempts || time.Until(w.request.Deadline) < max(minAttemptTime, w.request.usual) {
 		return false
 	}
-	w.retryReserved = w.retryReserved || w.takeRetry(w.wanted.Service)
+	w.retryReserved = w.retryReserved || w.spendRetry(w.criteria.Service)
 	return w.retryReserved
 }
 
-// patienceOf is the least time after which an answer of a route can be overdue.
-func patienceOf(route *fleet.Route) time.Duration {
+// minOverdueOf is the minimum time after which an answer of a route can be overdue.
+func minOverdueOf(route *fleet.Route) time.Duration {
 	if route.Kind == fleet.Streaming {
-		return streamPatience
+		return streamMinOverdue
 	}
-	return plainPatience
+	return plainMinOverdue
 }
 
-// overdueAfter is the silence after which an answer is overdue whose next byte usually takes
-// some time.
-func overdueAfter(patience, usual time.Duration) time.Duration {
-	return max(patience, patienceFactor*usual)
+// overdueAfter is the silence after which an answer is overdue whose next byte usually takes the
+// given time.
+func overdueAfter(minimum, usual time.Duration) time.Duration {
+	return max(minimum, overdueFactor*usual)
 }
 
-// overdue reports whether a repeatable request is given up after a silence; not as long as
-// nothing is known of what is usual.
-func (w *work) overdue(silent, usual time.Duration) bool {
-	if w.patience > 0 && !w.attemptBegun {
-		return silent >= w.patience
+// overdue reports whether a repeatable request is abandoned after a silence. It is not as long as
+// the usual wait is unknown.
+func (w *forwarding) overdue(silent, usual time.Duration) bool {
+	if w.overdueTimeout > 0 && !w.attemptBegun {
+		return silent >= w.overdueTimeout
 	}
-	return usual > 0 && silent >= overdueAfter(patienceOf(w.request.Route), usual)
+	return usual > 0 && silent >= overdueAfter(minOverdueOf(w.request.Route), usual)
 }
--- a/internal/forward/silence_test.go
+++ b/internal/forward/silence_test.go
@@ -27,7 +27,7 @@
 	"pinevane.example/pinevane/platform"
 )
 
-// Settings as on a deployment of the users: objectives and times of work.
+// Settings as in a user's deployment: targets, timeouts and processing times.
 const (
 	siteTarget       = 300 * time.Millisecond
 	siteTimeout      = 800 * time.Millisecond
@@ -35,15 +35,15 @@
 	siteStreamTime   = 6 * time.Second
 	siteGap          = 400 * time.Millisecond
 	siteAttempts     = 3
-	// siteWork is the mean time of a plain answer, siteEvent the time of an event.
+	// siteWork is the mean processing time of a plain answer, siteEvent the time of an event.
 	siteWork  = 60 * time.Millisecond
 	siteEvent = 20 * time.Millisecond
 	// siteFirstEvent is the time to a stream's first event.
 	siteFirstEvent = 100 * time.Millisecond
 )
 
-// standIns are servers that are reached through proxies, and a forwarder that knows them.
-type standIns struct {
+// testFleet consists of servers behind proxies and a forwarder that knows them.
+type testFleet struct {
 	t         *testing.T
 	forwarder *Forwarder
 	registry  *prometheus.Registry
@@ -51,20 +51,20 @@
 	targets   []*target
 
 	mutex sync.Mutex
-	// runs counts the runs of each request, slow multiplies the times of a server.
+	// runs counts the runs of each request; slow multiplies the processing times of a server.
 	runs   map[string]int
 	slow   []time.Duration
 	random *rand.Rand
-	// streamsAt is the service of streams.
-	streamsAt string
-	// stopped is closed at the end, so that no server works on.
+	// streamService is the service of streams.
+	streamService string
+	// stopped is closed at the end, so that no server goes on working.
 	stopped chan struct{}
 }
 
-func startStandIns(t *testing.T, count int) *standIns {
+func startTestFleet(t *testing.T, count int) *testFleet {
 	t.Helper()
 	registry := prometheus.NewRegistry()
-	s := &standIns{t: t, registry: registry, runs: map[string]int{}, random: rand.New(rand.NewPCG(7, 11)), stopped: make(chan struct{}), streamsAt: "s"}
+	s := &testFleet{t: t, registry: registry, runs: map[string]int{}, random: rand.New(rand.NewPCG(7, 11)), stopped: make(chan struct{}), streamService: "s"}
 	bounds := fleet.Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 400}
 	s.forwarder = New(Options{Zone: "z", Dialect: platform.Dialect{}, Log: logging.Nop(), Registry: registry, Bounds: bounds, Policy: DefaultPolicy(), Peers: func() int { return 0 }})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -83,15 +83,15 @@
 		s.proxies = append(s.proxies, proxy)
 	}
 	t.Cleanup(func() { close(s.stopped) })
-	s.know()
+	s.publish()
 	for _, one := range s.forwarder.targets.core.Candidates("s") {
 		s.targets = append(s.targets, s.forwarder.targets.targetOf(one))
 	}
 	return s
 }
 
-// know makes the servers known to the forwarder, in their order.
-func (s *standIns) know() {
+// publish makes the servers known to the forwarder, in their order.
+func (s *testFleet) publish() {
 	view := &catalog.View{Servers: map[string][]fleet.Server{}}
 	for index, proxy := range s.proxies {
 		view.Servers["s"] = append(view.Servers["s"], fleet.Server{ID: fmt.Sprint("i-", index), Service: "s", Address: proxy.Address(), Zone: "z", Slots: 64})
@@ -99,7 +99,7 @@
 	s.forwarder.Update(view)
 }
 
-func (s *standIns) handler(index int) http.Handler {
+func (s *testFleet) handler(index int) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		_, _ = io.Copy(io.Discard, request.Body)
 		id := request.Header.Get("Request-Id")
@@ -112,31 +112,31 @@
 		writer.Header().Set("Response-Seal", "s")
 		writer.Header().Set("Keep-Alive", "timeout=5")
 		if !strings.HasPrefix(request.URL.Path, "/stream/") {
-			s.spend(slow * work)
+			s.sleep(slow * work)
 			_, _ = io.WriteString(writer, "answer to "+id)
 			return
 		}
 		events, _ := strconv.Atoi(strings.TrimPrefix(request.URL.Path, "/stream/"))
 		after, _ := strconv.Atoi(request.Header.Get("Last-Event-Id"))
-		s.spend(slow * siteFirstEvent)
+		s.sleep(slow * siteFirstEvent)
 		for number := after + 1; number <= events; number++ {
 			_, _ = fmt.Fprintf(writer, "id: %d\ndata: %s\n\n", number, id)
 			writer.(http.Flusher).Flush()
-			s.spend(slow * siteEvent)
+			s.sleep(slow * siteEvent)
 		}
 	})
 }
 
-// spend is a server's work.
-func (s *standIns) spend(work time.Duration) {
+// sleep simulates a server's processing time.
+func (s *testFleet) sleep(work time.Duration) {
 	select {
 	case <-time.After(work):
 	case <-s.stopped:
 	}
 }
 
-// setSlow makes the first few servers take so many times longer.
-func (s *standIns) setSlow(factor, servers int) {
+// setSlow multiplies the processing times of the first few servers by a factor.
+func (s *testFleet) setSlow(factor, servers int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for index := range servers {
@@ -144,13 +144,13 @@
 	}
 }
 
-func (s *standIns) runsOf(id string) int {
+func (s *testFleet) runCount(id string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.runs[id]
 }
 
-// result is what became of one request at the forwarder.
+// result is the outcome of one request at the forwarder.
 type result struct {
 	id      string
 	began   time.Time
@@ -172,7 +172,7 @@
 	return r.took <= siteTarget
 }
 
-// recorder notes when events are written.
+// recorder records when events are written.
 type recorder struct {
 	*httptest.ResponseRecorder
 	began, last time.Time
@@ -191,7 +191,7 @@
 }
 
 // send forwards one request; events is the length of a stream.
-func (s *standIns) send(kind fleet.RouteKind, id string, events int) (r result) {
+func (s *testFleet) send(kind fleet.RouteKind, id string, events int) (r result) {
 	now := time.Now()
 	request := &Request{
 		Call: fleet.CallHeader{RequestID: id}, Method: http.MethodPost, Target: "/plain", Host: "h.example",
@@ -200,7 +200,7 @@
 	}
 	if kind == fleet.Streaming {
 		request.Target, request.Deadline = fmt.Sprintf("/stream/%d", events), now.Add(siteStreamTime)
-		request.Route.Services[0].Service = s.streamsAt
+		request.Route.Services[0].Service = s.streamService
 		request.Route.Target, request.Route.TargetGap, request.Route.Resumable = siteStreamTarget, siteGap, true
 	}
 	writer := &recorder{ResponseRecorder: httptest.NewRecorder(), began: now}
@@ -214,8 +214,8 @@
 }
 
 // silences are the two ways in which open connections go silent.
-var silences = map[string]func(s *standIns){
-	"nothing is acknowledged": func(s *standIns) {
+var silences = map[string]func(s *testFleet){
+	"nothing is acknowledged": func(s *testFleet) {
 		addresses := map[netip.AddrPort]bool{}
 		for _, one := range s.targets {
 			addresses[netip.MustParseAddrPort(one.Address)] = true
@@ -225,7 +225,7 @@
 		require.NoError(s.t, err)
 		assert.Positive(s.t, count)
 	},
-	"all is acknowledged": func(s *standIns) {
+	"all is acknowledged": func(s *testFleet) {
 		count := 0
 		for _, proxy := range s.proxies {
 			count += proxy.Hold()
@@ -234,8 +234,8 @@
 	},
 }
 
-// Open connections to servers go silent for good while new ones work: the requests on them
-// are answered over new ones, or, where they may run once, end without a promise.
+// Open connections to servers go silent for good while new ones work: the requests on them are
+// answered over new connections or, if they may run only once, end with an unknown outcome.
 func TestRequestsSurviveSilentConnections(t *testing.T) {
 	for name, silence := range silences {
 		t.Run(name, func(t *testing.T) {
@@ -248,15 +248,15 @@
 	}
 }
 
-// warm leaves a kept connection, and a notion of how long answers take.
-func (s *standIns) warm(kind fleet.RouteKind, events int) {
+// warm leaves an idle connection, and a known usual wait.
+func (s *testFleet) warm(kind fleet.RouteKind, events int) {
 	for number := range 3 {
 		require.Nil(s.t, s.send(kind, fmt.Sprint("warm-", number), events).refusal)
 	}
 }
 
-func testSilentRepeatable(t *testing.T, silence func(*standIns)) {
-	s := startStandIns(t, 1)
+func testSilentRepeatable(t *testing.T, silence func(*testFleet)) {
+	s := startTestFleet(t, 1)
 	s.warm(fleet.Repeatable, 0)
 	silence(s)
 	r := s.send(fleet.Repeatable, "call", 0)
@@ -265,56 +265,57 @@
 	t.Logf("answered after %s", r.took)
 }
 
-func testSilentOnce(t *testing.T, silence func(*standIns)) {
-	s := startStandIns(t, 1)
+func testSilentOnce(t *testing.T, silence func(*testFleet)) {
+	s := startTestFleet(t, 1)
 	s.warm(fleet.AtMostOnce, 0)
 	silence(s)
 	r := s.send(fleet.AtMostOnce, "call", 0)
-	assert.Nil(t, r.refusal, "it takes a new connection")
-	assert.Equal(t, 1, s.runsOf("call"))
+	assert.Nil(t, r.refusal, "uses a new connection")
+	assert.Equal(t, 1, s.runCount("call"))
 	s.setSlow(slowFactor, 1)
 	go func() {
-		for s.runsOf("under way") == 0 {
+		for s.runCount("in flight") == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		silence(s)
 	}()
-	r = s.send(fleet.AtMostOnce, "under way", 0)
+	r = s.send(fleet.AtMostOnce, "in flight", 0)
 	require.NotNil(t, r.refusal)
 	assert.Equal(t, fault.ExecutionUnknown, r.refusal.Execution)
-	assert.Equal(t, 1, s.runsOf("under way"))
+	assert.Equal(t, 1, s.runCount("in flight"))
 	assert.Less(t, r.took, siteTimeout+50*time.Millisecond)
 	s.setSlow(1, 1)
 	next := s.send(fleet.AtMostOnce, "next", 0)
-	assert.Nil(t, next.refusal, "the next one takes a new connection")
-	assert.Equal(t, 1, s.runsOf("next"))
+	assert.Nil(t, next.refusal, "the next request uses a new connection")
+	assert.Equal(t, 1, s.runCount("next"))
 }
 
-func testSilentFirstEvent(t *testing.T, silence func(*standIns)) {
-	s := startStandIns(t, 1)
+func testSilentFirstEvent(t *testing.T, silence func(*testFleet)) {
+	s := startTestFleet(t, 1)
 	s.warm(fleet.Streaming, 3)
 	silence(s)
 	r := s.send(fleet.Streaming, "stream", 5)
 	assert.Nil(t, r.refusal)
 	assert.False(t, r.cut)
 	assert.Equal(t, 5, strings.Count(r.text, "id: "))
-	assert.Less(t, r.took, 2*time.Second, "callers give up a stream after two seconds at the earliest")
+	assert.Less(t, r.took, 2*time.Second, "callers abandon a stream after two seconds at the earliest")
 	t.Logf("first event after %s", r.first)
 }
 
-func testSilentMidway(t *testing.T, silence func(*standIns)) {
-	s := startStandIns(t, 1)
+func testSilentMidway(t *testing.T, silence func(*testFleet)) {
+	s := startTestFleet(t, 1)
 	time.AfterFunc(siteFirstEvent+10*siteEvent, func() { silence(s) })
 	r := s.send(fleet.Streaming, "stream", 40)
 	assert.Nil(t, r.refusal)
 	assert.False(t, r.cut)
 	assert.Equal(t, 40, strings.Count(r.text, "id: "))
-	assert.Less(t, r.gap, 2*time.Second, "callers give up a stream after two seconds at the earliest")
+	assert.Less(t, r.gap, 2*time.Second, "callers abandon a stream after two seconds at the earliest")
 	t.Logf("longest pause %s", r.gap)
 }
 
-// load sends requests of a kind at a pace, until stop waits for the last one.
-func (s *standIns) load(kind fleet.RouteKind, name string, pace time.Duration, events int) (stop func() []result) {
+// load sends requests of a kind at a fixed pace; stop waits for the last one and returns the
+// results.
+func (s *testFleet) load(kind fleet.RouteKind, name string, pace time.Duration, events int) (stop func() []result) {
 	ended := make(chan struct{})
 	var mutex sync.Mutex
 	var results []result
@@ -344,8 +345,8 @@
 	}
 }
 
-// share is the part of the requests begun in a span that were served in time.
-func share(results []result, kind fleet.RouteKind, from, to time.Time) float64 {
+// servedRatio is the fraction of the requests begun in an interval that were served in time.
+func servedRatio(results []result, kind fleet.RouteKind, from, to time.Time) float64 {
 	all, served := 0.0, 0.0
 	for _, r := range results {
 		if r.began.Before(from) || !r.began.Before(to) {
@@ -362,16 +363,16 @@
 // Times of the test under traffic.
 const (
 	calmTime = 2 * time.Second
-	// plainBack and streamsBack are how long after the silence began service is back.
-	plainBack   = time.Second
-	streamsBack = 1500 * time.Millisecond
-	// backShare is the part of the calm share that counts as back.
-	backShare   = 0.9
-	silenceTime = 4 * time.Second
+	// plainRecovery and streamRecovery are how long after the silence began service has recovered.
+	plainRecovery  = time.Second
+	streamRecovery = 1500 * time.Millisecond
+	// recoveredRatio is the fraction of the ratio before the silence that counts as recovered.
+	recoveredRatio = 0.9
+	silenceTime    = 4 * time.Second
 )
 
-func testSilentTraffic(t *testing.T, silence func(*standIns)) {
-	s := startStandIns(t, 4)
+func testSilentTraffic(t *testing.T, silence func(*testFleet)) {
+	s := startTestFleet(t, 4)
 	kinds := []struct {
 		name   string
 		kind   fleet.RouteKind
@@ -380,9 +381,9 @@
 		back   time.Duration
 		stop   func() []result
 	}{
-		{name: "safe", kind: fleet.Repeatable, pace: 20 * time.Millisecond, back: plainBack},
-		{name: "once", kind: fleet.AtMostOnce, pace: 50 * time.Millisecond, back: plainBack},
-		{name: "stream", kind: fleet.Streaming, pace: 50 * time.Millisecond, events: 20, back: streamsBack},
+		{name: "safe", kind: fleet.Repeatable, pace: 20 * time.Millisecond, back: plainRecovery},
+		{name: "once", kind: fleet.AtMostOnce, pace: 50 * time.Millisecond, back: plainRecovery},
+		{name: "stream", kind: fleet.Streaming, pace: 50 * time.Millisecond, events: 20, back: streamRecovery},
 	}
 	began := time.Now()
 	for index := range kinds {
@@ -397,21 +398,21 @@
 		var line []string
 		const window = 500 * time.Millisecond
 		for from := silent.Add(-2 * window); from.Before(silent.Add(silenceTime)); from = from.Add(window) {
-			line = append(line, fmt.Sprintf("%.2f", share(results, one.kind, from, from.Add(window))))
+			line = append(line, fmt.Sprintf("%.2f", servedRatio(results, one.kind, from, from.Add(window))))
 		}
 		t.Logf("%s served in time by half seconds, silent from the third on: %s", one.name, strings.Join(line, " "))
-		calm := share(results, one.kind, began, silent.Add(-time.Second))
-		after := share(results, one.kind, silent.Add(one.back), silent.Add(silenceTime))
-		assert.GreaterOrEqual(t, after, backShare*calm, "%s: share served after service is to be back, calm %.2f", one.name, calm)
+		calm := servedRatio(results, one.kind, began, silent.Add(-time.Second))
+		after := servedRatio(results, one.kind, silent.Add(one.back), silent.Add(silenceTime))
+		assert.GreaterOrEqual(t, after, recoveredRatio*calm, "%s: ratio served after the recovery time, before the silence %.2f", one.name, calm)
 		s.checkRuns(one.kind, results)
 	}
 }
 
-// checkRuns checks that nothing ran twice that may run once, that no refusal promised wrongly
-// and that no stream was cut.
-func (s *standIns) checkRuns(kind fleet.RouteKind, results []result) {
+// checkRuns checks that no request that may run once ran twice, that no request refused as not run
+// has run, and that no stream was cut.
+func (s *testFleet) checkRuns(kind fleet.RouteKind, results []result) {
 	for _, r := range results {
-		runs := s.runsOf(r.id)
+		runs := s.runCount(r.id)
 		switch {
 		case kind == fleet.AtMostOnce:
 			assert.LessOrEqual(s.t, runs, 1, "%s ran more than once", r.id)
@@ -424,8 +425,8 @@
 	}
 }
 
-// count is the value of a metric, over all its labels.
-func (s *standIns) count(name string) (total float64) {
+// metricTotal is the sum of a metric over all its labels.
+func (s *testFleet) metricTotal(name string) (total float64) {
 	families, err := s.registry.Gather()
 	require.NoError(s.t, err)
 	for _, family := range families {
@@ -439,39 +440,39 @@
 	return total
 }
 
-// Bounds of what slow servers may cost.
+// Bounds on the cost of slow servers.
 const (
 	// slowFactor is how many times longer a slow server takes.
 	slowFactor = 8
-	// slowRepeats is the most of the requests that may be sent again because they take many
-	// times as long as usual, before that is what is usual.
-	slowRepeats = 0.1
+	// maxSlowRepeats is the maximum fraction of the requests that may be sent again because they
+	// take many times as long as usual, before that becomes usual.
+	maxSlowRepeats = 0.1
 )
 
-// Servers that become slow, one or all of them, keep their connections, and few requests are
-// sent again.
+// Servers that become slow, one or all of them, keep their connections, and few requests are sent
+// again.
 func TestSlowServersKeepTheirConnections(t *testing.T) {
 	for name, slowServers := range map[string]int{"one": 1, "all": 4} {
 		t.Run(name, func(t *testing.T) {
-			s := startStandIns(t, 4)
+			s := startTestFleet(t, 4)
 			stopPlain := s.load(fleet.Repeatable, "safe", 20*time.Millisecond, 0)
 			stopStreams := s.load(fleet.Streaming, "stream", 50*time.Millisecond, 20)
 			time.Sleep(calmTime)
 			s.setSlow(slowFactor, slowServers)
 			time.Sleep(2 * time.Second)
 			plain, streams := stopPlain(), stopStreams()
-			assert.Zero(t, s.count("pinevane_silent_server_connections_total"), "connections that were given up")
-			again, all := s.count("pinevane_repeats_total"), float64(len(plain)+len(streams))
-			t.Logf("%.0f of %.0f requests sent again", again, all)
-			assert.LessOrEqual(t, again, slowRepeats*all)
+			assert.Zero(t, s.metricTotal("pinevane_silent_server_connections_total"), "closed as silent")
+			resent, all := s.metricTotal("pinevane_repeats_total"), float64(len(plain)+len(streams))
+			t.Logf("%.0f of %.0f requests sent again", resent, all)
+			assert.LessOrEqual(t, resent, maxSlowRepeats*all)
 			s.checkRuns(fleet.Streaming, streams)
 		})
 	}
 }
 
-// A server that hangs, new connections to it included, takes no others' connections with it.
-func TestHangingServerCostsOthersNothing(t *testing.T) {
-	s := startStandIns(t, 4)
+// A server that hangs, also for new connections, does not affect the connections to others.
+func TestHangingServerDoesNotAffectOthers(t *testing.T) {
+	s := startTestFleet(t, 4)
 	stopPlain := s.load(fleet.Repeatable, "safe", 20*time.Millisecond, 0)
 	stopOnce := s.load(fleet.AtMostOnce, "once", 50*time.Millisecond, 0)
 	time.Sleep(calmTime)
@@ -480,23 +481,24 @@
 	stopPlain()
 	once := stopOnce()
 	s.checkRuns(fleet.AtMostOnce, once)
-	assert.Zero(t, s.count("pinevane_silent_server_connections_total"), "connections that were given up")
+	assert.Zero(t, s.metricTotal("pinevane_silent_server_connections_total"), "closed as silent")
 }
 
-// Heavy requests that may run once, at two sound servers, keep their connections while light ones
+// Heavy requests that may run once, at two healthy servers, keep their connections while light ones
 // are answered over newer ones.
 func TestHeavyRequestsThatMayRunOnceKeepTheirConnections(t *testing.T) {
 	const (
 		servers = 2
 		heavy   = 8
-		// heavyFactor makes the work of a heavy request up to 0.63 s, within its time limit.
+		// heavyFactor makes the processing time of a heavy request up to 0.63 s, within its time
+		// limit.
 		heavyFactor = 7
 	)
-	s := startStandIns(t, servers)
+	s := startTestFleet(t, servers)
 	for range 5 {
 		s.warm(fleet.AtMostOnce, 0)
 	}
-	time.Sleep(trustedRest) // so that light requests take new connections
+	time.Sleep(maxReuseIdle) // so that light requests take new connections
 	s.setSlow(heavyFactor, servers)
 	results := make(chan result, heavy)
 	for number := range heavy {
@@ -508,23 +510,23 @@
 	for range heavy {
 		r := <-results
 		assert.Nil(t, r.refusal, r.id)
-		assert.Equal(t, 1, s.runsOf(r.id), r.id)
+		assert.Equal(t, 1, s.runCount(r.id), r.id)
 	}
 	stopLight()
-	assert.Zero(t, s.count("pinevane_silent_server_connections_total"), "connections that were given up")
+	assert.Zero(t, s.metricTotal("pinevane_silent_server_connections_total"), "closed as silent")
 }
 
-// TWICE, REFUSED: a request is taken back from a server over a connection that passes nothing
-// on, so that the server never hears of it and runs it: it does not count as not run.
-func TestRequestTakenBackOverASilentConnectionMayHaveRun(t *testing.T) {
+// TWICE, REFUSED: a request is canceled over a connection that passes nothing on, so that the
+// server never receives the cancellation and runs it. It does not count as not run.
+func TestRequestCanceledOverASilentConnectionMayHaveRun(t *testing.T) {
 	for name, silence := range silences {
 		t.Run(name, func(t *testing.T) {
-			s := startStandIns(t, 1)
+			s := startTestFleet(t, 1)
 			s.setSlow(4, 1)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			go func() {
-				for s.runsOf("taken-back") == 0 {
+				for s.runCount("taken-back") == 0 {
 					time.Sleep(time.Millisecond)
 				}
 				silence(s)
@@ -536,33 +538,33 @@
 			assert.Equal(t, fault.ReasonCanceled, failed.reason)
 			assert.Equal(t, fault.ExecutionUnknown, failed.execution)
 			time.Sleep(300 * time.Millisecond)
-			assert.Equal(t, 1, s.runsOf("taken-back"), "the server has run it")
+			assert.Equal(t, 1, s.runCount("taken-back"), "the server ran it")
 		})
 	}
 }
 
-// A late answer is not given up when the request can't be sent again.
+// A late answer is not abandoned if the request can't be sent again.
 func TestLateAnswerIsAwaitedWithoutARetry(t *testing.T) {
-	s := startStandIns(t, 1)
+	s := startTestFleet(t, 1)
 	s.warm(fleet.Repeatable, 0)
 	s.setSlow(slowFactor, 1)
 	bounds := s.forwarder.targets.bounds.Load()
-	for name, limit := range map[string]func(*work){
-		"attempts": func(w *work) { w.request.Route.Attempts = 1 },
-		"budget":   func(w *work) { w.targets.bounds.Store(&fleet.Bounds{RetryWindow: time.Second}) },
-		"time":     func(w *work) { w.request.Deadline = time.Now().Add(minimumTime / 2) },
+	for name, limit := range map[string]func(*forwarding){
+		"attempts": func(w *forwarding) { w.request.Route.Attempts = 1 },
+		"budget":   func(w *forwarding) { w.targets.bounds.Store(&fleet.Bounds{RetryWindow: time.Second}) },
+		"time":     func(w *forwarding) { w.request.Deadline = time.Now().Add(minAttemptTime / 2) },
 	} {
 		request := testRequest(name, "b")
 		request.Route.Attempts = 2
-		w := &work{Forwarder: s.forwarder, request: request, sent: 1}
-		w.wanted.Service = "s"
-		judge := w.silence(s.targets[0], 0)
+		w := &forwarding{Forwarder: s.forwarder, request: request, attempts: 1}
+		w.criteria.Service = "s"
+		check := w.newSilenceCheck(s.targets[0], 0)
 		limit(w)
-		assert.NoError(t, judge(time.Minute, time.Millisecond), name)
+		assert.NoError(t, check(time.Minute, time.Millisecond), name)
 		s.forwarder.targets.bounds.Store(bounds)
 		s.forwarder.budgets = map[string]*budget.Budget{}
 	}
-	w := &work{Forwarder: s.forwarder, request: testRequest("again", "b"), sent: 1}
+	w := &forwarding{Forwarder: s.forwarder, request: testRequest("again", "b"), attempts: 1}
 	w.request.Route.Attempts = 2
-	assert.ErrorIs(t, w.silence(s.targets[0], 0)(time.Minute, time.Millisecond), errOverdue)
+	assert.ErrorIs(t, w.newSilenceCheck(s.targets[0], 0)(time.Minute, time.Millisecond), errOverdue)
 }
--- a/internal/forward/sizes_test.go
+++ b/internal/forward/sizes_test.go
@@ -9,18 +9,18 @@
 	"pinevane.example/pinevane/internal/fleet"
 )
 
-// A prompt that a caller says is larger than the service's memory for tokens has an unknown size.
-func TestPromptThatNoServerCanHoldIsOfUnknownSize(t *testing.T) {
+// A prompt that a caller declares larger than the service's cache has an unknown size.
+func TestOversizedPromptHasUnknownSize(t *testing.T) {
 	configuration := &fleet.Configuration{Services: map[string]fleet.Service{"m": {Engine: &fleet.Engine{CacheTokens: 317000}}}}
 	t1 := &targets{core: dispatch.New(dispatch.Options{}), engines: enginesOf(configuration)}
-	for told, known := range map[int]int{317000: 317000, 317001: 0, -1: 0} {
-		wanted := dispatch.Request{Service: "m", Prompt: told}
-		t1.describe(&wanted)
-		assert.Equal(t, known, wanted.Prompt)
+	for declared, known := range map[int]int{317000: 317000, 317001: 0, -1: 0} {
+		criteria := dispatch.Request{Service: "m", Prompt: declared}
+		t1.fillEngine(&criteria)
+		assert.Equal(t, known, criteria.Prompt)
 	}
 }
 
-// Endings are told by size, in classes around the usual one of the service.
+// Outcomes are counted by size, in classes around the usual one of the service.
 func TestSizeLabels(t *testing.T) {
 	for ofUsual, label := range map[float64]string{0: sizeUnderHalf, 0.49: sizeUnderHalf, 0.5: sizeUnderUsual, 1: sizeUnderDouble, 2: sizeOverDouble} {
 		assert.Equal(t, label, sizeLabel(ofUsual))
--- a/internal/forward/sizing.go
+++ b/internal/forward/sizing.go
@@ -9,8 +9,8 @@
 	"pinevane.example/pinevane/internal/fleet"
 )
 
-// SizeFields tell in the line of a request's ending how large it is and what it was last admitted or refused by, so
-// that what is lost can be split by size.
+// SizeFields returns the log fields of a request's size and of its last admission decision, so that
+// lost requests can be analyzed by size.
 func (r *Request) SizeFields() []zap.Field {
 	return []zap.Field{
 		zap.Int("prompt_tokens", r.Call.PromptTokens), zap.Int("answer_tokens", r.Call.AnswerTokens), zap.Int("body_bytes", len(r.Body)),
@@ -18,7 +18,7 @@
 	}
 }
 
-// admissionFields are the fields of what a request was admitted or refused by.
+// admissionFields are the log fields of an admission decision.
 type admissionFields dispatch.Admission
 
 // MarshalLogObject implements zapcore.ObjectMarshaler.
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// Endings of generations, as labels.
+// Outcomes of generations, as label values.
 const (
 	endingAnswered = "answered"
 	endingRefused  = "refused"
@@ -40,7 +40,7 @@
 	endingLeft     = "caller left"
 )
 
-// Sizes of generations against the usual one of their service, as labels.
+// Sizes of generations relative to the usual size of their service, as label values.
 const (
 	sizeUnderHalf   = "under half"
 	sizeUnderUsual  = "half to usual"
@@ -48,7 +48,7 @@
 	sizeOverDouble  = "over double"
 )
 
-// sizeLabel is the label of a size that is a multiple of the usual one.
+// sizeLabel is the label of a size that is given as a multiple of the usual one.
 func sizeLabel(ofUsual float64) string {
 	switch {
 	case ofUsual < 0.5:
@@ -61,18 +61,18 @@
 	return sizeOverDouble
 }
 
-// countEnding counts how a generation has ended, by its size.
-func (w *work) countEnding(ending string) {
-	usual := fleet.GenerationSize(w.wanted.Figures.UsualPrompt, w.wanted.Figures.UsualAnswer)
-	if w.wanted.Engine == nil || usual <= 0 {
+// countEnding counts the outcome of a generation by its size.
+func (w *forwarding) countEnding(ending string) {
+	usual := fleet.GenerationSize(w.criteria.Figures.UsualPrompt, w.criteria.Figures.UsualAnswer)
+	if w.criteria.Engine == nil || usual <= 0 {
 		return
 	}
-	size := fleet.GenerationSize(float64(w.wanted.Prompt), float64(w.request.Call.AnswerTokens))
+	size := fleet.GenerationSize(float64(w.criteria.Prompt), float64(w.request.Call.AnswerTokens))
 	w.metrics.endings.WithLabelValues(sizeLabel(size/usual), ending).Inc()
 }
 
-// endingOf is the label of a refusal.
-func endingOf(refusal *fault.Refusal) string {
+// endingLabel is the outcome label of a refusal.
+func endingLabel(refusal *fault.Refusal) string {
 	switch {
 	case refusal.Reason == fault.ReasonCanceled:
 		return endingLeft
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -15,35 +15,35 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// stream forwards a request whose answer is a series of events. Each event is
-// passed on whole, as it comes. A stream that breaks is continued at another
-// server after its last event, when the route allows that.
-func (w *work) stream(ctx context.Context) *fault.Refusal {
+// serveStream forwards a request whose answer is a stream of events. Each event is relayed as a
+// whole as soon as it is complete. An interrupted stream is resumed at another server after its
+// last event, if the route allows that.
+func (w *forwarding) serveStream(ctx context.Context) *fault.Refusal {
 	var first *exchange
 	for {
 		started, refusal, failed := w.attempt(ctx)
 		if refusal != nil {
-			return w.endStream(w.refuseAfter(refusal))
+			return w.endStream(w.adjustRefusal(refusal))
 		}
 		if failed == nil {
 			if first == nil {
 				first = started
 			}
-			failed = w.passEvents(started, first)
+			failed = w.relayEvents(started, first)
 			if failed == nil {
-				w.answered(first, nil)
+				w.recordAnswered(first, nil)
 				return nil
 			}
 		}
 		if failed.reason == fault.ReasonCanceled && ctx.Err() != nil {
 			return w.endStream(fault.Unknown(fault.ReasonCanceled, "the caller left"))
 		}
-		if !w.mayTryAgain(ctx, failed) {
-			return w.endStream(w.giveUp(failed))
+		if !w.mayRetry(ctx, failed) {
+			return w.endStream(w.finalRefusal(failed))
 		}
-		if w.begun {
-			w.wanted.Resumed = true
-			w.wanted.Exactly = w.version
+		if w.headSent {
+			w.criteria.Resumed = true
+			w.criteria.Exactly = w.version
 			w.log.Log(logging.StreamResumed, zap.String("request", w.request.Call.RequestID), zap.String("after", w.lastEvent),
 				zap.Uint64("version", w.version))
 		} else {
@@ -52,50 +52,50 @@
 	}
 }
 
-// endStream answers a stream that can't go on. One that has begun is cut, so that
-// it does not look complete.
-func (w *work) endStream(refusal *fault.Refusal) *fault.Refusal {
-	if !w.begun {
+// endStream ends a stream that can't be continued. If it has begun, the connection is cut so that
+// the answer does not look complete.
+func (w *forwarding) endStream(refusal *fault.Refusal) *fault.Refusal {
+	if !w.headSent {
 		return refusal
 	}
-	w.metrics.cut.WithLabelValues(string(refusal.Reason)).Inc()
+	w.metrics.cutStreams.WithLabelValues(string(refusal.Reason)).Inc()
 	w.countEnding(endingCut)
 	w.log.Log(logging.StreamCut, append(w.request.SizeFields(),
 		zap.String("request", w.request.Call.RequestID), zap.String("route", w.request.Route.Name), zap.String("reason", string(refusal.Reason)),
-		zap.Int("events", w.events), zap.String("last_event", w.lastEvent), zap.Int("attempts", w.sent))...)
+		zap.Int("events", w.events), zap.String("last_event", w.lastEvent), zap.Int("attempts", w.attempts))...)
 	panic(http.ErrAbortHandler)
 }
 
-// passEvents passes the events of one server on until its answer ends.
-func (w *work) passEvents(started, first *exchange) *failure {
+// relayEvents relays the events of one server until its answer ends.
+func (w *forwarding) relayEvents(started, first *exchange) *failure {
 	began := time.Now()
 	status := started.response.StatusCode
 	if status != http.StatusOK {
-		return w.passOther(started)
+		return w.relayOther(started)
 	}
-	settle := sync.OnceFunc(func() {
-		if w.wanted.Engine != nil {
-			w.targets.readPrompt(w.placed, w.attemptBegun)
+	promptRead := sync.OnceFunc(func() {
+		if w.criteria.Engine != nil {
+			w.targets.recordPromptRead(w.currentSend, w.attemptBegun)
 		}
 	})
 	defer func() {
-		settle()
-		w.targets.release(w.placed)
+		promptRead()
+		w.targets.release(w.currentSend)
 	}()
 	splitter := &eventSplitter{source: started.response.Body, memory: w.request.Memory}
 	for {
 		event, err := splitter.next()
 		if len(event.bytes) > 0 {
 			if !w.attemptBegun {
-				w.targets.sawFirst(started.target, time.Since(w.sentAt))
-				started.connection.startPauses()
+				w.targets.recordFirstEvent(started.target, time.Since(w.sentAt))
+				started.connection.trackPauses()
 				w.observe(started.target, health.Served)
 			}
 			w.attemptBegun = true
-			settle()
-			if !w.passEvent(event, first) {
+			promptRead()
+			if !w.relayEvent(event, first) {
 				started.abort()
-				return &failure{reason: fault.ReasonCanceled, execution: fault.ExecutionUnknown, cause: errLeft}
+				return &failure{reason: fault.ReasonCanceled, execution: fault.ExecutionUnknown, cause: errCallerLeft}
 			}
 		}
 		if err == nil {
@@ -103,52 +103,52 @@
 		}
 		if errors.Is(err, io.EOF) {
 			started.finish()
-			if !w.begun {
+			if !w.headSent {
 				w.beginStream(first)
 			}
-			w.targets.succeed(started.target, time.Since(began))
-			w.contentAnswered()
-			w.learnStream()
+			w.targets.recordAnswerTime(started.target, time.Since(began))
+			w.confirmFingerprint()
+			w.recordStream()
 			return nil
 		}
 		started.abort()
-		failed := &failure{reason: reasonOf(err, fault.ReasonBackendFailed), execution: fault.ExecutionUnknown, cause: err}
-		w.noteFailure(started.target, failed, time.Since(began))
+		failed := &failure{reason: failureReason(err, fault.ReasonBackendFailed), execution: fault.ExecutionUnknown, cause: err}
+		w.recordFailure(started.target, failed, time.Since(began))
 		return failed
 	}
 }
 
-// passOther passes on an answer that is no stream. In mid stream it is a failure.
-func (w *work) passOther(started *exchange) *failure {
-	body, failed := w.readWhole(started)
+// relayOther relays an answer that is no stream. In the middle of a stream it is a failure.
+func (w *forwarding) relayOther(started *exchange) *failure {
+	body, failed := w.readAnswer(started)
 	if failed != nil {
 		return failed
 	}
 	status := started.response.StatusCode
 	retriable := status >= http.StatusInternalServerError && status != http.StatusGatewayTimeout && w.request.Route.MayRepeat()
-	if w.begun || (retriable && w.sent < w.request.Route.Attempts) {
+	if w.headSent || (retriable && w.attempts < w.request.Route.Attempts) {
 		failed = &failure{reason: fault.ReasonBackendFailed, execution: fault.ExecutionUnknown, cause: statusError(status)}
 		started.abort()
-		w.noteFailure(started.target, failed, 0)
+		w.recordFailure(started.target, failed, 0)
 		return failed
 	}
-	w.pass(started, body)
+	w.writeAnswer(started, body)
 	return nil
 }
 
 // beginStream sends the head of the first server's answer.
-func (w *work) beginStream(first *exchange) {
-	w.begun = true
+func (w *forwarding) beginStream(first *exchange) {
+	w.headSent = true
 	w.version = first.head.Version
 	w.copyHead(first)
 	w.writer.Header().Del("Content-Length")
 	w.writer.WriteHeader(first.response.StatusCode)
 }
 
-// passEvent writes one event and reports whether the caller is still there.
-// Events that were passed on before are dropped.
-func (w *work) passEvent(event event, first *exchange) bool {
-	if !w.begun {
+// relayEvent writes one event and reports whether the caller is still connected. Events that were
+// relayed before are dropped.
+func (w *forwarding) relayEvent(event event, first *exchange) bool {
+	if !w.headSent {
 		w.metrics.firstEvent.Observe(time.Since(w.request.Arrived).Seconds())
 		w.beginStream(first)
 	}
@@ -162,19 +162,19 @@
 		flusher.Flush()
 	}
 	w.events++
-	w.noteTimes(time.Now())
+	w.recordEventTimes(time.Now())
 	if event.id != "" {
 		w.lastEvent = event.id
 	}
 	return true
 }
 
-// noteTimes keeps what decides whether the stream was in time.
-func (w *work) noteTimes(now time.Time) {
+// recordEventTimes records the times that decide whether the stream was in time.
+func (w *forwarding) recordEventTimes(now time.Time) {
 	if w.events == 1 {
-		w.firstAfter = now.Sub(w.request.Arrived)
+		w.firstEventAfter = now.Sub(w.request.Arrived)
 	} else {
-		w.longestPause = max(w.longestPause, now.Sub(w.eventAt))
+		w.longestPause = max(w.longestPause, now.Sub(w.lastEventAt))
 	}
-	w.eventAt = now
+	w.lastEventAt = now
 }
--- a/internal/forward/targets.go
+++ b/internal/forward/targets.go
@@ -16,51 +16,53 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// target is one server as this entry sends to it.
+// target is one server with the connections to it.
 type target struct {
 	*dispatch.Candidate
 	pool pool
 }
 
-// targets holds the one lock around the decisions, tells them the time, logs what they change,
-// and keeps the connections of each server.
+// targets guards dispatch with one mutex, supplies it with the time, logs its changes, and keeps
+// the connections to each server.
 type targets struct {
 	log *logging.Logger
-	// bounds are those of the settings in force.
+	// bounds are those of the current settings.
 	bounds atomic.Pointer[fleet.Bounds]
-	// entries lists the other entries lately known.
+	// entries lists the other entries that were known recently.
 	entries func() []string
 
 	mutex sync.Mutex
 	core  *dispatch.Core
 	view  *catalog.View
-	// engines are the descriptions of model servers in the view, by their services.
+	// engines are the model server descriptions of the view, by service.
 	engines map[string]*dispatch.Engine
-	// known are the servers that have been sent something, or are to be, and are still listed.
+	// known are the listed servers that have been chosen for a request.
 	known map[*dispatch.Candidate]*target
-	// health tells of servers' health, to people and to the zone's other entries.
+	// health logs and announces changes of servers' health.
 	health *healthReporter
-	// ended are servers that the list has shown to have ended, until endedServers takes them.
-	ended []string
-	// unreadable are the fields of servers' answers that could not be read: that is logged once.
+	// crashed are servers whose crash a new server list has shown, until takeCrashedServers returns
+	// them.
+	crashed []string
+	// unreadable are the fields of servers' answers that could not be parsed and have been logged.
 	unreadable map[unreadableField]bool
-	// asks is nil in an entry that shares nothing; news is what it is still to be told.
-	asks NoticeAnnouncer
-	news outbox[askNews]
-	// rests counts the answers that have asked for rest.
-	rests prometheus.Counter
-	// told are the agents' last words by the address of their server, for people.
-	told map[string]fleet.MachineStatus
+	// notices is nil in an entry that shares nothing; pendingNotices is what is still to be
+	// announced.
+	notices        NoticeAnnouncer
+	pendingNotices outbox[pendingNotice]
+	// backoffs counts the answers that requested a backoff.
+	backoffs prometheus.Counter
+	// statuses are the agents' last status reports by the address of their server, for display.
+	statuses map[string]fleet.MachineStatus
 }
 
 func newTargets(options Options, now time.Time) *targets {
 	t := &targets{
-		log: options.Log, health: newHealthReporter(options), entries: options.Entries, asks: options.Notices,
+		log: options.Log, health: newHealthReporter(options), entries: options.Entries, notices: options.Notices,
 		core: dispatch.New(dispatch.Options{
 			Zone: options.Zone, Regions: options.Regions, Policy: dispatch.Policy(options.Policy), Self: options.Self, Started: now,
 			Random: rand.Float64, Shuffle: rand.Shuffle,
 		}),
-		view: &catalog.View{}, engines: map[string]*dispatch.Engine{}, known: map[*dispatch.Candidate]*target{}, unreadable: map[unreadableField]bool{}, rests: newRestsCounter(), told: map[string]fleet.MachineStatus{},
+		view: &catalog.View{}, engines: map[string]*dispatch.Engine{}, known: map[*dispatch.Candidate]*target{}, unreadable: map[unreadableField]bool{}, backoffs: newBackoffCounter(), statuses: map[string]fleet.MachineStatus{},
 	}
 	t.bounds.Store(&options.Bounds)
 	if t.entries == nil {
@@ -69,9 +71,9 @@
 	return t
 }
 
-// update takes over a new list of servers.
+// update applies a new list of servers.
 func (t *targets) update(view *catalog.View) {
-	defer t.tellZone()
+	defer t.announceHealth()
 	names := t.routeNames(view.Configuration)
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -84,19 +86,19 @@
 	t.view = view
 	now := time.Now()
 	for _, change := range t.core.Update(fleetOf(view, t.bounds.Load()), now) {
-		t.follow(change)
+		t.applyChange(change)
 	}
 	t.reportHealth(now)
 }
 
-// follow logs a change of the fleet and ends the connections to a server that gets no more
-// requests; the mutex is held.
-func (t *targets) follow(change dispatch.Change) {
+// applyChange logs a change of the fleet and closes the connections to a server that gets no more
+// requests. The mutex is held.
+func (t *targets) applyChange(change dispatch.Change) {
 	switch change.Kind {
 	case dispatch.ServerLeaving:
 		t.log.Log(logging.ServerLeaving, zap.String("server", change.Candidate.ID), zap.Int("in_flight", change.InFlight))
 	case dispatch.AddressTaken, dispatch.ServerRestarted:
-		t.ended = append(t.ended, change.Candidate.ID)
+		t.crashed = append(t.crashed, change.Candidate.ID)
 	case dispatch.ServerGone:
 		t.log.Log(logging.ServerGone, zap.String("server", change.Candidate.ID), zap.Int("in_flight", change.InFlight))
 	case dispatch.ZoneEvacuated:
@@ -116,16 +118,16 @@
 	}
 }
 
-// endedServers returns the servers that the list has shown to have ended since the last call.
-func (t *targets) endedServers() []string {
+// takeCrashedServers returns the servers whose crash the server list has shown since the last call.
+func (t *targets) takeCrashedServers() []string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	ended := t.ended
-	t.ended = nil
+	ended := t.crashed
+	t.crashed = nil
 	return ended
 }
 
-// targetOf returns the connections to a listed server; the mutex is held.
+// targetOf returns the target of a listed server. The mutex is held.
 func (t *targets) targetOf(candidate *dispatch.Candidate) *target {
 	known := t.known[candidate]
 	if known == nil {
@@ -135,7 +137,7 @@
 	return known
 }
 
-// supersede notes that another server has answered at a server's address.
+// supersede records that another server has answered at a server's address.
 func (t *targets) supersede(k *target, instance string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -145,14 +147,14 @@
 	k.pool.close()
 }
 
-// takeStatus notes an agent's word on its server. Only an entry that has it from the
-// agent itself logs what it changes: the log of the fleet tells it once or twice.
-func (t *targets) takeStatus(status fleet.MachineStatus, at time.Time, direct bool) {
+// applyStatus applies an agent's status report on its server. Only an entry that received it from
+// the agent itself logs the change, so that the fleet logs it once or twice.
+func (t *targets) applyStatus(status fleet.MachineStatus, at time.Time, direct bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	news, changed := t.core.TakeWord(wordOf(status), at)
-	if news {
-		t.told[status.Address] = status
+	isNew, changed := t.core.TakeWord(statusReportOf(status), at)
+	if isNew {
+		t.statuses[status.Address] = status
 	}
 	if direct && changed != nil {
 		t.log.Log(logging.ServerStatus, zap.String("server", changed.ID), zap.Bool("reachable", status.Reachable),
@@ -166,7 +168,7 @@
 	return t.view
 }
 
-// sweep ends idle connections that are too old.
+// sweep closes the idle connections whose timeout has expired.
 func (t *targets) sweep() {
 	t.mutex.Lock()
 	all := make([]*target, 0, len(t.known))
