--- a/internal/forward/dump.go
+++ b/internal/forward/dump.go
@@ -30,9 +30,9 @@
 	Evacuated bool    `json:"evacuated"`
 	// Limit is the rate limit that the server names in its answers; nil if it names none.
 	Limit *LimitView `json:"limit,omitempty"`
-	// BackoffLeft is how much longer the server wants no requests from this entry. AnnouncedLeaving
+	// BackoffRemaining is how much longer the server wants no requests from this entry. AnnouncedLeaving
 	// is set once an answer has announced that the server is about to stop.
-	BackoffLeft      float64 `json:"rest_seconds"`
+	BackoffRemaining float64 `json:"rest_seconds"`
 	AnnouncedLeaving bool    `json:"said_leaving"`
 }
 
@@ -74,7 +74,7 @@
 			ID: server.ID, Service: server.Service, Address: server.Address, Zone: server.Zone,
 			Draining: server.Draining, InFlight: one.InFlight, Outstanding: one.Outstanding, Version: one.Version,
 			EjectedFor: one.Health.Left.Seconds(), Health: healthView(one.Health), StatusAge: one.WordAge.Seconds(), MeanMilliseconds: one.MeanMilliseconds,
-			ColdFor: one.ColdFor.Seconds(), Evacuated: one.Evacuated, BackoffLeft: one.RestLeft.Seconds(), AnnouncedLeaving: one.SaidLeaving,
+			ColdFor: one.ColdFor.Seconds(), Evacuated: one.Evacuated, BackoffRemaining: one.RestLeft.Seconds(), AnnouncedLeaving: one.SaidLeaving,
 		}
 		if one.Limit.InForce {
 			view.Limit = &LimitView{PerSecond: one.Limit.PerSecond, Age: one.Limit.Named.Seconds(), Share: one.Limit.Share}
