--- a/internal/forward/asking.go
+++ b/internal/forward/asking.go
@@ -83,7 +83,7 @@
 	for _, status := range answers {
 		t.statuses[status.Address] = status
 	}
-	return t.core.TakeAnswers(queried, statusReportsOf(answers), time.Now())
+	return t.core.TakeAnswers(queried, loadReportsOf(answers), time.Now())
 }
 
 // anyAdmits reports whether the expected wait at one of the queried servers admits the request.
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -17,7 +17,7 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// versionMargin is how long before a version's bound older versions are no longer requested.
+// versionMargin is how long before a version deadline older versions are no longer requested.
 const versionMargin = 500 * time.Millisecond
 
 // bindVersion sets which version the next attempt needs, and until when older ones may begin it.
@@ -27,11 +27,11 @@
 	}
 	view := w.targets.currentView()
 	apply := w.targets.bounds.Load().VersionApply
-	w.criteria.Bounds = versionBoundsOf(view.Versions[w.request.Call.Model], apply)
+	w.criteria.Bounds = versionDeadlinesOf(view.Versions[w.request.Call.Model], apply)
 	w.criteria.AtLeast = view.Due(w.request.Call.Model, apply-versionMargin, time.Now())
 }
 
-// expectedVersion is the version that a server is asked to check. Once the bound of a version has
+// expectedVersion is the version that a server is asked to check. Once a version deadline has
 // passed, it is the version the server is known to have, so that a request is not rejected because
 // the server has a newer one.
 func (w *forwarding) expectedVersion(serving uint64) uint64 {
@@ -79,7 +79,7 @@
 		zap.String("resume_after", send.LastEventID))
 	began := time.Now()
 	w.sentAt = began
-	w.request.usual = w.targets.usualWait(chosen, &w.criteria)
+	w.request.typicalWait = w.targets.typicalWait(chosen, &w.criteria)
 	w.overdueTimeout = chosen.Patience
 	started, failed := w.open(ctx, w.request, send, target, w.newSilenceCheck(target, chosen.Version))
 	if failed == nil {
@@ -164,35 +164,35 @@
 
 // newSilenceCheck returns the check that decides when an attempt at a silent server is abandoned.
 // Slowness alone is no reason: the server's agent must have lost it, or be silent too. A request
-// that the server has not begun is withdrawn before the bound of the server's version.
+// that the server has not begun is withdrawn before the deadline of the server's version.
 func (w *forwarding) newSilenceCheck(target *target, version uint64) silenceCheck {
 	w.attemptBegun, w.overdueRecorded = false, false
-	return func(silent, usual time.Duration) error {
-		w.observeOverdue(target, silent, usual)
+	return func(silent, typical time.Duration) error {
+		w.observeOverdue(target, silent, typical)
 		switch {
-		case w.waitsBeyondBound(version):
-			return errVersionBound
+		case w.pastVersionDeadline(version):
+			return errVersionDeadline
 		case w.request.Route.MayRepeat() && silent > suspectTimeout && w.targets.isSuspect(target, w.sentAt):
 			return errStalled
-		case w.request.Route.MayRepeat() && w.overdue(silent, usual) && w.reserveRetry():
+		case w.request.Route.MayRepeat() && w.overdue(silent, typical) && w.reserveRetry():
 			return errOverdue
 		}
 		return nil
 	}
 }
 
-// waitsBeyondBound reports whether a request that a server has not begun must be withdrawn because
-// of the server's version. It uses the versions known now: one may have been announced, or received
-// here, after the send, and a request may wait for as long as it takes to apply a version.
-func (w *forwarding) waitsBeyondBound(version uint64) bool {
+// pastVersionDeadline reports whether a request that a server has not begun must be withdrawn
+// because of the server's version. It uses the versions known now: one may have been announced, or
+// received here, after the send, and a request may wait for as long as it takes to apply a version.
+func (w *forwarding) pastVersionDeadline(version uint64) bool {
 	if w.criteria.Engine == nil || w.attemptBegun {
 		return false
 	}
-	notice, superseded := w.targets.currentView().FirstAfter(w.request.Call.Model, version)
-	return superseded && time.Until(notice.Since.Add(w.targets.bounds.Load().VersionApply)) < withdrawMargin
+	announcement, superseded := w.targets.currentView().FirstAfter(w.request.Call.Model, version)
+	return superseded && time.Until(announcement.Since.Add(w.targets.bounds.Load().VersionApply)) < withdrawMargin
 }
 
-// withdrawMargin is how long before the bound of an old version a request is withdrawn from a
+// withdrawMargin is how long before the deadline of an old version a request is withdrawn from a
 // server that has not begun it. Silent connections are checked every silenceCheckPeriod.
 const withdrawMargin = 2 * silenceCheckPeriod
 
--- a/internal/forward/choice.go
+++ b/internal/forward/choice.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// usualWait is how long the first byte of an answer usually takes.
-func (t *targets) usualWait(chosen choice, criteria *dispatch.Request) time.Duration {
+// typicalWait is how long the first byte of an answer typically takes.
+func (t *targets) typicalWait(chosen choice, criteria *dispatch.Request) time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.core.UsualWait(chosen.Decision, criteria)
--- a/internal/forward/choice_test.go
+++ b/internal/forward/choice_test.go
@@ -8,7 +8,7 @@
 	"pinevane.example/pinevane/coordination/dispatch"
 )
 
-// BUDGET: after a version's bound a server that has a newer version is not sent the older one as
+// BUDGET: after a version deadline a server that has a newer version is not sent the older one as
 // the expected version, because it would reject the request.
 func TestExpectedVersionIsTheServersOwn(t *testing.T) {
 	for _, one := range []struct{ exactly, atLeast, serving, want uint64 }{
--- a/internal/forward/connection.go
+++ b/internal/forward/connection.go
@@ -32,17 +32,17 @@
 )
 
 var (
-	errStalled      = errors.New("suspect server does not respond")
-	errDeadline     = errors.New("request deadline exceeded")
-	errCallerLeft   = errors.New("caller disconnected")
-	errVersionBound = errors.New("bound of the server's version reached")
-	errSilent       = errors.New("connection is silent")
-	errOverdue      = errors.New("answer is overdue: it takes many times as long as usual")
+	errStalled         = errors.New("suspect server does not respond")
+	errDeadline        = errors.New("request deadline exceeded")
+	errCallerLeft      = errors.New("caller disconnected")
+	errVersionDeadline = errors.New("deadline of the server's version reached")
+	errSilent          = errors.New("connection is silent")
+	errOverdue         = errors.New("answer is overdue: it takes many times the typical wait")
 )
 
-// silenceCheck returns why an attempt is abandoned after a silence of the server, given the usual
+// silenceCheck returns why an attempt is abandoned after a silence of the server, given the typical
 // wait, or nil if it is not.
-type silenceCheck func(silent, usual time.Duration) error
+type silenceCheck func(silent, typical time.Duration) error
 
 // connection is a persistent connection to a server. It carries one request at a time, and no
 // request is sent twice on it.
@@ -130,7 +130,7 @@
 		case c.silent.Load():
 			return 0, errSilent
 		case c.checkSilence != nil:
-			if err := c.checkSilence(now.Sub(c.lastRead), time.Duration(c.usual.Load())); err != nil {
+			if err := c.checkSilence(now.Sub(c.lastRead), time.Duration(c.typicalWait.Load())); err != nil {
 				return 0, err
 			}
 		}
@@ -141,18 +141,18 @@
 // its answer is overdue, whichever comes first.
 func (c *connection) nextSilenceCheck(now time.Time) time.Time {
 	next := now.Add(silenceCheckPeriod)
-	usual := time.Duration(c.usual.Load())
-	if usual == 0 {
+	typical := time.Duration(c.typicalWait.Load())
+	if typical == 0 {
 		return next
 	}
-	if due := c.lastRead.Add(overdueAfter(c.minOverdue, usual)); due.After(now) {
+	if due := c.lastRead.Add(overdueAfter(c.minOverdue, typical)); due.After(now) {
 		return minTime(next, due)
 	}
 	return next
 }
 
 // recordRead records that bytes have arrived. From the second part of an answer on, the longest
-// pause so far is the usual wait.
+// pause so far is the typical wait.
 func (c *connection) recordRead(count int) {
 	now := time.Now()
 	pause := now.Sub(c.lastRead)
@@ -160,9 +160,9 @@
 	case parts == 0:
 		c.expected.Store(int64(c.expectedStart))
 	case parts == 1:
-		c.usual.Store(int64(pause))
+		c.typicalWait.Store(int64(pause))
 	case parts > 1:
-		c.usual.Store(max(c.usual.Load(), int64(pause)))
+		c.typicalWait.Store(max(c.typicalWait.Load(), int64(pause)))
 	}
 	c.reads++
 	c.lastRead = now
@@ -172,12 +172,12 @@
 	}
 }
 
-// minUsual stands for a usual wait that is known to be short; 0 means that it is unknown.
-const minUsual = time.Millisecond
+// minTypicalWait stands for a typical wait that is known to be short; 0 means that it is unknown.
+const minTypicalWait = time.Millisecond
 
-// trackPauses makes the longest pause between the parts from now on the usual wait.
+// trackPauses makes the longest pause between the parts from now on the typical wait.
 func (c *connection) trackPauses() {
-	c.usual.Store(int64(minUsual))
+	c.typicalWait.Store(int64(minTypicalWait))
 	c.reads = 1
 }
 
--- a/internal/forward/convert.go
+++ b/internal/forward/convert.go
@@ -57,7 +57,7 @@
 	return engines
 }
 
-func statusReportOf(status fleet.MachineStatus) dispatch.Word {
+func loadReportOf(status fleet.MachineStatus) dispatch.Word {
 	return dispatch.Word{
 		Address: status.Address, Reachable: status.Reachable, Version: status.Version, Running: status.Running, Waiting: status.Waiting,
 		UnreadTokens: status.UnreadTokens, Pace: status.Pace,
@@ -67,20 +67,20 @@
 	}
 }
 
-func statusReportsOf(statuses []fleet.MachineStatus) []dispatch.Word {
+func loadReportsOf(statuses []fleet.MachineStatus) []dispatch.Word {
 	reports := make([]dispatch.Word, 0, len(statuses))
 	for _, status := range statuses {
-		reports = append(reports, statusReportOf(status))
+		reports = append(reports, loadReportOf(status))
 	}
 	return reports
 }
 
-// versionBoundsOf returns until when servers with older versions than the announced ones may begin
-// requests. Each version takes effect the given time after its announcement.
-func versionBoundsOf(notices []catalog.Notice, apply time.Duration) dispatch.VersionBounds {
-	bounds := make(dispatch.VersionBounds, 0, len(notices))
-	for _, notice := range notices {
-		bounds = append(bounds, dispatch.VersionBound{Version: notice.Version, Until: notice.Since.Add(apply)})
+// versionDeadlinesOf returns until when servers with older versions than the announced ones may
+// begin requests. Each version takes effect the given time after its announcement.
+func versionDeadlinesOf(announcements []catalog.Notice, apply time.Duration) dispatch.VersionBounds {
+	bounds := make(dispatch.VersionBounds, 0, len(announcements))
+	for _, announcement := range announcements {
+		bounds = append(bounds, dispatch.VersionBound{Version: announcement.Version, Until: announcement.Since.Add(apply)})
 	}
 	return bounds
 }
--- a/internal/forward/dump.go
+++ b/internal/forward/dump.go
@@ -30,8 +30,8 @@
 	Evacuated bool    `json:"evacuated"`
 	// Limit is the rate limit that the server names in its answers; nil if it names none.
 	Limit *LimitView `json:"limit,omitempty"`
-	// BackoffRemaining is how much longer the server wants no requests from this entry. AnnouncedLeaving
-	// is set once an answer has announced that the server is about to stop.
+	// BackoffRemaining is how much longer the server wants no requests from this entry.
+	// AnnouncedLeaving is set once an answer has announced that the server is about to stop.
 	BackoffRemaining float64 `json:"rest_seconds"`
 	AnnouncedLeaving bool    `json:"said_leaving"`
 }
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -48,8 +48,8 @@
 	// Admission holds the figures behind the last decision on the request.
 	Admission dispatch.Admission
 
-	// usual is how long the first byte of the answer usually takes at the chosen server.
-	usual time.Duration
+	// typicalWait is how long the first byte of the answer typically takes at the chosen server.
+	typicalWait time.Duration
 	// openedAfter is set once an attempt has ended on a silent connection: connections that were
 	// opened before it fell silent are not used for this request.
 	openedAfter time.Duration
@@ -106,8 +106,8 @@
 			return nil, &failure{reason: fault.ReasonEvacuated, execution: fault.ExecutionNotRun}
 		}
 	}
-	carrier.usual.Store(int64(request.usual))
-	carrier.expectedStart = request.usual
+	carrier.typicalWait.Store(int64(request.typicalWait))
+	carrier.expectedStart = request.typicalWait
 	carrier.repeatable.Store(request.Route.MayRepeat())
 	carrier.minOverdue = minOverdueOf(request.Route)
 	if !f.stillAllowed(request, chosen) {
@@ -141,7 +141,7 @@
 
 // checkBeforeSend runs the silence check again right before the send. Connecting takes up to
 // dialTimeout, and a request that is not sent needs no cancellation that may fail to arrive
-// (TestNothingIsSentWhenTheBoundNearsWhileConnecting).
+// (TestNothingIsSentWhenTheVersionDeadlineNearsWhileConnecting).
 func checkBeforeSend(check silenceCheck) error {
 	if check == nil {
 		return nil
@@ -174,7 +174,7 @@
 		return fault.ReasonOverdue
 	case errors.Is(err, errStalled):
 		return fault.ReasonStalled
-	case errors.Is(err, errVersionBound):
+	case errors.Is(err, errVersionDeadline):
 		return fault.ReasonVersionBound
 	}
 	return other
--- a/internal/forward/exchange_test.go
+++ b/internal/forward/exchange_test.go
@@ -235,9 +235,9 @@
 	assert.ErrorIs(t, err, errTruncatedEvent, "a truncated event means an incomplete stream")
 }
 
-// VERSION: a request that a server has not begun is withdrawn shortly before the bound of the
+// VERSION: a request that a server has not begun is withdrawn shortly before the deadline of the
 // server's version; one that has begun continues.
-func TestRequestIsWithdrawnBeforeTheVersionBound(t *testing.T) {
+func TestRequestIsWithdrawnBeforeTheVersionDeadline(t *testing.T) {
 	for _, begun := range []bool{false, true} {
 		server := startScriptedServer(t, func(net.Conn, *http.Request, int) { time.Sleep(3 * time.Second) })
 		f := testForwarder()
@@ -257,14 +257,14 @@
 		}
 		assert.Equal(t, fault.ReasonVersionBound, failed.reason)
 		assert.Equal(t, fault.ExecutionUnknown, failed.execution)
-		assert.Less(t, time.Since(began), time.Second, "withdrawn before the bound")
+		assert.Less(t, time.Since(began), time.Second, "withdrawn before the version deadline")
 	}
 }
 
 // VERSION: a waiting request is withdrawn for a version that is announced after it was sent. If the
-// bound is fixed at the send, from the versions known then, a request sent while the store's watch
-// received nothing for a second waits at a full server and begins on the old version 10 to 133 ms
-// past its bound.
+// deadline is fixed at the send, from the versions known then, a request sent while the store's
+// watch received nothing for a second waits at a full server and begins on the old version 10 to
+// 133 ms past its deadline.
 func TestRequestIsWithdrawnForAVersionAnnouncedLater(t *testing.T) {
 	f := testForwarder()
 	f.targets.bounds.Store(&fleet.Bounds{VersionApply: 8 * time.Second})
@@ -273,13 +273,14 @@
 	check := w.newSilenceCheck(&target{}, 1)
 	require.NoError(t, check(time.Millisecond, time.Second))
 	f.targets.update(&catalog.View{Versions: map[string][]catalog.Notice{"m": {{Version: 2, Since: time.Now().Add(-7800 * time.Millisecond)}}}})
-	assert.ErrorIs(t, check(time.Millisecond, time.Second), errVersionBound)
+	assert.ErrorIs(t, check(time.Millisecond, time.Second), errVersionDeadline)
 }
 
-// VERSION: the bound is checked again after connecting, and nothing is sent once it is near. If it
-// were checked only before connecting, which takes up to dialTimeout, and again 0.2 s after the
-// send, only a cancellation that arrives in time would keep the request from beginning late.
-func TestNothingIsSentWhenTheBoundNearsWhileConnecting(t *testing.T) {
+// VERSION: the version deadline is checked again after connecting, and nothing is sent once it is
+// near. If it were checked only before connecting, which takes up to dialTimeout, and again 0.2 s
+// after the send, only a cancellation that arrives in time would keep the request from beginning
+// late.
+func TestNothingIsSentWhenTheVersionDeadlineNearsWhileConnecting(t *testing.T) {
 	var received atomic.Int64
 	server := startScriptedServer(t, func(net.Conn, *http.Request, int) { received.Add(1) })
 	f := testForwarder()
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -187,7 +187,7 @@
 	// attemptBegun is set once the current attempt has returned an event.
 	attemptBegun bool
 	// overdueTimeout is the silence after which the current attempt is overdue as long as it has
-	// returned nothing; 0 if that follows from the usual wait.
+	// returned nothing; 0 if that follows from the typical wait.
 	overdueTimeout time.Duration
 	// overdueRecorded is set once the current attempt has been recorded as overdue.
 	overdueRecorded bool
--- a/internal/forward/health.go
+++ b/internal/forward/health.go
@@ -15,7 +15,7 @@
 )
 
 // Thresholds from which a pending answer is recorded as overdue, before the request is abandoned
-// for it: the other servers' requests show whether the delay is usual. At three times the usual
+// for it: the other servers' requests show whether the delay is typical. At three times the typical
 // wait, and half of the minimum overdue time, so many answers counted in a fleet at its limit that
 // healthy servers failed their trials.
 const (
@@ -155,14 +155,14 @@
 	}
 }
 
-// observeOverdue records, once per attempt, that the answer takes many times as long as usual. The
+// observeOverdue records, once per attempt, that the answer takes many times the typical wait. The
 // request itself may go on waiting; one that must not run twice has to.
-func (w *forwarding) observeOverdue(k *target, silent, usual time.Duration) {
-	if w.overdueRecorded || w.attemptBegun || usual <= 0 {
+func (w *forwarding) observeOverdue(k *target, silent, typical time.Duration) {
+	if w.overdueRecorded || w.attemptBegun || typical <= 0 {
 		return
 	}
 	minimum := time.Duration(overdueEvidenceRatio * float64(minOverdueOf(w.request.Route)))
-	if silent < max(minimum, overdueEvidenceFactor*usual) {
+	if silent < max(minimum, overdueEvidenceFactor*typical) {
 		return
 	}
 	w.overdueRecorded = true
--- a/internal/forward/health_trial_test.go
+++ b/internal/forward/health_trial_test.go
@@ -21,9 +21,9 @@
 	"pinevane.example/pinevane/platform"
 )
 
-// The trial of a server that was unreachable is given the time that the service's answers usually
+// The trial of a server that was unreachable is given the time that the service's answers typically
 // take. Otherwise all trials of a service that answers after half a second would fail, for good.
-func TestTrialIsGivenTheUsualTime(t *testing.T) {
+func TestTrialIsGivenTheTypicalTime(t *testing.T) {
 	f, w := healthFleet(fleet.Repeatable, 3)
 	server := f.server("i-0")
 	eject(f.targets, server.Candidate)
@@ -36,8 +36,8 @@
 	assert.NoError(t, check(450*time.Millisecond, 500*time.Millisecond))
 }
 
-// The only server of a service is given the usual time too, whatever its health state.
-func TestOnlyServerIsGivenTheUsualTime(t *testing.T) {
+// The only server of a service is given the typical time too, whatever its health state.
+func TestOnlyServerIsGivenTheTypicalTime(t *testing.T) {
 	f, w := healthFleet(fleet.Repeatable, 1)
 	server := f.server("i-0")
 	eject(f.targets, server.Candidate)
@@ -126,12 +126,12 @@
 // The trial of a lost server is overdue after its own timeout until it has returned an event.
 func TestOverdueTimeoutOfALostServersTrial(t *testing.T) {
 	w := &forwarding{request: &Request{Route: &fleet.Route{Kind: fleet.Streaming}}, overdueTimeout: 2 * time.Second}
-	const usual = 500 * time.Millisecond
-	assert.False(t, w.overdue(2*time.Second-1, usual))
-	assert.True(t, w.overdue(2*time.Second, usual))
+	const typical = 500 * time.Millisecond
+	assert.False(t, w.overdue(2*time.Second-1, typical))
+	assert.True(t, w.overdue(2*time.Second, typical))
 	w.attemptBegun = true
-	assert.False(t, w.overdue(overdueFactor*usual-1, usual))
+	assert.False(t, w.overdue(overdueFactor*typical-1, typical))
 	w.attemptBegun, w.overdueTimeout = false, 0
-	assert.False(t, w.overdue(overdueFactor*usual-1, usual))
-	assert.True(t, w.overdue(overdueFactor*usual, usual))
+	assert.False(t, w.overdue(overdueFactor*typical-1, typical))
+	assert.True(t, w.overdue(overdueFactor*typical, typical))
 }
--- a/internal/forward/silence.go
+++ b/internal/forward/silence.go
@@ -57,7 +57,7 @@
 	opened      time.Duration
 	requestedAt atomic.Int64
 	readAt      atomic.Int64
-	usual       atomic.Int64
+	typicalWait atomic.Int64
 	// expected is how long the last answer was expected to take to begin.
 	expected atomic.Int64
 	// repeatable is set while the request carried may be sent again.
@@ -188,7 +188,7 @@
 func (c *connection) observe(now time.Duration) silence.Observation {
 	observed := silence.Observation{
 		ID: c.id, Server: c.target.Address, Opened: c.opened, Waiting: c.awaiting.Load() && !c.silent.Load(),
-		Asked: time.Duration(c.requestedAt.Load()), Heard: time.Duration(c.readAt.Load()), Usual: time.Duration(c.usual.Load()),
+		Asked: time.Duration(c.requestedAt.Load()), Heard: time.Duration(c.readAt.Load()), Usual: time.Duration(c.typicalWait.Load()),
 		Expected: time.Duration(c.expected.Load()), Repeatable: c.repeatable.Load(),
 	}
 	silentFor := now - max(observed.Asked, observed.Heard)
@@ -203,7 +203,7 @@
 
 // Minimum times after which a repeatable request is abandoned on a connection that returns nothing,
 // without other evidence: for a plain request until the complete answer, for a stream until the
-// next event. They are far beyond the usual times, because the work of a server that was merely
+// next event. They are far beyond the typical times, because the work of a server that was merely
 // slow is wasted.
 const (
 	overdueFactor    = 10
@@ -214,7 +214,7 @@
 // reserveRetry reports whether the request may be sent again, and charges the retry budget for it:
 // a late answer is not abandoned unless a retry can follow.
 func (w *forwarding) reserveRetry() bool {
-	if w.attempts >= w.request.Route.Attempts || time.Until(w.request.Deadline) < max(minAttemptTime, w.request.usual) {
+	if w.attempts >= w.request.Route.Attempts || time.Until(w.request.Deadline) < max(minAttemptTime, w.request.typicalWait) {
 		return false
 	}
 	w.retryReserved = w.retryReserved || w.spendRetry(w.criteria.Service)
@@ -229,17 +229,17 @@
 	return plainMinOverdue
 }
 
-// overdueAfter is the silence after which an answer is overdue whose next byte usually takes the
+// overdueAfter is the silence after which an answer is overdue whose next byte typically takes the
 // given time.
-func overdueAfter(minimum, usual time.Duration) time.Duration {
-	return max(minimum, overdueFactor*usual)
+func overdueAfter(minimum, typical time.Duration) time.Duration {
+	return max(minimum, overdueFactor*typical)
 }
 
 // overdue reports whether a repeatable request is abandoned after a silence. It is not as long as
-// the usual wait is unknown.
-func (w *forwarding) overdue(silent, usual time.Duration) bool {
+// the typical wait is unknown.
+func (w *forwarding) overdue(silent, typical time.Duration) bool {
 	if w.overdueTimeout > 0 && !w.attemptBegun {
 		return silent >= w.overdueTimeout
 	}
-	return usual > 0 && silent >= overdueAfter(minOverdueOf(w.request.Route), usual)
+	return typical > 0 && silent >= overdueAfter(minOverdueOf(w.request.Route), typical)
 }
--- a/internal/forward/silence_test.go
+++ b/internal/forward/silence_test.go
@@ -248,7 +248,7 @@
 	}
 }
 
-// warm leaves an idle connection, and a known usual wait.
+// warm leaves an idle connection, and a known typical wait.
 func (s *testFleet) warm(kind fleet.RouteKind, events int) {
 	for number := range 3 {
 		require.Nil(s.t, s.send(kind, fmt.Sprint("warm-", number), events).refusal)
@@ -445,7 +445,7 @@
 	// slowFactor is how many times longer a slow server takes.
 	slowFactor = 8
 	// maxSlowRepeats is the maximum fraction of the requests that may be sent again because they
-	// take many times as long as usual, before that becomes usual.
+	// take many times the typical wait, before the typical wait has adapted.
 	maxSlowRepeats = 0.1
 )
 
--- a/internal/forward/sizes_test.go
+++ b/internal/forward/sizes_test.go
@@ -20,9 +20,9 @@
 	}
 }
 
-// Outcomes are counted by size, in classes around the usual one of the service.
+// Outcomes are counted by size, in classes around the typical one of the service.
 func TestSizeLabels(t *testing.T) {
-	for ofUsual, label := range map[float64]string{0: sizeUnderHalf, 0.49: sizeUnderHalf, 0.5: sizeUnderUsual, 1: sizeUnderDouble, 2: sizeOverDouble} {
-		assert.Equal(t, label, sizeLabel(ofUsual))
+	for ofTypical, label := range map[float64]string{0: sizeUnderHalf, 0.49: sizeUnderHalf, 0.5: sizeUnderTypical, 1: sizeUnderDouble, 2: sizeOverDouble} {
+		assert.Equal(t, label, sizeLabel(ofTypical))
 	}
 }
--- a/internal/forward/sizing.go
+++ b/internal/forward/sizing.go
@@ -40,22 +40,22 @@
 	endingLeft     = "caller left"
 )
 
-// Sizes of generations relative to the usual size of their service, as label values.
+// Sizes of generations relative to the typical size of their service, as label values.
 const (
-	sizeUnderHalf   = "under half"
-	sizeUnderUsual  = "half to usual"
-	sizeUnderDouble = "usual to double"
-	sizeOverDouble  = "over double"
+	sizeUnderHalf    = "under half"
+	sizeUnderTypical = "half to usual"
+	sizeUnderDouble  = "usual to double"
+	sizeOverDouble   = "over double"
 )
 
-// sizeLabel is the label of a size that is given as a multiple of the usual one.
-func sizeLabel(ofUsual float64) string {
+// sizeLabel is the label of a size that is given as a multiple of the typical one.
+func sizeLabel(ofTypical float64) string {
 	switch {
-	case ofUsual < 0.5:
+	case ofTypical < 0.5:
 		return sizeUnderHalf
-	case ofUsual < 1:
-		return sizeUnderUsual
-	case ofUsual < 2:
+	case ofTypical < 1:
+		return sizeUnderTypical
+	case ofTypical < 2:
 		return sizeUnderDouble
 	}
 	return sizeOverDouble
@@ -63,12 +63,12 @@
 
 // countEnding counts the outcome of a generation by its size.
 func (w *forwarding) countEnding(ending string) {
-	usual := fleet.GenerationSize(w.criteria.Figures.UsualPrompt, w.criteria.Figures.UsualAnswer)
-	if w.criteria.Engine == nil || usual <= 0 {
+	typical := fleet.GenerationSize(w.criteria.Figures.UsualPrompt, w.criteria.Figures.UsualAnswer)
+	if w.criteria.Engine == nil || typical <= 0 {
 		return
 	}
 	size := fleet.GenerationSize(float64(w.criteria.Prompt), float64(w.request.Call.AnswerTokens))
-	w.metrics.endings.WithLabelValues(sizeLabel(size/usual), ending).Inc()
+	w.metrics.endings.WithLabelValues(sizeLabel(size/typical), ending).Inc()
 }
 
 // endingLabel is the outcome label of a refusal.
--- a/internal/forward/targets.go
+++ b/internal/forward/targets.go
@@ -152,7 +152,7 @@
 func (t *targets) applyStatus(status fleet.MachineStatus, at time.Time, direct bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	isNew, changed := t.core.TakeWord(statusReportOf(status), at)
+	isNew, changed := t.core.TakeWord(loadReportOf(status), at)
 	if isNew {
 		t.statuses[status.Address] = status
 	}
--- a/internal/loadquery/client.go
+++ b/internal/loadquery/client.go
@@ -16,7 +16,7 @@
 
 // Timeouts of a query.
 const (
-	// answerTimeout is the maximum wait for any answer: a tenth of the usual target for the first
+	// answerTimeout is the maximum wait for any answer: a tenth of the typical target for the first
 	// event, and many times a round trip to another region.
 	answerTimeout = 40 * time.Millisecond
 	// minFurtherTimeout is the minimum wait for further answers once one has arrived.
