--- a/internal/forward/dump.go
+++ b/internal/forward/dump.go
@@ -10,57 +10,57 @@
 	"pinevane.example/pinevane/internal/fleet"
 )
 
-// ServerView is what the entry believes of one server, with ages.
+// ServerView is the entry's state of one server, with ages.
 type ServerView struct {
-	ID              string              `json:"id"`
-	Service         string              `json:"service"`
-	Address         string              `json:"address"`
-	Zone            string              `json:"zone"`
-	Draining        bool                `json:"draining"`
-	InFlight        int                 `json:"in_flight"`
-	Outstanding     int                 `json:"outstanding"`
-	Version         uint64              `json:"version"`
-	EjectedFor      float64             `json:"ejected_for_seconds"`
-	Health          HealthView          `json:"health"`
-	Status          fleet.MachineStatus `json:"status"`
-	StatusAge       float64             `json:"status_age_seconds"`
-	MeanMillisecond float64             `json:"mean_milliseconds"`
-	// ColdFor is how much longer the server counts as cold; Evacuated servers are sent
-	// nothing new.
+	ID               string              `json:"id"`
+	Service          string              `json:"service"`
+	Address          string              `json:"address"`
+	Zone             string              `json:"zone"`
+	Draining         bool                `json:"draining"`
+	InFlight         int                 `json:"in_flight"`
+	Outstanding      int                 `json:"outstanding"`
+	Version          uint64              `json:"version"`
+	EjectedFor       float64             `json:"ejected_for_seconds"`
+	Health           HealthView          `json:"health"`
+	Status           fleet.MachineStatus `json:"status"`
+	StatusAge        float64             `json:"status_age_seconds"`
+	MeanMilliseconds float64             `json:"mean_milliseconds"`
+	// ColdFor is how much longer the server counts as cold. Evacuated servers get no new requests.
 	ColdFor   float64 `json:"cold_for_seconds"`
 	Evacuated bool    `json:"evacuated"`
-	// Limit is the rate that the server names in its answers; nil when it names none.
+	// Limit is the rate limit that the server names in its answers; nil if it names none.
 	Limit *LimitView `json:"limit,omitempty"`
-	// RestLeft is for how much longer the server wants nothing from this entry; SaidLeaving is set when an
-	// answer has said that it is about to end.
-	RestLeft    float64 `json:"rest_seconds"`
-	SaidLeaving bool    `json:"said_leaving"`
+	// BackoffRemaining is how much longer the server wants no requests from this entry.
+	// AnnouncedLeaving is set once an answer has announced that the server is about to stop.
+	BackoffRemaining float64 `json:"rest_seconds"`
+	AnnouncedLeaving bool    `json:"said_leaving"`
 }
 
-// LimitView is a rate that a server has named.
+// LimitView is a rate limit that a server has named.
 type LimitView struct {
 	PerSecond float64 `json:"per_second"`
 	Age       float64 `json:"age_seconds"`
-	// Share is how many requests this entry may send in four seconds.
+	// Share is the number of requests this entry may send in four seconds.
 	Share int `json:"share"`
 }
 
-// HealthView is what the entry holds of one server's health.
+// HealthView is the entry's health record of one server.
 type HealthView struct {
 	State string `json:"state"`
-	// Evidence is this entry's own, Hinted that of the zone's other entries.
-	Evidence float64 `json:"evidence"`
-	Hinted   float64 `json:"hinted"`
-	// Round counts the ejections that are not forgotten; By is the entry that told the last.
-	Round int    `json:"round"`
-	By    string `json:"by"`
+	// Evidence was collected by this entry, PeerEvidence by the zone's other entries.
+	Evidence     float64 `json:"evidence"`
+	PeerEvidence float64 `json:"hinted"`
+	// Round counts the ejections that have not expired. Reporter is the entry that reported the
+	// last.
+	Round    int    `json:"round"`
+	Reporter string `json:"by"`
 }
 
-func healthView(held health.View) HealthView {
-	return HealthView{State: held.State.String(), Evidence: held.Evidence, Hinted: held.PeerEvidence, Round: held.Round, By: held.Reporter}
+func healthView(v health.View) HealthView {
+	return HealthView{State: v.State.String(), Evidence: v.Evidence, PeerEvidence: v.PeerEvidence, Round: v.Round, Reporter: v.Reporter}
 }
 
-// Servers lists the servers in view in order of ID.
+// Servers lists the servers in view, ordered by ID.
 func (f *Forwarder) Servers() []ServerView {
 	t := f.targets
 	t.mutex.Lock()
@@ -73,14 +73,14 @@
 		view := ServerView{
 			ID: server.ID, Service: server.Service, Address: server.Address, Zone: server.Zone,
 			Draining: server.Draining, InFlight: one.InFlight, Outstanding: one.Outstanding, Version: one.Version,
-			EjectedFor: one.Health.Remaining.Seconds(), Health: healthView(one.Health), StatusAge: one.ReportAge.Seconds(), MeanMillisecond: one.MeanMilliseconds,
-			ColdFor: one.ColdFor.Seconds(), Evacuated: one.Evacuated, RestLeft: one.BackoffLeft.Seconds(), SaidLeaving: one.AnnouncedLeaving,
+			EjectedFor: one.Health.Remaining.Seconds(), Health: healthView(one.Health), StatusAge: one.ReportAge.Seconds(), MeanMilliseconds: one.MeanMilliseconds,
+			ColdFor: one.ColdFor.Seconds(), Evacuated: one.Evacuated, BackoffRemaining: one.BackoffLeft.Seconds(), AnnouncedLeaving: one.AnnouncedLeaving,
 		}
 		if one.Limit.InForce {
 			view.Limit = &LimitView{PerSecond: one.Limit.PerSecond, Age: one.Limit.SinceNamed.Seconds(), Share: one.Limit.Share}
 		}
 		if one.ReportAge != dispatch.NoReport {
-			view.Status = t.told[server.Address]
+			view.Status = t.statuses[server.Address]
 		}
 		views = append(views, view)
 	}
