--- a/internal/catalog/ages.go
+++ b/internal/catalog/ages.go
@@ -160,7 +160,7 @@
 }
 
 // correctAge sets since when a version has been announced, if that was assumed.
-func (c *Catalog) correctAge(named fleet.NamedVersion, since time.Time) {
+func (c *Catalog) correctAge(named fleet.PublishedVersion, since time.Time) {
 	old := c.view.Load()
 	announcements := slices.Clone(old.Versions[named.Model])
 	for index := range announcements {
--- a/internal/catalog/asks.go
+++ b/internal/catalog/asks.go
@@ -128,7 +128,7 @@
 		reason = fmt.Sprintf("age of %d ms", m.AgeMilliseconds)
 	case m.StartTime < 0:
 		reason = fmt.Sprintf("start time %d", m.StartTime)
-	case math.IsNaN(m.PerSecond) || m.PerSecond < 0 || m.PerSecond > fleet.MostRequestsPerSecond:
+	case math.IsNaN(m.PerSecond) || m.PerSecond < 0 || m.PerSecond > fleet.MaxRequestsPerSecond:
 		reason = fmt.Sprintf("%g requests per second", m.PerSecond)
 	default:
 		return nil
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -228,7 +228,7 @@
 	c.apply(fromStore, func() []mirror.Record {
 		age := c.ageOfUnseen()
 		c.recordAges(listing.Records, func(mirror.Record) versionAge { return age })
-		return c.mirror.Replace(prefix, listing.Records, listing.At)
+		return c.mirror.Replace(prefix, listing.Records, listing.Revision)
 	})
 }
 
@@ -359,10 +359,10 @@
 		return known
 	}
 	delete(c.faulty.reasons, record.Key)
-	if known && c.isFormerIncarnation(record.Key, server.Born, old.Born) {
+	if known && c.isFormerIncarnation(record.Key, server.StartTime, old.StartTime) {
 		return false
 	}
-	if held := c.statuses[server.Address]; old.Born.Differs(server.Born) && held.status.Born != server.Born {
+	if held := c.statuses[server.Address]; old.StartTime.Differs(server.StartTime) && held.status.StartTime != server.StartTime {
 		// Otherwise status reports on the former incarnation would be forwarded, and would displace
 		// those on this one if its start time is the earlier one.
 		delete(c.statuses, server.Address)
@@ -418,7 +418,7 @@
 }
 
 func sameServer(a, b fleet.Server) bool {
-	if a.Born != b.Born || a.Service != b.Service || a.Address != b.Address || a.Zone != b.Zone || a.Slots != b.Slots || a.Draining != b.Draining || !a.ColdUntil.Equal(b.ColdUntil) {
+	if a.StartTime != b.StartTime || a.Service != b.Service || a.Address != b.Address || a.Zone != b.Zone || a.Slots != b.Slots || a.Draining != b.Draining || !a.ColdUntil.Equal(b.ColdUntil) {
 		return false
 	}
 	if len(a.Models) != len(b.Models) {
--- a/internal/catalog/doubt_test.go
+++ b/internal/catalog/doubt_test.go
@@ -25,7 +25,7 @@
 type historyLossStore struct{}
 
 func (historyLossStore) List(context.Context, string) (fleet.Listing, error) {
-	return fleet.Listing{Records: []mirror.Record{version2}, At: version2.Revision}, nil
+	return fleet.Listing{Records: []mirror.Record{version2}, Revision: version2.Revision}, nil
 }
 
 func (historyLossStore) Watch(_ context.Context, prefix string, after uint64, _ time.Duration) (fleet.Listing, error) {
@@ -95,7 +95,7 @@
 	if s.err != nil {
 		return fleet.Listing{}, s.err
 	}
-	return fleet.Listing{Records: []mirror.Record{version2}, At: version2.Revision}, nil
+	return fleet.Listing{Records: []mirror.Record{version2}, Revision: version2.Revision}, nil
 }
 
 // VERSION: time does not count while the store is out for the whole fleet.
--- a/internal/catalog/evacuations_test.go
+++ b/internal/catalog/evacuations_test.go
@@ -28,7 +28,7 @@
 	c.applyWatched([]mirror.Record{{Key: "op/evacuate/a", Revision: 8, Gone: true}})
 	c.applyReceived([]mirror.Record{evacuationRecord("a", 5)}, nil)
 	assert.NotContains(t, c.View().Evacuations, "a")
-	c.applyListing("", fleet.Listing{At: 12})
+	c.applyListing("", fleet.Listing{Revision: 12})
 	assert.Empty(t, c.View().Evacuations, "a listing without it ends it")
 }
 
--- a/internal/catalog/horizon_test.go
+++ b/internal/catalog/horizon_test.go
@@ -248,7 +248,7 @@
 
 func (s *faultyStore) List(context.Context, string) (fleet.Listing, error) {
 	return s.call(func() fleet.Listing {
-		return fleet.Listing{Records: append([]mirror.Record(nil), s.records[len(s.records)-1:]...), At: s.head()}
+		return fleet.Listing{Records: append([]mirror.Record(nil), s.records[len(s.records)-1:]...), Revision: s.head()}
 	})
 }
 
@@ -260,7 +260,7 @@
 		over := time.After(wait)
 		for {
 			if changes := s.changesAfter(after); len(changes) > 0 {
-				return fleet.Listing{Records: changes, At: s.head()}
+				return fleet.Listing{Records: changes, Revision: s.head()}
 			}
 			changed := s.changed
 			s.mutex.Unlock()
@@ -272,7 +272,7 @@
 			}
 			s.mutex.Lock()
 			if ended {
-				return fleet.Listing{At: s.head()}
+				return fleet.Listing{Revision: s.head()}
 			}
 		}
 	})
--- a/internal/catalog/packing_test.go
+++ b/internal/catalog/packing_test.go
@@ -24,8 +24,8 @@
 	for index := range agents {
 		c.applyStatus(heldStatus{zone: "z", at: now, status: fleet.MachineStatus{
 			Address: fmt.Sprintf("10.4.17.%d:8001", index), Reachable: true, Model: "daka510000", Version: 3, Running: index % 8, Waiting: index % 3,
-			CacheUsed: 31_000 + 977*index, CacheTotal: 317_000, Pace: 1 + float64(index)/100, SwitchMilliseconds: fleet.NoSwitch, Wanted: 3,
-			Received: index % 5, Born: incarnation.StartTime(1_790_000_000_000 + 37*index),
+			CacheUsed: 31_000 + 977*index, CacheTotal: 317_000, Pace: 1 + float64(index)/100, SwitchMilliseconds: fleet.NoSwitch, FetchingVersion: 3,
+			Received: index % 5, StartTime: incarnation.StartTime(1_790_000_000_000 + 37*index),
 		}})
 	}
 }
--- a/internal/catalog/reader.go
+++ b/internal/catalog/reader.go
@@ -189,7 +189,7 @@
 			c.recordAnswered()
 			c.applyWatched(changes.Records)
 			c.recordComplete(call)
-			position.revision = max(position.revision, changes.At)
+			position.revision = max(position.revision, changes.Revision)
 			c.recordRead(position.revision)
 		}
 	}
@@ -217,7 +217,7 @@
 	c.applyListing(position.prefix, listing)
 	call.receivedAt, call.changes = time.Now(), len(listing.Records)
 	c.recordComplete(call)
-	position.revision, position.forgottenRevision = listing.At, 0
+	position.revision, position.forgottenRevision = listing.Revision, 0
 	c.recordRead(position.revision)
 	return nil
 }
--- a/internal/catalog/restarted_test.go
+++ b/internal/catalog/restarted_test.go
@@ -23,7 +23,7 @@
 	c.applyWatched([]mirror.Record{startedRecord(2, 200, 1)})
 	c.applyWatched([]mirror.Record{startedRecord(3, 100, 2)})
 	served := c.View().Servers["m"][0]
-	assert.EqualValues(t, 200, served.Born)
+	assert.EqualValues(t, 200, served.StartTime)
 	assert.EqualValues(t, 1, served.Models[0].Version)
 }
 
@@ -35,7 +35,7 @@
 	c.applyWatched([]mirror.Record{startedRecord(2, 200, 1)})
 	c.applyWatched([]mirror.Record{startedRecord(3, 200, 1)})
 	served := c.View().Servers["m"][0]
-	assert.EqualValues(t, 200, served.Born)
+	assert.EqualValues(t, 200, served.StartTime)
 	assert.EqualValues(t, 1, served.Models[0].Version)
 }
 
--- a/internal/catalog/silentlinks.go
+++ b/internal/catalog/silentlinks.go
@@ -146,7 +146,7 @@
 // fault may have struck the watch, and the client alone detects that only after the wait and
 // several typical response times. The mutex must be held.
 func (c *Catalog) suspectStore(latest *peerLink, now time.Time) {
-	listener, listens := c.options.Store.(fleet.SilenceHearer)
+	listener, listens := c.options.Store.(fleet.SilenceListener)
 	if !listens || now.Sub(c.storeSuspectedAt) < suspectWindow {
 		return
 	}
--- a/internal/catalog/statuses.go
+++ b/internal/catalog/statuses.go
@@ -127,7 +127,7 @@
 func (c *Catalog) applyStatus(fresh heldStatus) {
 	c.mutex.Lock()
 	held, known := c.statuses[fresh.status.Address]
-	if known && fresh.status.Born.Before(held.status.Born) && !fresh.direct && fresh.at.Sub(held.at) < statusTTL {
+	if known && fresh.status.StartTime.Before(held.status.StartTime) && !fresh.direct && fresh.at.Sub(held.at) < statusTTL {
 		c.mutex.Unlock()
 		return
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -274,7 +274,7 @@
 	if len(restart) > 0 {
 		d.Log.Log(logging.RestartNeeded, zap.Strings("fields", restart))
 	}
-	fresh = before.KeepRunning(fresh)
+	fresh = before.MergeReloadable(fresh)
 	d.settings.Store(&fresh)
 	d.mutex.Lock()
 	told := slices.Clone(d.onSettings)
--- a/internal/fleet/changes.go
+++ b/internal/fleet/changes.go
@@ -26,9 +26,9 @@
 	return fields
 }
 
-// KeepRunning returns fresh settings with the fields of RestartNeeded as they are in a running
+// MergeReloadable returns fresh settings with the fields of RestartNeeded as they are in a running
 // process, which goes on with those until it is started anew.
-func (s Settings) KeepRunning(fresh Settings) Settings {
+func (s Settings) MergeReloadable(fresh Settings) Settings {
 	fresh.Name, fresh.Zone, fresh.IP = s.Name, s.Zone, s.IP
 	fresh.Callers, fresh.Ready, fresh.Control = s.Callers, s.Ready, s.Control
 	fresh.InternalPort, fresh.StoreAddress = s.InternalPort, s.StoreAddress
--- a/internal/fleet/changes_test.go
+++ b/internal/fleet/changes_test.go
@@ -16,7 +16,7 @@
 		Region: "north", Bounds: Bounds{Drain: time.Second}, MemoryBytes: 7, LinkBytesPerSecond: 8, Seeds: []string{"10.0.0.3"},
 	}
 	assert.Len(t, before.RestartNeeded(fresh), 7)
-	kept := before.KeepRunning(fresh)
+	kept := before.MergeReloadable(fresh)
 	assert.Empty(t, before.RestartNeeded(kept))
 	assert.Equal(t, fresh.Bounds, kept.Bounds)
 	assert.Equal(t, fresh.MemoryBytes, kept.MemoryBytes)
--- a/internal/fleet/configuration.go
+++ b/internal/fleet/configuration.go
@@ -78,8 +78,8 @@
 	Warm time.Duration
 }
 
-// Figures are what the predictions of load go by, as published.
-func (e *Engine) Figures() balance.Server {
+// Parameters are what the predictions of load go by, as published.
+func (e *Engine) Parameters() balance.Server {
 	return balance.Server{
 		Slots: e.Slots, Stride: e.Stride,
 		StepMilliseconds: e.StepMilliseconds, PerSequence: e.PerSequenceMilliseconds, ContextPerThousand: e.ContextPerThousand,
@@ -87,9 +87,9 @@
 	}
 }
 
-// MissingFigures names the figures of speed and size that are not published, or can't
+// MissingParameters names the figures of speed and size that are not published, or can't
 // be right.
-func (e *Engine) MissingFigures() []string {
+func (e *Engine) MissingParameters() []string {
 	var missing []string
 	for _, figure := range []struct {
 		name  string
--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -19,8 +19,8 @@
 	ToLayer   int
 }
 
-// Holds reports whether the model is here whole, of layers in all.
-func (h HeldModel) Holds(layers int) bool {
+// Complete reports whether the model is here whole, of layers in all.
+func (h HeldModel) Complete(layers int) bool {
 	if h.FromLayer == 0 && h.ToLayer == 0 {
 		return true
 	}
@@ -41,12 +41,12 @@
 	ColdUntil time.Time
 	// Revision is the store's revision of the line.
 	Revision uint64
-	// Born tells this life of the server from others under its ID.
-	Born incarnation.StartTime
+	// StartTime tells this life of the server from others under its ID.
+	StartTime incarnation.StartTime
 }
 
-// NamedVersion is the newest published version of a model's weights.
-type NamedVersion struct {
+// PublishedVersion is the newest published version of a model's weights.
+type PublishedVersion struct {
 	Model    string
 	Version  uint64
 	Revision uint64
@@ -79,7 +79,7 @@
 	Configuration(value []byte) (*Configuration, error)
 	// Server reads a server's line as of a time, from which its times count.
 	Server(record mirror.Record, at time.Time) (Server, error)
-	Version(record mirror.Record) (NamedVersion, error)
+	Version(record mirror.Record) (PublishedVersion, error)
 	// Evacuation reads an evacuation. Its zone is valid also beside an error about the
 	// rest of the record, unless it is empty.
 	Evacuation(record mirror.Record) (Evacuation, error)
@@ -88,8 +88,8 @@
 // Listing is a read of all records under a prefix.
 type Listing struct {
 	Records []mirror.Record
-	// At is the revision from which a watch continues.
-	At uint64
+	// Revision is the revision from which a watch continues.
+	Revision uint64
 }
 
 // Store reads the platform's published records. Errors are *fault.Unavailable
@@ -106,9 +106,9 @@
 	OnSilent(function func(target string, silent time.Duration))
 }
 
-// SilenceHearer is implemented by clients that look at their open connections when those to other
+// SilenceListener is implemented by clients that look at their open connections when those to other
 // processes have turned out to be silent.
-type SilenceHearer interface {
+type SilenceListener interface {
 	SuspectSilence()
 }
 
@@ -124,8 +124,8 @@
 	CacheTotal int
 	// Pace is over 1 when the server is slow.
 	Pace float64
-	// Born tells this life of the server from others under its ID.
-	Born incarnation.StartTime
+	// StartTime tells this life of the server from others under its ID.
+	StartTime incarnation.StartTime
 }
 
 // StartOrder asks a server to take a staged version into service.
@@ -144,10 +144,10 @@
 
 // The outcomes of orders.
 const (
-	// OrderBegun means that the server has taken the order.
-	OrderBegun OrderOutcome = iota + 1
-	// OrderHolds means that there is nothing left to do.
-	OrderHolds
+	// OrderAccepted means that the server has taken the order.
+	OrderAccepted OrderOutcome = iota + 1
+	// OrderAlreadyHeld means that there is nothing left to do.
+	OrderAlreadyHeld
 	// OrderConflict means that the order does not fit the server's state.
 	OrderConflict
 )
@@ -224,39 +224,39 @@
 	// when not said.
 	ColdFor time.Duration
 	// Limit is what the server says of how many requests it takes.
-	Limit RequestLimit
+	Limit RateLimit
 	// Leaving is set when the server says that it is about to end.
 	Leaving bool
-	// Rest is for how long the server wants nothing more from this process; zero when it does not say.
-	Rest Rest
+	// Backoff is for how long the server wants nothing more from this process; zero when it does not say.
+	Backoff Backoff
 }
 
-// Rest is what an answer says of a time in which its server wants no requests.
-type Rest struct {
-	For time.Duration
+// Backoff is what an answer says of a time in which its server wants no requests.
+type Backoff struct {
+	Duration time.Duration
 	// Unreadable is set when the answer names something that is no time.
 	Unreadable bool
 }
 
-// LimitWord is what an answer says of its server's limit.
-type LimitWord int
+// RateLimitKind is what an answer says of its server's limit.
+type RateLimitKind int
 
 // The words on limits.
 const (
-	// NoLimit: the answer names none.
-	NoLimit LimitWord = iota
-	// LimitNamed: it names one.
-	LimitNamed
-	// LimitUnreadable: it names something that is no rate. The limit known before holds on.
-	LimitUnreadable
+	// NoRateLimit: the answer names none.
+	NoRateLimit RateLimitKind = iota
+	// RateLimitStated: it names one.
+	RateLimitStated
+	// RateLimitUnreadable: it names something that is no rate. The limit known before holds on.
+	RateLimitUnreadable
 )
 
-// MostRequestsPerSecond is far more than any server takes; a limit above it is none.
-const MostRequestsPerSecond = 1e6
+// MaxRequestsPerSecond is far more than any server takes; a limit above it is none.
+const MaxRequestsPerSecond = 1e6
 
-// RequestLimit is how many requests a second a server takes from all entries together.
-type RequestLimit struct {
-	Word      LimitWord
+// RateLimit is how many requests a second a server takes from all entries together.
+type RateLimit struct {
+	Kind      RateLimitKind
 	PerSecond float64
 }
 
--- a/internal/fleet/sizes.go
+++ b/internal/fleet/sizes.go
@@ -1,12 +1,12 @@
 package fleet
 
-// MostTokens is the largest size of a prompt or an answer that is believed: over three times the
+// MaxTokens is the largest size of a prompt or an answer that is believed: over three times the
 // memory for tokens of the largest servers known, 1.18 million. A larger one is faulty.
-const MostTokens = 1 << 22
+const MaxTokens = 1 << 22
 
-// KnownTokens is a size that a caller or another process has told, or 0, which is unknown, when
+// ValidTokens is a size that a caller or another process has told, or 0, which is unknown, when
 // it can't be: it is negative, or over the most. Servers' loads are reckoned with such sizes.
-func KnownTokens(told, most int) int {
+func ValidTokens(told, most int) int {
 	if told < 0 || told > most {
 		return 0
 	}
@@ -21,11 +21,11 @@
 	return promptTokens + answerWeight*answerTokens
 }
 
-// MostPrompt is the largest prompt that the service's servers can hold, in tokens: their memory
+// MaxPrompt is the largest prompt that the service's servers can hold, in tokens: their memory
 // for tokens. Where that is not published, or the service has no engine, it is MostTokens.
-func (e *Engine) MostPrompt() int {
+func (e *Engine) MaxPrompt() int {
 	if e == nil || e.CacheTokens <= 0 {
-		return MostTokens
+		return MaxTokens
 	}
-	return min(e.CacheTokens, MostTokens)
+	return min(e.CacheTokens, MaxTokens)
 }
--- a/internal/fleet/sizes_test.go
+++ b/internal/fleet/sizes_test.go
@@ -9,11 +9,11 @@
 
 func TestPromptsAreBoundedByTheMemoryForTokens(t *testing.T) {
 	var none *Engine
-	assert.Equal(t, MostTokens, none.MostPrompt())
-	assert.Equal(t, MostTokens, (&Engine{}).MostPrompt())
-	assert.Equal(t, MostTokens, (&Engine{CacheTokens: math.MaxInt}).MostPrompt())
-	assert.Equal(t, 317000, (&Engine{CacheTokens: 317000}).MostPrompt())
-	assert.Equal(t, 317000, KnownTokens(317000, 317000))
-	assert.Zero(t, KnownTokens(317001, 317000))
-	assert.Zero(t, KnownTokens(-1, 317000))
+	assert.Equal(t, MaxTokens, none.MaxPrompt())
+	assert.Equal(t, MaxTokens, (&Engine{}).MaxPrompt())
+	assert.Equal(t, MaxTokens, (&Engine{CacheTokens: math.MaxInt}).MaxPrompt())
+	assert.Equal(t, 317000, (&Engine{CacheTokens: 317000}).MaxPrompt())
+	assert.Equal(t, 317000, ValidTokens(317000, 317000))
+	assert.Zero(t, ValidTokens(317001, 317000))
+	assert.Zero(t, ValidTokens(-1, 317000))
 }
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -44,12 +44,12 @@
 	// SwitchMilliseconds is the time until the server is ordered to another
 	// version; 0 means that it is changing now, NoSwitch that none is planned.
 	SwitchMilliseconds int64 `cbor:"10,keyasint" json:"switch_milliseconds"`
-	// Wanted and Missing tell of the version being fetched, and its pieces to come.
-	Wanted  uint64 `cbor:"11,keyasint" json:"wanted"`
-	Missing int    `cbor:"12,keyasint" json:"missing"`
-	// LinkMilliseconds is how long a message to an entry and back takes over the
+	// FetchingVersion and Missing tell of the version being fetched, and its pieces to come.
+	FetchingVersion uint64 `cbor:"11,keyasint" json:"wanted"`
+	MissingPieces   int    `cbor:"12,keyasint" json:"missing"`
+	// LinkRTTMilliseconds is how long a message to an entry and back takes over the
 	// machine's link, queues included; 0 while that is not known.
-	LinkMilliseconds int64 `cbor:"13,keyasint,omitempty" json:"link_milliseconds"`
+	LinkRTTMilliseconds int64 `cbor:"13,keyasint,omitempty" json:"link_milliseconds"`
 	// UnreadTokens are the prompts of the requests that wait, where the agent answers an
 	// entry's question; 0 when it does not know them.
 	UnreadTokens int `cbor:"15,keyasint,omitempty" json:"unread_tokens"`
@@ -64,6 +64,6 @@
 	// Received counts the requests that were announced to the server in the last
 	// admission.ColdSpan.
 	Received int `cbor:"18,keyasint,omitempty" json:"received"`
-	// Born is that of the server that the word is on; 0 when the server does not tell it.
-	Born incarnation.StartTime `cbor:"19,keyasint,omitempty" json:"born"`
+	// StartTime is that of the server that the word is on; 0 when the server does not tell it.
+	StartTime incarnation.StartTime `cbor:"19,keyasint,omitempty" json:"born"`
 }
--- a/internal/forward/asked.go
+++ b/internal/forward/asked.go
@@ -32,12 +32,12 @@
 		t.sawLeaving(k, now)
 	}
 	switch {
-	case head.Rest.For > 0:
+	case head.Backoff.Duration > 0:
 		t.rests.Inc()
-		if t.core.RecordBackoff(k.Candidate, head.Rest.For, now) {
-			t.log.Log(logging.ServerRests, zap.String("server", k.ID), zap.Duration("for", head.Rest.For))
+		if t.core.RecordBackoff(k.Candidate, head.Backoff.Duration, now) {
+			t.log.Log(logging.ServerRests, zap.String("server", k.ID), zap.Duration("for", head.Backoff.Duration))
 		}
-	case head.Rest.Unreadable:
+	case head.Backoff.Unreadable:
 		t.logUnreadable(k, "rest")
 	}
 }
@@ -46,9 +46,9 @@
 // name a limit but not end it: it may come from something else on the way. The mutex is held.
 func (t *targets) sawLimit(k *target, head fleet.AnswerHeader, sentAt, now time.Time) {
 	switch {
-	case head.Limit.Word == fleet.LimitNamed:
+	case head.Limit.Kind == fleet.RateLimitStated:
 		t.noteLimit(k, t.core.RecordRateLimit(k.Candidate, head.Limit.PerSecond, sentAt, now), now)
-	case head.Limit.Word == fleet.LimitUnreadable:
+	case head.Limit.Kind == fleet.RateLimitUnreadable:
 		t.logUnreadable(k, "limit")
 	case head.Signed:
 		t.noteLimit(k, t.core.RecordNoRateLimit(k.Candidate, sentAt, now), sentAt)
--- a/internal/forward/choice.go
+++ b/internal/forward/choice.go
@@ -102,7 +102,7 @@
 	wanted.Engine = t.engines[wanted.Service]
 	if wanted.Engine != nil {
 		wanted.Figures = t.core.Figures(wanted.Service, wanted.Engine)
-		wanted.Prompt = fleet.KnownTokens(wanted.Prompt, wanted.Engine.MaxPrompt)
+		wanted.Prompt = fleet.ValidTokens(wanted.Prompt, wanted.Engine.MaxPrompt)
 	}
 }
 
--- a/internal/forward/configuration.go
+++ b/internal/forward/configuration.go
@@ -24,7 +24,7 @@
 		if service.Engine == nil {
 			continue
 		}
-		missing := service.Engine.MissingFigures()
+		missing := service.Engine.MissingParameters()
 		count += len(missing)
 		if len(missing) > 0 {
 			f.log.Log(logging.FiguresMissing, zap.String("service", name), zap.Strings("figures", missing),
--- a/internal/forward/convert.go
+++ b/internal/forward/convert.go
@@ -32,7 +32,7 @@
 func serverOf(server fleet.Server) dispatch.Server {
 	listed := dispatch.Server{
 		ID: server.ID, Service: server.Service, Address: server.Address, Zone: server.Zone, Slots: server.Slots, Draining: server.Draining,
-		HoldsModel: len(server.Models) > 0, ColdUntil: server.ColdUntil, Revision: server.Revision, StartTime: server.Born,
+		HoldsModel: len(server.Models) > 0, ColdUntil: server.ColdUntil, Revision: server.Revision, StartTime: server.StartTime,
 	}
 	for _, model := range server.Models {
 		listed.Version = max(listed.Version, model.Version)
@@ -49,8 +49,8 @@
 	for name, service := range configuration.Services {
 		if engine := service.Engine; engine != nil {
 			engines[name] = &dispatch.Engine{
-				Published: engine.Figures(), Pieces: engine.Pieces, CopyTime: engine.CopyTime(configuration.OriginRate()), ActivationTime: engine.Warm,
-				MaxPrompt: engine.MostPrompt(),
+				Published: engine.Parameters(), Pieces: engine.Pieces, CopyTime: engine.CopyTime(configuration.OriginRate()), ActivationTime: engine.Warm,
+				MaxPrompt: engine.MaxPrompt(),
 			}
 		}
 	}
@@ -62,8 +62,8 @@
 		Address: status.Address, Reachable: status.Reachable, Version: status.Version, Running: status.Running, Waiting: status.Waiting,
 		UnreadTokens: status.UnreadTokens, Pace: status.Pace,
 		SwitchPlanned: status.SwitchMilliseconds != fleet.NoSwitch, SwitchIn: time.Duration(status.SwitchMilliseconds) * time.Millisecond,
-		FetchingVersion: status.Wanted, MissingPieces: status.Missing, LinkRTT: time.Duration(status.LinkMilliseconds) * time.Millisecond,
-		ColdFor: status.ColdFor(), Received: status.Received, StartTime: status.Born,
+		FetchingVersion: status.FetchingVersion, MissingPieces: status.MissingPieces, LinkRTT: time.Duration(status.LinkRTTMilliseconds) * time.Millisecond,
+		ColdFor: status.ColdFor(), Received: status.Received, StartTime: status.StartTime,
 	}
 }
 
--- a/internal/forward/exchange_test.go
+++ b/internal/forward/exchange_test.go
@@ -304,7 +304,7 @@
 // answer to another one while the connection for this one was being made.
 func TestNothingIsSentToAServerThatAskedToBeSparedWhileConnecting(t *testing.T) {
 	for what, head := range map[string]fleet.AnswerHeader{
-		"rest":    {Rest: fleet.Rest{For: time.Second}},
+		"rest":    {Backoff: fleet.Backoff{Duration: time.Second}},
 		"leaving": {Leaving: true},
 	} {
 		t.Run(what, func(t *testing.T) {
@@ -328,7 +328,7 @@
 	server := scripted(t, func(net.Conn, *http.Request, int) {})
 	f := testForwarder()
 	limits := func() int { servers, _ := f.targets.limitCounts(); return servers }
-	named := fleet.RequestLimit{Word: fleet.LimitNamed, PerSecond: 2}
+	named := fleet.RateLimit{Kind: fleet.RateLimitStated, PerSecond: 2}
 	f.targets.core.Update(dispatch.Fleet{Servers: []dispatch.Server{{ID: server.ID, Service: "s", Address: server.Address, Zone: server.Zone}}}, time.Now())
 	listed := &target{Candidate: f.targets.core.Candidates("s")[0]}
 	f.targets.sawAsked(listed, fleet.AnswerHeader{Instance: "another", Limit: named}, time.Now())
@@ -337,7 +337,7 @@
 	assert.Equal(t, 1, limits())
 	f.targets.sawAsked(listed, fleet.AnswerHeader{}, time.Now().Add(time.Second))
 	assert.Equal(t, 1, limits(), "unsigned")
-	f.targets.sawAsked(listed, fleet.AnswerHeader{Signed: true, Limit: fleet.RequestLimit{Word: fleet.LimitUnreadable}}, time.Now().Add(time.Second))
+	f.targets.sawAsked(listed, fleet.AnswerHeader{Signed: true, Limit: fleet.RateLimit{Kind: fleet.RateLimitUnreadable}}, time.Now().Add(time.Second))
 	assert.Equal(t, 1, limits(), "unreadable")
 	f.targets.sawAsked(listed, fleet.AnswerHeader{Signed: true}, time.Now().Add(time.Second))
 	assert.Zero(t, limits())
--- a/internal/forward/outbox_test.go
+++ b/internal/forward/outbox_test.go
@@ -42,7 +42,7 @@
 	listed := &target{Candidate: f.targets.core.Candidates("s")[0]}
 	var first sync.WaitGroup
 	first.Go(func() {
-		f.targets.sawAsked(listed, fleet.AnswerHeader{Limit: fleet.RequestLimit{Word: fleet.LimitNamed, PerSecond: 2}}, time.Now())
+		f.targets.sawAsked(listed, fleet.AnswerHeader{Limit: fleet.RateLimit{Kind: fleet.RateLimitStated, PerSecond: 2}}, time.Now())
 	})
 	<-source.begun
 	f.targets.sawAsked(listed, fleet.AnswerHeader{Signed: true}, time.Now().Add(time.Second))
--- a/internal/forward/residency_test.go
+++ b/internal/forward/residency_test.go
@@ -271,8 +271,8 @@
 		{ID: "near", Service: "s", Address: "10.0.1.1:1", Zone: "a1"}, {ID: "far", Service: "s", Address: "10.0.2.1:1", Zone: "b1"},
 	}}})
 	now := time.Now()
-	f.TakeStatus(fleet.MachineStatus{Address: "10.0.1.1:1", Reachable: true, Missing: 60, SwitchMilliseconds: fleet.NoSwitch}, now, false)
-	f.TakeStatus(fleet.MachineStatus{Address: "10.0.2.1:1", Reachable: true, Missing: 20, SwitchMilliseconds: fleet.NoSwitch}, now, false)
+	f.TakeStatus(fleet.MachineStatus{Address: "10.0.1.1:1", Reachable: true, MissingPieces: 60, SwitchMilliseconds: fleet.NoSwitch}, now, false)
+	f.TakeStatus(fleet.MachineStatus{Address: "10.0.2.1:1", Reachable: true, MissingPieces: 20, SwitchMilliseconds: fleet.NoSwitch}, now, false)
 	refused := func(regions ...string) time.Duration {
 		w := &work{Forwarder: f, request: &Request{}, wanted: dispatch.Request{Service: "s"}}
 		f.targets.describe(&w.wanted)
--- a/internal/loadquery/responder.go
+++ b/internal/loadquery/responder.go
@@ -55,7 +55,7 @@
 		return
 	}
 	if received.Number == 0 {
-		r.server.Announce(fleet.KnownTokens(received.Prompt, fleet.MostTokens))
+		r.server.Announce(fleet.ValidTokens(received.Prompt, fleet.MaxTokens))
 		return
 	}
 	data, err := encode(answer{Number: received.Number, Status: r.server.LoadNow()})
--- a/internal/rollout/keeper.go
+++ b/internal/rollout/keeper.go
@@ -174,7 +174,7 @@
 // servedVersion is the version that a server holds whole, or 0.
 func servedVersion(report fleet.Report, model string, layers int) uint64 {
 	for _, held := range report.Models {
-		if held.Name == model && held.Holds(layers) {
+		if held.Name == model && held.Complete(layers) {
 			return held.Version
 		}
 	}
@@ -250,7 +250,7 @@
 		waiting.For(ctx, orderPause)
 	default:
 		a.metrics.orders.WithLabelValues(outcomeTaken).Inc()
-		a.log.Log(logging.OrderTaken, zap.Uint64("version", order.Version), zap.Bool("holds_already", outcome == fleet.OrderHolds))
+		a.log.Log(logging.OrderTaken, zap.Uint64("version", order.Version), zap.Bool("holds_already", outcome == fleet.OrderAlreadyHeld))
 	}
 	a.readReport(ctx)
 }
--- a/internal/rollout/load.go
+++ b/internal/rollout/load.go
@@ -14,7 +14,7 @@
 	status := a.status(now)
 	var figures balance.Server
 	if engine, _ := a.engine(); engine != nil {
-		figures = engine.Figures()
+		figures = engine.Parameters()
 	}
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -42,6 +42,6 @@
 // noteAnnounced notes a request with a prompt of a size that an entry has told: one that the
 // server can't hold has an unknown size. The mutex is held.
 func (a *Agent) noteAnnounced(engine *fleet.Engine, promptTokens int, since time.Duration) {
-	a.announced.Add(since, fleet.KnownTokens(promptTokens, engine.MostPrompt()))
+	a.announced.Add(since, fleet.ValidTokens(promptTokens, engine.MaxPrompt()))
 	a.cold.received.Add(since)
 }
--- a/internal/rollout/restarted.go
+++ b/internal/rollout/restarted.go
@@ -13,7 +13,7 @@
 // serverRestarted drops what was known of the server's former incarnation: its load, whether it is cold, and what
 // was announced to it. What lies at it may be gone, and is read anew. The mutex is held.
 func (a *Agent) serverRestarted(ctx context.Context, report fleet.Report) {
-	a.log.Log(logging.ServerRestarted, zap.Int64("born", int64(report.Born)), zap.Int64("former", int64(a.report.Born)))
+	a.log.Log(logging.ServerRestarted, zap.Int64("born", int64(report.StartTime)), zap.Int64("former", int64(a.report.StartTime)))
 	a.announced = balance.Announcements{}
 	a.cold = newColdWord()
 	a.announcement.Withdraw()
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -59,11 +59,11 @@
 // sameStatus compares all that an entry would act on.
 func sameStatus(a, b fleet.MachineStatus) bool {
 	a.SwitchMilliseconds, b.SwitchMilliseconds = min(a.SwitchMilliseconds, 1), min(b.SwitchMilliseconds, 1)
-	a.Missing, b.Missing = 0, 0
+	a.MissingPieces, b.MissingPieces = 0, 0
 	a.CacheUsed, b.CacheUsed = 0, 0
 	a.ColdMilliseconds, b.ColdMilliseconds = min(a.ColdMilliseconds, 1), min(b.ColdMilliseconds, 1)
 	a.Received, b.Received = 0, 0
-	a.LinkMilliseconds, b.LinkMilliseconds = a.LinkMilliseconds/linkStep, b.LinkMilliseconds/linkStep
+	a.LinkRTTMilliseconds, b.LinkRTTMilliseconds = a.LinkRTTMilliseconds/linkStep, b.LinkRTTMilliseconds/linkStep
 	return a == b
 }
 
@@ -90,7 +90,7 @@
 		}
 		return
 	}
-	if a.report.Born.Differs(report.Born) {
+	if a.report.StartTime.Differs(report.StartTime) {
 		a.serverRestarted(ctx, report)
 	}
 	if !a.reachable {
@@ -124,27 +124,27 @@
 		Address: a.daemon.Settings().ServerAddress, Reachable: a.reachable, Model: model,
 		Running: a.report.Running, Waiting: a.report.Waiting, CacheUsed: a.report.CacheUsed, CacheTotal: a.report.CacheTotal,
 		Pace: a.report.Pace, SwitchMilliseconds: fleet.NoSwitch,
-		LinkMilliseconds: a.roundTrips.Min(now.Sub(a.started)).Milliseconds(),
-		ColdMilliseconds: a.cold.left(now).Milliseconds(), Received: a.cold.received.Count(now.Sub(a.started)), Born: a.report.Born,
+		LinkRTTMilliseconds: a.roundTrips.Min(now.Sub(a.started)).Milliseconds(),
+		ColdMilliseconds:    a.cold.left(now).Milliseconds(), Received: a.cold.received.Count(now.Sub(a.started)), StartTime: a.report.StartTime,
 	}
 	if engine != nil {
 		status.Version = servedVersion(a.report, model, engine.Layers)
 	}
 	if a.current != nil {
-		status.Wanted = a.current.version()
-		_, status.Missing = a.current.state()
+		status.FetchingVersion = a.current.version()
+		_, status.MissingPieces = a.current.state()
 		if engine != nil && !a.current.hasBegun() {
 			// Nothing is known to be here: entries tell callers when the server may be ready.
-			status.Missing = engine.Pieces
+			status.MissingPieces = engine.Pieces
 		}
 	}
 	switch {
 	case a.ordering || a.report.Busy || a.announcement.Given():
 		status.SwitchMilliseconds = 0
-	case !a.switchAt.IsZero() && status.Version != 0 && status.Version < status.Wanted:
+	case !a.switchAt.IsZero() && status.Version != 0 && status.Version < status.FetchingVersion:
 		// While pieces are missing the turn can't come before they are there.
 		status.SwitchMilliseconds = max(0, a.switchAt.Sub(now).Milliseconds())
-		if status.Missing > 0 {
+		if status.MissingPieces > 0 {
 			status.SwitchMilliseconds = max(status.SwitchMilliseconds, missingSwitch.Milliseconds())
 		}
 	}
