--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -34,25 +34,25 @@
 	Log          *logging.Logger
 	// OnChange is called with each new state of a publication, in order.
 	OnChange func(kind Kind, version monotonic.Version, documents map[string][]byte)
-	// Heartbeat is the period of signs of life to followers.
-	Heartbeat time.Duration
-	// Silence is how long a follower waits for a sign of life.
-	Silence time.Duration
-	// WatchWait is how long one watch waits at the platform.
-	WatchWait time.Duration
+	// HeartbeatInterval is the period of signs of life to followers.
+	HeartbeatInterval time.Duration
+	// SilenceTimeout is how long a follower waits for a sign of life.
+	SilenceTimeout time.Duration
+	// WatchTimeout is how long one watch waits at the platform.
+	WatchTimeout time.Duration
 	// StartJitter spreads the first read of the platform.
 	StartJitter time.Duration
 }
 
 func (o Options) applyDefaults() Options {
-	if o.Heartbeat == 0 {
-		o.Heartbeat = 2 * time.Second
+	if o.HeartbeatInterval == 0 {
+		o.HeartbeatInterval = 2 * time.Second
 	}
-	if o.Silence == 0 {
-		o.Silence = 5 * time.Second
+	if o.SilenceTimeout == 0 {
+		o.SilenceTimeout = 5 * time.Second
 	}
-	if o.WatchWait == 0 {
-		o.WatchWait = 25 * time.Second
+	if o.WatchTimeout == 0 {
+		o.WatchTimeout = 25 * time.Second
 	}
 	return o
 }
@@ -187,7 +187,7 @@
 		if !r.waitDirect(ctx) {
 			return
 		}
-		update, newer, err := r.options.Publications[kind].Watch(ctx, r.Version(kind), r.options.WatchWait)
+		update, newer, err := r.options.Publications[kind].Watch(ctx, r.Version(kind), r.options.WatchTimeout)
 		if ctx.Err() != nil {
 			return
 		}
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -31,7 +31,7 @@
 
 // supervise decides again and again whom to follow.
 func (r *Relay) supervise(ctx context.Context) {
-	ticker := time.NewTicker(r.options.Heartbeat / 2)
+	ticker := time.NewTicker(r.options.HeartbeatInterval / 2)
 	defer ticker.Stop()
 	for beat := 0; ; beat++ {
 		r.chooseUpstream(ctx)
@@ -78,7 +78,7 @@
 	if upstream == nil {
 		return false
 	}
-	if time.Since(upstream.LastHeard()) > r.options.Silence {
+	if time.Since(upstream.LastHeard()) > r.options.SilenceTimeout {
 		_ = upstream.Close()
 		return false
 	}
