--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -22,8 +22,8 @@
 
 // Topics of the messages between a follower and the process it follows.
 const (
-	topicFollow = "relay.follow"
-	topicAlive  = "relay.alive"
+	topicFollow    = "relay.follow"
+	topicHeartbeat = "relay.alive"
 	// Updates are counted under their publication's own name.
 	topicUpdateSuffix = ".update"
 )
@@ -34,5 +34,5 @@
 	Membership    monotonic.Version `cbor:"2,keyasint"`
 }
 
-// alive is the sign of life of a followed process.
-type alive struct{}
+// heartbeat is the sign of life of a followed process.
+type heartbeat struct{}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -70,10 +70,10 @@
 	// direct is whether this process watches the platform.
 	direct bool
 	// skipped counts the relays that were passed over since the last success.
-	skipped    int
-	failedAt   map[Kind]time.Time
-	readAt     map[Kind]time.Time
-	directKick chan struct{}
+	skipped       int
+	failedAt      map[Kind]time.Time
+	readAt        map[Kind]time.Time
+	directChanged chan struct{}
 	// notify serialises OnChange.
 	notify sync.Mutex
 }
@@ -86,19 +86,19 @@
 // New returns a relay and registers its handlers with the hub.
 func New(options Options) *Relay {
 	relay := &Relay{
-		options:    options.applyDefaults(),
-		feeds:      map[Kind]*monotonic.Feed{},
-		followers:  map[*peering.Link]*follower{},
-		failedAt:   map[Kind]time.Time{},
-		readAt:     map[Kind]time.Time{},
-		directKick: make(chan struct{}),
+		options:       options.applyDefaults(),
+		feeds:         map[Kind]*monotonic.Feed{},
+		followers:     map[*peering.Link]*follower{},
+		failedAt:      map[Kind]time.Time{},
+		readAt:        map[Kind]time.Time{},
+		directChanged: make(chan struct{}),
 	}
 	for _, kind := range Kinds {
 		relay.feeds[kind] = monotonic.NewFeed()
 		options.Hub.Handle(string(kind)+topicUpdateSuffix, relay.updateHandler(kind))
 	}
 	options.Hub.Handle(topicFollow, relay.handleFollow)
-	options.Hub.Handle(topicAlive, func(*peering.Link, *message.Message) {})
+	options.Hub.Handle(topicHeartbeat, func(*peering.Link, *message.Message) {})
 	options.Hub.OnLost(relay.linkLost)
 	return relay
 }
@@ -157,13 +157,13 @@
 // readOnce reads a publication without waiting for a change.
 func (r *Relay) readOnce(ctx context.Context, kind Kind) {
 	update, newer, err := r.options.Publications[kind].Watch(ctx, r.Version(kind), 0)
-	r.noteRead(kind, err)
+	r.recordRead(kind, err)
 	if err == nil && newer {
 		r.apply(kind, update)
 	}
 }
 
-func (r *Relay) noteRead(kind Kind, err error) {
+func (r *Relay) recordRead(kind Kind, err error) {
 	r.mutex.Lock()
 	_, failing := r.failedAt[kind]
 	if err == nil {
@@ -191,7 +191,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		r.noteRead(kind, err)
+		r.recordRead(kind, err)
 		if err != nil {
 			waiting.For(ctx, watchRetry+rand.N(watchRetry))
 			continue
@@ -202,8 +202,8 @@
 	}
 }
 
-// sendAlive tells the followers that this process lives.
-func (r *Relay) sendAlive() {
+// sendHeartbeats tells the followers that this process lives.
+func (r *Relay) sendHeartbeats() {
 	r.mutex.Lock()
 	links := make([]*peering.Link, 0, len(r.followers))
 	for link := range r.followers {
@@ -212,7 +212,7 @@
 	r.mutex.Unlock()
 	for _, link := range links {
 		// A failed send loses the link, which linkLost handles.
-		_ = peering.Send(link, topicAlive, "", alive{})
+		_ = peering.Send(link, topicHeartbeat, "", heartbeat{})
 	}
 }
 
@@ -230,12 +230,12 @@
 		go r.push(link, current)
 	}
 	current.sent = map[Kind]monotonic.Version{Configuration: request.Configuration, Membership: request.Membership}
-	current.mark()
+	current.markDirty()
 	r.mutex.Unlock()
 }
 
-// mark asks for a push; the relay's mutex is held.
-func (f *follower) mark() {
+// markDirty asks for a push; the relay's mutex is held.
+func (f *follower) markDirty() {
 	select {
 	case f.dirty <- struct{}{}:
 	default:
@@ -294,7 +294,7 @@
 	if outcome == monotonic.Applied {
 		documents = r.feeds[kind].Documents()
 		for _, current := range r.followers {
-			current.mark()
+			current.markDirty()
 		}
 	}
 	r.mutex.Unlock()
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -16,7 +16,7 @@
 func (r *Relay) waitDirect(ctx context.Context) bool {
 	for {
 		r.mutex.Lock()
-		direct, kick := r.direct, r.directKick
+		direct, kick := r.direct, r.directChanged
 		r.mutex.Unlock()
 		if direct {
 			return true
@@ -36,7 +36,7 @@
 	for beat := 0; ; beat++ {
 		r.chooseUpstream(ctx)
 		if beat%2 == 0 {
-			r.sendAlive()
+			r.sendHeartbeats()
 		}
 		select {
 		case <-ticker.C:
@@ -124,8 +124,8 @@
 		return
 	}
 	r.direct = direct
-	close(r.directKick)
-	r.directKick = make(chan struct{})
+	close(r.directChanged)
+	r.directChanged = make(chan struct{})
 	r.options.Log.Log(logging.RelayElected, zap.Bool("direct", direct))
 }
 
--- a/internal/rollout/agent.go
+++ b/internal/rollout/agent.go
@@ -42,8 +42,8 @@
 	// metrics are counted by the transfers too.
 	metrics *metrics
 
-	uploads *uploads
-	woken   chan struct{}
+	uploads *uploadQueue
+	wakeup  chan struct{}
 	// staging is held for reading while a piece is laid down, and for writing while
 	// an order is given, so that the server takes exactly what was verified.
 	staging sync.RWMutex
@@ -55,30 +55,30 @@
 	current  *transfer
 	fallback *transfer
 	older    *transfer
-	// ending is kept of the version that lay at the server before the present one; nil for none.
-	ending *endingLayer
-	// doubted is the version whose manifest was doubted last.
-	doubted uint64
-	report  fleet.Report
+	// previous is kept of the version that lay at the server before the present one; nil for none.
+	previous *previousLayer
+	// rejectedVersion is the version whose manifest was doubted last.
+	rejectedVersion uint64
+	report          fleet.Report
 	// reportAt is when the server last answered; reachable is whether it did at the
 	// last try.
-	reportAt  time.Time
-	reachable bool
-	misses    int
+	reportAt      time.Time
+	reachable     bool
+	failedReports int
 	// roundTrips measures the way to the entries, since started.
 	roundTrips *liveness.RoundTrips
 	started    time.Time
 	switchAt   time.Time
-	// announcement is the notice to entries of the change-over that is due.
-	announcement turnover.Announcement
-	ordering     bool
-	// unguarded is the version served of which was last logged that nothing of a newer one is
+	// switchAnnouncement is the notice to entries of the change-over that is due.
+	switchAnnouncement turnover.Announcement
+	ordering           bool
+	// unretiredLogged is the version served of which was last logged that nothing of a newer one is
 	// here to end it at its bound.
-	unguarded uint64
-	// announced are the requests that entries have told to be on their way.
-	announced balance.Announcements
+	unretiredLogged uint64
+	// announcedRequests are the requests that entries have told to be on their way.
+	announcedRequests balance.Announcements
 	// cold is what entries are told so that a cold server is not overrun.
-	cold coldWord
+	cold coldState
 }
 
 // New builds an agent that does not listen yet.
@@ -87,26 +87,26 @@
 	a := &Agent{
 		daemon: options.Daemon, log: options.Daemon.Log, server: options.Server, origin: options.Origin,
 		self: dissemination.MachineID(settings.IP), metrics: newMetrics(options.Daemon.Registry), peers: newPeerClient(settings.InternalPort, options.Daemon.NoteSilent),
-		uploads: newUploads(uplinkShare * settings.LinkBytesPerSecond), woken: make(chan struct{}, 1),
-		roundTrips: liveness.NewRoundTrips(probePeriod), started: time.Now(),
-		cold: newColdWord(),
+		uploads: newUploadQueue(uplinkFraction * settings.LinkBytesPerSecond), wakeup: make(chan struct{}, 1),
+		roundTrips: liveness.NewRoundTrips(probeInterval), started: time.Now(),
+		cold: newColdState(),
 	}
 	options.Daemon.WatchSilence(options.Server)
 	options.Daemon.WatchSilence(options.Origin)
 	options.Daemon.Hub.Handle(fleet.TopicStatusEcho, a.handleEcho)
-	options.Daemon.Hub.OnOpen(a.greet)
+	options.Daemon.Hub.OnOpen(a.sendInitialStatus)
 	a.mount(options.Daemon.Router)
-	options.Daemon.Catalog.OnChange(func(*catalog.View) { a.fleetChanged() })
+	options.Daemon.Catalog.OnChange(func(*catalog.View) { a.applyView() })
 	options.Daemon.Section("rollout", func() any { return a.status(time.Now()) })
 	return a
 }
 
-// uplinkShare of the machine's link carries pieces; the server's own answers, which must not
+// uplinkFraction of the machine's link carries pieces; the server's own answers, which must not
 // wait behind them, have the rest. At full traffic a share of 0.92 leaves the answers less than
 // they need while a version moves: 0.46 of the credit of these seconds is earned instead of 0.48
 // to 0.51, in the means of three seeds, and the version is staged no sooner, because the origin's
 // link decides. A share of 0.65 gives 0.57, and as much less while servers change over.
-const uplinkShare = 0.8
+const uplinkFraction = 0.8
 
 // Run serves until stop is closed.
 func (a *Agent) Run(stop <-chan struct{}) error {
@@ -124,7 +124,7 @@
 	go responder.Run()
 	var work sync.WaitGroup
 	work.Go(func() { a.watchServer(ctx) })
-	work.Go(func() { a.keep(ctx) })
+	work.Go(func() { a.reconcileLoop(ctx) })
 	<-stop
 	a.log.Log(logging.ProcessStopping)
 	// An order that is being given is waited for, so that its fate is known.
@@ -142,7 +142,7 @@
 // wake asks the keeper to look again.
 func (a *Agent) wake() {
 	select {
-	case a.woken <- struct{}{}:
+	case a.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -207,15 +207,15 @@
 // inventoryPeers picks a few machines of the own zone, and of the others if there
 // is none, to ask what they hold.
 func (a *Agent) inventoryPeers() []dissemination.MachineID {
-	near, far := a.nearAndFar(a.otherMembers(anyServer))
+	near, far := a.splitByZone(a.otherMembers(anyServer))
 	if len(near) == 0 {
 		near = far
 	}
 	return machineIDs(placement.Top("inventory/"+string(a.self), near, inventoriesPerZone))
 }
 
-// nearAndFar parts machines into those of the own zone and the others.
-func (a *Agent) nearAndFar(members []turnover.Member) (near, far []string) {
+// splitByZone parts machines into those of the own zone and the others.
+func (a *Agent) splitByZone(members []turnover.Member) (near, far []string) {
 	zone := a.daemon.Settings().Zone
 	for _, member := range members {
 		if member.Zone == zone {
@@ -235,21 +235,21 @@
 	return ids
 }
 
-// fleetChanged follows a new view.
-func (a *Agent) fleetChanged() {
+// applyView follows a new view.
+func (a *Agent) applyView() {
 	a.mutex.Lock()
 	current, older := a.current, a.older
-	a.cold.follow(a.daemon.Catalog.View().Servers[a.daemon.Settings().Service], a.daemon.Settings().ServerAddress)
+	a.cold.update(a.daemon.Catalog.View().Servers[a.daemon.Settings().Service], a.daemon.Settings().ServerAddress)
 	a.mutex.Unlock()
 	for _, one := range []*transfer{current, older} {
 		if one != nil {
-			one.rearrange()
+			one.updatePlan()
 		}
 	}
 	a.wake()
 }
 
-func (a *Agent) transferOf(model string, version uint64) *transfer {
+func (a *Agent) findTransfer(model string, version uint64) *transfer {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	for _, one := range []*transfer{a.current, a.older, a.fallback} {
@@ -260,16 +260,16 @@
 	return nil
 }
 
-func (a *Agent) takeOffer(incoming offer) dissemination.Answer {
-	found := a.transferOf(incoming.Model, incoming.Version)
+func (a *Agent) applyOffer(incoming offer) dissemination.Answer {
+	found := a.findTransfer(incoming.Model, incoming.Version)
 	if found == nil {
 		return dissemination.Answer{Lacked: incoming.Pieces}
 	}
-	return found.take(incoming)
+	return found.applyOffer(incoming)
 }
 
-// doubt gives up a manifest whose pieces the origin itself does not match.
-func (a *Agent) doubt(t *transfer) {
+// rejectManifest gives up a manifest whose pieces the origin itself does not match.
+func (a *Agent) rejectManifest(t *transfer) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if t == a.current || t == a.older {
@@ -278,14 +278,14 @@
 	switch t {
 	case a.current:
 		t.cancel()
-		a.current, a.doubted = nil, t.version()
+		a.current, a.rejectedVersion = nil, t.version()
 	case a.older:
 		a.dropOlder()
 	}
 	a.wake()
 }
 
-func (a *Agent) serverSound() bool {
+func (a *Agent) serverReachable() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.reachable
--- a/internal/rollout/bound.go
+++ b/internal/rollout/bound.go
@@ -18,17 +18,17 @@
 // more on what it held before. What waits begins on the new version, or is turned away as not
 // run by a server that holds the new version in part.
 
-// boundGuard is how long before the bound the server is ordered, whatever waits at it: entries
+// deadlineMargin is how long before the bound the server is ordered, whatever waits at it: entries
 // take back what has not begun from 400 ms before the bound on (takeBackMargin in
 // internal/forward), and one look of the keeper, the reading back of the pieces and the order
 // take up to 200 ms.
-const boundGuard = 400 * time.Millisecond
+const deadlineMargin = 400 * time.Millisecond
 
-// boundNear reports whether the version that the server serves must not begin requests much
+// deadlineNear reports whether the version that the server serves must not begin requests much
 // longer, or may not any more, because one that it lacks comes into force. An age that is only
 // assumed, by a process that has just started, may be longer than the true one, by the whole
 // bound at the most.
-func (a *Agent) boundNear(model string, serving uint64) bool {
+func (a *Agent) deadlineNear(model string, serving uint64) bool {
 	if serving == 0 {
 		return false
 	}
@@ -41,34 +41,34 @@
 	if notice.Assumed {
 		bound = bound.Add(apply)
 	}
-	return time.Until(bound) < boundGuard
+	return time.Until(bound) < deadlineMargin
 }
 
-// endOldVersion takes the version that the server serves out of service though the newest one is
+// retireOldVersion takes the version that the server serves out of service though the newest one is
 // not here whole: it orders some whole layers of a newer one, which a server turns requests away
 // with until it has the others. It costs no service, because entries send nothing to an old
 // version from a second before its bound, and what runs goes on to its end. Without a single whole
 // layer of a newer version the one that was kept of the version before is ordered; an agent that has
 // started since has none, and then only the entries keep requests away.
-func (a *Agent) endOldVersion(ctx context.Context, newest *transfer, engine *fleet.Engine, serving uint64) {
-	newer, layers := a.endingLayers(newest, engine, serving)
+func (a *Agent) retireOldVersion(ctx context.Context, newest *transfer, engine *fleet.Engine, serving uint64) {
+	newer, layers := a.retirementLayers(newest, engine, serving)
 	if layers.Count() == 0 {
-		if kept := a.takeEndingLayer(newest, serving); kept == nil || !a.orderEndingLayer(ctx, kept, engine, serving) {
-			a.noteUnguarded(newest, serving)
+		if kept := a.takePreviousLayer(newest, serving); kept == nil || !a.orderPreviousLayer(ctx, kept, engine, serving) {
+			a.logUnretired(newest, serving)
 		}
 		return
 	}
-	if !a.layDown(ctx, newer) {
+	if !a.stageBuffered(ctx, newer) {
 		return
 	}
 	a.staging.Lock()
 	defer a.staging.Unlock()
-	if a.transferOf(newer.model, newer.version()) != newer || ctx.Err() != nil {
+	if a.findTransfer(newer.model, newer.version()) != newer || ctx.Err() != nil {
 		return
 	}
 	began := time.Now()
 	if bad := newer.verify(ctx, layers.Pieces(len(newer.held()), engine.Layers)); len(bad) > 0 {
-		newer.reportSpoilt(bad)
+		newer.refetchCorrupt(bad)
 		return
 	}
 	part := fleet.StartOrder{Model: newer.model, Version: newer.version(), FromLayer: layers.From, ToLayer: layers.To}
@@ -86,15 +86,15 @@
 	a.log.Log(logging.VersionEnded, zap.String("model", part.Model), zap.Uint64("serving", serving), zap.Uint64("version", part.Version),
 		zap.Int("from_layer", part.FromLayer), zap.Int("to_layer", part.ToLayer), zap.Int("layers", engine.Layers))
 	part.Sequence = fresh.Sequence
-	a.order(ctx, part, serving, time.Since(began))
+	a.sendOrder(ctx, part, serving, time.Since(began))
 	return true
 }
 
-// endingLayers picks the layers whose order ends the version that is served: of the newest one, or
+// retirementLayers picks the layers whose order ends the version that is served: of the newest one, or
 // of one between that is here and whose own time is over too soon to be served. Of the latter one
 // layer is left out, so that it begins nothing after its own bound. Without it 3 of the requests that
 // wait at four servers began up to 3.9 s late (TestNothingBeginsLateWhenOnlyAVersionBetweenIsHere).
-func (a *Agent) endingLayers(newest *transfer, engine *fleet.Engine, serving uint64) (*transfer, turnover.Layers) {
+func (a *Agent) retirementLayers(newest *transfer, engine *fleet.Engine, serving uint64) (*transfer, turnover.Layers) {
 	if layers := turnover.WholeLayers(newest.held(), engine.Layers); layers.Count() > 0 {
 		return newest, layers
 	}
@@ -109,11 +109,11 @@
 	return between, layers
 }
 
-// noteUnguarded logs, once for a version, that nothing takes it out of service at its bound.
-func (a *Agent) noteUnguarded(newer *transfer, serving uint64) {
+// logUnretired logs, once for a version, that nothing takes it out of service at its bound.
+func (a *Agent) logUnretired(newer *transfer, serving uint64) {
 	a.mutex.Lock()
-	noted := a.unguarded == serving
-	a.unguarded = serving
+	noted := a.unretiredLogged == serving
+	a.unretiredLogged = serving
 	a.mutex.Unlock()
 	if noted {
 		return
--- a/internal/rollout/buffer.go
+++ b/internal/rollout/buffer.go
@@ -11,9 +11,9 @@
 // comes: a server that crashes meanwhile serves again at once, and an empty one can have the
 // older version from its peers when the newest does not come.
 
-// bufferShare is the part of a process's memory that a buffered version may take; a larger one
+// bufferFraction is the part of a process's memory that a buffered version may take; a larger one
 // is staged as it comes.
-const bufferShare = 0.125
+const bufferFraction = 0.125
 
 // pieceBuffer holds verified pieces in memory. While it is closed, which it is at first,
 // pieces go to the server.
@@ -64,15 +64,15 @@
 	b.pieces = nil
 }
 
-// opened reports whether pieces are kept in memory.
-func (b *pieceBuffer) opened() bool {
+// isOpen reports whether pieces are kept in memory.
+func (b *pieceBuffer) isOpen() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.pieces != nil
 }
 
-// keep puts a verified piece where the transfer keeps them, unless it was replaced.
-func (t *transfer) keep(ctx context.Context, index int, content []byte) error {
+// store puts a verified piece where the transfer keeps them, unless it was replaced.
+func (t *transfer) store(ctx context.Context, index int, content []byte) error {
 	t.agent.staging.RLock()
 	defer t.agent.staging.RUnlock()
 	if err := ctx.Err(); err != nil {
@@ -84,8 +84,8 @@
 	return t.agent.server.Stage(ctx, t.model, index, content)
 }
 
-// layDown stages the buffered pieces; the staging lock is held for writing.
-func (t *transfer) layDown(ctx context.Context) error {
+// flushBuffer stages the buffered pieces; the staging lock is held for writing.
+func (t *transfer) flushBuffer(ctx context.Context) error {
 	for index, content := range t.buffer.held() {
 		if err := t.agent.server.Stage(ctx, t.model, index, content); err != nil {
 			return err
@@ -95,9 +95,9 @@
 	return nil
 }
 
-// takeUp reads the staged pieces into the buffer, which takes the further ones too, so that
+// bufferStaged reads the staged pieces into the buffer, which takes the further ones too, so that
 // another version can be staged; the staging lock is held for writing.
-func (t *transfer) takeUp(ctx context.Context) {
+func (t *transfer) bufferStaged(ctx context.Context) {
 	t.buffer.open()
 	var spoilt []int
 	for _, index := range t.heldPieces() {
@@ -109,6 +109,6 @@
 		t.buffer.put(index, content)
 	}
 	if len(spoilt) > 0 {
-		t.restart(spoilt)
+		t.restartFetch(spoilt)
 	}
 }
--- a/internal/rollout/cold.go
+++ b/internal/rollout/cold.go
@@ -7,20 +7,20 @@
 	"pinevane.example/pinevane/internal/fleet"
 )
 
-// coldWord is what an agent tells entries so that a cold server is not overrun: until when its
+// coldState is what an agent tells entries so that a cold server is not overrun: until when its
 // server is cold, and how many requests all entries have announced to it lately. Entries ask
 // before they send, so that one whose news of the server's line is late hears from the agent,
 // and each knows what the others have sent.
-type coldWord struct {
+type coldState struct {
 	until    time.Time
 	received *admission.Window
 }
 
-func newColdWord() coldWord { return coldWord{received: admission.NewWindow(admission.ColdWindow)} }
+func newColdState() coldState { return coldState{received: admission.NewWindow(admission.ColdWindow)} }
 
-// follow takes over the line of the server at an address: the newest, where an ended server's
+// update takes over the line of the server at an address: the newest, where an ended server's
 // line is still listed.
-func (c *coldWord) follow(servers []fleet.Server, address string) {
+func (c *coldState) update(servers []fleet.Server, address string) {
 	revision := uint64(0)
 	for _, server := range servers {
 		if server.Address == address && server.Revision >= revision {
@@ -29,5 +29,5 @@
 	}
 }
 
-// left is how much longer the server is cold.
-func (c *coldWord) left(now time.Time) time.Duration { return max(0, c.until.Sub(now)) }
+// remaining is how much longer the server is cold.
+func (c *coldState) remaining(now time.Time) time.Duration { return max(0, c.until.Sub(now)) }
--- a/internal/rollout/endinglayer.go
+++ b/internal/rollout/endinglayer.go
@@ -11,21 +11,21 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// endingLayer is one layer of the version that lay at the server before the present one, kept in
+// previousLayer is one layer of the version that lay at the server before the present one, kept in
 // memory. A server that is ordered to hold only that layer begins nothing, so that it ends the
 // present version where no layer of a newer one is here. Without it 2 to 3 of the requests that
 // waited at four servers began up to 3.5 s after the bound of their version
 // (TestNothingBeginsLateOnAVersionBetween). It costs one layer's bytes of memory.
-type endingLayer struct {
+type previousLayer struct {
 	model   string
 	version uint64
 	layers  turnover.Layers
 	pieces  map[int][]byte
 }
 
-// keepEndingLayer reads the first layer of a version that is about to be overwritten at the server.
+// savePreviousLayer reads the first layer of a version that is about to be overwritten at the server.
 // The staging lock is held for writing.
-func (a *Agent) keepEndingLayer(ctx context.Context, overwritten *transfer) {
+func (a *Agent) savePreviousLayer(ctx context.Context, overwritten *transfer) {
 	engine, _ := a.engine()
 	if engine == nil || engine.Layers < 2 || overwritten == nil {
 		return
@@ -33,7 +33,7 @@
 	if complete, _ := overwritten.state(); !complete {
 		return
 	}
-	kept := &endingLayer{
+	kept := &previousLayer{
 		model: overwritten.model, version: overwritten.version(), layers: turnover.Layers{From: 0, To: 1}, pieces: map[int][]byte{},
 	}
 	for _, index := range kept.layers.Pieces(len(overwritten.held()), engine.Layers) {
@@ -45,25 +45,25 @@
 	}
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.ending = kept
+	a.previous = kept
 }
 
-// takeEndingLayer returns the kept layer if an order of it ends the version that is served; it is
+// takePreviousLayer returns the kept layer if an order of it ends the version that is served; it is
 // tried once. The newest version's pieces must not lie at the server, where the layer goes.
-func (a *Agent) takeEndingLayer(newest *transfer, serving uint64) *endingLayer {
+func (a *Agent) takePreviousLayer(newest *transfer, serving uint64) *previousLayer {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	kept := a.ending
-	if kept == nil || kept.model != newest.model || kept.version >= serving || !newest.buffer.opened() {
+	kept := a.previous
+	if kept == nil || kept.model != newest.model || kept.version >= serving || !newest.buffer.isOpen() {
 		return nil
 	}
-	a.ending = nil
+	a.previous = nil
 	return kept
 }
 
-// orderEndingLayer has the server hold nothing but a layer of an older version, and reports whether
+// orderPreviousLayer has the server hold nothing but a layer of an older version, and reports whether
 // it was ordered to. What lay at the server is given up: its version may begin nothing more.
-func (a *Agent) orderEndingLayer(ctx context.Context, kept *endingLayer, engine *fleet.Engine, serving uint64) bool {
+func (a *Agent) orderPreviousLayer(ctx context.Context, kept *previousLayer, engine *fleet.Engine, serving uint64) bool {
 	a.mutex.Lock()
 	a.dropFallback()
 	a.mutex.Unlock()
--- a/internal/rollout/fallback.go
+++ b/internal/rollout/fallback.go
@@ -14,14 +14,14 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// bufferable reports whether some versions fit into the part of the memory that is for them.
-func (a *Agent) bufferable(engine *fleet.Engine, versions int64) bool {
+// fitsBuffer reports whether some versions fit into the part of the memory that is for them.
+func (a *Agent) fitsBuffer(engine *fleet.Engine, versions int64) bool {
 	size := versions * int64(engine.Pieces) * int64(engine.PieceBytes)
-	return size > 0 && float64(size) <= bufferShare*float64(a.daemon.Settings().MemoryBytes)
+	return size > 0 && float64(size) <= bufferFraction*float64(a.daemon.Settings().MemoryBytes)
 }
 
-// inForceFor is how long a version may still begin requests; false without an end in sight.
-func (a *Agent) inForceFor(model string, version uint64) (time.Duration, bool) {
+// inForceRemaining is how long a version may still begin requests; false without an end in sight.
+func (a *Agent) inForceRemaining(model string, version uint64) (time.Duration, bool) {
 	notice, superseded := a.daemon.Catalog.View().FirstAfter(model, version)
 	if !superseded {
 		return 0, false
@@ -29,8 +29,8 @@
 	return time.Until(notice.Since.Add(a.daemon.Settings().Bounds.VersionApply)), true
 }
 
-// olderInForce is the newest version before one that listed servers serve.
-func (a *Agent) olderInForce(model string, before uint64) (uint64, bool) {
+// newestServedBefore is the newest version before one that listed servers serve.
+func (a *Agent) newestServedBefore(model string, before uint64) (uint64, bool) {
 	older := uint64(0)
 	for _, server := range a.daemon.Catalog.View().Servers[a.daemon.Settings().Service] {
 		for _, held := range server.Models {
@@ -42,42 +42,42 @@
 	return older, older != 0
 }
 
-// holdersOf picks a few machines whose servers are listed with a version, near ones first,
+// listedHolders picks a few machines whose servers are listed with a version, near ones first,
 // others at each time of asking.
-func (a *Agent) holdersOf(version uint64, count int) []dissemination.MachineID {
-	near, far := a.nearAndFar(a.otherMembers(func(server fleet.Server) bool {
+func (a *Agent) listedHolders(version uint64, count int) []dissemination.MachineID {
+	near, far := a.splitByZone(a.otherMembers(func(server fleet.Server) bool {
 		return slices.ContainsFunc(server.Models, func(held fleet.HeldModel) bool { return held.Version == version })
 	}))
-	key := "holders/" + string(a.self) + "/" + itoa(int(time.Since(a.started)/holdersPeriod))
+	key := "holders/" + string(a.self) + "/" + itoa(int(time.Since(a.started)/holderQueryInterval))
 	picked := placement.Top(key, near, count)
 	picked = append(picked, placement.Top(key, far, count-len(picked))...)
 	return machineIDs(picked)
 }
 
-// holdersPeriod is how often a fallback asks machines what they hold, as long as it does not
+// holderQueryInterval is how often a fallback asks machines what they hold, as long as it does not
 // have everything.
-const holdersPeriod = 500 * time.Millisecond
+const holderQueryInterval = 500 * time.Millisecond
 
-// lookForHolders asks machines what they hold of a fallback that gets nothing any more.
-func (t *transfer) lookForHolders(ctx context.Context, manifest fleet.Manifest) {
-	held, lacks := t.lackingHolders()
+// queryHolders asks machines what they hold of a fallback that gets nothing any more.
+func (t *transfer) queryHolders(ctx context.Context, manifest fleet.Manifest) {
+	held, lacks := t.holderQueryDue()
 	if !lacks {
 		return
 	}
-	holders := t.askInventories(ctx, manifest, held, t.agent.holdersOf(t.version(), inventoriesPerZone))
+	holders := t.queryInventories(ctx, manifest, held, t.agent.listedHolders(t.version(), inventoriesPerZone))
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.takeHolders(holders)
+	t.addHolders(holders)
 }
 
-// lackingHolders reports whether a fallback is to ask for holders now, and what it has.
-func (t *transfer) lackingHolders() (held []bool, lacks bool) {
+// holderQueryDue reports whether a fallback is to ask for holders now, and what it has.
+func (t *transfer) holderQueryDue() (held []bool, lacks bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if !t.peersOnly.Load() || t.now()-t.askedAt < holdersPeriod || t.fetcher.Unsourced() == 0 {
+	if !t.peersOnly.Load() || t.now()-t.holdersQueriedAt < holderQueryInterval || t.fetcher.Unsourced() == 0 {
 		return nil, false
 	}
-	t.askedAt = t.now()
+	t.holdersQueriedAt = t.now()
 	return t.heldMask(), true
 }
 
@@ -98,20 +98,20 @@
 	return progress
 }
 
-// planFallback begins to fetch an older version for a server that serves nothing, when it is
+// startFallback begins to fetch an older version for a server that serves nothing, when it is
 // worth while: see turnover.TakesOlder.
-func (a *Agent) planFallback(ctx context.Context, current *transfer, engine *fleet.Engine, serving uint64) {
+func (a *Agent) startFallback(ctx context.Context, current *transfer, engine *fleet.Engine, serving uint64) {
 	a.mutex.Lock()
 	exists := a.fallback != nil
 	a.mutex.Unlock()
-	if exists || serving != 0 || !a.bufferable(engine, 1) {
+	if exists || serving != 0 || !a.fitsBuffer(engine, 1) {
 		return
 	}
-	version, listed := a.olderInForce(current.model, current.version())
+	version, listed := a.newestServedBefore(current.model, current.version())
 	if !listed {
 		return
 	}
-	inForce, bounded := a.inForceFor(current.model, version)
+	inForce, bounded := a.inForceRemaining(current.model, version)
 	progress := current.progress(engine)
 	if !bounded || !turnover.TakesOlder(progress, inForce, engine.Warm) {
 		return
@@ -119,7 +119,7 @@
 	a.log.Log(logging.FallbackBegun, zap.String("model", current.model), zap.Uint64("version", version), zap.Uint64("newest", current.version()),
 		zap.Int("missing", progress.Missing), zap.Duration("quiet", progress.Quiet), zap.Duration("in_force", inForce))
 	a.staging.Lock()
-	current.takeUp(ctx)
+	current.bufferStaged(ctx)
 	a.staging.Unlock()
 	transferContext, cancel := context.WithCancel(ctx)
 	fallback := newTransfer(a, current.model, version, true, cancel)
@@ -129,14 +129,14 @@
 	go fallback.run(transferContext)
 }
 
-// worthCompleting decides whether a transfer goes on for which a newer version has just been named.
+// shouldComplete decides whether a transfer goes on for which a newer version has just been named.
 // What lies at the server stays there: it may be in force, and a server that crashes needs it.
-func (a *Agent) worthCompleting(older *transfer, engine *fleet.Engine, serving uint64) bool {
-	if !older.buffer.opened() || !a.bufferable(engine, 2) {
+func (a *Agent) shouldComplete(older *transfer, engine *fleet.Engine, serving uint64) bool {
+	if !older.buffer.isOpen() || !a.fitsBuffer(engine, 2) {
 		return false
 	}
 	nothing := turnover.Transfer{Pieces: engine.Pieces, Missing: engine.Pieces, Unsourced: engine.Pieces}
-	return a.keepsOlder(nothing, older, engine, serving)
+	return a.shouldKeepOlder(nothing, older, engine, serving)
 }
 
 // reviewOlder makes a version that was on its way when a newer one was named the fallback once it
@@ -150,15 +150,15 @@
 	}
 	complete, missing := older.state()
 	// The newest lies at the server once a part of it has ended the version that was served.
-	displaced := older.model != current.model || !current.buffer.opened()
-	if complete && !displaced && a.layDown(ctx, older) {
+	displaced := older.model != current.model || !current.buffer.isOpen()
+	if complete && !displaced && a.stageBuffered(ctx, older) {
 		a.mutex.Lock()
 		defer a.mutex.Unlock()
 		older.peersOnly.Store(true)
 		a.older, a.fallback = nil, older
 		return
 	}
-	if !displaced && a.keepsOlder(current.progress(engine), older, engine, serving) {
+	if !displaced && a.shouldKeepOlder(current.progress(engine), older, engine, serving) {
 		return
 	}
 	a.log.Log(logging.RolloutAborted, zap.String("model", older.model), zap.Uint64("version", older.version()), zap.Int("missing", missing),
@@ -168,16 +168,16 @@
 	a.dropOlder()
 }
 
-// keepsOlder asks turnover.KeepsOlder about an older version that is not here whole.
-func (a *Agent) keepsOlder(newest turnover.Transfer, older *transfer, engine *fleet.Engine, serving uint64) bool {
-	inForce, bounded := a.inForceFor(older.model, older.version())
-	if !bounded || !older.hasBegun() || older.version() <= serving {
+// shouldKeepOlder asks turnover.KeepsOlder about an older version that is not here whole.
+func (a *Agent) shouldKeepOlder(newest turnover.Transfer, older *transfer, engine *fleet.Engine, serving uint64) bool {
+	inForce, bounded := a.inForceRemaining(older.model, older.version())
+	if !bounded || !older.hasStarted() || older.version() <= serving {
 		return false
 	}
 	lastTurn := time.Duration(0)
 	if serving != 0 {
-		left, _ := a.inForceFor(older.model, serving)
-		lastTurn = left - dueMargin
+		left, _ := a.inForceRemaining(older.model, serving)
+		lastTurn = left - lastSwitchMargin
 	}
 	return turnover.KeepsOlder(newest, older.progress(engine), inForce, engine.Warm, lastTurn)
 }
@@ -198,10 +198,10 @@
 	}
 }
 
-// layDown stages a version that was kept in memory in the place of the older one, and reports
+// stageBuffered stages a version that was kept in memory in the place of the older one, and reports
 // whether it lies at the server whole.
-func (a *Agent) layDown(ctx context.Context, t *transfer) bool {
-	if !t.buffer.opened() {
+func (a *Agent) stageBuffered(ctx context.Context, t *transfer) bool {
+	if !t.buffer.isOpen() {
 		return true
 	}
 	a.mutex.Lock()
@@ -210,17 +210,17 @@
 	a.mutex.Unlock()
 	a.staging.Lock()
 	defer a.staging.Unlock()
-	a.keepEndingLayer(ctx, overwritten)
-	if err := t.layDown(ctx); err != nil {
+	a.savePreviousLayer(ctx, overwritten)
+	if err := t.flushBuffer(ctx); err != nil {
 		a.log.Log(logging.StagingFailed, zap.Uint64("version", t.version()), zap.Error(err))
 		return false
 	}
 	return true
 }
 
-// nextInService picks what the server is to change over to: the newest version once it is
+// switchTarget picks what the server is to change over to: the newest version once it is
 // here whole, else the older one as long as that is in force.
-func (a *Agent) nextInService(current *transfer, serving uint64, warm time.Duration) (*transfer, bool) {
+func (a *Agent) switchTarget(current *transfer, serving uint64, warm time.Duration) (*transfer, bool) {
 	if complete, _ := current.state(); complete {
 		return current, true
 	}
@@ -231,6 +231,6 @@
 		return current, false
 	}
 	complete, _ := fallback.state()
-	inForce, bounded := a.inForceFor(fallback.model, fallback.version())
-	return fallback, complete && (!bounded || inForce > warm+dueMargin)
+	inForce, bounded := a.inForceRemaining(fallback.model, fallback.version())
+	return fallback, complete && (!bounded || inForce > warm+lastSwitchMargin)
 }
--- a/internal/rollout/keeper.go
+++ b/internal/rollout/keeper.go
@@ -14,42 +14,42 @@
 
 // Times of changing over.
 const (
-	keepPeriod = 100 * time.Millisecond
-	// copySlack multiplies the time of one copy over the link to the time after
+	reconcileInterval = 100 * time.Millisecond
+	// copyTimeFactor multiplies the time of one copy over the link to the time after
 	// which turns begin.
-	copySlack = 1.4
-	// dueMargin is how long before the bound the last turn is. A server is away for 2 s in the
+	copyTimeFactor = 1.4
+	// lastSwitchMargin is how long before the bound the last turn is. A server is away for 2 s in the
 	// mean from its order on, 2.7 s at the most, until its longest stream is done; the bound
 	// itself only needs the order. With 1.1 s the last server serves the new version 0.6 s
 	// after the bound at full traffic, with 1.7 s 0.3 s after it, at the same worth; 2.2 s win
 	// nothing more and have more servers away at a time.
-	dueMargin = 1700 * time.Millisecond
+	lastSwitchMargin = 1700 * time.Millisecond
 	// fallbackWindow is the time before the bound in which servers change over to a version
 	// that another has replaced already.
 	fallbackWindow = 2 * time.Second
-	// orderPause is the time after an order that did not fit.
-	orderPause = 300 * time.Millisecond
-	// orderSettle bounds the wait for the fate of an order without an answer.
-	orderSettle = 2 * time.Second
+	// orderRetryDelay is the time after an order that did not fit.
+	orderRetryDelay = 300 * time.Millisecond
+	// orderOutcomeTimeout bounds the wait for the fate of an order without an answer.
+	orderOutcomeTimeout = 2 * time.Second
 )
 
-// keep brings the server to the newest named version again and again.
-func (a *Agent) keep(ctx context.Context) {
-	ticker := time.NewTicker(keepPeriod)
+// reconcileLoop brings the server to the newest named version again and again.
+func (a *Agent) reconcileLoop(ctx context.Context) {
+	ticker := time.NewTicker(reconcileInterval)
 	defer ticker.Stop()
 	for {
-		a.step(ctx)
+		a.reconcile(ctx)
 		select {
 		case <-ticker.C:
-		case <-a.woken:
+		case <-a.wakeup:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// step makes one decision from all that is known now.
-func (a *Agent) step(ctx context.Context) {
+// reconcile makes one decision from all that is known now.
+func (a *Agent) reconcile(ctx context.Context) {
 	engine, model := a.engine()
 	if engine == nil {
 		return
@@ -62,38 +62,38 @@
 	report, reachable := a.report, a.reachable
 	a.mutex.Unlock()
 	serving := servedVersion(report, model, engine.Layers)
-	current := a.follow(ctx, engine, model, wanted, serving)
+	current := a.ensureCurrent(ctx, engine, model, wanted, serving)
 	wanted = max(wanted, current.version())
 	a.reviewOlder(ctx, current, engine, serving)
-	next, complete := a.nextInService(current, serving, engine.Warm)
-	if reachable && !complete && !report.Busy && a.boundNear(model, serving) {
-		a.endOldVersion(ctx, current, engine, serving)
+	next, complete := a.switchTarget(current, serving, engine.Warm)
+	if reachable && !complete && !report.Busy && a.deadlineNear(model, serving) {
+		a.retireOldVersion(ctx, current, engine, serving)
 		return
 	}
 	if !complete && reachable {
-		a.planFallback(ctx, current, engine, serving)
+		a.startFallback(ctx, current, engine, serving)
 	}
 	switchAt := a.planSwitch(model, engine, serving, wanted, next != current)
 	due := !time.Now().Before(switchAt.Add(-turnover.NoticeTime))
 	if !reachable || report.Busy || !complete || serving >= wanted || !due {
-		a.withdraw()
+		a.withdrawAnnouncement()
 		return
 	}
-	if !a.layDown(ctx, next) {
+	if !a.stageBuffered(ctx, next) {
 		return
 	}
-	if serving != 0 && !a.boundNear(model, serving) && !a.announce(report.Waiting) {
+	if serving != 0 && !a.deadlineNear(model, serving) && !a.announceSwitch(report.Waiting) {
 		return
 	}
-	a.changeOver(ctx, next, serving)
+	a.switchTo(ctx, next, serving)
 }
 
-// announce tells entries that the server is about to change over, and reports
+// announceSwitch tells entries that the server is about to change over, and reports
 // whether the order may be given.
-func (a *Agent) announce(waiting int) bool {
+func (a *Agent) announceSwitch(waiting int) bool {
 	a.mutex.Lock()
-	first := !a.announcement.Given()
-	ready := a.announcement.Ready(time.Now(), waiting)
+	first := !a.switchAnnouncement.Given()
+	ready := a.switchAnnouncement.Ready(time.Now(), waiting)
 	a.mutex.Unlock()
 	if first {
 		a.pushStatus()
@@ -101,19 +101,19 @@
 	return ready
 }
 
-// withdraw takes the announcement of a change-over back, or notes that it is done.
-func (a *Agent) withdraw() {
+// withdrawAnnouncement takes the announcement of a change-over back, or notes that it is done.
+func (a *Agent) withdrawAnnouncement() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.announcement.Withdraw()
+	a.switchAnnouncement.Withdraw()
 }
 
-// follow makes the transfer of the wanted version the present one. One that is here whole
+// ensureCurrent makes the transfer of the wanted version the present one. One that is here whole
 // stays staged as the fallback, and one that is not goes on in memory while that is worth while.
 // Another is dropped, and what both share stays at the server.
-func (a *Agent) follow(ctx context.Context, engine *fleet.Engine, model string, wanted, serving uint64) *transfer {
-	if replaced := a.replacedBy(model, wanted); replaced != nil {
-		a.layDown(ctx, replaced)
+func (a *Agent) ensureCurrent(ctx context.Context, engine *fleet.Engine, model string, wanted, serving uint64) *transfer {
+	if replaced := a.completeSuperseded(model, wanted); replaced != nil {
+		a.stageBuffered(ctx, replaced)
 	}
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -126,14 +126,14 @@
 	if a.fallback != nil {
 		a.current.buffer.open()
 	}
-	a.current.distrustful = wanted != 0 && wanted == a.doubted
+	a.current.originManifestOnly = wanted != 0 && wanted == a.rejectedVersion
 	a.log.Log(logging.RolloutNoticed, zap.String("model", model), zap.Uint64("version", wanted))
 	go a.current.run(transferContext)
 	return a.current
 }
 
-// replacedBy returns the present transfer if it is whole and another version is wanted.
-func (a *Agent) replacedBy(model string, wanted uint64) *transfer {
+// completeSuperseded returns the present transfer if it is whole and another version is wanted.
+func (a *Agent) completeSuperseded(model string, wanted uint64) *transfer {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if a.current == nil || a.current.model != model || wanted == 0 || a.current.version() == wanted {
@@ -153,13 +153,13 @@
 		return
 	}
 	complete, missing := replaced.state()
-	if complete && replaced.model == model && !replaced.buffer.opened() && a.bufferable(engine, 1) {
+	if complete && replaced.model == model && !replaced.buffer.isOpen() && a.fitsBuffer(engine, 1) {
 		a.dropFallback()
 		a.fallback = replaced
 		replaced.peersOnly.Store(true)
 		return
 	}
-	if replaced.model == model && a.worthCompleting(replaced, engine, serving) {
+	if replaced.model == model && a.shouldComplete(replaced, engine, serving) {
 		a.dropOlder()
 		a.older = replaced
 		a.log.Log(logging.OlderKept, zap.String("model", model), zap.Uint64("version", replaced.version()), zap.Int("missing", missing),
@@ -189,7 +189,7 @@
 	notice, lacking := a.daemon.Catalog.View().FirstAfter(model, serving)
 	if lacking && serving != 0 && serving < wanted {
 		settings := a.daemon.Settings()
-		window := a.window(engine, settings)
+		window := a.switchWindow(engine, settings)
 		if toFallback {
 			window.Start = max(window.Start, window.End-fallbackWindow)
 		}
@@ -203,37 +203,37 @@
 	return planned
 }
 
-// window is the time in which the servers change over: from when one copy has
+// switchWindow is the time in which the servers change over: from when one copy has
 // surely arrived until shortly before the bound.
-func (a *Agent) window(engine *fleet.Engine, settings fleet.Settings) turnover.Window {
+func (a *Agent) switchWindow(engine *fleet.Engine, settings fleet.Settings) turnover.Window {
 	copyTime := engine.CopyTime(settings.LinkBytesPerSecond)
-	end := settings.Bounds.VersionApply - dueMargin
-	return turnover.Window{Start: min(time.Duration(copySlack*float64(copyTime)), end), End: end}
+	end := settings.Bounds.VersionApply - lastSwitchMargin
+	return turnover.Window{Start: min(time.Duration(copyTimeFactor*float64(copyTime)), end), End: end}
 }
 
-// changeOver verifies what lies at the server and orders it into service. Nothing
+// switchTo verifies what lies at the server and orders it into service. Nothing
 // is laid down meanwhile.
-func (a *Agent) changeOver(ctx context.Context, current *transfer, serving uint64) {
+func (a *Agent) switchTo(ctx context.Context, current *transfer, serving uint64) {
 	a.staging.Lock()
 	defer a.staging.Unlock()
-	if a.transferOf(current.model, current.version()) != current || ctx.Err() != nil {
+	if a.findTransfer(current.model, current.version()) != current || ctx.Err() != nil {
 		return
 	}
 	began := time.Now()
 	if bad := current.verifyAll(ctx); len(bad) > 0 {
-		current.reportSpoilt(bad)
+		current.refetchCorrupt(bad)
 		return
 	}
 	fresh, err := a.server.Report(ctx)
 	if err != nil || fresh.Busy {
 		return
 	}
-	a.order(ctx, fleet.StartOrder{Model: current.model, Version: current.version(), Sequence: fresh.Sequence}, serving, time.Since(began))
+	a.sendOrder(ctx, fleet.StartOrder{Model: current.model, Version: current.version(), Sequence: fresh.Sequence}, serving, time.Since(began))
 }
 
-// order gives the server an order whose pieces were just verified, and settles its fate. The
+// sendOrder gives the server an order whose pieces were just verified, and settles its fate. The
 // staging lock is held for writing.
-func (a *Agent) order(ctx context.Context, order fleet.StartOrder, serving uint64, verifiedIn time.Duration) {
+func (a *Agent) sendOrder(ctx context.Context, order fleet.StartOrder, serving uint64, verifiedIn time.Duration) {
 	a.setOrdering(true)
 	defer a.setOrdering(false)
 	a.log.Log(logging.OrderSent, zap.String("model", order.Model), zap.Uint64("version", order.Version), zap.Uint64("serving", serving),
@@ -243,11 +243,11 @@
 	case err != nil:
 		a.metrics.orders.WithLabelValues(outcomeUnanswered).Inc()
 		a.log.Log(logging.OrderUnanswered, zap.Uint64("version", order.Version), zap.Error(err))
-		a.settle(ctx, order)
+		a.awaitOrderOutcome(ctx, order)
 	case outcome == fleet.OrderConflict:
 		a.metrics.orders.WithLabelValues(outcomeRefused).Inc()
 		a.log.Log(logging.OrderRefused, zap.Uint64("version", order.Version), zap.Uint64("sequence", order.Sequence))
-		waiting.For(ctx, orderPause)
+		waiting.For(ctx, orderRetryDelay)
 	default:
 		a.metrics.orders.WithLabelValues(outcomeTaken).Inc()
 		a.log.Log(logging.OrderTaken, zap.Uint64("version", order.Version), zap.Bool("holds_already", outcome == fleet.OrderAlreadyHeld))
@@ -255,17 +255,17 @@
 	a.readReport(ctx)
 }
 
-// settle waits until the server answers again after an order without an answer,
+// awaitOrderOutcome waits until the server answers again after an order without an answer,
 // so that the order's fate shows before anything else is laid down.
-func (a *Agent) settle(ctx context.Context, order fleet.StartOrder) {
-	deadline := time.Now().Add(orderSettle)
+func (a *Agent) awaitOrderOutcome(ctx context.Context, order fleet.StartOrder) {
+	deadline := time.Now().Add(orderOutcomeTimeout)
 	for ctx.Err() == nil && time.Now().Before(deadline) {
 		report, err := a.server.Report(ctx)
 		if err == nil {
 			a.log.Log(logging.OrderFate, zap.Uint64("version", order.Version), zap.Bool("taken", report.Sequence > order.Sequence))
 			return
 		}
-		waiting.For(ctx, keepPeriod)
+		waiting.For(ctx, reconcileInterval)
 	}
 }
 
--- a/internal/rollout/load.go
+++ b/internal/rollout/load.go
@@ -18,13 +18,13 @@
 	}
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	return withAnnounced(status, &a.announced, a.reportAt.Sub(a.started), now.Sub(a.started), figures)
+	return addAnnounced(status, &a.announcedRequests, a.reportAt.Sub(a.started), now.Sub(a.started), figures)
 }
 
-// withAnnounced is a status of a server with the requests that were announced to it: those that
+// addAnnounced is a status of a server with the requests that were announced to it: those that
 // its report of a time can't show yet, and the prompts that are still to be read, whether their
 // requests wait or run.
-func withAnnounced(status fleet.MachineStatus, announced *balance.Announcements, reportedAt, now time.Duration, figures balance.Server) fleet.MachineStatus {
+func addAnnounced(status fleet.MachineStatus, announced *balance.Announcements, reportedAt, now time.Duration, figures balance.Server) fleet.MachineStatus {
 	load := announced.Load(balance.Load{Running: status.Running, Waiting: status.Waiting}, reportedAt, now, figures.TypicalPrompt)
 	unread := max(load.Unread, announced.UnreadTokens(now, figures, status.Running))
 	status.Waiting, status.UnreadTokens = load.Waiting, int(unread)
@@ -36,12 +36,12 @@
 	engine, _ := a.engine()
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.noteAnnounced(engine, promptTokens, time.Since(a.started))
+	a.recordAnnounced(engine, promptTokens, time.Since(a.started))
 }
 
-// noteAnnounced notes a request with a prompt of a size that an entry has told: one that the
+// recordAnnounced notes a request with a prompt of a size that an entry has told: one that the
 // server can't hold has an unknown size. The mutex is held.
-func (a *Agent) noteAnnounced(engine *fleet.Engine, promptTokens int, since time.Duration) {
-	a.announced.Add(since, fleet.ValidTokens(promptTokens, engine.MaxPrompt()))
+func (a *Agent) recordAnnounced(engine *fleet.Engine, promptTokens int, since time.Duration) {
+	a.announcedRequests.Add(since, fleet.ValidTokens(promptTokens, engine.MaxPrompt()))
 	a.cold.received.Add(since)
 }
--- a/internal/rollout/load_test.go
+++ b/internal/rollout/load_test.go
@@ -19,11 +19,11 @@
 	for range 10 {
 		announced.Add(time.Second, 1000)
 	}
-	running := withAnnounced(fleet.MachineStatus{Running: 10}, &announced, 1050*time.Millisecond, 1100*time.Millisecond, figures)
+	running := addAnnounced(fleet.MachineStatus{Running: 10}, &announced, 1050*time.Millisecond, 1100*time.Millisecond, figures)
 	assert.Zero(t, running.Waiting)
 	assert.InDelta(t, 8000, running.UnreadTokens, 1)
 
-	waiting := withAnnounced(fleet.MachineStatus{Running: 12, Waiting: 10}, &announced, 1950*time.Millisecond, 2*time.Second, figures)
+	waiting := addAnnounced(fleet.MachineStatus{Running: 12, Waiting: 10}, &announced, 1950*time.Millisecond, 2*time.Second, figures)
 	assert.Equal(t, 10, waiting.Waiting)
 	assert.Equal(t, 10000, waiting.UnreadTokens)
 }
@@ -33,13 +33,13 @@
 func TestAnnouncedPromptThatTheServerCannotHoldIsOfUnknownSize(t *testing.T) {
 	figures := balance.Server{Slots: 12, Stride: 1, StepMilliseconds: 10, ReadPerSecond: 20000, TypicalPrompt: 800}
 	engine := &fleet.Engine{CacheTokens: 317000}
-	agent := &Agent{cold: newColdWord()}
+	agent := &Agent{cold: newColdState()}
 	for _, prompt := range []int{317001, -1000, 1000} {
-		agent.noteAnnounced(engine, prompt, time.Second)
+		agent.recordAnnounced(engine, prompt, time.Second)
 	}
-	status := withAnnounced(fleet.MachineStatus{Running: 3}, &agent.announced, time.Second+50*time.Millisecond, time.Second+50*time.Millisecond, figures)
+	status := addAnnounced(fleet.MachineStatus{Running: 3}, &agent.announcedRequests, time.Second+50*time.Millisecond, time.Second+50*time.Millisecond, figures)
 	assert.Zero(t, status.UnreadTokens, "20000 tokens a second")
-	status = withAnnounced(fleet.MachineStatus{Running: 3}, &agent.announced, 1006*time.Millisecond, 1006*time.Millisecond, figures)
+	status = addAnnounced(fleet.MachineStatus{Running: 3}, &agent.announcedRequests, 1006*time.Millisecond, 1006*time.Millisecond, figures)
 	assert.InDelta(t, 880, status.UnreadTokens, 1)
 	assert.Equal(t, 3, agent.cold.received.Count(1006*time.Millisecond))
 }
--- a/internal/rollout/manifest.go
+++ b/internal/rollout/manifest.go
@@ -17,12 +17,12 @@
 const (
 	// manifestPeers is how many peers are asked for the manifest in a round.
 	manifestPeers = 3
-	// manifestWait is how long a peer that lacks the manifest holds a question for it: some
+	// manifestHoldTime is how long a peer that lacks the manifest holds a question for it: some
 	// times the way to another region and back, and well within offerTimeout also where the
 	// question is sent once more because its connection has gone silent. Without it a manifest took 0.1
 	// to 0.2 s from level to level of the plan, in which everybody asks again and again: after a
 	// loss of all machines the median machine had it 0.7 s after the first.
-	manifestWait = 300 * time.Millisecond
+	manifestHoldTime = 300 * time.Millisecond
 	// inventoryTimeout bounds the questions what peers hold.
 	inventoryTimeout = 300 * time.Millisecond
 )
@@ -33,10 +33,10 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	found := make(chan fleet.Manifest, 2)
-	go t.seekManifest(ctx, found, t.manifestFromPeers)
+	go t.pollManifest(ctx, found, t.manifestFromPeers)
 	var originAsked time.Duration
-	go t.seekManifest(ctx, found, func(ctx context.Context) (fleet.Manifest, bool) {
-		if !t.asksOrigin(t.now(), originAsked) {
+	go t.pollManifest(ctx, found, func(ctx context.Context) (fleet.Manifest, bool) {
+		if !t.originQueryDue(t.now(), originAsked) {
 			return fleet.Manifest{}, false
 		}
 		originAsked = t.now()
@@ -44,90 +44,90 @@
 	})
 	select {
 	case manifest := <-found:
-		t.takeManifest(manifest)
+		t.setManifest(manifest)
 		return manifest, true
 	case <-ctx.Done():
 		return fleet.Manifest{}, false
 	}
 }
 
-// seekManifest asks a source again and again until it has the manifest.
-func (t *transfer) seekManifest(ctx context.Context, found chan<- fleet.Manifest, ask func(context.Context) (fleet.Manifest, bool)) {
+// pollManifest asks a source again and again until it has the manifest.
+func (t *transfer) pollManifest(ctx context.Context, found chan<- fleet.Manifest, ask func(context.Context) (fleet.Manifest, bool)) {
 	for ctx.Err() == nil {
 		if manifest, has := ask(ctx); has {
 			found <- manifest
 			return
 		}
-		waiting.For(ctx, manifestPause(t.now()))
+		waiting.For(ctx, manifestRetryDelay(t.now()))
 	}
 }
 
-// takeManifest keeps the manifest and answers those who wait for it.
-func (t *transfer) takeManifest(manifest fleet.Manifest) {
+// setManifest keeps the manifest and answers those who wait for it.
+func (t *transfer) setManifest(manifest fleet.Manifest) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.manifest = &manifest
-	t.number.Store(manifest.Version)
+	t.versionNumber.Store(manifest.Version)
 	close(t.manifestKnown)
 }
 
-// manifestPause is the time between two rounds of asking, after a time without success.
-func manifestPause(sought time.Duration) time.Duration {
-	if sought < manifestSoon {
-		return manifestRetry
+// manifestRetryDelay is the time between two rounds of asking, after a time without success.
+func manifestRetryDelay(sought time.Duration) time.Duration {
+	if sought < manifestSlowAfter {
+		return manifestRetryInterval
 	}
-	return manifestLater
+	return manifestSlowInterval
 }
 
-// asksOrigin reports whether it is this machine's turn to ask the origin for the manifest: the
+// originQueryDue reports whether it is this machine's turn to ask the origin for the manifest: the
 // one that passes it to all others asks in each round, the next in turn one after the other,
 // and everybody, in case that all of those are gone, now and then.
-func (t *transfer) asksOrigin(now, asked time.Duration) bool {
+func (t *transfer) originQueryDue(now, asked time.Duration) bool {
 	if t.peersOnly.Load() {
 		return false
 	}
-	plan, first := t.firstAtOrigin()
+	plan, first := t.isOriginReader()
 	if first {
 		return true
 	}
-	if asked > 0 && now-asked < manifestOriginPause {
+	if asked > 0 && now-asked < manifestOriginInterval {
 		return false
 	}
 	turn := slices.Index(plan.OriginReaders(0, t.self()), t.self())
-	return (turn >= 0 && now > time.Duration(turn+1)*manifestTurn) || now > 4*manifestTurn
+	return (turn >= 0 && now > time.Duration(turn+1)*originTurnInterval) || now > 4*originTurnInterval
 }
 
-// firstAtOrigin reports whether this machine has the manifest from the origin only, and
+// isOriginReader reports whether this machine has the manifest from the origin only, and
 // returns the plan that says so.
-func (t *transfer) firstAtOrigin() (dissemination.Plan, bool) {
+func (t *transfer) isOriginReader() (dissemination.Plan, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	_, hasParent := t.plan.Parent(0, t.self())
-	return t.plan, !hasParent || t.distrustful
+	return t.plan, !hasParent || t.originManifestOnly
 }
 
 // manifestFromPeers asks those that stand before this machine in the plan; a fallback asks
 // machines that serve its version.
 func (t *transfer) manifestFromPeers(ctx context.Context) (fleet.Manifest, bool) {
 	if t.peersOnly.Load() {
-		return t.askManifest(ctx, t.agent.holdersOf(t.version(), manifestPeers))
+		return t.queryManifest(ctx, t.agent.listedHolders(t.version(), manifestPeers))
 	}
-	plan, first := t.firstAtOrigin()
+	plan, first := t.isOriginReader()
 	if first {
 		return fleet.Manifest{}, false
 	}
 	providers := plan.Providers(0, t.self())
-	return t.askManifest(ctx, providers[:min(manifestPeers, len(providers))])
+	return t.queryManifest(ctx, providers[:min(manifestPeers, len(providers))])
 }
 
-// askManifest asks peers at the same time and takes the first manifest that comes. A peer
+// queryManifest asks peers at the same time and takes the first manifest that comes. A peer
 // that is bringing the version too answers as soon as it has the manifest itself.
-func (t *transfer) askManifest(ctx context.Context, peers []dissemination.MachineID) (fleet.Manifest, bool) {
+func (t *transfer) queryManifest(ctx context.Context, peers []dissemination.MachineID) (fleet.Manifest, bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	answers := make(chan *fleet.Manifest, len(peers))
 	for _, peer := range peers {
-		go func() { answers <- t.manifestOf(ctx, peer) }()
+		go func() { answers <- t.manifestFromPeer(ctx, peer) }()
 	}
 	for range peers {
 		if manifest := <-answers; manifest != nil {
@@ -137,9 +137,9 @@
 	return fleet.Manifest{}, false
 }
 
-// manifestOf asks one peer, and returns nil if it has no fitting manifest.
-func (t *transfer) manifestOf(ctx context.Context, peer dissemination.MachineID) *fleet.Manifest {
-	message, err := ask[manifestMessage](ctx, t.agent.peers, peer, versionPath(manifestPath, t.model, t.version()), manifestWait)
+// manifestFromPeer asks one peer, and returns nil if it has no fitting manifest.
+func (t *transfer) manifestFromPeer(ctx context.Context, peer dissemination.MachineID) *fleet.Manifest {
+	message, err := query[manifestMessage](ctx, t.agent.peers, peer, versionPath(manifestPath, t.model, t.version()), manifestHoldTime)
 	if err != nil || message.Model != t.model || len(message.Digests) == 0 || (t.version() != 0 && message.Version != t.version()) {
 		return nil
 	}
@@ -163,9 +163,9 @@
 	return manifest, true
 }
 
-// askInventories learns what peers already hold, which they do not offer to a
+// queryInventories learns what peers already hold, which they do not offer to a
 // machine that has come later.
-func (t *transfer) askInventories(ctx context.Context, manifest fleet.Manifest, held []bool, peers []dissemination.MachineID) map[int][]dissemination.MachineID {
+func (t *transfer) queryInventories(ctx context.Context, manifest fleet.Manifest, held []bool, peers []dissemination.MachineID) map[int][]dissemination.MachineID {
 	holders := map[int][]dissemination.MachineID{}
 	if !slices.Contains(held, false) {
 		return holders
@@ -177,7 +177,7 @@
 	for at, peer := range peers {
 		questions.Go(func() {
 			// A peer that does not answer holds nothing for us.
-			answers[at], _ = ask[inventory](ctx, t.agent.peers, peer, versionPath(inventoryPath, t.model, manifest.Version), 0)
+			answers[at], _ = query[inventory](ctx, t.agent.peers, peer, versionPath(inventoryPath, t.model, manifest.Version), 0)
 		})
 	}
 	questions.Wait()
@@ -193,7 +193,7 @@
 
 // awaitManifest waits for a short time until the manifest is known.
 func (t *transfer) awaitManifest(ctx context.Context) (fleet.Manifest, bool) {
-	timer := time.NewTimer(manifestWait)
+	timer := time.NewTimer(manifestHoldTime)
 	defer timer.Stop()
 	select {
 	case <-t.manifestKnown:
--- a/internal/rollout/metrics.go
+++ b/internal/rollout/metrics.go
@@ -12,10 +12,10 @@
 )
 
 type metrics struct {
-	bytes  *prometheus.CounterVec
-	staged prometheus.Histogram
-	orders *prometheus.CounterVec
-	spoilt prometheus.Counter
+	bytes   *prometheus.CounterVec
+	staged  prometheus.Histogram
+	orders  *prometheus.CounterVec
+	corrupt prometheus.Counter
 }
 
 func newMetrics(registry prometheus.Registerer) *metrics {
@@ -27,9 +27,9 @@
 			Buckets: []float64{0.1, 0.5, 1, 2, 3, 4, 5, 6, 8, 12, 30, 120}}),
 		orders: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "pinevane_orders_total", Help: "Orders given to the own server, by outcome."}, []string{"outcome"}),
-		spoilt: prometheus.NewCounter(prometheus.CounterOpts{
+		corrupt: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "pinevane_spoilt_pieces_total", Help: "Staged pieces that no longer matched their digests."}),
 	}
-	registry.MustRegister(m.bytes, m.staged, m.orders, m.spoilt)
+	registry.MustRegister(m.bytes, m.staged, m.orders, m.corrupt)
 	return m
 }
--- a/internal/rollout/pace_test.go
+++ b/internal/rollout/pace_test.go
@@ -12,12 +12,12 @@
 // On a link that has become narrow, pieces must not queue up before the requests
 // to the machine's server.
 func TestSlowPiecesLeaveOneAtATime(t *testing.T) {
-	pace := newFetchPace()
-	for range maximumFetches {
+	pace := newFetchLimiter()
+	for range maxFetches {
 		require.NoError(t, pace.acquire(context.Background()))
 	}
-	for range maximumFetches {
-		pace.release(2 * slowPiece)
+	for range maxFetches {
+		pace.release(2 * slowPieceTime)
 	}
 	assert.Equal(t, 1, pace.limit)
 	require.NoError(t, pace.acquire(context.Background()))
@@ -27,11 +27,11 @@
 }
 
 func TestQuickPiecesBringThePaceBack(t *testing.T) {
-	pace := newFetchPace()
+	pace := newFetchLimiter()
 	pace.limit = 1
-	for range quickPieces * maximumFetches {
+	for range fastPieceRun * maxFetches {
 		require.NoError(t, pace.acquire(context.Background()))
-		pace.release(quickPiece / 2)
+		pace.release(fastPieceTime / 2)
 	}
-	assert.Equal(t, maximumFetches, pace.limit)
+	assert.Equal(t, maxFetches, pace.limit)
 }
--- a/internal/rollout/peers.go
+++ b/internal/rollout/peers.go
@@ -30,10 +30,10 @@
 
 // Bounds of what agents send each other.
 const (
-	maximumOfferBytes    = 64 << 10
-	maximumManifestBytes = 8 << 20
-	peerDialTimeout      = 700 * time.Millisecond
-	offerTimeout         = 1200 * time.Millisecond
+	maxOfferBytes    = 64 << 10
+	maxManifestBytes = 8 << 20
+	peerDialTimeout  = 700 * time.Millisecond
+	offerTimeout     = 1200 * time.Millisecond
 )
 
 // offer tells a peer which pieces are here, or asks it for some.
@@ -42,7 +42,7 @@
 	Model   string                  `cbor:"2,keyasint"`
 	Version uint64                  `cbor:"3,keyasint"`
 	Pieces  []int                   `cbor:"4,keyasint"`
-	Ask     bool                    `cbor:"5,keyasint,omitempty"`
+	Query   bool                    `cbor:"5,keyasint,omitempty"`
 }
 
 // inventory lists the verified pieces of a version at an agent.
@@ -61,25 +61,25 @@
 
 // Times after which a call to a peer over a kept connection that stays silent is hedged.
 const (
-	// peerLeastQuiet is half of inventoryTimeout, so that a hedge has the other half.
-	peerLeastQuiet = 150 * time.Millisecond
-	peerMostQuiet  = 600 * time.Millisecond
-	// pieceQuiet is that of a piece, which takes up much of a link: more than the half second
+	// peerMinSilence is half of inventoryTimeout, so that a hedge has the other half.
+	peerMinSilence = 150 * time.Millisecond
+	peerMaxSilence = 600 * time.Millisecond
+	// pieceMinSilence is that of a piece, which takes up much of a link: more than the half second
 	// that packets wait while pieces move, and more than two signs of a wait.
-	pieceQuiet = 700 * time.Millisecond
-	// waitSign is the pace at which a peer that lets a call wait for its piece says so.
-	waitSign = 250 * time.Millisecond
+	pieceMinSilence = 700 * time.Millisecond
+	// progressInterval is the pace at which a peer that lets a call wait for its piece says so.
+	progressInterval = 250 * time.Millisecond
 )
 
 // Connections to a peer that are kept. In a transfer peers speak all the time; one that has been
 // idle for longer may have gone silent unnoticed, and a new one costs a round trip.
 const (
-	peerConnections = 2
-	peerIdleTimeout = time.Second
-	peerBuffer      = 4 << 10
-	// peerMemory is for how long a machine's client is kept that makes no calls: far longer
+	maxIdlePeerConnections = 2
+	peerIdleTimeout        = time.Second
+	peerBufferBytes        = 4 << 10
+	// peerClientTTL is for how long a machine's client is kept that makes no calls: far longer
 	// than its connections, so that a machine that is gone costs nothing.
-	peerMemory = time.Minute
+	peerClientTTL = time.Minute
 )
 
 // peerClient makes calls to other agents, with a client for each.
@@ -88,19 +88,19 @@
 	onSilent func(target string, silent time.Duration)
 
 	mutex   sync.Mutex
-	clients map[dissemination.MachineID]*keptClient
-	// pruned is when unused clients were last forgotten.
-	pruned time.Time
+	clients map[dissemination.MachineID]*cachedClient
+	// prunedAt is when unused clients were last forgotten.
+	prunedAt time.Time
 }
 
-// keptClient is a machine's client and when it was last used.
-type keptClient struct {
-	client *network.Client
-	used   time.Time
+// cachedClient is a machine's client and when it was last used.
+type cachedClient struct {
+	client   *network.Client
+	lastUsed time.Time
 }
 
 func newPeerClient(port int, onSilent func(target string, silent time.Duration)) *peerClient {
-	return &peerClient{port: port, onSilent: onSilent, clients: map[dissemination.MachineID]*keptClient{}}
+	return &peerClient{port: port, onSilent: onSilent, clients: map[dissemination.MachineID]*cachedClient{}}
 }
 
 // client returns the client of a machine.
@@ -111,25 +111,25 @@
 	p.prune(now)
 	known, made := p.clients[machine]
 	if !made {
-		known = &keptClient{client: network.NewClient(network.ClientOptions{
-			Dial: network.Dialer(peerDialTimeout).DialContext, Idle: peerConnections, IdleTimeout: peerIdleTimeout,
-			ReadBuffer: peerBuffer, WriteBuffer: peerBuffer, LeastQuiet: peerLeastQuiet, MostQuiet: peerMostQuiet,
+		known = &cachedClient{client: network.NewClient(network.ClientOptions{
+			Dial: network.Dialer(peerDialTimeout).DialContext, Idle: maxIdlePeerConnections, IdleTimeout: peerIdleTimeout,
+			ReadBuffer: peerBufferBytes, WriteBuffer: peerBufferBytes, LeastQuiet: peerMinSilence, MostQuiet: peerMaxSilence,
 			OnSilent: func(silent time.Duration) { p.onSilent(string(machine), silent) },
 		})}
 		p.clients[machine] = known
 	}
-	known.used = now
+	known.lastUsed = now
 	return known.client
 }
 
 // prune forgets the clients that have not been used for long; their connections have rested for
 // too long by then and are closed. The mutex is held.
 func (p *peerClient) prune(now time.Time) {
-	if now.Sub(p.pruned) < peerMemory {
+	if now.Sub(p.prunedAt) < peerClientTTL {
 		return
 	}
-	p.pruned = now
-	maps.DeleteFunc(p.clients, func(_ dissemination.MachineID, one *keptClient) bool { return now.Sub(one.used) > peerMemory })
+	p.prunedAt = now
+	maps.DeleteFunc(p.clients, func(_ dissemination.MachineID, one *cachedClient) bool { return now.Sub(one.lastUsed) > peerClientTTL })
 }
 
 // call makes a call to a machine. All calls between agents may be made twice.
@@ -151,7 +151,7 @@
 // without the time for which the machine let the call wait.
 func (p *peerClient) piece(ctx context.Context, machine dissemination.MachineID, path string, size int) ([]byte, time.Duration, error) {
 	answer, err := p.call(ctx, machine, path, network.Call{
-		Method: http.MethodGet, Timeout: pieceTimeout, Limit: int64(size) + 1, LeastQuiet: pieceQuiet,
+		Method: http.MethodGet, Timeout: pieceTimeout, Limit: int64(size) + 1, LeastQuiet: pieceMinSilence,
 	})
 	if err != nil {
 		return nil, 0, err
@@ -159,11 +159,11 @@
 	return answer.Body, answer.BodyTime, nil
 }
 
-// ask asks a machine for a value, with the time for which it may hold the question.
-func ask[T any](ctx context.Context, p *peerClient, machine dissemination.MachineID, path string, hold time.Duration) (T, error) {
+// query asks a machine for a value, with the time for which it may hold the question.
+func query[T any](ctx context.Context, p *peerClient, machine dissemination.MachineID, path string, hold time.Duration) (T, error) {
 	var answer T
 	reply, err := p.call(ctx, machine, path, network.Call{
-		Method: http.MethodGet, Timeout: offerTimeout, Limit: maximumManifestBytes, Hold: hold,
+		Method: http.MethodGet, Timeout: offerTimeout, Limit: maxManifestBytes, Hold: hold,
 	})
 	if err != nil {
 		return answer, err
@@ -180,7 +180,7 @@
 	if err != nil {
 		return answer, &fault.InvalidFrame{Field: "offer", Reason: err.Error()}
 	}
-	reply, err := p.call(ctx, machine, offerPath, network.Call{Method: http.MethodPost, Body: data, Timeout: offerTimeout, Limit: maximumOfferBytes})
+	reply, err := p.call(ctx, machine, offerPath, network.Call{Method: http.MethodPost, Body: data, Timeout: offerTimeout, Limit: maxOfferBytes})
 	if err != nil {
 		return answer, err
 	}
@@ -213,8 +213,8 @@
 			http.Error(writer, "not a version", http.StatusBadRequest)
 			return
 		}
-		found := a.transferOf(chi.URLParam(request, "model"), version)
-		if found == nil || !a.serverSound() {
+		found := a.findTransfer(chi.URLParam(request, "model"), version)
+		if found == nil || !a.serverReachable() {
 			http.Error(writer, "no such version", http.StatusNotFound)
 			return
 		}
@@ -223,15 +223,15 @@
 }
 
 func (a *Agent) handleOffer(writer http.ResponseWriter, request *http.Request) {
-	incoming, _, ok := network.ReadCBOR[offer](writer, request, maximumOfferBytes)
+	incoming, _, ok := network.ReadCBOR[offer](writer, request, maxOfferBytes)
 	if !ok {
 		return
 	}
-	if !a.serverSound() {
+	if !a.serverReachable() {
 		http.Error(writer, "the server does not answer", http.StatusServiceUnavailable)
 		return
 	}
-	network.WriteCBOR(writer, a.takeOffer(incoming))
+	network.WriteCBOR(writer, a.applyOffer(incoming))
 }
 
 func (a *Agent) serveInventory(writer http.ResponseWriter, _ *http.Request, t *transfer) {
@@ -265,13 +265,13 @@
 	// A height that can't be read is that of a machine nobody waits behind.
 	height, _ := strconv.Atoi(request.URL.Query().Get(heightParameter))
 	wait := func() error { return a.uploads.wait(request.Context(), height, index, manifest.PieceBytes) }
-	if err := waitWithSigns(writer, wait); err != nil {
+	if err := waitWithProgress(writer, wait); err != nil {
 		http.Error(writer, "the wait was given up", http.StatusServiceUnavailable)
 		return
 	}
 	content, held := t.readPiece(request.Context(), index)
 	if !held {
-		t.noteSpoilt(request.Context(), index)
+		t.refetchPiece(request.Context(), index)
 		http.Error(writer, "no such piece", http.StatusNotFound)
 		return
 	}
@@ -279,12 +279,12 @@
 	_, _ = writer.Write(content)
 }
 
-// waitWithSigns waits, and tells the caller now and then that its call is being worked on, so
+// waitWithProgress waits, and tells the caller now and then that its call is being worked on, so
 // that it can tell a wait from a connection that has gone silent.
-func waitWithSigns(writer http.ResponseWriter, wait func() error) error {
+func waitWithProgress(writer http.ResponseWriter, wait func() error) error {
 	done := make(chan error, 1)
 	go func() { done <- wait() }()
-	ticker := time.NewTicker(waitSign)
+	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/rollout/peers_test.go
+++ b/internal/rollout/peers_test.go
@@ -20,10 +20,10 @@
 // need not wait is told nothing.
 func TestAWaitForAPieceGivesSigns(t *testing.T) {
 	const signs = 2
-	for name, wait := range map[string]time.Duration{"at once": 0, "after a wait": signs*waitSign + waitSign/2} {
+	for name, wait := range map[string]time.Duration{"at once": 0, "after a wait": signs*progressInterval + progressInterval/2} {
 		t.Run(name, func(t *testing.T) {
 			server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
-				assert.NoError(t, waitWithSigns(writer, func() error {
+				assert.NoError(t, waitWithProgress(writer, func() error {
 					time.Sleep(wait)
 					return nil
 				}))
@@ -43,18 +43,18 @@
 			require.NoError(t, err)
 			_ = response.Body.Close()
 			assert.Equal(t, http.StatusOK, response.StatusCode)
-			assert.Equal(t, int64(wait/waitSign), heard.Load())
+			assert.Equal(t, int64(wait/progressInterval), heard.Load())
 		})
 	}
-	assert.Less(t, 2*waitSign, pieceQuiet, "a sign may be lost and sent again")
+	assert.Less(t, 2*progressInterval, pieceMinSilence, "a sign may be lost and sent again")
 }
 
 // The client of a machine that has not been called for a minute is forgotten.
 func TestClientsOfMachinesThatAreGoneAreForgotten(t *testing.T) {
 	peers := newPeerClient(1, func(string, time.Duration) {})
 	gone, kept := peers.client("gone"), peers.client("kept")
-	past := time.Now().Add(-2 * peerMemory)
-	peers.pruned, peers.clients["gone"].used = past, past
+	past := time.Now().Add(-2 * peerClientTTL)
+	peers.prunedAt, peers.clients["gone"].lastUsed = past, past
 	assert.Same(t, kept, peers.client("kept"))
 	assert.NotContains(t, peers.clients, dissemination.MachineID("gone"))
 	assert.NotSame(t, gone, peers.client("gone"))
--- a/internal/rollout/restarted.go
+++ b/internal/rollout/restarted.go
@@ -10,24 +10,24 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// serverRestarted drops what was known of the server's former incarnation: its load, whether it is cold, and what
+// handleServerRestart drops what was known of the server's former incarnation: its load, whether it is cold, and what
 // was announced to it. What lies at it may be gone, and is read anew. The mutex is held.
-func (a *Agent) serverRestarted(ctx context.Context, report fleet.Report) {
+func (a *Agent) handleServerRestart(ctx context.Context, report fleet.Report) {
 	a.log.Log(logging.ServerRestarted, zap.Int64("born", int64(report.StartTime)), zap.Int64("former", int64(a.report.StartTime)))
-	a.announced = balance.Announcements{}
-	a.cold = newColdWord()
-	a.announcement.Withdraw()
-	a.unguarded = 0
+	a.announcedRequests = balance.Announcements{}
+	a.cold = newColdState()
+	a.switchAnnouncement.Withdraw()
+	a.unretiredLogged = 0
 	for _, one := range []*transfer{a.current, a.fallback, a.older} {
 		if one != nil {
-			go one.readAnew(ctx)
+			go one.reverify(ctx)
 		}
 	}
 }
 
-// readAnew reads back what is thought to lie at the server, and fetches again what does not.
-func (t *transfer) readAnew(ctx context.Context) {
+// reverify reads back what is thought to lie at the server, and fetches again what does not.
+func (t *transfer) reverify(ctx context.Context) {
 	if bad := t.verify(ctx, t.heldPieces()); len(bad) > 0 && ctx.Err() == nil {
-		t.reportSpoilt(bad)
+		t.refetchCorrupt(bad)
 	}
 }
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -15,24 +15,24 @@
 
 // Times of watching the server.
 const (
-	// reportPeriod is the pace at which the own server is asked.
-	reportPeriod = 75 * time.Millisecond
-	// missesUnreachable is how many questions in a row must fail until the server
+	// reportInterval is the pace at which the own server is asked.
+	reportInterval = 75 * time.Millisecond
+	// maxFailedReports is how many questions in a row must fail until the server
 	// counts as unreachable.
-	missesUnreachable = 2
-	reportTimeout     = 250 * time.Millisecond
-	// statusPeriod is the longest time between two words to entries, which make a link anew on
+	maxFailedReports = 2
+	reportTimeout    = 250 * time.Millisecond
+	// statusInterval is the longest time between two words to entries, which make a link anew on
 	// which none comes for a little longer. A question that is a little early counts as due.
-	statusPeriod = 300*time.Millisecond - reportPeriod/4
-	// probePeriod is how often the way to an entry and back is measured.
-	probePeriod = 150 * time.Millisecond
-	// linkStep is the change of that time, in milliseconds, which entries are told of.
-	linkStep = 100
+	statusInterval = 300*time.Millisecond - reportInterval/4
+	// probeInterval is how often the way to an entry and back is measured.
+	probeInterval = 150 * time.Millisecond
+	// linkRTTStep is the change of that time, in milliseconds, which entries are told of.
+	linkRTTStep = 100
 )
 
 // watchServer asks the own server how it does, and tells the entries.
 func (a *Agent) watchServer(ctx context.Context) {
-	ticker := time.NewTicker(reportPeriod)
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	var last fleet.MachineStatus
 	var lastAt, lastToAllAt time.Time
@@ -41,11 +41,11 @@
 		now := time.Now()
 		status := a.status(now)
 		switch {
-		case now.Sub(lastToAllAt) >= statusPeriod || !sameState(status, last):
-			a.send(status, toAll)
+		case now.Sub(lastToAllAt) >= statusInterval || !sameAvailability(status, last):
+			a.sendStatus(status, allEntries)
 			last, lastAt, lastToAllAt = status, now, now
-		case !sameStatus(status, last) || now.Sub(lastAt) >= statusPeriod:
-			a.send(status, toMain)
+		case !equivalentStatus(status, last) || now.Sub(lastAt) >= statusInterval:
+			a.sendStatus(status, primaryEntries)
 			last, lastAt = status, now
 		}
 		select {
@@ -56,19 +56,19 @@
 	}
 }
 
-// sameStatus compares all that an entry would act on.
-func sameStatus(a, b fleet.MachineStatus) bool {
+// equivalentStatus compares all that an entry would act on.
+func equivalentStatus(a, b fleet.MachineStatus) bool {
 	a.SwitchMilliseconds, b.SwitchMilliseconds = min(a.SwitchMilliseconds, 1), min(b.SwitchMilliseconds, 1)
 	a.MissingPieces, b.MissingPieces = 0, 0
 	a.CacheUsed, b.CacheUsed = 0, 0
 	a.ColdMilliseconds, b.ColdMilliseconds = min(a.ColdMilliseconds, 1), min(b.ColdMilliseconds, 1)
 	a.Received, b.Received = 0, 0
-	a.LinkRTTMilliseconds, b.LinkRTTMilliseconds = a.LinkRTTMilliseconds/linkStep, b.LinkRTTMilliseconds/linkStep
+	a.LinkRTTMilliseconds, b.LinkRTTMilliseconds = a.LinkRTTMilliseconds/linkRTTStep, b.LinkRTTMilliseconds/linkRTTStep
 	return a == b
 }
 
-// sameState compares what decides whether the server may be chosen at all.
-func sameState(a, b fleet.MachineStatus) bool {
+// sameAvailability compares what decides whether the server may be chosen at all.
+func sameAvailability(a, b fleet.MachineStatus) bool {
 	return a.Reachable == b.Reachable && a.Version == b.Version && (a.SwitchMilliseconds == 0) == (b.SwitchMilliseconds == 0) &&
 		(a.ColdMilliseconds > 0) == (b.ColdMilliseconds > 0)
 }
@@ -83,22 +83,22 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if err != nil {
-		a.misses++
-		if a.misses >= missesUnreachable && a.reachable {
+		a.failedReports++
+		if a.failedReports >= maxFailedReports && a.reachable {
 			a.reachable = false
 			a.log.Log(logging.EngineLost, zap.Error(err))
 		}
 		return
 	}
 	if a.report.StartTime.Differs(report.StartTime) {
-		a.serverRestarted(ctx, report)
+		a.handleServerRestart(ctx, report)
 	}
 	if !a.reachable {
 		a.log.Log(logging.EngineReached, zap.Int("models", len(report.Models)), zap.Uint64("sequence", report.Sequence))
 		a.wake()
 	}
 	a.logVersion(report)
-	a.misses, a.reachable = 0, true
+	a.failedReports, a.reachable = 0, true
 	a.report, a.reportAt = report, time.Now()
 }
 
@@ -125,7 +125,7 @@
 		Running: a.report.Running, Waiting: a.report.Waiting, CacheUsed: a.report.CacheUsed, CacheTotal: a.report.CacheTotal,
 		Pace: a.report.Pace, SwitchMilliseconds: fleet.NoSwitch,
 		LinkRTTMilliseconds: a.roundTrips.Min(now.Sub(a.started)).Milliseconds(),
-		ColdMilliseconds:    a.cold.left(now).Milliseconds(), Received: a.cold.received.Count(now.Sub(a.started)), StartTime: a.report.StartTime,
+		ColdMilliseconds:    a.cold.remaining(now).Milliseconds(), Received: a.cold.received.Count(now.Sub(a.started)), StartTime: a.report.StartTime,
 	}
 	if engine != nil {
 		status.Version = servedVersion(a.report, model, engine.Layers)
@@ -133,29 +133,29 @@
 	if a.current != nil {
 		status.FetchingVersion = a.current.version()
 		_, status.MissingPieces = a.current.state()
-		if engine != nil && !a.current.hasBegun() {
+		if engine != nil && !a.current.hasStarted() {
 			// Nothing is known to be here: entries tell callers when the server may be ready.
 			status.MissingPieces = engine.Pieces
 		}
 	}
 	switch {
-	case a.ordering || a.report.Busy || a.announcement.Given():
+	case a.ordering || a.report.Busy || a.switchAnnouncement.Given():
 		status.SwitchMilliseconds = 0
 	case !a.switchAt.IsZero() && status.Version != 0 && status.Version < status.FetchingVersion:
 		// While pieces are missing the turn can't come before they are there.
 		status.SwitchMilliseconds = max(0, a.switchAt.Sub(now).Milliseconds())
 		if status.MissingPieces > 0 {
-			status.SwitchMilliseconds = max(status.SwitchMilliseconds, missingSwitch.Milliseconds())
+			status.SwitchMilliseconds = max(status.SwitchMilliseconds, minIncompleteSwitchDelay.Milliseconds())
 		}
 	}
 	return status
 }
 
-// missingSwitch is the least time to a switch whose pieces are not all there.
-const missingSwitch = 500 * time.Millisecond
+// minIncompleteSwitchDelay is the least time to a switch whose pieces are not all there.
+const minIncompleteSwitchDelay = 500 * time.Millisecond
 
 // pushStatus tells the entries at once.
-func (a *Agent) pushStatus() { a.send(a.status(time.Now()), toAll) }
+func (a *Agent) pushStatus() { a.sendStatus(a.status(time.Now()), allEntries) }
 
 // recipients is which entries are told.
 type recipients int
@@ -163,23 +163,23 @@
 // The recipients: every entry that has a link to this agent, or only those of which no
 // other one passes the words on. A change of load need not be told to a backup.
 const (
-	toAll recipients = iota + 1
-	toMain
+	allEntries recipients = iota + 1
+	primaryEntries
 )
 
-// greet tells an entry that has just made a link: it may have heard nothing for a while. An agent
+// sendInitialStatus tells an entry that has just made a link: it may have heard nothing for a while. An agent
 // that does not know its server's model yet has nothing to say of it that an entry may act on.
-func (a *Agent) greet(link *peering.Link) {
+func (a *Agent) sendInitialStatus(link *peering.Link) {
 	if engine, _ := a.engine(); engine == nil || link.Remote().Role != catalog.RoleEntry {
 		return
 	}
 	status := a.status(time.Now())
-	status.Probe = a.probe(link.Remote().ID)
+	status.Probe = a.nextProbe(link.Remote().ID)
 	go func() { _ = peering.Send(link, fleet.TopicMachineStatus, "", status) }()
 }
 
-// send tells entries that speak with this agent, and probes the way to them.
-func (a *Agent) send(status fleet.MachineStatus, to recipients) {
+// sendStatus tells entries that speak with this agent, and probes the way to them.
+func (a *Agent) sendStatus(status fleet.MachineStatus, to recipients) {
 	linked := map[string]bool{}
 	for _, link := range a.daemon.Hub.Accepted() {
 		entry := link.Remote()
@@ -187,11 +187,11 @@
 			continue
 		}
 		linked[entry.ID] = true
-		if to == toMain && a.daemon.Catalog.IsBackup(entry.ID) {
+		if to == primaryEntries && a.daemon.Catalog.IsBackup(entry.ID) {
 			continue
 		}
 		probed := status
-		probed.Probe = a.probe(entry.ID)
+		probed.Probe = a.nextProbe(entry.ID)
 		probed.Stamp = a.daemon.Catalog.Stamp()
 		go func() { _ = peering.Send(link, fleet.TopicMachineStatus, "", probed) }()
 	}
@@ -200,7 +200,7 @@
 	a.roundTrips.RetainOnly(linked)
 }
 
-func (a *Agent) probe(entry string) uint64 {
+func (a *Agent) nextProbe(entry string) uint64 {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.roundTrips.NextProbe(entry, time.Since(a.started))
--- a/internal/rollout/transfer.go
+++ b/internal/rollout/transfer.go
@@ -20,34 +20,34 @@
 // Tuning of a transfer.
 const (
 	transferTick = 50 * time.Millisecond
-	// patience is how long progress is waited for before asking around.
-	patience = 300 * time.Millisecond
-	// distrust is how long a peer that failed is avoided.
-	distrust = 2 * time.Second
-	// maximumFetches is how many pieces are fetched at once.
-	maximumFetches = 10
-	// lagPieces is how far behind the newest a piece may be before it is asked for.
-	lagPieces = 24
+	// progressTimeout is how long progress is waited for before asking around.
+	progressTimeout = 300 * time.Millisecond
+	// peerBackoff is how long a peer that failed is avoided.
+	peerBackoff = 2 * time.Second
+	// maxFetches is how many pieces are fetched at once.
+	maxFetches = 10
+	// maxLagPieces is how far behind the newest a piece may be before it is asked for.
+	maxLagPieces = 24
 	// originFetches is how many pieces are read from the origin at once: the machines
 	// share its link, and many pieces at a time only make the first ones come late.
 	originFetches = 1
 	// pieceTimeout bounds one piece from a peer, its waiting there included; a peer
 	// that stands still must not hold the fetches up.
 	pieceTimeout = 1500 * time.Millisecond
-	// A manifest is asked for each manifestRetry, and after manifestSoon each manifestLater: its
+	// A manifest is asked for each manifestRetryInterval, and after manifestSoon each manifestLater: its
 	// source is away then, and 75 agents that went on at the first pace made 1,800 calls a
 	// second to it. Who is not the first to ask the origin asks it each manifestOriginPause.
-	manifestRetry       = 40 * time.Millisecond
-	manifestSoon        = time.Second
-	manifestLater       = 200 * time.Millisecond
-	manifestOriginPause = time.Second
-	// manifestTurn is the time after which the next in turn asks the origin itself.
-	manifestTurn = 400 * time.Millisecond
+	manifestRetryInterval  = 40 * time.Millisecond
+	manifestSlowAfter      = time.Second
+	manifestSlowInterval   = 200 * time.Millisecond
+	manifestOriginInterval = time.Second
+	// originTurnInterval is the time after which the next in turn asks the origin itself.
+	originTurnInterval = 400 * time.Millisecond
 	// inventoriesPerZone is how many machines of each zone are asked what they hold.
 	inventoriesPerZone = 4
-	// manifestDoubts is how often one piece must fail its digest until the manifest
+	// maxDigestFailures is how often one piece must fail its digest until the manifest
 	// itself is doubted.
-	manifestDoubts = 2
+	maxDigestFailures = 2
 )
 
 // transfer brings one version's pieces to the machine's server, and goes on
@@ -58,16 +58,16 @@
 	// peersOnly is set for an older version while it is in force: the origin's link is the newest
 	// one's.
 	peersOnly atomic.Bool
-	// distrustful transfers take the manifest from the origin only: another has been
+	// originManifestOnly transfers take the manifest from the origin only: another has been
 	// doubted, and peers may hold the same one.
-	distrustful bool
-	// number is the version; 0 until the manifest tells it.
-	number  atomic.Uint64
-	began   time.Time
-	cancel  context.CancelFunc
-	kick    chan struct{}
-	origins chan struct{}
-	pace    *fetchPace
+	originManifestOnly bool
+	// versionNumber is the version; 0 until the manifest tells it.
+	versionNumber atomic.Uint64
+	startedAt     time.Time
+	cancel        context.CancelFunc
+	wakeup        chan struct{}
+	originSlots   chan struct{}
+	limiter       *fetchLimiter
 
 	// manifestKnown is closed once there is a manifest.
 	manifestKnown chan struct{}
@@ -76,29 +76,29 @@
 	plan     dissemination.Plan
 	manifest *fleet.Manifest
 	fetcher  *dissemination.Fetcher
-	// originPace is how long the origin takes for a piece; 0 when that is not known.
-	originPace time.Duration
-	// early keeps offers that came before the manifest.
-	early []offer
+	// originInterval is how long the origin takes for a piece; 0 when that is not known.
+	originInterval time.Duration
+	// earlyOffers keeps offers that came before the manifest.
+	earlyOffers []offer
 	// corrupt counts how often each piece has failed its digest.
-	corrupt    map[int]int
-	doubtful   bool
-	complete   bool
-	fromOrigin int
-	fromPeers  int
-
-	// askedAt is when a fallback last asked machines what they hold.
-	askedAt time.Duration
+	corrupt         map[int]int
+	manifestSuspect bool
+	complete        bool
+	fromOrigin      int
+	fromPeers       int
+
+	// holdersQueriedAt is when a fallback last asked machines what they hold.
+	holdersQueriedAt time.Duration
 	// buffer holds pieces while another version lies at the server.
 	buffer pieceBuffer
 }
 
 func newTransfer(agent *Agent, model string, version uint64, peersOnly bool, cancel context.CancelFunc) *transfer {
 	t := &transfer{
-		agent: agent, model: model, began: time.Now(), cancel: cancel,
-		kick: make(chan struct{}, 1), manifestKnown: make(chan struct{}), origins: make(chan struct{}, originFetches), corrupt: map[int]int{}, pace: newFetchPace(),
+		agent: agent, model: model, startedAt: time.Now(), cancel: cancel,
+		wakeup: make(chan struct{}, 1), manifestKnown: make(chan struct{}), originSlots: make(chan struct{}, originFetches), corrupt: map[int]int{}, limiter: newFetchLimiter(),
 	}
-	t.number.Store(version)
+	t.versionNumber.Store(version)
 	t.peersOnly.Store(peersOnly)
 	t.plan = t.newPlan()
 	return t
@@ -115,19 +115,19 @@
 
 func (t *transfer) self() dissemination.MachineID { return t.agent.self }
 
-func (t *transfer) version() uint64 { return t.number.Load() }
+func (t *transfer) version() uint64 { return t.versionNumber.Load() }
 
-func (t *transfer) now() time.Duration { return time.Since(t.began) }
+func (t *transfer) now() time.Duration { return time.Since(t.startedAt) }
 
-func (t *transfer) poke() {
+func (t *transfer) wake() {
 	select {
-	case t.kick <- struct{}{}:
+	case t.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// rearrange takes over a new list of machines.
-func (t *transfer) rearrange() {
+// updatePlan takes over a new list of machines.
+func (t *transfer) updatePlan() {
 	plan := t.newPlan()
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -135,7 +135,7 @@
 	if t.fetcher != nil {
 		t.fetcher.SetPlan(t.plan, t.now())
 	}
-	t.poke()
+	t.wake()
 }
 
 // run transfers until the context ends.
@@ -147,48 +147,48 @@
 	held := t.verifyHeld(ctx, manifest)
 	peers := t.agent.inventoryPeers()
 	if t.peersOnly.Load() {
-		peers = t.agent.holdersOf(t.version(), inventoriesPerZone)
+		peers = t.agent.listedHolders(t.version(), inventoriesPerZone)
 	}
-	t.begin(manifest, held, t.askInventories(ctx, manifest, held, peers))
+	t.start(manifest, held, t.queryInventories(ctx, manifest, held, peers))
 	ticker := time.NewTicker(transferTick)
 	defer ticker.Stop()
 	for {
-		t.carryOut(ctx)
-		t.noteComplete()
+		t.performActions(ctx)
+		t.checkComplete()
 		select {
-		case <-t.kick:
+		case <-t.wakeup:
 		case <-ticker.C:
 			t.mutex.Lock()
 			t.fetcher.Tick(t.now())
 			t.mutex.Unlock()
-			t.lookForHolders(ctx, manifest)
+			t.queryHolders(ctx, manifest)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (t *transfer) begin(manifest fleet.Manifest, held []bool, holders map[int][]dissemination.MachineID) {
+func (t *transfer) start(manifest fleet.Manifest, held []bool, holders map[int][]dissemination.MachineID) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.originPace = t.originInterval()
+	t.originInterval = t.estimateOriginInterval()
 	t.fetcher = dissemination.NewFetcher(t.fetcherOptions(held))
-	t.takeHolders(holders)
+	t.addHolders(holders)
 	t.fetcher.Start(t.now())
 	t.agent.log.Log(logging.TransferBegun, zap.String("model", t.model), zap.Uint64("version", t.version()),
 		zap.Int("pieces", len(held)), zap.Int("missing", t.fetcher.Missing()),
 		zap.Int("held_by_peers", len(holders)), zap.Duration("after", t.now()))
-	for _, pending := range t.early {
-		t.takeLocked(pending)
+	for _, pending := range t.earlyOffers {
+		t.applyOfferLocked(pending)
 	}
-	t.early = nil
+	t.earlyOffers = nil
 }
 
 // fetcherOptions are those of a fetcher that has some pieces; the mutex is held.
 func (t *transfer) fetcherOptions(held []bool) dissemination.Options {
 	return dissemination.Options{
 		Self: t.self(), Plan: t.plan, Chunks: len(held), Held: held, PeersOnly: t.peersOnly.Load(),
-		MaximumFetches: maximumFetches, OriginInterval: t.originPace, LagChunks: lagPieces, Patience: patience, Distrust: distrust,
+		MaximumFetches: maxFetches, OriginInterval: t.originInterval, LagChunks: maxLagPieces, Patience: progressTimeout, Distrust: peerBackoff,
 	}
 }
 
@@ -201,9 +201,9 @@
 	return held
 }
 
-// originInterval is how long the origin's link takes for a piece; 0 when that is not
+// estimateOriginInterval is how long the origin's link takes for a piece; 0 when that is not
 // known.
-func (t *transfer) originInterval() time.Duration {
+func (t *transfer) estimateOriginInterval() time.Duration {
 	engine, _ := t.agent.engine()
 	if engine == nil {
 		return 0
@@ -211,9 +211,9 @@
 	return engine.PieceTime(t.agent.daemon.Catalog.View().Configuration.OriginRate())
 }
 
-// takeHolders offers the fetcher what peers hold, each piece from another of them
+// addHolders offers the fetcher what peers hold, each piece from another of them
 // first, so that no one has to send everything; the mutex is held.
-func (t *transfer) takeHolders(holders map[int][]dissemination.MachineID) {
+func (t *transfer) addHolders(holders map[int][]dissemination.MachineID) {
 	for index, machines := range holders {
 		for turn := range machines {
 			t.fetcher.Offered(machines[(index+turn)%len(machines)], index, t.now())
@@ -221,25 +221,25 @@
 	}
 }
 
-// take feeds an offer or a question to the fetcher.
-func (t *transfer) take(incoming offer) dissemination.Answer {
+// applyOffer feeds an offer or a question to the fetcher.
+func (t *transfer) applyOffer(incoming offer) dissemination.Answer {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.fetcher == nil {
-		if len(t.early) < maximumEarlyOffers {
-			t.early = append(t.early, incoming)
+		if len(t.earlyOffers) < maxEarlyOffers {
+			t.earlyOffers = append(t.earlyOffers, incoming)
 		}
 		return dissemination.Answer{}
 	}
-	return t.takeLocked(incoming)
+	return t.applyOfferLocked(incoming)
 }
 
-// maximumEarlyOffers bounds the offers kept until the manifest is known.
-const maximumEarlyOffers = 512
+// maxEarlyOffers bounds the offers kept until the manifest is known.
+const maxEarlyOffers = 512
 
-func (t *transfer) takeLocked(incoming offer) dissemination.Answer {
-	defer t.poke()
-	if incoming.Ask {
+func (t *transfer) applyOfferLocked(incoming offer) dissemination.Answer {
+	defer t.wake()
+	if incoming.Query {
 		return t.fetcher.AskedFor(incoming.From, incoming.Pieces, t.agent.uploads.backlog(), t.now())
 	}
 	for _, piece := range incoming.Pieces {
@@ -248,8 +248,8 @@
 	return dissemination.Answer{}
 }
 
-// carryOut starts what the fetcher wants done.
-func (t *transfer) carryOut(ctx context.Context) {
+// performActions starts what the fetcher wants done.
+func (t *transfer) performActions(ctx context.Context) {
 	t.mutex.Lock()
 	fetcher := t.fetcher
 	actions := fetcher.Take()
@@ -264,12 +264,12 @@
 }
 
 func (t *transfer) sendOffer(ctx context.Context, message dissemination.Message) {
-	body := offer{From: t.self(), Model: t.model, Version: t.version(), Pieces: message.Chunks, Ask: message.Ask}
+	body := offer{From: t.self(), Model: t.model, Version: t.version(), Pieces: message.Chunks, Query: message.Ask}
 	answer, err := t.agent.peers.offer(ctx, message.Peer, body)
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.fetcher.Delivered(message.Peer, message.Chunks, message.Ask, err != nil, answer, t.now())
-	t.poke()
+	t.wake()
 }
 
 // fetch brings one piece to the server and reports how it went.
@@ -279,20 +279,20 @@
 		err = &fault.Corrupt{Source: string(action.Peer)}
 	}
 	if err == nil {
-		err = t.keep(ctx, action.Chunk, content)
+		err = t.store(ctx, action.Chunk, content)
 	}
 	if ctx.Err() != nil {
 		return
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	defer t.poke()
+	defer t.wake()
 	if t.fetcher != fetcher {
 		// The transfer has begun anew meanwhile and will see for itself.
 		return
 	}
 	if err != nil {
-		t.fetcher.FetchFailed(action.Peer, action.Chunk, t.judge(err, action), t.now())
+		t.fetcher.FetchFailed(action.Peer, action.Chunk, t.classifyFailure(err, action), t.now())
 		return
 	}
 	if action.Kind == dissemination.FetchOrigin {
@@ -306,11 +306,11 @@
 }
 
 func (t *transfer) readFrom(ctx context.Context, action dissemination.Action) ([]byte, error) {
-	if err := t.pace.acquire(ctx); err != nil {
+	if err := t.limiter.acquire(ctx); err != nil {
 		return nil, err
 	}
 	took := time.Duration(0)
-	defer func() { t.pace.release(took) }()
+	defer func() { t.limiter.release(took) }()
 	if action.Kind == dissemination.Fetch {
 		path := versionPath(piecePath, t.model, t.version()) + "/" + itoa(action.Chunk) + "?" + heightParameter + "=" + itoa(t.height(action.Chunk))
 		content, bodyTime, err := t.agent.peers.piece(ctx, action.Peer, path, t.manifest.PieceBytes)
@@ -321,8 +321,8 @@
 		return content, err
 	}
 	select {
-	case t.origins <- struct{}{}:
-		defer func() { <-t.origins }()
+	case t.originSlots <- struct{}{}:
+		defer func() { <-t.originSlots }()
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
@@ -350,8 +350,8 @@
 	return t.fetcher.Height(index)
 }
 
-// judge turns an error into the fetcher's reason; the mutex is held.
-func (t *transfer) judge(err error, action dissemination.Action) dissemination.FailureReason {
+// classifyFailure turns an error into the fetcher's reason; the mutex is held.
+func (t *transfer) classifyFailure(err error, action dissemination.Action) dissemination.FailureReason {
 	var corrupt *fault.Corrupt
 	var unavailable *fault.Unavailable
 	source := string(action.Peer)
@@ -362,7 +362,7 @@
 	case errors.As(err, &corrupt):
 		t.agent.log.Log(logging.ChunkCorrupt, zap.String("source", source), zap.Int("piece", action.Chunk), zap.Uint64("version", t.version()))
 		t.corrupt[action.Chunk]++
-		t.doubtful = t.doubtful || t.corrupt[action.Chunk] >= manifestDoubts
+		t.manifestSuspect = t.manifestSuspect || t.corrupt[action.Chunk] >= maxDigestFailures
 		return dissemination.Corrupted
 	case errors.Is(err, context.DeadlineExceeded):
 		t.agent.log.Log(logging.ChunkStalled, zap.String("source", source), zap.Int("piece", action.Chunk), zap.Uint64("version", t.version()))
@@ -373,12 +373,12 @@
 	return dissemination.Unreachable
 }
 
-// noteComplete announces that every piece lies at the server.
-func (t *transfer) noteComplete() {
+// checkComplete announces that every piece lies at the server.
+func (t *transfer) checkComplete() {
 	t.mutex.Lock()
 	changed := !t.complete && t.fetcher.Missing() == 0
 	t.complete = t.fetcher.Missing() == 0
-	doubtful := t.doubtful && !t.complete
+	doubtful := t.manifestSuspect && !t.complete
 	t.mutex.Unlock()
 	if changed {
 		t.agent.metrics.staged.Observe(t.now().Seconds())
@@ -387,7 +387,7 @@
 		t.agent.wake()
 	}
 	if doubtful {
-		t.agent.doubt(t)
+		t.agent.rejectManifest(t)
 	}
 }
 
@@ -402,7 +402,7 @@
 }
 
 // hasManifest reports whether it is known which pieces the version consists of.
-func (t *transfer) hasBegun() bool {
+func (t *transfer) hasStarted() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.fetcher != nil
--- a/internal/rollout/transfer_test.go
+++ b/internal/rollout/transfer_test.go
@@ -20,9 +20,9 @@
 	const pieces = 60
 	agent := &Agent{self: "a", metrics: newMetrics(prometheus.NewRegistry())}
 	one := &transfer{
-		agent: agent, model: "m", began: time.Now(), kick: make(chan struct{}, 1), manifest: &fleet.Manifest{Digests: make([][32]byte, pieces)},
-		plan:       dissemination.NewPlan(dissemination.StrategyRotated, dissemination.NewRoster([]dissemination.Machine{{ID: "a", Zone: "z", Region: "r"}})),
-		originPace: 10 * time.Second,
+		agent: agent, model: "m", startedAt: time.Now(), wakeup: make(chan struct{}, 1), manifest: &fleet.Manifest{Digests: make([][32]byte, pieces)},
+		plan:           dissemination.NewPlan(dissemination.StrategyRotated, dissemination.NewRoster([]dissemination.Machine{{ID: "a", Zone: "z", Region: "r"}})),
+		originInterval: 10 * time.Second,
 	}
 	held := make([]bool, pieces)
 	all := make([]int, pieces)
@@ -30,7 +30,7 @@
 		held[index], all[index] = true, index
 	}
 	one.fetcher = dissemination.NewFetcher(one.fetcherOptions(held))
-	one.restart(all)
+	one.restartFetch(all)
 	asked := 0
 	for range pieces {
 		one.fetcher.Tick(one.now())
--- a/internal/rollout/uploads.go
+++ b/internal/rollout/uploads.go
@@ -15,9 +15,9 @@
 	turn   chan struct{}
 }
 
-// uploads paces what is sent to peers: one piece after the other, first the one
+// uploadQueue paces what is sent to peers: one piece after the other, first the one
 // that most machines wait for behind the peer that asks.
-type uploads struct {
+type uploadQueue struct {
 	bytesPerSecond float64
 
 	mutex   sync.Mutex
@@ -27,19 +27,19 @@
 	running bool
 }
 
-func newUploads(bytesPerSecond float64) *uploads {
-	return &uploads{bytesPerSecond: bytesPerSecond}
+func newUploadQueue(bytesPerSecond float64) *uploadQueue {
+	return &uploadQueue{bytesPerSecond: bytesPerSecond}
 }
 
 // backlog returns how many uploads wait.
-func (u *uploads) backlog() int {
+func (u *uploadQueue) backlog() int {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	return len(u.waiting)
 }
 
 // wait returns when it is the turn of a piece of a size.
-func (u *uploads) wait(ctx context.Context, height, piece, size int) error {
+func (u *uploadQueue) wait(ctx context.Context, height, piece, size int) error {
 	if u.bytesPerSecond <= 0 {
 		return ctx.Err()
 	}
@@ -55,12 +55,12 @@
 	case <-mine.turn:
 		return nil
 	case <-ctx.Done():
-		u.drop(mine)
+		u.remove(mine)
 		return ctx.Err()
 	}
 }
 
-func (u *uploads) drop(gone *ticket) {
+func (u *uploadQueue) remove(gone *ticket) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	for index, one := range u.waiting {
@@ -72,7 +72,7 @@
 }
 
 // serve gives turns until nothing waits.
-func (u *uploads) serve(size int) {
+func (u *uploadQueue) serve(size int) {
 	each := time.Duration(float64(size) / u.bytesPerSecond * float64(time.Second))
 	for {
 		u.mutex.Lock()
@@ -82,7 +82,7 @@
 			time.Sleep(pauseTime)
 		}
 		u.mutex.Lock()
-		next := u.takeUrgent()
+		next := u.popMostUrgent()
 		if next == nil {
 			u.running = false
 			u.mutex.Unlock()
@@ -102,8 +102,8 @@
 	return b
 }
 
-// takeUrgent takes the most urgent ticket; the mutex is held.
-func (u *uploads) takeUrgent() *ticket {
+// popMostUrgent takes the most urgent ticket; the mutex is held.
+func (u *uploadQueue) popMostUrgent() *ticket {
 	if len(u.waiting) == 0 {
 		return nil
 	}
--- a/internal/rollout/uploads_test.go
+++ b/internal/rollout/uploads_test.go
@@ -17,7 +17,7 @@
 		size  = 10 << 10
 		count = 6
 	)
-	paced := newUploads(size * 50)
+	paced := newUploadQueue(size * 50)
 	began := time.Now()
 	var all sync.WaitGroup
 	for piece := range count {
@@ -30,16 +30,16 @@
 
 // A peer that others wait behind is served before one that nobody waits for.
 func TestInnerMachinesGoFirst(t *testing.T) {
-	paced := newUploads(1)
+	paced := newUploadQueue(1)
 	paced.waiting = []*ticket{{height: 0, piece: 3}, {height: 2, piece: 9}, {height: 1, piece: 1}}
-	assert.Equal(t, 9, paced.takeUrgent().piece)
-	assert.Equal(t, 1, paced.takeUrgent().piece)
-	assert.Equal(t, 3, paced.takeUrgent().piece)
-	assert.Nil(t, paced.takeUrgent())
+	assert.Equal(t, 9, paced.popMostUrgent().piece)
+	assert.Equal(t, 1, paced.popMostUrgent().piece)
+	assert.Equal(t, 3, paced.popMostUrgent().piece)
+	assert.Nil(t, paced.popMostUrgent())
 }
 
 func TestUploadThatNobodyWaitsForIsDropped(t *testing.T) {
-	paced := newUploads(1)
+	paced := newUploadQueue(1)
 	require.NoError(t, paced.wait(context.Background(), 0, 0, 10))
 	require.NoError(t, paced.wait(context.Background(), 0, 0, 10))
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Millisecond)
--- a/internal/rollout/verify.go
+++ b/internal/rollout/verify.go
@@ -18,7 +18,7 @@
 	for ctx.Err() == nil {
 		indexes, err := t.agent.server.HeldPieces(ctx, t.model)
 		if err != nil {
-			waiting.For(ctx, manifestRetry)
+			waiting.For(ctx, manifestRetryInterval)
 			continue
 		}
 		for _, index := range indexes {
@@ -73,33 +73,33 @@
 	return bad
 }
 
-// reportSpoilt fetches pieces again that have turned bad at the server.
-func (t *transfer) reportSpoilt(bad []int) {
+// refetchCorrupt fetches pieces again that have turned bad at the server.
+func (t *transfer) refetchCorrupt(bad []int) {
 	t.agent.log.Log(logging.PiecesSpoilt, zap.String("model", t.model), zap.Uint64("version", t.version()), zap.Ints("pieces", bad))
-	t.restart(bad)
+	t.restartFetch(bad)
 }
 
-// noteSpoilt fetches a piece again that was thought to be here and is not sound, so
+// refetchPiece fetches a piece again that was thought to be here and is not sound, so
 // that peers are not sent to it in vain.
-func (t *transfer) noteSpoilt(ctx context.Context, index int) {
+func (t *transfer) refetchPiece(ctx context.Context, index int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if ctx.Err() != nil || t.fetcher == nil || index < 0 || index >= len(t.manifest.Digests) || !t.fetcher.Holds(index) {
 		return
 	}
 	t.agent.log.Log(logging.PiecesSpoilt, zap.String("model", t.model), zap.Uint64("version", t.version()), zap.Ints("pieces", []int{index}))
-	t.restartLocked([]int{index})
+	t.restartFetchLocked([]int{index})
 }
 
-// restart begins anew with what is sound, after pieces have turned bad.
-func (t *transfer) restart(bad []int) {
+// restartFetch begins anew with what is sound, after pieces have turned bad.
+func (t *transfer) restartFetch(bad []int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.restartLocked(bad)
+	t.restartFetchLocked(bad)
 }
 
-func (t *transfer) restartLocked(bad []int) {
-	t.agent.metrics.spoilt.Add(float64(len(bad)))
+func (t *transfer) restartFetchLocked(bad []int) {
+	t.agent.metrics.corrupt.Add(float64(len(bad)))
 	held := t.heldMask()
 	for _, index := range bad {
 		held[index] = false
@@ -107,5 +107,5 @@
 	t.fetcher = dissemination.NewFetcher(t.fetcherOptions(held))
 	t.complete = false
 	t.fetcher.Start(t.now())
-	t.poke()
+	t.wake()
 }
