--- a/internal/rollout/agent.go
+++ b/internal/rollout/agent.go
@@ -1,6 +1,6 @@
-// Package rollout is the agent process on the users' machines: it brings new
-// weights to its machine's model server, hands them on to other agents, orders
-// the server to change over in its turn, and tells entries how the server does.
+// Package rollout implements the agent process on the users' machines. The agent fetches new
+// weights for the model server of its machine, passes them on to other agents, orders the server to
+// switch versions when its turn comes, and reports the server's status to the entries.
 package rollout
 
 import (
@@ -24,14 +24,14 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// Options wires an Agent.
+// Options holds the dependencies of an Agent.
 type Options struct {
 	Daemon *daemon.Daemon
 	Server fleet.ModelServer
 	Origin fleet.WeightOrigin
 }
 
-// Agent is one agent process.
+// Agent distributes weights to, controls and reports on the model server of one machine.
 type Agent struct {
 	daemon *daemon.Daemon
 	log    *logging.Logger
@@ -39,49 +39,48 @@
 	origin fleet.WeightOrigin
 	self   dissemination.MachineID
 	peers  *peerClient
-	// metrics are counted by the transfers too.
+	// metrics is also updated by the transfers.
 	metrics *metrics
 
 	uploads *uploadQueue
 	wakeup  chan struct{}
-	// staging is held for reading while a piece is laid down, and for writing while
-	// an order is given, so that the server takes exactly what was verified.
+	// staging is read-locked while a piece is staged and write-locked while an order is sent, so
+	// that the server loads exactly the pieces that were verified.
 	staging sync.RWMutex
 
 	mutex sync.Mutex
-	// current brings the newest version; fallback holds, or brings, an older one that may
-	// still begin requests; older brings one, in memory, that was on its way when a newer one was
-	// named.
+	// current fetches the newest version. fallback holds or fetches an older version that may still
+	// begin requests. older continues, in memory, the transfer of a version that was incomplete
+	// when a newer one was announced.
 	current  *transfer
 	fallback *transfer
 	older    *transfer
-	// previous is kept of the version that lay at the server before the present one; nil for none.
+	// previous is one layer of the version that was staged before the present one, or nil.
 	previous *previousLayer
-	// rejectedVersion is the version whose manifest was doubted last.
+	// rejectedVersion is the version whose manifest was rejected last.
 	rejectedVersion uint64
 	report          fleet.Report
-	// reportAt is when the server last answered; reachable is whether it did at the
-	// last try.
+	// reportAt is when the server last answered a report request. reachable is cleared after
+	// maxFailedReports failures in a row.
 	reportAt      time.Time
 	reachable     bool
 	failedReports int
-	// roundTrips measures the way to the entries, since started.
+	// roundTrips measures round-trip times to the entries; its times are relative to started.
 	roundTrips *liveness.RoundTrips
 	started    time.Time
 	switchAt   time.Time
-	// switchAnnouncement is the notice to entries of the change-over that is due.
+	// switchAnnouncement is the announcement to the entries of an imminent switch.
 	switchAnnouncement turnover.Announcement
 	ordering           bool
-	// unretiredLogged is the version served of which was last logged that nothing of a newer one is
-	// here to end it at its bound.
+	// unretiredLogged is the served version for which VersionUnguarded was last logged.
 	unretiredLogged uint64
-	// announcedRequests are the requests that entries have told to be on their way.
+	// announcedRequests are the requests that entries have announced as sent.
 	announcedRequests balance.Announcements
-	// cold is what entries are told so that a cold server is not overrun.
+	// cold tracks how long the server stays cold and how many requests were announced to it.
 	cold coldState
 }
 
-// New builds an agent that does not listen yet.
+// New returns an agent that does not listen yet; see Run.
 func New(options Options) *Agent {
 	settings := options.Daemon.Settings()
 	a := &Agent{
@@ -101,11 +100,12 @@
 	return a
 }
 
-// uplinkFraction of the machine's link carries pieces; the server's own answers, which must not
-// wait behind them, have the rest. At full traffic a share of 0.92 leaves the answers less than
-// they need while a version moves: 0.46 of the credit of these seconds is earned instead of 0.48
-// to 0.51, in the means of three seeds, and the version is staged no sooner, because the origin's
-// link decides. A share of 0.65 gives 0.57, and as much less while servers change over.
+// uplinkFraction is the fraction of the machine's link that carries pieces. The rest is for the
+// server's own answers, which must not queue behind pieces. With 0.92 at full traffic the answers
+// lack bandwidth while a version is distributed: 0.46 of the possible credit is earned in those
+// seconds instead of 0.48 to 0.51 (means of three seeds), and the version is staged no sooner
+// because the origin's link is the bottleneck. With 0.65 the credit is 0.57, but it drops by as
+// much while servers switch.
 const uplinkFraction = 0.8
 
 // Run serves until stop is closed.
@@ -127,7 +127,7 @@
 	work.Go(func() { a.reconcileLoop(ctx) })
 	<-stop
 	a.log.Log(logging.ProcessStopping)
-	// An order that is being given is waited for, so that its fate is known.
+	// Wait for an order in flight, so that its outcome is known.
 	a.staging.Lock()
 	cancel()
 	a.staging.Unlock()
@@ -139,7 +139,7 @@
 
 func itoa(number int) string { return strconv.Itoa(number) }
 
-// wake asks the keeper to look again.
+// wake triggers a run of reconcile.
 func (a *Agent) wake() {
 	select {
 	case a.wakeup <- struct{}{}:
@@ -147,7 +147,7 @@
 	}
 }
 
-// engine returns the engine of this machine's service, and its model's name.
+// engine returns the engine of this machine's service and the name of its model.
 func (a *Agent) engine() (*fleet.Engine, string) {
 	view := a.daemon.Catalog.View()
 	if view.Configuration == nil {
@@ -169,7 +169,7 @@
 	return origin.OriginAddress, known
 }
 
-// members lists the machines of this machine's service, by IP address.
+// members lists the machines of this machine's service, identified by IP address.
 func (a *Agent) members() []turnover.Member {
 	settings := a.daemon.Settings()
 	self := turnover.Member{ID: settings.IP, Zone: settings.Zone}
@@ -178,8 +178,8 @@
 
 func anyServer(fleet.Server) bool { return true }
 
-// otherMembers lists the other machines of the service whose servers stay and fulfil a
-// condition.
+// otherMembers lists the other machines of the service whose servers are not draining and satisfy
+// wanted.
 func (a *Agent) otherMembers(wanted func(fleet.Server) bool) []turnover.Member {
 	settings := a.daemon.Settings()
 	var members []turnover.Member
@@ -204,8 +204,8 @@
 	return dissemination.NewRoster(machines)
 }
 
-// inventoryPeers picks a few machines of the own zone, and of the others if there
-// is none, to ask what they hold.
+// inventoryPeers picks a few machines to query for their inventories: of the same zone, or of other
+// zones if the zone has no other machine.
 func (a *Agent) inventoryPeers() []dissemination.MachineID {
 	near, far := a.splitByZone(a.otherMembers(anyServer))
 	if len(near) == 0 {
@@ -214,7 +214,7 @@
 	return machineIDs(placement.Top("inventory/"+string(a.self), near, inventoriesPerZone))
 }
 
-// splitByZone parts machines into those of the own zone and the others.
+// splitByZone splits machines into those of the agent's own zone and the others.
 func (a *Agent) splitByZone(members []turnover.Member) (near, far []string) {
 	zone := a.daemon.Settings().Zone
 	for _, member := range members {
@@ -235,7 +235,7 @@
 	return ids
 }
 
-// applyView follows a new view.
+// applyView updates the cold state and the transfer plans from a new catalog view.
 func (a *Agent) applyView() {
 	a.mutex.Lock()
 	current, older := a.current, a.older
@@ -268,7 +268,7 @@
 	return found.applyOffer(incoming)
 }
 
-// rejectManifest gives up a manifest whose pieces the origin itself does not match.
+// rejectManifest drops a transfer whose pieces from the origin do not match its manifest.
 func (a *Agent) rejectManifest(t *transfer) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
--- a/internal/rollout/bound.go
+++ b/internal/rollout/bound.go
@@ -11,49 +11,48 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// Entries send nothing to a server with an old version that it might begin after the bound,
-// and take back what it has not begun in time. Both reach the server over connections, and a
-// request whose cancelling is lost on a silent one would begin whenever the server gets to it.
-// So the agent makes sure from the server's side: from an order on, the server begins nothing
-// more on what it held before. What waits begins on the new version, or is turned away as not
-// run by a server that holds the new version in part.
+// An entry sends a server no request that the server might begin on an old version after that
+// version's deadline, and revokes requests that have not begun in time. Both depend on the
+// connections between them: if a cancellation is lost on a silent connection, the server would
+// still begin the request. So the agent also enforces the deadline at the server: once ordered, the
+// server begins nothing more on the version it held before. Waiting requests begin on the new
+// version, or are rejected as not run by a server that holds only part of the new version.
 
-// deadlineMargin is how long before the bound the server is ordered, whatever waits at it: entries
-// take back what has not begun from 400 ms before the bound on (takeBackMargin in
-// internal/forward), and one look of the keeper, the reading back of the pieces and the order
-// take up to 200 ms.
+// deadlineMargin is how long before the version's deadline the server is ordered, even if requests
+// wait at it. Entries revoke requests that have not begun from 400 ms before the deadline on (see
+// internal/forward); one reconcile interval, the verification of the pieces and the order take up
+// to 200 ms.
 const deadlineMargin = 400 * time.Millisecond
 
-// deadlineNear reports whether the version that the server serves must not begin requests much
-// longer, or may not any more, because one that it lacks comes into force. An age that is only
-// assumed, by a process that has just started, may be longer than the true one, by the whole
-// bound at the most.
+// deadlineNear reports whether the deadline of the served version is near or past, because a newer
+// version, which the server lacks, comes into force. An announcement age that a freshly started
+// process only assumes may exceed the true age by up to the whole version bound.
 func (a *Agent) deadlineNear(model string, serving uint64) bool {
 	if serving == 0 {
 		return false
 	}
-	notice, superseded := a.daemon.Catalog.View().FirstAfter(model, serving)
+	announcement, superseded := a.daemon.Catalog.View().FirstAfter(model, serving)
 	if !superseded {
 		return false
 	}
-	apply := a.daemon.Settings().Bounds.VersionApply
-	bound := notice.Since.Add(apply)
-	if notice.Assumed {
-		bound = bound.Add(apply)
+	versionApply := a.daemon.Settings().Bounds.VersionApply
+	deadline := announcement.Since.Add(versionApply)
+	if announcement.Assumed {
+		deadline = deadline.Add(versionApply)
 	}
-	return time.Until(bound) < deadlineMargin
+	return time.Until(deadline) < deadlineMargin
 }
 
-// retireOldVersion takes the version that the server serves out of service though the newest one is
-// not here whole: it orders some whole layers of a newer one, which a server turns requests away
-// with until it has the others. It costs no service, because entries send nothing to an old
-// version from a second before its bound, and what runs goes on to its end. Without a single whole
-// layer of a newer version the one that was kept of the version before is ordered; an agent that has
-// started since has none, and then only the entries keep requests away.
+// retireOldVersion takes the served version out of service although the newest version is not
+// complete. It orders some complete layers of a newer version, and the server rejects requests
+// until it has the rest. This costs no availability: entries send nothing to an old version in the
+// last second before its deadline, and running requests finish. If no layer of a newer version is
+// complete, the saved layer of the previous version is ordered. An agent that has restarted since
+// has no saved layer; then only the entries keep requests away.
 func (a *Agent) retireOldVersion(ctx context.Context, newest *transfer, engine *fleet.Engine, serving uint64) {
 	newer, layers := a.retirementLayers(newest, engine, serving)
 	if layers.Count() == 0 {
-		if kept := a.takePreviousLayer(newest, serving); kept == nil || !a.orderPreviousLayer(ctx, kept, engine, serving) {
+		if saved := a.takePreviousLayer(newest, serving); saved == nil || !a.orderPreviousLayer(ctx, saved, engine, serving) {
 			a.logUnretired(newest, serving)
 		}
 		return
@@ -67,17 +66,17 @@
 		return
 	}
 	began := time.Now()
-	if bad := newer.verify(ctx, layers.Pieces(len(newer.held()), engine.Layers)); len(bad) > 0 {
-		newer.refetchCorrupt(bad)
+	if corrupt := newer.verify(ctx, layers.Pieces(len(newer.held()), engine.Layers)); len(corrupt) > 0 {
+		newer.refetchCorrupt(corrupt)
 		return
 	}
 	part := fleet.StartOrder{Model: newer.model, Version: newer.version(), FromLayer: layers.From, ToLayer: layers.To}
 	a.orderPart(ctx, part, engine, serving, began)
 }
 
-// orderPart orders some layers of a version, which were laid down and verified since a time, to end the
-// one that is served, and reports whether the server could be ordered. The staging lock is held for
-// writing.
+// orderPart orders layers of a version to retire the served one, and reports whether the server
+// could be ordered. The layers have been staged and verified since began. The caller holds the
+// staging lock for writing.
 func (a *Agent) orderPart(ctx context.Context, part fleet.StartOrder, engine *fleet.Engine, serving uint64, began time.Time) bool {
 	fresh, err := a.server.Report(ctx)
 	if err != nil || fresh.Busy {
@@ -90,32 +89,33 @@
 	return true
 }
 
-// retirementLayers picks the layers whose order ends the version that is served: of the newest one, or
-// of one between that is here and whose own time is over too soon to be served. Of the latter one
-// layer is left out, so that it begins nothing after its own bound. Without it 3 of the requests that
-// wait at four servers began up to 3.9 s late (TestNothingBeginsLateWhenOnlyAVersionBetweenIsHere).
+// retirementLayers picks the layers to order so that the served version is retired: of the newest
+// version, or of an intermediate version that is staged but expires too soon to be served. Of an
+// intermediate version one layer is left out, so that the server begins nothing on it after its own
+// deadline. Without this, 3 of the requests waiting at four servers began up to 3.9 s late (tests
+// of late cancellations in internal/sitetest).
 func (a *Agent) retirementLayers(newest *transfer, engine *fleet.Engine, serving uint64) (*transfer, turnover.Layers) {
 	if layers := turnover.WholeLayers(newest.held(), engine.Layers); layers.Count() > 0 {
 		return newest, layers
 	}
 	a.mutex.Lock()
-	between := a.fallback
+	intermediate := a.fallback
 	a.mutex.Unlock()
-	if between == nil || between.version() <= serving {
+	if intermediate == nil || intermediate.version() <= serving {
 		return newest, turnover.Layers{}
 	}
-	layers := turnover.WholeLayers(between.held(), engine.Layers)
+	layers := turnover.WholeLayers(intermediate.held(), engine.Layers)
 	layers.To = min(layers.To, layers.From+engine.Layers-1)
-	return between, layers
+	return intermediate, layers
 }
 
-// logUnretired logs, once for a version, that nothing takes it out of service at its bound.
+// logUnretired logs, once per served version, that nothing retires it at its deadline.
 func (a *Agent) logUnretired(newer *transfer, serving uint64) {
 	a.mutex.Lock()
-	noted := a.unretiredLogged == serving
+	logged := a.unretiredLogged == serving
 	a.unretiredLogged = serving
 	a.mutex.Unlock()
-	if noted {
+	if logged {
 		return
 	}
 	_, missing := newer.state()
@@ -123,7 +123,7 @@
 		zap.Int("missing", missing))
 }
 
-// held marks the pieces that are here; nil before the manifest is known.
+// held marks the pieces held; it is nil before the manifest is known.
 func (t *transfer) held() []bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/rollout/buffer.go
+++ b/internal/rollout/buffer.go
@@ -6,24 +6,24 @@
 	"sync"
 )
 
-// A server's machine has room for one staged copy. As long as that is a version which may
-// still begin requests, the pieces of the next one wait in the agent's memory until its turn
-// comes: a server that crashes meanwhile serves again at once, and an empty one can have the
-// older version from its peers when the newest does not come.
+// A server's machine has room for one staged copy. While the staged version may still begin
+// requests, the pieces of the next version are buffered in the agent's memory until its turn. A
+// server that crashes meanwhile can serve again at once, and an empty server can fetch the older
+// version from its peers when the newest is delayed.
 
-// bufferFraction is the part of a process's memory that a buffered version may take; a larger one
-// is staged as it comes.
+// bufferFraction is the fraction of the process's memory that a buffered version may take. A larger
+// version is staged as its pieces arrive.
 const bufferFraction = 0.125
 
-// pieceBuffer holds verified pieces in memory. While it is closed, which it is at first,
-// pieces go to the server.
+// pieceBuffer holds verified pieces in memory. It is closed initially; while it is closed, pieces
+// are staged at the server.
 type pieceBuffer struct {
 	mutex sync.Mutex
 	// pieces is nil while the buffer is closed.
 	pieces map[int][]byte
 }
 
-// open makes the buffer take the pieces from now on.
+// open makes the buffer accept pieces.
 func (b *pieceBuffer) open() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -32,7 +32,7 @@
 	}
 }
 
-// put takes a piece, if the buffer is open.
+// put stores a piece and reports true if the buffer is open.
 func (b *pieceBuffer) put(index int, content []byte) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -50,14 +50,14 @@
 	return content, held
 }
 
-// held returns a copy of what the buffer holds.
+// held returns a copy of the buffered pieces.
 func (b *pieceBuffer) held() map[int][]byte {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return maps.Clone(b.pieces)
 }
 
-// close empties the buffer, whose pieces lie at the server now.
+// close discards the pieces, which have been staged at the server.
 func (b *pieceBuffer) close() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -71,7 +71,7 @@
 	return b.pieces != nil
 }
 
-// store puts a verified piece where the transfer keeps them, unless it was replaced.
+// store buffers or stages a verified piece, unless the transfer was canceled.
 func (t *transfer) store(ctx context.Context, index int, content []byte) error {
 	t.agent.staging.RLock()
 	defer t.agent.staging.RUnlock()
@@ -84,7 +84,8 @@
 	return t.agent.server.Stage(ctx, t.model, index, content)
 }
 
-// flushBuffer stages the buffered pieces; the staging lock is held for writing.
+// flushBuffer stages the buffered pieces and closes the buffer. The caller holds the staging lock
+// for writing.
 func (t *transfer) flushBuffer(ctx context.Context) error {
 	for index, content := range t.buffer.held() {
 		if err := t.agent.server.Stage(ctx, t.model, index, content); err != nil {
@@ -95,20 +96,20 @@
 	return nil
 }
 
-// bufferStaged reads the staged pieces into the buffer, which takes the further ones too, so that
-// another version can be staged; the staging lock is held for writing.
+// bufferStaged reads the staged pieces back into the buffer and opens it for further ones, so that
+// another version can be staged. The caller holds the staging lock for writing.
 func (t *transfer) bufferStaged(ctx context.Context) {
 	t.buffer.open()
-	var spoilt []int
+	var corrupt []int
 	for _, index := range t.heldPieces() {
-		content, sound := t.readPiece(ctx, index)
-		if !sound {
-			spoilt = append(spoilt, index)
+		content, valid := t.readPiece(ctx, index)
+		if !valid {
+			corrupt = append(corrupt, index)
 			continue
 		}
 		t.buffer.put(index, content)
 	}
-	if len(spoilt) > 0 {
-		t.restartFetch(spoilt)
+	if len(corrupt) > 0 {
+		t.restartFetch(corrupt)
 	}
 }
--- a/internal/rollout/cold.go
+++ b/internal/rollout/cold.go
@@ -7,10 +7,10 @@
 	"pinevane.example/pinevane/internal/fleet"
 )
 
-// coldState is what an agent tells entries so that a cold server is not overrun: until when its
-// server is cold, and how many requests all entries have announced to it lately. Entries ask
-// before they send, so that one whose news of the server's line is late hears from the agent,
-// and each knows what the others have sent.
+// coldState is reported to entries so that they do not overload a cold server: until when the
+// server is cold, and how many requests all entries have recently announced to it. Entries query
+// the agent before they send, so an entry with an outdated server record learns the state from the
+// agent, and each entry learns what the others have sent.
 type coldState struct {
 	until    time.Time
 	received *admission.Window
@@ -18,8 +18,8 @@
 
 func newColdState() coldState { return coldState{received: admission.NewWindow(admission.ColdWindow)} }
 
-// update takes over the line of the server at an address: the newest, where an ended server's
-// line is still listed.
+// update adopts the record of the server at an address. A crashed server's record may still be
+// listed there, so the newest revision counts.
 func (c *coldState) update(servers []fleet.Server, address string) {
 	revision := uint64(0)
 	for _, server := range servers {
@@ -29,5 +29,5 @@
 	}
 }
 
-// remaining is how much longer the server is cold.
+// remaining returns how much longer the server is cold.
 func (c *coldState) remaining(now time.Time) time.Duration { return max(0, c.until.Sub(now)) }
--- a/internal/rollout/cold_test.go
+++ b/internal/rollout/cold_test.go
@@ -9,25 +9,26 @@
 	"pinevane.example/pinevane/internal/fleet"
 )
 
-// An agent's word on its server follows the newest line at the server's address.
-func TestColdWordFollowsTheServersLine(t *testing.T) {
+// coldState follows the newest record at the server's address and ignores that of a crashed server.
+func TestColdStateFollowsServerRecord(t *testing.T) {
 	const address = "10.0.0.1:1"
 	now := time.Now()
-	word := newColdState()
-	assert.Zero(t, word.remaining(now))
-	word.update([]fleet.Server{
+	state := newColdState()
+	assert.Zero(t, state.remaining(now))
+	state.update([]fleet.Server{
 		{ID: "other", Address: "10.0.0.2:1", Revision: 9, ColdUntil: now.Add(time.Minute)},
 		{ID: "ended", Address: address, Revision: 3, ColdUntil: now.Add(time.Hour)},
 		{ID: "own", Address: address, Revision: 5, ColdUntil: now.Add(2 * time.Second)},
 	}, address)
-	assert.Equal(t, 2*time.Second, word.remaining(now))
-	assert.Zero(t, word.remaining(now.Add(3*time.Second)))
-	word.update([]fleet.Server{{ID: "own", Address: address, Revision: 7}}, address)
-	assert.Zero(t, word.remaining(now))
+	assert.Equal(t, 2*time.Second, state.remaining(now))
+	assert.Zero(t, state.remaining(now.Add(3*time.Second)))
+	state.update([]fleet.Server{{ID: "own", Address: address, Revision: 7}}, address)
+	assert.Zero(t, state.remaining(now))
 }
 
-// That a server turns cold is told to every entry at once; counts alone are no news.
-func TestColdWordsAmongStatuses(t *testing.T) {
+// Every entry must be sent the change from warm to cold at once; a changed count alone triggers no
+// update.
+func TestStatusComparisonOfColdState(t *testing.T) {
 	warm, cold := fleet.MachineStatus{Received: 1}, fleet.MachineStatus{ColdMilliseconds: 900}
 	assert.False(t, sameAvailability(warm, cold))
 	assert.False(t, equivalentStatus(warm, cold))
--- a/internal/rollout/fallback.go
+++ b/internal/rollout/fallback.go
@@ -14,22 +14,23 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// fitsBuffer reports whether some versions fit into the part of the memory that is for them.
+// fitsBuffer reports whether a number of versions fits into the memory reserved for buffering.
 func (a *Agent) fitsBuffer(engine *fleet.Engine, versions int64) bool {
 	size := versions * int64(engine.Pieces) * int64(engine.PieceBytes)
 	return size > 0 && float64(size) <= bufferFraction*float64(a.daemon.Settings().MemoryBytes)
 }
 
-// inForceRemaining is how long a version may still begin requests; false without an end in sight.
+// inForceRemaining returns how long a version may still begin requests, or false if no newer
+// version is announced.
 func (a *Agent) inForceRemaining(model string, version uint64) (time.Duration, bool) {
-	notice, superseded := a.daemon.Catalog.View().FirstAfter(model, version)
+	announcement, superseded := a.daemon.Catalog.View().FirstAfter(model, version)
 	if !superseded {
 		return 0, false
 	}
-	return time.Until(notice.Since.Add(a.daemon.Settings().Bounds.VersionApply)), true
+	return time.Until(announcement.Since.Add(a.daemon.Settings().Bounds.VersionApply)), true
 }
 
-// newestServedBefore is the newest version before one that listed servers serve.
+// newestServedBefore returns the newest version below before that listed servers serve.
 func (a *Agent) newestServedBefore(model string, before uint64) (uint64, bool) {
 	older := uint64(0)
 	for _, server := range a.daemon.Catalog.View().Servers[a.daemon.Settings().Service] {
@@ -42,8 +43,8 @@
 	return older, older != 0
 }
 
-// listedHolders picks a few machines whose servers are listed with a version, near ones first,
-// others at each time of asking.
+// listedHolders picks a few machines whose servers are listed with a version, machines of the own
+// zone first. The choice changes every holderQueryInterval.
 func (a *Agent) listedHolders(version uint64, count int) []dissemination.MachineID {
 	near, far := a.splitByZone(a.otherMembers(func(server fleet.Server) bool {
 		return slices.ContainsFunc(server.Models, func(held fleet.HeldModel) bool { return held.Version == version })
@@ -54,14 +55,13 @@
 	return machineIDs(picked)
 }
 
-// holderQueryInterval is how often a fallback asks machines what they hold, as long as it does not
-// have everything.
+// holderQueryInterval is how often an incomplete fallback queries machines for their pieces.
 const holderQueryInterval = 500 * time.Millisecond
 
-// queryHolders asks machines what they hold of a fallback that gets nothing any more.
+// queryHolders queries machines for their pieces when a fallback lacks sources.
 func (t *transfer) queryHolders(ctx context.Context, manifest fleet.Manifest) {
-	held, lacks := t.holderQueryDue()
-	if !lacks {
+	held, due := t.holderQueryDue()
+	if !due {
 		return
 	}
 	holders := t.queryInventories(ctx, manifest, held, t.agent.listedHolders(t.version(), inventoriesPerZone))
@@ -70,8 +70,9 @@
 	t.addHolders(holders)
 }
 
-// holderQueryDue reports whether a fallback is to ask for holders now, and what it has.
-func (t *transfer) holderQueryDue() (held []bool, lacks bool) {
+// holderQueryDue reports whether a fallback should query for holders now, and which pieces it
+// holds.
+func (t *transfer) holderQueryDue() (held []bool, due bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if !t.peersOnly.Load() || t.now()-t.holdersQueriedAt < holderQueryInterval || t.fetcher.Unsourced() == 0 {
@@ -81,7 +82,7 @@
 	return t.heldMask(), true
 }
 
-// progress tells how far the transfer is.
+// progress returns the state of the transfer as turnover evaluates it.
 func (t *transfer) progress(engine *fleet.Engine) turnover.Transfer {
 	linkRate := t.agent.daemon.Settings().LinkBytesPerSecond
 	originRate := t.agent.daemon.Catalog.View().Configuration.OriginRate()
@@ -98,8 +99,8 @@
 	return progress
 }
 
-// startFallback begins to fetch an older version for a server that serves nothing, when it is
-// worth while: see turnover.TakesOlder.
+// startFallback starts to fetch an older version for a server that serves nothing, if package
+// turnover finds that worthwhile.
 func (a *Agent) startFallback(ctx context.Context, current *transfer, engine *fleet.Engine, serving uint64) {
 	a.mutex.Lock()
 	exists := a.fallback != nil
@@ -129,8 +130,9 @@
 	go fallback.run(transferContext)
 }
 
-// shouldComplete decides whether a transfer goes on for which a newer version has just been named.
-// What lies at the server stays there: it may be in force, and a server that crashes needs it.
+// shouldComplete reports whether an incomplete transfer continues although a newer version was
+// announced. The staged version stays at the server: it may be in force, and a server that crashes
+// needs it.
 func (a *Agent) shouldComplete(older *transfer, engine *fleet.Engine, serving uint64) bool {
 	if !older.buffer.isOpen() || !a.fitsBuffer(engine, 2) {
 		return false
@@ -139,8 +141,9 @@
 	return a.shouldKeepOlder(nothing, older, engine, serving)
 }
 
-// reviewOlder makes a version that was on its way when a newer one was named the fallback once it
-// is here whole, and ends its transfer when that is not worth while any more.
+// reviewOlder promotes an older version, whose transfer continued past the announcement of a newer
+// one, to the fallback once it is complete, or cancels its transfer when it is no longer
+// worthwhile.
 func (a *Agent) reviewOlder(ctx context.Context, current *transfer, engine *fleet.Engine, serving uint64) {
 	a.mutex.Lock()
 	older := a.older
@@ -149,7 +152,7 @@
 		return
 	}
 	complete, missing := older.state()
-	// The newest lies at the server once a part of it has ended the version that was served.
+	// The newest version is staged if part of it was ordered to retire the served version.
 	displaced := older.model != current.model || !current.buffer.isOpen()
 	if complete && !displaced && a.stageBuffered(ctx, older) {
 		a.mutex.Lock()
@@ -168,21 +171,21 @@
 	a.dropOlder()
 }
 
-// shouldKeepOlder asks turnover.KeepsOlder about an older version that is not here whole.
+// shouldKeepOlder reports whether the transfer of an incomplete older version is still worthwhile.
 func (a *Agent) shouldKeepOlder(newest turnover.Transfer, older *transfer, engine *fleet.Engine, serving uint64) bool {
 	inForce, bounded := a.inForceRemaining(older.model, older.version())
 	if !bounded || !older.hasStarted() || older.version() <= serving {
 		return false
 	}
-	lastTurn := time.Duration(0)
+	lastSwitch := time.Duration(0)
 	if serving != 0 {
-		left, _ := a.inForceRemaining(older.model, serving)
-		lastTurn = left - lastSwitchMargin
+		remaining, _ := a.inForceRemaining(older.model, serving)
+		lastSwitch = remaining - lastSwitchMargin
 	}
-	return turnover.KeepsOlder(newest, older.progress(engine), inForce, engine.Warm, lastTurn)
+	return turnover.KeepsOlder(newest, older.progress(engine), inForce, engine.Warm, lastSwitch)
 }
 
-// dropOlder ends the transfer that a newer version has replaced; the mutex is held.
+// dropOlder cancels the transfer of a superseded incomplete version. The caller holds the mutex.
 func (a *Agent) dropOlder() {
 	if a.older != nil {
 		a.older.cancel()
@@ -190,7 +193,7 @@
 	}
 }
 
-// dropFallback ends the transfer of the older version; the mutex is held.
+// dropFallback cancels the transfer of the older version. The caller holds the mutex.
 func (a *Agent) dropFallback() {
 	if a.fallback != nil {
 		a.fallback.cancel()
@@ -198,8 +201,8 @@
 	}
 }
 
-// stageBuffered stages a version that was kept in memory in the place of the older one, and reports
-// whether it lies at the server whole.
+// stageBuffered stages a buffered version in place of the fallback, and reports whether all its
+// pieces held are staged.
 func (a *Agent) stageBuffered(ctx context.Context, t *transfer) bool {
 	if !t.buffer.isOpen() {
 		return true
@@ -218,8 +221,8 @@
 	return true
 }
 
-// switchTarget picks what the server is to change over to: the newest version once it is
-// here whole, else the older one as long as that is in force.
+// switchTarget picks the version to switch to: the newest once it is complete, otherwise the
+// fallback while it is in force. It also reports whether that version can be switched to.
 func (a *Agent) switchTarget(current *transfer, serving uint64, warm time.Duration) (*transfer, bool) {
 	if complete, _ := current.state(); complete {
 		return current, true
--- a/internal/rollout/keeper.go
+++ b/internal/rollout/keeper.go
@@ -12,28 +12,29 @@
 	"pinevane.example/pinevane/internal/waiting"
 )
 
-// Times of changing over.
+// Timing of switches and orders.
 const (
 	reconcileInterval = 100 * time.Millisecond
-	// copyTimeFactor multiplies the time of one copy over the link to the time after
-	// which turns begin.
+	// copyTimeFactor is multiplied by the time of one copy over the link to give the time after
+	// which switches begin.
 	copyTimeFactor = 1.4
-	// lastSwitchMargin is how long before the bound the last turn is. A server is away for 2 s in the
-	// mean from its order on, 2.7 s at the most, until its longest stream is done; the bound
-	// itself only needs the order. With 1.1 s the last server serves the new version 0.6 s
-	// after the bound at full traffic, with 1.7 s 0.3 s after it, at the same worth; 2.2 s win
-	// nothing more and have more servers away at a time.
+	// lastSwitchMargin is how long before the version's deadline the last server switches. From its
+	// order on, a server is away for 2 s on average and 2.7 s at most, until its longest stream is
+	// done; the deadline itself only requires the order. At full traffic the last server serves the
+	// new version 0.6 s after the deadline with a margin of 1.1 s, and 0.3 s after it with 1.7 s,
+	// at the same total credit. A margin of 2.2 s gains nothing more and has more servers away at a
+	// time.
 	lastSwitchMargin = 1700 * time.Millisecond
-	// fallbackWindow is the time before the bound in which servers change over to a version
-	// that another has replaced already.
+	// fallbackWindow is the time before the last switch in which servers switch to a version that
+	// has already been superseded.
 	fallbackWindow = 2 * time.Second
-	// orderRetryDelay is the time after an order that did not fit.
+	// orderRetryDelay is the pause after an order that the server refused as conflicting.
 	orderRetryDelay = 300 * time.Millisecond
-	// orderOutcomeTimeout bounds the wait for the fate of an order without an answer.
+	// orderOutcomeTimeout bounds the wait for the outcome of an unanswered order.
 	orderOutcomeTimeout = 2 * time.Second
 )
 
-// reconcileLoop brings the server to the newest named version again and again.
+// reconcileLoop repeatedly brings the server toward the newest announced version.
 func (a *Agent) reconcileLoop(ctx context.Context) {
 	ticker := time.NewTicker(reconcileInterval)
 	defer ticker.Stop()
@@ -48,7 +49,7 @@
 	}
 }
 
-// reconcile makes one decision from all that is known now.
+// reconcile makes one decision from the present state.
 func (a *Agent) reconcile(ctx context.Context) {
 	engine, model := a.engine()
 	if engine == nil {
@@ -88,8 +89,8 @@
 	a.switchTo(ctx, next, serving)
 }
 
-// announceSwitch tells entries that the server is about to change over, and reports
-// whether the order may be given.
+// announceSwitch announces to the entries that the server is about to switch, and reports whether
+// the order may be sent.
 func (a *Agent) announceSwitch(waiting int) bool {
 	a.mutex.Lock()
 	first := !a.switchAnnouncement.Given()
@@ -101,16 +102,17 @@
 	return ready
 }
 
-// withdrawAnnouncement takes the announcement of a change-over back, or notes that it is done.
+// withdrawAnnouncement clears the announcement of a switch, which is off or done.
 func (a *Agent) withdrawAnnouncement() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.switchAnnouncement.Withdraw()
 }
 
-// ensureCurrent makes the transfer of the wanted version the present one. One that is here whole
-// stays staged as the fallback, and one that is not goes on in memory while that is worth while.
-// Another is dropped, and what both share stays at the server.
+// ensureCurrent returns the transfer of the wanted version and starts it if necessary. A complete
+// version that it replaces stays staged as the fallback, and an incomplete one continues in memory
+// while that is worthwhile. Any other transfer is canceled; pieces that both versions share stay at
+// the server.
 func (a *Agent) ensureCurrent(ctx context.Context, engine *fleet.Engine, model string, wanted, serving uint64) *transfer {
 	if replaced := a.completeSuperseded(model, wanted); replaced != nil {
 		a.stageBuffered(ctx, replaced)
@@ -132,7 +134,7 @@
 	return a.current
 }
 
-// completeSuperseded returns the present transfer if it is whole and another version is wanted.
+// completeSuperseded returns the current transfer if it is complete and another version is wanted.
 func (a *Agent) completeSuperseded(model string, wanted uint64) *transfer {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -145,8 +147,8 @@
 	return a.current
 }
 
-// replaceCurrent makes a whole version that lies at the server the fallback, lets one go on that is
-// worth completing, and ends any other; the mutex is held.
+// replaceCurrent makes the current version the fallback if it is complete and staged, keeps its
+// transfer running if that is worthwhile, and cancels it otherwise. The caller holds the mutex.
 func (a *Agent) replaceCurrent(engine *fleet.Engine, model string, wanted, serving uint64) {
 	replaced := a.current
 	if replaced == nil {
@@ -171,7 +173,7 @@
 	replaced.cancel()
 }
 
-// servedVersion is the version that a server holds whole, or 0.
+// servedVersion returns the version that a server holds completely, or 0.
 func servedVersion(report fleet.Report, model string, layers int) uint64 {
 	for _, held := range report.Models {
 		if held.Name == model && held.Complete(layers) {
@@ -181,12 +183,12 @@
 	return 0
 }
 
-// planSwitch computes when the server changes over: at once when it serves
-// nothing, else in its turn, counted from the first version that it lacks. To a fallback it
-// changes over late, because the newest version may come before.
+// planSwitch computes when the server switches: at once if it serves nothing, otherwise at its
+// offset from the announcement of the first version that it lacks. A switch to a fallback is
+// planned late, because the newest version may complete first.
 func (a *Agent) planSwitch(model string, engine *fleet.Engine, serving, wanted uint64, toFallback bool) time.Time {
-	var planned time.Time
-	notice, lacking := a.daemon.Catalog.View().FirstAfter(model, serving)
+	var switchAt time.Time
+	announcement, lacking := a.daemon.Catalog.View().FirstAfter(model, serving)
 	if lacking && serving != 0 && serving < wanted {
 		settings := a.daemon.Settings()
 		window := a.switchWindow(engine, settings)
@@ -194,25 +196,25 @@
 			window.Start = max(window.Start, window.End-fallbackWindow)
 		}
 		self := turnover.Member{ID: settings.IP, Zone: settings.Zone}
-		turn := turnover.TurnBesideEmptied(model+"/"+itoa(int(wanted)), a.members(), self, a.daemon.Catalog.View().Evacuated, window)
-		planned = notice.Since.Add(turn)
+		offset := turnover.TurnBesideEmptied(model+"/"+itoa(int(wanted)), a.members(), self, a.daemon.Catalog.View().Evacuated, window)
+		switchAt = announcement.Since.Add(offset)
 	}
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.switchAt = planned
-	return planned
+	a.switchAt = switchAt
+	return switchAt
 }
 
-// switchWindow is the time in which the servers change over: from when one copy has
-// surely arrived until shortly before the bound.
+// switchWindow returns the window in which the servers switch: from when one copy has surely
+// arrived until shortly before the version's deadline.
 func (a *Agent) switchWindow(engine *fleet.Engine, settings fleet.Settings) turnover.Window {
 	copyTime := engine.CopyTime(settings.LinkBytesPerSecond)
 	end := settings.Bounds.VersionApply - lastSwitchMargin
 	return turnover.Window{Start: min(time.Duration(copyTimeFactor*float64(copyTime)), end), End: end}
 }
 
-// switchTo verifies what lies at the server and orders it into service. Nothing
-// is laid down meanwhile.
+// switchTo verifies the staged pieces and orders the version into service. The staging lock keeps
+// other pieces from being staged meanwhile.
 func (a *Agent) switchTo(ctx context.Context, current *transfer, serving uint64) {
 	a.staging.Lock()
 	defer a.staging.Unlock()
@@ -220,8 +222,8 @@
 		return
 	}
 	began := time.Now()
-	if bad := current.verifyAll(ctx); len(bad) > 0 {
-		current.refetchCorrupt(bad)
+	if corrupt := current.verifyAll(ctx); len(corrupt) > 0 {
+		current.refetchCorrupt(corrupt)
 		return
 	}
 	fresh, err := a.server.Report(ctx)
@@ -231,8 +233,8 @@
 	a.sendOrder(ctx, fleet.StartOrder{Model: current.model, Version: current.version(), Sequence: fresh.Sequence}, serving, time.Since(began))
 }
 
-// sendOrder gives the server an order whose pieces were just verified, and settles its fate. The
-// staging lock is held for writing.
+// sendOrder sends the server an order whose pieces were just verified, and determines its outcome.
+// The caller holds the staging lock for writing.
 func (a *Agent) sendOrder(ctx context.Context, order fleet.StartOrder, serving uint64, verifiedIn time.Duration) {
 	a.setOrdering(true)
 	defer a.setOrdering(false)
@@ -255,8 +257,8 @@
 	a.readReport(ctx)
 }
 
-// awaitOrderOutcome waits until the server answers again after an order without an answer,
-// so that the order's fate shows before anything else is laid down.
+// awaitOrderOutcome waits until the server answers again after an unanswered order, so that the
+// outcome is known before anything else is staged.
 func (a *Agent) awaitOrderOutcome(ctx context.Context, order fleet.StartOrder) {
 	deadline := time.Now().Add(orderOutcomeTimeout)
 	for ctx.Err() == nil && time.Now().Before(deadline) {
--- a/internal/rollout/load.go
+++ b/internal/rollout/load.go
@@ -7,8 +7,8 @@
 	"pinevane.example/pinevane/internal/fleet"
 )
 
-// LoadNow implements loadquery.Server: the machine's status, with the requests that were
-// announced since the server's last report.
+// LoadNow implements loadquery.Server. It returns the machine's status including the requests that
+// were announced since the server's last report.
 func (a *Agent) LoadNow() fleet.MachineStatus {
 	now := time.Now()
 	status := a.status(now)
@@ -21,9 +21,8 @@
 	return addAnnounced(status, &a.announcedRequests, a.reportAt.Sub(a.started), now.Sub(a.started), figures)
 }
 
-// addAnnounced is a status of a server with the requests that were announced to it: those that
-// its report of a time can't show yet, and the prompts that are still to be read, whether their
-// requests wait or run.
+// addAnnounced adds announced requests to a server's status: those that its report at reportedAt
+// cannot include yet, and the prompt tokens still to be read, of waiting and running requests.
 func addAnnounced(status fleet.MachineStatus, announced *balance.Announcements, reportedAt, now time.Duration, figures balance.Server) fleet.MachineStatus {
 	load := announced.Load(balance.Load{Running: status.Running, Waiting: status.Waiting}, reportedAt, now, figures.TypicalPrompt)
 	unread := max(load.Unread, announced.UnreadTokens(now, figures, status.Running))
@@ -39,8 +38,8 @@
 	a.recordAnnounced(engine, promptTokens, time.Since(a.started))
 }
 
-// recordAnnounced notes a request with a prompt of a size that an entry has told: one that the
-// server can't hold has an unknown size. The mutex is held.
+// recordAnnounced records an announced request. A prompt too large for the server counts as one of
+// unknown size. The caller holds the mutex.
 func (a *Agent) recordAnnounced(engine *fleet.Engine, promptTokens int, since time.Duration) {
 	a.announcedRequests.Add(since, fleet.ValidTokens(promptTokens, engine.MaxPrompt()))
 	a.cold.received.Add(since)
--- a/internal/rollout/load_test.go
+++ b/internal/rollout/load_test.go
@@ -10,10 +10,10 @@
 	"pinevane.example/pinevane/internal/fleet"
 )
 
-// A server that has just become idle and is sent ten requests at once runs them all, by its
-// report; its agent tells what of their prompts is still to be read. Where requests wait, their
-// prompts count whole.
-func TestAgentTellsOfPromptsThatRunningRequestsHaveYetToRead(t *testing.T) {
+// A server that just became idle and is sent ten requests at once reports all of them as running.
+// The agent must still report the prompt tokens not yet read. Prompts of waiting requests count in
+// full.
+func TestLoadIncludesUnreadPromptsOfRunningRequests(t *testing.T) {
 	figures := balance.Server{Slots: 12, Stride: 1, StepMilliseconds: 10, ReadPerSecond: 20000, TypicalPrompt: 800}
 	var announced balance.Announcements
 	for range 10 {
@@ -28,9 +28,9 @@
 	assert.Equal(t, 10000, waiting.UnreadTokens)
 }
 
-// One false size does not make a server look as if it had to read for long: a prompt that is
-// larger than the service's memory for tokens is of unknown size, and counts as a request.
-func TestAnnouncedPromptThatTheServerCannotHoldIsOfUnknownSize(t *testing.T) {
+// A false prompt size must not make a server look busy for long: a prompt that exceeds the
+// service's token cache counts as a request of unknown size.
+func TestOversizedAnnouncedPromptHasUnknownSize(t *testing.T) {
 	figures := balance.Server{Slots: 12, Stride: 1, StepMilliseconds: 10, ReadPerSecond: 20000, TypicalPrompt: 800}
 	engine := &fleet.Engine{CacheTokens: 317000}
 	agent := &Agent{cold: newColdState()}
--- a/internal/rollout/manifest.go
+++ b/internal/rollout/manifest.go
@@ -15,31 +15,31 @@
 )
 
 const (
-	// manifestPeers is how many peers are asked for the manifest in a round.
+	// manifestPeers is how many peers are queried for the manifest in a round.
 	manifestPeers = 3
-	// manifestHoldTime is how long a peer that lacks the manifest holds a question for it: some
-	// times the way to another region and back, and well within offerTimeout also where the
-	// question is sent once more because its connection has gone silent. Without it a manifest took 0.1
-	// to 0.2 s from level to level of the plan, in which everybody asks again and again: after a
-	// loss of all machines the median machine had it 0.7 s after the first.
+	// manifestHoldTime is how long a peer that lacks the manifest holds a query for it: several
+	// round trips to another region, and well within offerTimeout even if the query is sent again
+	// because its connection went silent. With polling instead, a manifest took 0.1 to 0.2 s per
+	// level of the plan: after a loss of all machines the median machine had it 0.7 s after the
+	// first.
 	manifestHoldTime = 300 * time.Millisecond
-	// inventoryTimeout bounds the questions what peers hold.
+	// inventoryTimeout bounds the inventory queries to peers.
 	inventoryTimeout = 300 * time.Millisecond
 )
 
-// findManifest asks peers, nearest in the plan first, and beside them the origin when it is
-// this machine's turn. Others are told of the manifest as soon as it is known here.
+// findManifest queries peers, nearest in the plan first, and concurrently the origin when it is
+// this machine's turn. Peers waiting for the manifest get it as soon as it is known here.
 func (t *transfer) findManifest(ctx context.Context) (fleet.Manifest, bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	found := make(chan fleet.Manifest, 2)
 	go t.pollManifest(ctx, found, t.manifestFromPeers)
-	var originAsked time.Duration
+	var originQueriedAt time.Duration
 	go t.pollManifest(ctx, found, func(ctx context.Context) (fleet.Manifest, bool) {
-		if !t.originQueryDue(t.now(), originAsked) {
+		if !t.originQueryDue(t.now(), originQueriedAt) {
 			return fleet.Manifest{}, false
 		}
-		originAsked = t.now()
+		originQueriedAt = t.now()
 		return t.manifestFromOrigin(ctx)
 	})
 	select {
@@ -51,10 +51,10 @@
 	}
 }
 
-// pollManifest asks a source again and again until it has the manifest.
-func (t *transfer) pollManifest(ctx context.Context, found chan<- fleet.Manifest, ask func(context.Context) (fleet.Manifest, bool)) {
+// pollManifest polls a source until it returns the manifest.
+func (t *transfer) pollManifest(ctx context.Context, found chan<- fleet.Manifest, poll func(context.Context) (fleet.Manifest, bool)) {
 	for ctx.Err() == nil {
-		if manifest, has := ask(ctx); has {
+		if manifest, has := poll(ctx); has {
 			found <- manifest
 			return
 		}
@@ -62,7 +62,7 @@
 	}
 }
 
-// setManifest keeps the manifest and answers those who wait for it.
+// setManifest stores the manifest and releases those waiting for it.
 func (t *transfer) setManifest(manifest fleet.Manifest) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -71,18 +71,18 @@
 	close(t.manifestKnown)
 }
 
-// manifestRetryDelay is the time between two rounds of asking, after a time without success.
-func manifestRetryDelay(sought time.Duration) time.Duration {
-	if sought < manifestSlowAfter {
+// manifestRetryDelay returns the delay between two polls after searching for a time.
+func manifestRetryDelay(elapsed time.Duration) time.Duration {
+	if elapsed < manifestSlowAfter {
 		return manifestRetryInterval
 	}
 	return manifestSlowInterval
 }
 
-// originQueryDue reports whether it is this machine's turn to ask the origin for the manifest: the
-// one that passes it to all others asks in each round, the next in turn one after the other,
-// and everybody, in case that all of those are gone, now and then.
-func (t *transfer) originQueryDue(now, asked time.Duration) bool {
+// originQueryDue reports whether this machine should query the origin for the manifest. The root of
+// the plan queries it in each round, its successors query it after increasing delays, and all
+// machines query it occasionally in case all of those are down.
+func (t *transfer) originQueryDue(now, queriedAt time.Duration) bool {
 	if t.peersOnly.Load() {
 		return false
 	}
@@ -90,15 +90,15 @@
 	if first {
 		return true
 	}
-	if asked > 0 && now-asked < manifestOriginInterval {
+	if queriedAt > 0 && now-queriedAt < manifestOriginInterval {
 		return false
 	}
 	turn := slices.Index(plan.OriginReaders(0, t.self()), t.self())
 	return (turn >= 0 && now > time.Duration(turn+1)*originTurnInterval) || now > 4*originTurnInterval
 }
 
-// isOriginReader reports whether this machine has the manifest from the origin only, and
-// returns the plan that says so.
+// isOriginReader reports whether this machine gets the manifest only from the origin, and returns
+// the plan it is based on.
 func (t *transfer) isOriginReader() (dissemination.Plan, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -106,7 +106,7 @@
 	return t.plan, !hasParent || t.originManifestOnly
 }
 
-// manifestFromPeers asks those that stand before this machine in the plan; a fallback asks
+// manifestFromPeers queries the peers that precede this machine in the plan; a fallback queries
 // machines that serve its version.
 func (t *transfer) manifestFromPeers(ctx context.Context) (fleet.Manifest, bool) {
 	if t.peersOnly.Load() {
@@ -120,8 +120,8 @@
 	return t.queryManifest(ctx, providers[:min(manifestPeers, len(providers))])
 }
 
-// queryManifest asks peers at the same time and takes the first manifest that comes. A peer
-// that is bringing the version too answers as soon as it has the manifest itself.
+// queryManifest queries peers concurrently and returns the first manifest. A peer that is fetching
+// the version itself answers as soon as it has the manifest.
 func (t *transfer) queryManifest(ctx context.Context, peers []dissemination.MachineID) (fleet.Manifest, bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -137,7 +137,7 @@
 	return fleet.Manifest{}, false
 }
 
-// manifestFromPeer asks one peer, and returns nil if it has no fitting manifest.
+// manifestFromPeer queries one peer, and returns nil if it has no matching manifest.
 func (t *transfer) manifestFromPeer(ctx context.Context, peer dissemination.MachineID) *fleet.Manifest {
 	message, err := query[manifestMessage](ctx, t.agent.peers, peer, versionPath(manifestPath, t.model, t.version()), manifestHoldTime)
 	if err != nil || message.Model != t.model || len(message.Digests) == 0 || (t.version() != 0 && message.Version != t.version()) {
@@ -163,8 +163,8 @@
 	return manifest, true
 }
 
-// queryInventories learns what peers already hold, which they do not offer to a
-// machine that has come later.
+// queryInventories learns which pieces peers already hold. Peers do not offer these to a machine
+// that joins later.
 func (t *transfer) queryInventories(ctx context.Context, manifest fleet.Manifest, held []bool, peers []dissemination.MachineID) map[int][]dissemination.MachineID {
 	holders := map[int][]dissemination.MachineID{}
 	if !slices.Contains(held, false) {
@@ -173,14 +173,14 @@
 	ctx, cancel := context.WithTimeout(ctx, inventoryTimeout)
 	defer cancel()
 	answers := make([]inventory, len(peers))
-	var questions sync.WaitGroup
+	var queries sync.WaitGroup
 	for at, peer := range peers {
-		questions.Go(func() {
-			// A peer that does not answer holds nothing for us.
+		queries.Go(func() {
+			// A peer that does not answer counts as holding nothing.
 			answers[at], _ = query[inventory](ctx, t.agent.peers, peer, versionPath(inventoryPath, t.model, manifest.Version), 0)
 		})
 	}
-	questions.Wait()
+	queries.Wait()
 	for at, answer := range answers {
 		for _, index := range answer.Pieces {
 			if index >= 0 && index < len(held) && !held[index] {
@@ -191,7 +191,7 @@
 	return holders
 }
 
-// awaitManifest waits for a short time until the manifest is known.
+// awaitManifest waits up to manifestHoldTime for the manifest.
 func (t *transfer) awaitManifest(ctx context.Context) (fleet.Manifest, bool) {
 	timer := time.NewTimer(manifestHoldTime)
 	defer timer.Stop()
--- a/internal/rollout/metrics.go
+++ b/internal/rollout/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Sources of pieces and outcomes of orders, as labels.
+// Label values: sources of pieces and outcomes of orders.
 const (
 	sourceOrigin      = "origin"
 	sourcePeer        = "peer"
--- a/internal/rollout/pace.go
+++ b/internal/rollout/pace.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Bounds of the pace of fetches.
+// Thresholds of the fetch limiter.
 const (
-	// slowPieceTime is the time of a piece's bytes from which fewer are fetched at once, and
-	// quickPiece the time under which more are.
+	// A piece whose body takes longer than slowPieceTime halves the limit; one that takes less than
+	// fastPieceTime counts toward raising it.
 	slowPieceTime = 400 * time.Millisecond
 	fastPieceTime = 250 * time.Millisecond
-	// fastPieceRun in a row allow one more fetch.
+	// fastPieceRun consecutive fast pieces raise the limit by one.
 	fastPieceRun = 4
 )
 
-// fetchLimiter bounds the pieces under way to this machine, so that on a link that
-// has become narrow they do not hold up the server's own requests: the bound is
-// halved by each slow piece, and grows with quick ones.
+// fetchLimiter bounds the concurrent fetches to this machine, so that pieces on a congested link do
+// not delay the server's own requests. Each slow piece halves the limit, and a run of fast ones
+// raises it.
 type fetchLimiter struct {
 	mutex    sync.Mutex
 	limit    int
@@ -53,7 +53,7 @@
 	}
 }
 
-// release notes the end of a fetch and the time that its bytes took.
+// release ends a fetch and adjusts the limit to the time that the piece's body took.
 func (p *fetchLimiter) release(took time.Duration) {
 	p.mutex.Lock()
 	p.active--
--- a/internal/rollout/pace_test.go
+++ b/internal/rollout/pace_test.go
@@ -9,29 +9,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// On a link that has become narrow, pieces must not queue up before the requests
-// to the machine's server.
-func TestSlowPiecesLeaveOneAtATime(t *testing.T) {
-	pace := newFetchLimiter()
+// Pieces must not queue up ahead of the server's requests on a congested link.
+func TestSlowPiecesReduceFetchLimit(t *testing.T) {
+	limiter := newFetchLimiter()
 	for range maxFetches {
-		require.NoError(t, pace.acquire(context.Background()))
+		require.NoError(t, limiter.acquire(context.Background()))
 	}
 	for range maxFetches {
-		pace.release(2 * slowPieceTime)
+		limiter.release(2 * slowPieceTime)
 	}
-	assert.Equal(t, 1, pace.limit)
-	require.NoError(t, pace.acquire(context.Background()))
+	assert.Equal(t, 1, limiter.limit)
+	require.NoError(t, limiter.acquire(context.Background()))
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Millisecond)
 	defer cancel()
-	assert.Error(t, pace.acquire(ctx), "a second piece must wait")
+	assert.Error(t, limiter.acquire(ctx), "a second piece must wait")
 }
 
-func TestQuickPiecesBringThePaceBack(t *testing.T) {
-	pace := newFetchLimiter()
-	pace.limit = 1
+func TestFastPiecesRestoreFetchLimit(t *testing.T) {
+	limiter := newFetchLimiter()
+	limiter.limit = 1
 	for range fastPieceRun * maxFetches {
-		require.NoError(t, pace.acquire(context.Background()))
-		pace.release(fastPieceTime / 2)
+		require.NoError(t, limiter.acquire(context.Background()))
+		limiter.release(fastPieceTime / 2)
 	}
-	assert.Equal(t, maxFetches, pace.limit)
+	assert.Equal(t, maxFetches, limiter.limit)
 }
--- a/internal/rollout/peers.go
+++ b/internal/rollout/peers.go
@@ -17,7 +17,7 @@
 	"pinevane.example/pinevane/internal/network"
 )
 
-// Paths between agents.
+// Paths of requests between agents.
 const (
 	offerPath     = "/v1/weights/offer"
 	inventoryPath = "/v1/weights/inventory"
@@ -25,10 +25,11 @@
 	piecePath     = "/v1/weights/piece"
 )
 
-// heightParameter tells how many levels of machines wait behind the one that asks.
+// heightParameter carries the number of levels of machines in the plan below the one that asks for
+// a piece.
 const heightParameter = "height"
 
-// Bounds of what agents send each other.
+// Size limits and timeouts of requests between agents.
 const (
 	maxOfferBytes    = 64 << 10
 	maxManifestBytes = 8 << 20
@@ -36,7 +37,7 @@
 	offerTimeout     = 1200 * time.Millisecond
 )
 
-// offer tells a peer which pieces are here, or asks it for some.
+// offer announces to a peer which pieces the sender holds, or queries it for some.
 type offer struct {
 	From    dissemination.MachineID `cbor:"1,keyasint"`
 	Model   string                  `cbor:"2,keyasint"`
@@ -45,7 +46,7 @@
 	Query   bool                    `cbor:"5,keyasint,omitempty"`
 }
 
-// inventory lists the verified pieces of a version at an agent.
+// inventory lists the verified pieces of a version that an agent holds.
 type inventory struct {
 	Pieces []int `cbor:"1,keyasint"`
 }
@@ -59,41 +60,43 @@
 	Digests    [][32]byte `cbor:"5,keyasint"`
 }
 
-// Times after which a call to a peer over a kept connection that stays silent is hedged.
+// Silence on a kept connection after which a call to a peer is hedged.
 const (
 	// peerMinSilence is half of inventoryTimeout, so that a hedge has the other half.
 	peerMinSilence = 150 * time.Millisecond
 	peerMaxSilence = 600 * time.Millisecond
-	// pieceMinSilence is that of a piece, which takes up much of a link: more than the half second
-	// that packets wait while pieces move, and more than two signs of a wait.
+	// pieceMinSilence applies to pieces, which occupy much of a link. It exceeds the half second
+	// that packets wait while pieces move, and two progress intervals.
 	pieceMinSilence = 700 * time.Millisecond
-	// progressInterval is the pace at which a peer that lets a call wait for its piece says so.
+	// progressInterval is how often a peer that lets a request wait for its piece sends an interim
+	// response.
 	progressInterval = 250 * time.Millisecond
 )
 
-// Connections to a peer that are kept. In a transfer peers speak all the time; one that has been
-// idle for longer may have gone silent unnoticed, and a new one costs a round trip.
+// Limits of the connections kept to a peer. During a transfer peers exchange messages all the time.
+// A connection that was idle for longer may have gone silent unnoticed, and a new one costs only a
+// round trip.
 const (
 	maxIdlePeerConnections = 2
 	peerIdleTimeout        = time.Second
 	peerBufferBytes        = 4 << 10
-	// peerClientTTL is for how long a machine's client is kept that makes no calls: far longer
-	// than its connections, so that a machine that is gone costs nothing.
+	// peerClientTTL is how long the client of a machine is kept without calls: far longer than its
+	// connections, so that removed machines take no memory.
 	peerClientTTL = time.Minute
 )
 
-// peerClient makes calls to other agents, with a client for each.
+// peerClient calls other agents, with one client for each machine.
 type peerClient struct {
 	port     int
 	onSilent func(target string, silent time.Duration)
 
 	mutex   sync.Mutex
 	clients map[dissemination.MachineID]*cachedClient
-	// prunedAt is when unused clients were last forgotten.
+	// prunedAt is when unused clients were last removed.
 	prunedAt time.Time
 }
 
-// cachedClient is a machine's client and when it was last used.
+// cachedClient is a machine's client and the time of its last use.
 type cachedClient struct {
 	client   *network.Client
 	lastUsed time.Time
@@ -122,8 +125,8 @@
 	return known.client
 }
 
-// prune forgets the clients that have not been used for long; their connections have rested for
-// too long by then and are closed. The mutex is held.
+// prune removes the clients that were not used for peerClientTTL; their idle connections have been
+// closed by then. The caller holds the mutex.
 func (p *peerClient) prune(now time.Time) {
 	if now.Sub(p.prunedAt) < peerClientTTL {
 		return
@@ -132,7 +135,7 @@
 	maps.DeleteFunc(p.clients, func(_ dissemination.MachineID, one *cachedClient) bool { return now.Sub(one.lastUsed) > peerClientTTL })
 }
 
-// call makes a call to a machine. All calls between agents may be made twice.
+// call makes a call to a machine. All calls between agents are idempotent, so they may be hedged.
 func (p *peerClient) call(ctx context.Context, machine dissemination.MachineID, path string, call network.Call) (network.Answer, error) {
 	target := net.JoinHostPort(string(machine), strconv.Itoa(p.port))
 	operation := call.Method + " " + path
@@ -147,8 +150,8 @@
 	return answer, nil
 }
 
-// piece asks a machine for a piece. It also returns how long the piece itself took to come,
-// without the time for which the machine let the call wait.
+// piece fetches a piece from a machine. It also returns the transfer time of the body, without the
+// time that the request waited in the machine's upload queue.
 func (p *peerClient) piece(ctx context.Context, machine dissemination.MachineID, path string, size int) ([]byte, time.Duration, error) {
 	answer, err := p.call(ctx, machine, path, network.Call{
 		Method: http.MethodGet, Timeout: pieceTimeout, Limit: int64(size) + 1, LeastQuiet: pieceMinSilence,
@@ -159,7 +162,7 @@
 	return answer.Body, answer.BodyTime, nil
 }
 
-// query asks a machine for a value, with the time for which it may hold the question.
+// query gets a value from a machine, which may hold the query for a time.
 func query[T any](ctx context.Context, p *peerClient, machine dissemination.MachineID, path string, hold time.Duration) (T, error) {
 	var answer T
 	reply, err := p.call(ctx, machine, path, network.Call{
@@ -194,7 +197,7 @@
 	return base + "/" + model + "/" + strconv.FormatUint(version, 10)
 }
 
-// mount serves other agents.
+// mount registers the handlers for other agents.
 func (a *Agent) mount(router chi.Router) {
 	router.Post(offerPath, a.handleOffer)
 	router.Get(inventoryPath+"/{model}/{version}", a.withTransfer(a.serveInventory))
@@ -204,8 +207,7 @@
 
 type transferHandler func(writer http.ResponseWriter, request *http.Request, t *transfer)
 
-// withTransfer finds the transfer that a request names; version 0 stands for the
-// present one.
+// withTransfer finds the transfer that a request names; version 0 stands for the current one.
 func (a *Agent) withTransfer(next transferHandler) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		version, err := strconv.ParseUint(chi.URLParam(request, "version"), 10, 64)
@@ -249,8 +251,8 @@
 	})
 }
 
-// servePiece sends a piece to a peer, verified again as it leaves, at the pace
-// that the machine's link leaves beside the server's own answers.
+// servePiece sends a piece to a peer, verified again on the way out, at a rate that leaves the
+// server's answers their part of the link.
 func (a *Agent) servePiece(writer http.ResponseWriter, request *http.Request, t *transfer) {
 	index, err := strconv.Atoi(chi.URLParam(request, "index"))
 	if err != nil {
@@ -262,7 +264,7 @@
 		http.Error(writer, "not here yet", http.StatusNotFound)
 		return
 	}
-	// A height that can't be read is that of a machine nobody waits behind.
+	// A malformed height counts as 0: no machine waits for the caller.
 	height, _ := strconv.Atoi(request.URL.Query().Get(heightParameter))
 	wait := func() error { return a.uploads.wait(request.Context(), height, index, manifest.PieceBytes) }
 	if err := waitWithProgress(writer, wait); err != nil {
@@ -279,8 +281,8 @@
 	_, _ = writer.Write(content)
 }
 
-// waitWithProgress waits, and tells the caller now and then that its call is being worked on, so
-// that it can tell a wait from a connection that has gone silent.
+// waitWithProgress waits, and sends interim responses meanwhile, so that the caller can tell the
+// wait from a silent connection.
 func waitWithProgress(writer http.ResponseWriter, wait func() error) error {
 	done := make(chan error, 1)
 	go func() { done <- wait() }()
--- a/internal/rollout/peers_test.go
+++ b/internal/rollout/peers_test.go
@@ -16,11 +16,11 @@
 	"pinevane.example/pinevane/coordination/dissemination"
 )
 
-// A call that waits for its turn is told so at a pace that a caller can rely on, and one that
-// need not wait is told nothing.
-func TestAWaitForAPieceGivesSigns(t *testing.T) {
-	const signs = 2
-	for name, wait := range map[string]time.Duration{"at once": 0, "after a wait": signs*progressInterval + progressInterval/2} {
+// A request that waits for its turn must get interim responses at the rate that callers rely on.
+// One that need not wait gets none.
+func TestPieceWaitSendsInterimResponses(t *testing.T) {
+	const responses = 2
+	for name, wait := range map[string]time.Duration{"at once": 0, "after a wait": responses*progressInterval + progressInterval/2} {
 		t.Run(name, func(t *testing.T) {
 			server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 				assert.NoError(t, waitWithProgress(writer, func() error {
@@ -30,10 +30,10 @@
 				_, _ = writer.Write([]byte("piece"))
 			}))
 			defer server.Close()
-			var heard atomic.Int64
+			var received atomic.Int64
 			ctx := httptrace.WithClientTrace(context.Background(), &httptrace.ClientTrace{
 				Got1xxResponse: func(int, textproto.MIMEHeader) error {
-					heard.Add(1)
+					received.Add(1)
 					return nil
 				},
 			})
@@ -43,19 +43,19 @@
 			require.NoError(t, err)
 			_ = response.Body.Close()
 			assert.Equal(t, http.StatusOK, response.StatusCode)
-			assert.Equal(t, int64(wait/progressInterval), heard.Load())
+			assert.Equal(t, int64(wait/progressInterval), received.Load())
 		})
 	}
-	assert.Less(t, 2*progressInterval, pieceMinSilence, "a sign may be lost and sent again")
+	assert.Less(t, 2*progressInterval, pieceMinSilence, "an interim response may be lost and sent again")
 }
 
-// The client of a machine that has not been called for a minute is forgotten.
-func TestClientsOfMachinesThatAreGoneAreForgotten(t *testing.T) {
+// The client of a machine that was not called for peerClientTTL is removed.
+func TestUnusedPeerClientsAreRemoved(t *testing.T) {
 	peers := newPeerClient(1, func(string, time.Duration) {})
-	gone, kept := peers.client("gone"), peers.client("kept")
+	unused, kept := peers.client("gone"), peers.client("kept")
 	past := time.Now().Add(-2 * peerClientTTL)
 	peers.prunedAt, peers.clients["gone"].lastUsed = past, past
 	assert.Same(t, kept, peers.client("kept"))
 	assert.NotContains(t, peers.clients, dissemination.MachineID("gone"))
-	assert.NotSame(t, gone, peers.client("gone"))
+	assert.NotSame(t, unused, peers.client("gone"))
 }
--- a/internal/rollout/restarted.go
+++ b/internal/rollout/restarted.go
@@ -10,8 +10,9 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// handleServerRestart drops what was known of the server's former incarnation: its load, whether it is cold, and what
-// was announced to it. What lies at it may be gone, and is read anew. The mutex is held.
+// handleServerRestart discards the state of the server's previous incarnation: its load, whether it
+// is cold, and the requests announced to it. Its staged pieces may be lost and are verified again.
+// The caller holds the mutex.
 func (a *Agent) handleServerRestart(ctx context.Context, report fleet.Report) {
 	a.log.Log(logging.ServerRestarted, zap.Int64("born", int64(report.StartTime)), zap.Int64("former", int64(a.report.StartTime)))
 	a.announcedRequests = balance.Announcements{}
@@ -25,9 +26,9 @@
 	}
 }
 
-// reverify reads back what is thought to lie at the server, and fetches again what does not.
+// reverify verifies the pieces that are believed to be staged, and fetches missing ones again.
 func (t *transfer) reverify(ctx context.Context) {
-	if bad := t.verify(ctx, t.heldPieces()); len(bad) > 0 && ctx.Err() == nil {
-		t.refetchCorrupt(bad)
+	if corrupt := t.verify(ctx, t.heldPieces()); len(corrupt) > 0 && ctx.Err() == nil {
+		t.refetchCorrupt(corrupt)
 	}
 }
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -13,24 +13,25 @@
 	"pinevane.example/pinevane/internal/peering"
 )
 
-// Times of watching the server.
+// Intervals and limits of watching the server.
 const (
-	// reportInterval is the pace at which the own server is asked.
+	// reportInterval is how often the machine's own server is asked for a report.
 	reportInterval = 75 * time.Millisecond
-	// maxFailedReports is how many questions in a row must fail until the server
-	// counts as unreachable.
+	// maxFailedReports is how many report requests in a row must fail before the server counts as
+	// unreachable.
 	maxFailedReports = 2
 	reportTimeout    = 250 * time.Millisecond
-	// statusInterval is the longest time between two words to entries, which make a link anew on
-	// which none comes for a little longer. A question that is a little early counts as due.
+	// statusInterval is the longest time between two status reports to entries. Entries reconnect a
+	// link that stays silent for a little longer. Subtracting a quarter of reportInterval makes a
+	// slightly early tick count as due.
 	statusInterval = 300*time.Millisecond - reportInterval/4
-	// probeInterval is how often the way to an entry and back is measured.
+	// probeInterval is how often the round trip to an entry is measured.
 	probeInterval = 150 * time.Millisecond
-	// linkRTTStep is the change of that time, in milliseconds, which entries are told of.
+	// linkRTTStep is the change of the round-trip time, in milliseconds, that is worth a report.
 	linkRTTStep = 100
 )
 
-// watchServer asks the own server how it does, and tells the entries.
+// watchServer polls the machine's own server and sends its status to the entries.
 func (a *Agent) watchServer(ctx context.Context) {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
@@ -56,7 +57,7 @@
 	}
 }
 
-// equivalentStatus compares all that an entry would act on.
+// equivalentStatus reports whether two statuses are alike in all that an entry acts on.
 func equivalentStatus(a, b fleet.MachineStatus) bool {
 	a.SwitchMilliseconds, b.SwitchMilliseconds = min(a.SwitchMilliseconds, 1), min(b.SwitchMilliseconds, 1)
 	a.MissingPieces, b.MissingPieces = 0, 0
@@ -67,7 +68,8 @@
 	return a == b
 }
 
-// sameAvailability compares what decides whether the server may be chosen at all.
+// sameAvailability reports whether two statuses are alike in what decides if the server may be
+// chosen at all.
 func sameAvailability(a, b fleet.MachineStatus) bool {
 	return a.Reachable == b.Reachable && a.Version == b.Version && (a.SwitchMilliseconds == 0) == (b.SwitchMilliseconds == 0) &&
 		(a.ColdMilliseconds > 0) == (b.ColdMilliseconds > 0)
@@ -102,10 +104,10 @@
 	a.report, a.reportAt = report, time.Now()
 }
 
-// logVersion logs a version that has come into service; the mutex is held.
+// logVersion logs a version that has come into service. The caller holds the mutex.
 func (a *Agent) logVersion(report fleet.Report) {
 	if len(report.Models) == 0 || report.Busy {
-		// A server that takes an order does not tell its layers.
+		// A server that is executing an order does not report its layers.
 		return
 	}
 	if len(a.report.Models) == 0 || a.report.Models[0] != report.Models[0] {
@@ -115,7 +117,7 @@
 	}
 }
 
-// status describes the machine as entries are told.
+// status returns the machine's status as it is sent to entries.
 func (a *Agent) status(now time.Time) fleet.MachineStatus {
 	engine, model := a.engine()
 	a.mutex.Lock()
@@ -134,7 +136,7 @@
 		status.FetchingVersion = a.current.version()
 		_, status.MissingPieces = a.current.state()
 		if engine != nil && !a.current.hasStarted() {
-			// Nothing is known to be here: entries tell callers when the server may be ready.
+			// No piece is known to be held. Entries derive from this when the server may be ready.
 			status.MissingPieces = engine.Pieces
 		}
 	}
@@ -142,7 +144,7 @@
 	case a.ordering || a.report.Busy || a.switchAnnouncement.Given():
 		status.SwitchMilliseconds = 0
 	case !a.switchAt.IsZero() && status.Version != 0 && status.Version < status.FetchingVersion:
-		// While pieces are missing the turn can't come before they are there.
+		// The switch cannot happen before the missing pieces have arrived.
 		status.SwitchMilliseconds = max(0, a.switchAt.Sub(now).Milliseconds())
 		if status.MissingPieces > 0 {
 			status.SwitchMilliseconds = max(status.SwitchMilliseconds, minIncompleteSwitchDelay.Milliseconds())
@@ -151,24 +153,24 @@
 	return status
 }
 
-// minIncompleteSwitchDelay is the least time to a switch whose pieces are not all there.
+// minIncompleteSwitchDelay is the minimum time reported until a switch whose pieces are incomplete.
 const minIncompleteSwitchDelay = 500 * time.Millisecond
 
-// pushStatus tells the entries at once.
+// pushStatus sends the status to all entries at once.
 func (a *Agent) pushStatus() { a.sendStatus(a.status(time.Now()), allEntries) }
 
-// recipients is which entries are told.
+// recipients selects the entries that a status is sent to.
 type recipients int
 
-// The recipients: every entry that has a link to this agent, or only those of which no
-// other one passes the words on. A change of load need not be told to a backup.
+// The recipients: every entry linked to this agent, or only those for which no other entry forwards
+// its statuses. A change of load need not be sent to a backup.
 const (
 	allEntries recipients = iota + 1
 	primaryEntries
 )
 
-// sendInitialStatus tells an entry that has just made a link: it may have heard nothing for a while. An agent
-// that does not know its server's model yet has nothing to say of it that an entry may act on.
+// sendInitialStatus sends the status to an entry that has just connected, which may have received
+// none for a while. An agent that does not know its server's model yet sends nothing.
 func (a *Agent) sendInitialStatus(link *peering.Link) {
 	if engine, _ := a.engine(); engine == nil || link.Remote().Role != catalog.RoleEntry {
 		return
@@ -178,7 +180,7 @@
 	go func() { _ = peering.Send(link, fleet.TopicMachineStatus, "", status) }()
 }
 
-// sendStatus tells entries that speak with this agent, and probes the way to them.
+// sendStatus sends a status and a probe to the linked entries.
 func (a *Agent) sendStatus(status fleet.MachineStatus, to recipients) {
 	linked := map[string]bool{}
 	for _, link := range a.daemon.Hub.Accepted() {
@@ -206,7 +208,7 @@
 	return a.roundTrips.NextProbe(entry, time.Since(a.started))
 }
 
-// handleEcho notes that a probe has come back.
+// handleEcho records a returned probe.
 func (a *Agent) handleEcho(link *peering.Link, received *message.Message) {
 	echo, err := peering.Decode[fleet.StatusEcho](received)
 	if err != nil {
--- a/internal/rollout/transfer.go
+++ b/internal/rollout/transfer.go
@@ -17,51 +17,52 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// Tuning of a transfer.
+// Parameters of a transfer.
 const (
 	transferTick = 50 * time.Millisecond
-	// progressTimeout is how long progress is waited for before asking around.
+	// progressTimeout is how long to wait for progress before querying peers for pieces.
 	progressTimeout = 300 * time.Millisecond
 	// peerBackoff is how long a peer that failed is avoided.
 	peerBackoff = 2 * time.Second
-	// maxFetches is how many pieces are fetched at once.
+	// maxFetches is the maximum number of concurrent fetches.
 	maxFetches = 10
-	// maxLagPieces is how far behind the newest a piece may be before it is asked for.
+	// maxLagPieces is how far a missing piece may lag behind the newest one before peers are
+	// queried for it.
 	maxLagPieces = 24
-	// originFetches is how many pieces are read from the origin at once: the machines
-	// share its link, and many pieces at a time only make the first ones come late.
+	// originFetches is the number of concurrent reads from the origin. The machines share its link,
+	// so more of them would only delay the first pieces.
 	originFetches = 1
-	// pieceTimeout bounds one piece from a peer, its waiting there included; a peer
-	// that stands still must not hold the fetches up.
+	// pieceTimeout bounds the fetch of a piece from a peer, including its wait there; a stalled
+	// peer must not block the fetches.
 	pieceTimeout = 1500 * time.Millisecond
-	// A manifest is asked for each manifestRetryInterval, and after manifestSoon each manifestLater: its
-	// source is away then, and 75 agents that went on at the first pace made 1,800 calls a
-	// second to it. Who is not the first to ask the origin asks it each manifestOriginPause.
+	// The manifest is requested every manifestRetryInterval, and after manifestSlowAfter every
+	// manifestSlowInterval: by then its source is down, and 75 agents that kept the first rate made
+	// 1,800 calls a second to it. Machines that are not the first to query the origin query it
+	// every manifestOriginInterval.
 	manifestRetryInterval  = 40 * time.Millisecond
 	manifestSlowAfter      = time.Second
 	manifestSlowInterval   = 200 * time.Millisecond
 	manifestOriginInterval = time.Second
-	// originTurnInterval is the time after which the next in turn asks the origin itself.
+	// originTurnInterval is the delay after which the next machine in turn queries the origin.
 	originTurnInterval = 400 * time.Millisecond
-	// inventoriesPerZone is how many machines of each zone are asked what they hold.
+	// inventoriesPerZone is how many machines are queried for their inventories.
 	inventoriesPerZone = 4
-	// maxDigestFailures is how often one piece must fail its digest until the manifest
-	// itself is doubted.
+	// maxDigestFailures is how often a piece may fail its digest before the manifest itself is
+	// suspected.
 	maxDigestFailures = 2
 )
 
-// transfer brings one version's pieces to the machine's server, and goes on
-// answering peers once they are all there.
+// transfer fetches the pieces of one version for the machine's server, and keeps serving peers once
+// it is complete.
 type transfer struct {
 	agent *Agent
 	model string
-	// peersOnly is set for an older version while it is in force: the origin's link is the newest
-	// one's.
+	// peersOnly is set for a fallback: the origin's link is reserved for the newest version.
 	peersOnly atomic.Bool
-	// originManifestOnly transfers take the manifest from the origin only: another has been
-	// doubted, and peers may hold the same one.
+	// originManifestOnly is set after a manifest of this version was rejected: it is read from the
+	// origin only, since peers may hold the same bad one.
 	originManifestOnly bool
-	// versionNumber is the version; 0 until the manifest tells it.
+	// versionNumber is the version, or 0 until the manifest is known.
 	versionNumber atomic.Uint64
 	startedAt     time.Time
 	cancel        context.CancelFunc
@@ -69,27 +70,27 @@
 	originSlots   chan struct{}
 	limiter       *fetchLimiter
 
-	// manifestKnown is closed once there is a manifest.
+	// manifestKnown is closed once the manifest is known.
 	manifestKnown chan struct{}
 
 	mutex    sync.Mutex
 	plan     dissemination.Plan
 	manifest *fleet.Manifest
 	fetcher  *dissemination.Fetcher
-	// originInterval is how long the origin takes for a piece; 0 when that is not known.
+	// originInterval is how long the origin's link takes for a piece; 0 if unknown.
 	originInterval time.Duration
-	// earlyOffers keeps offers that came before the manifest.
+	// earlyOffers keeps the offers received before the manifest is known.
 	earlyOffers []offer
-	// corrupt counts how often each piece has failed its digest.
+	// corrupt counts the digest failures of each piece.
 	corrupt         map[int]int
 	manifestSuspect bool
 	complete        bool
 	fromOrigin      int
 	fromPeers       int
 
-	// holdersQueriedAt is when a fallback last asked machines what they hold.
+	// holdersQueriedAt is when a fallback last queried machines for their pieces.
 	holdersQueriedAt time.Duration
-	// buffer holds pieces while another version lies at the server.
+	// buffer holds pieces while another version is staged.
 	buffer pieceBuffer
 }
 
@@ -104,8 +105,8 @@
 	return t
 }
 
-// newPlan arranges the machines as they are listed now. A fallback passes nothing on by
-// itself: the others hold it, or do not want it.
+// newPlan builds the distribution plan for the machines currently listed. A fallback does not push
+// pieces on: other machines hold it or do not need it.
 func (t *transfer) newPlan() dissemination.Plan {
 	if t.peersOnly.Load() {
 		return dissemination.NewPlan(dissemination.StrategyStar, t.agent.roster())
@@ -126,7 +127,7 @@
 	}
 }
 
-// updatePlan takes over a new list of machines.
+// updatePlan adopts a changed list of machines.
 func (t *transfer) updatePlan() {
 	plan := t.newPlan()
 	t.mutex.Lock()
@@ -138,7 +139,7 @@
 	t.wake()
 }
 
-// run transfers until the context ends.
+// run fetches the version and serves it until the context ends.
 func (t *transfer) run(ctx context.Context) {
 	manifest, found := t.findManifest(ctx)
 	if !found {
@@ -178,13 +179,14 @@
 	t.agent.log.Log(logging.TransferBegun, zap.String("model", t.model), zap.Uint64("version", t.version()),
 		zap.Int("pieces", len(held)), zap.Int("missing", t.fetcher.Missing()),
 		zap.Int("held_by_peers", len(holders)), zap.Duration("after", t.now()))
-	for _, pending := range t.earlyOffers {
-		t.applyOfferLocked(pending)
+	for _, early := range t.earlyOffers {
+		t.applyOfferLocked(early)
 	}
 	t.earlyOffers = nil
 }
 
-// fetcherOptions are those of a fetcher that has some pieces; the mutex is held.
+// fetcherOptions returns the options of a fetcher that starts with the held pieces. The caller
+// holds the mutex.
 func (t *transfer) fetcherOptions(held []bool) dissemination.Options {
 	return dissemination.Options{
 		Self: t.self(), Plan: t.plan, Chunks: len(held), Held: held, PeersOnly: t.peersOnly.Load(),
@@ -192,7 +194,7 @@
 	}
 }
 
-// heldMask marks the pieces that are here; the mutex is held, and the manifest known.
+// heldMask marks the held pieces. The manifest is known, and the caller holds the mutex.
 func (t *transfer) heldMask() []bool {
 	held := make([]bool, len(t.manifest.Digests))
 	for index := range held {
@@ -201,8 +203,7 @@
 	return held
 }
 
-// estimateOriginInterval is how long the origin's link takes for a piece; 0 when that is not
-// known.
+// estimateOriginInterval returns how long the origin's link takes for a piece, or 0 if unknown.
 func (t *transfer) estimateOriginInterval() time.Duration {
 	engine, _ := t.agent.engine()
 	if engine == nil {
@@ -211,8 +212,8 @@
 	return engine.PieceTime(t.agent.daemon.Catalog.View().Configuration.OriginRate())
 }
 
-// addHolders offers the fetcher what peers hold, each piece from another of them
-// first, so that no one has to send everything; the mutex is held.
+// addHolders offers the fetcher the pieces of peers. For each piece it starts with a different
+// holder, so that no peer sends everything. The caller holds the mutex.
 func (t *transfer) addHolders(holders map[int][]dissemination.MachineID) {
 	for index, machines := range holders {
 		for turn := range machines {
@@ -221,7 +222,7 @@
 	}
 }
 
-// applyOffer feeds an offer or a question to the fetcher.
+// applyOffer passes an offer or a query to the fetcher.
 func (t *transfer) applyOffer(incoming offer) dissemination.Answer {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -248,17 +249,17 @@
 	return dissemination.Answer{}
 }
 
-// performActions starts what the fetcher wants done.
+// performActions starts the actions that the fetcher requests.
 func (t *transfer) performActions(ctx context.Context) {
 	t.mutex.Lock()
 	fetcher := t.fetcher
 	actions := fetcher.Take()
 	t.mutex.Unlock()
-	turn := dissemination.GroupByPeer(actions)
-	for _, action := range turn.Fetches {
+	batch := dissemination.GroupByPeer(actions)
+	for _, action := range batch.Fetches {
 		go t.fetch(ctx, fetcher, action)
 	}
-	for _, message := range turn.Messages {
+	for _, message := range batch.Messages {
 		go t.sendOffer(ctx, message)
 	}
 }
@@ -272,7 +273,7 @@
 	t.wake()
 }
 
-// fetch brings one piece to the server and reports how it went.
+// fetch fetches and stores one piece and reports the result to the fetcher.
 func (t *transfer) fetch(ctx context.Context, fetcher *dissemination.Fetcher, action dissemination.Action) {
 	content, err := t.readFrom(ctx, action)
 	if err == nil && sha256.Sum256(content) != t.manifest.Digests[action.Chunk] {
@@ -288,7 +289,7 @@
 	defer t.mutex.Unlock()
 	defer t.wake()
 	if t.fetcher != fetcher {
-		// The transfer has begun anew meanwhile and will see for itself.
+		// The fetcher was replaced meanwhile; the new one schedules the piece itself.
 		return
 	}
 	if err != nil {
@@ -327,7 +328,7 @@
 		return nil, ctx.Err()
 	}
 	if t.hasSource(action.Chunk) {
-		// It came to a peer while the origin was busy with others.
+		// A peer obtained the piece while this fetch waited for the origin.
 		return nil, &fault.Unavailable{Target: "origin", Operation: "piece", Status: http.StatusConflict}
 	}
 	address, known := t.agent.originAddress()
@@ -350,7 +351,7 @@
 	return t.fetcher.Height(index)
 }
 
-// classifyFailure turns an error into the fetcher's reason; the mutex is held.
+// classifyFailure maps an error to the fetcher's failure reason. The caller holds the mutex.
 func (t *transfer) classifyFailure(err error, action dissemination.Action) dissemination.FailureReason {
 	var corrupt *fault.Corrupt
 	var unavailable *fault.Unavailable
@@ -373,12 +374,12 @@
 	return dissemination.Unreachable
 }
 
-// checkComplete announces that every piece lies at the server.
+// checkComplete logs and signals that all pieces are held, and rejects a suspect manifest.
 func (t *transfer) checkComplete() {
 	t.mutex.Lock()
 	changed := !t.complete && t.fetcher.Missing() == 0
 	t.complete = t.fetcher.Missing() == 0
-	doubtful := t.manifestSuspect && !t.complete
+	suspect := t.manifestSuspect && !t.complete
 	t.mutex.Unlock()
 	if changed {
 		t.agent.metrics.staged.Observe(t.now().Seconds())
@@ -386,12 +387,12 @@
 			zap.Duration("took", t.now()), zap.Int("origin_bytes", t.fromOrigin), zap.Int("peer_bytes", t.fromPeers))
 		t.agent.wake()
 	}
-	if doubtful {
+	if suspect {
 		t.agent.rejectManifest(t)
 	}
 }
 
-// state returns whether all pieces are there and how many are missing.
+// state returns whether all pieces are held, and how many are missing.
 func (t *transfer) state() (complete bool, missing int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -401,7 +402,7 @@
 	return t.fetcher.Missing() == 0, t.fetcher.Missing()
 }
 
-// hasManifest reports whether it is known which pieces the version consists of.
+// hasStarted reports whether the manifest is known and the fetcher runs.
 func (t *transfer) hasStarted() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/rollout/transfer_test.go
+++ b/internal/rollout/transfer_test.go
@@ -11,12 +11,10 @@
 	"pinevane.example/pinevane/internal/fleet"
 )
 
-// Seen: read in the code. Cause: the pace of the origin was set where a transfer begins and not
-// where it begins anew.
-//
-// A transfer that begins anew after all of its pieces have turned bad reads the origin at the
-// pace of its link, as at first.
-func TestTransferAfterSpoiltPiecesKeepsTheOriginsPace(t *testing.T) {
+// A transfer that restarts after all its pieces turned corrupt must still read the origin at the
+// rate of the origin's link. That rate was once set only where a transfer starts, not where it
+// restarts.
+func TestRestartedTransferKeepsOriginInterval(t *testing.T) {
 	const pieces = 60
 	agent := &Agent{self: "a", metrics: newMetrics(prometheus.NewRegistry())}
 	one := &transfer{
@@ -31,15 +29,15 @@
 	}
 	one.fetcher = dissemination.NewFetcher(one.fetcherOptions(held))
 	one.restartFetch(all)
-	asked := 0
+	requested := 0
 	for range pieces {
 		one.fetcher.Tick(one.now())
 		for _, action := range one.fetcher.Take() {
 			assert.Equal(t, dissemination.FetchOrigin, action.Kind)
 			one.fetcher.Fetched("", action.Chunk, one.now())
-			asked++
+			requested++
 		}
 	}
-	assert.Positive(t, asked)
-	assert.LessOrEqual(t, asked, pieces/4, "pieces asked of the origin in the time of one")
+	assert.Positive(t, requested)
+	assert.LessOrEqual(t, requested, pieces/4, "pieces requested of the origin in the time of one")
 }
--- a/internal/rollout/uploads.go
+++ b/internal/rollout/uploads.go
@@ -8,21 +8,21 @@
 	"pinevane.example/pinevane/coordination/dissemination"
 )
 
-// ticket is one waiting upload.
+// ticket is a waiting upload.
 type ticket struct {
 	height int
 	piece  int
 	turn   chan struct{}
 }
 
-// uploadQueue paces what is sent to peers: one piece after the other, first the one
-// that most machines wait for behind the peer that asks.
+// uploadQueue paces the pieces sent to peers: one at a time, first the one with the most machines
+// waiting for it behind the peer that asks.
 type uploadQueue struct {
 	bytesPerSecond float64
 
 	mutex   sync.Mutex
 	waiting []*ticket
-	// freeAt is when the uplink has sent what it was given.
+	// freeAt is when the uplink will have sent the pieces granted so far.
 	freeAt  time.Time
 	running bool
 }
@@ -31,55 +31,55 @@
 	return &uploadQueue{bytesPerSecond: bytesPerSecond}
 }
 
-// backlog returns how many uploads wait.
+// backlog returns the number of waiting uploads.
 func (u *uploadQueue) backlog() int {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	return len(u.waiting)
 }
 
-// wait returns when it is the turn of a piece of a size.
+// wait returns when a piece of a size may be sent.
 func (u *uploadQueue) wait(ctx context.Context, height, piece, size int) error {
 	if u.bytesPerSecond <= 0 {
 		return ctx.Err()
 	}
-	mine := &ticket{height: height, piece: piece, turn: make(chan struct{})}
+	own := &ticket{height: height, piece: piece, turn: make(chan struct{})}
 	u.mutex.Lock()
-	u.waiting = append(u.waiting, mine)
+	u.waiting = append(u.waiting, own)
 	if !u.running {
 		u.running = true
 		go u.serve(size)
 	}
 	u.mutex.Unlock()
 	select {
-	case <-mine.turn:
+	case <-own.turn:
 		return nil
 	case <-ctx.Done():
-		u.remove(mine)
+		u.remove(own)
 		return ctx.Err()
 	}
 }
 
-func (u *uploadQueue) remove(gone *ticket) {
+func (u *uploadQueue) remove(canceled *ticket) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	for index, one := range u.waiting {
-		if one == gone {
+		if one == canceled {
 			u.waiting = append(u.waiting[:index], u.waiting[index+1:]...)
 			return
 		}
 	}
 }
 
-// serve gives turns until nothing waits.
+// serve grants turns until no upload waits.
 func (u *uploadQueue) serve(size int) {
 	each := time.Duration(float64(size) / u.bytesPerSecond * float64(time.Second))
 	for {
 		u.mutex.Lock()
-		pauseTime := time.Until(u.freeAt)
+		delay := time.Until(u.freeAt)
 		u.mutex.Unlock()
-		if pauseTime > 0 {
-			time.Sleep(pauseTime)
+		if delay > 0 {
+			time.Sleep(delay)
 		}
 		u.mutex.Lock()
 		next := u.popMostUrgent()
@@ -88,7 +88,7 @@
 			u.mutex.Unlock()
 			return
 		}
-		// A turn that comes late, because timers do, is made up for by the next.
+		// If timers fire late, the next turn comes earlier to make up for it.
 		u.freeAt = latest(u.freeAt, time.Now().Add(-each)).Add(each)
 		u.mutex.Unlock()
 		close(next.turn)
@@ -102,7 +102,7 @@
 	return b
 }
 
-// popMostUrgent takes the most urgent ticket; the mutex is held.
+// popMostUrgent removes and returns the most urgent ticket. The caller holds the mutex.
 func (u *uploadQueue) popMostUrgent() *ticket {
 	if len(u.waiting) == 0 {
 		return nil
--- a/internal/rollout/verify.go
+++ b/internal/rollout/verify.go
@@ -12,7 +12,7 @@
 	"pinevane.example/pinevane/internal/waiting"
 )
 
-// verifyHeld reads back what lies at the server and marks the pieces that match.
+// verifyHeld reads back the pieces staged at the server and marks those that match the manifest.
 func (t *transfer) verifyHeld(ctx context.Context, manifest fleet.Manifest) []bool {
 	held := make([]bool, len(manifest.Digests))
 	for ctx.Err() == nil {
@@ -33,7 +33,7 @@
 	return held
 }
 
-// readPiece reads a piece back and verifies it once more.
+// readPiece returns a piece from the buffer, or reads it back from the server and verifies it.
 func (t *transfer) readPiece(ctx context.Context, index int) ([]byte, bool) {
 	manifest, known := t.knownManifest()
 	if !known || index < 0 || index >= len(manifest.Digests) {
@@ -49,7 +49,7 @@
 	return content, true
 }
 
-// verifyAll reads every piece back and returns those that do not match.
+// verifyAll reads back all pieces and returns those that do not match.
 func (t *transfer) verifyAll(ctx context.Context) []int {
 	manifest, known := t.knownManifest()
 	if !known {
@@ -62,25 +62,25 @@
 	return t.verify(ctx, all)
 }
 
-// verify reads some pieces back and returns those that do not match.
+// verify reads back some pieces and returns those that do not match.
 func (t *transfer) verify(ctx context.Context, pieces []int) []int {
-	var bad []int
+	var corrupt []int
 	for _, index := range pieces {
-		if _, sound := t.readPiece(ctx, index); !sound {
-			bad = append(bad, index)
+		if _, valid := t.readPiece(ctx, index); !valid {
+			corrupt = append(corrupt, index)
 		}
 	}
-	return bad
+	return corrupt
 }
 
-// refetchCorrupt fetches pieces again that have turned bad at the server.
-func (t *transfer) refetchCorrupt(bad []int) {
-	t.agent.log.Log(logging.PiecesSpoilt, zap.String("model", t.model), zap.Uint64("version", t.version()), zap.Ints("pieces", bad))
-	t.restartFetch(bad)
+// refetchCorrupt fetches pieces again that have turned corrupt at the server.
+func (t *transfer) refetchCorrupt(corrupt []int) {
+	t.agent.log.Log(logging.PiecesSpoilt, zap.String("model", t.model), zap.Uint64("version", t.version()), zap.Ints("pieces", corrupt))
+	t.restartFetch(corrupt)
 }
 
-// refetchPiece fetches a piece again that was thought to be here and is not sound, so
-// that peers are not sent to it in vain.
+// refetchPiece fetches a piece again that was believed to be held but is missing or corrupt, so
+// that peers are no longer sent here for it in vain.
 func (t *transfer) refetchPiece(ctx context.Context, index int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -91,17 +91,17 @@
 	t.restartFetchLocked([]int{index})
 }
 
-// restartFetch begins anew with what is sound, after pieces have turned bad.
-func (t *transfer) restartFetch(bad []int) {
+// restartFetch replaces the fetcher by one that lacks the corrupt pieces.
+func (t *transfer) restartFetch(corrupt []int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.restartFetchLocked(bad)
+	t.restartFetchLocked(corrupt)
 }
 
-func (t *transfer) restartFetchLocked(bad []int) {
-	t.agent.metrics.corrupt.Add(float64(len(bad)))
+func (t *transfer) restartFetchLocked(corrupt []int) {
+	t.agent.metrics.corrupt.Add(float64(len(corrupt)))
 	held := t.heldMask()
-	for _, index := range bad {
+	for _, index := range corrupt {
 		held[index] = false
 	}
 	t.fetcher = dissemination.NewFetcher(t.fetcherOptions(held))
