--- a/internal/fleet/changes.go
+++ b/internal/fleet/changes.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// RestartNeeded names the settings in which fresh ones differ that a running process can't take
-// over: who it is, and where it listens. The names are those of the settings file's fields as
+// RestartNeeded names the changed settings that a running process cannot adopt: its identity and
+// the addresses it listens on and connects to. The names are those of the settings file, as
 // operators know them from the checks.
 func (s Settings) RestartNeeded(fresh Settings) []string {
 	var fields []string
@@ -26,8 +26,8 @@
 	return fields
 }
 
-// MergeReloadable returns fresh settings with the fields of RestartNeeded as they are in a running
-// process, which goes on with those until it is started anew.
+// MergeReloadable returns fresh with the fields covered by RestartNeeded as they are in s. A
+// running process uses the result until it is restarted.
 func (s Settings) MergeReloadable(fresh Settings) Settings {
 	fresh.Name, fresh.Zone, fresh.IP = s.Name, s.Zone, s.IP
 	fresh.Callers, fresh.Ready, fresh.Control = s.Callers, s.Ready, s.Control
@@ -36,8 +36,8 @@
 	return fresh
 }
 
-// ZonesChanged lists the zones that one of two maps of zones to regions lacks, or has in another
-// region, in order.
+// ZonesChanged lists, in order, the zones that are in only one of two maps of zones to regions, or
+// in a different region.
 func ZonesChanged(before, after map[string]string) []string {
 	var changed []string
 	for zone, region := range before {
--- a/internal/fleet/configuration.go
+++ b/internal/fleet/configuration.go
@@ -9,7 +9,7 @@
 	"pinevane.example/pinevane/coordination/balance"
 )
 
-// RouteKind tells how often a request of a route may run.
+// RouteKind is how often a request of a route may run.
 type RouteKind int
 
 // The kinds of routes.
@@ -34,21 +34,21 @@
 	Host   string
 	Prefix string
 	Kind   RouteKind
-	// Timeout is the longest that a request may be held.
+	// Timeout is the longest time that a request may be held.
 	Timeout time.Duration
-	// Target is the time within which an answer (of a stream: its first event)
-	// counts in full, TargetGap the longest pause between events.
+	// Target is the time within which an answer (of a stream: its first event) counts in full.
+	// TargetGap is the longest pause between events.
 	Target    time.Duration
 	TargetGap time.Duration
-	// Attempts is the most servers that one request may be sent to.
+	// Attempts is the maximum number of servers that a request may be sent to.
 	Attempts int
-	// Priority is the rank of requests, 0 first.
+	// Priority is the rank of requests; 0 is the highest.
 	Priority  int
 	Anonymous bool
 	// Resumable streams may be continued at another server.
 	Resumable bool
 	Services  []WeightedService
-	// AllowedRegions bind every request of the route.
+	// AllowedRegions restricts every request of the route.
 	AllowedRegions AllowedRegions
 }
 
@@ -57,8 +57,8 @@
 	return r.Kind == Repeatable || (r.Kind == Streaming && r.Resumable)
 }
 
-// Engine describes the speed and size of a service's model servers. Times are in
-// milliseconds where named so; rates are in tokens a second.
+// Engine describes the speed and size of a service's model servers. Times are in milliseconds where
+// the name says so; rates are in tokens per second.
 type Engine struct {
 	Slots                   int
 	CacheTokens             int
@@ -78,7 +78,7 @@
 	Warm time.Duration
 }
 
-// Parameters are what the predictions of load go by, as published.
+// Parameters returns the published values that load predictions are computed from.
 func (e *Engine) Parameters() balance.Server {
 	return balance.Server{
 		Slots: e.Slots, Stride: e.Stride,
@@ -87,11 +87,10 @@
 	}
 }
 
-// MissingParameters names the figures of speed and size that are not published, or can't
-// be right.
+// MissingParameters names the performance values that are not published or not positive.
 func (e *Engine) MissingParameters() []string {
 	var missing []string
-	for _, figure := range []struct {
+	for _, parameter := range []struct {
 		name  string
 		value float64
 	}{
@@ -99,20 +98,20 @@
 		{"read_per_second", e.ReadPerSecond}, {"usual_prompt", e.UsualPrompt}, {"usual_answer", e.UsualAnswer},
 		{"pieces", float64(e.Pieces)}, {"piece_bytes", float64(e.PieceBytes)}, {"layers", float64(e.Layers)},
 	} {
-		if figure.value <= 0 {
-			missing = append(missing, figure.name)
+		if parameter.value <= 0 {
+			missing = append(missing, parameter.name)
 		}
 	}
 	return missing
 }
 
-// CopyTime is how long one copy of the weights takes over a link; 0 when the link's
-// capacity is not known.
+// CopyTime returns how long a link takes for one copy of the weights, or 0 if the link's capacity
+// is unknown.
 func (e *Engine) CopyTime(bytesPerSecond float64) time.Duration {
 	return transferTime(e.Pieces*e.PieceBytes, bytesPerSecond)
 }
 
-// PieceTime is the same for one piece.
+// PieceTime returns how long a link takes for one piece, or 0 if the link's capacity is unknown.
 func (e *Engine) PieceTime(bytesPerSecond float64) time.Duration {
 	return transferTime(e.PieceBytes, bytesPerSecond)
 }
@@ -124,17 +123,17 @@
 	return time.Duration(float64(bytes) / bytesPerSecond * float64(time.Second))
 }
 
-// Service is a set of servers that answer alike.
+// Service is a set of interchangeable servers.
 type Service struct {
 	Name               string
 	MaximumConnections int
 	// Engine is set for services of model servers.
 	Engine *Engine
-	// ColdTime is how long a server stays cold after a start, and ColdRate the requests a
-	// second that a cold one is made for; both are 0 where servers are warm from the start.
+	// ColdTime is how long a server stays cold after a start, and ColdRate the requests per second
+	// that a cold server is built for; both are 0 where servers are warm from the start.
 	ColdTime time.Duration
 	ColdRate float64
-	// OriginAddress is set for the service that hands out weights.
+	// OriginAddress is set for the service that serves the weights.
 	OriginAddress string
 	// OriginLinkBytesPerSecond is the capacity of the origin's link.
 	OriginLinkBytesPerSecond float64
@@ -152,10 +151,10 @@
 type Tenant struct {
 	Name string
 	Keys []string
-	// Priority replaces the route's when it is not nil.
+	// Priority overrides the route's priority if it is not nil.
 	Priority *int
-	// AllowedRegions bind every request that bears one of the keys, in addition to the
-	// route's.
+	// AllowedRegions restricts every request that carries one of the keys, in addition to the
+	// route's regions.
 	AllowedRegions AllowedRegions
 }
 
@@ -165,15 +164,14 @@
 	Routes   []Route
 	Services map[string]Service
 	Limits   Limits
-	// Tenants is nil when requests need no key.
+	// Tenants is nil if requests need no key.
 	Tenants []Tenant
 
 	byHost map[string][]*Route
 	byKey  map[string]*Tenant
 }
 
-// Index prepares the lookups; it is called once, before the configuration is
-// shared.
+// Index builds the lookup tables. It is called once, before the configuration is shared.
 func (c *Configuration) Index() {
 	c.byHost = map[string][]*Route{}
 	for i := range c.Routes {
@@ -192,7 +190,7 @@
 	}
 }
 
-// RouteOf finds the route of a host with the longest prefix of the path.
+// RouteOf returns the route of a host with the longest prefix of the path.
 func (c *Configuration) RouteOf(host, path string) (*Route, bool) {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 {
 		host = host[:colon]
@@ -205,16 +203,16 @@
 	return nil, false
 }
 
-// TenantOf finds the owner of a key.
+// TenantOf returns the owner of a key.
 func (c *Configuration) TenantOf(key string) (*Tenant, bool) {
 	tenant, known := c.byKey[key]
 	return tenant, known
 }
 
-// NeedsKeys reports whether requests must bear a key.
+// NeedsKeys reports whether requests must carry a key.
 func (c *Configuration) NeedsKeys() bool { return c.Tenants != nil }
 
-// OriginRate is the capacity of the origin's link in bytes a second; 0 when it is not
+// OriginRate returns the capacity of the origin's link in bytes per second, or 0 if it is not
 // published.
 func (c *Configuration) OriginRate() float64 {
 	if c == nil {
@@ -224,7 +222,7 @@
 	return origin.OriginLinkBytesPerSecond
 }
 
-// Origin returns the service that hands out weights.
+// Origin returns the service that serves the weights.
 func (c *Configuration) Origin() (Service, bool) {
 	for _, service := range c.Services {
 		if service.OriginAddress != "" {
@@ -234,8 +232,8 @@
 	return Service{}, false
 }
 
-// ResidencyOf is what the configuration binds a request to, by the route of its host and
-// path and the tenant of its key. A route or tenant that it does not have binds nothing.
+// ResidencyOf returns the region restrictions of a request, from the route of its host and path and
+// the tenant of its key. An unknown route or tenant adds no restriction.
 func (c *Configuration) ResidencyOf(host, path, key string) Residency {
 	route, _ := c.RouteOf(host, path)
 	tenant, _ := c.TenantOf(key)
--- a/internal/fleet/regions_test.go
+++ b/internal/fleet/regions_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// An empty list allows every region; a name that no region has allows none, and an unknown
-// region is in no list.
-func TestWhatAListOfRegionsAllows(t *testing.T) {
+// An empty list allows every region. A name that no region has allows none, and an unknown region
+// is in no list.
+func TestAllowedRegions(t *testing.T) {
 	for _, one := range []struct {
 		regions AllowedRegions
 		region  string
@@ -22,23 +22,24 @@
 	}
 }
 
-// A route's and a tenant's regions bind both; lists without a common region allow none.
-func TestEveryListOfARequestBinds(t *testing.T) {
+// A request must satisfy the regions of both its route and its tenant; lists without a common
+// region allow none.
+func TestResidencyCombinesRouteAndTenant(t *testing.T) {
 	route, tenant := &Route{AllowedRegions: AllowedRegions{"a", "b"}}, &Tenant{AllowedRegions: AllowedRegions{"b", "c"}}
 	both := ResidencyOf(route, tenant)
 	assert.Equal(t, []string{"b"}, both.Regions())
 	assert.False(t, both.Allow("a"))
 	assert.False(t, both.Allow("c"))
 	assert.True(t, both.Allow("b"))
-	contradiction := both.And(ResidencyOf(nil, &Tenant{AllowedRegions: AllowedRegions{"a"}}))
-	assert.Empty(t, contradiction.Regions())
-	assert.True(t, contradiction.Restrict())
-	assert.Equal(t, []string{"b"}, both.Regions(), "joining changes neither part")
+	disjoint := both.And(ResidencyOf(nil, &Tenant{AllowedRegions: AllowedRegions{"a"}}))
+	assert.Empty(t, disjoint.Regions())
+	assert.True(t, disjoint.Restrict())
+	assert.Equal(t, []string{"b"}, both.Regions(), "merging changes neither operand")
 	assert.False(t, ResidencyOf(&Route{AllowedRegions: AllowedRegions{}}, nil).Restrict())
 }
 
-// What a configuration binds a request to goes by its route and by the tenant of its key.
-func TestResidencyOfARequest(t *testing.T) {
+// A request is restricted by its route and by the tenant of its key.
+func TestResidencyOfRequest(t *testing.T) {
 	configuration := &Configuration{
 		Routes: []Route{
 			{Host: "h", Prefix: "/", AllowedRegions: AllowedRegions{"a"}},
--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -9,17 +9,17 @@
 	"pinevane.example/pinevane/coordination/mirror"
 )
 
-// HeldModel is a model that a server holds, wholly or in part.
+// HeldModel is a model that a server holds completely or in part.
 type HeldModel struct {
 	Name    string
 	Version uint64
-	// FromLayer and ToLayer (exclusive) bound the layers held; both are zero when
-	// the server does not say, which means all of them.
+	// FromLayer and ToLayer (exclusive) bound the layers held; both are zero if the server does not
+	// report them, which means all layers.
 	FromLayer int
 	ToLayer   int
 }
 
-// Complete reports whether the model is here whole, of layers in all.
+// Complete reports whether the server holds all the model's layers.
 func (h HeldModel) Complete(layers int) bool {
 	if h.FromLayer == 0 && h.ToLayer == 0 {
 		return true
@@ -27,7 +27,7 @@
 	return h.FromLayer == 0 && h.ToLayer >= layers
 }
 
-// Server is one line of the published list of servers.
+// Server is a record of the published list of servers.
 type Server struct {
 	ID       string
 	Service  string
@@ -36,12 +36,12 @@
 	Slots    int
 	Draining bool
 	Models   []HeldModel
-	// ColdUntil is when the server will be warm, by its line's word when that was read; a
-	// time that is past, or zero, means that it is warm.
+	// ColdUntil is when the server will be warm, computed when the record was read. A time that is
+	// past, or zero, means that the server is warm.
 	ColdUntil time.Time
-	// Revision is the store's revision of the line.
+	// Revision is the store's revision of the record.
 	Revision uint64
-	// StartTime tells this life of the server from others under its ID.
+	// StartTime distinguishes this incarnation of the server from others with its ID.
 	StartTime incarnation.StartTime
 }
 
@@ -52,14 +52,14 @@
 	Revision uint64
 }
 
-// Evacuation asks that the servers of a zone are sent nothing new, until its record is
-// taken away.
+// Evacuation requests that the servers of a zone be sent no new requests until its record is
+// deleted.
 type Evacuation struct {
 	Zone     string
 	Revision uint64
 }
 
-// RecordKind tells what a published record holds.
+// RecordKind is the kind of a published record.
 type RecordKind int
 
 // The kinds of published records.
@@ -71,21 +71,21 @@
 	RecordEvacuation
 )
 
-// Decoder reads published records.
+// Decoder decodes published records.
 type Decoder interface {
-	// Prefix covers all records to read.
+	// Prefix is the common key prefix of all records to read.
 	Prefix() string
 	Kind(key string) RecordKind
 	Configuration(value []byte) (*Configuration, error)
-	// Server reads a server's line as of a time, from which its times count.
+	// Server decodes a server's record. Its relative times count from at.
 	Server(record mirror.Record, at time.Time) (Server, error)
 	Version(record mirror.Record) (PublishedVersion, error)
-	// Evacuation reads an evacuation. Its zone is valid also beside an error about the
-	// rest of the record, unless it is empty.
+	// Evacuation decodes an evacuation. A non-empty zone is valid even with an error, which then
+	// concerns the rest of the record.
 	Evacuation(record mirror.Record) (Evacuation, error)
 }
 
-// Listing is a read of all records under a prefix.
+// Listing is the result of reading all records under a prefix.
 type Listing struct {
 	Records []mirror.Record
 	// Revision is the revision from which a watch continues.
@@ -99,20 +99,20 @@
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (Listing, error)
 }
 
-// SilenceReporter is implemented by clients that notice when connections have gone silent. The
-// function is told the name of the other side and for how long nothing was heard. It is to be
-// registered before the first call.
+// SilenceReporter is implemented by clients that detect silent connections. The function is called
+// with the name of the other side and how long nothing was received. It must be registered before
+// the first call.
 type SilenceReporter interface {
 	OnSilent(function func(target string, silent time.Duration))
 }
 
-// SilenceListener is implemented by clients that look at their open connections when those to other
-// processes have turned out to be silent.
+// SilenceListener is implemented by clients that check their open connections when connections to
+// other processes have turned out to be silent.
 type SilenceListener interface {
 	SuspectSilence()
 }
 
-// Report is a model server's word on itself.
+// Report is a model server's report on its own state.
 type Report struct {
 	Models   []HeldModel
 	Busy     bool
@@ -122,19 +122,19 @@
 	// CacheUsed and CacheTotal count tokens.
 	CacheUsed  int
 	CacheTotal int
-	// Pace is over 1 when the server is slow.
+	// Pace is greater than 1 when the server is slow.
 	Pace float64
-	// StartTime tells this life of the server from others under its ID.
+	// StartTime distinguishes this incarnation of the server from others with its ID.
 	StartTime incarnation.StartTime
 }
 
-// StartOrder asks a server to take a staged version into service.
+// StartOrder orders a server to take a staged version into service.
 type StartOrder struct {
 	Model   string
 	Version uint64
-	// Sequence is the number of orders taken that the giver has seen.
+	// Sequence is the number of accepted orders that the sender has seen.
 	Sequence uint64
-	// FromLayer and ToLayer (exclusive) bound the layers to be taken; both are zero for all.
+	// FromLayer and ToLayer (exclusive) bound the layers to load; both are zero for all layers.
 	FromLayer int
 	ToLayer   int
 }
@@ -144,117 +144,118 @@
 
 // The outcomes of orders.
 const (
-	// OrderAccepted means that the server has taken the order.
+	// OrderAccepted means that the server executes the order.
 	OrderAccepted OrderOutcome = iota + 1
-	// OrderAlreadyHeld means that there is nothing left to do.
+	// OrderAlreadyHeld means that the server already holds what was ordered.
 	OrderAlreadyHeld
 	// OrderConflict means that the order does not fit the server's state.
 	OrderConflict
 )
 
-// ModelServer is the model server of the process's own machine.
+// ModelServer is a client of the model server on the process's own machine.
 type ModelServer interface {
 	Report(ctx context.Context) (Report, error)
-	// Start gives the order; an error means that it may have been taken.
+	// Start sends the order; after an error the server may still have accepted it.
 	Start(ctx context.Context, order StartOrder) (OrderOutcome, error)
-	// HeldPieces lists the staged pieces, unverified and of any version.
+	// HeldPieces lists the staged pieces, which are unverified and may be of any version.
 	HeldPieces(ctx context.Context, model string) ([]int, error)
 	Piece(ctx context.Context, model string, index int) ([]byte, error)
 	Stage(ctx context.Context, model string, index int, content []byte) error
 }
 
-// Manifest names the pieces of a version by their digests.
+// Manifest lists the pieces of a version by their digests.
 type Manifest struct {
 	Model   string
 	Version uint64
 	Layers  int
 	// PieceBytes is the size of every piece.
 	PieceBytes int
-	// Digests are SHA-256 sums, raw.
+	// Digests are raw SHA-256 sums.
 	Digests [][32]byte
 }
 
-// WeightOrigin hands out the weights of every version.
+// WeightOrigin is a client of the origin, which serves the weights of every version.
 type WeightOrigin interface {
-	// Manifest reads a version's manifest; version 0 asks for the newest.
+	// Manifest reads a version's manifest; version 0 reads the newest.
 	Manifest(ctx context.Context, address, model string, version uint64) (Manifest, error)
 	Piece(ctx context.Context, address, model string, version uint64, index int) ([]byte, error)
 }
 
-// CallHeader is what a caller's request says of itself besides its target.
+// CallHeader is what the header of a caller's request states besides its target.
 type CallHeader struct {
 	RequestID string
-	// Deadline is the time that the caller waits; zero when it does not say.
+	// Deadline is the time that the caller waits; zero if not stated.
 	Deadline time.Duration
-	// Key is the caller's API key; empty when there is none.
+	// Key is the caller's API key; empty if there is none.
 	Key   string
 	Model string
-	// PromptTokens and AnswerTokens size a generation; zero when not said.
+	// PromptTokens and AnswerTokens are the size of a generation; zero if not stated.
 	PromptTokens int
 	AnswerTokens int
-	// LengthHint guesses the tokens of the answer; zero when not said.
+	// LengthHint estimates the tokens of the answer; zero if not stated.
 	LengthHint  int
 	LastEventID string
 }
 
-// SendHeader is what the system itself tells a server with a request.
+// SendHeader is what an entry adds to the header of a request to a server.
 type SendHeader struct {
 	Deadline time.Duration
 	Instance string
-	// Version is zero when any version will do.
+	// Version is zero if any version will do.
 	Version  uint64
 	Tenant   string
 	Priority int
-	// LastEventID continues a stream; empty leaves the caller's own.
+	// LastEventID resumes a stream; if empty, the caller's own value is kept.
 	LastEventID string
 }
 
-// AnswerHeader is what a server's answer says of itself.
+// AnswerHeader is what the header of a server's answer states.
 type AnswerHeader struct {
 	RequestID string
-	// Instance is the server's own name; empty when not said.
+	// Instance is the server's own name; empty if not stated.
 	Instance string
-	// NotRun is the server's word that it has not run the request.
+	// NotRun is set if the server states that it has not run the request.
 	NotRun bool
-	// Signed is set when the answer carries the server's signature.
+	// Signed is set if the answer carries the server's signature.
 	Signed bool
-	// Version is that of the weights; zero when not said.
+	// Version is the version of the weights; zero if not stated.
 	Version uint64
-	// ColdFor is how much longer the server is cold, which answers to health checks say; zero
-	// when not said.
+	// ColdFor is how much longer the server is cold, as answers to health checks state it; zero if
+	// not stated.
 	ColdFor time.Duration
-	// Limit is what the server says of how many requests it takes.
+	// Limit is the server's rate limit.
 	Limit RateLimit
-	// Leaving is set when the server says that it is about to end.
+	// Leaving is set if the server announces that it is about to stop.
 	Leaving bool
-	// Backoff is for how long the server wants nothing more from this process; zero when it does not say.
+	// Backoff is how long the server wants no more requests from this process; zero if not stated.
 	Backoff Backoff
 }
 
-// Backoff is what an answer says of a time in which its server wants no requests.
+// Backoff is the time for which an answer asks to send its server no requests.
 type Backoff struct {
 	Duration time.Duration
-	// Unreadable is set when the answer names something that is no time.
+	// Unreadable is set if the answer states something that is not a time.
 	Unreadable bool
 }
 
-// RateLimitKind is what an answer says of its server's limit.
+// RateLimitKind is whether an answer states its server's rate limit.
 type RateLimitKind int
 
-// The words on limits.
+// The kinds of rate limits.
 const (
-	// NoRateLimit: the answer names none.
+	// NoRateLimit: the answer states none.
 	NoRateLimit RateLimitKind = iota
-	// RateLimitStated: it names one.
+	// RateLimitStated: the answer states one.
 	RateLimitStated
-	// RateLimitUnreadable: it names something that is no rate. The limit known before holds on.
+	// RateLimitUnreadable: the answer states something that is not a rate. The limit known before
+	// stays in force.
 	RateLimitUnreadable
 )
 
-// MaxRequestsPerSecond is far more than any server takes; a limit above it is none.
+// MaxRequestsPerSecond is far more than any server takes; a higher limit counts as none.
 const MaxRequestsPerSecond = 1e6
 
-// RateLimit is how many requests a second a server takes from all entries together.
+// RateLimit is how many requests per second a server takes from all entries together.
 type RateLimit struct {
 	Kind      RateLimitKind
 	PerSecond float64
@@ -263,10 +264,10 @@
 // Dialect reads and writes the platform's headers.
 type Dialect interface {
 	ReadCall(header http.Header) (CallHeader, error)
-	// WriteSend turns a caller's header into the one for a server, in place.
+	// WriteSend converts a caller's header, in place, to the header for a server.
 	WriteSend(header http.Header, send SendHeader)
 	ReadAnswer(status int, header http.Header) AnswerHeader
-	// RefusalHeader adds to the header of an answer of our own.
+	// RefusalHeader adds to the header of an answer that the entry itself gives.
 	RefusalHeader(header http.Header, requestID string, retryAfter time.Duration)
 	ReadyPath() string
 }
--- a/internal/fleet/sizes.go
+++ b/internal/fleet/sizes.go
@@ -1,28 +1,30 @@
 package fleet
 
-// MaxTokens is the largest size of a prompt or an answer that is believed: over three times the
-// memory for tokens of the largest servers known, 1.18 million. A larger one is faulty.
+// MaxTokens is the largest size of a prompt or an answer that is accepted as valid. It exceeds
+// three times the token cache of the largest known servers, 1.18 million.
 const MaxTokens = 1 << 22
 
-// ValidTokens is a size that a caller or another process has told, or 0, which is unknown, when
-// it can't be: it is negative, or over the most. Servers' loads are reckoned with such sizes.
-func ValidTokens(told, most int) int {
-	if told < 0 || told > most {
+// ValidTokens returns a size received from a caller or another process, or 0 (unknown) if it is
+// negative or exceeds the limit. Server loads are computed from such sizes, so a false one must not
+// count.
+func ValidTokens(tokens, limit int) int {
+	if tokens < 0 || tokens > limit {
 		return 0
 	}
-	return told
+	return tokens
 }
 
-// answerWeight is what a token of an answer counts against one of a prompt: it takes a step of its own.
+// answerWeight is the weight of an answer token against a prompt token: each answer token takes a
+// step of its own.
 const answerWeight = 10
 
-// GenerationSize is how much work a generation is, in tokens of prompts: its prompt and its answer.
+// GenerationSize returns the work of a generation, its prompt and its answer, in prompt tokens.
 func GenerationSize(promptTokens, answerTokens float64) float64 {
 	return promptTokens + answerWeight*answerTokens
 }
 
-// MaxPrompt is the largest prompt that the service's servers can hold, in tokens: their memory
-// for tokens. Where that is not published, or the service has no engine, it is MostTokens.
+// MaxPrompt returns the largest prompt, in tokens, that the service's servers can hold: the size of
+// their token cache, or MaxTokens if that is not published or the service has no engine.
 func (e *Engine) MaxPrompt() int {
 	if e == nil || e.CacheTokens <= 0 {
 		return MaxTokens
--- a/internal/fleet/sizes_test.go
+++ b/internal/fleet/sizes_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestPromptsAreBoundedByTheMemoryForTokens(t *testing.T) {
+func TestPromptsAreBoundedByTokenCache(t *testing.T) {
 	var none *Engine
 	assert.Equal(t, MaxTokens, none.MaxPrompt())
 	assert.Equal(t, MaxTokens, (&Engine{}).MaxPrompt())
