--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -1,14 +1,14 @@
-// Package relay spreads the platform's publications (configuration and
-// membership) through a fleet with few reads of the platform: a few processes
-// of each zone, picked by hash, watch the platform and push changes to the
-// rest. What a process holds never goes back to an older version.
+// Package relay distributes the platform's publications (configuration and membership) through a
+// fleet with few reads of the platform: a few processes of each zone, picked by hash, watch the
+// platform and push changes to the rest. A process never replaces what it holds by an older
+// version.
 package relay
 
 import (
 	"pinevane.example/pinevane/coordination/monotonic"
 )
 
-// Kind names a publication.
+// Kind is the name of a publication.
 type Kind string
 
 // The publications.
@@ -24,15 +24,16 @@
 const (
 	topicFollow    = "relay.follow"
 	topicHeartbeat = "relay.alive"
-	// Updates are counted under their publication's own name.
+	// Updates of each publication have a topic of their own, so that traffic is counted by
+	// publication.
 	topicUpdateSuffix = ".update"
 )
 
-// follow asks for every update after the versions held.
+// follow requests every update after the versions held.
 type follow struct {
 	Configuration monotonic.Version `cbor:"1,keyasint"`
 	Membership    monotonic.Version `cbor:"2,keyasint"`
 }
 
-// heartbeat is the sign of life of a followed process.
+// heartbeat tells followers that the process they follow is alive.
 type heartbeat struct{}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -22,25 +22,25 @@
 // RelaysPerZone is how many processes of a zone watch the platform.
 const RelaysPerZone = 3
 
-// Options wires a Relay.
+// Options configures a Relay.
 type Options struct {
 	SelfID string
 	Zone   string
-	// Seeds are addresses of peers to follow when the platform can't be read at
-	// start.
+	// Seeds are addresses of peers to follow if the platform can't be read at start.
 	Seeds        []string
 	Publications map[Kind]external.Publication
 	Hub          *peering.Hub
 	Log          *logging.Logger
 	// OnChange is called with each new state of a publication, in order.
 	OnChange func(kind Kind, version monotonic.Version, documents map[string][]byte)
-	// HeartbeatInterval is the period of signs of life to followers.
+	// HeartbeatInterval is the interval of heartbeats to followers.
 	HeartbeatInterval time.Duration
-	// SilenceTimeout is how long a follower waits for a sign of life.
+	// SilenceTimeout is how long a follower waits for traffic from its upstream before it drops the
+	// link.
 	SilenceTimeout time.Duration
-	// WatchTimeout is how long one watch waits at the platform.
+	// WatchTimeout is how long a watch waits at the platform.
 	WatchTimeout time.Duration
-	// StartJitter spreads the first read of the platform.
+	// StartJitter bounds the random delay before the first read of the platform.
 	StartJitter time.Duration
 }
 
@@ -57,7 +57,7 @@
 	return o
 }
 
-// Relay holds the publications of one process.
+// Relay holds and forwards the publications of one process.
 type Relay struct {
 	options Options
 
@@ -67,14 +67,14 @@
 	followers map[*peering.Link]*follower
 	// upstream is the link that this process follows, if any.
 	upstream *peering.Link
-	// direct is whether this process watches the platform.
+	// direct is set while this process watches the platform.
 	direct bool
-	// skipped counts the relays that were passed over since the last success.
+	// skipped counts the candidates that failed since the last success.
 	skipped       int
 	failedAt      map[Kind]time.Time
 	readAt        map[Kind]time.Time
 	directChanged chan struct{}
-	// notify serialises OnChange.
+	// notify serializes OnChange.
 	notify sync.Mutex
 }
 
@@ -103,7 +103,7 @@
 	return relay
 }
 
-// Status is the relay's part of a state dump.
+// Status is the relay's section of a state dump.
 type Status struct {
 	Direct    bool   `json:"direct"`
 	Upstream  string `json:"upstream,omitempty"`
@@ -113,7 +113,7 @@
 	Versions       map[Kind]monotonic.Version `json:"versions"`
 }
 
-// Status describes the relay's present role.
+// Status returns the relay's present role and versions.
 func (r *Relay) Status() Status {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -133,7 +133,7 @@
 	return status
 }
 
-// Version returns the version held of a publication.
+// Version returns the held version of a publication.
 func (r *Relay) Version(kind Kind) monotonic.Version {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -178,10 +178,10 @@
 	}
 }
 
-// watchRetry is the pause after a failed watch, with as much jitter again.
+// watchRetry is the delay after a failed watch; up to as much jitter is added.
 const watchRetry = time.Second
 
-// watch reads the platform while this process is a direct reader.
+// watch watches the platform while this process is a direct reader.
 func (r *Relay) watch(ctx context.Context, kind Kind) {
 	for ctx.Err() == nil {
 		if !r.waitDirect(ctx) {
@@ -202,7 +202,7 @@
 	}
 }
 
-// sendHeartbeats tells the followers that this process lives.
+// sendHeartbeats sends a heartbeat to each follower.
 func (r *Relay) sendHeartbeats() {
 	r.mutex.Lock()
 	links := make([]*peering.Link, 0, len(r.followers))
@@ -211,7 +211,7 @@
 	}
 	r.mutex.Unlock()
 	for _, link := range links {
-		// A failed send loses the link, which linkLost handles.
+		// A failed send closes the link, which linkLost handles.
 		_ = peering.Send(link, topicHeartbeat, "", heartbeat{})
 	}
 }
@@ -234,7 +234,7 @@
 	r.mutex.Unlock()
 }
 
-// markDirty asks for a push; the relay's mutex is held.
+// markDirty requests a push. The caller holds the relay's mutex.
 func (f *follower) markDirty() {
 	select {
 	case f.dirty <- struct{}{}:
@@ -242,8 +242,8 @@
 	}
 }
 
-// push sends a follower what it lacks whenever something changed, so that a
-// slow follower delays nobody else.
+// push sends a follower the updates it lacks after each change. Each follower has its own
+// goroutine, so a slow one delays no others.
 func (r *Relay) push(link *peering.Link, to *follower) {
 	for range to.dirty {
 		for _, kind := range Kinds {
@@ -320,7 +320,7 @@
 	r.mutex.Unlock()
 }
 
-// DecodeMembers reads a membership list; entries that can't be read are left out.
+// DecodeMembers decodes a membership list, skipping malformed entries.
 func DecodeMembers(documents map[string][]byte) []external.Member {
 	members := make([]external.Member, 0, len(documents))
 	for _, data := range documents {
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -12,7 +12,8 @@
 	"pinevane.example/pinevane/internal/peering"
 )
 
-// waitDirect blocks until this process is to read the platform.
+// waitDirect blocks until this process is a direct reader of the platform, or reports false when
+// the context ends.
 func (r *Relay) waitDirect(ctx context.Context) bool {
 	for {
 		r.mutex.Lock()
@@ -29,7 +30,7 @@
 	}
 }
 
-// supervise decides again and again whom to follow.
+// supervise periodically chooses an upstream and sends heartbeats.
 func (r *Relay) supervise(ctx context.Context) {
 	ticker := time.NewTicker(r.options.HeartbeatInterval / 2)
 	defer ticker.Stop()
@@ -50,25 +51,25 @@
 	if r.upstreamHealthy() {
 		return
 	}
-	own, candidates := r.candidates()
+	isRelay, candidates := r.candidates()
 	r.mutex.Lock()
 	skipped := r.skipped
 	failing := len(r.failedAt) > 0
 	r.mutex.Unlock()
-	if own && !failing {
+	if isRelay && !failing {
 		r.setDirect(true)
 		return
 	}
-	// A process that is no relay reads the platform itself only after it has
-	// tried every relay once.
-	r.setDirect(own || skipped >= len(candidates))
+	// A process that is not a relay reads the platform itself only after every relay has failed
+	// once.
+	r.setDirect(isRelay || skipped >= len(candidates))
 	if len(candidates) == 0 {
 		return
 	}
 	r.followAddress(ctx, candidates[skipped%len(candidates)])
 }
 
-// upstreamHealthy drops a silent upstream and reports whether one is left.
+// upstreamHealthy closes a silent upstream, and reports whether this process needs no other one.
 func (r *Relay) upstreamHealthy() bool {
 	r.mutex.Lock()
 	upstream := r.upstream
@@ -85,9 +86,9 @@
 	return !direct || failing
 }
 
-// candidates returns whether this process is a relay of its zone, and the
-// addresses to follow in order of preference.
-func (r *Relay) candidates() (own bool, addresses []string) {
+// candidates returns whether this process is a relay of its zone, and the addresses to follow in
+// order of preference.
+func (r *Relay) candidates() (isRelay bool, addresses []string) {
 	r.mutex.Lock()
 	members := r.members
 	r.mutex.Unlock()
@@ -101,9 +102,9 @@
 		addressOf[member.ID] = member.Address
 	}
 	relays := placement.Top("relay/"+r.options.Zone, byZone[r.options.Zone], RelaysPerZone)
-	own = slices.Contains(relays, r.options.SelfID)
-	if own {
-		// A relay that can't read the platform turns to other zones.
+	isRelay = slices.Contains(relays, r.options.SelfID)
+	if isRelay {
+		// A relay that can't read the platform follows relays of other zones.
 		relays = nil
 		for zone, ids := range byZone {
 			if zone != r.options.Zone {
@@ -114,7 +115,7 @@
 	for _, id := range placement.Rank(r.options.SelfID, relays) {
 		addresses = append(addresses, addressOf[id])
 	}
-	return own, append(addresses, r.options.Seeds...)
+	return isRelay, append(addresses, r.options.Seeds...)
 }
 
 func (r *Relay) setDirect(direct bool) {
