--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -241,7 +241,7 @@
 // RateLimitKind is whether an answer states its server's rate limit.
 type RateLimitKind int
 
-// The kinds of rate limits.
+// The ways in which an answer states a rate limit.
 const (
 	// NoRateLimit: the answer states none.
 	NoRateLimit RateLimitKind = iota
--- a/internal/rollout/transfer_test.go
+++ b/internal/rollout/transfer_test.go
@@ -39,5 +39,5 @@
 		}
 	}
 	assert.Positive(t, requested)
-	assert.LessOrEqual(t, requested, pieces/4, "pieces requested of the origin in the time of one")
+	assert.LessOrEqual(t, requested, pieces/4, "pieces requested from the origin in the time of one")
 }
