--- a/internal/forward/choice.go
+++ b/internal/forward/choice.go
@@ -103,7 +103,7 @@
 	criteria.Engine = t.engines[criteria.Service]
 	if criteria.Engine != nil {
 		criteria.Figures = t.core.Figures(criteria.Service, criteria.Engine)
-		criteria.Prompt = fleet.KnownTokens(criteria.Prompt, criteria.Engine.MaxPrompt)
+		criteria.Prompt = fleet.ValidTokens(criteria.Prompt, criteria.Engine.MaxPrompt)
 	}
 }
 
--- a/internal/forward/outbox_test.go
+++ b/internal/forward/outbox_test.go
@@ -43,7 +43,7 @@
 	listed := &target{Candidate: f.targets.core.Candidates("s")[0]}
 	var first sync.WaitGroup
 	first.Go(func() {
-		f.targets.applyNotice(listed, fleet.AnswerHeader{Limit: fleet.RequestLimit{Word: fleet.LimitNamed, PerSecond: 2}}, time.Now())
+		f.targets.applyNotice(listed, fleet.AnswerHeader{Limit: fleet.RateLimit{Kind: fleet.RateLimitStated, PerSecond: 2}}, time.Now())
 	})
 	<-announcer.begun
 	f.targets.applyNotice(listed, fleet.AnswerHeader{Signed: true}, time.Now().Add(time.Second))
--- a/internal/forward/residency_test.go
+++ b/internal/forward/residency_test.go
@@ -274,8 +274,8 @@
 		{ID: "near", Service: "s", Address: "10.0.1.1:1", Zone: "a1"}, {ID: "far", Service: "s", Address: "10.0.2.1:1", Zone: "b1"},
 	}}})
 	now := time.Now()
-	f.ApplyStatus(fleet.MachineStatus{Address: "10.0.1.1:1", Reachable: true, Missing: 60, SwitchMilliseconds: fleet.NoSwitch}, now, false)
-	f.ApplyStatus(fleet.MachineStatus{Address: "10.0.2.1:1", Reachable: true, Missing: 20, SwitchMilliseconds: fleet.NoSwitch}, now, false)
+	f.ApplyStatus(fleet.MachineStatus{Address: "10.0.1.1:1", Reachable: true, MissingPieces: 60, SwitchMilliseconds: fleet.NoSwitch}, now, false)
+	f.ApplyStatus(fleet.MachineStatus{Address: "10.0.2.1:1", Reachable: true, MissingPieces: 20, SwitchMilliseconds: fleet.NoSwitch}, now, false)
 	refused := func(regions ...string) time.Duration {
 		w := &forwarding{Forwarder: f, request: &Request{}, criteria: dispatch.Request{Service: "s"}}
 		f.targets.fillEngine(&w.criteria)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -22,42 +22,42 @@
 // RelaysPerZone is how many processes of a zone watch the platform.
 const RelaysPerZone = 3
 
-// Options wires a Relay.
+// Options configures a Relay.
 type Options struct {
 	SelfID string
 	Zone   string
-	// Seeds are addresses of peers to follow when the platform can't be read at
-	// start.
+	// Seeds are addresses of peers to follow if the platform can't be read at start.
 	Seeds        []string
 	Publications map[Kind]external.Publication
 	Hub          *peering.Hub
 	Log          *logging.Logger
 	// OnChange is called with each new state of a publication, in order.
 	OnChange func(kind Kind, version monotonic.Version, documents map[string][]byte)
-	// Heartbeat is the period of signs of life to followers.
-	Heartbeat time.Duration
-	// Silence is how long a follower waits for a sign of life.
-	Silence time.Duration
-	// WatchWait is how long one watch waits at the platform.
-	WatchWait time.Duration
-	// StartJitter spreads the first read of the platform.
+	// HeartbeatInterval is the interval of heartbeats to followers.
+	HeartbeatInterval time.Duration
+	// SilenceTimeout is how long a follower waits for traffic from its upstream before it drops the
+	// link.
+	SilenceTimeout time.Duration
+	// WatchTimeout is how long a watch waits at the platform.
+	WatchTimeout time.Duration
+	// StartJitter bounds the random delay before the first read of the platform.
 	StartJitter time.Duration
 }
 
 func (o Options) applyDefaults() Options {
-	if o.Heartbeat == 0 {
-		o.Heartbeat = 2 * time.Second
+	if o.HeartbeatInterval == 0 {
+		o.HeartbeatInterval = 2 * time.Second
 	}
-	if o.Silence == 0 {
-		o.Silence = 5 * time.Second
+	if o.SilenceTimeout == 0 {
+		o.SilenceTimeout = 5 * time.Second
 	}
-	if o.WatchWait == 0 {
-		o.WatchWait = 25 * time.Second
+	if o.WatchTimeout == 0 {
+		o.WatchTimeout = 25 * time.Second
 	}
 	return o
 }
 
-// Relay holds the publications of one process.
+// Relay holds and forwards the publications of one process.
 type Relay struct {
 	options Options
 
@@ -67,14 +67,14 @@
 	followers map[*peering.Link]*follower
 	// upstream is the link that this process follows, if any.
 	upstream *peering.Link
-	// direct is whether this process watches the platform.
+	// direct is set while this process watches the platform.
 	direct bool
-	// skipped counts the relays that were passed over since the last success.
-	skipped    int
-	failedAt   map[Kind]time.Time
-	readAt     map[Kind]time.Time
-	directKick chan struct{}
-	// notify serialises OnChange.
+	// skipped counts the candidates that failed since the last success.
+	skipped       int
+	failedAt      map[Kind]time.Time
+	readAt        map[Kind]time.Time
+	directChanged chan struct{}
+	// notify serializes OnChange.
 	notify sync.Mutex
 }
 
@@ -86,24 +86,24 @@
 // New returns a relay and registers its handlers with the hub.
 func New(options Options) *Relay {
 	relay := &Relay{
-		options:    options.applyDefaults(),
-		feeds:      map[Kind]*monotonic.Feed{},
-		followers:  map[*peering.Link]*follower{},
-		failedAt:   map[Kind]time.Time{},
-		readAt:     map[Kind]time.Time{},
-		directKick: make(chan struct{}),
+		options:       options.applyDefaults(),
+		feeds:         map[Kind]*monotonic.Feed{},
+		followers:     map[*peering.Link]*follower{},
+		failedAt:      map[Kind]time.Time{},
+		readAt:        map[Kind]time.Time{},
+		directChanged: make(chan struct{}),
 	}
 	for _, kind := range Kinds {
 		relay.feeds[kind] = monotonic.NewFeed()
 		options.Hub.Handle(string(kind)+topicUpdateSuffix, relay.updateHandler(kind))
 	}
 	options.Hub.Handle(topicFollow, relay.handleFollow)
-	options.Hub.Handle(topicAlive, func(*peering.Link, *message.Message) {})
+	options.Hub.Handle(topicHeartbeat, func(*peering.Link, *message.Message) {})
 	options.Hub.OnLost(relay.linkLost)
 	return relay
 }
 
-// Status is the relay's part of a state dump.
+// Status is the relay's section of a state dump.
 type Status struct {
 	Direct    bool   `json:"direct"`
 	Upstream  string `json:"upstream,omitempty"`
@@ -113,7 +113,7 @@
 	Versions       map[Kind]monotonic.Version `json:"versions"`
 }
 
-// Status describes the relay's present role.
+// Status returns the relay's present role and versions.
 func (r *Relay) Status() Status {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -133,7 +133,7 @@
 	return status
 }
 
-// Version returns the version held of a publication.
+// Version returns the held version of a publication.
 func (r *Relay) Version(kind Kind) monotonic.Version {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -157,13 +157,13 @@
 // readOnce reads a publication without waiting for a change.
 func (r *Relay) readOnce(ctx context.Context, kind Kind) {
 	update, newer, err := r.options.Publications[kind].Watch(ctx, r.Version(kind), 0)
-	r.noteRead(kind, err)
+	r.recordRead(kind, err)
 	if err == nil && newer {
 		r.apply(kind, update)
 	}
 }
 
-func (r *Relay) noteRead(kind Kind, err error) {
+func (r *Relay) recordRead(kind Kind, err error) {
 	r.mutex.Lock()
 	_, failing := r.failedAt[kind]
 	if err == nil {
@@ -178,20 +178,20 @@
 	}
 }
 
-// watchRetry is the pause after a failed watch, with as much jitter again.
+// watchRetry is the delay after a failed watch; up to as much jitter is added.
 const watchRetry = time.Second
 
-// watch reads the platform while this process is a direct reader.
+// watch watches the platform while this process is a direct reader.
 func (r *Relay) watch(ctx context.Context, kind Kind) {
 	for ctx.Err() == nil {
 		if !r.waitDirect(ctx) {
 			return
 		}
-		update, newer, err := r.options.Publications[kind].Watch(ctx, r.Version(kind), r.options.WatchWait)
+		update, newer, err := r.options.Publications[kind].Watch(ctx, r.Version(kind), r.options.WatchTimeout)
 		if ctx.Err() != nil {
 			return
 		}
-		r.noteRead(kind, err)
+		r.recordRead(kind, err)
 		if err != nil {
 			waiting.For(ctx, watchRetry+rand.N(watchRetry))
 			continue
@@ -202,8 +202,8 @@
 	}
 }
 
-// sendAlive tells the followers that this process lives.
-func (r *Relay) sendAlive() {
+// sendHeartbeats sends a heartbeat to each follower.
+func (r *Relay) sendHeartbeats() {
 	r.mutex.Lock()
 	links := make([]*peering.Link, 0, len(r.followers))
 	for link := range r.followers {
@@ -211,8 +211,8 @@
 	}
 	r.mutex.Unlock()
 	for _, link := range links {
-		// A failed send loses the link, which linkLost handles.
-		_ = peering.Send(link, topicAlive, "", alive{})
+		// A failed send closes the link, which linkLost handles.
+		_ = peering.Send(link, topicHeartbeat, "", heartbeat{})
 	}
 }
 
@@ -230,20 +230,20 @@
 		go r.push(link, current)
 	}
 	current.sent = map[Kind]monotonic.Version{Configuration: request.Configuration, Membership: request.Membership}
-	current.mark()
+	current.markDirty()
 	r.mutex.Unlock()
 }
 
-// mark asks for a push; the relay's mutex is held.
-func (f *follower) mark() {
+// markDirty requests a push. The caller holds the relay's mutex.
+func (f *follower) markDirty() {
 	select {
 	case f.dirty <- struct{}{}:
 	default:
 	}
 }
 
-// push sends a follower what it lacks whenever something changed, so that a
-// slow follower delays nobody else.
+// push sends a follower the updates it lacks after each change. Each follower has its own
+// goroutine, so a slow one delays no others.
 func (r *Relay) push(link *peering.Link, to *follower) {
 	for range to.dirty {
 		for _, kind := range Kinds {
@@ -294,7 +294,7 @@
 	if outcome == monotonic.Applied {
 		documents = r.feeds[kind].Documents()
 		for _, current := range r.followers {
-			current.mark()
+			current.markDirty()
 		}
 	}
 	r.mutex.Unlock()
@@ -320,7 +320,7 @@
 	r.mutex.Unlock()
 }
 
-// DecodeMembers reads a membership list; entries that can't be read are left out.
+// DecodeMembers decodes a membership list, skipping malformed entries.
 func DecodeMembers(documents map[string][]byte) []external.Member {
 	members := make([]external.Member, 0, len(documents))
 	for _, data := range documents {
--- a/internal/rollout/agent.go
+++ b/internal/rollout/agent.go
@@ -1,6 +1,6 @@
-// Package rollout is the agent process on the users' machines: it brings new
-// weights to its machine's model server, hands them on to other agents, orders
-// the server to change over in its turn, and tells entries how the server does.
+// Package rollout implements the agent process on the users' machines. The agent fetches new
+// weights for the model server of its machine, passes them on to other agents, orders the server to
+// switch versions when its turn comes, and reports the server's status to the entries.
 package rollout
 
 import (
@@ -24,14 +24,14 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// Options wires an Agent.
+// Options holds the dependencies of an Agent.
 type Options struct {
 	Daemon *daemon.Daemon
 	Server fleet.ModelServer
 	Origin fleet.WeightOrigin
 }
 
-// Agent is one agent process.
+// Agent distributes weights to, controls and reports on the model server of one machine.
 type Agent struct {
 	daemon *daemon.Daemon
 	log    *logging.Logger
@@ -39,74 +39,74 @@
 	origin fleet.WeightOrigin
 	self   dissemination.MachineID
 	peers  *peerClient
-	// metrics are counted by the transfers too.
+	// metrics is also updated by the transfers.
 	metrics *metrics
 
-	uploads *uploads
-	woken   chan struct{}
-	// staging is held for reading while a piece is laid down, and for writing while
-	// an order is given, so that the server takes exactly what was verified.
+	uploads *uploadQueue
+	wakeup  chan struct{}
+	// staging is read-locked while a piece is staged and write-locked while an order is sent, so
+	// that the server loads exactly the pieces that were verified.
 	staging sync.RWMutex
 
 	mutex sync.Mutex
-	// current brings the newest version; fallback holds, or brings, an older one that may
-	// still begin requests; older brings one, in memory, that was on its way when a newer one was
-	// named.
+	// current fetches the newest version. fallback holds or fetches an older version that may still
+	// begin requests. older continues, in memory, the transfer of a version that was incomplete
+	// when a newer one was announced.
 	current  *transfer
 	fallback *transfer
 	older    *transfer
-	// ending is kept of the version that lay at the server before the present one; nil for none.
-	ending *endingLayer
-	// doubted is the version whose manifest was doubted last.
-	doubted uint64
-	report  fleet.Report
-	// reportAt is when the server last answered; reachable is whether it did at the
-	// last try.
-	reportAt  time.Time
-	reachable bool
-	misses    int
-	// roundTrips measures the way to the entries, since started.
+	// previous is one layer of the version that was staged before the present one, or nil.
+	previous *previousLayer
+	// rejectedVersion is the version whose manifest was rejected last.
+	rejectedVersion uint64
+	report          fleet.Report
+	// reportAt is when the server last answered a report request. reachable is cleared after
+	// maxFailedReports failures in a row.
+	reportAt      time.Time
+	reachable     bool
+	failedReports int
+	// roundTrips measures round-trip times to the entries; its times are relative to started.
 	roundTrips *liveness.RoundTrips
 	started    time.Time
 	switchAt   time.Time
-	// announcement is the notice to entries of the change-over that is due.
-	announcement turnover.Announcement
-	ordering     bool
-	// unguarded is the version served of which was last logged that nothing of a newer one is
-	// here to end it at its bound.
-	unguarded uint64
-	// announced are the requests that entries have told to be on their way.
-	announced balance.Announcements
-	// cold is what entries are told so that a cold server is not overrun.
-	cold coldWord
+	// switchAnnouncement is the announcement to the entries of an imminent switch.
+	switchAnnouncement turnover.Announcement
+	ordering           bool
+	// unretiredLogged is the served version for which VersionUnguarded was last logged.
+	unretiredLogged uint64
+	// announcedRequests are the requests that entries have announced as sent.
+	announcedRequests balance.Announcements
+	// cold tracks how long the server stays cold and how many requests were announced to it.
+	cold coldState
 }
 
-// New builds an agent that does not listen yet.
+// New returns an agent that does not listen yet; see Run.
 func New(options Options) *Agent {
 	settings := options.Daemon.Settings()
 	a := &Agent{
 		daemon: options.Daemon, log: options.Daemon.Log, server: options.Server, origin: options.Origin,
 		self: dissemination.MachineID(settings.IP), metrics: newMetrics(options.Daemon.Registry), peers: newPeerClient(settings.InternalPort, options.Daemon.NoteSilent),
-		uploads: newUploads(uplinkShare * settings.LinkBytesPerSecond), woken: make(chan struct{}, 1),
-		roundTrips: liveness.NewRoundTrips(probePeriod), started: time.Now(),
-		cold: newColdWord(),
+		uploads: newUploadQueue(uplinkFraction * settings.LinkBytesPerSecond), wakeup: make(chan struct{}, 1),
+		roundTrips: liveness.NewRoundTrips(probeInterval), started: time.Now(),
+		cold: newColdState(),
 	}
 	options.Daemon.WatchSilence(options.Server)
 	options.Daemon.WatchSilence(options.Origin)
 	options.Daemon.Hub.Handle(fleet.TopicStatusEcho, a.handleEcho)
-	options.Daemon.Hub.OnOpen(a.greet)
+	options.Daemon.Hub.OnOpen(a.sendInitialStatus)
 	a.mount(options.Daemon.Router)
-	options.Daemon.Catalog.OnChange(func(*catalog.View) { a.fleetChanged() })
+	options.Daemon.Catalog.OnChange(func(*catalog.View) { a.applyView() })
 	options.Daemon.Section("rollout", func() any { return a.status(time.Now()) })
 	return a
 }
 
-// uplinkShare of the machine's link carries pieces; the server's own answers, which must not
-// wait behind them, have the rest. At full traffic a share of 0.92 leaves the answers less than
-// they need while a version moves: 0.46 of the credit of these seconds is earned instead of 0.48
-// to 0.51, in the means of three seeds, and the version is staged no sooner, because the origin's
-// link decides. A share of 0.65 gives 0.57, and as much less while servers change over.
-const uplinkShare = 0.8
+// uplinkFraction is the fraction of the machine's link that carries pieces. The rest is for the
+// server's own answers, which must not queue behind pieces. With 0.92 at full traffic the answers
+// lack bandwidth while a version is distributed: 0.46 of the possible credit is earned in those
+// seconds instead of 0.48 to 0.51 (means of three seeds), and the version is staged no sooner
+// because the origin's link is the bottleneck. With 0.65 the credit is 0.57, but it drops by as
+// much while servers switch.
+const uplinkFraction = 0.8
 
 // Run serves until stop is closed.
 func (a *Agent) Run(stop <-chan struct{}) error {
@@ -124,10 +124,10 @@
 	go responder.Run()
 	var work sync.WaitGroup
 	work.Go(func() { a.watchServer(ctx) })
-	work.Go(func() { a.keep(ctx) })
+	work.Go(func() { a.reconcileLoop(ctx) })
 	<-stop
 	a.log.Log(logging.ProcessStopping)
-	// An order that is being given is waited for, so that its fate is known.
+	// Wait for an order in flight, so that its outcome is known.
 	a.staging.Lock()
 	cancel()
 	a.staging.Unlock()
@@ -139,15 +139,15 @@
 
 func itoa(number int) string { return strconv.Itoa(number) }
 
-// wake asks the keeper to look again.
+// wake triggers a run of reconcile.
 func (a *Agent) wake() {
 	select {
-	case a.woken <- struct{}{}:
+	case a.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// engine returns the engine of this machine's service, and its model's name.
+// engine returns the engine of this machine's service and the name of its model.
 func (a *Agent) engine() (*fleet.Engine, string) {
 	view := a.daemon.Catalog.View()
 	if view.Configuration == nil {
@@ -169,7 +169,7 @@
 	return origin.OriginAddress, known
 }
 
-// members lists the machines of this machine's service, by IP address.
+// members lists the machines of this machine's service, identified by IP address.
 func (a *Agent) members() []turnover.Member {
 	settings := a.daemon.Settings()
 	self := turnover.Member{ID: settings.IP, Zone: settings.Zone}
@@ -178,8 +178,8 @@
 
 func anyServer(fleet.Server) bool { return true }
 
-// otherMembers lists the other machines of the service whose servers stay and fulfil a
-// condition.
+// otherMembers lists the other machines of the service whose servers are not draining and satisfy
+// wanted.
 func (a *Agent) otherMembers(wanted func(fleet.Server) bool) []turnover.Member {
 	settings := a.daemon.Settings()
 	var members []turnover.Member
@@ -204,18 +204,18 @@
 	return dissemination.NewRoster(machines)
 }
 
-// inventoryPeers picks a few machines of the own zone, and of the others if there
-// is none, to ask what they hold.
+// inventoryPeers picks a few machines to query for their inventories: of the same zone, or of other
+// zones if the zone has no other machine.
 func (a *Agent) inventoryPeers() []dissemination.MachineID {
-	near, far := a.nearAndFar(a.otherMembers(anyServer))
+	near, far := a.splitByZone(a.otherMembers(anyServer))
 	if len(near) == 0 {
 		near = far
 	}
 	return machineIDs(placement.Top("inventory/"+string(a.self), near, inventoriesPerZone))
 }
 
-// nearAndFar parts machines into those of the own zone and the others.
-func (a *Agent) nearAndFar(members []turnover.Member) (near, far []string) {
+// splitByZone splits machines into those of the agent's own zone and the others.
+func (a *Agent) splitByZone(members []turnover.Member) (near, far []string) {
 	zone := a.daemon.Settings().Zone
 	for _, member := range members {
 		if member.Zone == zone {
@@ -235,21 +235,21 @@
 	return ids
 }
 
-// fleetChanged follows a new view.
-func (a *Agent) fleetChanged() {
+// applyView updates the cold state and the transfer plans from a new catalog view.
+func (a *Agent) applyView() {
 	a.mutex.Lock()
 	current, older := a.current, a.older
-	a.cold.follow(a.daemon.Catalog.View().Servers[a.daemon.Settings().Service], a.daemon.Settings().ServerAddress)
+	a.cold.update(a.daemon.Catalog.View().Servers[a.daemon.Settings().Service], a.daemon.Settings().ServerAddress)
 	a.mutex.Unlock()
 	for _, one := range []*transfer{current, older} {
 		if one != nil {
-			one.rearrange()
+			one.updatePlan()
 		}
 	}
 	a.wake()
 }
 
-func (a *Agent) transferOf(model string, version uint64) *transfer {
+func (a *Agent) findTransfer(model string, version uint64) *transfer {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	for _, one := range []*transfer{a.current, a.older, a.fallback} {
@@ -260,16 +260,16 @@
 	return nil
 }
 
-func (a *Agent) takeOffer(incoming offer) dissemination.QueryReply {
-	found := a.transferOf(incoming.Model, incoming.Version)
+func (a *Agent) applyOffer(incoming offer) dissemination.QueryReply {
+	found := a.findTransfer(incoming.Model, incoming.Version)
 	if found == nil {
 		return dissemination.QueryReply{Missing: incoming.Pieces}
 	}
-	return found.take(incoming)
+	return found.applyOffer(incoming)
 }
 
-// doubt gives up a manifest whose pieces the origin itself does not match.
-func (a *Agent) doubt(t *transfer) {
+// rejectManifest drops a transfer whose pieces from the origin do not match its manifest.
+func (a *Agent) rejectManifest(t *transfer) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if t == a.current || t == a.older {
@@ -278,14 +278,14 @@
 	switch t {
 	case a.current:
 		t.cancel()
-		a.current, a.doubted = nil, t.version()
+		a.current, a.rejectedVersion = nil, t.version()
 	case a.older:
 		a.dropOlder()
 	}
 	a.wake()
 }
 
-func (a *Agent) serverSound() bool {
+func (a *Agent) serverReachable() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.reachable
--- a/internal/rollout/fallback.go
+++ b/internal/rollout/fallback.go
@@ -14,23 +14,24 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// bufferable reports whether some versions fit into the part of the memory that is for them.
-func (a *Agent) bufferable(engine *fleet.Engine, versions int64) bool {
+// fitsBuffer reports whether a number of versions fits into the memory reserved for buffering.
+func (a *Agent) fitsBuffer(engine *fleet.Engine, versions int64) bool {
 	size := versions * int64(engine.Pieces) * int64(engine.PieceBytes)
-	return size > 0 && float64(size) <= bufferShare*float64(a.daemon.Settings().MemoryBytes)
+	return size > 0 && float64(size) <= bufferFraction*float64(a.daemon.Settings().MemoryBytes)
 }
 
-// inForceFor is how long a version may still begin requests; false without an end in sight.
-func (a *Agent) inForceFor(model string, version uint64) (time.Duration, bool) {
-	notice, superseded := a.daemon.Catalog.View().FirstAfter(model, version)
+// inForceRemaining returns how long a version may still begin requests, or false if no newer
+// version is announced.
+func (a *Agent) inForceRemaining(model string, version uint64) (time.Duration, bool) {
+	announcement, superseded := a.daemon.Catalog.View().FirstAfter(model, version)
 	if !superseded {
 		return 0, false
 	}
-	return time.Until(notice.Since.Add(a.daemon.Settings().Bounds.VersionApply)), true
+	return time.Until(announcement.Since.Add(a.daemon.Settings().Bounds.VersionApply)), true
 }
 
-// olderInForce is the newest version before one that listed servers serve.
-func (a *Agent) olderInForce(model string, before uint64) (uint64, bool) {
+// newestServedBefore returns the newest version below before that listed servers serve.
+func (a *Agent) newestServedBefore(model string, before uint64) (uint64, bool) {
 	older := uint64(0)
 	for _, server := range a.daemon.Catalog.View().Servers[a.daemon.Settings().Service] {
 		for _, held := range server.Models {
@@ -42,46 +43,46 @@
 	return older, older != 0
 }
 
-// holdersOf picks a few machines whose servers are listed with a version, near ones first,
-// others at each time of asking.
-func (a *Agent) holdersOf(version uint64, count int) []dissemination.MachineID {
-	near, far := a.nearAndFar(a.otherMembers(func(server fleet.Server) bool {
+// listedHolders picks a few machines whose servers are listed with a version, machines of the own
+// zone first. The choice changes every holderQueryInterval.
+func (a *Agent) listedHolders(version uint64, count int) []dissemination.MachineID {
+	near, far := a.splitByZone(a.otherMembers(func(server fleet.Server) bool {
 		return slices.ContainsFunc(server.Models, func(held fleet.HeldModel) bool { return held.Version == version })
 	}))
-	key := "holders/" + string(a.self) + "/" + itoa(int(time.Since(a.started)/holdersPeriod))
+	key := "holders/" + string(a.self) + "/" + itoa(int(time.Since(a.started)/holderQueryInterval))
 	picked := placement.Top(key, near, count)
 	picked = append(picked, placement.Top(key, far, count-len(picked))...)
 	return machineIDs(picked)
 }
 
-// holdersPeriod is how often a fallback asks machines what they hold, as long as it does not
-// have everything.
-const holdersPeriod = 500 * time.Millisecond
+// holderQueryInterval is how often an incomplete fallback queries machines for their pieces.
+const holderQueryInterval = 500 * time.Millisecond
 
-// lookForHolders asks machines what they hold of a fallback that gets nothing any more.
-func (t *transfer) lookForHolders(ctx context.Context, manifest fleet.Manifest) {
-	held, lacks := t.lackingHolders()
-	if !lacks {
+// queryHolders queries machines for their pieces when a fallback lacks sources.
+func (t *transfer) queryHolders(ctx context.Context, manifest fleet.Manifest) {
+	held, due := t.holderQueryDue()
+	if !due {
 		return
 	}
-	holders := t.askInventories(ctx, manifest, held, t.agent.holdersOf(t.version(), inventoriesPerZone))
+	holders := t.queryInventories(ctx, manifest, held, t.agent.listedHolders(t.version(), inventoriesPerZone))
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.takeHolders(holders)
+	t.addHolders(holders)
 }
 
-// lackingHolders reports whether a fallback is to ask for holders now, and what it has.
-func (t *transfer) lackingHolders() (held []bool, lacks bool) {
+// holderQueryDue reports whether a fallback should query for holders now, and which pieces it
+// holds.
+func (t *transfer) holderQueryDue() (held []bool, due bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if !t.peersOnly.Load() || t.now()-t.askedAt < holdersPeriod || t.fetcher.Unsourced() == 0 {
+	if !t.peersOnly.Load() || t.now()-t.holdersQueriedAt < holderQueryInterval || t.fetcher.Unsourced() == 0 {
 		return nil, false
 	}
-	t.askedAt = t.now()
+	t.holdersQueriedAt = t.now()
 	return t.heldMask(), true
 }
 
-// progress tells how far the transfer is.
+// progress returns the state of the transfer as turnover evaluates it.
 func (t *transfer) progress(engine *fleet.Engine) turnover.Transfer {
 	linkRate := t.agent.daemon.Settings().LinkBytesPerSecond
 	originRate := t.agent.daemon.Catalog.View().Configuration.OriginRate()
@@ -98,20 +99,20 @@
 	return progress
 }
 
-// planFallback begins to fetch an older version for a server that serves nothing, when it is
-// worth while: see turnover.TakesOlder.
-func (a *Agent) planFallback(ctx context.Context, current *transfer, engine *fleet.Engine, serving uint64) {
+// startFallback starts to fetch an older version for a server that serves nothing, if package
+// turnover finds that worthwhile.
+func (a *Agent) startFallback(ctx context.Context, current *transfer, engine *fleet.Engine, serving uint64) {
 	a.mutex.Lock()
 	exists := a.fallback != nil
 	a.mutex.Unlock()
-	if exists || serving != 0 || !a.bufferable(engine, 1) {
+	if exists || serving != 0 || !a.fitsBuffer(engine, 1) {
 		return
 	}
-	version, listed := a.olderInForce(current.model, current.version())
+	version, listed := a.newestServedBefore(current.model, current.version())
 	if !listed {
 		return
 	}
-	inForce, bounded := a.inForceFor(current.model, version)
+	inForce, bounded := a.inForceRemaining(current.model, version)
 	progress := current.progress(engine)
 	if !bounded || !turnover.ShouldFetchOlder(progress, inForce, engine.Warm) {
 		return
@@ -119,7 +120,7 @@
 	a.log.Log(logging.FallbackBegun, zap.String("model", current.model), zap.Uint64("version", version), zap.Uint64("newest", current.version()),
 		zap.Int("missing", progress.Missing), zap.Duration("quiet", progress.SinceProgress), zap.Duration("in_force", inForce))
 	a.staging.Lock()
-	current.takeUp(ctx)
+	current.bufferStaged(ctx)
 	a.staging.Unlock()
 	transferContext, cancel := context.WithCancel(ctx)
 	fallback := newTransfer(a, current.model, version, true, cancel)
@@ -129,18 +130,20 @@
 	go fallback.run(transferContext)
 }
 
-// worthCompleting decides whether a transfer goes on for which a newer version has just been named.
-// What lies at the server stays there: it may be in force, and a server that crashes needs it.
-func (a *Agent) worthCompleting(older *transfer, engine *fleet.Engine, serving uint64) bool {
-	if !older.buffer.opened() || !a.bufferable(engine, 2) {
+// shouldComplete reports whether an incomplete transfer continues although a newer version was
+// announced. The staged version stays at the server: it may be in force, and a server that crashes
+// needs it.
+func (a *Agent) shouldComplete(older *transfer, engine *fleet.Engine, serving uint64) bool {
+	if !older.buffer.isOpen() || !a.fitsBuffer(engine, 2) {
 		return false
 	}
 	nothing := turnover.Transfer{Pieces: engine.Pieces, Missing: engine.Pieces, Unsourced: engine.Pieces}
-	return a.keepsOlder(nothing, older, engine, serving)
+	return a.shouldKeepOlder(nothing, older, engine, serving)
 }
 
-// reviewOlder makes a version that was on its way when a newer one was named the fallback once it
-// is here whole, and ends its transfer when that is not worth while any more.
+// reviewOlder promotes an older version, whose transfer continued past the announcement of a newer
+// one, to the fallback once it is complete, or cancels its transfer when it is no longer
+// worthwhile.
 func (a *Agent) reviewOlder(ctx context.Context, current *transfer, engine *fleet.Engine, serving uint64) {
 	a.mutex.Lock()
 	older := a.older
@@ -149,16 +152,16 @@
 		return
 	}
 	complete, missing := older.state()
-	// The newest lies at the server once a part of it has ended the version that was served.
-	displaced := older.model != current.model || !current.buffer.opened()
-	if complete && !displaced && a.layDown(ctx, older) {
+	// The newest version is staged if part of it was ordered to retire the served version.
+	displaced := older.model != current.model || !current.buffer.isOpen()
+	if complete && !displaced && a.stageBuffered(ctx, older) {
 		a.mutex.Lock()
 		defer a.mutex.Unlock()
 		older.peersOnly.Store(true)
 		a.older, a.fallback = nil, older
 		return
 	}
-	if !displaced && a.keepsOlder(current.progress(engine), older, engine, serving) {
+	if !displaced && a.shouldKeepOlder(current.progress(engine), older, engine, serving) {
 		return
 	}
 	a.log.Log(logging.RolloutAborted, zap.String("model", older.model), zap.Uint64("version", older.version()), zap.Int("missing", missing),
@@ -168,21 +171,21 @@
 	a.dropOlder()
 }
 
-// keepsOlder asks turnover.KeepsOlder about an older version that is not here whole.
-func (a *Agent) keepsOlder(newest turnover.Transfer, older *transfer, engine *fleet.Engine, serving uint64) bool {
-	inForce, bounded := a.inForceFor(older.model, older.version())
-	if !bounded || !older.hasBegun() || older.version() <= serving {
+// shouldKeepOlder reports whether the transfer of an incomplete older version is still worthwhile.
+func (a *Agent) shouldKeepOlder(newest turnover.Transfer, older *transfer, engine *fleet.Engine, serving uint64) bool {
+	inForce, bounded := a.inForceRemaining(older.model, older.version())
+	if !bounded || !older.hasStarted() || older.version() <= serving {
 		return false
 	}
-	lastTurn := time.Duration(0)
+	lastSwitch := time.Duration(0)
 	if serving != 0 {
-		left, _ := a.inForceFor(older.model, serving)
-		lastTurn = left - dueMargin
+		remaining, _ := a.inForceRemaining(older.model, serving)
+		lastSwitch = remaining - lastSwitchMargin
 	}
-	return turnover.ShouldKeepOlder(newest, older.progress(engine), inForce, engine.Warm, lastTurn)
+	return turnover.ShouldKeepOlder(newest, older.progress(engine), inForce, engine.Warm, lastSwitch)
 }
 
-// dropOlder ends the transfer that a newer version has replaced; the mutex is held.
+// dropOlder cancels the transfer of a superseded incomplete version. The caller holds the mutex.
 func (a *Agent) dropOlder() {
 	if a.older != nil {
 		a.older.cancel()
@@ -190,7 +193,7 @@
 	}
 }
 
-// dropFallback ends the transfer of the older version; the mutex is held.
+// dropFallback cancels the transfer of the older version. The caller holds the mutex.
 func (a *Agent) dropFallback() {
 	if a.fallback != nil {
 		a.fallback.cancel()
@@ -198,10 +201,10 @@
 	}
 }
 
-// layDown stages a version that was kept in memory in the place of the older one, and reports
-// whether it lies at the server whole.
-func (a *Agent) layDown(ctx context.Context, t *transfer) bool {
-	if !t.buffer.opened() {
+// stageBuffered stages a buffered version in place of the fallback, and reports whether all its
+// pieces held are staged.
+func (a *Agent) stageBuffered(ctx context.Context, t *transfer) bool {
+	if !t.buffer.isOpen() {
 		return true
 	}
 	a.mutex.Lock()
@@ -210,17 +213,17 @@
 	a.mutex.Unlock()
 	a.staging.Lock()
 	defer a.staging.Unlock()
-	a.keepEndingLayer(ctx, overwritten)
-	if err := t.layDown(ctx); err != nil {
+	a.savePreviousLayer(ctx, overwritten)
+	if err := t.flushBuffer(ctx); err != nil {
 		a.log.Log(logging.StagingFailed, zap.Uint64("version", t.version()), zap.Error(err))
 		return false
 	}
 	return true
 }
 
-// nextInService picks what the server is to change over to: the newest version once it is
-// here whole, else the older one as long as that is in force.
-func (a *Agent) nextInService(current *transfer, serving uint64, warm time.Duration) (*transfer, bool) {
+// switchTarget picks the version to switch to: the newest once it is complete, otherwise the
+// fallback while it is in force. It also reports whether that version can be switched to.
+func (a *Agent) switchTarget(current *transfer, serving uint64, warm time.Duration) (*transfer, bool) {
 	if complete, _ := current.state(); complete {
 		return current, true
 	}
@@ -231,6 +234,6 @@
 		return current, false
 	}
 	complete, _ := fallback.state()
-	inForce, bounded := a.inForceFor(fallback.model, fallback.version())
-	return fallback, complete && (!bounded || inForce > warm+dueMargin)
+	inForce, bounded := a.inForceRemaining(fallback.model, fallback.version())
+	return fallback, complete && (!bounded || inForce > warm+lastSwitchMargin)
 }
--- a/internal/rollout/keeper.go
+++ b/internal/rollout/keeper.go
@@ -12,44 +12,45 @@
 	"pinevane.example/pinevane/internal/waiting"
 )
 
-// Times of changing over.
+// Timing of switches and orders.
 const (
-	keepPeriod = 100 * time.Millisecond
-	// copySlack multiplies the time of one copy over the link to the time after
-	// which turns begin.
-	copySlack = 1.4
-	// dueMargin is how long before the bound the last turn is. A server is away for 2 s in the
-	// mean from its order on, 2.7 s at the most, until its longest stream is done; the bound
-	// itself only needs the order. With 1.1 s the last server serves the new version 0.6 s
-	// after the bound at full traffic, with 1.7 s 0.3 s after it, at the same worth; 2.2 s win
-	// nothing more and have more servers away at a time.
-	dueMargin = 1700 * time.Millisecond
-	// fallbackWindow is the time before the bound in which servers change over to a version
-	// that another has replaced already.
+	reconcileInterval = 100 * time.Millisecond
+	// copyTimeFactor is multiplied by the time of one copy over the link to give the time after
+	// which switches begin.
+	copyTimeFactor = 1.4
+	// lastSwitchMargin is how long before the version's deadline the last server switches. From its
+	// order on, a server is away for 2 s on average and 2.7 s at most, until its longest stream is
+	// done; the deadline itself only requires the order. At full traffic the last server serves the
+	// new version 0.6 s after the deadline with a margin of 1.1 s, and 0.3 s after it with 1.7 s,
+	// at the same total credit. A margin of 2.2 s gains nothing more and has more servers away at a
+	// time.
+	lastSwitchMargin = 1700 * time.Millisecond
+	// fallbackWindow is the time before the last switch in which servers switch to a version that
+	// has already been superseded.
 	fallbackWindow = 2 * time.Second
-	// orderPause is the time after an order that did not fit.
-	orderPause = 300 * time.Millisecond
-	// orderSettle bounds the wait for the fate of an order without an answer.
-	orderSettle = 2 * time.Second
+	// orderRetryDelay is the pause after an order that the server refused as conflicting.
+	orderRetryDelay = 300 * time.Millisecond
+	// orderOutcomeTimeout bounds the wait for the outcome of an unanswered order.
+	orderOutcomeTimeout = 2 * time.Second
 )
 
-// keep brings the server to the newest named version again and again.
-func (a *Agent) keep(ctx context.Context) {
-	ticker := time.NewTicker(keepPeriod)
+// reconcileLoop repeatedly brings the server toward the newest announced version.
+func (a *Agent) reconcileLoop(ctx context.Context) {
+	ticker := time.NewTicker(reconcileInterval)
 	defer ticker.Stop()
 	for {
-		a.step(ctx)
+		a.reconcile(ctx)
 		select {
 		case <-ticker.C:
-		case <-a.woken:
+		case <-a.wakeup:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// step makes one decision from all that is known now.
-func (a *Agent) step(ctx context.Context) {
+// reconcile makes one decision from the present state.
+func (a *Agent) reconcile(ctx context.Context) {
 	engine, model := a.engine()
 	if engine == nil {
 		return
@@ -62,38 +63,38 @@
 	report, reachable := a.report, a.reachable
 	a.mutex.Unlock()
 	serving := servedVersion(report, model, engine.Layers)
-	current := a.follow(ctx, engine, model, wanted, serving)
+	current := a.ensureCurrent(ctx, engine, model, wanted, serving)
 	wanted = max(wanted, current.version())
 	a.reviewOlder(ctx, current, engine, serving)
-	next, complete := a.nextInService(current, serving, engine.Warm)
-	if reachable && !complete && !report.Busy && a.boundNear(model, serving) {
-		a.endOldVersion(ctx, current, engine, serving)
+	next, complete := a.switchTarget(current, serving, engine.Warm)
+	if reachable && !complete && !report.Busy && a.deadlineNear(model, serving) {
+		a.retireOldVersion(ctx, current, engine, serving)
 		return
 	}
 	if !complete && reachable {
-		a.planFallback(ctx, current, engine, serving)
+		a.startFallback(ctx, current, engine, serving)
 	}
 	switchAt := a.planSwitch(model, engine, serving, wanted, next != current)
 	due := !time.Now().Before(switchAt.Add(-turnover.MinNotice))
 	if !reachable || report.Busy || !complete || serving >= wanted || !due {
-		a.withdraw()
+		a.withdrawAnnouncement()
 		return
 	}
-	if !a.layDown(ctx, next) {
+	if !a.stageBuffered(ctx, next) {
 		return
 	}
-	if serving != 0 && !a.boundNear(model, serving) && !a.announce(report.Waiting) {
+	if serving != 0 && !a.deadlineNear(model, serving) && !a.announceSwitch(report.Waiting) {
 		return
 	}
-	a.changeOver(ctx, next, serving)
+	a.switchTo(ctx, next, serving)
 }
 
-// announce tells entries that the server is about to change over, and reports
-// whether the order may be given.
-func (a *Agent) announce(waiting int) bool {
+// announceSwitch announces to the entries that the server is about to switch, and reports whether
+// the order may be sent.
+func (a *Agent) announceSwitch(waiting int) bool {
 	a.mutex.Lock()
-	first := !a.announcement.Active()
-	ready := a.announcement.Ready(time.Now(), waiting)
+	first := !a.switchAnnouncement.Active()
+	ready := a.switchAnnouncement.Ready(time.Now(), waiting)
 	a.mutex.Unlock()
 	if first {
 		a.pushStatus()
@@ -101,19 +102,20 @@
 	return ready
 }
 
-// withdraw takes the announcement of a change-over back, or notes that it is done.
-func (a *Agent) withdraw() {
+// withdrawAnnouncement clears the announcement of a switch, which is off or done.
+func (a *Agent) withdrawAnnouncement() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.announcement.Withdraw()
+	a.switchAnnouncement.Withdraw()
 }
 
-// follow makes the transfer of the wanted version the present one. One that is here whole
-// stays staged as the fallback, and one that is not goes on in memory while that is worth while.
-// Another is dropped, and what both share stays at the server.
-func (a *Agent) follow(ctx context.Context, engine *fleet.Engine, model string, wanted, serving uint64) *transfer {
-	if replaced := a.replacedBy(model, wanted); replaced != nil {
-		a.layDown(ctx, replaced)
+// ensureCurrent returns the transfer of the wanted version and starts it if necessary. A complete
+// version that it replaces stays staged as the fallback, and an incomplete one continues in memory
+// while that is worthwhile. Any other transfer is canceled; pieces that both versions share stay at
+// the server.
+func (a *Agent) ensureCurrent(ctx context.Context, engine *fleet.Engine, model string, wanted, serving uint64) *transfer {
+	if replaced := a.completeSuperseded(model, wanted); replaced != nil {
+		a.stageBuffered(ctx, replaced)
 	}
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -126,14 +128,14 @@
 	if a.fallback != nil {
 		a.current.buffer.open()
 	}
-	a.current.distrustful = wanted != 0 && wanted == a.doubted
+	a.current.originManifestOnly = wanted != 0 && wanted == a.rejectedVersion
 	a.log.Log(logging.RolloutNoticed, zap.String("model", model), zap.Uint64("version", wanted))
 	go a.current.run(transferContext)
 	return a.current
 }
 
-// replacedBy returns the present transfer if it is whole and another version is wanted.
-func (a *Agent) replacedBy(model string, wanted uint64) *transfer {
+// completeSuperseded returns the current transfer if it is complete and another version is wanted.
+func (a *Agent) completeSuperseded(model string, wanted uint64) *transfer {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if a.current == nil || a.current.model != model || wanted == 0 || a.current.version() == wanted {
@@ -145,21 +147,21 @@
 	return a.current
 }
 
-// replaceCurrent makes a whole version that lies at the server the fallback, lets one go on that is
-// worth completing, and ends any other; the mutex is held.
+// replaceCurrent makes the current version the fallback if it is complete and staged, keeps its
+// transfer running if that is worthwhile, and cancels it otherwise. The caller holds the mutex.
 func (a *Agent) replaceCurrent(engine *fleet.Engine, model string, wanted, serving uint64) {
 	replaced := a.current
 	if replaced == nil {
 		return
 	}
 	complete, missing := replaced.state()
-	if complete && replaced.model == model && !replaced.buffer.opened() && a.bufferable(engine, 1) {
+	if complete && replaced.model == model && !replaced.buffer.isOpen() && a.fitsBuffer(engine, 1) {
 		a.dropFallback()
 		a.fallback = replaced
 		replaced.peersOnly.Store(true)
 		return
 	}
-	if replaced.model == model && a.worthCompleting(replaced, engine, serving) {
+	if replaced.model == model && a.shouldComplete(replaced, engine, serving) {
 		a.dropOlder()
 		a.older = replaced
 		a.log.Log(logging.OlderKept, zap.String("model", model), zap.Uint64("version", replaced.version()), zap.Int("missing", missing),
@@ -171,69 +173,69 @@
 	replaced.cancel()
 }
 
-// servedVersion is the version that a server holds whole, or 0.
+// servedVersion returns the version that a server holds completely, or 0.
 func servedVersion(report fleet.Report, model string, layers int) uint64 {
 	for _, held := range report.Models {
-		if held.Name == model && held.Holds(layers) {
+		if held.Name == model && held.Complete(layers) {
 			return held.Version
 		}
 	}
 	return 0
 }
 
-// planSwitch computes when the server changes over: at once when it serves
-// nothing, else in its turn, counted from the first version that it lacks. To a fallback it
-// changes over late, because the newest version may come before.
+// planSwitch computes when the server switches: at once if it serves nothing, otherwise at its
+// offset from the announcement of the first version that it lacks. A switch to a fallback is
+// planned late, because the newest version may complete first.
 func (a *Agent) planSwitch(model string, engine *fleet.Engine, serving, wanted uint64, toFallback bool) time.Time {
-	var planned time.Time
-	notice, lacking := a.daemon.Catalog.View().FirstAfter(model, serving)
+	var switchAt time.Time
+	announcement, lacking := a.daemon.Catalog.View().FirstAfter(model, serving)
 	if lacking && serving != 0 && serving < wanted {
 		settings := a.daemon.Settings()
-		window := a.window(engine, settings)
+		window := a.switchWindow(engine, settings)
 		if toFallback {
 			window.Start = max(window.Start, window.End-fallbackWindow)
 		}
 		self := turnover.Member{ID: settings.IP, Zone: settings.Zone}
-		turn := turnover.SwitchOffsetWithEvacuation(model+"/"+itoa(int(wanted)), a.members(), self, a.daemon.Catalog.View().Evacuated, window)
-		planned = notice.Since.Add(turn)
+		offset := turnover.SwitchOffsetWithEvacuation(model+"/"+itoa(int(wanted)), a.members(), self, a.daemon.Catalog.View().Evacuated, window)
+		switchAt = announcement.Since.Add(offset)
 	}
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.switchAt = planned
-	return planned
+	a.switchAt = switchAt
+	return switchAt
 }
 
-// window is the time in which the servers change over: from when one copy has
-// surely arrived until shortly before the bound.
-func (a *Agent) window(engine *fleet.Engine, settings fleet.Settings) turnover.Window {
+// switchWindow returns the window in which the servers switch: from when one copy has surely
+// arrived until shortly before the version's deadline.
+func (a *Agent) switchWindow(engine *fleet.Engine, settings fleet.Settings) turnover.Window {
 	copyTime := engine.CopyTime(settings.LinkBytesPerSecond)
-	end := settings.Bounds.VersionApply - dueMargin
-	return turnover.Window{Start: min(time.Duration(copySlack*float64(copyTime)), end), End: end}
+	end := settings.Bounds.VersionApply - lastSwitchMargin
+	return turnover.Window{Start: min(time.Duration(copyTimeFactor*float64(copyTime)), end), End: end}
 }
 
-// changeOver verifies what lies at the server and orders it into service. Nothing
-// is laid down meanwhile.
-func (a *Agent) changeOver(ctx context.Context, current *transfer, serving uint64) {
+// switchTo verifies the staged pieces and orders the version into service. The staging lock keeps
+// other pieces from being staged meanwhile.
+func (a *Agent) switchTo(ctx context.Context, current *transfer, serving uint64) {
 	a.staging.Lock()
 	defer a.staging.Unlock()
-	if a.transferOf(current.model, current.version()) != current || ctx.Err() != nil {
+	if a.findTransfer(current.model, current.version()) != current || ctx.Err() != nil {
 		return
 	}
 	began := time.Now()
-	if bad := current.verifyAll(ctx); len(bad) > 0 {
-		current.reportSpoilt(bad)
+	if corrupt := current.verifyAll(ctx); len(corrupt) > 0 {
+		current.refetchCorrupt(corrupt)
 		return
 	}
 	fresh, err := a.server.Report(ctx)
 	if err != nil || fresh.Busy {
 		return
 	}
-	a.order(ctx, fleet.StartOrder{Model: current.model, Version: current.version(), Sequence: fresh.Sequence}, serving, time.Since(began))
+	a.sendOrder(ctx, fleet.StartOrder{Model: current.model, Version: current.version(), Sequence: fresh.Sequence}, serving, time.Since(began))
 }
 
-// order gives the server an order whose pieces were just verified, and settles its fate. The
-// staging lock is held for writing.
-func (a *Agent) order(ctx context.Context, order fleet.StartOrder, serving uint64, verifiedIn time.Duration) {
+// sendOrder sends the server an order whose pieces were just verified, and determines its outcome.
+// The caller holds the staging lock for writing.
+func (a *Agent) sendOrder(ctx context.Context, order fleet.StartOrder, serving uint64, verifiedIn time.Duration) {
 	a.setOrdering(true)
 	defer a.setOrdering(false)
 	a.log.Log(logging.OrderSent, zap.String("model", order.Model), zap.Uint64("version", order.Version), zap.Uint64("serving", serving),
@@ -243,29 +245,29 @@
 	case err != nil:
 		a.metrics.orders.WithLabelValues(outcomeUnanswered).Inc()
 		a.log.Log(logging.OrderUnanswered, zap.Uint64("version", order.Version), zap.Error(err))
-		a.settle(ctx, order)
+		a.awaitOrderOutcome(ctx, order)
 	case outcome == fleet.OrderConflict:
 		a.metrics.orders.WithLabelValues(outcomeRefused).Inc()
 		a.log.Log(logging.OrderRefused, zap.Uint64("version", order.Version), zap.Uint64("sequence", order.Sequence))
-		waiting.For(ctx, orderPause)
+		waiting.For(ctx, orderRetryDelay)
 	default:
 		a.metrics.orders.WithLabelValues(outcomeTaken).Inc()
-		a.log.Log(logging.OrderTaken, zap.Uint64("version", order.Version), zap.Bool("holds_already", outcome == fleet.OrderHolds))
+		a.log.Log(logging.OrderTaken, zap.Uint64("version", order.Version), zap.Bool("holds_already", outcome == fleet.OrderAlreadyHeld))
 	}
 	a.readReport(ctx)
 }
 
-// settle waits until the server answers again after an order without an answer,
-// so that the order's fate shows before anything else is laid down.
-func (a *Agent) settle(ctx context.Context, order fleet.StartOrder) {
-	deadline := time.Now().Add(orderSettle)
+// awaitOrderOutcome waits until the server answers again after an unanswered order, so that the
+// outcome is known before anything else is staged.
+func (a *Agent) awaitOrderOutcome(ctx context.Context, order fleet.StartOrder) {
+	deadline := time.Now().Add(orderOutcomeTimeout)
 	for ctx.Err() == nil && time.Now().Before(deadline) {
 		report, err := a.server.Report(ctx)
 		if err == nil {
 			a.log.Log(logging.OrderFate, zap.Uint64("version", order.Version), zap.Bool("taken", report.Sequence > order.Sequence))
 			return
 		}
-		waiting.For(ctx, keepPeriod)
+		waiting.For(ctx, reconcileInterval)
 	}
 }
 
--- a/internal/rollout/transfer.go
+++ b/internal/rollout/transfer.go
@@ -17,95 +17,96 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// Tuning of a transfer.
+// Parameters of a transfer.
 const (
 	transferTick = 50 * time.Millisecond
-	// patience is how long progress is waited for before asking around.
-	patience = 300 * time.Millisecond
-	// distrust is how long a peer that failed is avoided.
-	distrust = 2 * time.Second
-	// maximumFetches is how many pieces are fetched at once.
-	maximumFetches = 10
-	// lagPieces is how far behind the newest a piece may be before it is asked for.
-	lagPieces = 24
-	// originFetches is how many pieces are read from the origin at once: the machines
-	// share its link, and many pieces at a time only make the first ones come late.
+	// progressTimeout is how long to wait for progress before querying peers for pieces.
+	progressTimeout = 300 * time.Millisecond
+	// peerBackoff is how long a peer that failed is avoided.
+	peerBackoff = 2 * time.Second
+	// maxFetches is the maximum number of concurrent fetches.
+	maxFetches = 10
+	// maxLagPieces is how far a missing piece may lag behind the newest one before peers are
+	// queried for it.
+	maxLagPieces = 24
+	// originFetches is the number of concurrent reads from the origin. The machines share its link,
+	// so more of them would only delay the first pieces.
 	originFetches = 1
-	// pieceTimeout bounds one piece from a peer, its waiting there included; a peer
-	// that stands still must not hold the fetches up.
+	// pieceTimeout bounds the fetch of a piece from a peer, including its wait there; a stalled
+	// peer must not block the fetches.
 	pieceTimeout = 1500 * time.Millisecond
-	// A manifest is asked for each manifestRetry, and after manifestSoon each manifestLater: its
-	// source is away then, and 75 agents that went on at the first pace made 1,800 calls a
-	// second to it. Who is not the first to ask the origin asks it each manifestOriginPause.
-	manifestRetry       = 40 * time.Millisecond
-	manifestSoon        = time.Second
-	manifestLater       = 200 * time.Millisecond
-	manifestOriginPause = time.Second
-	// manifestTurn is the time after which the next in turn asks the origin itself.
-	manifestTurn = 400 * time.Millisecond
-	// inventoriesPerZone is how many machines of each zone are asked what they hold.
+	// The manifest is requested every manifestRetryInterval, and after manifestSlowAfter every
+	// manifestSlowInterval: by then its source is down, and 75 agents that kept the first rate made
+	// 1,800 calls a second to it. Machines that are not the first to query the origin query it
+	// every manifestOriginInterval.
+	manifestRetryInterval  = 40 * time.Millisecond
+	manifestSlowAfter      = time.Second
+	manifestSlowInterval   = 200 * time.Millisecond
+	manifestOriginInterval = time.Second
+	// originTurnInterval is the delay after which the next machine in turn queries the origin.
+	originTurnInterval = 400 * time.Millisecond
+	// inventoriesPerZone is how many machines are queried for their inventories.
 	inventoriesPerZone = 4
-	// manifestDoubts is how often one piece must fail its digest until the manifest
-	// itself is doubted.
-	manifestDoubts = 2
+	// maxDigestFailures is how often a piece may fail its digest before the manifest itself is
+	// suspected.
+	maxDigestFailures = 2
 )
 
-// transfer brings one version's pieces to the machine's server, and goes on
-// answering peers once they are all there.
+// transfer fetches the pieces of one version for the machine's server, and keeps serving peers once
+// it is complete.
 type transfer struct {
 	agent *Agent
 	model string
-	// peersOnly is set for an older version while it is in force: the origin's link is the newest
-	// one's.
+	// peersOnly is set for a fallback: the origin's link is reserved for the newest version.
 	peersOnly atomic.Bool
-	// distrustful transfers take the manifest from the origin only: another has been
-	// doubted, and peers may hold the same one.
-	distrustful bool
-	// number is the version; 0 until the manifest tells it.
-	number  atomic.Uint64
-	began   time.Time
-	cancel  context.CancelFunc
-	kick    chan struct{}
-	origins chan struct{}
-	pace    *fetchPace
-
-	// manifestKnown is closed once there is a manifest.
+	// originManifestOnly is set after a manifest of this version was rejected: it is read from the
+	// origin only, since peers may hold the same bad one.
+	originManifestOnly bool
+	// versionNumber is the version, or 0 until the manifest is known.
+	versionNumber atomic.Uint64
+	startedAt     time.Time
+	cancel        context.CancelFunc
+	wakeup        chan struct{}
+	originSlots   chan struct{}
+	limiter       *fetchLimiter
+
+	// manifestKnown is closed once the manifest is known.
 	manifestKnown chan struct{}
 
 	mutex    sync.Mutex
 	plan     dissemination.Plan
 	manifest *fleet.Manifest
 	fetcher  *dissemination.Fetcher
-	// originPace is how long the origin takes for a piece; 0 when that is not known.
-	originPace time.Duration
-	// early keeps offers that came before the manifest.
-	early []offer
-	// corrupt counts how often each piece has failed its digest.
-	corrupt    map[int]int
-	doubtful   bool
-	complete   bool
-	fromOrigin int
-	fromPeers  int
-
-	// askedAt is when a fallback last asked machines what they hold.
-	askedAt time.Duration
-	// buffer holds pieces while another version lies at the server.
+	// originInterval is how long the origin's link takes for a piece; 0 if unknown.
+	originInterval time.Duration
+	// earlyOffers keeps the offers received before the manifest is known.
+	earlyOffers []offer
+	// corrupt counts the digest failures of each piece.
+	corrupt         map[int]int
+	manifestSuspect bool
+	complete        bool
+	fromOrigin      int
+	fromPeers       int
+
+	// holdersQueriedAt is when a fallback last queried machines for their pieces.
+	holdersQueriedAt time.Duration
+	// buffer holds pieces while another version is staged.
 	buffer pieceBuffer
 }
 
 func newTransfer(agent *Agent, model string, version uint64, peersOnly bool, cancel context.CancelFunc) *transfer {
 	t := &transfer{
-		agent: agent, model: model, began: time.Now(), cancel: cancel,
-		kick: make(chan struct{}, 1), manifestKnown: make(chan struct{}), origins: make(chan struct{}, originFetches), corrupt: map[int]int{}, pace: newFetchPace(),
+		agent: agent, model: model, startedAt: time.Now(), cancel: cancel,
+		wakeup: make(chan struct{}, 1), manifestKnown: make(chan struct{}), originSlots: make(chan struct{}, originFetches), corrupt: map[int]int{}, limiter: newFetchLimiter(),
 	}
-	t.number.Store(version)
+	t.versionNumber.Store(version)
 	t.peersOnly.Store(peersOnly)
 	t.plan = t.newPlan()
 	return t
 }
 
-// newPlan arranges the machines as they are listed now. A fallback passes nothing on by
-// itself: the others hold it, or do not want it.
+// newPlan builds the distribution plan for the machines currently listed. A fallback does not push
+// pieces on: other machines hold it or do not need it.
 func (t *transfer) newPlan() dissemination.Plan {
 	if t.peersOnly.Load() {
 		return dissemination.NewPlan(dissemination.StrategyStar, t.agent.roster())
@@ -115,19 +116,19 @@
 
 func (t *transfer) self() dissemination.MachineID { return t.agent.self }
 
-func (t *transfer) version() uint64 { return t.number.Load() }
+func (t *transfer) version() uint64 { return t.versionNumber.Load() }
 
-func (t *transfer) now() time.Duration { return time.Since(t.began) }
+func (t *transfer) now() time.Duration { return time.Since(t.startedAt) }
 
-func (t *transfer) poke() {
+func (t *transfer) wake() {
 	select {
-	case t.kick <- struct{}{}:
+	case t.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// rearrange takes over a new list of machines.
-func (t *transfer) rearrange() {
+// updatePlan adopts a changed list of machines.
+func (t *transfer) updatePlan() {
 	plan := t.newPlan()
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -135,10 +136,10 @@
 	if t.fetcher != nil {
 		t.fetcher.SetPlan(t.plan, t.now())
 	}
-	t.poke()
+	t.wake()
 }
 
-// run transfers until the context ends.
+// run fetches the version and serves it until the context ends.
 func (t *transfer) run(ctx context.Context) {
 	manifest, found := t.findManifest(ctx)
 	if !found {
@@ -147,52 +148,53 @@
 	held := t.verifyHeld(ctx, manifest)
 	peers := t.agent.inventoryPeers()
 	if t.peersOnly.Load() {
-		peers = t.agent.holdersOf(t.version(), inventoriesPerZone)
+		peers = t.agent.listedHolders(t.version(), inventoriesPerZone)
 	}
-	t.begin(manifest, held, t.askInventories(ctx, manifest, held, peers))
+	t.start(manifest, held, t.queryInventories(ctx, manifest, held, peers))
 	ticker := time.NewTicker(transferTick)
 	defer ticker.Stop()
 	for {
-		t.carryOut(ctx)
-		t.noteComplete()
+		t.performActions(ctx)
+		t.checkComplete()
 		select {
-		case <-t.kick:
+		case <-t.wakeup:
 		case <-ticker.C:
 			t.mutex.Lock()
 			t.fetcher.Tick(t.now())
 			t.mutex.Unlock()
-			t.lookForHolders(ctx, manifest)
+			t.queryHolders(ctx, manifest)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (t *transfer) begin(manifest fleet.Manifest, held []bool, holders map[int][]dissemination.MachineID) {
+func (t *transfer) start(manifest fleet.Manifest, held []bool, holders map[int][]dissemination.MachineID) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.originPace = t.originInterval()
+	t.originInterval = t.estimateOriginInterval()
 	t.fetcher = dissemination.NewFetcher(t.fetcherOptions(held))
-	t.takeHolders(holders)
+	t.addHolders(holders)
 	t.fetcher.Start(t.now())
 	t.agent.log.Log(logging.TransferBegun, zap.String("model", t.model), zap.Uint64("version", t.version()),
 		zap.Int("pieces", len(held)), zap.Int("missing", t.fetcher.Missing()),
 		zap.Int("held_by_peers", len(holders)), zap.Duration("after", t.now()))
-	for _, pending := range t.early {
-		t.takeLocked(pending)
+	for _, early := range t.earlyOffers {
+		t.applyOfferLocked(early)
 	}
-	t.early = nil
+	t.earlyOffers = nil
 }
 
-// fetcherOptions are those of a fetcher that has some pieces; the mutex is held.
+// fetcherOptions returns the options of a fetcher that starts with the held pieces. The caller
+// holds the mutex.
 func (t *transfer) fetcherOptions(held []bool) dissemination.Options {
 	return dissemination.Options{
 		Self: t.self(), Plan: t.plan, Chunks: len(held), Held: held, PeersOnly: t.peersOnly.Load(),
-		MaxFetches: maximumFetches, OriginInterval: t.originPace, LagChunks: lagPieces, ProgressTimeout: patience, PeerBackoff: distrust,
+		MaxFetches: maxFetches, OriginInterval: t.originInterval, LagChunks: maxLagPieces, ProgressTimeout: progressTimeout, PeerBackoff: peerBackoff,
 	}
 }
 
-// heldMask marks the pieces that are here; the mutex is held, and the manifest known.
+// heldMask marks the held pieces. The manifest is known, and the caller holds the mutex.
 func (t *transfer) heldMask() []bool {
 	held := make([]bool, len(t.manifest.Digests))
 	for index := range held {
@@ -201,9 +203,8 @@
 	return held
 }
 
-// originInterval is how long the origin's link takes for a piece; 0 when that is not
-// known.
-func (t *transfer) originInterval() time.Duration {
+// estimateOriginInterval returns how long the origin's link takes for a piece, or 0 if unknown.
+func (t *transfer) estimateOriginInterval() time.Duration {
 	engine, _ := t.agent.engine()
 	if engine == nil {
 		return 0
@@ -211,9 +212,9 @@
 	return engine.PieceTime(t.agent.daemon.Catalog.View().Configuration.OriginRate())
 }
 
-// takeHolders offers the fetcher what peers hold, each piece from another of them
-// first, so that no one has to send everything; the mutex is held.
-func (t *transfer) takeHolders(holders map[int][]dissemination.MachineID) {
+// addHolders offers the fetcher the pieces of peers. For each piece it starts with a different
+// holder, so that no peer sends everything. The caller holds the mutex.
+func (t *transfer) addHolders(holders map[int][]dissemination.MachineID) {
 	for index, machines := range holders {
 		for turn := range machines {
 			t.fetcher.RecordOffer(machines[(index+turn)%len(machines)], index, t.now())
@@ -221,25 +222,25 @@
 	}
 }
 
-// take feeds an offer or a question to the fetcher.
-func (t *transfer) take(incoming offer) dissemination.QueryReply {
+// applyOffer passes an offer or a query to the fetcher.
+func (t *transfer) applyOffer(incoming offer) dissemination.QueryReply {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.fetcher == nil {
-		if len(t.early) < maximumEarlyOffers {
-			t.early = append(t.early, incoming)
+		if len(t.earlyOffers) < maxEarlyOffers {
+			t.earlyOffers = append(t.earlyOffers, incoming)
 		}
 		return dissemination.QueryReply{}
 	}
-	return t.takeLocked(incoming)
+	return t.applyOfferLocked(incoming)
 }
 
-// maximumEarlyOffers bounds the offers kept until the manifest is known.
-const maximumEarlyOffers = 512
+// maxEarlyOffers bounds the offers kept until the manifest is known.
+const maxEarlyOffers = 512
 
-func (t *transfer) takeLocked(incoming offer) dissemination.QueryReply {
-	defer t.poke()
-	if incoming.Ask {
+func (t *transfer) applyOfferLocked(incoming offer) dissemination.QueryReply {
+	defer t.wake()
+	if incoming.Query {
 		return t.fetcher.HandleQuery(incoming.From, incoming.Pieces, t.agent.uploads.backlog(), t.now())
 	}
 	for _, piece := range incoming.Pieces {
@@ -248,51 +249,51 @@
 	return dissemination.QueryReply{}
 }
 
-// carryOut starts what the fetcher wants done.
-func (t *transfer) carryOut(ctx context.Context) {
+// performActions starts the actions that the fetcher requests.
+func (t *transfer) performActions(ctx context.Context) {
 	t.mutex.Lock()
 	fetcher := t.fetcher
 	actions := fetcher.TakeActions()
 	t.mutex.Unlock()
-	turn := dissemination.GroupByPeer(actions)
-	for _, action := range turn.Fetches {
+	batch := dissemination.GroupByPeer(actions)
+	for _, action := range batch.Fetches {
 		go t.fetch(ctx, fetcher, action)
 	}
-	for _, message := range turn.Messages {
+	for _, message := range batch.Messages {
 		go t.sendOffer(ctx, message)
 	}
 }
 
 func (t *transfer) sendOffer(ctx context.Context, message dissemination.Message) {
-	body := offer{From: t.self(), Model: t.model, Version: t.version(), Pieces: message.Chunks, Ask: message.Query}
+	body := offer{From: t.self(), Model: t.model, Version: t.version(), Pieces: message.Chunks, Query: message.Query}
 	answer, err := t.agent.peers.offer(ctx, message.Peer, body)
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.fetcher.RecordDelivery(message.Peer, message.Chunks, message.Query, err != nil, answer, t.now())
-	t.poke()
+	t.wake()
 }
 
-// fetch brings one piece to the server and reports how it went.
+// fetch fetches and stores one piece and reports the result to the fetcher.
 func (t *transfer) fetch(ctx context.Context, fetcher *dissemination.Fetcher, action dissemination.Action) {
 	content, err := t.readFrom(ctx, action)
 	if err == nil && sha256.Sum256(content) != t.manifest.Digests[action.Chunk] {
 		err = &fault.Corrupt{Source: string(action.Peer)}
 	}
 	if err == nil {
-		err = t.keep(ctx, action.Chunk, content)
+		err = t.store(ctx, action.Chunk, content)
 	}
 	if ctx.Err() != nil {
 		return
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	defer t.poke()
+	defer t.wake()
 	if t.fetcher != fetcher {
-		// The transfer has begun anew meanwhile and will see for itself.
+		// The fetcher was replaced meanwhile; the new one schedules the piece itself.
 		return
 	}
 	if err != nil {
-		t.fetcher.RecordFetchFailure(action.Peer, action.Chunk, t.judge(err, action), t.now())
+		t.fetcher.RecordFetchFailure(action.Peer, action.Chunk, t.classifyFailure(err, action), t.now())
 		return
 	}
 	if action.Kind == dissemination.FetchOrigin {
@@ -306,11 +307,11 @@
 }
 
 func (t *transfer) readFrom(ctx context.Context, action dissemination.Action) ([]byte, error) {
-	if err := t.pace.acquire(ctx); err != nil {
+	if err := t.limiter.acquire(ctx); err != nil {
 		return nil, err
 	}
 	took := time.Duration(0)
-	defer func() { t.pace.release(took) }()
+	defer func() { t.limiter.release(took) }()
 	if action.Kind == dissemination.Fetch {
 		path := versionPath(piecePath, t.model, t.version()) + "/" + itoa(action.Chunk) + "?" + heightParameter + "=" + itoa(t.height(action.Chunk))
 		content, bodyTime, err := t.agent.peers.piece(ctx, action.Peer, path, t.manifest.PieceBytes)
@@ -321,13 +322,13 @@
 		return content, err
 	}
 	select {
-	case t.origins <- struct{}{}:
-		defer func() { <-t.origins }()
+	case t.originSlots <- struct{}{}:
+		defer func() { <-t.originSlots }()
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 	if t.hasSource(action.Chunk) {
-		// It came to a peer while the origin was busy with others.
+		// A peer obtained the piece while this fetch waited for the origin.
 		return nil, &fault.Unavailable{Target: "origin", Operation: "piece", Status: http.StatusConflict}
 	}
 	address, known := t.agent.originAddress()
@@ -350,8 +351,8 @@
 	return t.fetcher.Height(index)
 }
 
-// judge turns an error into the fetcher's reason; the mutex is held.
-func (t *transfer) judge(err error, action dissemination.Action) dissemination.FailureReason {
+// classifyFailure maps an error to the fetcher's failure reason. The caller holds the mutex.
+func (t *transfer) classifyFailure(err error, action dissemination.Action) dissemination.FailureReason {
 	var corrupt *fault.Corrupt
 	var unavailable *fault.Unavailable
 	source := string(action.Peer)
@@ -362,7 +363,7 @@
 	case errors.As(err, &corrupt):
 		t.agent.log.Log(logging.ChunkCorrupt, zap.String("source", source), zap.Int("piece", action.Chunk), zap.Uint64("version", t.version()))
 		t.corrupt[action.Chunk]++
-		t.doubtful = t.doubtful || t.corrupt[action.Chunk] >= manifestDoubts
+		t.manifestSuspect = t.manifestSuspect || t.corrupt[action.Chunk] >= maxDigestFailures
 		return dissemination.Corrupted
 	case errors.Is(err, context.DeadlineExceeded):
 		t.agent.log.Log(logging.ChunkStalled, zap.String("source", source), zap.Int("piece", action.Chunk), zap.Uint64("version", t.version()))
@@ -373,12 +374,12 @@
 	return dissemination.Unreachable
 }
 
-// noteComplete announces that every piece lies at the server.
-func (t *transfer) noteComplete() {
+// checkComplete logs and signals that all pieces are held, and rejects a suspect manifest.
+func (t *transfer) checkComplete() {
 	t.mutex.Lock()
 	changed := !t.complete && t.fetcher.Missing() == 0
 	t.complete = t.fetcher.Missing() == 0
-	doubtful := t.doubtful && !t.complete
+	suspect := t.manifestSuspect && !t.complete
 	t.mutex.Unlock()
 	if changed {
 		t.agent.metrics.staged.Observe(t.now().Seconds())
@@ -386,12 +387,12 @@
 			zap.Duration("took", t.now()), zap.Int("origin_bytes", t.fromOrigin), zap.Int("peer_bytes", t.fromPeers))
 		t.agent.wake()
 	}
-	if doubtful {
-		t.agent.doubt(t)
+	if suspect {
+		t.agent.rejectManifest(t)
 	}
 }
 
-// state returns whether all pieces are there and how many are missing.
+// state returns whether all pieces are held, and how many are missing.
 func (t *transfer) state() (complete bool, missing int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -401,8 +402,8 @@
 	return t.fetcher.Missing() == 0, t.fetcher.Missing()
 }
 
-// hasManifest reports whether it is known which pieces the version consists of.
-func (t *transfer) hasBegun() bool {
+// hasStarted reports whether the manifest is known and the fetcher runs.
+func (t *transfer) hasStarted() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.fetcher != nil
--- a/internal/rollout/transfer_test.go
+++ b/internal/rollout/transfer_test.go
@@ -11,18 +11,16 @@
 	"pinevane.example/pinevane/internal/fleet"
 )
 
-// Seen: read in the code. Cause: the pace of the origin was set where a transfer begins and not
-// where it begins anew.
-//
-// A transfer that begins anew after all of its pieces have turned bad reads the origin at the
-// pace of its link, as at first.
-func TestTransferAfterSpoiltPiecesKeepsTheOriginsPace(t *testing.T) {
+// A transfer that restarts after all its pieces turned corrupt must still read the origin at the
+// rate of the origin's link. That rate was once set only where a transfer starts, not where it
+// restarts.
+func TestRestartedTransferKeepsOriginInterval(t *testing.T) {
 	const pieces = 60
 	agent := &Agent{self: "a", metrics: newMetrics(prometheus.NewRegistry())}
 	one := &transfer{
-		agent: agent, model: "m", began: time.Now(), kick: make(chan struct{}, 1), manifest: &fleet.Manifest{Digests: make([][32]byte, pieces)},
-		plan:       dissemination.NewPlan(dissemination.StrategyRotated, dissemination.NewRoster([]dissemination.Machine{{ID: "a", Zone: "z", Region: "r"}})),
-		originPace: 10 * time.Second,
+		agent: agent, model: "m", startedAt: time.Now(), wakeup: make(chan struct{}, 1), manifest: &fleet.Manifest{Digests: make([][32]byte, pieces)},
+		plan:           dissemination.NewPlan(dissemination.StrategyRotated, dissemination.NewRoster([]dissemination.Machine{{ID: "a", Zone: "z", Region: "r"}})),
+		originInterval: 10 * time.Second,
 	}
 	held := make([]bool, pieces)
 	all := make([]int, pieces)
@@ -30,16 +28,16 @@
 		held[index], all[index] = true, index
 	}
 	one.fetcher = dissemination.NewFetcher(one.fetcherOptions(held))
-	one.restart(all)
-	asked := 0
+	one.restartFetch(all)
+	requested := 0
 	for range pieces {
 		one.fetcher.Tick(one.now())
 		for _, action := range one.fetcher.TakeActions() {
 			assert.Equal(t, dissemination.FetchOrigin, action.Kind)
 			one.fetcher.RecordFetched("", action.Chunk, one.now())
-			asked++
+			requested++
 		}
 	}
-	assert.Positive(t, asked)
-	assert.LessOrEqual(t, asked, pieces/4, "pieces asked of the origin in the time of one")
+	assert.Positive(t, requested)
+	assert.LessOrEqual(t, requested, pieces/4, "pieces requested from the origin in the time of one")
 }
