--- a/internal/agent/weights.go
+++ b/internal/agent/weights.go
@@ -188,7 +188,7 @@
 
 // start begins a transfer; the mutex is held.
 func (c *weightsController) start(ctx context.Context, assigned assignment) {
-	c.node.Log.Log(logging.RolloutNoticed, zap.String("model", assigned.model.Name),
+	c.node.Log.Log(logging.RolloutDetected, zap.String("model", assigned.model.Name),
 		zap.String("version", assigned.model.Version), zap.Int("machines", len(assigned.machines)))
 	transferContext, cancel := context.WithCancel(ctx)
 	started := newTransfer(c, assigned, cancel)
@@ -204,7 +204,7 @@
 	delete(c.staged, digest)
 	c.publishStaged()
 	if existing.missingChunks() > 0 {
-		c.node.Log.Log(logging.RolloutAborted, zap.String("manifest", string(digest)))
+		c.node.Log.Log(logging.RolloutReplaced, zap.String("manifest", string(digest)))
 	}
 }
 
--- a/internal/catalog/evacuations.go
+++ b/internal/catalog/evacuations.go
@@ -15,7 +15,7 @@
 func (c *Catalog) applyEvacuation(next *View, record mirror.Record) {
 	evacuation, err := c.options.Decoder.Evacuation(record)
 	if err != nil {
-		c.options.Log.Log(logging.EvacuationFaulty, zap.String("key", record.Key), zap.Uint64("revision", record.Revision), zap.Error(err))
+		c.options.Log.Log(logging.EvacuationInvalid, zap.String("key", record.Key), zap.Uint64("revision", record.Revision), zap.Error(err))
 	}
 	if evacuation.Zone == "" {
 		return
@@ -30,7 +30,7 @@
 		return
 	}
 	if _, known := c.options.Zones[evacuation.Zone]; !known {
-		c.options.Log.Log(logging.EvacuationFaulty, zap.String("key", record.Key), zap.Uint64("revision", record.Revision),
+		c.options.Log.Log(logging.EvacuationInvalid, zap.String("key", record.Key), zap.Uint64("revision", record.Revision),
 			zap.String("unknown_zone", evacuation.Zone))
 	}
 	if _, known := evacuations[evacuation.Zone]; !known {
--- a/internal/catalog/faulty.go
+++ b/internal/catalog/faulty.go
@@ -43,7 +43,7 @@
 		return
 	}
 	c.faulty.reasons[key] = err.Error()
-	c.options.Log.Log(logging.RecordFaulty, zap.String("key", key), zap.Uint64("revision", revision), zap.String("fault", string(kind)), zap.Error(err))
+	c.options.Log.Log(logging.RecordInvalid, zap.String("key", key), zap.Uint64("revision", revision), zap.String("fault", string(kind)), zap.Error(err))
 }
 
 // FaultyRecords returns the number of faulty records received, by fault.
--- a/internal/catalog/lapsed.go
+++ b/internal/catalog/lapsed.go
@@ -71,7 +71,7 @@
 				continue
 			}
 			c.expired[server.ID] = expiredServer{server: server, until: now.Add(grace)}
-			c.options.Log.Log(logging.ServerLapsed, zap.String("server", server.ID), zap.Duration("kept_for", grace),
+			c.options.Log.Log(logging.ServerRecordExpired, zap.String("server", server.ID), zap.Duration("kept_for", grace),
 				zap.Duration("store_back_for", now.Sub(c.regainedAt)))
 			time.AfterFunc(grace, c.removeExpired)
 		}
--- a/internal/catalog/reader.go
+++ b/internal/catalog/reader.go
@@ -198,7 +198,7 @@
 	case err == nil:
 		c.recordSuccess(position)
 	case errors.As(err, &historyGone):
-		c.options.Log.Log(logging.HistoryForgotten, zap.String("prefix", position.prefix), zap.Uint64("after", position.revision))
+		c.options.Log.Log(logging.HistoryCompacted, zap.String("prefix", position.prefix), zap.Uint64("after", position.revision))
 		position.forgottenRevision, position.historyLostAt = max(position.revision, 1), time.Now()
 		position.revision = 0
 	case ctx.Err() == nil:
@@ -235,14 +235,14 @@
 
 func (c *Catalog) recordSuccess(position *watchPosition) {
 	if position.failed {
-		c.options.Log.Log(logging.ServiceReached, zap.String("prefix", position.prefix))
+		c.options.Log.Log(logging.ServiceRecovered, zap.String("prefix", position.prefix))
 	}
 	position.failed, position.backoff = false, 0
 }
 
 func (c *Catalog) recordFailure(ctx context.Context, position *watchPosition, err error) {
 	if !position.failed {
-		c.options.Log.Log(logging.ServiceUnreached, zap.String("prefix", position.prefix), zap.Error(err))
+		c.options.Log.Log(logging.ServiceUnreachable, zap.String("prefix", position.prefix), zap.Error(err))
 	}
 	position.failed = true
 	position.backoff = min(max(2*position.backoff, minReadRetry), maxReadRetry)
--- a/internal/catalog/services.go
+++ b/internal/catalog/services.go
@@ -58,7 +58,7 @@
 		next.Configuration.Index()
 		next.ConfigurationSince = time.Now()
 		next.collectAgents()
-		c.options.Log.Log(logging.ServicesTold, zap.String("peer", link.Remote().ID), zap.Uint64("version", published.Version),
+		c.options.Log.Log(logging.ServicesAnnounced, zap.String("peer", link.Remote().ID), zap.Uint64("version", published.Version),
 			zap.Int("services", len(published.Services)))
 		return true
 	})
--- a/internal/catalog/view.go
+++ b/internal/catalog/view.go
@@ -221,10 +221,10 @@
 	announcements = pruneAnnouncements(announcements, c.options.VersionApply, time.Now())
 	next.Versions = maps.Clone(next.Versions)
 	next.Versions[named.Model] = announcements
-	c.options.Log.Log(logging.VersionNamed, zap.String("model", named.Model), zap.Uint64("version", named.Version),
+	c.options.Log.Log(logging.VersionAnnounced, zap.String("model", named.Model), zap.Uint64("version", named.Version),
 		zap.Uint64("revision", record.Revision), zap.Duration("age", time.Since(announcement.Since)), zap.Bool("assumed", announcement.Assumed))
 	if age.age > lateAnnouncement {
-		c.options.Log.Log(logging.VersionHeardLate, zap.String("model", named.Model), zap.Uint64("version", named.Version),
+		c.options.Log.Log(logging.VersionAnnouncedLate, zap.String("model", named.Model), zap.Uint64("version", named.Version),
 			zap.Duration("at_most", age.age), zap.Bool("assumed", age.assumed))
 	}
 }
--- a/internal/command/emulate.go
+++ b/internal/command/emulate.go
@@ -38,7 +38,7 @@
 		}
 		server := &http.Server{Handler: handler, ReadHeaderTimeout: 5 * time.Second}
 		go func() { _ = server.Serve(listener) }()
-		log.Log(logging.StandInStarted, zap.String("listen", address))
+		log.Log(logging.EmulatorStarted, zap.String("listen", address))
 	}
 	<-stopSignal()
 	return nil
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -170,7 +170,7 @@
 func (d *Daemon) ServeOn(listener net.Listener, handler http.Handler, follow func(net.Conn, http.ConnState)) {
 	server := &http.Server{
 		Handler: handler, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maximumHeaderBytes,
-		ErrorLog: d.Log.Standard(logging.ServerComplained), ConnState: follow,
+		ErrorLog: d.Log.Standard(logging.HTTPServerError), ConnState: follow,
 	}
 	d.mutex.Lock()
 	d.servers = append(d.servers, server)
@@ -266,13 +266,13 @@
 	fresh, err := d.options.Reload()
 	if err != nil {
 		d.reloads.WithLabelValues(reloadRefused).Inc()
-		d.Log.Log(logging.ReloadRefused, zap.Error(err))
+		d.Log.Log(logging.SettingsRejected, zap.Error(err))
 		return
 	}
 	before := d.Settings()
 	restart := before.RestartNeeded(fresh)
 	if len(restart) > 0 {
-		d.Log.Log(logging.RestartNeeded, zap.Strings("fields", restart))
+		d.Log.Log(logging.RestartRequired, zap.Strings("fields", restart))
 	}
 	fresh = before.KeepRunning(fresh)
 	d.settings.Store(&fresh)
--- a/internal/forward/asked.go
+++ b/internal/forward/asked.go
@@ -35,7 +35,7 @@
 	case head.Rest.For > 0:
 		t.rests.Inc()
 		if t.core.RecordBackoff(k.Candidate, head.Rest.For, now) {
-			t.log.Log(logging.ServerRests, zap.String("server", k.ID), zap.Duration("for", head.Rest.For))
+			t.log.Log(logging.ServerBackoff, zap.String("server", k.ID), zap.Duration("for", head.Rest.For))
 		}
 	case head.Rest.Unreadable:
 		t.logUnreadable(k, "rest")
@@ -61,7 +61,7 @@
 	change, news := t.core.RecordLeaving(k.Candidate)
 	if news {
 		k.pool.close()
-		t.log.Log(logging.ServerSaidLeaving, zap.String("server", k.ID), zap.Int("in_flight", change.InFlight))
+		t.log.Log(logging.ServerAnnouncedLeaving, zap.String("server", k.ID), zap.Int("in_flight", change.InFlight))
 		t.toTell(k, now)
 	}
 }
@@ -97,7 +97,7 @@
 	limit, leaving := t.core.ApplyNotice(ask, at, time.Now())
 	t.logLimit(ask.Server, limit, entry)
 	if leaving {
-		t.log.Log(logging.ServerSaidLeaving, zap.String("server", ask.Server), zap.String("entry", entry))
+		t.log.Log(logging.ServerAnnouncedLeaving, zap.String("server", ask.Server), zap.String("entry", entry))
 	}
 }
 
@@ -116,7 +116,7 @@
 		return
 	}
 	t.unreadable[key] = true
-	t.log.Log(logging.AnswerUnreadable, zap.String("server", k.ID), zap.String("field", field))
+	t.log.Log(logging.ResponseHeaderInvalid, zap.String("server", k.ID), zap.String("field", field))
 }
 
 // unreadableField is a field of a server's answers that could not be read.
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -220,7 +220,7 @@
 		w.metrics.retries.Inc()
 		return true
 	}
-	w.log.Log(logging.RetryWithheld, zap.String("request", w.request.Call.RequestID), zap.String("because", withheld),
+	w.log.Log(logging.RetryDenied, zap.String("request", w.request.Call.RequestID), zap.String("because", withheld),
 		zap.Int("attempts", w.sent), zap.Int("most_attempts", w.request.Route.Attempts))
 	return false
 }
--- a/internal/forward/health.go
+++ b/internal/forward/health.go
@@ -82,7 +82,7 @@
 // noteTrial logs and counts a request that is the trial of its server; the mutex is held.
 func (t *targets) noteTrial(w *work, k *dispatch.Candidate, now time.Time) {
 	t.health.trials.Inc()
-	t.log.Log(logging.ServerTried, zap.String("server", k.ID), zap.String("request", w.request.Call.RequestID))
+	t.log.Log(logging.ServerProbed, zap.String("server", k.ID), zap.String("request", w.request.Call.RequestID))
 	t.reportHealth(now)
 }
 
@@ -114,7 +114,7 @@
 		t.log.Log(logging.ServerEjected, append(fields, zap.Duration("for", change.Duration), zap.Float64("evidence", change.Evidence))...)
 		return
 	}
-	t.log.Log(logging.ServerReturned, fields...)
+	t.log.Log(logging.ServerReadmitted, fields...)
 }
 
 // HearHealth takes in what another entry of the zone has said of a server, and when.
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -93,17 +93,17 @@
 	case quarantine.Crashed:
 		c.ends.Inc()
 		named := change.Fingerprints[:min(len(change.Fingerprints), mostLoggedContents)]
-		c.log.Log(logging.ServerEnded, zap.String("server", change.Server), zap.Int("requests", len(change.Fingerprints)), zap.Stringers("contents", named))
+		c.log.Log(logging.ServerCrashed, zap.String("server", change.Server), zap.Int("requests", len(change.Fingerprints)), zap.Stringers("contents", named))
 	case quarantine.Quarantined:
 		by := "told"
 		if change.Reporter == c.tracker.Self() {
 			by = "found"
 		}
 		c.quarantines.WithLabelValues(by).Inc()
-		c.log.Log(logging.ContentShut, zap.Stringer("content", change.Fingerprint), zap.Strings("servers", change.Servers),
+		c.log.Log(logging.FingerprintQuarantined, zap.Stringer("content", change.Fingerprint), zap.Strings("servers", change.Servers),
 			zap.Duration("left", change.Remaining), zap.Int("round", change.Round), zap.String("entry", change.Reporter))
 	case quarantine.Cleared:
-		c.log.Log(logging.ContentCleared, zap.Stringer("content", change.Fingerprint), zap.String("entry", change.Reporter))
+		c.log.Log(logging.FingerprintReleased, zap.Stringer("content", change.Fingerprint), zap.String("entry", change.Reporter))
 	}
 }
 
@@ -147,7 +147,7 @@
 		refusal = fault.NotRun(fault.ReasonSuspected, "servers have ended under requests with this content, among others")
 	}
 	refusal.RetryAfter = verdict.Remaining
-	w.log.Log(logging.ContentWithheld, zap.String("request", w.request.Call.RequestID), zap.Stringer("content", w.request.Content),
+	w.log.Log(logging.RequestQuarantined, zap.String("request", w.request.Call.RequestID), zap.Stringer("content", w.request.Content),
 		zap.String("reason", string(refusal.Reason)), zap.Strings("servers", verdict.Servers), zap.Duration("left", verdict.Remaining))
 	return refusal
 }
--- a/internal/forward/residency.go
+++ b/internal/forward/residency.go
@@ -114,7 +114,7 @@
 		if one.fault == faultNoRegion {
 			unserved += len(owners)
 		}
-		f.log.Log(logging.RegionsDoubtful, zap.String("fault", one.fault), zap.String("region", one.region),
+		f.log.Log(logging.RegionsInvalid, zap.String("fault", one.fault), zap.String("region", one.region),
 			zap.Strings("owners", owners[:min(mostNamed, len(owners))]), zap.Int("owner_count", len(owners)),
 			zap.Uint64("configuration", configuration.Version))
 	}
--- a/internal/forward/residency_test.go
+++ b/internal/forward/residency_test.go
@@ -384,7 +384,7 @@
 		assert.NotContains(t, found, one.Fault, "logged twice")
 		found[one.Fault] = one
 	}
-	event := logging.RegionsDoubtful.Number
+	event := logging.RegionsInvalid.Number
 	lost := []string{"route lost-0", "route lost-1", "route lost-2", "route lost-3", "route lost-4"}
 	assert.Equal(t, map[string]line{
 		faultRepeatedRegion: {Event: event, Fault: faultRepeatedRegion, Region: "a", Owners: []string{"route twice"}, OwnerCount: 1, Configuration: 7},
--- a/internal/forward/targets.go
+++ b/internal/forward/targets.go
@@ -98,14 +98,14 @@
 	case dispatch.AddressTaken, dispatch.ServerRestarted:
 		t.ended = append(t.ended, change.Candidate.ID)
 	case dispatch.ServerRemoved:
-		t.log.Log(logging.ServerGone, zap.String("server", change.Candidate.ID), zap.Int("in_flight", change.InFlight))
+		t.log.Log(logging.ServerRemoved, zap.String("server", change.Candidate.ID), zap.Int("in_flight", change.InFlight))
 	case dispatch.ZoneEvacuated:
 		t.log.Log(logging.ZoneEvacuated, zap.String("zone", change.Zone), zap.Int("servers", change.Servers), zap.Int("in_flight", change.InFlight),
 			zap.Duration("bound", t.bounds.Load().Evacuate))
 	case dispatch.ZoneIdle:
 		t.log.Log(logging.ZoneIdle, zap.String("zone", change.Zone), zap.Duration("after", change.IdleAfter))
 	case dispatch.ZoneReadmitted:
-		t.log.Log(logging.ZoneReadmitted, zap.String("zone", change.Zone), zap.Int("servers", change.Servers))
+		t.log.Log(logging.EvacuationEnded, zap.String("zone", change.Zone), zap.Int("servers", change.Servers))
 	}
 	if known := t.known[change.Candidate]; known != nil {
 		known.pool.close()
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -195,7 +195,7 @@
 // refuse answers a request that no server's answer came for.
 func (g *Gateway) refuse(writer http.ResponseWriter, request *forward.Request, refusal *fault.Refusal) {
 	status := statusOf(refusal)
-	event := logging.RequestGivenUp
+	event := logging.RequestFailed
 	if status == http.StatusUnauthorized || status == http.StatusNotFound {
 		event = logging.RequestDenied
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -174,7 +174,7 @@
 	}
 	r.mutex.Unlock()
 	if err != nil && !failing {
-		r.options.Log.Log(logging.ServiceUnreached, zap.String("publication", string(kind)), zap.Error(err))
+		r.options.Log.Log(logging.ServiceUnreachable, zap.String("publication", string(kind)), zap.Error(err))
 	}
 }
 
--- a/internal/rollout/agent.go
+++ b/internal/rollout/agent.go
@@ -273,7 +273,7 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if t == a.current || t == a.older {
-		a.log.Log(logging.ManifestDoubted, zap.String("model", t.model), zap.Uint64("version", t.version()))
+		a.log.Log(logging.ManifestMismatch, zap.String("model", t.model), zap.Uint64("version", t.version()))
 	}
 	switch t {
 	case a.current:
--- a/internal/rollout/bound.go
+++ b/internal/rollout/bound.go
@@ -83,7 +83,7 @@
 	if err != nil || fresh.Busy {
 		return false
 	}
-	a.log.Log(logging.VersionEnded, zap.String("model", part.Model), zap.Uint64("serving", serving), zap.Uint64("version", part.Version),
+	a.log.Log(logging.VersionExpired, zap.String("model", part.Model), zap.Uint64("serving", serving), zap.Uint64("version", part.Version),
 		zap.Int("from_layer", part.FromLayer), zap.Int("to_layer", part.ToLayer), zap.Int("layers", engine.Layers))
 	part.Sequence = fresh.Sequence
 	a.order(ctx, part, serving, time.Since(began))
@@ -119,7 +119,7 @@
 		return
 	}
 	_, missing := newer.state()
-	a.log.Log(logging.VersionUnguarded, zap.String("model", newer.model), zap.Uint64("serving", serving), zap.Uint64("version", newer.version()),
+	a.log.Log(logging.ExpiredVersionServed, zap.String("model", newer.model), zap.Uint64("serving", serving), zap.Uint64("version", newer.version()),
 		zap.Int("missing", missing))
 }
 
--- a/internal/rollout/fallback.go
+++ b/internal/rollout/fallback.go
@@ -116,7 +116,7 @@
 	if !bounded || !turnover.TakesOlder(progress, inForce, engine.Warm) {
 		return
 	}
-	a.log.Log(logging.FallbackBegun, zap.String("model", current.model), zap.Uint64("version", version), zap.Uint64("newest", current.version()),
+	a.log.Log(logging.FallbackStarted, zap.String("model", current.model), zap.Uint64("version", version), zap.Uint64("newest", current.version()),
 		zap.Int("missing", progress.Missing), zap.Duration("quiet", progress.Quiet), zap.Duration("in_force", inForce))
 	a.staging.Lock()
 	current.takeUp(ctx)
@@ -161,7 +161,7 @@
 	if !displaced && a.keepsOlder(current.progress(engine), older, engine, serving) {
 		return
 	}
-	a.log.Log(logging.RolloutAborted, zap.String("model", older.model), zap.Uint64("version", older.version()), zap.Int("missing", missing),
+	a.log.Log(logging.RolloutReplaced, zap.String("model", older.model), zap.Uint64("version", older.version()), zap.Int("missing", missing),
 		zap.Uint64("wanted", current.version()))
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
--- a/internal/rollout/keeper.go
+++ b/internal/rollout/keeper.go
@@ -127,7 +127,7 @@
 		a.current.buffer.open()
 	}
 	a.current.distrustful = wanted != 0 && wanted == a.doubted
-	a.log.Log(logging.RolloutNoticed, zap.String("model", model), zap.Uint64("version", wanted))
+	a.log.Log(logging.RolloutDetected, zap.String("model", model), zap.Uint64("version", wanted))
 	go a.current.run(transferContext)
 	return a.current
 }
@@ -162,11 +162,11 @@
 	if replaced.model == model && a.worthCompleting(replaced, engine, serving) {
 		a.dropOlder()
 		a.older = replaced
-		a.log.Log(logging.OlderKept, zap.String("model", model), zap.Uint64("version", replaced.version()), zap.Int("missing", missing),
+		a.log.Log(logging.OlderTransferKept, zap.String("model", model), zap.Uint64("version", replaced.version()), zap.Int("missing", missing),
 			zap.Uint64("wanted", wanted))
 		return
 	}
-	a.log.Log(logging.RolloutAborted, zap.String("model", model), zap.Uint64("version", replaced.version()), zap.Int("missing", missing),
+	a.log.Log(logging.RolloutReplaced, zap.String("model", model), zap.Uint64("version", replaced.version()), zap.Int("missing", missing),
 		zap.Uint64("wanted", wanted))
 	replaced.cancel()
 }
@@ -250,7 +250,7 @@
 		waiting.For(ctx, orderPause)
 	default:
 		a.metrics.orders.WithLabelValues(outcomeTaken).Inc()
-		a.log.Log(logging.OrderTaken, zap.Uint64("version", order.Version), zap.Bool("holds_already", outcome == fleet.OrderHolds))
+		a.log.Log(logging.OrderAccepted, zap.Uint64("version", order.Version), zap.Bool("holds_already", outcome == fleet.OrderHolds))
 	}
 	a.readReport(ctx)
 }
@@ -262,7 +262,7 @@
 	for ctx.Err() == nil && time.Now().Before(deadline) {
 		report, err := a.server.Report(ctx)
 		if err == nil {
-			a.log.Log(logging.OrderFate, zap.Uint64("version", order.Version), zap.Bool("taken", report.Sequence > order.Sequence))
+			a.log.Log(logging.OrderResolved, zap.Uint64("version", order.Version), zap.Bool("taken", report.Sequence > order.Sequence))
 			return
 		}
 		waiting.For(ctx, keepPeriod)
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -86,7 +86,7 @@
 		a.misses++
 		if a.misses >= missesUnreachable && a.reachable {
 			a.reachable = false
-			a.log.Log(logging.EngineLost, zap.Error(err))
+			a.log.Log(logging.EngineUnreachable, zap.Error(err))
 		}
 		return
 	}
@@ -94,7 +94,7 @@
 		a.serverRestarted(ctx, report)
 	}
 	if !a.reachable {
-		a.log.Log(logging.EngineReached, zap.Int("models", len(report.Models)), zap.Uint64("sequence", report.Sequence))
+		a.log.Log(logging.EngineReachable, zap.Int("models", len(report.Models)), zap.Uint64("sequence", report.Sequence))
 		a.wake()
 	}
 	a.logVersion(report)
--- a/internal/rollout/transfer.go
+++ b/internal/rollout/transfer.go
@@ -175,7 +175,7 @@
 	t.fetcher = dissemination.NewFetcher(t.fetcherOptions(held))
 	t.takeHolders(holders)
 	t.fetcher.Start(t.now())
-	t.agent.log.Log(logging.TransferBegun, zap.String("model", t.model), zap.Uint64("version", t.version()),
+	t.agent.log.Log(logging.TransferStarted, zap.String("model", t.model), zap.Uint64("version", t.version()),
 		zap.Int("pieces", len(held)), zap.Int("missing", t.fetcher.Missing()),
 		zap.Int("held_by_peers", len(holders)), zap.Duration("after", t.now()))
 	for _, pending := range t.early {
--- a/internal/rollout/verify.go
+++ b/internal/rollout/verify.go
@@ -75,7 +75,7 @@
 
 // reportSpoilt fetches pieces again that have turned bad at the server.
 func (t *transfer) reportSpoilt(bad []int) {
-	t.agent.log.Log(logging.PiecesSpoilt, zap.String("model", t.model), zap.Uint64("version", t.version()), zap.Ints("pieces", bad))
+	t.agent.log.Log(logging.PiecesCorrupt, zap.String("model", t.model), zap.Uint64("version", t.version()), zap.Ints("pieces", bad))
 	t.restart(bad)
 }
 
@@ -87,7 +87,7 @@
 	if ctx.Err() != nil || t.fetcher == nil || index < 0 || index >= len(t.manifest.Digests) || !t.fetcher.Holds(index) {
 		return
 	}
-	t.agent.log.Log(logging.PiecesSpoilt, zap.String("model", t.model), zap.Uint64("version", t.version()), zap.Ints("pieces", []int{index}))
+	t.agent.log.Log(logging.PiecesCorrupt, zap.String("model", t.model), zap.Uint64("version", t.version()), zap.Ints("pieces", []int{index}))
 	t.restartLocked([]int{index})
 }
 
--- a/internal/sitetest/recovery_test.go
+++ b/internal/sitetest/recovery_test.go
@@ -113,7 +113,7 @@
 	f := startSettled(t)
 	silence(t, ofTheSystem)
 	time.Sleep(2 * time.Second)
-	assert.Zero(t, countEvents(f, logging.EngineLost.Number, ""))
+	assert.Zero(t, countEvents(f, logging.EngineUnreachable.Number, ""))
 }
 
 // staged waits until every agent has staged a version, and returns how long after a time
@@ -179,14 +179,14 @@
 	f.Eventually("the order has gone", 10*time.Second, func() bool { return countEvents(f, logging.OrderSent.Number, "") > 0 })
 	sent := time.Now()
 	f.Eventually("the order's fate is known", 10*time.Second, func() bool {
-		return countEvents(f, logging.OrderFate.Number, fmt.Sprintf(`"taken":%t`, taken)) > 0
+		return countEvents(f, logging.OrderResolved.Number, fmt.Sprintf(`"taken":%t`, taken)) > 0
 	})
 	took := time.Since(sent)
 	t.Logf("settled %s after the order was sent", took)
 	assert.Less(t, took, orderSettled)
 	f.Eventually("the version is live", 5*time.Second, func() bool { return f.Site.Models[f.Site.Options.ModelIP(0, 0)].Version() == 2 })
 	assert.Zero(t, countEvents(f, logging.OrderRefused.Number, ""))
-	assert.Zero(t, countEvents(f, logging.EngineLost.Number, ""))
+	assert.Zero(t, countEvents(f, logging.EngineUnreachable.Number, ""))
 	want := 2
 	if taken {
 		want = 1
@@ -241,7 +241,7 @@
 	proxy.mute()
 	dialled := proxy.accepted.Load()
 	time.Sleep(time.Second)
-	assert.Zero(t, countEvents(f, logging.EngineLost.Number, ""))
+	assert.Zero(t, countEvents(f, logging.EngineUnreachable.Number, ""))
 	assert.LessOrEqual(t, proxy.accepted.Load()-dialled, int64(3), "connections made anew")
 	server := platform.NewModelServer(proxy.address)
 	_, err := server.Report(context.Background())
