--- a/internal/bytequota/quota.go
+++ b/internal/bytequota/quota.go
@@ -74,8 +74,8 @@
 // Open returns the account of a request of a tenant, which holds nothing.
 func (q *Quota) Open(tenant string) *Account { return &Account{quota: q, tenant: tenant} }
 
-// Take charges the account with bytes before they are held, and reports whether they may be.
-func (a *Account) Take(bytes int64) bool {
+// Reserve charges the account with bytes before they are held, and reports whether they may be.
+func (a *Account) Reserve(bytes int64) bool {
 	if a == nil || bytes == 0 {
 		return true
 	}
--- a/internal/bytequota/quota_test.go
+++ b/internal/bytequota/quota_test.go
@@ -18,13 +18,13 @@
 	quota := New(1000)
 	greedy := quota.Open("large")
 	taken := 0
-	for greedy.Take(10) {
+	for greedy.Reserve(10) {
 		taken += 10
 	}
 	assert.Equal(t, 500, taken)
-	assert.True(t, quota.Open("small").Take(250))
-	assert.False(t, quota.Open("large").Take(10), "it is over its part now")
-	assert.True(t, quota.Open("smaller").Take(100))
+	assert.True(t, quota.Open("small").Reserve(250))
+	assert.False(t, quota.Open("large").Reserve(10), "it is over its part now")
+	assert.True(t, quota.Open("smaller").Reserve(100))
 	greedy.Close()
 	assert.Equal(t, int64(350), quota.Status().Held)
 }
@@ -44,7 +44,7 @@
 				open = append(open[:index], open[index+1:]...)
 			default:
 				account := quota.Open(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "tenant"))
-				account.Take(int64(rapid.IntRange(0, bound).Draw(t, "bytes")))
+				account.Reserve(int64(rapid.IntRange(0, bound).Draw(t, "bytes")))
 				open = append(open, account)
 			}
 			status := quota.Status()
@@ -64,7 +64,7 @@
 
 func TestNilAccountIsBoundedByNothing(t *testing.T) {
 	var account *Account
-	assert.True(t, account.Take(1<<40))
+	assert.True(t, account.Reserve(1<<40))
 	account.Close()
 }
 
--- a/internal/bytequota/read.go
+++ b/internal/bytequota/read.go
@@ -20,7 +20,7 @@
 	for {
 		if len(read) == cap(read) {
 			grown := grownSize(int64(len(read)), size)
-			if !account.Take(grown - int64(len(read))) {
+			if !account.Reserve(grown - int64(len(read))) {
 				return read, ErrExhausted
 			}
 			read = append(make([]byte, 0, grown), read...)
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -74,7 +74,7 @@
 
 func (s *eventSplitter) read() {
 	if len(s.pending) >= usualEventBytes+s.charged {
-		if !s.memory.Take(usualEventBytes) {
+		if !s.memory.Reserve(usualEventBytes) {
 			s.failure = bytequota.ErrExhausted
 			return
 		}
