--- a/internal/catalog/doubt_test.go
+++ b/internal/catalog/doubt_test.go
@@ -29,7 +29,7 @@
 }
 
 func (historyLossStore) Watch(_ context.Context, prefix string, after uint64, _ time.Duration) (fleet.Listing, error) {
-	return fleet.Listing{}, &fault.HistoryGone{Prefix: prefix, After: after}
+	return fleet.Listing{}, &fault.HistoryCompacted{Prefix: prefix, After: after}
 }
 
 // receiveUpdate has a catalog handle a peer's update with almost no transit time.
--- a/internal/catalog/reader.go
+++ b/internal/catalog/reader.go
@@ -193,7 +193,7 @@
 			c.recordRead(position.revision)
 		}
 	}
-	var historyGone *fault.HistoryGone
+	var historyGone *fault.HistoryCompacted
 	switch {
 	case err == nil:
 		c.recordSuccess(position)
--- a/internal/command/load.go
+++ b/internal/command/load.go
@@ -63,7 +63,7 @@
 			return err
 		}
 		if len(report.Violations) > 0 {
-			return &fault.PromiseBroken{Promise: string(report.Violations[0].Promise), Detail: report.Violations[0].Detail}
+			return &fault.GuaranteeViolated{Guarantee: string(report.Violations[0].Promise), Detail: report.Violations[0].Detail}
 		}
 	}
 	return nil
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -318,7 +318,7 @@
 	}
 	for _, machine := range []deployment.Machine{agent, entry} {
 		if !d.fleet.WaitExit(machine.ID, stopTimeout) {
-			return &fault.Timeout{Waiting: "planned stop of " + machine.ID, After: stopTimeout}
+			return &fault.Timeout{Condition: "planned stop of " + machine.ID, After: stopTimeout}
 		}
 	}
 	d.say("both have finished their open work and ended")
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -98,11 +98,11 @@
 // verdict returns a *fault.PromiseBroken unless everything held.
 func (r *Report) verdict(versions []weights.Synthetic) error {
 	if len(r.Violations) > 0 {
-		return &fault.PromiseBroken{Promise: string(r.Violations[0].Promise), Detail: r.Violations[0].Detail}
+		return &fault.GuaranteeViolated{Guarantee: string(r.Violations[0].Promise), Detail: r.Violations[0].Detail}
 	}
 	for _, version := range versions[:2] {
 		if r.Requests.Versions[version.Version] == 0 {
-			return &fault.PromiseBroken{Promise: "rollout", Detail: "version " + version.Version + " answered no request"}
+			return &fault.GuaranteeViolated{Guarantee: "rollout", Detail: "version " + version.Version + " answered no request"}
 		}
 	}
 	return nil
--- a/internal/demo/system.go
+++ b/internal/demo/system.go
@@ -128,7 +128,7 @@
 		return err
 	}
 	if !d.group.WaitExit(stopped, systemVersionTime) {
-		return &fault.Timeout{Waiting: "the stopped entry ends", After: systemVersionTime}
+		return &fault.Timeout{Condition: "the stopped entry ends", After: systemVersionTime}
 	}
 	d.printf("an entry stopped as planned within %.1f s", time.Since(began).Seconds())
 	return nil
@@ -260,7 +260,7 @@
 		d.printf("  %s", one)
 	}
 	if len(d.broken) > 0 {
-		return &fault.PromiseBroken{Promise: "demo", Detail: d.broken[0]}
+		return &fault.GuaranteeViolated{Guarantee: "demo", Detail: d.broken[0]}
 	}
 	return nil
 }
--- a/internal/experiment/soak/soak.go
+++ b/internal/experiment/soak/soak.go
@@ -319,7 +319,7 @@
 		r.tell(one)
 	}
 	if len(found) > 0 {
-		return &fault.PromiseBroken{Promise: string(found[0].Promise), Detail: found[0].Detail}
+		return &fault.GuaranteeViolated{Guarantee: string(found[0].Promise), Detail: found[0].Detail}
 	}
 	return nil
 }
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -93,9 +93,9 @@
 	ReasonLinkLost         Reason = "link-lost"
 	ReasonBackendFailed    Reason = "backend-failed"
 	ReasonWrongVersion     Reason = "wrong-version"
-	// ReasonVersionBound is why a request is taken back that has not begun on an old
+	// ReasonVersionDeadline is why a request is taken back that has not begun on an old
 	// version of the weights before that version's time was over.
-	ReasonVersionBound Reason = "version-bound"
+	ReasonVersionDeadline Reason = "version-bound"
 	// ReasonServerUnwilling is why a request that was about to be sent was not: its server has said
 	// meanwhile that it wants nothing more, for now or because it is about to end.
 	ReasonServerUnwilling Reason = "server-unwilling"
@@ -171,14 +171,14 @@
 // Unwrap returns the underlying failure.
 func (e *Unavailable) Unwrap() error { return e.Cause }
 
-// HistoryGone reports a watch that asked for changes the store has forgotten; the
+// HistoryCompacted reports a watch that asked for changes the store has forgotten; the
 // records must be listed anew.
-type HistoryGone struct {
+type HistoryCompacted struct {
 	Prefix string
 	After  uint64
 }
 
-func (e *HistoryGone) Error() string {
+func (e *HistoryCompacted) Error() string {
 	return fmt.Sprintf("the store has forgotten the changes of %q after %d", e.Prefix, e.After)
 }
 
@@ -266,22 +266,22 @@
 	return fmt.Sprintf("frame: %s: %s", e.Field, e.Reason)
 }
 
-// PromiseBroken reports a violated guarantee found by a demo or an experiment.
-type PromiseBroken struct {
-	Promise string
-	Detail  string
+// GuaranteeViolated reports a violated guarantee found by a demo or an experiment.
+type GuaranteeViolated struct {
+	Guarantee string
+	Detail    string
 }
 
-func (e *PromiseBroken) Error() string {
-	return fmt.Sprintf("promise broken: %s: %s", e.Promise, e.Detail)
+func (e *GuaranteeViolated) Error() string {
+	return fmt.Sprintf("promise broken: %s: %s", e.Guarantee, e.Detail)
 }
 
 // Timeout reports a condition that was not reached in time.
 type Timeout struct {
-	Waiting string
-	After   time.Duration
+	Condition string
+	After     time.Duration
 }
 
 func (e *Timeout) Error() string {
-	return fmt.Sprintf("timed out after %s waiting for %s", e.After, e.Waiting)
+	return fmt.Sprintf("timed out after %s waiting for %s", e.After, e.Condition)
 }
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -119,7 +119,7 @@
 	}
 	if err := stillInTime(silence); err != nil {
 		carrier.close()
-		return nil, &failure{reason: reasonOf(err, fault.ReasonVersionBound), execution: fault.ExecutionNotRun, cause: err}
+		return nil, &failure{reason: reasonOf(err, fault.ReasonVersionDeadline), execution: fault.ExecutionNotRun, cause: err}
 	}
 	started := &exchange{target: chosen, connection: carrier, written: make(chan error, 1)}
 	started.release = carrier.begin(ctx, request.Deadline, silence)
@@ -173,7 +173,7 @@
 	case errors.Is(err, errStalled):
 		return fault.ReasonStalled
 	case errors.Is(err, errBound):
-		return fault.ReasonVersionBound
+		return fault.ReasonVersionDeadline
 	}
 	return other
 }
--- a/internal/forward/exchange_test.go
+++ b/internal/forward/exchange_test.go
@@ -256,7 +256,7 @@
 			assert.Equal(t, fault.ReasonDeadline, failed.reason)
 			continue
 		}
-		assert.Equal(t, fault.ReasonVersionBound, failed.reason)
+		assert.Equal(t, fault.ReasonVersionDeadline, failed.reason)
 		assert.Equal(t, fault.ExecutionUnknown, failed.execution)
 		assert.Less(t, time.Since(began), time.Second, "the bound")
 	}
@@ -294,7 +294,7 @@
 	f.targets.update(&catalog.View{Versions: map[string][]catalog.VersionAnnouncement{"m": {{Version: 2, Since: time.Now().Add(-7800 * time.Millisecond)}}}})
 	_, failed := f.open(context.Background(), w.request, fleet.SendHeader{Deadline: time.Second, Instance: "i-1"}, server, judge)
 	require.NotNil(t, failed)
-	assert.Equal(t, fault.ReasonVersionBound, failed.reason)
+	assert.Equal(t, fault.ReasonVersionDeadline, failed.reason)
 	assert.Equal(t, fault.ExecutionNotRun, failed.execution)
 	time.Sleep(50 * time.Millisecond)
 	assert.Zero(t, received.Load(), "requests that reached the server")
--- a/internal/launch/launch.go
+++ b/internal/launch/launch.go
@@ -158,7 +158,7 @@
 			return nil
 		}
 	}
-	return &fault.Timeout{Waiting: what, After: limit}
+	return &fault.Timeout{Condition: what, After: limit}
 }
 
 // PublishMembers adds or replaces lines of the membership list.
