--- a/internal/forward/health.go
+++ b/internal/forward/health.go
@@ -82,7 +82,7 @@
 // noteTrial logs and counts a request that is the trial of its server; the mutex is held.
 func (t *targets) noteTrial(w *work, k *dispatch.Candidate, now time.Time) {
 	t.health.trials.Inc()
-	t.log.Log(logging.ServerProbed, zap.String("server", k.ID), zap.String("request", w.request.Call.RequestID))
+	t.log.Log(logging.ServerTrial, zap.String("server", k.ID), zap.String("request", w.request.Call.RequestID))
 	t.reportHealth(now)
 }
 
--- a/internal/logging/events.go
+++ b/internal/logging/events.go
@@ -119,7 +119,7 @@
 	ServerSuperseded       = declare("PV4206", zap.InfoLevel, "server superseded", "Another server has answered at a server's address; the old one has ended.")
 	ServerRecordExpired    = declare("PV4207", zap.InfoLevel, "server lapsed", "The list lost a server around an outage of the store; it is kept until servers have written their lines anew.")
 	ConnectionsSilent      = declare("PV4208", zap.WarnLevel, "connections silent", "Connections to servers have gone silent while new ones work; they are given up, and those as old that rest.")
-	ServerProbed           = declare("PV4209", zap.InfoLevel, "server tried", "A request is sent to a server that was ejected, or that its agent does not reach, to find out whether it serves; the zone sends it one at a time.")
+	ServerTrial            = declare("PV4209", zap.InfoLevel, "server tried", "A request is sent to a server that was ejected, or that its agent does not reach, to find out whether it serves; the zone sends it one at a time.")
 	ServerCrashed          = declare("PV4210", zap.WarnLevel, "server ended under requests", "Connections to a server broke and its machine refuses new ones; the contents that this entry had under way there are suspects of having ended it.")
 	FingerprintQuarantined = declare("PV4211", zap.WarnLevel, "content quarantined", "A content has ended the servers that ran it and is sent to none until the time given; the fields name the last servers, and the entry that found it out.")
 	FingerprintReleased    = declare("PV4212", zap.InfoLevel, "content cleared", "A quarantine has ended before its time: a server has answered the content, or an operator has released it.")
