--- a/internal/forward/configuration_benchmark_test.go
+++ b/internal/forward/configuration_benchmark_test.go
@@ -83,7 +83,7 @@
 func (c *changer) forward(b *testing.B, number, routes int) time.Duration {
 	began := time.Now()
 	configuration := c.f.targets.currentView().Configuration
-	route, found := configuration.RouteOf(platformtest.HostOf(number%routes), platformtest.PathOf(number%routes))
+	route, found := configuration.RouteOf(platformtest.RouteHost(number%routes), platformtest.RoutePath(number%routes))
 	if !found {
 		b.Error("no route")
 		return 0
