--- a/internal/logging/bounded.go
+++ b/internal/logging/bounded.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// Bounds of the log's buffer.
+// Limits of the log buffer.
 const (
-	// maximumBuffered is how many bytes may wait to be written.
-	maximumBuffered = 256 << 10
-	// flushPeriod is how long a line waits at most for others to be written with.
-	flushPeriod = 100 * time.Millisecond
+	// maxBufferedBytes bounds the bytes that wait to be written.
+	maxBufferedBytes = 256 << 10
+	// flushInterval is the longest time that a line is held back to be written together with others.
+	flushInterval = 100 * time.Millisecond
 )
 
-// boundedWriter takes lines without blocking and writes them in the background.
+// boundedWriter accepts lines without blocking and writes them in the background.
 type boundedWriter struct {
 	output io.Writer
-	// onDropped is told of dropped lines once there is room again.
+	// onDropped is called with the number of dropped lines once there is room again.
 	onDropped func(lines int64)
 
 	mutex   sync.Mutex
@@ -38,7 +38,7 @@
 // Write implements io.Writer; it never blocks on the output.
 func (w *boundedWriter) Write(line []byte) (int, error) {
 	w.mutex.Lock()
-	if len(w.pending)+len(line) > maximumBuffered {
+	if len(w.pending)+len(line) > maxBufferedBytes {
 		w.mutex.Unlock()
 		w.dropped.Add(1)
 		return len(line), nil
@@ -60,7 +60,7 @@
 
 func (w *boundedWriter) run() {
 	for range w.wake {
-		time.Sleep(flushPeriod)
+		time.Sleep(flushInterval)
 		w.flush()
 		if dropped := w.dropped.Swap(0); dropped > 0 && w.onDropped != nil {
 			w.onDropped(dropped)
@@ -68,7 +68,7 @@
 	}
 }
 
-// flush writes what is pending.
+// flush writes the pending lines.
 func (w *boundedWriter) flush() {
 	w.writing.Lock()
 	defer w.writing.Unlock()
@@ -77,7 +77,7 @@
 	w.pending = w.spare[:0]
 	w.mutex.Unlock()
 	if len(lines) > 0 {
-		// A log that can't be written has nowhere to say so.
+		// A failed write of the log can't be reported anywhere.
 		_, _ = w.output.Write(lines)
 	}
 	w.spare = lines
--- a/internal/logging/events.go
+++ b/internal/logging/events.go
@@ -1,5 +1,5 @@
 // Package logging writes structured, numbered events. Each event has a stable
-// number catalogued in docs/EVENTS.md; a test keeps the two in step.
+// number and is documented in docs/EVENTS.md; a test keeps the two consistent.
 package logging
 
 import (
@@ -12,22 +12,22 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Event is one catalogued log event.
+// Event is a log event of the catalogue.
 type Event struct {
 	// Number is the stable identifier, for example "PV1001".
 	Number string
 	// Level is the severity the event is written with.
 	Level zapcore.Level
-	// Message is the constant text.
+	// Message is the constant text of the event.
 	Message string
-	// Meaning explains the event to operators and is copied to the catalogue.
+	// Meaning explains the event to operators and is copied to docs/EVENTS.md.
 	Meaning string
 }
 
 // Catalogue lists every event in order of number.
 var Catalogue []Event
 
-func declare(number string, level zapcore.Level, message, meaning string) Event {
+func define(number string, level zapcore.Level, message, meaning string) Event {
 	event := Event{Number: number, Level: level, Message: message, Meaning: meaning}
 	Catalogue = append(Catalogue, event)
 	return event
@@ -35,100 +35,100 @@
 
 // The events of pinevane: 1xxx processes, 2xxx configuration and membership,
 // 3xxx weights and activation, 4xxx requests
-// (41xx decisions on a request, 42xx beliefs about servers), 5xxx stand-ins.
+// (41xx decisions on a request, 42xx state of servers), 5xxx emulators.
 var (
-	ProcessStarted         = declare("PV1001", zap.InfoLevel, "process started", "The process has read its settings and listens.")
-	ProcessStopping        = declare("PV1002", zap.InfoLevel, "process stopping", "A stop signal arrived; readiness is off, open work continues.")
-	ProcessDraining        = declare("PV1003", zap.InfoLevel, "work still open", "Written every few seconds while a stopping process finishes its open work.")
-	ProcessStopped         = declare("PV1004", zap.InfoLevel, "process stopped", "All open work is finished; the process ends.")
-	ProcessPaused          = declare("PV1005", zap.WarnLevel, "process was paused", "The clock jumped; leases are void and views are read again before acting.")
-	SettingsReloaded       = declare("PV1006", zap.InfoLevel, "settings reloaded", "The settings were read again and are in force; the fields tell which zones have come, gone or changed their region, and whether bounds have changed.")
-	SettingsRejected       = declare("PV1007", zap.ErrorLevel, "settings refused", "The settings were read again and have a fault; those before stay in force.")
-	ListenFailed           = declare("PV1008", zap.WarnLevel, "address not available", "An administration address can't be listened on; the process goes on without it.")
-	HTTPServerError        = declare("PV1009", zap.DebugLevel, "connection trouble", "The HTTP library met a broken connection.")
-	LinesDropped           = declare("PV1010", zap.WarnLevel, "log lines dropped", "The log's buffer was full; the field tells how many lines were dropped.")
-	RestartRequired        = declare("PV1011", zap.WarnLevel, "restart needed", "The settings were read again and differ in fields that a running process can't take over; it goes on with those it was started with.")
-	PeerConnected          = declare("PV1101", zap.DebugLevel, "peer connected", "A link to another process is up.")
-	PeerLost               = declare("PV1102", zap.InfoLevel, "peer lost", "A link to another process closed; the reason is in the field error.")
-	FrameRejected          = declare("PV1103", zap.WarnLevel, "frame rejected", "A message from another process could not be decoded and was dropped.")
-	ConnectionSilent       = declare("PV1104", zap.WarnLevel, "connection silent", "An open connection brought nothing while a fresh one worked; all as old as it are given up.")
-	LinkKept               = declare("PV1105", zap.DebugLevel, "link kept", "A link that was silent for a short time was not made anew; the reason is in the field error.")
-	SnapshotAccepted       = declare("PV2001", zap.InfoLevel, "configuration accepted", "A newer revision was checked whole and is in force.")
-	SnapshotRejected       = declare("PV2002", zap.ErrorLevel, "configuration rejected", "A revision has faults; the last good one stays in force.")
-	SnapshotStale          = declare("PV2003", zap.WarnLevel, "stale configuration ignored", "A source offered an older revision than the one in force.")
-	ServiceUnreachable     = declare("PV2004", zap.WarnLevel, "platform service unreachable", "The configuration or membership service did not answer; the last known state is used.")
-	ServiceRecovered       = declare("PV2005", zap.InfoLevel, "platform service reached again", "A service that did not answer answers again.")
-	HistoryCompacted       = declare("PV2006", zap.WarnLevel, "history forgotten", "The store no longer knows the changes that a watch asked for; its records are listed anew.")
-	FiguresMissing         = declare("PV2007", zap.WarnLevel, "figures missing", "The configuration lacks figures of a service's model servers; what their answers show is used instead.")
-	RegionsInvalid         = declare("PV2008", zap.WarnLevel, "allowed regions doubtful", "The configuration allows requests in a region that no zone has, or names one twice; the field fault tells which. Such a name allows no server, and all else of the configuration is in force.")
-	ZoneEvacuated          = declare("PV2009", zap.InfoLevel, "zone evacuated", "The operator asks that the servers of a zone are sent nothing new; the fields tell how many servers it has and how many requests of this entry are open there.")
-	EvacuationEnded        = declare("PV2010", zap.InfoLevel, "evacuation taken back", "The servers of a zone are sent requests again, as cold ones for a while.")
-	EvacuationInvalid      = declare("PV2011", zap.WarnLevel, "evacuation faulty", "The record of an evacuation can't be read, or names a zone that the fleet does not have; one that names a zone is in force all the same.")
-	ServicesAnnounced      = declare("PV2012", zap.InfoLevel, "services told", "An entry told this agent the services of a newer configuration.")
-	ZoneIdle               = declare("PV2013", zap.InfoLevel, "evacuated zone idle", "The last request of this entry that was open in an evacuated zone has ended.")
-	RecordInvalid          = declare("PV2014", zap.WarnLevel, "record faulty", "The record of a server can't be used and names none until it is sound; it is logged once for each reason while that lasts.")
-	MembershipChanged      = declare("PV2101", zap.DebugLevel, "membership changed", "A new membership list arrived.")
-	RelayElected           = declare("PV2102", zap.InfoLevel, "relay role changed", "This process began or ceased to read the platform for its zone.")
-	VersionAnnounced       = declare("PV3000", zap.InfoLevel, "weights named", "The operator has named a newer version of a model's weights.")
-	RolloutDetected        = declare("PV3001", zap.InfoLevel, "model version noticed", "The configuration names a manifest that this machine does not serve yet.")
-	ManifestFetched        = declare("PV3002", zap.InfoLevel, "manifest verified", "The manifest of the version is here and matches the digest in the configuration.")
-	ChunkCorrupt           = declare("PV3003", zap.WarnLevel, "corrupt chunk discarded", "Received bytes do not match their digest; the source is distrusted for a while.")
-	ChunkStalled           = declare("PV3004", zap.WarnLevel, "transfer stalled", "A transfer made too little progress and was abandoned for another source.")
-	WeightsStaged          = declare("PV3005", zap.InfoLevel, "weights staged", "Every chunk of the version is verified in the local weight store.")
-	OrderSent              = declare("PV3006", zap.InfoLevel, "order sent to engine", "A fenced order was given to the engine.")
-	OrderRefused           = declare("PV3007", zap.ErrorLevel, "order refused by engine", "The engine refused an order; the old version stays live.")
-	VersionLive            = declare("PV3008", zap.InfoLevel, "version live", "The engine answered a probe with the new version; requests are admitted to it.")
-	RolloutReplaced        = declare("PV3009", zap.WarnLevel, "rollout replaced", "The configuration names another version; the transfer is abandoned and shared chunks are kept.")
-	EngineRestarted        = declare("PV3010", zap.WarnLevel, "engine restarted", "The engine reports a new incarnation; its models are loaded again.")
-	TransferStarted        = declare("PV3101", zap.InfoLevel, "transfer begun", "The manifest is known and what lies at the server has been verified; the rest is being fetched.")
-	OriginFailed           = declare("PV3102", zap.WarnLevel, "origin failed", "The origin of weights gave no manifest; it is asked again.")
-	ManifestMismatch       = declare("PV3103", zap.WarnLevel, "manifest doubted", "The origin's pieces do not match the manifest; it is fetched anew.")
-	PiecesCorrupt          = declare("PV3104", zap.WarnLevel, "staged pieces spoilt", "Pieces at the server do not match their digests any more; they are fetched again before the order.")
-	OrderAccepted          = declare("PV3105", zap.InfoLevel, "order taken", "The server has taken the order.")
-	OrderUnanswered        = declare("PV3106", zap.WarnLevel, "order unanswered", "The order's answer was lost; the server's state is read again.")
-	OrderResolved          = declare("PV3107", zap.InfoLevel, "order's fate known", "The server's count of orders tells whether the unanswered order was taken.")
-	EngineUnreachable      = declare("PV3108", zap.WarnLevel, "model server lost", "The machine's own server does not answer.")
-	EngineReachable        = declare("PV3109", zap.InfoLevel, "model server reached", "The machine's own server answers.")
-	FallbackStarted        = declare("PV3110", zap.InfoLevel, "older version fetched first", "The server serves nothing and the newest version is long in coming; an older one that may still begin requests is fetched from peers.")
-	StagingFailed          = declare("PV3111", zap.WarnLevel, "staging failed", "The machine's own server did not take a piece that was kept in memory; it is tried again.")
-	VersionAnnouncedLate   = declare("PV3112", zap.WarnLevel, "weights named earlier", "A naming of weights was heard of late, so that its age is known only as a bound: the time since the copy was last complete, or an assumption of a process that has just started.")
-	VersionExpired         = declare("PV3113", zap.WarnLevel, "old version ended", "The time of the version served is over and the newest one is not here whole: whole layers of it, of a version between, or of the one before are ordered, so that the server begins nothing more on the old one.")
-	ExpiredVersionServed   = declare("PV3114", zap.WarnLevel, "old version not ended", "The time of the version served is over and no layer of another one is here whole: only the entries keep requests from the server.")
-	OlderTransferKept      = declare("PV3115", zap.InfoLevel, "older version kept", "A newer version is named while an older one is on its way; its transfer goes on as long as the newest does not come in time.")
-	ServerRestarted        = declare("PV3116", zap.InfoLevel, "model server restarted", "The machine's own server has started again; what was known of its former incarnation is dropped, and what lies at it is read anew.")
-	RequestRefused         = declare("PV4001", zap.DebugLevel, "request refused", "A request was refused; the reason code and execution are in the fields.")
-	RequestRetried         = declare("PV4002", zap.DebugLevel, "request retried", "An attempt provably did not run and was sent to another replica.")
-	StreamResumed          = declare("PV4003", zap.InfoLevel, "stream resumed", "A stream continues on another replica of the same version after its last delivered token.")
-	OutcomeUnknown         = declare("PV4004", zap.WarnLevel, "outcome unknown", "A non-repeatable attempt may have run; it is not tried again.")
-	WrongVersion           = declare("PV4005", zap.ErrorLevel, "engine answered with another version", "An answer carried another version than the attempt was pinned to; it was withheld.")
-	RequestSent            = declare("PV4101", zap.InfoLevel, "request sent", "A request was sent to a server; the fields tell the choice's inputs with their ages.")
-	RequestAnswered        = declare("PV4102", zap.InfoLevel, "request answered", "A request ended with a server's answer.")
-	RequestDenied          = declare("PV4103", zap.InfoLevel, "request denied", "A request has no route or no known key in the configuration in force.")
-	RequestFailed          = declare("PV4104", zap.InfoLevel, "request given up", "A request was answered by the entry itself; reason and execution are in the fields.")
-	AttemptFailed          = declare("PV4105", zap.InfoLevel, "attempt failed", "A server gave no usable answer to an attempt; the fields tell whether it may have run.")
-	RetryDenied            = declare("PV4106", zap.InfoLevel, "retry withheld", "A request was not sent again: attempts, budget or time are used up, or it may have run.")
-	StreamCut              = declare("PV4107", zap.WarnLevel, "stream cut", "A stream ended before its last event and could not be resumed.")
-	CallerLeft             = declare("PV4108", zap.InfoLevel, "caller left", "The caller closed its connection; the work at the server is stopped.")
-	NoServerChosen         = declare("PV4109", zap.InfoLevel, "no server chosen", "No server was sent a request; the fields count the servers by why not, and tell how long the soonest would have had it wait.")
-	RequestQuarantined     = declare("PV4110", zap.InfoLevel, "content withheld", "A request was sent to no server because servers have ended under its content; the fields tell its state, which servers, and for how long.")
-	ServerLeaving          = declare("PV4201", zap.InfoLevel, "server leaving", "The list of servers says that a server drains; it is sent nothing more.")
-	ServerRemoved          = declare("PV4202", zap.InfoLevel, "server gone", "A server has left the list; it is sent nothing more.")
-	ServerStatus           = declare("PV4203", zap.InfoLevel, "server status changed", "An agent reports another version or reachability of its server; written by the entries that the agent speaks with.")
-	ServerEjected          = declare("PV4204", zap.WarnLevel, "server ejected", "A server has failed more than the others of its service and is sent nothing for a while; the fields tell what decided it here, or which entry of the zone told it.")
-	ServerReadmitted       = declare("PV4205", zap.InfoLevel, "server returned", "A server that was ejected has served its trials and is in use again; the field entry names the one that told it.")
-	ServerSuperseded       = declare("PV4206", zap.InfoLevel, "server superseded", "Another server has answered at a server's address; the old one has ended.")
-	ServerRecordExpired    = declare("PV4207", zap.InfoLevel, "server lapsed", "The list lost a server around an outage of the store; it is kept until servers have written their lines anew.")
-	ConnectionsSilent      = declare("PV4208", zap.WarnLevel, "connections silent", "Connections to servers have gone silent while new ones work; they are given up, and those as old that rest.")
-	ServerTrial            = declare("PV4209", zap.InfoLevel, "server tried", "A request is sent to a server that was ejected, or that its agent does not reach, to find out whether it serves; the zone sends it one at a time.")
-	ServerCrashed          = declare("PV4210", zap.WarnLevel, "server ended under requests", "Connections to a server broke and its machine refuses new ones; the contents that this entry had under way there are suspects of having ended it.")
-	FingerprintQuarantined = declare("PV4211", zap.WarnLevel, "content quarantined", "A content has ended the servers that ran it and is sent to none until the time given; the fields name the last servers, and the entry that found it out.")
-	FingerprintReleased    = declare("PV4212", zap.InfoLevel, "content cleared", "A quarantine has ended before its time: a server has answered the content, or an operator has released it.")
-	ServerLimit            = declare("PV4213", zap.InfoLevel, "server limit", "A server names in its answers how many requests a second it takes from all entries together, names another rate, or none any more; share is what this entry may send it in four seconds.")
-	ResponseHeaderInvalid  = declare("PV4214", zap.WarnLevel, "answer unreadable", "A field in a server's answer says something that can't be meant; what was known of the server holds on. Logged once a server.")
-	ServerAnnouncedLeaving = declare("PV4215", zap.InfoLevel, "server says it leaves", "A server has said in an answer that it is about to end; it is sent nothing more.")
-	ServerBackoff          = declare("PV4216", zap.InfoLevel, "server asks for rest", "A server has turned a request away and asked this entry to send it nothing for the time given.")
-	EmulatorStarted        = declare("PV5001", zap.InfoLevel, "stand-in started", "An emulated platform service or machine listens.")
-	FaultInjected          = declare("PV5002", zap.InfoLevel, "fault injected", "An experiment changed the fault state of a stand-in.")
+	ProcessStarted         = define("PV1001", zap.InfoLevel, "process started", "The process has read its settings and is listening.")
+	ProcessStopping        = define("PV1002", zap.InfoLevel, "process stopping", "A stop signal was received; readiness is off and open requests continue.")
+	ProcessDraining        = define("PV1003", zap.InfoLevel, "requests still open", "Logged while a stopping process waits for its open requests, every few seconds or when its grace period ends before them.")
+	ProcessStopped         = define("PV1004", zap.InfoLevel, "process stopped", "Open requests have finished, or the grace period is over; the process exits.")
+	ProcessPaused          = define("PV1005", zap.WarnLevel, "process was paused", "The clock jumped; leases are invalid, and state is read again before the process acts on it.")
+	SettingsReloaded       = define("PV1006", zap.InfoLevel, "settings reloaded", "The settings were reloaded and are in effect; the fields list the zones that were added, removed or moved to another region, and whether the bounds have changed.")
+	SettingsRejected       = define("PV1007", zap.ErrorLevel, "settings rejected", "The reloaded settings are invalid; the previous ones stay in effect.")
+	ListenFailed           = define("PV1008", zap.WarnLevel, "address not available", "The process can't listen on an administration address; it continues without it.")
+	HTTPServerError        = define("PV1009", zap.DebugLevel, "HTTP server error", "The HTTP library reported a connection error.")
+	LinesDropped           = define("PV1010", zap.WarnLevel, "log lines dropped", "The log buffer was full; the field holds the number of dropped lines.")
+	RestartRequired        = define("PV1011", zap.WarnLevel, "restart required", "The reloaded settings differ in fields that a running process can't apply; it keeps the values that it was started with.")
+	PeerConnected          = define("PV1101", zap.DebugLevel, "peer connected", "A connection to another process was established.")
+	PeerLost               = define("PV1102", zap.InfoLevel, "peer disconnected", "A connection to another process was closed; the reason is in the field error.")
+	FrameRejected          = define("PV1103", zap.WarnLevel, "frame rejected", "A message from another process could not be decoded and was dropped.")
+	ConnectionSilent       = define("PV1104", zap.WarnLevel, "connection silent", "An open connection received nothing while a new one worked; all connections at least as old are closed.")
+	LinkKept               = define("PV1105", zap.DebugLevel, "connection kept", "A connection that was silent for a short time was not replaced; the reason is in the field error.")
+	SnapshotAccepted       = define("PV2001", zap.InfoLevel, "configuration accepted", "A newer revision was validated completely and is in effect.")
+	SnapshotRejected       = define("PV2002", zap.ErrorLevel, "configuration rejected", "A revision is invalid; the last valid one stays in effect.")
+	SnapshotStale          = define("PV2003", zap.WarnLevel, "stale configuration ignored", "A source offered a revision older than the one in effect.")
+	ServiceUnreachable     = define("PV2004", zap.WarnLevel, "platform service unreachable", "The configuration or membership service did not respond; the last known state is used.")
+	ServiceRecovered       = define("PV2005", zap.InfoLevel, "platform service recovered", "A service that had not responded responds again.")
+	HistoryCompacted       = define("PV2006", zap.WarnLevel, "history compacted", "The store no longer has the changes that a watch requested; its records are listed again.")
+	FiguresMissing         = define("PV2007", zap.WarnLevel, "engine figures missing", "The configuration lacks performance figures of a service's model servers; estimates from their responses are used instead.")
+	RegionsInvalid         = define("PV2008", zap.WarnLevel, "allowed regions invalid", "The configuration allows requests in a region that no zone has, or lists one twice; the field fault says which. Such a name allows no server; the rest of the configuration is in effect.")
+	ZoneEvacuated          = define("PV2009", zap.InfoLevel, "zone evacuated", "The operator has evacuated a zone, so its servers are sent no new requests; the fields hold its number of servers and the number of this entry's open requests there.")
+	EvacuationEnded        = define("PV2010", zap.InfoLevel, "evacuation ended", "The servers of a zone are sent requests again, as cold servers for a while.")
+	EvacuationInvalid      = define("PV2011", zap.WarnLevel, "evacuation invalid", "The record of an evacuation can't be decoded, or names a zone that the fleet does not have; one that names a zone is in effect nevertheless.")
+	ServicesAnnounced      = define("PV2012", zap.InfoLevel, "services announced", "An entry sent this agent the services of a newer configuration.")
+	ZoneIdle               = define("PV2013", zap.InfoLevel, "evacuated zone idle", "The last open request of this entry in an evacuated zone has ended.")
+	RecordInvalid          = define("PV2014", zap.WarnLevel, "record invalid", "The record of a server is invalid and is ignored until it is valid again; logged once for each reason while that lasts.")
+	MembershipChanged      = define("PV2101", zap.DebugLevel, "membership changed", "A new membership list was received.")
+	RelayElected           = define("PV2102", zap.InfoLevel, "relay role changed", "This process started or stopped reading the platform's store for its zone.")
+	VersionAnnounced       = define("PV3000", zap.InfoLevel, "weights announced", "The operator has announced a newer version of a model's weights.")
+	RolloutDetected        = define("PV3001", zap.InfoLevel, "model version detected", "The configuration names a manifest that this machine does not serve yet.")
+	ManifestFetched        = define("PV3002", zap.InfoLevel, "manifest verified", "The manifest of the version was received and matches the digest in the configuration.")
+	ChunkCorrupt           = define("PV3003", zap.WarnLevel, "corrupt chunk discarded", "Received bytes do not match their digest; the source is avoided for a while.")
+	ChunkStalled           = define("PV3004", zap.WarnLevel, "transfer stalled", "A transfer made too little progress and was abandoned for another source.")
+	WeightsStaged          = define("PV3005", zap.InfoLevel, "weights staged", "Every chunk of the version is verified in the local weight store.")
+	OrderSent              = define("PV3006", zap.InfoLevel, "order sent to engine", "A fenced order was sent to the engine.")
+	OrderRefused           = define("PV3007", zap.ErrorLevel, "order rejected by engine", "The engine rejected an order; the old version stays in service.")
+	VersionLive            = define("PV3008", zap.InfoLevel, "version live", "The engine answered a probe with the new version; requests are admitted to it.")
+	RolloutReplaced        = define("PV3009", zap.WarnLevel, "rollout replaced", "The configuration names another version; the transfer is abandoned and shared chunks are kept.")
+	EngineRestarted        = define("PV3010", zap.WarnLevel, "engine restarted", "The engine reports a new incarnation; its models are loaded again.")
+	TransferStarted        = define("PV3101", zap.InfoLevel, "transfer started", "The manifest is known and the pieces staged at the server are verified; the remaining ones are being fetched.")
+	OriginFailed           = define("PV3102", zap.WarnLevel, "origin failed", "The origin of weights returned no manifest; the request is retried.")
+	ManifestMismatch       = define("PV3103", zap.WarnLevel, "manifest mismatch", "The origin's pieces do not match the manifest, which is fetched again.")
+	PiecesCorrupt          = define("PV3104", zap.WarnLevel, "staged pieces corrupt", "Pieces at the server no longer match their digests; they are fetched again before the order.")
+	OrderAccepted          = define("PV3105", zap.InfoLevel, "order accepted", "The server has accepted the order.")
+	OrderUnanswered        = define("PV3106", zap.WarnLevel, "order unanswered", "The response to the order was lost; the server's status is read again.")
+	OrderResolved          = define("PV3107", zap.InfoLevel, "order resolved", "The server's order count shows whether the unanswered order was accepted.")
+	EngineUnreachable      = define("PV3108", zap.WarnLevel, "model server unreachable", "The machine's own server does not respond.")
+	EngineReachable        = define("PV3109", zap.InfoLevel, "model server reachable", "The machine's own server responds.")
+	FallbackStarted        = define("PV3110", zap.InfoLevel, "older version fetched first", "The server serves nothing and the newest version takes long; an older one that may still start requests is fetched from peers.")
+	StagingFailed          = define("PV3111", zap.WarnLevel, "staging failed", "The machine's own server did not accept a piece that is kept in memory; it is retried.")
+	VersionAnnouncedLate   = define("PV3112", zap.WarnLevel, "weights announced earlier", "An announcement of weights was received late, so that only a bound of its age is known: the time since the copy was last complete, or an assumption of a process that has just started.")
+	VersionExpired         = define("PV3113", zap.WarnLevel, "old version expired", "The deadline of the served version has passed and the newest one is not complete here: complete layers of it, of a version in between, or of the previous one are ordered, so that the server starts no more requests on the old one.")
+	ExpiredVersionServed   = define("PV3114", zap.WarnLevel, "expired version not replaced", "The deadline of the served version has passed and no layer of another version is complete here: only the entries keep requests from the server.")
+	OlderTransferKept      = define("PV3115", zap.InfoLevel, "older transfer kept", "A newer version was announced during the transfer of an older one, which continues as long as the newest would not arrive in time.")
+	ServerRestarted        = define("PV3116", zap.InfoLevel, "model server restarted", "The machine's own server has restarted; the state of its previous incarnation is dropped, and what is staged at it is read again.")
+	RequestRefused         = define("PV4001", zap.DebugLevel, "request refused", "A request was refused; the reason code and execution are in the fields.")
+	RequestRetried         = define("PV4002", zap.DebugLevel, "request retried", "An attempt that certainly did not run was sent to another replica.")
+	StreamResumed          = define("PV4003", zap.InfoLevel, "stream resumed", "A stream continues on another replica of the same version after its last delivered token.")
+	OutcomeUnknown         = define("PV4004", zap.WarnLevel, "outcome unknown", "A non-repeatable attempt may have run; it is not retried.")
+	WrongVersion           = define("PV4005", zap.ErrorLevel, "engine answered with another version", "A response carried another version than the attempt was pinned to; it was withheld.")
+	RequestSent            = define("PV4101", zap.InfoLevel, "request sent", "A request was sent to a server; the fields hold the inputs of the choice and their ages.")
+	RequestAnswered        = define("PV4102", zap.InfoLevel, "request answered", "A request ended with a server's response.")
+	RequestDenied          = define("PV4103", zap.InfoLevel, "request denied", "A request has no route or no known key in the configuration in effect.")
+	RequestFailed          = define("PV4104", zap.InfoLevel, "request failed", "A request was answered by the entry itself; reason and execution are in the fields.")
+	AttemptFailed          = define("PV4105", zap.InfoLevel, "attempt failed", "A server gave no usable response to an attempt; the fields say whether it may have run.")
+	RetryDenied            = define("PV4106", zap.InfoLevel, "retry denied", "A request was not retried: its attempts, budget or time are used up, or it may have run.")
+	StreamCut              = define("PV4107", zap.WarnLevel, "stream cut", "A stream ended before its last event and could not be resumed.")
+	CallerLeft             = define("PV4108", zap.InfoLevel, "caller disconnected", "The caller closed its connection; the work at the server is canceled.")
+	NoServerChosen         = define("PV4109", zap.InfoLevel, "no server chosen", "A request was sent to no server; the fields count the servers by the reason of their exclusion, and hold the shortest estimated wait.")
+	RequestQuarantined     = define("PV4110", zap.InfoLevel, "request quarantined", "A request was sent to no server because servers have crashed under its fingerprint; the fields hold its state, which servers, and for how long.")
+	ServerLeaving          = define("PV4201", zap.InfoLevel, "server leaving", "The server list shows that a server is draining; it is sent no more requests.")
+	ServerRemoved          = define("PV4202", zap.InfoLevel, "server removed", "A server was removed from the list; it is sent no more requests.")
+	ServerStatus           = define("PV4203", zap.InfoLevel, "server status changed", "An agent reports another version or reachability of its server; logged by the entries that the agent reports to.")
+	ServerEjected          = define("PV4204", zap.WarnLevel, "server ejected", "A server has failed more than the others of its service and is sent no requests for a while; the fields hold the evidence of this entry, or the entry of the zone that reported it.")
+	ServerReadmitted       = define("PV4205", zap.InfoLevel, "server readmitted", "An ejected server has passed its trials and is in use again; the field entry names the entry that reported it.")
+	ServerSuperseded       = define("PV4206", zap.InfoLevel, "server superseded", "Another server has responded at a server's address; the old one has stopped.")
+	ServerRecordExpired    = define("PV4207", zap.InfoLevel, "server record expired", "The list lost a server around an outage of the store; it is kept until servers have written their records again.")
+	ConnectionsSilent      = define("PV4208", zap.WarnLevel, "connections silent", "Connections to servers have become silent while new ones work; they are closed, as are idle ones of at least their age.")
+	ServerTrial            = define("PV4209", zap.InfoLevel, "server trial", "A request is sent to a server that is ejected, or that its agent can't reach, as a trial; the zone sends one trial at a time.")
+	ServerCrashed          = define("PV4210", zap.WarnLevel, "server crashed under requests", "Connections to a server broke and its machine refuses new ones; the fingerprints of this entry's open requests there are suspected of the crash.")
+	FingerprintQuarantined = define("PV4211", zap.WarnLevel, "fingerprint quarantined", "A fingerprint has crashed the servers that ran it and is sent to none until the given time; the fields hold the last servers and the entry that detected it.")
+	FingerprintReleased    = define("PV4212", zap.InfoLevel, "fingerprint released", "A quarantine has ended before its time: a server has answered a request with the fingerprint, or an operator has released it.")
+	ServerLimit            = define("PV4213", zap.InfoLevel, "server limit changed", "A server sets in its responses how many requests a second it takes from all entries together, or changes or removes this limit; share is what this entry may send it in four seconds.")
+	ResponseHeaderInvalid  = define("PV4214", zap.WarnLevel, "response header invalid", "A header in a server's response has an invalid value; the previous value is kept. Logged once for each server.")
+	ServerAnnouncedLeaving = define("PV4215", zap.InfoLevel, "server announced leaving", "A server has announced in a response that it is about to stop; it is sent no more requests.")
+	ServerBackoff          = define("PV4216", zap.InfoLevel, "server requested backoff", "A server has refused a request and asked this entry to send it no requests for the given time.")
+	EmulatorStarted        = define("PV5001", zap.InfoLevel, "emulator started", "An emulated platform service or machine is listening.")
+	FaultInjected          = define("PV5002", zap.InfoLevel, "fault injected", "An experiment changed the fault state of an emulator.")
 )
 
 // Logger writes catalogued events.
@@ -144,8 +144,8 @@
 }
 
 // NewBounded returns a logger that writes JSON lines through a bounded buffer: a
-// slow reader never holds up the process, and lines that find the buffer full are
-// dropped and counted.
+// slow reader never blocks the process, and lines that don't fit into the buffer
+// are dropped and counted.
 func NewBounded(level zapcore.Level, process string, output io.Writer) *Logger {
 	bounded := newBoundedWriter(output)
 	logger := newLogger(level, process, bounded)
@@ -172,7 +172,7 @@
 	}
 }
 
-// Standard returns a logger of the standard library whose lines become events.
+// Standard returns a standard library logger that writes each line as an event.
 func (l *Logger) Standard(event Event) *log.Logger {
 	return log.New(lineLogger{logger: l, event: event}, "", 0)
 }
@@ -188,7 +188,7 @@
 	return len(line), nil
 }
 
-// Sync flushes buffered entries; its error is of no use at exit and is dropped.
+// Sync flushes buffered entries; errors are ignored, as nothing can handle them at exit.
 func (l *Logger) Sync() {
 	_ = l.zap.Sync()
 	if l.output != nil {
