--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -19,23 +19,23 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// Times that refused callers are told to wait.
+// Retry-After times of refusals.
 const (
 	unconfiguredRetry = 500 * time.Millisecond
 	stoppingRetry     = 50 * time.Millisecond
-	// memoryRetry is about how long an answer takes, after which what it held is free.
+	// memoryRetry is about the duration of a response, after which the memory it held is free.
 	memoryRetry = 500 * time.Millisecond
 )
 
-// take serves one request of a caller.
-func (g *Gateway) take(writer http.ResponseWriter, incoming *http.Request) {
+// serve handles one request of a caller.
+func (g *Gateway) serve(writer http.ResponseWriter, incoming *http.Request) {
 	g.open.Add(1)
 	defer g.open.Add(-1)
 	if _, stopping := g.stoppingFor(); stopping {
 		writer.Header().Set("Connection", "close")
 	}
-	caller := newCallerWriter(writer, writeTime)
-	defer caller.extend()
+	caller := newCallerWriter(writer, writeTimeout)
+	defer caller.extendDeadline()
 	request, refusal := g.read(writer, incoming)
 	defer request.Memory.Close()
 	if refusal == nil {
@@ -46,8 +46,8 @@
 	}
 }
 
-// read turns an incoming request into one to forward. The request is returned
-// with what is known of it also beside a refusal.
+// read turns an incoming request into one to forward. Beside a refusal it returns
+// the request with the fields set so far.
 func (g *Gateway) read(writer http.ResponseWriter, incoming *http.Request) (*forward.Request, *fault.Refusal) {
 	call, err := g.dialect.ReadCall(incoming.Header)
 	request := &forward.Request{
@@ -59,7 +59,7 @@
 	if !strings.HasPrefix(request.Target, "/") || strings.HasPrefix(request.Target, "//") {
 		return request, fault.NotRun(fault.ReasonUnknownService, "the request's target is no path")
 	}
-	if since, stopping := g.stoppingFor(); stopping && since > noticeTime {
+	if since, stopping := g.stoppingFor(); stopping && since > readinessDelay {
 		refusal := fault.NotRun(fault.ReasonLeaving, "the process is stopping")
 		refusal.RetryAfter = stoppingRetry
 		return request, refusal
@@ -78,23 +78,23 @@
 		limit = call.Deadline
 	}
 	request.Deadline = request.Arrived.Add(limit)
-	hasher := quarantine.NewHasher(callerOf(request), request.Host, request.Target)
-	request.Memory = g.memory.Open(callerOf(request))
+	hasher := quarantine.NewHasher(callerIdentity(request), request.Host, request.Target)
+	request.Memory = g.memory.Open(callerIdentity(request))
 	refusal := readBody(writer, incoming, configuration.Limits, request, hasher)
 	request.Content = hasher.Fingerprint()
 	return request, refusal
 }
 
-// callerOf names the caller for the identity of a content: its tenant, or its key where keys are
-// not looked at.
-func callerOf(request *forward.Request) string {
+// callerIdentity identifies the caller in a request's fingerprint: by its tenant, or by its key where
+// keys are not checked.
+func callerIdentity(request *forward.Request) string {
 	if request.Tenant != "" {
 		return request.Tenant
 	}
 	return request.Call.Key
 }
 
-// admit finds the request's route and the tenant of its key.
+// admit resolves the request's route and the tenant of its key.
 func admit(configuration *fleet.Configuration, request *forward.Request) *fault.Refusal {
 	path, _, _ := strings.Cut(request.Target, "?")
 	route, found := configuration.RouteOf(request.Host, path)
@@ -121,8 +121,8 @@
 	return nil
 }
 
-// readBody reads a request's body whole, and hashes it on its way. A caller that is slow to send has
-// until the request's deadline, after which it waits for no answer.
+// readBody reads a request's complete body and hashes it while reading. A slow caller has until the
+// request's deadline, after which it expects no response.
 func readBody(writer http.ResponseWriter, incoming *http.Request, limits fleet.Limits, request *forward.Request, hasher io.Writer) *fault.Refusal {
 	if incoming.ContentLength == 0 {
 		return nil
@@ -132,8 +132,8 @@
 		source = http.MaxBytesReader(writer, source, limits.BodyBytes)
 	}
 	control := http.NewResponseController(writer)
-	// Without a deadline a caller that stops in the midst of its body holds its connection for ever; one
-	// that is left set would end the watch for the caller's leaving.
+	// Without a deadline, a caller that stops in the middle of its body would hold its connection forever.
+	// A deadline left set would end the server's detection of the caller's disconnect.
 	_ = control.SetReadDeadline(request.Deadline)
 	body, err := bytequota.ReadAll(io.TeeReader(source, hasher), incoming.ContentLength, request.Memory)
 	var tooLarge *http.MaxBytesError
@@ -149,14 +149,14 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return refuseUnread(writer, fault.ReasonDeadline, "the body did not come within the time of the request", 0)
 	default:
-		// The caller has broken off; there is nobody to answer.
+		// The caller has disconnected, so no response can be sent.
 		request.Memory.Close()
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// refuseUnread refuses a request whose body was not read whole. What follows on its connection is no
-// request, so that the connection ends with the answer.
+// refuseUnread refuses a request whose body was not read completely. The remaining bytes on the
+// connection are not a request, so the connection is closed after the response.
 func refuseUnread(writer http.ResponseWriter, reason fault.Reason, detail string, retryAfter time.Duration) *fault.Refusal {
 	writer.Header().Set("Connection", "close")
 	refusal := fault.NotRun(reason, detail)
@@ -164,7 +164,7 @@
 	return refusal
 }
 
-// statuses of refusals that are certain not to have run; others are 503.
+// statuses holds the HTTP statuses of refusals whose request certainly did not run; others get 503.
 var statuses = map[fault.Reason]int{
 	fault.ReasonBadRequest:     http.StatusBadRequest,
 	fault.ReasonUnauthorized:   http.StatusUnauthorized,
@@ -185,14 +185,14 @@
 	return http.StatusBadGateway
 }
 
-// refusalBody tells a caller why there is no answer.
+// refusalBody is the JSON body of a refusal.
 type refusalBody struct {
 	Reason    fault.Reason    `json:"reason"`
 	Execution fault.Execution `json:"execution"`
 	Detail    string          `json:"detail"`
 }
 
-// refuse answers a request that no server's answer came for.
+// refuse answers a request for which there is no server response.
 func (g *Gateway) refuse(writer http.ResponseWriter, request *forward.Request, refusal *fault.Refusal) {
 	status := statusOf(refusal)
 	event := logging.RequestFailed
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway is the entry process on the users' machines: it takes callers'
-// requests on the published routes and hands them to the forwarding core.
+// Package gateway implements the entry process on the users' machines: it accepts
+// callers' requests on the published routes and passes them to the forwarder.
 package gateway
 
 import (
@@ -20,14 +20,14 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// Options wires a Gateway.
+// Options holds the dependencies of a Gateway.
 type Options struct {
 	Daemon  *daemon.Daemon
 	Dialect fleet.Dialect
 	Policy  forward.Policy
 }
 
-// Gateway is one entry process.
+// Gateway accepts, admits and forwards the requests of one entry process.
 type Gateway struct {
 	daemon    *daemon.Daemon
 	dialect   fleet.Dialect
@@ -35,14 +35,14 @@
 	forwarder *forward.Forwarder
 	loads     *loadquery.Client
 	metrics   *metrics
-	// memory bounds what is held for callers.
+	// memory bounds the request and response bytes held for callers.
 	memory *bytequota.Quota
 	open   atomic.Int64
-	// stopping is the time of the stop signal in nanoseconds, 0 before it.
+	// stopping is the Unix time of the stop signal in nanoseconds, 0 before it.
 	stopping atomic.Int64
 }
 
-// New builds an entry that does not listen yet.
+// New returns an entry that does not listen yet.
 func New(options Options) *Gateway {
 	base := options.Daemon
 	settings := base.Settings()
@@ -63,25 +63,25 @@
 	base.Catalog.OnQuarantine(g.forwarder.HearQuarantine)
 	base.Catalog.OnServerNotice(g.forwarder.HearAsk)
 	base.OnSettings(g.forwarder.SetSettings)
-	base.Action(ReleasePath+"{"+contentParameter+"}", g.release)
+	base.Action(ReleasePath+"{"+fingerprintParameter+"}", g.releaseFingerprint)
 	base.Section("contents", func() any { return g.forwarder.Contents() })
 	base.Section("servers", func() any { return g.forwarder.Servers() })
 	return g
 }
 
-// Times of a planned stop.
+// Delays of a graceful shutdown.
 const (
-	// noticeTime is how long the platform may go on sending new connections.
-	noticeTime = 3200 * time.Millisecond
-	// closeIdleTime is when the callers' resting connections are closed, so that
-	// their next requests go to another entry.
-	closeIdleTime = 2200 * time.Millisecond
-	// stopMargin is left of the grace for the end of the process.
-	stopMargin = 400 * time.Millisecond
-	stopLook   = 20 * time.Millisecond
+	// readinessDelay is how long the platform may still send new connections after readiness is off.
+	readinessDelay = 3200 * time.Millisecond
+	// closeIdleDelay is the time after which the callers' idle connections are closed,
+	// so that their next requests go to another entry.
+	closeIdleDelay = 2200 * time.Millisecond
+	// stopMargin is the part of the grace period reserved for the exit of the process.
+	stopMargin       = 400 * time.Millisecond
+	stopPollInterval = 20 * time.Millisecond
 )
 
-// Run serves until stop is closed, then finishes what is open within the grace.
+// Run serves until stop is closed, then drains open requests within the grace period.
 func (g *Gateway) Run(stop <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -93,15 +93,15 @@
 		return err
 	}
 	defer g.loads.Close()
-	if err := g.daemon.Serve(settings.Ready, http.HandlerFunc(g.answerReady)); err != nil {
+	if err := g.daemon.Serve(settings.Ready, http.HandlerFunc(g.serveReady)); err != nil {
 		return err
 	}
-	plain, err := net.Listen("tcp", settings.Callers)
+	listener, err := net.Listen("tcp", settings.Callers)
 	if err != nil {
 		return &fault.Unavailable{Target: settings.Callers, Operation: "listen", Cause: err}
 	}
-	callers := newCallerListener(plain)
-	g.daemon.ServeOn(callers, http.HandlerFunc(g.take), callers.follow)
+	callers := newCallerListener(listener)
+	g.daemon.ServeOn(callers, http.HandlerFunc(g.serve), callers.trackState)
 	go g.forwarder.Run(ctx)
 	<-stop
 	g.drain(callers)
@@ -111,26 +111,26 @@
 	return nil
 }
 
-// drain takes readiness back, goes on serving until the platform has surely
-// noticed, and waits for what is open.
+// drain turns readiness off, serves until the platform has certainly noticed, and
+// waits for the open requests to finish.
 func (g *Gateway) drain(callers *callerListener) {
 	began := time.Now()
 	g.stopping.Store(began.UnixNano())
 	g.log.Log(logging.ProcessStopping, zap.Int64("open", g.open.Load()))
 	grace := g.daemon.Settings().Bounds.Grace - stopMargin
 	for time.Since(began) < grace {
-		if time.Since(began) > closeIdleTime {
-			callers.closeResting()
+		if time.Since(began) > closeIdleDelay {
+			callers.closeIdle()
 		}
-		if time.Since(began) > noticeTime && g.open.Load() == 0 {
+		if time.Since(began) > readinessDelay && g.open.Load() == 0 {
 			return
 		}
-		time.Sleep(stopLook)
+		time.Sleep(stopPollInterval)
 	}
 	g.log.Log(logging.ProcessDraining, zap.Int64("open", g.open.Load()))
 }
 
-// stoppingFor returns for how long the process has been stopping.
+// stoppingFor returns how long ago the stop signal arrived, and whether it has.
 func (g *Gateway) stoppingFor() (time.Duration, bool) {
 	at := g.stopping.Load()
 	if at == 0 {
@@ -145,7 +145,7 @@
 	return !stopping && view.Configuration != nil && len(view.Servers) > 0
 }
 
-func (g *Gateway) answerReady(writer http.ResponseWriter, request *http.Request) {
+func (g *Gateway) serveReady(writer http.ResponseWriter, request *http.Request) {
 	if request.URL.Path != g.dialect.ReadyPath() {
 		writer.WriteHeader(http.StatusNotFound)
 		return
--- a/internal/gateway/release.go
+++ b/internal/gateway/release.go
@@ -9,21 +9,21 @@
 	"pinevane.example/pinevane/coordination/quarantine"
 )
 
-// ReleasePath is where the administration address of an entry takes an operator's wish to send a
-// content to servers again, with the content's identity in hex behind it. The whole fleet follows. It
-// answers 204, 404 if nothing is held against the content, or 400.
+// ReleasePath is the path of an entry's administration address with which an operator releases a
+// quarantined fingerprint, given in hex at the end of the path. The release applies to the whole
+// fleet. The response is 204, 404 if the fingerprint is neither suspected nor quarantined, or 400.
 const ReleasePath = "/contents/release/"
 
-const contentParameter = "content"
+const fingerprintParameter = "content"
 
-func (g *Gateway) release(writer http.ResponseWriter, request *http.Request) {
-	var content [quarantine.FingerprintSize]byte
-	decoded, err := hex.DecodeString(chi.URLParam(request, contentParameter))
-	if err != nil || copy(content[:], decoded) != len(content) || len(decoded) != len(content) {
+func (g *Gateway) releaseFingerprint(writer http.ResponseWriter, request *http.Request) {
+	var fingerprint [quarantine.FingerprintSize]byte
+	decoded, err := hex.DecodeString(chi.URLParam(request, fingerprintParameter))
+	if err != nil || copy(fingerprint[:], decoded) != len(fingerprint) || len(decoded) != len(fingerprint) {
 		http.Error(writer, "a content is named by 32 hexadecimal digits", http.StatusBadRequest)
 		return
 	}
-	if !g.forwarder.Release(content) {
+	if !g.forwarder.Release(fingerprint) {
 		http.Error(writer, "nothing is held against this content here", http.StatusNotFound)
 		return
 	}
--- a/internal/gateway/resting.go
+++ b/internal/gateway/resting.go
@@ -15,16 +15,16 @@
 // States of a caller's connection.
 const (
 	stateActive connectionState = iota
-	// stateResting means that the server waits for the next request's first byte.
-	stateResting
-	// stateClosing means that the wait is to end. A request whose first byte was read
-	// nevertheless is served.
+	// stateIdle means that the server waits for the first byte of the next request.
+	stateIdle
+	// stateClosing means that the idle connection is being closed. A request whose first
+	// byte is read nevertheless is still served.
 	stateClosing
 )
 
-// callerConnection is a caller's connection that can be closed while it rests, and
-// only then: the library's own way closes connections of which a request was just
-// read, so that the caller would get no answer to it.
+// callerConnection is a caller's connection that can be closed only while it is idle.
+// The HTTP library's own shutdown can close a connection from which a request was just
+// read, so that the caller gets no response.
 type callerConnection struct {
 	net.Conn
 	mutex sync.Mutex
@@ -38,7 +38,7 @@
 	defer c.mutex.Unlock()
 	if count > 0 {
 		if c.state == stateClosing {
-			// The bytes came first; the deadline was meant for the wait.
+			// The request arrived before the deadline, which is only for the idle wait.
 			_ = c.Conn.SetReadDeadline(time.Time{})
 		}
 		c.state = stateActive
@@ -50,16 +50,17 @@
 	return count, err
 }
 
-// rest notes that the next request is waited for.
-func (c *callerConnection) rest() {
+// setIdle marks the connection as waiting for its next request.
+func (c *callerConnection) setIdle() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.state = stateResting
+	c.state = stateIdle
 }
 
-// endRest ends the wait for a next request, if the connection rests. It may be
-// called again, because the server sets a deadline of its own as a rest begins.
-func (c *callerConnection) endRest() {
+// closeIdle ends the wait for the next request if the connection is idle. It may be
+// called repeatedly, because the server sets a deadline of its own when a connection
+// becomes idle.
+func (c *callerConnection) closeIdle() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.state != stateActive {
@@ -68,7 +69,7 @@
 	}
 }
 
-// callerListener keeps the callers' connections.
+// callerListener tracks the accepted connections of callers.
 type callerListener struct {
 	net.Listener
 	mutex       sync.Mutex
@@ -92,15 +93,15 @@
 	return connection, nil
 }
 
-// follow notes what the server says of a connection.
-func (l *callerListener) follow(raw net.Conn, state http.ConnState) {
-	connection, ours := raw.(*callerConnection)
-	if !ours {
+// trackState records the HTTP server's state changes of a connection.
+func (l *callerListener) trackState(raw net.Conn, state http.ConnState) {
+	connection, tracked := raw.(*callerConnection)
+	if !tracked {
 		return
 	}
 	switch state {
 	case http.StateIdle:
-		connection.rest()
+		connection.setIdle()
 	case http.StateClosed, http.StateHijacked:
 		l.mutex.Lock()
 		delete(l.connections, connection)
@@ -108,11 +109,11 @@
 	}
 }
 
-// closeResting closes the connections that rest now.
-func (l *callerListener) closeResting() {
+// closeIdle closes the connections that are idle now.
+func (l *callerListener) closeIdle() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for connection := range l.connections {
-		connection.endRest()
+		connection.closeIdle()
 	}
 }
--- a/internal/gateway/resting_test.go
+++ b/internal/gateway/resting_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func connectionPair(t *testing.T) (caller net.Conn, ours *callerConnection) {
+func connectionPair(t *testing.T) (caller net.Conn, connection *callerConnection) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -19,51 +19,51 @@
 	require.NoError(t, err)
 	accepted, err := listener.Accept()
 	require.NoError(t, err)
-	ours = &callerConnection{Conn: accepted}
+	connection = &callerConnection{Conn: accepted}
 	t.Cleanup(func() { _ = caller.Close(); _ = accepted.Close() })
-	return caller, ours
+	return caller, connection
 }
 
-func TestRestEndsWithoutARequest(t *testing.T) {
-	_, ours := connectionPair(t)
-	ours.rest()
-	time.AfterFunc(20*time.Millisecond, ours.endRest)
-	_, err := ours.Read(make([]byte, 8))
+func TestCloseIdleEndsTheWait(t *testing.T) {
+	_, connection := connectionPair(t)
+	connection.setIdle()
+	time.AfterFunc(20*time.Millisecond, connection.closeIdle)
+	_, err := connection.Read(make([]byte, 8))
 	assert.ErrorIs(t, err, io.EOF)
 }
 
-// LOST: a request whose bytes were read is served, also when the rest was ended at
-// the same moment.
-func TestBytesThatWereReadWin(t *testing.T) {
-	caller, ours := connectionPair(t)
-	ours.rest()
+// A request whose bytes were already read is served, also when the idle connection is
+// closed at the same time; otherwise the caller would lose its request.
+func TestRequestReadBeforeCloseIsServed(t *testing.T) {
+	caller, connection := connectionPair(t)
+	connection.setIdle()
 	_, err := caller.Write([]byte("GET"))
 	require.NoError(t, err)
 	buffer := make([]byte, 8)
-	count, err := ours.Conn.Read(buffer[:1])
+	count, err := connection.Conn.Read(buffer[:1])
 	require.NoError(t, err)
 	require.Equal(t, 1, count)
-	ours.endRest()
-	// The rest of what came is read under the ended wait's deadline at first.
-	_ = ours.Conn.SetReadDeadline(time.Time{})
-	count, err = ours.Read(buffer)
+	connection.closeIdle()
+	// At first the remaining bytes are read under the deadline set by closeIdle.
+	_ = connection.Conn.SetReadDeadline(time.Time{})
+	count, err = connection.Read(buffer)
 	require.NoError(t, err)
 	assert.Equal(t, "ET", string(buffer[:count]))
-	assert.Equal(t, stateActive, ours.state)
+	assert.Equal(t, stateActive, connection.state)
 	_, err = caller.Write([]byte(" /"))
 	require.NoError(t, err)
-	count, err = ours.Read(buffer)
-	require.NoError(t, err, "no deadline is left")
+	count, err = connection.Read(buffer)
+	require.NoError(t, err, "no read deadline remains set")
 	assert.Equal(t, " /", string(buffer[:count]))
 }
 
-// A connection that carries a request is left alone.
+// closeIdle does not affect a connection that carries a request.
 func TestActiveConnectionIsNotClosed(t *testing.T) {
-	caller, ours := connectionPair(t)
-	ours.endRest()
+	caller, connection := connectionPair(t)
+	connection.closeIdle()
 	_, err := caller.Write([]byte("x"))
 	require.NoError(t, err)
-	count, err := ours.Read(make([]byte, 8))
+	count, err := connection.Read(make([]byte, 8))
 	require.NoError(t, err)
 	assert.Equal(t, 1, count)
 }
--- a/internal/gateway/slow.go
+++ b/internal/gateway/slow.go
@@ -9,50 +9,51 @@
 	"pinevane.example/pinevane/internal/bytequota"
 )
 
-// Bounds on what is kept for callers that are slow.
+// Limits on the resources held for slow callers.
 const (
-	// memoryShare of what the process may use is held for callers at most. Bodies and answers are copied
-	// once while they grow, and garbage of them stands until it is collected: about three times as much.
-	memoryShare = 0.125
-	// leastMemory is held in any case, and where the settings name no memory.
-	leastMemory = 8 << 20
-	// writePiece is how much of an answer a caller must take within writeTime: a reader of half a
-	// kilobyte a second gets its answer whole, one that has stopped reading is given up.
-	writePiece = 4 << 10
-	writeTime  = 8 * time.Second
+	// memoryFraction is the largest fraction of the process's memory that is held for callers. Bodies and
+	// responses are copied once while they grow, and their garbage stays until it is collected, so that
+	// the actual use is about three times as much.
+	memoryFraction = 0.125
+	// minMemory is the lower bound, also used where the settings set no memory limit.
+	minMemory = 8 << 20
+	// writeChunkBytes is how much of a response a caller must read within writeTimeout: a caller that
+	// reads half a kilobyte a second gets its complete response, one that has stopped reading is cut off.
+	writeChunkBytes = 4 << 10
+	writeTimeout    = 8 * time.Second
 )
 
-// newMemory is what an entry of a memory may hold for its callers.
+// newMemory returns the quota for an entry's callers, given the memory limit of the process.
 func newMemory(memoryBytes int64) *bytequota.Quota {
-	return bytequota.New(max(leastMemory, int64(memoryShare*float64(memoryBytes))))
+	return bytequota.New(max(minMemory, int64(memoryFraction*float64(memoryBytes))))
 }
 
-// callerWriter writes an answer to a caller that may be slow to read. Without a bound a caller that
-// reads nothing any more holds the request, and the connection to its server, until it leaves.
+// callerWriter writes a response to a caller that may read slowly. Without a timeout, a caller that
+// has stopped reading would hold the request and the connection to its server until it disconnects.
 type callerWriter struct {
 	http.ResponseWriter
 	control *http.ResponseController
-	// pieceTime is what the caller has for each writePiece.
-	pieceTime time.Duration
+	// chunkTimeout is the time that the caller has for each writeChunkBytes.
+	chunkTimeout time.Duration
 }
 
-// newCallerWriter returns the writer of an answer that may take its time to begin.
-func newCallerWriter(writer http.ResponseWriter, pieceTime time.Duration) *callerWriter {
+// newCallerWriter returns a writer without a deadline until the first write, as a response may begin late.
+func newCallerWriter(writer http.ResponseWriter, chunkTimeout time.Duration) *callerWriter {
 	control := http.NewResponseController(writer)
 	_ = control.SetWriteDeadline(time.Time{})
-	return &callerWriter{ResponseWriter: writer, control: control, pieceTime: pieceTime}
+	return &callerWriter{ResponseWriter: writer, control: control, chunkTimeout: chunkTimeout}
 }
 
-// Unwrap lets http.ResponseController find what this writer does not do itself.
+// Unwrap lets http.ResponseController reach the methods that callerWriter does not implement.
 func (w *callerWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
 // Write implements io.Writer.
 func (w *callerWriter) Write(data []byte) (int, error) {
 	written := 0
 	for {
-		piece := data[written:min(len(data), written+writePiece)]
-		w.extend()
-		count, err := w.ResponseWriter.Write(piece)
+		chunk := data[written:min(len(data), written+writeChunkBytes)]
+		w.extendDeadline()
+		count, err := w.ResponseWriter.Write(chunk)
 		written += count
 		if err != nil || written == len(data) {
 			return written, err
@@ -62,15 +63,17 @@
 
 // Flush implements http.Flusher.
 func (w *callerWriter) Flush() {
-	w.extend()
+	w.extendDeadline()
 	_ = w.control.Flush()
 }
 
-// extend gives the caller time for the next piece, or for the end of the answer, which the library
-// writes.
-func (w *callerWriter) extend() { _ = w.control.SetWriteDeadline(time.Now().Add(w.pieceTime)) }
+// extendDeadline renews the write deadline for the next chunk, or for the end of the response, which
+// the HTTP library writes.
+func (w *callerWriter) extendDeadline() {
+	_ = w.control.SetWriteDeadline(time.Now().Add(w.chunkTimeout))
+}
 
-// registerMemory tells what is held for callers as metrics.
+// registerMemory registers metrics of the memory held for callers.
 func registerMemory(registry prometheus.Registerer, memory *bytequota.Quota) {
 	registry.MustRegister(
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "pinevane_caller_held_bytes", Help: "Bodies and answers that are held for callers."},
--- a/internal/gateway/slow_test.go
+++ b/internal/gateway/slow_test.go
@@ -18,15 +18,15 @@
 	"pinevane.example/pinevane/internal/forward"
 )
 
-// longAnswer is more than the buffers of both ends of a connection hold.
-const longAnswer = 64 << 20
+// longResponse is larger than the socket buffers of both ends of a connection.
+const longResponse = 64 << 20
 
-// answering serves an answer of a length to callers that have a time for each piece, and tells how it ended.
-func answering(t *testing.T, length int, pieceTime time.Duration) (address string, ended chan error) {
+// serveLength serves a response of a length with a timeout for each chunk, and sends the result of its write to ended.
+func serveLength(t *testing.T, length int, chunkTimeout time.Duration) (address string, ended chan error) {
 	ended = make(chan error, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
-		caller := newCallerWriter(writer, pieceTime)
-		defer caller.extend()
+		caller := newCallerWriter(writer, chunkTimeout)
+		defer caller.extendDeadline()
 		_, err := caller.Write(make([]byte, length))
 		ended <- err
 	}))
@@ -35,7 +35,7 @@
 	return server.Listener.Addr().String(), ended
 }
 
-func ask(t *testing.T, address string) net.Conn {
+func sendGet(t *testing.T, address string) net.Conn {
 	connection, err := net.Dial("tcp", address)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = connection.Close() })
@@ -44,32 +44,32 @@
 	return connection
 }
 
-// A caller that has stopped reading is given up after the time for a piece, instead of holding what
-// writes to it until it leaves.
-func TestCallerThatStopsReadingIsGivenUp(t *testing.T) {
-	const pieceTime = 250 * time.Millisecond
-	address, ended := answering(t, longAnswer, pieceTime)
-	ask(t, address)
+// A caller that has stopped reading is cut off after the timeout of a chunk, instead of blocking the
+// handler that writes to it until it disconnects.
+func TestCallerThatStopsReadingIsCutOff(t *testing.T) {
+	const chunkTimeout = 250 * time.Millisecond
+	address, ended := serveLength(t, longResponse, chunkTimeout)
+	sendGet(t, address)
 	select {
 	case err := <-ended:
 		assert.Error(t, err)
-	case <-time.After(40 * pieceTime):
-		assert.Fail(t, "the answer is still being written")
+	case <-time.After(40 * chunkTimeout):
+		assert.Fail(t, "the response is still being written")
 	}
 }
 
-// A caller that reads slowly, but goes on, gets its whole answer, though that takes many times as long
-// as it has for a piece.
-func TestSlowReaderGetsItsWholeAnswer(t *testing.T) {
+// A caller that keeps reading slowly gets its complete response, though that takes many times the
+// timeout of a chunk.
+func TestSlowReaderGetsItsCompleteResponse(t *testing.T) {
 	const (
 		length, pauses = 32 << 20, 16
-		pieceTime      = 1500 * time.Millisecond
-		// pause leaves a busy machine five times as long; all of them together are several times a
-		// piece's time.
-		pause = pieceTime / 5
+		chunkTimeout   = 1500 * time.Millisecond
+		// pause is a fifth of the timeout, as a margin for busy machines; all pauses together are
+		// several timeouts.
+		pause = chunkTimeout / 5
 	)
-	address, ended := answering(t, length, pieceTime)
-	connection := ask(t, address)
+	address, ended := serveLength(t, length, chunkTimeout)
+	connection := sendGet(t, address)
 	response, err := http.ReadResponse(bufio.NewReader(connection), nil)
 	require.NoError(t, err)
 	read := int64(0)
@@ -83,8 +83,8 @@
 	assert.NoError(t, <-ended)
 }
 
-// taking serves requests whose bodies are read as a Gateway reads them, within a time and a memory.
-func taking(tb testing.TB, within time.Duration, memoryBytes int64) string {
+// serveBodies serves requests whose bodies are read as a Gateway reads them, within a deadline and a memory limit.
+func serveBodies(tb testing.TB, within time.Duration, memoryBytes int64) string {
 	memory := newMemory(memoryBytes)
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, incoming *http.Request) {
 		request := &forward.Request{Deadline: time.Now().Add(within), Memory: memory.Open("tenant")}
@@ -100,8 +100,8 @@
 	return server.Listener.Addr().String()
 }
 
-// send announces a body and sends a part of it.
-func send(tb testing.TB, address string, announced, sent int) net.Conn {
+// sendBody sends a request that announces a body, and a part of the body.
+func sendBody(tb testing.TB, address string, announced, sent int) net.Conn {
 	connection, err := net.Dial("tcp", address)
 	require.NoError(tb, err)
 	tb.Cleanup(func() { _ = connection.Close() })
@@ -119,11 +119,11 @@
 	return response.StatusCode, string(body)
 }
 
-// A caller that stops in the midst of its body gets its final answer when the request's time is over,
-// and its connection ends.
-func TestBodyThatDoesNotComeIsRefusedInTime(t *testing.T) {
+// A caller that stops in the middle of its body gets a refusal at the request's deadline, and its
+// connection is closed.
+func TestIncompleteBodyIsRefusedAtDeadline(t *testing.T) {
 	const within = 200 * time.Millisecond
-	connection := send(t, taking(t, within, 0), 1000, 10)
+	connection := sendBody(t, serveBodies(t, within, 0), 1000, 10)
 	began := time.Now()
 	status, reason := statusFrom(t, connection)
 	assert.Equal(t, http.StatusServiceUnavailable, status)
@@ -133,11 +133,11 @@
 	assert.ErrorIs(t, err, io.EOF)
 }
 
-// A body that comes slowly, byte by byte, and the next one on the same connection are read whole: no
-// limit of the first is left over.
-func TestSlowBodyIsReadWhole(t *testing.T) {
+// A body that arrives slowly, byte by byte, and the next one on the same connection are both read
+// completely: the read deadline of the first does not remain set.
+func TestSlowBodyIsReadCompletely(t *testing.T) {
 	const within = 300 * time.Millisecond
-	connection := send(t, taking(t, within, 0), 20, 0)
+	connection := sendBody(t, serveBodies(t, within, 0), 20, 0)
 	for range 20 {
 		time.Sleep(5 * time.Millisecond)
 		_, err := connection.Write([]byte{'x'})
@@ -153,37 +153,37 @@
 	assert.Equal(t, http.StatusOK, status)
 }
 
-// When callers that never finish their bodies hold all that may be held, the next is refused at once, as
-// not run, and those that send little are still served.
-func TestBodiesBeyondTheMemoryAreRefusedAtOnce(t *testing.T) {
+// When callers that never finish their bodies use up the memory, further large bodies are refused at
+// once as not run, and small ones are still served.
+func TestBodiesBeyondTheMemoryLimitAreRefusedAtOnce(t *testing.T) {
 	const announced, sent = 1 << 20, 600 << 10
-	address := taking(t, 20*time.Second, 0)
+	address := serveBodies(t, 20*time.Second, 0)
 	for range 3 {
-		send(t, address, announced, sent)
+		sendBody(t, address, announced, sent)
 	}
 	time.Sleep(300 * time.Millisecond)
 	began := time.Now()
 	for range 3 {
-		status, reason := statusFrom(t, send(t, address, 3<<20, 1<<20))
+		status, reason := statusFrom(t, sendBody(t, address, 3<<20, 1<<20))
 		assert.Equal(t, http.StatusServiceUnavailable, status)
 		assert.Equal(t, "memory\n", reason)
 	}
 	assert.Less(t, time.Since(began), 3*time.Second)
-	status, _ := statusFrom(t, send(t, address, 800, 800))
+	status, _ := statusFrom(t, sendBody(t, address, 800, 800))
 	assert.Equal(t, http.StatusOK, status)
 }
 
-// Memory of an entry that 2,000 callers send bodies of 1 MB to, of which a byte has come. Buffers of the
-// callers' own ends are not part of it, since they are sockets.
+// BenchmarkSlowCallers measures the memory of an entry to which 2,000 callers send bodies of 1 MB, of
+// which one byte has arrived. The callers' own buffers are not counted, since they are in sockets.
 func BenchmarkSlowCallers(b *testing.B) {
 	const callers = 2000
 	for b.Loop() {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		address := taking(b, time.Minute, 0)
+		address := serveBodies(b, time.Minute, 0)
 		for range callers {
-			send(b, address, 1<<20, 1)
+			sendBody(b, address, 1<<20, 1)
 		}
 		time.Sleep(300 * time.Millisecond)
 		runtime.GC()
