--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault declares the typed failures of pinevane. Every error that
-// crosses a package boundary is one of these types, possibly wrapped with
+// Package fault declares the error types of pinevane. Every error that crosses a
+// package boundary is one of these types, possibly wrapped with
 // github.com/pkg/errors to carry a stack.
 package fault
 
@@ -13,7 +13,7 @@
 type InvalidSetting struct {
 	// Flag is the long flag name, for example "--listen".
 	Flag string
-	// Value is what was given.
+	// Value is the rejected value.
 	Value string
 	// Allowed describes the accepted range, with its unit.
 	Allowed string
@@ -23,13 +23,13 @@
 	return fmt.Sprintf("invalid value %q for %s: allowed is %s", e.Value, e.Flag, e.Allowed)
 }
 
-// InvalidDocument reports one fault in a published configuration document.
+// InvalidDocument reports one invalid field of a published configuration document.
 type InvalidDocument struct {
 	// Document is the document's key, a path relative to its root.
 	Document string
 	// Path locates the field inside the document, for example "parameters.priority".
 	Path string
-	// Reason says what is wrong with the field.
+	// Reason describes the fault of the field.
 	Reason string
 }
 
@@ -37,7 +37,7 @@
 	return fmt.Sprintf("%s: %s: %s", e.Document, e.Path, e.Reason)
 }
 
-// InvalidConfiguration collects every fault of one configuration revision.
+// InvalidConfiguration collects all faults of one configuration revision.
 type InvalidConfiguration struct {
 	Faults []*InvalidDocument
 }
@@ -60,10 +60,10 @@
 	return fmt.Sprintf("revision %s is not newer than %s", e.Offered, e.Current)
 }
 
-// Execution tells whether a refused or failed request may have run.
+// Execution states whether a refused or failed request may have run.
 type Execution string
 
-// The values of Execution. NotRun is only said on proof.
+// The values of Execution. ExecutionNotRun is used only when it is certain.
 const (
 	ExecutionNotRun  Execution = "not-run"
 	ExecutionUnknown Execution = "unknown"
@@ -72,7 +72,7 @@
 // Reason is a machine-readable code for a refusal.
 type Reason string
 
-// The refusal reasons returned to callers.
+// The reasons of refusals, as returned to callers.
 const (
 	ReasonBadRequest       Reason = "bad-request"
 	ReasonUnauthorized     Reason = "unauthorized"
@@ -93,45 +93,45 @@
 	ReasonLinkLost         Reason = "link-lost"
 	ReasonBackendFailed    Reason = "backend-failed"
 	ReasonWrongVersion     Reason = "wrong-version"
-	// ReasonVersionDeadline is why a request is taken back that has not begun on an old
-	// version of the weights before that version's time was over.
+	// ReasonVersionDeadline refuses a request that did not start on an old version of the
+	// weights before that version's deadline.
 	ReasonVersionDeadline Reason = "version-bound"
-	// ReasonServerUnwilling is why a request that was about to be sent was not: its server has said
-	// meanwhile that it wants nothing more, for now or because it is about to end.
+	// ReasonServerUnwilling stops a request right before it is sent: its server has requested a backoff
+	// or announced that it is leaving in the meantime.
 	ReasonServerUnwilling Reason = "server-unwilling"
-	// ReasonEvacuated is why a request that was about to be sent was not: the zone of its
-	// server has been evacuated meanwhile.
+	// ReasonEvacuated stops a request right before it is sent: the zone of its server has
+	// been evacuated in the meantime.
 	ReasonEvacuated Reason = "zone-evacuated"
 	ReasonDeadline  Reason = "deadline-exceeded"
 	ReasonCanceled  Reason = "canceled"
 	ReasonStalled   Reason = "stalled"
-	// ReasonConnectionSilent is why an attempt ended whose connection was found silent or is
-	// distrusted together with others.
+	// ReasonConnectionSilent ends an attempt whose connection was found silent or is suspected
+	// together with others.
 	ReasonConnectionSilent Reason = "connection-silent"
-	// ReasonOverdue is why one ended whose answer took many times as long as usual.
+	// ReasonOverdue ends an attempt whose response took many times the typical time.
 	ReasonOverdue  Reason = "overdue"
 	ReasonNotReady Reason = "not-ready"
 	ReasonTooLarge Reason = "too-large"
-	// ReasonResidency is why a request is refused for which there are servers, but none in
-	// the regions in which it may be served.
+	// ReasonResidency refuses a request for which there are servers, but none in its allowed
+	// regions.
 	ReasonResidency Reason = "data-residency"
-	// ReasonQuarantined is why a request is refused whose content has ended the servers that ran it;
-	// ReasonSuspected, that it may be such a one, which is being found out.
+	// ReasonQuarantined refuses a request whose fingerprint has crashed the servers that ran it;
+	// ReasonSuspected refuses one whose fingerprint is suspected of it and still under test.
 	ReasonQuarantined Reason = "content-quarantined"
 	ReasonSuspected   Reason = "content-suspected"
-	// ReasonMemory is why a request is refused whose body the process has no room for.
+	// ReasonMemory refuses a request whose body does not fit into the process's memory limit.
 	ReasonMemory Reason = "memory"
 )
 
-// Refusal is the failure of a caller's request.
+// Refusal is the error with which a caller's request is refused or fails.
 type Refusal struct {
 	Reason    Reason
 	Execution Execution
-	// Detail is a sentence for people; programs use Reason.
+	// Detail is an explanation for people; programs use Reason.
 	Detail string
-	// Field names the offending request field, when there is one.
+	// Field names the invalid field of the request, if any.
 	Field string
-	// RetryAfter is how long the caller should wait; zero means unsaid.
+	// RetryAfter is how long the caller should wait; zero means unspecified.
 	RetryAfter time.Duration
 }
 
@@ -139,23 +139,23 @@
 	return fmt.Sprintf("%s (%s): %s", e.Reason, e.Execution, e.Detail)
 }
 
-// NotRun builds a refusal of a request that is proven not to have run.
+// NotRun returns a refusal of a request that certainly did not run.
 func NotRun(reason Reason, detail string) *Refusal {
 	return &Refusal{Reason: reason, Execution: ExecutionNotRun, Detail: detail}
 }
 
-// Unknown builds the failure of a request that may have run.
+// Unknown returns a failure of a request that may have run.
 func Unknown(reason Reason, detail string) *Refusal {
 	return &Refusal{Reason: reason, Execution: ExecutionUnknown, Detail: detail}
 }
 
-// Unavailable reports that a remote process did not answer usefully.
+// Unavailable reports that a remote process gave no usable response.
 type Unavailable struct {
 	// Target names the remote process or service.
 	Target string
-	// Operation is what was asked of it.
+	// Operation is the failed operation.
 	Operation string
-	// Status is the HTTP status, or zero when no answer arrived.
+	// Status is the HTTP status, or zero when no response arrived.
 	Status int
 	// Cause is the underlying failure, if any.
 	Cause error
@@ -171,29 +171,29 @@
 // Unwrap returns the underlying failure.
 func (e *Unavailable) Unwrap() error { return e.Cause }
 
-// HistoryCompacted reports a watch that asked for changes the store has forgotten; the
-// records must be listed anew.
+// HistoryCompacted reports a watch for changes that the store no longer has; the records
+// must be listed again.
 type HistoryCompacted struct {
 	Prefix string
 	After  uint64
 }
 
 func (e *HistoryCompacted) Error() string {
-	return fmt.Sprintf("the store has forgotten the changes of %q after %d", e.Prefix, e.After)
+	return fmt.Sprintf("the store no longer has the changes of %q after revision %d", e.Prefix, e.After)
 }
 
-// RecordFault is what is wrong with a published record.
+// RecordFault classifies the fault of a published record.
 type RecordFault string
 
 // The faults of records.
 const (
-	// RecordUnreadable: the bytes are no value of the kind, or a field has another type.
+	// RecordUnreadable means that the value can't be decoded, or a field has another type.
 	RecordUnreadable RecordFault = "unreadable"
-	// RecordIncomplete: a field is missing, or says what can't be.
+	// RecordIncomplete means that a field is missing or has an impossible value.
 	RecordIncomplete RecordFault = "incomplete"
 )
 
-// InvalidRecord reports a published record that can't be used.
+// InvalidRecord reports an unusable published record.
 type InvalidRecord struct {
 	Key    string
 	Fault  RecordFault
@@ -202,7 +202,7 @@
 
 func (e *InvalidRecord) Error() string { return fmt.Sprintf("record %s: %s", e.Key, e.Reason) }
 
-// InvalidHeader reports a header of a request that can't be read.
+// InvalidHeader reports a request header that can't be parsed.
 type InvalidHeader struct {
 	Header string
 	Value  string
@@ -212,7 +212,7 @@
 	return fmt.Sprintf("header %s: invalid value %q", e.Header, e.Value)
 }
 
-// Corrupt reports bytes that do not match the digest they were asked by.
+// Corrupt reports bytes that do not match the digest with which they were requested.
 type Corrupt struct {
 	Expected string
 	Actual   string
@@ -223,7 +223,7 @@
 	return fmt.Sprintf("content from %s has digest %s, expected %s", e.Source, e.Actual, e.Expected)
 }
 
-// InvalidManifest reports a manifest whose sizes, counts or digests are wrong.
+// InvalidManifest reports a manifest with invalid sizes, counts or digests.
 type InvalidManifest struct {
 	Field  string
 	Reason string
@@ -233,7 +233,7 @@
 	return fmt.Sprintf("manifest: %s: %s", e.Field, e.Reason)
 }
 
-// Stalled reports a transfer whose rate fell under the accepted minimum.
+// Stalled reports a transfer whose rate fell below the accepted minimum.
 type Stalled struct {
 	Source string
 	// Received is the number of bytes that had arrived.
@@ -246,7 +246,7 @@
 	return fmt.Sprintf("transfer from %s stalled after %d bytes (window %s)", e.Source, e.Received, e.Window)
 }
 
-// OrderRejected reports an engine that refused an order.
+// OrderRejected reports an order that the engine rejected.
 type OrderRejected struct {
 	Action string
 	Reason string
@@ -266,14 +266,14 @@
 	return fmt.Sprintf("frame: %s: %s", e.Field, e.Reason)
 }
 
-// GuaranteeViolated reports a violated guarantee found by a demo or an experiment.
+// GuaranteeViolated reports a guarantee whose violation a demo or an experiment detected.
 type GuaranteeViolated struct {
 	Guarantee string
 	Detail    string
 }
 
 func (e *GuaranteeViolated) Error() string {
-	return fmt.Sprintf("promise broken: %s: %s", e.Guarantee, e.Detail)
+	return fmt.Sprintf("guarantee violated: %s: %s", e.Guarantee, e.Detail)
 }
 
 // Timeout reports a condition that was not reached in time.
