--- a/internal/bytequota/quota.go
+++ b/internal/bytequota/quota.go
@@ -1,26 +1,26 @@
-// Package bytequota bounds the bytes that a process holds for its callers (bodies that came in, answers
-// that go out), and shares them among tenants by dynamic thresholds: each may hold as many bytes as are
-// free. One tenant alone gets half of the bound, and the more tenants hold much the less each may, so
-// that there is room for one that holds nothing.
+// Package bytequota bounds the bytes that a process holds for its callers (request and response bodies),
+// and divides them among tenants by dynamic thresholds: each tenant may hold as many bytes as are free.
+// A single tenant gets half of the bound, and each gets less the more tenants hold large amounts, so
+// that there is always room for a tenant that holds nothing.
 package bytequota
 
 import "sync"
 
-// Quota is the bound and what is held of it. It is safe for concurrent use.
+// Quota is a bound and the bytes held of it. It is safe for concurrent use.
 type Quota struct {
 	mutex sync.Mutex
 	bound int64
 	held  int64
-	// tenants are the bytes held by each tenant that holds any.
+	// tenants holds the bytes of each tenant that holds any.
 	tenants map[string]int64
 	refused uint64
 }
 
-// New returns a quota of a number of bytes.
+// New returns a quota with a bound in bytes.
 func New(bound int64) *Quota { return &Quota{bound: bound, tenants: map[string]int64{}} }
 
-// take charges a tenant with bytes, and reports whether it may hold them.
-func (q *Quota) take(tenant string, bytes int64) bool {
+// reserve charges a tenant for bytes and reports whether it may hold them.
+func (q *Quota) reserve(tenant string, bytes int64) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	held := q.tenants[tenant] + bytes
@@ -33,18 +33,18 @@
 	return true
 }
 
-func (q *Quota) give(tenant string, bytes int64) {
+func (q *Quota) release(tenant string, bytes int64) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.held -= bytes
-	if left := q.tenants[tenant] - bytes; left > 0 {
-		q.tenants[tenant] = left
+	if remaining := q.tenants[tenant] - bytes; remaining > 0 {
+		q.tenants[tenant] = remaining
 		return
 	}
 	delete(q.tenants, tenant)
 }
 
-// Status is a quota's state.
+// Status is a snapshot of a quota.
 type Status struct {
 	Bound   int64            `json:"bound_bytes"`
 	Held    int64            `json:"held_bytes"`
@@ -52,7 +52,7 @@
 	Tenants map[string]int64 `json:"tenants_bytes"`
 }
 
-// Status describes what is held. Refused counts the charges that were turned down.
+// Status returns the bytes held now. Refused counts the refused charges.
 func (q *Quota) Status() Status {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -63,34 +63,34 @@
 	return status
 }
 
-// Account is what one request holds of a quota. A nil Account is bounded by nothing. It is for one
-// goroutine at a time.
+// Account holds the bytes that one request has charged to a quota. A nil Account is unlimited. It must
+// not be used by several goroutines at once.
 type Account struct {
 	quota  *Quota
 	tenant string
 	held   int64
 }
 
-// Open returns the account of a request of a tenant, which holds nothing.
+// Open returns an empty account for a request of a tenant.
 func (q *Quota) Open(tenant string) *Account { return &Account{quota: q, tenant: tenant} }
 
-// Reserve charges the account with bytes before they are held, and reports whether they may be.
+// Reserve charges the account for bytes before they are allocated, and reports whether they may be held.
 func (a *Account) Reserve(bytes int64) bool {
 	if a == nil || bytes == 0 {
 		return true
 	}
-	if !a.quota.take(a.tenant, bytes) {
+	if !a.quota.reserve(a.tenant, bytes) {
 		return false
 	}
 	a.held += bytes
 	return true
 }
 
-// Close gives everything back.
+// Close releases all bytes of the account.
 func (a *Account) Close() {
 	if a == nil || a.held == 0 {
 		return
 	}
-	a.quota.give(a.tenant, a.held)
+	a.quota.release(a.tenant, a.held)
 	a.held = 0
 }
--- a/internal/bytequota/quota_test.go
+++ b/internal/bytequota/quota_test.go
@@ -12,25 +12,25 @@
 	"pgregory.net/rapid"
 )
 
-// Callers of one tenant that send much and are never done leave half of the bytes to the others, and
-// each other tenant gets half of what is left.
+// A tenant whose requests never finish leaves half of the bytes to the others, and each further tenant
+// gets half of the remaining ones.
 func TestOneTenantLeavesRoomForOthers(t *testing.T) {
 	quota := New(1000)
-	greedy := quota.Open("large")
-	taken := 0
-	for greedy.Reserve(10) {
-		taken += 10
+	large := quota.Open("large")
+	reserved := 0
+	for large.Reserve(10) {
+		reserved += 10
 	}
-	assert.Equal(t, 500, taken)
+	assert.Equal(t, 500, reserved)
 	assert.True(t, quota.Open("small").Reserve(250))
-	assert.False(t, quota.Open("large").Reserve(10), "it is over its part now")
+	assert.False(t, quota.Open("large").Reserve(10), "the tenant already holds more than is free")
 	assert.True(t, quota.Open("smaller").Reserve(100))
-	greedy.Close()
+	large.Close()
 	assert.Equal(t, int64(350), quota.Status().Held)
 }
 
-// Whatever is taken and given back, in whatever order, never more than the bound is held, and nothing is
-// left when all accounts are closed.
+// In any order of reservations and releases, never more than the bound is held, and nothing remains
+// held when all accounts are closed.
 func TestNeverMoreThanTheBoundIsHeld(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const bound = 1 << 16
@@ -62,39 +62,39 @@
 	})
 }
 
-func TestNilAccountIsBoundedByNothing(t *testing.T) {
+func TestNilAccountIsUnlimited(t *testing.T) {
 	var account *Account
 	assert.True(t, account.Reserve(1<<40))
 	account.Close()
 }
 
-// A body of 1 MB that is announced and of which a byte came holds a piece; whole ones are read whole,
-// by whatever reads, and hold no more than a byte more than their size.
-func TestReadAllChargesWhatHasCome(t *testing.T) {
+// An announced body of 1 MB of which one byte arrived is charged for a single chunk. Complete bodies are
+// read completely, also byte by byte, and are charged at most one byte more than their announced size.
+func TestReadAllChargesArrivedBytes(t *testing.T) {
 	quota := New(8 << 20)
 	account := quota.Open("tenant")
 	_, err := ReadAll(io.MultiReader(bytes.NewReader([]byte{1}), iotest.ErrReader(errors.New("left"))), 1<<20, account)
 	require.Error(t, err)
-	assert.Equal(t, int64(pieceBytes), quota.Status().Held)
+	assert.Equal(t, int64(chunkBytes), quota.Status().Held)
 	account.Close()
-	for _, size := range []int{0, 1, 800, pieceBytes, pieceBytes + 1, 300_000} {
+	for _, size := range []int{0, 1, 800, chunkBytes, chunkBytes + 1, 300_000} {
 		body := bytes.Repeat([]byte{7}, size)
-		for _, told := range []int64{-1, int64(size)} {
+		for _, announced := range []int64{-1, int64(size)} {
 			account := quota.Open("tenant")
-			read, err := ReadAll(iotest.OneByteReader(bytes.NewReader(body)), told, account)
+			read, err := ReadAll(iotest.OneByteReader(bytes.NewReader(body)), announced, account)
 			require.NoError(t, err)
 			assert.Equal(t, size, len(read))
-			if told > 0 {
-				assert.LessOrEqual(t, quota.Status().Held, told+1)
+			if announced > 0 {
+				assert.LessOrEqual(t, quota.Status().Held, announced+1)
 			}
 			account.Close()
 		}
 	}
 }
 
-func TestReadAllEndsWhereTheQuotaDoes(t *testing.T) {
-	quota := New(4 * pieceBytes)
+func TestReadAllStopsWhenTheQuotaIsExhausted(t *testing.T) {
+	quota := New(4 * chunkBytes)
 	read, err := ReadAll(bytes.NewReader(make([]byte, 1<<20)), 1<<20, quota.Open("tenant"))
 	assert.ErrorIs(t, err, ErrExhausted)
-	assert.LessOrEqual(t, len(read), 2*pieceBytes)
+	assert.LessOrEqual(t, len(read), 2*chunkBytes)
 }
--- a/internal/bytequota/read.go
+++ b/internal/bytequota/read.go
@@ -5,16 +5,16 @@
 	"io"
 )
 
-// pieceBytes is how many bytes are charged at a time: a caller that announces much and sends little
-// holds no more than one piece of it for nothing.
-const pieceBytes = 16 << 10
+// chunkBytes is the smallest charge: a caller that announces a large body and sends little of it
+// holds no more than one chunk in vain.
+const chunkBytes = 16 << 10
 
-// ErrExhausted means that what was read could not be held.
-var ErrExhausted = errors.New("no more bytes may be held for this tenant")
+// ErrExhausted means that the quota has no room for the bytes to be read.
+var ErrExhausted = errors.New("byte quota of the tenant is exhausted")
 
-// ReadAll reads to the end of a source, charging an account as bytes come. The bytes read are returned
-// with every error; ErrExhausted leaves the rest unread. Of a source of known size (negative for
-// unknown) no more than that is allocated.
+// ReadAll reads a source to its end and charges an account as bytes arrive. The bytes read are returned
+// with every error; ErrExhausted leaves the rest unread. The size is negative if unknown; otherwise at
+// most one byte more than it is allocated.
 func ReadAll(source io.Reader, size int64, account *Account) ([]byte, error) {
 	var read []byte
 	for {
@@ -36,10 +36,10 @@
 	}
 }
 
-// grownSize is what a full buffer grows to: twice as much, up to one byte more than the source's size,
-// in which its end shows.
+// grownSize returns the size to which a full buffer grows: twice as much, up to one byte more than the
+// source's size, which lets the read that detects the end fit.
 func grownSize(full, size int64) int64 {
-	grown := max(2*full, pieceBytes)
+	grown := max(2*full, chunkBytes)
 	if size >= full {
 		return min(grown, size+1)
 	}
