--- a/internal/compression/compression.go
+++ b/internal/compression/compression.go
@@ -1,5 +1,5 @@
-// Package compression carries large values between processes: CBOR, compressed with
-// zstd, bounded in what it unpacks to.
+// Package compression encodes large values for transfer between processes: as CBOR,
+// compressed with zstd, with a limit on the decoded size.
 package compression
 
 import (
@@ -9,16 +9,16 @@
 	"pinevane.example/pinevane/internal/fault"
 )
 
-// maximumBytes bounds what a message may unpack to.
-const maximumBytes = 64 << 20
+// maxDecodedBytes bounds the decompressed size of a message.
+const maxDecodedBytes = 64 << 20
 
-// windowBytes is how far back the compression looks, which bounds its memory.
+// windowBytes is the window of the compression, which bounds its memory.
 const windowBytes = 128 << 10
 
-// The coders of package zstd are safe for concurrent use by EncodeAll and DecodeAll.
+// EncodeAll and DecodeAll of these coders are safe for concurrent use.
 var (
 	encoder, _ = zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true), zstd.WithWindowSize(windowBytes))
-	decoder, _ = zstd.NewReader(nil, zstd.WithDecoderMaxMemory(maximumBytes), zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true))
+	decoder, _ = zstd.NewReader(nil, zstd.WithDecoderMaxMemory(maxDecodedBytes), zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true))
 )
 
 // Encode encodes and compresses a value. Errors are *fault.InvalidFrame.
@@ -30,7 +30,7 @@
 	return encoder.EncodeAll(plain, nil), nil
 }
 
-// Decode reads what Encode has written. Errors are *fault.InvalidFrame.
+// Decode decompresses and decodes a value written by Encode. Errors are *fault.InvalidFrame.
 func Decode[T any](payload []byte) (T, error) {
 	var value T
 	plain, err := decoder.DecodeAll(payload, nil)
--- a/internal/compression/compression_test.go
+++ b/internal/compression/compression_test.go
@@ -9,18 +9,18 @@
 	"pinevane.example/pinevane/internal/fault"
 )
 
-func TestValuesComeBack(t *testing.T) {
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	value := map[string][]byte{"zeros": make([]byte, 100_000)}
-	packed, err := Encode(value)
+	encoded, err := Encode(value)
 	require.NoError(t, err)
-	assert.Less(t, len(packed), 1000)
-	back, err := Decode[map[string][]byte](packed)
+	assert.Less(t, len(encoded), 1000)
+	decoded, err := Decode[map[string][]byte](encoded)
 	require.NoError(t, err)
-	assert.Equal(t, value, back)
+	assert.Equal(t, value, decoded)
 }
 
-func TestDecodeRefusesWhatEncodeHasNotWritten(t *testing.T) {
-	bomb, err := Encode(make([]byte, maximumBytes+1))
+func TestDecodeRejectsInvalidInput(t *testing.T) {
+	bomb, err := Encode(make([]byte, maxDecodedBytes+1))
 	require.NoError(t, err)
 	for name, data := range map[string][]byte{"noise": {1, 2, 3}, "nothing": nil, "too large": bomb} {
 		_, err := Decode[[]byte](data)
