--- a/internal/rollout/bound.go
+++ b/internal/rollout/bound.go
@@ -119,7 +119,7 @@
 		return
 	}
 	_, missing := newer.state()
-	a.log.Log(logging.ExpiredVersionServed, zap.String("model", newer.model), zap.Uint64("serving", serving), zap.Uint64("version", newer.version()),
+	a.log.Log(logging.VersionNotReplaced, zap.String("model", newer.model), zap.Uint64("serving", serving), zap.Uint64("version", newer.version()),
 		zap.Int("missing", missing))
 }
 
