--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -74,7 +74,7 @@
 
 func (s *eventSplitter) read() {
 	if len(s.pending) >= unchargedEventBytes+s.charged {
-		if !s.memory.Take(unchargedEventBytes) {
+		if !s.memory.Reserve(unchargedEventBytes) {
 			s.err = bytequota.ErrExhausted
 			return
 		}
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -120,7 +120,7 @@
 	}
 	if err := checkBeforeSend(check); err != nil {
 		carrier.close()
-		return nil, &failure{reason: failureReason(err, fault.ReasonVersionBound), execution: fault.ExecutionNotRun, cause: err}
+		return nil, &failure{reason: failureReason(err, fault.ReasonVersionDeadline), execution: fault.ExecutionNotRun, cause: err}
 	}
 	started := &exchange{target: chosen, connection: carrier, written: make(chan error, 1)}
 	started.release = carrier.begin(ctx, request.Deadline, check)
@@ -175,7 +175,7 @@
 	case errors.Is(err, errStalled):
 		return fault.ReasonStalled
 	case errors.Is(err, errVersionDeadline):
-		return fault.ReasonVersionBound
+		return fault.ReasonVersionDeadline
 	}
 	return other
 }
--- a/internal/forward/exchange_test.go
+++ b/internal/forward/exchange_test.go
@@ -255,7 +255,7 @@
 			assert.Equal(t, fault.ReasonDeadline, failed.reason)
 			continue
 		}
-		assert.Equal(t, fault.ReasonVersionBound, failed.reason)
+		assert.Equal(t, fault.ReasonVersionDeadline, failed.reason)
 		assert.Equal(t, fault.ExecutionUnknown, failed.execution)
 		assert.Less(t, time.Since(began), time.Second, "withdrawn before the version deadline")
 	}
@@ -291,7 +291,7 @@
 	f.targets.update(&catalog.View{Versions: map[string][]catalog.VersionAnnouncement{"m": {{Version: 2, Since: time.Now().Add(-7800 * time.Millisecond)}}}})
 	_, failed := f.open(context.Background(), w.request, fleet.SendHeader{Deadline: time.Second, Instance: "i-1"}, server, check)
 	require.NotNil(t, failed)
-	assert.Equal(t, fault.ReasonVersionBound, failed.reason)
+	assert.Equal(t, fault.ReasonVersionDeadline, failed.reason)
 	assert.Equal(t, fault.ExecutionNotRun, failed.execution)
 	time.Sleep(50 * time.Millisecond)
 	assert.Zero(t, received.Load(), "requests that reached the server")
--- a/internal/forward/health.go
+++ b/internal/forward/health.go
@@ -83,7 +83,7 @@
 // recordTrial logs and counts a request that is the trial of its server. The mutex is held.
 func (t *targets) recordTrial(w *forwarding, k *dispatch.Candidate, now time.Time) {
 	t.health.trials.Inc()
-	t.log.Log(logging.ServerTried, zap.String("server", k.ID), zap.String("request", w.request.Call.RequestID))
+	t.log.Log(logging.ServerTrial, zap.String("server", k.ID), zap.String("request", w.request.Call.RequestID))
 	t.reportHealth(now)
 }
 
@@ -115,7 +115,7 @@
 		t.log.Log(logging.ServerEjected, append(fields, zap.Duration("for", change.Duration), zap.Float64("evidence", change.Evidence))...)
 		return
 	}
-	t.log.Log(logging.ServerReturned, fields...)
+	t.log.Log(logging.ServerReadmitted, fields...)
 }
 
 // ReceiveHealth applies a health report that another entry of the zone made at the given time.
--- a/internal/forward/notice.go
+++ b/internal/forward/notice.go
@@ -35,7 +35,7 @@
 	case head.Backoff.Duration > 0:
 		t.backoffs.Inc()
 		if t.core.RecordBackoff(k.Candidate, head.Backoff.Duration, now) {
-			t.log.Log(logging.ServerRests, zap.String("server", k.ID), zap.Duration("for", head.Backoff.Duration))
+			t.log.Log(logging.ServerBackoff, zap.String("server", k.ID), zap.Duration("for", head.Backoff.Duration))
 		}
 	case head.Backoff.Unreadable:
 		t.logUnreadable(k, "rest")
@@ -61,7 +61,7 @@
 	change, isNew := t.core.RecordLeaving(k.Candidate)
 	if isNew {
 		k.pool.close()
-		t.log.Log(logging.ServerSaidLeaving, zap.String("server", k.ID), zap.Int("in_flight", change.InFlight))
+		t.log.Log(logging.ServerAnnouncedLeaving, zap.String("server", k.ID), zap.Int("in_flight", change.InFlight))
 		t.queueNotice(k, now)
 	}
 }
@@ -97,7 +97,7 @@
 	limit, leaving := t.core.ApplyNotice(notice, at, time.Now())
 	t.logLimit(notice.Server, limit, entry)
 	if leaving {
-		t.log.Log(logging.ServerSaidLeaving, zap.String("server", notice.Server), zap.String("entry", entry))
+		t.log.Log(logging.ServerAnnouncedLeaving, zap.String("server", notice.Server), zap.String("entry", entry))
 	}
 }
 
@@ -118,7 +118,7 @@
 		return
 	}
 	t.unreadable[key] = true
-	t.log.Log(logging.AnswerUnreadable, zap.String("server", k.ID), zap.String("field", field))
+	t.log.Log(logging.ResponseHeaderInvalid, zap.String("server", k.ID), zap.String("field", field))
 }
 
 // unreadableField is a field of a server's answers that could not be parsed.
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -96,17 +96,17 @@
 	case quarantine.Crashed:
 		m.crashes.Inc()
 		logged := change.Fingerprints[:min(len(change.Fingerprints), maxLoggedFingerprints)]
-		m.log.Log(logging.ServerEnded, zap.String("server", change.Server), zap.Int("requests", len(change.Fingerprints)), zap.Stringers("contents", logged))
+		m.log.Log(logging.ServerCrashed, zap.String("server", change.Server), zap.Int("requests", len(change.Fingerprints)), zap.Stringers("contents", logged))
 	case quarantine.Quarantined:
 		by := "told"
 		if change.Reporter == m.tracker.Self() {
 			by = "found"
 		}
 		m.quarantines.WithLabelValues(by).Inc()
-		m.log.Log(logging.ContentShut, zap.Stringer("content", change.Fingerprint), zap.Strings("servers", change.Servers),
+		m.log.Log(logging.FingerprintQuarantined, zap.Stringer("content", change.Fingerprint), zap.Strings("servers", change.Servers),
 			zap.Duration("left", change.Remaining), zap.Int("round", change.Round), zap.String("entry", change.Reporter))
 	case quarantine.Cleared:
-		m.log.Log(logging.ContentCleared, zap.Stringer("content", change.Fingerprint), zap.String("entry", change.Reporter))
+		m.log.Log(logging.FingerprintReleased, zap.Stringer("content", change.Fingerprint), zap.String("entry", change.Reporter))
 	}
 }
 
@@ -152,7 +152,7 @@
 		refusal = fault.NotRun(fault.ReasonSuspected, "servers have ended under requests with this content, among others")
 	}
 	refusal.RetryAfter = verdict.Remaining
-	w.log.Log(logging.ContentWithheld, zap.String("request", w.request.Call.RequestID), zap.Stringer("content", w.request.Fingerprint),
+	w.log.Log(logging.RequestQuarantined, zap.String("request", w.request.Call.RequestID), zap.Stringer("content", w.request.Fingerprint),
 		zap.String("reason", string(refusal.Reason)), zap.Strings("servers", verdict.Servers), zap.Duration("left", verdict.Remaining))
 	return refusal
 }
--- a/internal/rollout/verify.go
+++ b/internal/rollout/verify.go
@@ -75,7 +75,7 @@
 
 // refetchCorrupt fetches pieces again that have turned corrupt at the server.
 func (t *transfer) refetchCorrupt(corrupt []int) {
-	t.agent.log.Log(logging.PiecesSpoilt, zap.String("model", t.model), zap.Uint64("version", t.version()), zap.Ints("pieces", corrupt))
+	t.agent.log.Log(logging.PiecesCorrupt, zap.String("model", t.model), zap.Uint64("version", t.version()), zap.Ints("pieces", corrupt))
 	t.restartFetch(corrupt)
 }
 
@@ -87,7 +87,7 @@
 	if ctx.Err() != nil || t.fetcher == nil || index < 0 || index >= len(t.manifest.Digests) || !t.fetcher.Holds(index) {
 		return
 	}
-	t.agent.log.Log(logging.PiecesSpoilt, zap.String("model", t.model), zap.Uint64("version", t.version()), zap.Ints("pieces", []int{index}))
+	t.agent.log.Log(logging.PiecesCorrupt, zap.String("model", t.model), zap.Uint64("version", t.version()), zap.Ints("pieces", []int{index}))
 	t.restartFetchLocked([]int{index})
 }
 
