--- a/internal/forward/silence.go
+++ b/internal/forward/silence.go
@@ -193,8 +193,8 @@
 	if !seen.Waiting || mute < inspectAfter {
 		return seen
 	}
-	if state, known := network.ReadTransport(c.net); known {
-		seen.HasTCPInfo, seen.Unacknowledged, seen.Acknowledged, seen.LastPacket = true, state.Unacknowledged(mute), !state.Waiting, now-state.SinceHeard
+	if state, known := network.ReadTCPState(c.net); known {
+		seen.HasTCPInfo, seen.Unacknowledged, seen.Acknowledged, seen.LastPacket = true, state.Unacknowledged(mute), !state.AwaitingAck, now-state.SinceReceived
 	}
 	return seen
 }
--- a/internal/network/client.go
+++ b/internal/network/client.go
@@ -29,17 +29,17 @@
 type ClientOptions struct {
 	// Dial makes connections; Idle of them are kept, for IdleTimeout at most.
 	Dial        func(ctx context.Context, network, address string) (net.Conn, error)
-	Idle        int
+	MaxIdle     int
 	IdleTimeout time.Duration
 	// ReadBuffer and WriteBuffer are the bytes buffered for a connection.
 	ReadBuffer  int
 	WriteBuffer int
-	// LeastQuiet and MostQuiet bound the silence after which a call is hedged. Between them
+	// MinHedgeDelay and MostQuiet bound the silence after which a call is hedged. Between them
 	// it follows the times that answers take.
-	LeastQuiet time.Duration
-	MostQuiet  time.Duration
-	// SuspectsNew also hedges calls over connections that have carried no answer yet.
-	SuspectsNew bool
+	MinHedgeDelay time.Duration
+	MaxHedgeDelay time.Duration
+	// HedgeNewConnections also hedges calls over connections that have carried no answer yet.
+	HedgeNewConnections bool
 	// OnSilent is told of each silence that a hedge has shown. It may be nil.
 	OnSilent func(silent time.Duration)
 }
@@ -52,24 +52,24 @@
 	ContentType string
 	// Timeout bounds the time until the answer begins and each pause in it; Longer is by how
 	// much the whole call may exceed it.
-	Timeout time.Duration
-	Longer  time.Duration
-	// Limit bounds the bytes of the answer that are read.
-	Limit int64
-	// Hold is how long the callee may keep back an answer that it has.
-	Hold time.Duration
-	// LeastQuiet is the least silence after which this call is hedged, where that is more
+	Timeout   time.Duration
+	ExtraTime time.Duration
+	// MaxBytes bounds the bytes of the answer that are read.
+	MaxBytes int64
+	// MaxHold is how long the callee may keep back an answer that it has.
+	MaxHold time.Duration
+	// MinHedgeDelay is the least silence after which this call is hedged, where that is more
 	// than the client's.
-	LeastQuiet time.Duration
+	MinHedgeDelay time.Duration
 	// HedgeURL is what a hedge asks for, if not the same.
 	HedgeURL string
 	// ProbeURL, if set, is asked first when the call is to be hedged: the call is sent again only if
 	// the probe is answered before anything is heard of the call. It is for answers so large that
 	// several of them at once fill a link: there the probe's answer waits behind the call's.
 	ProbeURL string
-	// Once forbids a second send. Such a call goes over a fresh connection, which no silence
+	// SendOnce forbids a second send. Such a call goes over a fresh connection, which no silence
 	// has struck before.
-	Once bool
+	SendOnce bool
 }
 
 // Answer is what a call has brought. Status is 0 when no answer has begun.
@@ -107,12 +107,12 @@
 	return c
 }
 
-// OnSilent sets the function that is told of silences, before the first call.
-func (c *Client) OnSilent(function func(silent time.Duration)) { c.options.OnSilent = function }
+// SetOnSilent sets the function that is told of silences, before the first call.
+func (c *Client) SetOnSilent(function func(silent time.Duration)) { c.options.OnSilent = function }
 
-// Suspect has the calls that wait for an answer hedged now, because connections to other processes have
+// HedgePending has the calls that wait for an answer hedged now, because connections to other processes have
 // turned out to be silent. Calls that are begun later are not concerned.
-func (c *Client) Suspect() {
+func (c *Client) HedgePending() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	close(c.suspected)
@@ -122,8 +122,8 @@
 func (c *Client) newGeneration() *generation {
 	return &generation{
 		transport: &http.Transport{
-			DialContext: c.options.Dial, MaxIdleConnsPerHost: c.options.Idle, IdleConnTimeout: c.options.IdleTimeout,
-			DisableKeepAlives: c.options.Idle == 0, DisableCompression: true,
+			DialContext: c.options.Dial, MaxIdleConnsPerHost: c.options.MaxIdle, IdleConnTimeout: c.options.IdleTimeout,
+			DisableKeepAlives: c.options.MaxIdle == 0, DisableCompression: true,
 			ReadBufferSize: c.options.ReadBuffer, WriteBufferSize: c.options.WriteBuffer,
 		},
 		distrusted: make(chan struct{}),
@@ -133,9 +133,9 @@
 // Do makes a call and reads its answer whole. An answer that breaks off is returned with its
 // status and an error.
 func (c *Client) Do(ctx context.Context, call Call) (Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, call.Timeout+call.Longer)
+	ctx, cancel := context.WithTimeout(ctx, call.Timeout+call.ExtraTime)
 	defer cancel()
-	if call.Once {
+	if call.SendOnce {
 		once := c.newGeneration()
 		defer once.transport.CloseIdleConnections()
 		result := <-c.begin(ctx, call, call.URL, once).done
@@ -196,7 +196,7 @@
 		case <-suspected:
 			return callResult{}, false
 		case <-timer.C:
-			left := first.untilQuiet(call.Hold+quiet, c.options.SuspectsNew)
+			left := first.untilQuiet(call.MaxHold+quiet, c.options.HedgeNewConnections)
 			if left <= 0 {
 				return callResult{}, false
 			}
@@ -234,7 +234,7 @@
 			result = <-first.done
 			break
 		}
-		if silent := first.silence(); silent >= c.options.LeastQuiet {
+		if silent := first.silence(); silent >= c.options.MinHedgeDelay {
 			c.distrust(first.generation, second.generation, silent)
 		}
 		return result.afterOther(first, write)
@@ -296,20 +296,20 @@
 func (c *Client) quiet(call Call) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	usual := c.times.bound(c.options.MostQuiet)
-	return max(call.LeastQuiet, min(max(usual, c.options.LeastQuiet), c.options.MostQuiet))
+	usual := c.times.bound(c.options.MaxHedgeDelay)
+	return max(call.MinHedgeDelay, min(max(usual, c.options.MinHedgeDelay), c.options.MaxHedgeDelay))
 }
 
 // noteTime learns from the time that the answer to a call took to begin. What came before the
 // callee had to answer tells nothing.
 func (c *Client) noteTime(call Call, first *attempt) {
 	took, begun := first.answerTime()
-	if !begun || took < call.Hold {
+	if !begun || took < call.MaxHold {
 		return
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.times.add(took - call.Hold)
+	c.times.add(took - call.MaxHold)
 }
 
 // callResult is what became of one attempt.
@@ -393,7 +393,7 @@
 	a.hear()
 	began := time.Now()
 	body := progress{from: response.Body, of: a, stalled: stalled, timeout: call.Timeout}
-	data, err := io.ReadAll(io.LimitReader(body, call.Limit))
+	data, err := io.ReadAll(io.LimitReader(body, call.MaxBytes))
 	return Answer{Status: response.StatusCode, Body: data, BodyTime: time.Since(began)}, err
 }
 
@@ -407,7 +407,7 @@
 	}
 	// Without GetBody the library can't send the request a second time.
 	request.GetBody = nil
-	request.Close = call.Once
+	request.Close = call.SendOnce
 	if call.ContentType != "" {
 		request.Header.Set("Content-Type", call.ContentType)
 	}
--- a/internal/network/client_test.go
+++ b/internal/network/client_test.go
@@ -88,10 +88,10 @@
 	t.Cleanup(server.CloseClientConnections)
 	connections, silences := &mutable{}, &atomic.Int64{}
 	client := NewClient(ClientOptions{
-		Dial: connections.dial, Idle: 4, IdleTimeout: time.Minute, LeastQuiet: testQuiet, MostQuiet: testQuiet,
+		Dial: connections.dial, MaxIdle: 4, IdleTimeout: time.Minute, MinHedgeDelay: testQuiet, MaxHedgeDelay: testQuiet,
 		OnSilent: func(time.Duration) { silences.Add(1) },
 	})
-	return client, connections, silences, Call{Method: http.MethodGet, URL: server.URL, Timeout: 2 * time.Second, Limit: 1 << 10}
+	return client, connections, silences, Call{Method: http.MethodGet, URL: server.URL, Timeout: 2 * time.Second, MaxBytes: 1 << 10}
 }
 
 // Calls that are under way on several connections when these go silent are all answered about
@@ -145,13 +145,13 @@
 	_, err := client.Do(context.Background(), call)
 	require.NoError(t, err)
 	connections.silence()
-	call.Hold = time.Second
-	time.AfterFunc(2*testQuiet, client.Suspect)
+	call.MaxHold = time.Second
+	time.AfterFunc(2*testQuiet, client.HedgePending)
 	began := time.Now()
 	answer, err := client.Do(context.Background(), call)
 	require.NoError(t, err)
 	assert.Equal(t, "answer", string(answer.Body))
-	assert.Less(t, time.Since(began), call.Hold)
+	assert.Less(t, time.Since(began), call.MaxHold)
 	assert.Equal(t, int64(1), silences.Load())
 }
 
@@ -171,8 +171,8 @@
 	})
 	_, err := client.Do(context.Background(), call)
 	require.NoError(t, err)
-	call.Hold = time.Second
-	time.AfterFunc(testQuiet, client.Suspect)
+	call.MaxHold = time.Second
+	time.AfterFunc(testQuiet, client.HedgePending)
 	_, err = client.Do(context.Background(), call)
 	require.NoError(t, err)
 	assert.Zero(t, silences.Load())
@@ -232,7 +232,7 @@
 	_, err := client.Do(context.Background(), call)
 	require.NoError(t, err)
 	connections.silence()
-	call.Method, call.Once = http.MethodPost, true
+	call.Method, call.SendOnce = http.MethodPost, true
 	began := time.Now()
 	_, err = client.Do(context.Background(), call)
 	require.NoError(t, err)
--- a/internal/network/transport_test.go
+++ b/internal/network/transport_test.go
@@ -36,26 +36,26 @@
 		require.NoError(t, err)
 	}
 	time.Sleep(300 * time.Millisecond)
-	state, known := ReadTransport(writing)
+	state, known := ReadTCPState(writing)
 	require.True(t, known)
 	assert.GreaterOrEqual(t, state.Unacknowledged(300*time.Millisecond), 290*time.Millisecond)
-	state, known = ReadTransport(slow)
+	state, known = ReadTCPState(slow)
 	require.True(t, known)
 	assert.Zero(t, state.Unacknowledged(300*time.Millisecond))
 	time.Sleep(probeIdle)
-	state, known = ReadTransport(reading)
+	state, known = ReadTCPState(reading)
 	require.True(t, known)
 	assert.True(t, state.Probing)
 	assert.GreaterOrEqual(t, state.Unacknowledged(0), 250*time.Millisecond)
-	state, known = ReadTransport(slow)
+	state, known = ReadTCPState(slow)
 	require.True(t, known)
-	assert.False(t, state.Waiting)
+	assert.False(t, state.AwaitingAck)
 }
 
 // Where the kernel tells nothing, nothing is known.
 func TestTransportIsUnknownWithoutASocket(t *testing.T) {
 	near, far := net.Pipe()
 	t.Cleanup(func() { _, _ = near.Close(), far.Close() })
-	_, known := ReadTransport(near)
+	_, known := ReadTCPState(near)
 	assert.False(t, known)
 }
--- a/internal/rollout/peers.go
+++ b/internal/rollout/peers.go
@@ -112,8 +112,8 @@
 	known, made := p.clients[machine]
 	if !made {
 		known = &keptClient{client: network.NewClient(network.ClientOptions{
-			Dial: network.Dialer(peerDialTimeout).DialContext, Idle: peerConnections, IdleTimeout: peerIdleTimeout,
-			ReadBuffer: peerBuffer, WriteBuffer: peerBuffer, LeastQuiet: peerLeastQuiet, MostQuiet: peerMostQuiet,
+			Dial: network.Dialer(peerDialTimeout).DialContext, MaxIdle: peerConnections, IdleTimeout: peerIdleTimeout,
+			ReadBuffer: peerBuffer, WriteBuffer: peerBuffer, MinHedgeDelay: peerLeastQuiet, MaxHedgeDelay: peerMostQuiet,
 			OnSilent: func(silent time.Duration) { p.onSilent(string(machine), silent) },
 		})}
 		p.clients[machine] = known
@@ -151,7 +151,7 @@
 // without the time for which the machine let the call wait.
 func (p *peerClient) piece(ctx context.Context, machine dissemination.MachineID, path string, size int) ([]byte, time.Duration, error) {
 	answer, err := p.call(ctx, machine, path, network.Call{
-		Method: http.MethodGet, Timeout: pieceTimeout, Limit: int64(size) + 1, LeastQuiet: pieceQuiet,
+		Method: http.MethodGet, Timeout: pieceTimeout, MaxBytes: int64(size) + 1, MinHedgeDelay: pieceQuiet,
 	})
 	if err != nil {
 		return nil, 0, err
@@ -163,7 +163,7 @@
 func ask[T any](ctx context.Context, p *peerClient, machine dissemination.MachineID, path string, hold time.Duration) (T, error) {
 	var answer T
 	reply, err := p.call(ctx, machine, path, network.Call{
-		Method: http.MethodGet, Timeout: offerTimeout, Limit: maximumManifestBytes, Hold: hold,
+		Method: http.MethodGet, Timeout: offerTimeout, MaxBytes: maximumManifestBytes, MaxHold: hold,
 	})
 	if err != nil {
 		return answer, err
@@ -180,7 +180,7 @@
 	if err != nil {
 		return answer, &fault.InvalidFrame{Field: "offer", Reason: err.Error()}
 	}
-	reply, err := p.call(ctx, machine, offerPath, network.Call{Method: http.MethodPost, Body: data, Timeout: offerTimeout, Limit: maximumOfferBytes})
+	reply, err := p.call(ctx, machine, offerPath, network.Call{Method: http.MethodPost, Body: data, Timeout: offerTimeout, MaxBytes: maximumOfferBytes})
 	if err != nil {
 		return answer, err
 	}
