--- a/internal/catalog/links.go
+++ b/internal/catalog/links.go
@@ -179,7 +179,7 @@
 func (c *Catalog) adoptAccepted(peer *peerLink, now time.Time) {
 	for _, link := range c.options.Hub.Accepted() {
 		remote := link.Remote()
-		if remote.ID == peer.ip && remote.Role == RoleEntry && link.Up() && now.Sub(link.LastHeard()) <= linkTimeout {
+		if remote.ID == peer.ip && remote.Role == RoleEntry && link.Up() && now.Sub(link.LastReceived()) <= linkTimeout {
 			c.openLink(peer, link, true)
 			return
 		}
@@ -267,7 +267,7 @@
 	defer c.mutex.Unlock()
 	c.recordEntry(remote.ID, entryHeartbeat{Zone: remote.Zone})
 	peer := c.peerLink(remote.ID)
-	if peer.link != nil && !peer.lost() && !peer.accepted && time.Since(peer.link.LastHeard()) <= probeAfter {
+	if peer.link != nil && !peer.lost() && !peer.accepted && time.Since(peer.link.LastReceived()) <= probeAfter {
 		return
 	}
 	if peer.link != nil && !peer.accepted {
--- a/internal/catalog/links_test.go
+++ b/internal/catalog/links_test.go
@@ -346,7 +346,7 @@
 	_, made := linkToEntry(t, c)
 	peer := c.peerLink("10.0.0.2")
 	peer.open(made, false)
-	lastHeard := made.LastHeard()
+	lastHeard := made.LastReceived()
 	assert.Equal(t, 20*time.Millisecond, c.checkLink(t.Context(), peer, lastHeard.Add(probeAfter-20*time.Millisecond)), "a probe is due then")
 	probed := lastHeard.Add(probeAfter + time.Millisecond)
 	assert.Equal(t, peer.renewDelay-probeAfter-time.Millisecond, c.checkLink(t.Context(), peer, probed), "a renewal is due then")
--- a/internal/catalog/silentlinks.go
+++ b/internal/catalog/silentlinks.go
@@ -43,7 +43,7 @@
 // link of its own carries only answers to probes: without a probe, processes that had a third of
 // their CPU time dropped such links and suspected the other entry. The mutex must be held.
 func (c *Catalog) isBroken(peer *peerLink, now time.Time) bool {
-	if now.Sub(peer.link.LastHeard()) <= linkTimeout {
+	if now.Sub(peer.link.LastReceived()) <= linkTimeout {
 		return false
 	}
 	peer.probe(now, c.pauses.resumedAt)
@@ -54,7 +54,7 @@
 // which the time for the answer may have run out.
 func (p *peerLink) probe(now, resumed time.Time) {
 	again := false
-	if !p.probedAt.Before(p.link.LastHeard()) {
+	if !p.probedAt.Before(p.link.LastReceived()) {
 		if again = !p.reprobed && p.probedAt.Before(resumed); !again {
 			return
 		}
@@ -98,7 +98,7 @@
 // checkLink probes or renews a link if that is due, and returns the time until the next check is
 // due. The mutex must be held.
 func (c *Catalog) checkLink(ctx context.Context, peer *peerLink, now time.Time) time.Duration {
-	silent := now.Sub(peer.link.LastHeard())
+	silent := now.Sub(peer.link.LastReceived())
 	if silent <= probeAfter {
 		return probeAfter - silent
 	}
@@ -133,7 +133,7 @@
 		return
 	}
 	c.openLink(peer, link, false)
-	lastHeard := silent.LastHeard()
+	lastHeard := silent.LastReceived()
 	if lastHeard.After(began) {
 		peer.extendRenewDelay(now)
 		return
@@ -170,7 +170,7 @@
 	if peer.replaced == nil {
 		return
 	}
-	if peer.replaced.LastHeard().After(peer.replacedAt) {
+	if peer.replaced.LastReceived().After(peer.replacedAt) {
 		peer.replaced = nil
 		peer.extendRenewDelay(now)
 		return
--- a/internal/peering/counters.go
+++ b/internal/peering/counters.go
@@ -20,8 +20,8 @@
 	BytesOut    uint64 `json:"bytes_out"`
 }
 
-// Plus returns the sum of two counts.
-func (t Traffic) Plus(other Traffic) Traffic {
+// Add returns the sum of two counts.
+func (t Traffic) Add(other Traffic) Traffic {
 	return Traffic{
 		MessagesIn:  t.MessagesIn + other.MessagesIn,
 		MessagesOut: t.MessagesOut + other.MessagesOut,
@@ -30,9 +30,9 @@
 	}
 }
 
-// Minus returns what was added since an earlier count; a count that started
+// Sub returns what was added since an earlier count; a count that started
 // anew meanwhile gives nothing.
-func (t Traffic) Minus(earlier Traffic) Traffic {
+func (t Traffic) Sub(earlier Traffic) Traffic {
 	since := func(now, before uint64) uint64 { return now - min(now, before) }
 	return Traffic{
 		MessagesIn:  since(t.MessagesIn, earlier.MessagesIn),
@@ -101,7 +101,7 @@
 func (c *Counters) add(kind string, delta Traffic) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.traffic[kind] = c.traffic[kind].Plus(delta)
+	c.traffic[kind] = c.traffic[kind].Add(delta)
 }
 
 // Snapshot returns the totals by kind.
--- a/internal/peering/hub.go
+++ b/internal/peering/hub.go
@@ -198,8 +198,8 @@
 	}
 }
 
-// ErrHeard says that a link was not renewed because something has come over it meanwhile.
-var ErrHeard = errors.New("the link has been heard again")
+// ErrLinkAlive says that a link was not renewed because something has come over it meanwhile.
+var ErrLinkAlive = errors.New("the link has been heard again")
 
 // mostGrace bounds the time that a link is given to be heard before another one replaces it.
 const mostGrace = 200 * time.Millisecond
@@ -239,14 +239,14 @@
 // milliseconds last by it.
 func awaitSign(ctx context.Context, silent *Link, began time.Time) error {
 	deadline := time.Now().Add(min(time.Since(began)-silent.answered, mostGrace))
-	for !silent.LastHeard().After(began) {
+	for !silent.LastReceived().After(began) {
 		left := time.Until(deadline)
 		if left <= 0 || ctx.Err() != nil {
 			return ctx.Err()
 		}
 		time.Sleep(min(left, signPeriod))
 	}
-	return ErrHeard
+	return ErrLinkAlive
 }
 
 // signPeriod is how often a silent link is looked at for a sign.
--- a/internal/peering/link.go
+++ b/internal/peering/link.go
@@ -88,8 +88,8 @@
 // Up reports whether the link has not been lost.
 func (l *Link) Up() bool { return l.ctx.Err() == nil }
 
-// LastHeard returns when the last frame arrived.
-func (l *Link) LastHeard() time.Time { return time.Unix(0, l.lastHeard.Load()) }
+// LastReceived returns when the last frame arrived.
+func (l *Link) LastReceived() time.Time { return time.Unix(0, l.lastHeard.Load()) }
 
 // Probe asks the other process for a sign of life and waits for it, at most for a
 // timeout; the answer counts as heard. Without an answer nothing happens: how much
--- a/internal/peering/peering_test.go
+++ b/internal/peering/peering_test.go
@@ -192,7 +192,7 @@
 		require.Eventually(t, func() bool { return len(accepting.Accepted()) == 1 }, time.Second, time.Millisecond)
 		first := accepting.Accepted()[0]
 		_, err = dialling.Renew(context.Background(), link)
-		require.ErrorIs(t, err, ErrHeard, name)
+		require.ErrorIs(t, err, ErrLinkAlive, name)
 		established, up := dialling.Established(link.Address())
 		assert.True(t, up, name)
 		assert.Same(t, link, established, name)
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -78,7 +78,7 @@
 	if upstream == nil {
 		return false
 	}
-	if time.Since(upstream.LastHeard()) > r.options.Silence {
+	if time.Since(upstream.LastReceived()) > r.options.Silence {
 		_ = upstream.Close()
 		return false
 	}
