--- a/internal/agent/activation.go
+++ b/internal/agent/activation.go
@@ -255,7 +255,7 @@
 func (c *activationController) give(ctx context.Context, order external.Order) error {
 	order.Fence = c.nextFence()
 	c.node.Log.Log(logging.OrderSent, zap.String("action", string(order.Action)), zap.String("model", order.Model), zap.String("version", order.Version))
-	return c.engine.Give(ctx, order)
+	return c.engine.Execute(ctx, order)
 }
 
 // activate loads a version beside the old one, probes it, and admits requests.
@@ -295,7 +295,7 @@
 func (c *activationController) probe(ctx context.Context, version StagedVersion) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	generation := external.Generation{
+	generation := external.GenerationRequest{
 		ID: "probe/" + c.node.ID(), Model: version.Model, Version: version.Version,
 		Prompt: "probe", MaximumTokens: probeTokens, Priority: probePriority,
 	}
--- a/internal/agent/gate.go
+++ b/internal/agent/gate.go
@@ -220,7 +220,7 @@
 // from the pinned version and one engine life.
 func (g *gate) generate(ctx context.Context, link *peering.Link, submit protocol.Submit) {
 	work := submit.Generate
-	generation := external.Generation{
+	generation := external.GenerationRequest{
 		ID: submit.RequestID, Model: work.Model, Version: work.Version, Adapter: work.Adapter,
 		Prompt: work.Prompt, MaximumTokens: work.MaximumTokens, Priority: submit.Priority, ResumeFrom: work.ResumeFrom,
 	}
--- a/internal/emulator/cache.go
+++ b/internal/emulator/cache.go
@@ -100,7 +100,7 @@
 // KeyValueState is what an engine exports of a sequence under way, so that another
 // engine with the same version can go on without a prefill.
 type KeyValueState struct {
-	Generation external.Generation `json:"generation"`
+	Generation external.GenerationRequest `json:"generation"`
 	// Next is the position of the next token.
 	Next int `json:"next"`
 }
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -58,7 +58,7 @@
 // sequence is one request in the engine.
 type sequence struct {
 	ctx        context.Context
-	generation external.Generation
+	generation external.GenerationRequest
 	weights    loadedWeights
 	next       int
 	// skipSteps is how many steps the prefill still takes.
@@ -267,7 +267,7 @@
 }
 
 func (e *Engine) generate(writer http.ResponseWriter, request *http.Request) {
-	var generation external.Generation
+	var generation external.GenerationRequest
 	if !readJSON(writer, request, &generation) {
 		return
 	}
@@ -296,7 +296,7 @@
 
 // Submit queues a request; the channel closes after the last event, or early
 // when the engine restarts. The bool is false when the version is not loaded.
-func (e *Engine) Submit(ctx context.Context, generation external.Generation) (<-chan external.GenerationEvent, bool) {
+func (e *Engine) Submit(ctx context.Context, generation external.GenerationRequest) (<-chan external.GenerationEvent, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	index := slices.IndexFunc(e.loaded, func(loaded loadedWeights) bool {
--- a/internal/emulator/engine_test.go
+++ b/internal/emulator/engine_test.go
@@ -32,8 +32,8 @@
 	return engine, manifest.Identity()
 }
 
-func generation(id, prompt string, tokens int) external.Generation {
-	return external.Generation{ID: id, Model: "m", Version: "1", Prompt: prompt, MaximumTokens: tokens}
+func generation(id, prompt string, tokens int) external.GenerationRequest {
+	return external.GenerationRequest{ID: id, Model: "m", Version: "1", Prompt: prompt, MaximumTokens: tokens}
 }
 
 func collect(events <-chan external.GenerationEvent) (text string, finished bool) {
--- a/internal/external/http.go
+++ b/internal/external/http.go
@@ -314,8 +314,8 @@
 	return status, err
 }
 
-// Give implements Engine.
-func (e *HTTPEngine) Give(ctx context.Context, order Order) error {
+// Execute implements Engine.
+func (e *HTTPEngine) Execute(ctx context.Context, order Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
 		return &fault.OrderRejected{Action: string(order.Action), Reason: err.Error()}
@@ -336,7 +336,7 @@
 }
 
 // Generate implements Engine.
-func (e *HTTPEngine) Generate(ctx context.Context, generation Generation, emit func(GenerationEvent) error) error {
+func (e *HTTPEngine) Generate(ctx context.Context, generation GenerationRequest, emit func(GenerationEvent) error) error {
 	body, err := json.Marshal(generation)
 	if err != nil {
 		return &fault.Unavailable{Target: e.endpoint.name, Operation: "generate", Cause: err}
--- a/internal/external/platform.go
+++ b/internal/external/platform.go
@@ -133,8 +133,8 @@
 	Waiting     int             `json:"waiting"`
 }
 
-// Generation is a request to an engine.
-type Generation struct {
+// GenerationRequest is a request to an engine.
+type GenerationRequest struct {
 	ID      string `json:"id"`
 	Model   string `json:"model"`
 	Version string `json:"version"`
@@ -170,10 +170,10 @@
 // Engine is a model engine on the agent's own machine.
 type Engine interface {
 	Status(ctx context.Context) (EngineStatus, error)
-	// Give carries out one order; a *fault.OrderRejected is the engine's own no.
-	Give(ctx context.Context, order Order) error
+	// Execute carries out one order; a *fault.OrderRejected is the engine's own no.
+	Execute(ctx context.Context, order Order) error
 	// Generate streams an answer to emit, in order, until Finish or an error.
-	Generate(ctx context.Context, generation Generation, emit func(GenerationEvent) error) error
+	Generate(ctx context.Context, generation GenerationRequest, emit func(GenerationEvent) error) error
 }
 
 // ServiceCall is a request to a plain service.
