--- a/internal/agent/gate.go
+++ b/internal/agent/gate.go
@@ -327,7 +327,7 @@
 }
 
 func (g *gate) handleCancel(link *peering.Link, received *message.Message) {
-	reference, err := peering.Decode[protocol.Reference](received)
+	reference, err := peering.Decode[protocol.AttemptRef](received)
 	if err != nil {
 		return
 	}
@@ -344,7 +344,7 @@
 }
 
 func (g *gate) handleInquire(link *peering.Link, received *message.Message) {
-	reference, err := peering.Decode[protocol.Reference](received)
+	reference, err := peering.Decode[protocol.AttemptRef](received)
 	if err != nil {
 		return
 	}
--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -44,9 +44,9 @@
 	}
 }
 
-func (c *statusController) current() protocol.Status {
+func (c *statusController) current() protocol.StatusReport {
 	served, _ := blackboard.Read(c.node.Board, ServedKey)
-	return protocol.Status{
+	return protocol.StatusReport{
 		Sequence: c.sequence.Add(1),
 		Leaving:  c.node.Leaving(),
 		Served:   served,
--- a/internal/entry/replicas.go
+++ b/internal/entry/replicas.go
@@ -45,7 +45,7 @@
 	link        *peering.Link
 	session     protocol.Session
 	sequence    uint64
-	status      protocol.Status
+	status      protocol.StatusReport
 	statusAt    time.Time
 	inFlight    int
 	failures    int
@@ -55,12 +55,12 @@
 
 // ReplicaView is one line of the state dump.
 type ReplicaView struct {
-	ID       string          `json:"id"`
-	Zone     string          `json:"zone"`
-	Linked   bool            `json:"linked"`
-	Status   protocol.Status `json:"status"`
-	InFlight int             `json:"in_flight"`
-	Ejected  bool            `json:"ejected"`
+	ID       string                `json:"id"`
+	Zone     string                `json:"zone"`
+	Linked   bool                  `json:"linked"`
+	Status   protocol.StatusReport `json:"status"`
+	InFlight int                   `json:"in_flight"`
+	Ejected  bool                  `json:"ejected"`
 }
 
 // replicaSet keeps links to a subset of the agents and their last statuses.
@@ -247,7 +247,7 @@
 }
 
 func (s *replicaSet) handleStatus(link *peering.Link, received *message.Message) {
-	status, err := peering.Decode[protocol.Status](received)
+	status, err := peering.Decode[protocol.StatusReport](received)
 	if err != nil {
 		s.rejected(link, err)
 		return
@@ -350,7 +350,7 @@
 
 // cancel asks the back end to stop the attempt.
 func (f *flight) cancel() {
-	_ = peering.Send(f.link, protocol.TopicCancel, "", protocol.Reference{ID: f.id})
+	_ = peering.Send(f.link, protocol.TopicCancel, "", protocol.AttemptRef{ID: f.id})
 }
 
 // end forgets the attempt and notes whether the back end did well.
@@ -410,7 +410,7 @@
 			return unknown
 		}
 		if err == nil {
-			_ = peering.Send(link, protocol.TopicInquire, "", protocol.Reference{ID: f.id})
+			_ = peering.Send(link, protocol.TopicInquire, "", protocol.AttemptRef{ID: f.id})
 		}
 		select {
 		case resolved := <-answers:
--- a/internal/entry/router.go
+++ b/internal/entry/router.go
@@ -113,7 +113,7 @@
 }
 
 // servedVersion returns the version with which a back end would answer.
-func servedVersion(status protocol.Status, wanted need) (string, bool) {
+func servedVersion(status protocol.StatusReport, wanted need) (string, bool) {
 	if wanted.service != "" {
 		return "", status.Service == wanted.service
 	}
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -69,8 +69,8 @@
 	Call                  *Call     `cbor:"9,keyasint,omitempty"`
 }
 
-// Reference names an attempt.
-type Reference struct {
+// AttemptRef names an attempt.
+type AttemptRef struct {
 	ID attempt.ID `cbor:"1,keyasint"`
 }
 
@@ -129,8 +129,8 @@
 	Retiring bool `cbor:"4,keyasint,omitempty" json:"retiring,omitempty"`
 }
 
-// Status is an agent's word on itself, sent on each change and as a heartbeat.
-type Status struct {
+// StatusReport is an agent's word on itself, sent on each change and as a heartbeat.
+type StatusReport struct {
 	Sequence uint64          `cbor:"1,keyasint" json:"sequence"`
 	Leaving  bool            `cbor:"2,keyasint,omitempty" json:"leaving"`
 	Served   []ServedVersion `cbor:"3,keyasint,omitempty" json:"served,omitempty"`
