--- a/internal/entry/http.go
+++ b/internal/entry/http.go
@@ -35,8 +35,8 @@
 	HeaderRepeatable = "X-Pinevane-Repeatable"
 	// HeaderExecution is set on refusals: not-run or unknown.
 	HeaderExecution = "X-Pinevane-Execution"
-	// HeaderKey is the caller's own name for a request.
-	HeaderKey = "Idempotency-Key"
+	// HeaderIdempotencyKey is the caller's own name for a request.
+	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
 // maximumKeyBytes bounds a caller's own name for a request.
@@ -118,9 +118,9 @@
 		return fault.NotRun(fault.ReasonUnauthorized, "the Authorization header names no tenant's key")
 	}
 	c.tenant = tenant
-	c.key = request.Header.Get(HeaderKey)
+	c.key = request.Header.Get(HeaderIdempotencyKey)
 	if len(c.key) > maximumKeyBytes {
-		return badRequest(HeaderKey, "must be at most 256 bytes")
+		return badRequest(HeaderIdempotencyKey, "must be at most 256 bytes")
 	}
 	switch request.Header.Get(HeaderRepeatable) {
 	case "", "true":
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -207,7 +207,7 @@
 	outgoing.Header.Set("Authorization", "Bearer "+request.Key)
 	outgoing.Header.Set("Content-Type", "application/json")
 	if request.CallerKey != "" {
-		outgoing.Header.Set(entry.HeaderKey, request.CallerKey)
+		outgoing.Header.Set(entry.HeaderIdempotencyKey, request.CallerKey)
 	}
 	if request.NotRepeatable {
 		outgoing.Header.Set(entry.HeaderRepeatable, "false")
