--- a/internal/network/cbor_test.go
+++ b/internal/network/cbor_test.go
@@ -12,21 +12,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A body that is too long, or no CBOR of the type, is answered with an error; others are decoded.
-func TestBodiesAreDecodedOrTurnedAway(t *testing.T) {
+// A body that is too long or is not CBOR of the expected type is answered with an error.
+func TestReadCBORDecodesOrRejectsBodies(t *testing.T) {
 	type question struct{ Name string }
 	const limit = 64
-	sound, err := cbor.Marshal(question{Name: "a"})
+	valid, err := cbor.Marshal(question{Name: "a"})
 	require.NoError(t, err)
 	for name, one := range map[string]struct {
 		body   []byte
 		status int
 	}{
-		"sound":        {sound, http.StatusOK},
-		"empty":        {nil, http.StatusBadRequest},
-		"broken off":   {sound[:len(sound)-1], http.StatusBadRequest},
-		"another type": {[]byte{0x81, 0x01}, http.StatusBadRequest},
-		"too long":     {[]byte(strings.Repeat("x", limit+1)), http.StatusRequestEntityTooLarge},
+		"valid":      {valid, http.StatusOK},
+		"empty":      {nil, http.StatusBadRequest},
+		"truncated":  {valid[:len(valid)-1], http.StatusBadRequest},
+		"wrong type": {[]byte{0x81, 0x01}, http.StatusBadRequest},
+		"too long":   {[]byte(strings.Repeat("x", limit+1)), http.StatusRequestEntityTooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
 			recorder := httptest.NewRecorder()
@@ -36,13 +36,13 @@
 			assert.Equal(t, one.status == http.StatusOK, ok)
 			if ok {
 				assert.Equal(t, question{Name: "a"}, value)
-				assert.Equal(t, len(sound), size)
+				assert.Equal(t, len(valid), size)
 			}
 		})
 	}
 }
 
-func TestAnswersAreEncoded(t *testing.T) {
+func TestWriteCBOREncodesAnswers(t *testing.T) {
 	recorder := httptest.NewRecorder()
 	assert.Equal(t, 2, WriteCBOR(recorder, []int{1}))
 	assert.Equal(t, []byte{0x81, 0x01}, recorder.Body.Bytes())
--- a/internal/network/client.go
+++ b/internal/network/client.go
@@ -15,64 +15,63 @@
 )
 
 // An open connection may go silent for good, without a reset, while new ones work. Nothing on
-// the connection itself tells that from a callee that takes its time; a fresh connection does.
-// A Client therefore hedges a call that has heard nothing over a kept connection for longer than
-// answers take: it sends the call once more over a fresh connection, and uses the answer that
-// comes first. When that is the hedge's, all connections as old as the silent one are distrusted:
-// none takes a further call, and the calls that are under way on them are hedged at once.
+// the connection itself distinguishes that from a slow server; a new connection does. A Client
+// therefore hedges a call that has received nothing over a pooled connection for longer than
+// answers typically take: it sends the call again over a new connection and uses the first
+// answer. If that is the hedge's, all connections of the silent one's pool are retired: they get
+// no further calls, and the calls in flight on them are hedged at once.
 
-// bodyPause is the pause in an answer that has begun, after which the call is hedged: packets
-// wait over half a second on links on which pieces of weights move.
-const bodyPause = time.Second
+// bodyHedgeDelay is the pause within an answer after which the call is hedged. Packets are
+// delayed by over half a second on links that carry pieces of weights.
+const bodyHedgeDelay = time.Second
 
 // ClientOptions describe a Client.
 type ClientOptions struct {
-	// Dial makes connections; Idle of them are kept, for IdleTimeout at most.
+	// Dial makes connections; at most MaxIdle of them are kept open for IdleTimeout.
 	Dial        func(ctx context.Context, network, address string) (net.Conn, error)
 	MaxIdle     int
 	IdleTimeout time.Duration
-	// ReadBuffer and WriteBuffer are the bytes buffered for a connection.
+	// ReadBuffer and WriteBuffer are the buffer sizes of a connection in bytes.
 	ReadBuffer  int
 	WriteBuffer int
-	// MinHedgeDelay and MostQuiet bound the silence after which a call is hedged. Between them
-	// it follows the times that answers take.
+	// MinHedgeDelay and MaxHedgeDelay bound the silence after which a call is hedged. Within
+	// these bounds the delay follows the measured answer times.
 	MinHedgeDelay time.Duration
 	MaxHedgeDelay time.Duration
 	// HedgeNewConnections also hedges calls over connections that have carried no answer yet.
 	HedgeNewConnections bool
-	// OnSilent is told of each silence that a hedge has shown. It may be nil.
+	// OnSilent is called for each silent connection that a hedge has revealed. It may be nil.
 	OnSilent func(silent time.Duration)
 }
 
-// Call is one HTTP call.
+// Call is an HTTP request with its time limits and its hedging rules.
 type Call struct {
 	Method      string
 	URL         string
 	Body        []byte
 	ContentType string
-	// Timeout bounds the time until the answer begins and each pause in it; Longer is by how
-	// much the whole call may exceed it.
+	// Timeout bounds the time until the answer begins and each pause in it. The whole call may
+	// take ExtraTime longer than Timeout.
 	Timeout   time.Duration
 	ExtraTime time.Duration
 	// MaxBytes bounds the bytes of the answer that are read.
 	MaxBytes int64
-	// MaxHold is how long the callee may keep back an answer that it has.
+	// MaxHold is how long the server may hold back its answer, as in long polling.
 	MaxHold time.Duration
-	// MinHedgeDelay is the least silence after which this call is hedged, where that is more
-	// than the client's.
+	// MinHedgeDelay overrides the client's MinHedgeDelay for this call if it is longer.
 	MinHedgeDelay time.Duration
-	// HedgeURL is what a hedge asks for, if not the same.
+	// HedgeURL replaces URL in a hedge, if set.
 	HedgeURL string
-	// ProbeURL, if set, is asked first when the call is to be hedged: the call is sent again only if
-	// the probe is answered before anything is heard of the call. It is for answers so large that
-	// several of them at once fill a link: there the probe's answer waits behind the call's.
+	// ProbeURL, if set, is requested first when the call is to be hedged: the call is sent again
+	// only if the probe is answered before more of the call's answer arrives. It is for answers
+	// so large that several at once fill a link: the probe's answer then queues behind the call's.
 	ProbeURL string
-	// SendOnce forbids a second send. Such a call goes over a fresh connection, which no silence
-	// has struck before.
+	// SendOnce forbids a second send. Such a call goes over a new connection, which can't have
+	// gone silent before.
 	SendOnce bool
 }
 
-// Answer is what a call has brought. Status is 0 when no answer has begun.
+// Answer is the result of a call. Status is 0 if no answer has begun.
 type Answer struct {
 	Status int
 	Body   []byte
@@ -80,83 +79,83 @@
 	BodyTime time.Duration
 }
 
-// generation is the connections made since the last silence.
-type generation struct {
+// connectionPool holds the connections made since the last one was found silent.
+type connectionPool struct {
 	transport *http.Transport
-	// distrusted is closed when one of the connections turned out to be silent.
-	distrusted chan struct{}
+	// silent is closed when one of the connections is found silent.
+	silent chan struct{}
 }
 
-// Client makes HTTP calls to one address over kept connections. It is safe for concurrent use.
+// Client makes HTTP calls to one address over pooled connections. It is safe for concurrent use.
 type Client struct {
 	options ClientOptions
 
-	mutex   sync.Mutex
-	trusted *generation
-	// candidate is what hedges go over, which replaces trusted if one of them shows it silent.
-	candidate *generation
-	times     answerTimes
-	// suspected is closed, and replaced, when something else shows that open connections may be silent.
-	suspected chan struct{}
+	mutex  sync.Mutex
+	active *connectionPool
+	// candidate carries the hedges. It replaces active if a hedge shows that active is silent.
+	candidate   *connectionPool
+	answerTimes answerTimes
+	// hedgeNow is closed and replaced when HedgePending is called.
+	hedgeNow chan struct{}
 }
 
-// NewClient returns a client without connections.
+// NewClient returns a client that has no connections yet.
 func NewClient(options ClientOptions) *Client {
-	c := &Client{options: options, suspected: make(chan struct{})}
-	c.trusted = c.newGeneration()
+	c := &Client{options: options, hedgeNow: make(chan struct{})}
+	c.active = c.newPool()
 	return c
 }
 
-// SetOnSilent sets the function that is told of silences, before the first call.
+// SetOnSilent sets ClientOptions.OnSilent. It must be called before the first call.
 func (c *Client) SetOnSilent(function func(silent time.Duration)) { c.options.OnSilent = function }
 
-// HedgePending has the calls that wait for an answer hedged now, because connections to other processes have
-// turned out to be silent. Calls that are begun later are not concerned.
+// HedgePending hedges all calls that await an answer now. It is for when connections to other
+// processes have been found silent. Later calls are not affected.
 func (c *Client) HedgePending() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	close(c.suspected)
-	c.suspected = make(chan struct{})
+	close(c.hedgeNow)
+	c.hedgeNow = make(chan struct{})
 }
 
-func (c *Client) newGeneration() *generation {
-	return &generation{
+func (c *Client) newPool() *connectionPool {
+	return &connectionPool{
 		transport: &http.Transport{
 			DialContext: c.options.Dial, MaxIdleConnsPerHost: c.options.MaxIdle, IdleConnTimeout: c.options.IdleTimeout,
 			DisableKeepAlives: c.options.MaxIdle == 0, DisableCompression: true,
 			ReadBufferSize: c.options.ReadBuffer, WriteBufferSize: c.options.WriteBuffer,
 		},
-		distrusted: make(chan struct{}),
+		silent: make(chan struct{}),
 	}
 }
 
-// Do makes a call and reads its answer whole. An answer that breaks off is returned with its
-// status and an error.
+// Do makes a call and reads the complete answer. A truncated answer is returned with its status
+// and an error.
 func (c *Client) Do(ctx context.Context, call Call) (Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, call.Timeout+call.ExtraTime)
 	defer cancel()
 	if call.SendOnce {
-		once := c.newGeneration()
-		defer once.transport.CloseIdleConnections()
-		result := <-c.begin(ctx, call, call.URL, once).done
+		pool := c.newPool()
+		defer pool.transport.CloseIdleConnections()
+		result := <-c.start(ctx, call, call.URL, pool).done
 		return result.answer, result.err
 	}
-	first := c.begin(ctx, call, call.URL, c.current())
+	first := c.start(ctx, call, call.URL, c.activePool())
 	for {
-		if result, ended := c.awaitQuiet(call, first); ended {
+		if result, ended := c.awaitResult(call, first); ended {
 			return result.answer, result.err
 		}
-		if call.ProbeURL == "" || c.outrun(ctx, call, first) {
+		if call.ProbeURL == "" || c.probeOvertakes(ctx, call, first) {
 			return c.hedge(ctx, call, first)
 		}
 	}
 }
 
-// outrun reports whether a probe that is sent now is answered before anything more is heard of a
-// call. A probe that fails tells nothing.
-func (c *Client) outrun(ctx context.Context, call Call, first *attempt) bool {
-	heard := first.heardAt.Load()
-	probe := c.begin(ctx, call, call.ProbeURL, c.fresh(first.generation))
+// probeOvertakes reports whether a probe that is sent now is answered before anything more of the
+// call's answer arrives. A failed probe shows nothing.
+func (c *Client) probeOvertakes(ctx context.Context, call Call, first *attempt) bool {
+	received := first.receivedAt.Load()
+	probe := c.start(ctx, call, call.ProbeURL, c.hedgePool(first.pool))
 	select {
 	case result := <-first.done:
 		first.done <- result
@@ -167,66 +166,66 @@
 		}
 	}
 	time.Sleep(probeGrace)
-	return first.heardAt.Load() == heard
+	return first.receivedAt.Load() == received
 }
 
-// probeGrace is how long a call may come after the probe that was sent behind it: both travel over
-// connections of their own, and packets of either may be delayed by some milliseconds.
+// probeGrace is how much later than the probe's answer the call's may still arrive: they use
+// separate connections, and packets of either may be delayed by some milliseconds.
 const probeGrace = 50 * time.Millisecond
 
-func (c *Client) current() *generation {
+func (c *Client) activePool() *connectionPool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.trusted
+	return c.active
 }
 
-// awaitQuiet waits for a call's result, and reports false when the call is to be hedged.
-func (c *Client) awaitQuiet(call Call, first *attempt) (callResult, bool) {
-	quiet := c.quiet(call)
-	timer := time.NewTimer(quiet)
+// awaitResult waits for a call's result. It reports false when the call is to be hedged.
+func (c *Client) awaitResult(call Call, first *attempt) (callResult, bool) {
+	delay := c.hedgeDelay(call)
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
-	suspected := c.suspicion()
+	hedgeNow := c.hedgeSignal()
 	for {
 		select {
 		case result := <-first.done:
-			c.noteTime(call, first)
+			c.recordTime(call, first)
 			return result, true
-		case <-first.generation.distrusted:
+		case <-first.pool.silent:
 			return callResult{}, false
-		case <-suspected:
+		case <-hedgeNow:
 			return callResult{}, false
 		case <-timer.C:
-			left := first.untilQuiet(call.MaxHold+quiet, c.options.HedgeNewConnections)
-			if left <= 0 {
+			remaining := first.hedgeDelayRemaining(call.MaxHold+delay, c.options.HedgeNewConnections)
+			if remaining <= 0 {
 				return callResult{}, false
 			}
-			timer.Reset(left)
+			timer.Reset(remaining)
 		}
 	}
 }
 
-func (c *Client) suspicion() <-chan struct{} {
+func (c *Client) hedgeSignal() <-chan struct{} {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.suspected
+	return c.hedgeNow
 }
 
-// hedge sends a call once more and returns the result that comes first, unless it is an error
-// and the other one is still to come. A write, a call with PUT, waits for the end of both sends:
-// one that is carried out after the call has returned could overwrite what a later call wrote.
+// hedge sends a call again and returns the first result that is not an error, or the last error.
+// A write, which is a call with PUT, waits for both sends to end: one that is executed after the
+// call has returned could overwrite what a later call wrote.
 func (c *Client) hedge(ctx context.Context, call Call, first *attempt) (Answer, error) {
 	url := call.URL
 	if call.HedgeURL != "" {
 		url = call.HedgeURL
 	}
-	second := c.begin(ctx, call, url, c.fresh(first.generation))
+	second := c.start(ctx, call, url, c.hedgePool(first.pool))
 	write := call.Method == http.MethodPut
 	var result callResult
 	select {
 	case result = <-first.done:
 		if result.err == nil {
-			c.noteSlow(call, first)
-			return result.afterOther(second, write)
+			c.recordSlowAnswer(call, first)
+			return result.awaitOther(second, write)
 		}
 		result = <-second.done
 	case result = <-second.done:
@@ -234,55 +233,55 @@
 			result = <-first.done
 			break
 		}
-		if silent := first.silence(); silent >= c.options.MinHedgeDelay {
-			c.distrust(first.generation, second.generation, silent)
+		if silent := first.silentFor(); silent >= c.options.MinHedgeDelay {
+			c.replacePool(first.pool, second.pool, silent)
 		}
-		return result.afterOther(first, write)
+		return result.awaitOther(first, write)
 	}
 	return result.answer, result.err
 }
 
-// afterOther returns a result at once, or that of a write once the other send has ended too, as
-// it does at the call's time limit at the latest.
-func (r callResult) afterOther(other *attempt, write bool) (Answer, error) {
+// awaitOther returns the result of a read at once, and that of a write when the other send has
+// ended too, which the call's time limit bounds.
+func (r callResult) awaitOther(other *attempt, write bool) (Answer, error) {
 	if write {
 		<-other.done
 	}
 	return r.answer, r.err
 }
 
-// fresh is where a hedge of a call goes: over connections made after a generation.
-func (c *Client) fresh(suspected *generation) *generation {
+// hedgePool returns the pool for the hedge of a call: one newer than the suspected pool.
+func (c *Client) hedgePool(suspected *connectionPool) *connectionPool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.trusted != suspected {
-		return c.trusted
+	if c.active != suspected {
+		return c.active
 	}
 	if c.candidate == nil {
-		c.candidate = c.newGeneration()
+		c.candidate = c.newPool()
 	}
 	return c.candidate
 }
 
-// distrust ends the use of a generation of which a connection is silent.
-func (c *Client) distrust(silent, successor *generation, after time.Duration) {
+// replacePool retires a pool in which a connection is silent.
+func (c *Client) replacePool(silent, successor *connectionPool, after time.Duration) {
 	c.mutex.Lock()
-	if c.trusted != silent {
+	if c.active != silent {
 		c.mutex.Unlock()
 		return
 	}
-	c.trusted, c.candidate = successor, nil
+	c.active, c.candidate = successor, nil
 	c.mutex.Unlock()
-	close(silent.distrusted)
+	close(silent.silent)
 	silent.transport.CloseIdleConnections()
 	if c.options.OnSilent != nil {
 		c.options.OnSilent(after)
 	}
 }
 
-// noteSlow notes that a suspected connection has answered before the hedge.
-func (c *Client) noteSlow(call Call, first *attempt) {
-	c.noteTime(call, first)
+// recordSlowAnswer records that a suspected connection has answered before the hedge.
+func (c *Client) recordSlowAnswer(call Call, first *attempt) {
+	c.recordTime(call, first)
 	c.mutex.Lock()
 	candidate := c.candidate
 	c.candidate = nil
@@ -292,27 +291,27 @@
 	}
 }
 
-// quiet is the silence after which a call is hedged.
-func (c *Client) quiet(call Call) time.Duration {
+// hedgeDelay returns the silence after which a call is hedged.
+func (c *Client) hedgeDelay(call Call) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	usual := c.times.bound(c.options.MaxHedgeDelay)
-	return max(call.MinHedgeDelay, min(max(usual, c.options.MinHedgeDelay), c.options.MaxHedgeDelay))
+	typical := c.answerTimes.upperBound(c.options.MaxHedgeDelay)
+	return max(call.MinHedgeDelay, min(max(typical, c.options.MinHedgeDelay), c.options.MaxHedgeDelay))
 }
 
-// noteTime learns from the time that the answer to a call took to begin. What came before the
-// callee had to answer tells nothing.
-func (c *Client) noteTime(call Call, first *attempt) {
+// recordTime adds the time until a call's answer began to the estimate. An answer that arrived
+// before MaxHold was over is skipped: it shows nothing about the server's speed.
+func (c *Client) recordTime(call Call, first *attempt) {
 	took, begun := first.answerTime()
 	if !begun || took < call.MaxHold {
 		return
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.times.add(took - call.MaxHold)
+	c.answerTimes.add(took - call.MaxHold)
 }
 
-// callResult is what became of one attempt.
+// callResult is the result of one attempt.
 type callResult struct {
 	answer Answer
 	err    error
@@ -320,23 +319,23 @@
 
 // attempt is one send of a call.
 type attempt struct {
-	generation *generation
-	done       chan callResult
-	began      time.Time
+	pool      *connectionPool
+	done      chan callResult
+	startedAt time.Time
 
-	// connected is set when there is a connection, reused when it has carried a call before.
+	// connected is set when the attempt has a connection, reused if that has carried a call before.
 	connected atomic.Bool
 	reused    atomic.Bool
-	// heardAt is when something was heard last, in nanoseconds since began, or the request
-	// was written; answeredAt is when the answer began, 0 before.
-	heardAt    atomic.Int64
+	// receivedAt is when something was last received or the request was written, answeredAt
+	// when the answer began (0 before). Both are in nanoseconds since startedAt.
+	receivedAt atomic.Int64
 	answeredAt atomic.Int64
 }
 
-func (a *attempt) hear() { a.heardAt.Store(int64(time.Since(a.began))) }
+func (a *attempt) recordActivity() { a.receivedAt.Store(int64(time.Since(a.startedAt))) }
 
-func (a *attempt) silence() time.Duration {
-	return time.Since(a.began) - time.Duration(a.heardAt.Load())
+func (a *attempt) silentFor() time.Duration {
+	return time.Since(a.startedAt) - time.Duration(a.receivedAt.Load())
 }
 
 func (a *attempt) answerTime() (time.Duration, bool) {
@@ -344,21 +343,21 @@
 	return time.Duration(at), at != 0
 }
 
-// untilQuiet is how long the attempt may still be silent until it is suspected.
-func (a *attempt) untilQuiet(quiet time.Duration, suspectsNew bool) time.Duration {
+// hedgeDelayRemaining returns how much longer the attempt may be silent before it is hedged.
+func (a *attempt) hedgeDelayRemaining(delay time.Duration, hedgeNew bool) time.Duration {
 	answered := a.answeredAt.Load() != 0
 	if answered {
-		return max(quiet, bodyPause) - a.silence()
+		return max(delay, bodyHedgeDelay) - a.silentFor()
 	}
-	if !a.connected.Load() || (!a.reused.Load() && !suspectsNew) {
-		return quiet
+	if !a.connected.Load() || (!a.reused.Load() && !hedgeNew) {
+		return delay
 	}
-	return quiet - a.silence()
+	return delay - a.silentFor()
 }
 
-// begin sends a call over a generation's connections.
-func (c *Client) begin(ctx context.Context, call Call, url string, over *generation) *attempt {
-	a := &attempt{generation: over, done: make(chan callResult, 1), began: time.Now()}
+// start sends a call over a pool's connections.
+func (c *Client) start(ctx context.Context, call Call, url string, pool *connectionPool) *attempt {
+	a := &attempt{pool: pool, done: make(chan callResult, 1), startedAt: time.Now()}
 	go func() {
 		answer, err := a.run(ctx, call, url)
 		a.done <- callResult{answer: answer, err: err}
@@ -366,33 +365,33 @@
 	return a
 }
 
-// run sends the call and reads its answer. An attempt that is given up because nothing came for
-// the call's time limit ends with context.DeadlineExceeded.
+// run sends the call and reads its answer. An attempt that received nothing for the call's timeout
+// ends with context.DeadlineExceeded.
 func (a *attempt) run(outer context.Context, call Call, url string) (Answer, error) {
 	ctx, cancel := context.WithCancel(outer)
 	defer cancel()
-	stalled := time.AfterFunc(call.Timeout, cancel)
-	defer stalled.Stop()
-	answer, err := a.exchange(ctx, call, url, stalled)
+	stallTimer := time.AfterFunc(call.Timeout, cancel)
+	defer stallTimer.Stop()
+	answer, err := a.exchange(ctx, call, url, stallTimer)
 	if err != nil && ctx.Err() != nil && !errors.Is(outer.Err(), context.Canceled) {
 		err = context.DeadlineExceeded
 	}
 	return answer, err
 }
 
-func (a *attempt) exchange(ctx context.Context, call Call, url string, stalled *time.Timer) (Answer, error) {
+func (a *attempt) exchange(ctx context.Context, call Call, url string, stallTimer *time.Timer) (Answer, error) {
 	request, err := newRequest(httptrace.WithClientTrace(ctx, a.trace()), call, url)
 	if err != nil {
 		return Answer{}, err
 	}
-	response, err := a.generation.transport.RoundTrip(request)
+	response, err := a.pool.transport.RoundTrip(request)
 	if err != nil {
 		return Answer{}, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	a.hear()
+	a.recordActivity()
 	began := time.Now()
-	body := progress{from: response.Body, of: a, stalled: stalled, timeout: call.Timeout}
+	body := progressReader{body: response.Body, attempt: a, stallTimer: stallTimer, timeout: call.Timeout}
 	data, err := io.ReadAll(io.LimitReader(body, call.MaxBytes))
 	return Answer{Status: response.StatusCode, Body: data, BodyTime: time.Since(began)}, err
 }
@@ -405,7 +404,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// Without GetBody the library can't send the request a second time.
+	// Without GetBody net/http can't send the request a second time.
 	request.GetBody = nil
 	request.Close = call.SendOnce
 	if call.ContentType != "" {
@@ -414,41 +413,41 @@
 	return request, nil
 }
 
-// trace notes what is heard on the attempt's connection.
+// trace records the activity on the attempt's connection.
 func (a *attempt) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
 		GotConn: func(got httptrace.GotConnInfo) {
 			a.reused.Store(got.Reused)
-			a.hear()
+			a.recordActivity()
 			a.connected.Store(true)
 		},
-		WroteRequest: func(httptrace.WroteRequestInfo) { a.hear() },
+		WroteRequest: func(httptrace.WroteRequestInfo) { a.recordActivity() },
 		Got1xxResponse: func(int, textproto.MIMEHeader) error {
-			a.hear()
+			a.recordActivity()
 			return nil
 		},
 		GotFirstResponseByte: func() {
-			a.answeredAt.CompareAndSwap(0, max(1, int64(time.Since(a.began))))
-			a.hear()
+			a.answeredAt.CompareAndSwap(0, max(1, int64(time.Since(a.startedAt))))
+			a.recordActivity()
 		},
 	}
 }
 
-// progress is a body whose reading puts off the end of its call.
-type progress struct {
-	from    io.Reader
-	of      *attempt
-	stalled *time.Timer
-	timeout time.Duration
+// progressReader is a body that resets its call's stall timer on every read.
+type progressReader struct {
+	body       io.Reader
+	attempt    *attempt
+	stallTimer *time.Timer
+	timeout    time.Duration
 }
 
 // Read implements io.Reader.
-func (p progress) Read(into []byte) (int, error) {
-	count, err := p.from.Read(into)
+func (p progressReader) Read(into []byte) (int, error) {
+	count, err := p.body.Read(into)
 	if count > 0 {
-		p.of.hear()
-		// Without a longer bound the call's context ends at the first timeout anyway.
-		p.stalled.Reset(p.timeout)
+		p.attempt.recordActivity()
+		// If ExtraTime is 0 the call's context ends at the first timeout anyway.
+		p.stallTimer.Reset(p.timeout)
 	}
 	return count, err
 }
@@ -461,11 +460,12 @@
 	deviation time.Duration
 }
 
-// Weights of the newest time, and the deviations above the mean that are waited for.
+// The newest time counts with the weight 1/meanWeight in the mean and 1/deviationWeight in the
+// deviation. The upper bound is deviationFactor deviations above the mean.
 const (
 	meanWeight      = 8
 	deviationWeight = 4
-	deviations      = 4
+	deviationFactor = 4
 )
 
 func (t *answerTimes) add(took time.Duration) {
@@ -477,10 +477,10 @@
 	t.mean += (took - t.mean) / meanWeight
 }
 
-// bound is what answers rarely exceed; before the first one it is a given time.
-func (t *answerTimes) bound(unknown time.Duration) time.Duration {
+// upperBound returns a time that answers rarely exceed, or unknown before the first answer.
+func (t *answerTimes) upperBound(unknown time.Duration) time.Duration {
 	if !t.known {
 		return unknown
 	}
-	return t.mean + deviations*t.deviation
+	return t.mean + deviationFactor*t.deviation
 }
--- a/internal/network/client_test.go
+++ b/internal/network/client_test.go
@@ -15,94 +15,94 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testQuiet is the silence after which calls of the tests are hedged.
-const testQuiet = 100 * time.Millisecond
+// testHedgeDelay is the silence after which the calls in these tests are hedged.
+const testHedgeDelay = 100 * time.Millisecond
 
-// mutable makes connections that can be made to bring nothing any more, as if everything sent
-// on them were acknowledged and passed on to nobody.
-type mutable struct {
+// silenceableDialer makes connections that can be silenced: from then on they receive nothing, and
+// everything sent over them is accepted and dropped.
+type silenceableDialer struct {
 	mutex   sync.Mutex
-	open    []*mutableConnection
+	open    []*silenceableConnection
 	dialled atomic.Int64
 }
 
-type mutableConnection struct {
+type silenceableConnection struct {
 	net.Conn
-	mute chan struct{}
-	gone chan struct{}
-	once sync.Once
+	silenced chan struct{}
+	closed   chan struct{}
+	once     sync.Once
 }
 
-func (m *mutable) dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (d *silenceableDialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	var dialer net.Dialer
 	made, err := dialer.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	m.dialled.Add(1)
-	one := &mutableConnection{Conn: made, mute: make(chan struct{}), gone: make(chan struct{})}
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	m.open = append(m.open, one)
-	return one, nil
+	d.dialled.Add(1)
+	connection := &silenceableConnection{Conn: made, silenced: make(chan struct{}), closed: make(chan struct{})}
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.open = append(d.open, connection)
+	return connection, nil
 }
 
-// silence has all connections that are open now fall mute.
-func (m *mutable) silence() {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	for _, one := range m.open {
-		close(one.mute)
+// silence silences all connections that are open now.
+func (d *silenceableDialer) silence() {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	for _, connection := range d.open {
+		close(connection.silenced)
 	}
-	m.open = nil
+	d.open = nil
 }
 
-func (c *mutableConnection) Read(into []byte) (int, error) {
+func (c *silenceableConnection) Read(into []byte) (int, error) {
 	count, err := c.Conn.Read(into)
 	select {
-	case <-c.mute:
-		<-c.gone
+	case <-c.silenced:
+		<-c.closed
 		return 0, io.EOF
 	default:
 		return count, err
 	}
 }
 
-func (c *mutableConnection) Write(data []byte) (int, error) {
+func (c *silenceableConnection) Write(data []byte) (int, error) {
 	select {
-	case <-c.mute:
+	case <-c.silenced:
 		return len(data), nil
 	default:
 		return c.Conn.Write(data)
 	}
 }
 
-func (c *mutableConnection) Close() error {
-	c.once.Do(func() { close(c.gone) })
+func (c *silenceableConnection) Close() error {
+	c.once.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
-func newTestClient(t *testing.T, handler http.HandlerFunc) (*Client, *mutable, *atomic.Int64, Call) {
+func newTestClient(t *testing.T, handler http.HandlerFunc) (*Client, *silenceableDialer, *atomic.Int64, Call) {
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
 	t.Cleanup(server.CloseClientConnections)
-	connections, silences := &mutable{}, &atomic.Int64{}
+	connections, silences := &silenceableDialer{}, &atomic.Int64{}
 	client := NewClient(ClientOptions{
-		Dial: connections.dial, MaxIdle: 4, IdleTimeout: time.Minute, MinHedgeDelay: testQuiet, MaxHedgeDelay: testQuiet,
+		Dial: connections.dial, MaxIdle: 4, IdleTimeout: time.Minute, MinHedgeDelay: testHedgeDelay, MaxHedgeDelay: testHedgeDelay,
 		OnSilent: func(time.Duration) { silences.Add(1) },
 	})
 	return client, connections, silences, Call{Method: http.MethodGet, URL: server.URL, Timeout: 2 * time.Second, MaxBytes: 1 << 10}
 }
 
-// Calls that are under way on several connections when these go silent are all answered about
-// one quiet time later, and one of them finds it out for all.
+// Calls over several connections that have all closed silent are answered about one hedge delay
+// later, and the silence is reported once.
 func TestCallsOverSilentConnectionsAreHedged(t *testing.T) {
 	const calls = 4
-	var held atomic.Bool
+	var blocking atomic.Bool
 	var arrived sync.WaitGroup
 	arrived.Add(calls)
 	client, connections, silences, call := newTestClient(t, func(writer http.ResponseWriter, _ *http.Request) {
-		if held.Load() {
+		if blocking.Load() {
 			arrived.Done()
 			arrived.Wait()
 		}
@@ -119,26 +119,26 @@
 		}
 		running.Wait()
 	}
-	held.Store(true)
+	blocking.Store(true)
 	all()
-	held.Store(false)
+	blocking.Store(false)
 	require.Equal(t, int64(calls), connections.dialled.Load())
 	connections.silence()
 	began := time.Now()
 	all()
-	assert.Less(t, time.Since(began), 4*testQuiet)
+	assert.Less(t, time.Since(began), 4*testHedgeDelay)
 	assert.Equal(t, int64(1), silences.Load())
 	assert.LessOrEqual(t, connections.dialled.Load(), int64(2*calls))
 	before := connections.dialled.Load()
 	began = time.Now()
 	all()
-	assert.Less(t, time.Since(began), testQuiet, "no call waits for a silent connection any more")
+	assert.Less(t, time.Since(began), testHedgeDelay, "no call waits for a silent connection")
 	assert.LessOrEqual(t, connections.dialled.Load(), before+calls)
 }
 
-// A call over a silent connection whose answer may be held back for long is answered as soon as something
-// else shows a silence, and not only after that time.
-func TestSuspectedCallsAreHedgedAtOnce(t *testing.T) {
+// A call whose answer may be held back for MaxHold is hedged at once when HedgePending is called,
+// not only after that time.
+func TestHedgePendingHedgesAtOnce(t *testing.T) {
 	client, connections, silences, call := newTestClient(t, func(writer http.ResponseWriter, _ *http.Request) {
 		_, _ = writer.Write([]byte("answer"))
 	})
@@ -146,7 +146,7 @@
 	require.NoError(t, err)
 	connections.silence()
 	call.MaxHold = time.Second
-	time.AfterFunc(2*testQuiet, client.HedgePending)
+	time.AfterFunc(2*testHedgeDelay, client.HedgePending)
 	began := time.Now()
 	answer, err := client.Do(context.Background(), call)
 	require.NoError(t, err)
@@ -155,39 +155,39 @@
 	assert.Equal(t, int64(1), silences.Load())
 }
 
-// A suspected connection that works is kept, and its answer is used.
-func TestSuspectedConnectionThatAnswersIsKept(t *testing.T) {
-	var asked atomic.Int64
+// A connection that answers after its call was hedged is kept, and its answer is used.
+func TestHedgedConnectionThatAnswersIsKept(t *testing.T) {
+	var received atomic.Int64
 	first := make(chan struct{})
 	client, connections, silences, call := newTestClient(t, func(writer http.ResponseWriter, _ *http.Request) {
-		switch asked.Add(1) {
+		switch received.Add(1) {
 		case 2:
 			<-first
 		case 3:
 			close(first)
-			time.Sleep(2 * testQuiet)
+			time.Sleep(2 * testHedgeDelay)
 		}
 		_, _ = writer.Write([]byte("answer"))
 	})
 	_, err := client.Do(context.Background(), call)
 	require.NoError(t, err)
 	call.MaxHold = time.Second
-	time.AfterFunc(testQuiet, client.HedgePending)
+	time.AfterFunc(testHedgeDelay, client.HedgePending)
 	_, err = client.Do(context.Background(), call)
 	require.NoError(t, err)
 	assert.Zero(t, silences.Load())
 	before := connections.dialled.Load()
 	_, err = client.Do(context.Background(), call)
 	require.NoError(t, err)
-	assert.Equal(t, before, connections.dialled.Load(), "the kept connection serves on")
+	assert.Equal(t, before, connections.dialled.Load(), "the kept connection is reused")
 }
 
-// A callee that answers late is not taken for silent: its answer is used, its connection kept.
-func TestALateAnswerOverAKeptConnectionIsUsed(t *testing.T) {
+// A server that answers late does not count as silent: its answer is used, its connection kept.
+func TestLateAnswerOverPooledConnectionIsUsed(t *testing.T) {
 	var number atomic.Int64
 	client, _, silences, call := newTestClient(t, func(writer http.ResponseWriter, _ *http.Request) {
 		if number.Add(1) > 1 {
-			time.Sleep(2 * testQuiet)
+			time.Sleep(2 * testHedgeDelay)
 		}
 		_, _ = writer.Write([]byte("answer"))
 	})
@@ -199,15 +199,15 @@
 	assert.Zero(t, silences.Load())
 }
 
-// An answer that stops midway is read again over a fresh connection.
-func TestAnAnswerThatStopsMidwayIsReadAgain(t *testing.T) {
+// An answer that stops midway is read again over a new connection.
+func TestTruncatedAnswerIsReadAgain(t *testing.T) {
 	var number atomic.Int64
-	var connections *mutable
+	var connections *silenceableDialer
 	client, connections, silences, call := newTestClient(t, func(writer http.ResponseWriter, _ *http.Request) {
 		_, _ = writer.Write([]byte("be"))
 		writer.(http.Flusher).Flush()
 		if number.Add(1) == 1 {
-			time.Sleep(testQuiet / 2)
+			time.Sleep(testHedgeDelay / 2)
 			connections.silence()
 		}
 		_, _ = writer.Write([]byte("gun"))
@@ -216,12 +216,12 @@
 	answer, err := client.Do(context.Background(), call)
 	require.NoError(t, err)
 	assert.Equal(t, "begun", string(answer.Body))
-	assert.Less(t, time.Since(began), bodyPause+4*testQuiet)
+	assert.Less(t, time.Since(began), bodyHedgeDelay+4*testHedgeDelay)
 	assert.Equal(t, int64(1), silences.Load())
 }
 
-// A call that must not be sent twice is sent once, over a connection of its own.
-func TestACallThatMustNotBeRepeatedGoesOverAFreshConnection(t *testing.T) {
+// A call with SendOnce is sent once, over a connection of its own.
+func TestSendOnceUsesNewConnection(t *testing.T) {
 	var runs atomic.Int64
 	client, connections, _, call := newTestClient(t, func(writer http.ResponseWriter, request *http.Request) {
 		if request.Method == http.MethodPost {
@@ -236,17 +236,17 @@
 	began := time.Now()
 	_, err = client.Do(context.Background(), call)
 	require.NoError(t, err)
-	assert.Less(t, time.Since(began), testQuiet)
+	assert.Less(t, time.Since(began), testHedgeDelay)
 	assert.Equal(t, int64(1), runs.Load())
 }
 
-// A callee that lets a call wait and says so now and then is not hedged.
-func TestSignsOfAWaitAreHeard(t *testing.T) {
+// A call is not hedged while the server sends interim (1xx) responses.
+func TestInterimResponsesPreventHedge(t *testing.T) {
 	var runs atomic.Int64
 	client, _, silences, call := newTestClient(t, func(writer http.ResponseWriter, _ *http.Request) {
 		if runs.Add(1) > 1 {
 			for range 8 {
-				time.Sleep(testQuiet / 2)
+				time.Sleep(testHedgeDelay / 2)
 				writer.WriteHeader(http.StatusProcessing)
 			}
 		}
@@ -260,45 +260,45 @@
 	assert.Zero(t, silences.Load())
 }
 
-// A connection that has carried no answer yet may lead to a callee that stands still: the call
-// is not sent to it twice, and ends with its time.
-func TestACalleeThatStandsStillIsNotHedged(t *testing.T) {
+// A new connection may lead to a server that hangs: the call is not sent twice, and ends with its
+// timeout.
+func TestCallOverNewConnectionIsNotHedged(t *testing.T) {
 	var runs atomic.Int64
 	client, _, silences, call := newTestClient(t, func(_ http.ResponseWriter, request *http.Request) {
 		runs.Add(1)
 		<-request.Context().Done()
 	})
-	call.Timeout = 4 * testQuiet
+	call.Timeout = 4 * testHedgeDelay
 	_, err := client.Do(context.Background(), call)
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
 	assert.Equal(t, int64(1), runs.Load())
 	assert.Zero(t, silences.Load())
 }
 
-// The bound follows the answers' times and their spread.
-func TestAnswerTimesAreBounded(t *testing.T) {
+// The upper bound follows the mean and the deviation of the answer times.
+func TestAnswerTimesUpperBound(t *testing.T) {
 	var times answerTimes
-	assert.Equal(t, time.Second, times.bound(time.Second))
+	assert.Equal(t, time.Second, times.upperBound(time.Second))
 	for range 50 {
 		times.add(10 * time.Millisecond)
 	}
-	assert.Less(t, times.bound(time.Second), 15*time.Millisecond)
+	assert.Less(t, times.upperBound(time.Second), 15*time.Millisecond)
 	times.add(100 * time.Millisecond)
-	assert.Greater(t, times.bound(time.Second), 100*time.Millisecond)
+	assert.Greater(t, times.upperBound(time.Second), 100*time.Millisecond)
 }
 
-// A PUT that its server takes up late, because it is slow and not silent, is overtaken by its
-// hedge: the call does not end before it has been carried out, so that it can't overwrite what the
-// next call writes.
-func TestHedgedPutDoesNotOutlastItsCall(t *testing.T) {
-	const heldUp = 600 * time.Millisecond
+// Guards against lost writes: a PUT that a slow server delays is overtaken by its hedge. The call
+// must not return before the server has executed the delayed one too, which would otherwise
+// overwrite what the next call writes.
+func TestHedgedPutEndsBeforeCallReturns(t *testing.T) {
+	const delay = 600 * time.Millisecond
 	var calls atomic.Int32
 	var mutex sync.Mutex
 	stored := ""
 	client, _, _, call := newTestClient(t, func(_ http.ResponseWriter, request *http.Request) {
 		body, _ := io.ReadAll(request.Body)
 		if calls.Add(1) == 2 {
-			time.Sleep(heldUp)
+			time.Sleep(delay)
 		}
 		mutex.Lock()
 		defer mutex.Unlock()
@@ -312,14 +312,14 @@
 		assert.Equal(t, http.StatusOK, answer.Status)
 	}
 	assert.EqualValues(t, 4, calls.Load(), "the second is hedged")
-	time.Sleep(heldUp + testQuiet)
+	time.Sleep(delay + testHedgeDelay)
 	mutex.Lock()
 	defer mutex.Unlock()
 	assert.Equal(t, "version 3", stored)
 }
 
-// A PUT over a silent connection is done over another one, at its time limit at the latest.
-func TestHedgedPutOverASilentConnectionIsDone(t *testing.T) {
+// A PUT over a silent connection is sent over another one and returns by its timeout.
+func TestPutOverSilentConnectionIsHedged(t *testing.T) {
 	client, connections, silences, call := newTestClient(t, func(writer http.ResponseWriter, request *http.Request) {
 		_, _ = io.Copy(writer, request.Body)
 	})
@@ -332,6 +332,6 @@
 	answer, err := client.Do(context.Background(), call)
 	require.NoError(t, err)
 	assert.Equal(t, "piece", string(answer.Body))
-	assert.Less(t, time.Since(began), call.Timeout+testQuiet)
+	assert.Less(t, time.Since(began), call.Timeout+testHedgeDelay)
 	assert.EqualValues(t, 1, silences.Load())
 }
--- a/internal/network/headers.go
+++ b/internal/network/headers.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// connectionHeaders concern one connection only.
+// connectionHeaders are the hop-by-hop headers, which concern one connection only.
 var connectionHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// RemoveConnectionHeaders deletes the headers that concern one connection only, and
-// those that the header itself names as such.
+// RemoveConnectionHeaders deletes the hop-by-hop headers, including those that the Connection
+// header lists.
 func RemoveConnectionHeaders(header http.Header) {
 	for _, value := range header.Values("Connection") {
 		for name := range strings.SplitSeq(value, ",") {
@@ -24,6 +24,5 @@
 	}
 }
 
-// IsConnectionHeader reports whether a header, named in its canonical form, concerns
-// one connection only.
+// IsConnectionHeader reports whether a header, given in canonical form, is a hop-by-hop header.
 func IsConnectionHeader(name string) bool { return slices.Contains(connectionHeaders, name) }
--- a/internal/network/hedged_test.go
+++ b/internal/network/hedged_test.go
@@ -14,30 +14,31 @@
 
 var errRefused = errors.New("refused")
 
-// An opening packet that is lost costs a quarter of a second, not one of the kernel's.
-func TestLostOpeningPacketIsMadeUpForSoon(t *testing.T) {
+// A lost SYN packet delays the connection by dialHedgeDelay, not by the kernel's resend time of a
+// second.
+func TestHedgedDialRecoversFromLostSYN(t *testing.T) {
 	var attempts atomic.Int32
-	near, far := net.Pipe()
-	t.Cleanup(func() { _ = far.Close() })
-	dial := hedged(func(ctx context.Context, _, _ string) (net.Conn, error) {
+	local, remote := net.Pipe()
+	t.Cleanup(func() { _ = remote.Close() })
+	dial := hedgedDial(func(ctx context.Context, _, _ string) (net.Conn, error) {
 		if attempts.Add(1) == 1 {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
-		return near, nil
+		return local, nil
 	})
 	began := time.Now()
 	connection, err := dial(context.Background(), "tcp", "x")
 	require.NoError(t, err)
-	assert.Equal(t, near, connection)
-	assert.GreaterOrEqual(t, time.Since(began), hedgeAfter)
-	assert.Less(t, time.Since(began), 20*hedgeAfter)
+	assert.Equal(t, local, connection)
+	assert.GreaterOrEqual(t, time.Since(began), dialHedgeDelay)
+	assert.Less(t, time.Since(began), 20*dialHedgeDelay)
 }
 
-// A quick answer needs no second attempt, also when it is a refusal.
-func TestQuickAnswersAreNotRepeated(t *testing.T) {
+// An attempt that ends soon is not hedged, even if it fails.
+func TestHedgedDialDoesNotRepeatFastAttempts(t *testing.T) {
 	var attempts atomic.Int32
-	dial := hedged(func(context.Context, string, string) (net.Conn, error) {
+	dial := hedgedDial(func(context.Context, string, string) (net.Conn, error) {
 		attempts.Add(1)
 		return nil, errRefused
 	})
@@ -46,14 +47,14 @@
 	assert.Equal(t, int32(1), attempts.Load())
 }
 
-// A connection that comes after another was taken is closed.
-func TestSecondConnectionIsClosed(t *testing.T) {
+// A connection that is made after another one was returned is closed.
+func TestHedgedDialClosesLateConnections(t *testing.T) {
 	var attempts atomic.Int32
 	first, _ := net.Pipe()
 	second, other := net.Pipe()
-	dial := hedged(func(context.Context, string, string) (net.Conn, error) {
+	dial := hedgedDial(func(context.Context, string, string) (net.Conn, error) {
 		if attempts.Add(1) == 1 {
-			time.Sleep(hedgeAfter + 100*time.Millisecond)
+			time.Sleep(dialHedgeDelay + 100*time.Millisecond)
 			return second, nil
 		}
 		return first, nil
@@ -63,5 +64,5 @@
 	assert.Equal(t, first, connection)
 	require.NoError(t, other.SetReadDeadline(time.Now().Add(5*time.Second)))
 	_, err = other.Read(make([]byte, 1))
-	assert.Error(t, err, "the other end is closed")
+	assert.Error(t, err, "the late connection is closed")
 }
--- a/internal/network/network.go
+++ b/internal/network/network.go
@@ -1,4 +1,4 @@
-// Package network makes TCP connections that notice a silent peer.
+// Package network makes TCP connections that detect an unresponsive peer.
 package network
 
 import (
@@ -12,36 +12,36 @@
 )
 
 const (
-	// userTimeout is how long sent bytes, probes among them, may stay unacknowledged.
+	// userTimeout is how long sent bytes or keep-alive probes may stay unacknowledged.
 	userTimeout = 3 * time.Second
-	// probeIdle is the silence after which a connection is probed, and the time between two
-	// probes: the least that the kernel takes.
+	// probeIdle is the idle time before the first keep-alive probe and the interval between
+	// probes. It is the minimum that the kernel accepts.
 	probeIdle = time.Second
-	// probeCount is told to kernels that do not go by userTimeout.
+	// probeCount applies on kernels that ignore userTimeout.
 	probeCount = 3
 )
 
-// Dialer returns a dialer with a time limit. A peer that acknowledges nothing for a few
-// seconds ends its connections: also one that only reads, such as a stream whose server can't
-// be reached any more, is noticed after four seconds instead of at the end of its time.
+// Dialer returns a dialer with a timeout. Its connections fail when the peer acknowledges nothing
+// for a few seconds. This includes connections that only read, such as a stream: an unreachable
+// server is detected after four seconds instead of at the request's deadline.
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
-		Timeout: timeout, Control: limitSilence,
+		Timeout: timeout, Control: setUserTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeIdle, Count: probeCount},
 	}
 }
 
-func limitSilence(_, _ string, raw syscall.RawConn) error {
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(descriptor uintptr) {
-		// Where the option is missing the callers' own time limits still hold.
+		// Without the option the callers' own timeouts still apply.
 		_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 }
 
 var errUnexpectedBytes = errors.New("bytes arrived on an idle connection")
 
-// CheckIdle reports why an idle connection can't be used again: its peer has
-// closed it, or has sent something that nobody asked for.
+// CheckIdle returns an error if an idle connection can't be reused: its peer has closed it, or
+// has sent bytes that belong to no request.
 func CheckIdle(connection net.Conn) error {
 	withDescriptor, ok := connection.(syscall.Conn)
 	if !ok {
--- a/internal/network/network_test.go
+++ b/internal/network/network_test.go
@@ -22,8 +22,9 @@
 	return value
 }
 
-// A connection that goes silent without a reset ends by itself, whether it writes or reads.
-func TestSilentConnectionsEnd(t *testing.T) {
+// Dialed connections have the socket options that end a connection whose peer falls silent without
+// a reset, whether it writes or only reads.
+func TestDialerSetsTimeoutsForSilentPeers(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
--- a/internal/network/transport.go
+++ b/internal/network/transport.go
@@ -8,17 +8,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// TCPState is what the kernel knows of a TCP connection's packets.
+// TCPState is the kernel's acknowledgement state of a TCP connection.
 type TCPState struct {
 	// AwaitingAck is set while sent bytes or a keep-alive probe are not acknowledged.
 	AwaitingAck bool
-	// Probing is set when it is a probe, which is sent after probeIdle without packets.
+	// Probing is set if only a keep-alive probe is unacknowledged. It is sent after probeIdle
+	// without packets.
 	Probing bool
-	// SinceReceived is how long ago the last acknowledgement or data came in.
+	// SinceReceived is how long ago the last acknowledgement or data arrived.
 	SinceReceived time.Duration
 }
 
-// ReadTCPState asks the kernel for a connection's state; false where it tells none.
+// ReadTCPState returns the kernel's state of a connection, or false if it is not available.
 func ReadTCPState(connection net.Conn) (TCPState, bool) {
 	withDescriptor, ok := connection.(syscall.Conn)
 	if !ok {
@@ -36,20 +37,20 @@
 	if err != nil || failure != nil || info.State != unix.BPF_TCP_ESTABLISHED {
 		return TCPState{}, false
 	}
-	sinceHeard := time.Duration(min(info.Last_ack_recv, info.Last_data_recv)) * time.Millisecond
+	sinceReceived := time.Duration(min(info.Last_ack_recv, info.Last_data_recv)) * time.Millisecond
 	return TCPState{
-		AwaitingAck: info.Unacked > 0 || info.Probes > 0, Probing: info.Unacked == 0 && info.Probes > 0, SinceReceived: sinceHeard,
+		AwaitingAck: info.Unacked > 0 || info.Probes > 0, Probing: info.Unacked == 0 && info.Probes > 0, SinceReceived: sinceReceived,
 	}, true
 }
 
-// Unacknowledged is how long bytes sent some time ago at the earliest, or a probe, have been
-// waiting to be acknowledged; 0 when none are.
-func (t TCPState) Unacknowledged(sent time.Duration) time.Duration {
+// Unacknowledged returns how long sent bytes or a probe have been awaiting an acknowledgement, or
+// 0 if none are. The oldest of the bytes were sent at most the given time ago.
+func (t TCPState) Unacknowledged(sinceSent time.Duration) time.Duration {
 	switch {
 	case !t.AwaitingAck:
 		return 0
 	case t.Probing:
 		return max(0, t.SinceReceived-probeIdle)
 	}
-	return min(sent, t.SinceReceived)
+	return min(sinceSent, t.SinceReceived)
 }
--- a/internal/network/transport_test.go
+++ b/internal/network/transport_test.go
@@ -12,9 +12,9 @@
 	"pinevane.example/pinevane/internal/silencer"
 )
 
-// The kernel tells bytes that a silent peer does not acknowledge, and a probe, from those that
-// a slow one has.
-func TestTransportTellsUnacknowledgedBytes(t *testing.T) {
+// Bytes and probes that a silent peer does not acknowledge are distinguished from bytes that a
+// slow peer has acknowledged.
+func TestTCPStateReportsUnacknowledgedBytes(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
@@ -22,17 +22,17 @@
 		connection, err := Dialer(time.Second).DialContext(context.Background(), "tcp", listener.Addr().String())
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = connection.Close() })
-		far, err := listener.Accept()
+		remote, err := listener.Accept()
 		require.NoError(t, err)
-		t.Cleanup(func() { _ = far.Close() })
+		t.Cleanup(func() { _ = remote.Close() })
 		return connection
 	}
 	writing, reading := connect(), connect()
 	_, err = silencer.Silence(silencer.Any)
 	require.NoError(t, err)
 	slow := connect()
-	for _, one := range []net.Conn{writing, slow} {
-		_, err = one.Write([]byte("x"))
+	for _, connection := range []net.Conn{writing, slow} {
+		_, err = connection.Write([]byte("x"))
 		require.NoError(t, err)
 	}
 	time.Sleep(300 * time.Millisecond)
@@ -52,10 +52,10 @@
 	assert.False(t, state.AwaitingAck)
 }
 
-// Where the kernel tells nothing, nothing is known.
-func TestTransportIsUnknownWithoutASocket(t *testing.T) {
-	near, far := net.Pipe()
-	t.Cleanup(func() { _, _ = near.Close(), far.Close() })
-	_, known := ReadTCPState(near)
+// A connection without a socket has no TCP state.
+func TestTCPStateIsUnknownWithoutASocket(t *testing.T) {
+	local, remote := net.Pipe()
+	t.Cleanup(func() { _, _ = local.Close(), remote.Close() })
+	_, known := ReadTCPState(local)
 	assert.False(t, known)
 }
