--- a/internal/peering/counters.go
+++ b/internal/peering/counters.go
@@ -8,11 +8,11 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// frameOverheadBytes is what a frame costs on the wire besides its payload:
-// WebSocket header with mask, TCP and IP headers with timestamps.
+// frameOverheadBytes is the size of a frame on the wire beyond its payload: WebSocket header with
+// mask, TCP and IP headers with timestamps.
 const frameOverheadBytes = 60
 
-// Traffic counts messages and bytes of one kind, headers included.
+// Traffic counts messages and bytes of one kind, including headers.
 type Traffic struct {
 	MessagesIn  uint64 `json:"messages_in"`
 	MessagesOut uint64 `json:"messages_out"`
@@ -30,20 +30,20 @@
 	}
 }
 
-// Sub returns what was added since an earlier count; a count that started
-// anew meanwhile gives nothing.
+// Sub returns the increase since an earlier count. A counter that has been reset meanwhile counts
+// as not increased.
 func (t Traffic) Sub(earlier Traffic) Traffic {
-	since := func(now, before uint64) uint64 { return now - min(now, before) }
+	increase := func(now, before uint64) uint64 { return now - min(now, before) }
 	return Traffic{
-		MessagesIn:  since(t.MessagesIn, earlier.MessagesIn),
-		MessagesOut: since(t.MessagesOut, earlier.MessagesOut),
-		BytesIn:     since(t.BytesIn, earlier.BytesIn),
-		BytesOut:    since(t.BytesOut, earlier.BytesOut),
+		MessagesIn:  increase(t.MessagesIn, earlier.MessagesIn),
+		MessagesOut: increase(t.MessagesOut, earlier.MessagesOut),
+		BytesIn:     increase(t.BytesIn, earlier.BytesIn),
+		BytesOut:    increase(t.BytesOut, earlier.BytesOut),
 	}
 }
 
-// Counters counts the traffic of a process by kind, which is the part of a
-// topic before its first dot ("attempt", "configuration", "liveness" ...).
+// Counters counts the traffic of a process by kind, the part of a topic before its first dot
+// ("attempt", "configuration", "liveness" ...).
 type Counters struct {
 	mutex   sync.Mutex
 	traffic map[string]Traffic
@@ -52,7 +52,7 @@
 	bytes    *prometheus.CounterVec
 }
 
-// NewCounters returns counters that also feed two Prometheus metrics.
+// NewCounters returns counters that also update two Prometheus metrics.
 func NewCounters(registerer prometheus.Registerer) *Counters {
 	counters := &Counters{
 		traffic: map[string]Traffic{},
@@ -74,21 +74,21 @@
 	return kind
 }
 
-func (c *Counters) sent(topic string, size int) {
+func (c *Counters) countSent(topic string, size int) {
 	kind := kindOf(topic)
 	c.add(kind, Traffic{MessagesOut: 1, BytesOut: uint64(size + frameOverheadBytes)})
 	c.messages.WithLabelValues(kind, "out").Inc()
 	c.bytes.WithLabelValues(kind, "out").Add(float64(size + frameOverheadBytes))
 }
 
-func (c *Counters) received(topic string, size int) {
+func (c *Counters) countReceived(topic string, size int) {
 	kind := kindOf(topic)
 	c.add(kind, Traffic{MessagesIn: 1, BytesIn: uint64(size + frameOverheadBytes)})
 	c.messages.WithLabelValues(kind, "in").Inc()
 	c.bytes.WithLabelValues(kind, "in").Add(float64(size + frameOverheadBytes))
 }
 
-// CountRequest adds one control call made over HTTP, with its body sizes.
+// CountRequest counts one control call over HTTP with its body sizes.
 func (c *Counters) CountRequest(kind string, sentBytes, receivedBytes int) {
 	c.add(kind, Traffic{
 		MessagesOut: 1,
--- a/internal/peering/hub.go
+++ b/internal/peering/hub.go
@@ -21,14 +21,14 @@
 // Path is the HTTP path at which a process accepts links.
 const Path = "/v1/peer"
 
-// HandshakeTimeout bounds dialling and the exchange of Hello messages.
+// HandshakeTimeout bounds dialling, and the exchange of Hello messages.
 const HandshakeTimeout = 3 * time.Second
 
-// replacedTime is how long a link that another one replaces is still read from: what is under
-// way on it arrives, and its users learn whether it was silent or only slow.
-const replacedTime = time.Second
+// replacedLinkTTL is how long a replaced link is still read: messages in flight arrive, and its
+// users can see whether it was silent or only slow.
+const replacedLinkTTL = time.Second
 
-// MaximumAcceptedLinks bounds the links that a process accepts at once.
+// MaximumAcceptedLinks bounds the accepted links that a process has open at once.
 const MaximumAcceptedLinks = 4096
 
 // Hub owns the links of one process.
@@ -43,20 +43,20 @@
 
 	mutex    sync.Mutex
 	accepted map[*Link]struct{}
-	dialled  map[string]*dialling
-	// replaced are the links that others have replaced and that are not closed yet.
+	outbound map[string]*outboundLink
+	// replaced holds the replaced links that are not closed yet.
 	replaced map[*Link]struct{}
 	closed   bool
 }
 
-// dialling is one outbound link, being made or up.
-type dialling struct {
+// outboundLink is a link that this process dials or has dialled.
+type outboundLink struct {
 	ready chan struct{}
 	link  *Link
 	err   error
 }
 
-// NewHub returns a hub that introduces itself with self.
+// NewHub returns a hub that sends self in its handshakes.
 func NewHub(self Hello, log *logging.Logger, counters *Counters) *Hub {
 	return &Hub{
 		self:     self,
@@ -65,7 +65,7 @@
 		handlers: map[string]Handler{},
 		counters: counters,
 		accepted: map[*Link]struct{}{},
-		dialled:  map[string]*dialling{},
+		outbound: map[string]*outboundLink{},
 		replaced: map[*Link]struct{}{},
 	}
 }
@@ -74,10 +74,10 @@
 // accepts or dials links.
 func (h *Hub) Handle(topic string, handler Handler) { h.handlers[topic] = handler }
 
-// OnOpen registers a function called when a link is up, in either direction.
+// OnOpen registers a function that is called when a link is up, in either direction.
 func (h *Hub) OnOpen(function func(*Link)) { h.onOpen = append(h.onOpen, function) }
 
-// OnLost registers a function called after a link is lost.
+// OnLost registers a function that is called after a link is lost.
 func (h *Hub) OnLost(function func(*Link)) { h.onLost = append(h.onLost, function) }
 
 // ServeHTTP accepts one link and serves it until it is lost.
@@ -90,17 +90,17 @@
 	if err != nil {
 		return
 	}
-	// The request's context ends when the handler returns, which is when the
-	// link is lost; a hijacked connection is not bound to it otherwise.
+	// The request's context ends when this handler returns, which is when the link is lost. A
+	// hijacked connection does not otherwise depend on it.
 	link := h.newLink(context.WithoutCancel(request.Context()), connection, "")
 	remote, err := h.handshake(link)
 	if err != nil {
-		link.lose(err)
+		link.terminate(err)
 		return
 	}
 	link.remote = remote
-	if !h.accept(link) {
-		link.lose(errClosed)
+	if !h.register(link) {
+		link.terminate(errClosed)
 		return
 	}
 	h.serve(link)
@@ -111,10 +111,10 @@
 
 var errClosed = errors.New("the hub is closed")
 
-// accept notes a link that another process opened, unless the hub is closed: such a
-// link would outlive it, and the other would take this process for alive. A process makes a
-// second one when it hears nothing over the first, which the new one then replaces.
-func (h *Hub) accept(link *Link) bool {
+// register adds a link that another process opened, unless the hub is closed: such a link would
+// outlive the hub, and the other process would consider this one alive. A process opens a second
+// link when it receives nothing over the first, which the new one then replaces.
+func (h *Hub) register(link *Link) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.closed {
@@ -123,7 +123,7 @@
 	for other := range h.accepted {
 		if other.remote.ID == link.remote.ID && other.remote.Role == link.remote.Role {
 			delete(h.accepted, other)
-			h.replace(other)
+			h.closeReplaced(other)
 		}
 	}
 	h.accepted[link] = struct{}{}
@@ -132,11 +132,11 @@
 
 var errReplaced = errors.New("replaced by another link to the same process")
 
-// replace has a link that another one replaces closed in a while; the mutex is held.
-func (h *Hub) replace(link *Link) {
+// closeReplaced closes a replaced link after replacedLinkTTL. The mutex must be held.
+func (h *Hub) closeReplaced(link *Link) {
 	h.replaced[link] = struct{}{}
-	time.AfterFunc(replacedTime, func() {
-		link.lose(errReplaced)
+	time.AfterFunc(replacedLinkTTL, func() {
+		link.terminate(errReplaced)
 		h.mutex.Lock()
 		defer h.mutex.Unlock()
 		delete(h.replaced, link)
@@ -160,100 +160,100 @@
 	return links
 }
 
-// Link returns the outbound link to an address, dialling when there is none.
+// Link returns the outbound link to an address and dials it if there is none.
 func (h *Hub) Link(ctx context.Context, address string) (*Link, error) {
 	h.mutex.Lock()
 	if h.closed {
 		h.mutex.Unlock()
 		return nil, &fault.Unavailable{Target: address, Operation: "dial", Cause: context.Canceled}
 	}
-	attempt, exists := h.dialled[address]
+	outbound, exists := h.outbound[address]
 	if !exists {
-		attempt = &dialling{ready: make(chan struct{})}
-		h.dialled[address] = attempt
-		go h.dial(address, attempt)
+		outbound = &outboundLink{ready: make(chan struct{})}
+		h.outbound[address] = outbound
+		go h.dial(address, outbound)
 	}
 	h.mutex.Unlock()
 	select {
-	case <-attempt.ready:
-		return attempt.link, attempt.err
+	case <-outbound.ready:
+		return outbound.link, outbound.err
 	case <-ctx.Done():
 		return nil, &fault.Unavailable{Target: address, Operation: "dial", Cause: ctx.Err()}
 	}
 }
 
-// Established returns the outbound link to an address if it is up now.
+// Established returns the outbound link to an address if there is one already.
 func (h *Hub) Established(address string) (*Link, bool) {
 	h.mutex.Lock()
-	attempt, exists := h.dialled[address]
+	outbound, exists := h.outbound[address]
 	h.mutex.Unlock()
 	if !exists {
 		return nil, false
 	}
 	select {
-	case <-attempt.ready:
-		return attempt.link, attempt.link != nil
+	case <-outbound.ready:
+		return outbound.link, outbound.link != nil
 	default:
 		return nil, false
 	}
 }
 
-// ErrLinkAlive says that a link was not renewed because something has come over it meanwhile.
-var ErrLinkAlive = errors.New("the link has been heard again")
+// ErrLinkAlive is returned when a link is not renewed because it has received something meanwhile.
+var ErrLinkAlive = errors.New("the link has received data again")
 
-// mostGrace bounds the time that a link is given to be heard before another one replaces it.
-const mostGrace = 200 * time.Millisecond
+// maxGrace bounds the additional time that a link gets to receive something before it is replaced.
+const maxGrace = 200 * time.Millisecond
 
-// Renew makes a second outbound link to where a silent one leads, which replaces that one once it
-// is up. The silent one is closed a while later. If it is heard before the second one is up, this
-// one is given up with ErrHeard: the other process, or this one, only stood still. The links to an
-// address keep the shortest time in which one of them was answered.
+// Renew makes a second outbound link to the address of a silent one and replaces that one once the
+// new link is up. The silent link is closed after replacedLinkTTL. If it receives something before
+// the new one is up, the new one is abandoned and ErrLinkAlive returned: the other process, or this
+// one, was only paused. The links to an address keep the shortest connect time of all of them.
 func (h *Hub) Renew(ctx context.Context, silent *Link) (*Link, error) {
 	address := silent.address
-	link, err := h.connect(ctx, address, func(began time.Time) error { return awaitSign(ctx, silent, began) })
+	link, err := h.connect(ctx, address, func(began time.Time) error { return awaitActivity(ctx, silent, began) })
 	if err != nil {
 		return nil, err
 	}
-	link.answered = min(link.answered, silent.answered)
-	attempt := &dialling{ready: make(chan struct{}), link: link}
-	close(attempt.ready)
+	link.connectTime = min(link.connectTime, silent.connectTime)
+	outbound := &outboundLink{ready: make(chan struct{}), link: link}
+	close(outbound.ready)
 	h.mutex.Lock()
 	if h.closed {
 		h.mutex.Unlock()
-		link.lose(errClosed)
+		link.terminate(errClosed)
 		return nil, &fault.Unavailable{Target: address, Operation: "dial", Cause: errClosed}
 	}
-	if former, exists := h.dialled[address]; exists && former.up() {
-		h.replace(former.link)
+	if former, exists := h.outbound[address]; exists && former.up() {
+		h.closeReplaced(former.link)
 	}
-	h.dialled[address] = attempt
+	h.outbound[address] = outbound
 	h.mutex.Unlock()
-	go h.serveDialled(address, attempt)
+	go h.serveOutbound(address, outbound)
 	return link, nil
 }
 
-// awaitSign waits for a sign of a silent link after a new connection in its place, begun at a time,
-// was answered: by as much as that took longer than it had for the silent one, since a process that
-// was slow to answer it, or this one to read the answer, may have been as slow with the link. A way
-// that is long, not slow, delays no renewal. Links of processes that get their time in pieces of some
-// milliseconds last by it.
-func awaitSign(ctx context.Context, silent *Link, began time.Time) error {
-	deadline := time.Now().Add(min(time.Since(began)-silent.answered, mostGrace))
+// awaitActivity gives a silent link more time to receive something, after the new connection that
+// is to replace it was accepted. The time is by how much longer the new connection took than the
+// silent link's did: if the other process was slow to accept it, or this one to read the response,
+// it may have been as slow with the link. A long round trip alone delays no renewal. Without this,
+// links of processes that get their CPU time in slices of some milliseconds were replaced.
+func awaitActivity(ctx context.Context, silent *Link, began time.Time) error {
+	deadline := time.Now().Add(min(time.Since(began)-silent.connectTime, maxGrace))
 	for !silent.LastReceived().After(began) {
-		left := time.Until(deadline)
-		if left <= 0 || ctx.Err() != nil {
+		remaining := time.Until(deadline)
+		if remaining <= 0 || ctx.Err() != nil {
 			return ctx.Err()
 		}
-		time.Sleep(min(left, signPeriod))
+		time.Sleep(min(remaining, activityPollInterval))
 	}
 	return ErrLinkAlive
 }
 
-// signPeriod is how often a silent link is looked at for a sign.
-const signPeriod = 5 * time.Millisecond
+// activityPollInterval is how often awaitActivity checks a silent link.
+const activityPollInterval = 5 * time.Millisecond
 
 // up reports whether the link has been made.
-func (d *dialling) up() bool {
+func (d *outboundLink) up() bool {
 	select {
 	case <-d.ready:
 		return d.link != nil
@@ -262,27 +262,28 @@
 	}
 }
 
-func (h *Hub) dial(address string, attempt *dialling) {
-	attempt.link, attempt.err = h.connect(context.Background(), address, nil)
-	close(attempt.ready)
-	h.serveDialled(address, attempt)
+func (h *Hub) dial(address string, outbound *outboundLink) {
+	outbound.link, outbound.err = h.connect(context.Background(), address, nil)
+	close(outbound.ready)
+	h.serveOutbound(address, outbound)
 }
 
-// serveDialled serves a link that this process has made, if it was made, and forgets it.
-func (h *Hub) serveDialled(address string, attempt *dialling) {
-	if attempt.link != nil {
-		h.serve(attempt.link)
+// serveOutbound serves an outbound link if dialling succeeded, and then removes it from the hub.
+func (h *Hub) serveOutbound(address string, outbound *outboundLink) {
+	if outbound.link != nil {
+		h.serve(outbound.link)
 	}
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if h.dialled[address] == attempt {
-		delete(h.dialled, address)
+	if h.outbound[address] == outbound {
+		delete(h.outbound, address)
 	}
 }
 
-// connect makes a link. It is not introduced to the other process, and so is none, if there is a
-// function that returns an error once the connection is up; that is told when its making began.
-func (h *Hub) connect(ctx context.Context, address string, before func(began time.Time) error) (*Link, error) {
+// connect makes a link. If beforeHandshake is set it is called once the connection is up, with the
+// time at which dialling began; if it returns an error the connection is closed without a handshake,
+// so that the other process gets no link.
+func (h *Hub) connect(ctx context.Context, address string, beforeHandshake func(began time.Time) error) (*Link, error) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, HandshakeTimeout)
 	defer cancel()
@@ -291,19 +292,19 @@
 	if err != nil {
 		return nil, &fault.Unavailable{Target: address, Operation: "dial", Cause: err}
 	}
-	answered := time.Since(began)
-	if before != nil {
-		if err := before(began); err != nil {
+	connectTime := time.Since(began)
+	if beforeHandshake != nil {
+		if err := beforeHandshake(began); err != nil {
 			_ = connection.CloseNow()
 			return nil, &fault.Unavailable{Target: address, Operation: "renew", Cause: err}
 		}
 	}
 	link := h.newLink(context.Background(), connection, address)
-	link.answered = answered
+	link.connectTime = connectTime
 	stop := context.AfterFunc(ctx, link.cancel)
 	remote, err := h.handshake(link)
 	if err != nil || !stop() {
-		link.lose(err)
+		link.terminate(err)
 		return nil, &fault.Unavailable{Target: address, Operation: "handshake", Cause: cmp.Or(err, ctx.Err())}
 	}
 	link.remote = remote
@@ -315,7 +316,7 @@
 	ctx, cancel := context.WithCancel(parent)
 	link := &Link{connection: connection, hub: h, address: address, ctx: ctx, cancel: cancel}
 	link.subscriptions = map[string][]chan *message.Message{}
-	link.lastHeard.Store(time.Now().UnixNano())
+	link.lastReceived.Store(time.Now().UnixNano())
 	return link
 }
 
@@ -349,14 +350,14 @@
 	for _, opened := range h.onOpen {
 		opened(link)
 	}
-	link.read()
+	link.readLoop()
 	h.log.Log(logging.PeerLost, zap.String("peer", link.remote.ID), zap.Error(link.CloseCause()))
 	for _, lost := range h.onLost {
 		lost(link)
 	}
 }
 
-func (h *Hub) rejected(link *Link, reason string) {
+func (h *Hub) logRejected(link *Link, reason string) {
 	h.log.Log(logging.FrameRejected, zap.String("peer", link.remote.ID), zap.String("reason", reason))
 }
 
@@ -371,9 +372,9 @@
 	for link := range h.replaced {
 		links = append(links, link)
 	}
-	for _, attempt := range h.dialled {
-		if attempt.up() {
-			links = append(links, attempt.link)
+	for _, outbound := range h.outbound {
+		if outbound.up() {
+			links = append(links, outbound.link)
 		}
 	}
 	h.mutex.Unlock()
--- a/internal/peering/link.go
+++ b/internal/peering/link.go
@@ -1,7 +1,7 @@
-// Package peering carries messages between pinevane processes: watermill's
-// Publisher and Subscriber over one WebSocket a pair of processes, with frames
-// encoded as CBOR. Delivery is at most once and in order within a link; a lost
-// link loses what was under way, and its users are told.
+// Package peering carries messages between pinevane processes. It implements watermill's Publisher
+// and Subscriber over one WebSocket per pair of processes, with frames encoded as CBOR. Delivery is
+// at most once and in order within a link. Messages in flight on a lost link are lost, and its
+// users are notified.
 package peering
 
 import (
@@ -17,13 +17,13 @@
 	"pinevane.example/pinevane/internal/fault"
 )
 
-// Limits on frames and links.
+// Limits of frames and links.
 const (
-	// MaximumFrameBytes bounds one frame; a full configuration fits in it.
+	// MaximumFrameBytes bounds the size of a frame, which a full configuration must fit in.
 	MaximumFrameBytes = 16 << 20
-	// WriteTimeout bounds the time to hand a frame to the kernel.
+	// WriteTimeout bounds the time to write a frame to the kernel.
 	WriteTimeout = 5 * time.Second
-	// subscriptionDepth is how many undelivered messages a subscription holds.
+	// subscriptionDepth is how many undelivered messages a subscription buffers.
 	subscriptionDepth = 256
 )
 
@@ -40,30 +40,30 @@
 	Incarnation uint64 `cbor:"2,keyasint"`
 	Role        string `cbor:"3,keyasint"`
 	Zone        string `cbor:"4,keyasint"`
-	// Protocol is the newest version of the messages that the process can read, as those who exchange
-	// them count; 0 from builds that count none.
+	// Protocol is the newest message version that the process can read. The packages that exchange
+	// the messages define the versions; 0 means a build without versions.
 	Protocol int `cbor:"5,keyasint,omitempty"`
 }
 
 const helloTopic = "hello"
 
-// Handler receives one message of a topic. It is called from the link's reader,
-// in order, and must not block for long.
+// Handler receives a message of a topic. It is called by the link's reader, in order, and must not
+// block for long.
 type Handler func(link *Link, received *message.Message)
 
-// Link is one WebSocket to another process. It implements watermill's
-// message.Publisher and message.Subscriber.
+// Link is a WebSocket connection to another process. It implements watermill's message.Publisher
+// and message.Subscriber.
 type Link struct {
-	connection *websocket.Conn
-	hub        *Hub
-	remote     Hello
-	address    string
-	ctx        context.Context
-	cancel     context.CancelFunc
-	lastHeard  atomic.Int64
-	// answered is how long the connection of a dialled link took to be answered.
-	answered time.Duration
-	// probing is set while an answer to a probe is waited for.
+	connection   *websocket.Conn
+	hub          *Hub
+	remote       Hello
+	address      string
+	ctx          context.Context
+	cancel       context.CancelFunc
+	lastReceived atomic.Int64
+	// connectTime is how long dialling took on a dialled link, up to the server's response.
+	connectTime time.Duration
+	// probing is set while a probe awaits its answer.
 	probing atomic.Bool
 
 	mutex         sync.Mutex
@@ -76,7 +76,7 @@
 	_ message.Subscriber = (*Link)(nil)
 )
 
-// Remote returns what the other process said of itself.
+// Remote returns the other process's Hello.
 func (l *Link) Remote() Hello { return l.remote }
 
 // Address returns the dialled address, or "" on an accepted link.
@@ -88,13 +88,12 @@
 // Up reports whether the link has not been lost.
 func (l *Link) Up() bool { return l.ctx.Err() == nil }
 
-// LastReceived returns when the last frame arrived.
-func (l *Link) LastReceived() time.Time { return time.Unix(0, l.lastHeard.Load()) }
+// LastReceived returns when the last frame or answer to a probe arrived.
+func (l *Link) LastReceived() time.Time { return time.Unix(0, l.lastReceived.Load()) }
 
-// Probe asks the other process for a sign of life and waits for it, at most for a
-// timeout; the answer counts as heard. Without an answer nothing happens: how much
-// silence means a broken link is for the caller to say. A second probe at the same
-// time is dropped.
+// Probe pings the other process and waits for the answer, at most for a timeout. An answer updates
+// LastReceived. Without an answer nothing happens: the caller decides how much silence means that
+// the link is broken. Only one probe runs at a time, further ones return at once.
 func (l *Link) Probe(timeout time.Duration) {
 	if !l.probing.CompareAndSwap(false, true) {
 		return
@@ -103,12 +102,12 @@
 	ctx, cancel := context.WithTimeout(l.ctx, timeout)
 	defer cancel()
 	if err := l.connection.Ping(ctx); err == nil {
-		l.lastHeard.Store(time.Now().UnixNano())
+		l.lastReceived.Store(time.Now().UnixNano())
 	}
 }
 
-// Publish sends messages under a topic. An error means that the message may or
-// may not have left; the link is then lost.
+// Publish sends messages under a topic. After an error the message may or may not have been sent,
+// and the link is lost.
 func (l *Link) Publish(topic string, messages ...*message.Message) error {
 	for _, outgoing := range messages {
 		if err := l.send(frame{Topic: topic, ID: outgoing.UUID, Payload: outgoing.Payload}); err != nil {
@@ -126,14 +125,14 @@
 	ctx, cancel := context.WithTimeout(l.ctx, WriteTimeout)
 	defer cancel()
 	if err := l.connection.Write(ctx, websocket.MessageBinary, data); err != nil {
-		l.lose(err)
+		l.terminate(err)
 		return &fault.Unavailable{Target: l.remote.ID, Operation: "send " + outgoing.Topic, Cause: err}
 	}
-	l.hub.counters.sent(outgoing.Topic, len(data))
+	l.hub.counters.countSent(outgoing.Topic, len(data))
 	return nil
 }
 
-// Send encodes a value as CBOR and publishes it as one message.
+// Send publishes a value as one message, encoded as CBOR.
 func Send[T any](l *Link, topic, id string, value T) error {
 	payload, err := cbor.Marshal(value)
 	if err != nil {
@@ -142,7 +141,7 @@
 	return l.Publish(topic, message.NewMessage(id, payload))
 }
 
-// Decode reads a message's CBOR payload.
+// Decode decodes a message's CBOR payload.
 func Decode[T any](received *message.Message) (T, error) {
 	var value T
 	if err := cbor.Unmarshal(received.Payload, &value); err != nil {
@@ -151,8 +150,8 @@
 	return value, nil
 }
 
-// Subscribe returns the messages of a topic that no handler of the hub takes.
-// Messages that find the channel full are dropped; acknowledgements are ignored.
+// Subscribe returns the messages of a topic for which the hub has no handler. Messages are dropped
+// while the channel is full; acknowledgements are ignored.
 func (l *Link) Subscribe(ctx context.Context, topic string) (<-chan *message.Message, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -179,13 +178,13 @@
 	l.subscriptions[topic] = kept
 }
 
-// Close ends the link.
+// Close closes the link.
 func (l *Link) Close() error {
-	l.lose(nil)
+	l.terminate(nil)
 	return nil
 }
 
-func (l *Link) lose(cause error) {
+func (l *Link) terminate(cause error) {
 	l.mutex.Lock()
 	if l.closeError == nil {
 		l.closeError = cause
@@ -202,25 +201,25 @@
 	return l.closeError
 }
 
-func (l *Link) read() {
+func (l *Link) readLoop() {
 	defer l.closeSubscriptions()
 	for {
 		kind, data, err := l.connection.Read(l.ctx)
 		if err != nil {
-			l.lose(err)
+			l.terminate(err)
 			return
 		}
-		l.lastHeard.Store(time.Now().UnixNano())
+		l.lastReceived.Store(time.Now().UnixNano())
 		if kind != websocket.MessageBinary {
-			l.hub.rejected(l, "frame is not binary")
+			l.hub.logRejected(l, "frame is not binary")
 			continue
 		}
 		var incoming frame
 		if err := cbor.Unmarshal(data, &incoming); err != nil {
-			l.hub.rejected(l, err.Error())
+			l.hub.logRejected(l, err.Error())
 			continue
 		}
-		l.hub.counters.received(incoming.Topic, len(data))
+		l.hub.counters.countReceived(incoming.Topic, len(data))
 		l.dispatch(incoming)
 	}
 }
--- a/internal/peering/peering_test.go
+++ b/internal/peering/peering_test.go
@@ -51,17 +51,17 @@
 	}
 }
 
-func TestOneLinkServesAllCallers(t *testing.T) {
+func TestLinkIsSharedByAllCallers(t *testing.T) {
 	_, link := connect(t, func(*Hub) {})
 	again, err := link.hub.Link(context.Background(), link.Address())
 	require.NoError(t, err)
 	assert.Same(t, link, again)
 }
 
-func TestALostLinkIsToldToBothSides(t *testing.T) {
+func TestLostLinkIsReportedOnBothSides(t *testing.T) {
 	lost := make(chan *Link, 1)
 	accepting, link := connect(t, func(accepting *Hub) {
-		accepting.OnLost(func(gone *Link) { lost <- gone })
+		accepting.OnLost(func(link *Link) { lost <- link })
 	})
 	subscription, err := link.Subscribe(context.Background(), "anything")
 	require.NoError(t, err)
@@ -74,7 +74,7 @@
 	assert.Error(t, link.Publish("test.topic", message.NewMessage("", nil)))
 }
 
-func TestAnInvalidFrameIsDroppedAndTheLinkGoesOn(t *testing.T) {
+func TestInvalidFrameIsDroppedAndLinkKept(t *testing.T) {
 	received := make(chan struct{}, 1)
 	_, link := connect(t, func(accepting *Hub) {
 		accepting.Handle("test.topic", func(*Link, *message.Message) { received <- struct{}{} })
@@ -114,8 +114,8 @@
 	})
 }
 
-// A link that is accepted while the process ends would make it look alive.
-func TestAClosedHubAcceptsNoLink(t *testing.T) {
+// A process that accepted a link while shutting down would still look alive to the other one.
+func TestClosedHubAcceptsNoLink(t *testing.T) {
 	accepting, dialling := newTestHub("accepting"), newTestHub("dialling")
 	server := httptest.NewServer(accepting)
 	defer server.Close()
@@ -132,9 +132,9 @@
 	assert.Empty(t, accepting.Accepted())
 }
 
-// A second link to the same process takes the place of the first on both sides. The first is
-// still read from, and closed a while later.
-func TestARenewedLinkReplacesTheFormerOne(t *testing.T) {
+// A second link to the same process replaces the first on both sides. The first is still read, and
+// closed after replacedLinkTTL.
+func TestRenewedLinkReplacesFormerOne(t *testing.T) {
 	received := make(chan string, 2)
 	accepting, former := connect(t, func(accepting *Hub) {
 		accepting.Handle("test.topic", func(_ *Link, m *message.Message) { received <- m.UUID })
@@ -150,12 +150,12 @@
 	established, up := former.hub.Established(former.Address())
 	assert.True(t, up)
 	assert.Same(t, renewed, established)
-	require.NoError(t, former.Publish("test.topic", message.NewMessage("by the former", nil)))
-	require.NoError(t, renewed.Publish("test.topic", message.NewMessage("by the renewed", nil)))
-	assert.ElementsMatch(t, []string{"by the former", "by the renewed"}, []string{<-received, <-received})
+	require.NoError(t, former.Publish("test.topic", message.NewMessage("over the former link", nil)))
+	require.NoError(t, renewed.Publish("test.topic", message.NewMessage("over the renewed link", nil)))
+	assert.ElementsMatch(t, []string{"over the former link", "over the renewed link"}, []string{<-received, <-received})
 	select {
 	case <-former.Done():
-	case <-time.After(2 * replacedTime):
+	case <-time.After(2 * replacedLinkTTL):
 		t.Fatal("the former link stays open")
 	}
 	select {
@@ -165,14 +165,14 @@
 	}
 }
 
-// Seen: a process got its time in pieces of a millisecond each 0.29 s; links to it were made anew
-// within 0.6 s though they had been heard 0.7 ms before. Cause: whether the former link had been
-// heard was asked after it was replaced.
+// Guards against replacing links that work: a process got 1 ms of CPU time every 0.29 s, and links
+// to it were renewed within 0.6 s though they had received something 0.7 ms before. The former link
+// was only checked after it had been replaced.
 //
-// A link on which something comes until another one is up, or shortly after, stays the only one.
-func TestALinkThatIsHeardAgainIsNotReplaced(t *testing.T) {
-	const standing = 60 * time.Millisecond
-	for name, after := range map[string]time.Duration{"meanwhile": -standing / 2, "shortly after": standing / 2} {
+// A link that receives something before its replacement is up, or shortly after, is kept.
+func TestLinkThatReceivesAgainIsNotReplaced(t *testing.T) {
+	const pause = 60 * time.Millisecond
+	for name, after := range map[string]time.Duration{"meanwhile": -pause / 2, "shortly after": pause / 2} {
 		accepting, dialling := newTestHub("accepting"), newTestHub("dialling")
 		defer accepting.Close()
 		defer dialling.Close()
@@ -180,8 +180,8 @@
 		server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 			if second {
 				link := accepting.Accepted()[0]
-				time.AfterFunc(standing+after, func() { _ = link.Publish("test.topic", message.NewMessage("", nil)) })
-				time.Sleep(standing)
+				time.AfterFunc(pause+after, func() { _ = link.Publish("test.topic", message.NewMessage("", nil)) })
+				time.Sleep(pause)
 			}
 			second = true
 			accepting.ServeHTTP(writer, request)
@@ -196,13 +196,13 @@
 		established, up := dialling.Established(link.Address())
 		assert.True(t, up, name)
 		assert.Same(t, link, established, name)
-		time.Sleep(standing)
-		assert.Equal(t, []*Link{first}, accepting.Accepted(), "the other process keeps it too, %s", name)
+		time.Sleep(pause)
+		assert.Equal(t, []*Link{first}, accepting.Accepted(), "the other process keeps the link too, %s", name)
 	}
 }
 
-// A link that can't be made anew leaves the present one as it is.
-func TestALinkThatCantBeRenewedStays(t *testing.T) {
+// If a renewal fails the present link is kept.
+func TestFailedRenewalKeepsLink(t *testing.T) {
 	_, link := connect(t, func(*Hub) {})
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -214,19 +214,19 @@
 	assert.NoError(t, link.Publish("test.topic", message.NewMessage("", nil)))
 }
 
-// Renewals over a long way take as long as the way does: none waits for the silent link to be heard,
-// unless the new connection was slower to come up than that one had been.
-func TestRenewalsOverLongWaysAreNotDelayed(t *testing.T) {
-	// way is how long a connection takes to be answered, spare how long the rest may take.
+// Renewals over a connection with a long round trip are not delayed further: they wait for the
+// silent link only if the new connection took longer than that link's had.
+func TestRenewalsOverLongRoundTripsAreNotDelayed(t *testing.T) {
+	// connectTime is how long a new connection takes, margin how long the rest may take.
 	const (
-		way   = 300 * time.Millisecond
-		spare = 80 * time.Millisecond
+		connectTime = 300 * time.Millisecond
+		margin      = 80 * time.Millisecond
 	)
 	accepting, dialling := newTestHub("accepting"), newTestHub("dialling")
 	defer accepting.Close()
 	defer dialling.Close()
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		time.Sleep(way)
+		time.Sleep(connectTime)
 		accepting.ServeHTTP(writer, request)
 	}))
 	defer server.Close()
@@ -236,5 +236,5 @@
 	began := time.Now()
 	_, err = dialling.Renew(context.Background(), link)
 	require.NoError(t, err)
-	assert.Less(t, time.Since(began), way+spare)
+	assert.Less(t, time.Since(began), connectTime+margin)
 }
