--- a/internal/external/http.go
+++ b/internal/external/http.go
@@ -24,11 +24,11 @@
 	maximumLineBytes   = 1 << 20
 )
 
-// watchSlack is how long past the asked wait a watch may take to answer.
-const watchSlack = 5 * time.Second
+// watchMargin is how much longer than the requested wait a watch may take.
+const watchMargin = 5 * time.Second
 
-// NewTransport returns a transport that never resends a request on its own:
-// requests are given without GetBody, and callers that must not repeat use
+// NewTransport returns a transport with pooled connections. Requests have no GetBody, so that
+// net/http can't resend their bodies; requests that must not be repeated at all use
 // NewOneShotTransport.
 func NewTransport(idlePerHost int) *http.Transport {
 	return &http.Transport{
@@ -41,9 +41,8 @@
 	}
 }
 
-// NewOneShotTransport returns a transport that opens a connection for each
-// request. net/http resends a request only when a reused connection breaks, so
-// that this transport sends each request at most once.
+// NewOneShotTransport returns a transport that opens a connection for each request. It sends a
+// request at most once, since net/http resends one only when a reused connection breaks.
 func NewOneShotTransport() *http.Transport {
 	transport := NewTransport(1)
 	transport.DisableKeepAlives = true
@@ -65,7 +64,7 @@
 	if err != nil {
 		return nil, &fault.Unavailable{Target: e.name, Operation: method + " " + path, Cause: err}
 	}
-	// Without GetBody net/http can't replay the request.
+	// Without GetBody net/http can't resend the body.
 	request.GetBody = nil
 	response, err := e.client.Do(request)
 	if err != nil {
@@ -74,7 +73,7 @@
 	return response, nil
 }
 
-func (e endpoint) failure(operation string, response *http.Response) error {
+func (e endpoint) statusError(operation string, response *http.Response) error {
 	defer drain(response)
 	return &fault.Unavailable{Target: e.name, Operation: operation, Status: response.StatusCode}
 }
@@ -90,7 +89,7 @@
 		return err
 	}
 	if response.StatusCode != http.StatusOK {
-		return e.failure("GET "+path, response)
+		return e.statusError("GET "+path, response)
 	}
 	defer drain(response)
 	if err := json.NewDecoder(io.LimitReader(response.Body, maximumAnswerBytes)).Decode(into); err != nil {
@@ -103,7 +102,7 @@
 type HTTPPublication struct {
 	endpoint endpoint
 	path     string
-	// onCall is told the size of each answer, for the count of control bytes.
+	// onCall is called with the size of each answer, to count control traffic.
 	onCall func(answerBytes int)
 }
 
@@ -113,7 +112,7 @@
 	MembershipPath    = "/v1/membership"
 )
 
-// NewHTTPPublication watches the publication at a path of a service.
+// NewHTTPPublication returns a client for the publication at a path of a service.
 func NewHTTPPublication(address, path string, onCall func(answerBytes int)) *HTTPPublication {
 	return &HTTPPublication{
 		endpoint: newEndpoint("publication "+address+path, address, NewTransport(2)),
@@ -124,7 +123,7 @@
 
 // Watch implements Publication.
 func (p *HTTPPublication) Watch(ctx context.Context, since monotonic.Version, wait time.Duration) (monotonic.Update, bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+watchSlack)
+	ctx, cancel := context.WithTimeout(ctx, wait+watchMargin)
 	defer cancel()
 	query := url.Values{}
 	query.Set("epoch", strconv.FormatUint(since.Epoch, 10))
@@ -140,7 +139,7 @@
 		return monotonic.Update{}, false, nil
 	}
 	if response.StatusCode != http.StatusOK {
-		return monotonic.Update{}, false, p.endpoint.failure("watch", response)
+		return monotonic.Update{}, false, p.endpoint.statusError("watch", response)
 	}
 	data, err := io.ReadAll(io.LimitReader(response.Body, maximumAnswerBytes))
 	if err != nil {
@@ -154,7 +153,7 @@
 	return update, true, nil
 }
 
-// HTTPOrigin reads manifests and chunks by ranged GET.
+// HTTPOrigin reads manifests and chunks over HTTP.
 type HTTPOrigin struct{ endpoint endpoint }
 
 // NewHTTPOrigin returns the client of an origin.
@@ -185,8 +184,7 @@
 	return data, nil
 }
 
-// readBounded reads a whole body, and fails on one that is over the limit
-// instead of cutting it.
+// readBounded reads a complete body and returns an error if it exceeds the limit.
 func readBounded(body io.Reader, limit int64) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(body, limit+1))
 	if err != nil {
@@ -204,7 +202,7 @@
 		return nil, err
 	}
 	if response.StatusCode != http.StatusOK && response.StatusCode != http.StatusPartialContent {
-		return nil, e.failure("GET "+path, response)
+		return nil, e.statusError("GET "+path, response)
 	}
 	return response.Body, nil
 }
@@ -212,7 +210,7 @@
 // HTTPPeerStore reads manifests and chunks from another agent.
 type HTTPPeerStore struct{ transport *http.Transport }
 
-// NewHTTPPeerStore returns a client whose connections serve every peer.
+// NewHTTPPeerStore returns a client with one connection pool for all peers.
 func NewHTTPPeerStore() *HTTPPeerStore {
 	transport := NewTransport(2)
 	transport.MaxIdleConns = 64
@@ -235,8 +233,7 @@
 	return readBlob(ctx, newEndpoint("agent "+address, address, p.transport), path, maximumLineBytes)
 }
 
-// Post sends a small body to a path of the agent at an address and returns the
-// answer's body.
+// Post sends a small body to a path of the agent at an address and returns the body of the answer.
 func (p *HTTPPeerStore) Post(ctx context.Context, address, path string, body []byte) ([]byte, error) {
 	e := newEndpoint("agent "+address, address, p.transport)
 	response, err := e.do(ctx, http.MethodPost, path, bytes.NewReader(body))
@@ -244,7 +241,7 @@
 		return nil, err
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, e.failure("POST "+path, response)
+		return nil, e.statusError("POST "+path, response)
 	}
 	defer drain(response)
 	data, err := io.ReadAll(io.LimitReader(response.Body, maximumLineBytes))
@@ -276,7 +273,7 @@
 		return err
 	}
 	if response.StatusCode != http.StatusNoContent {
-		return s.endpoint.failure("PUT chunk", response)
+		return s.endpoint.statusError("PUT chunk", response)
 	}
 	drain(response)
 	return nil
@@ -346,7 +343,7 @@
 		return err
 	}
 	if response.StatusCode != http.StatusOK {
-		return e.endpoint.failure("generate", response)
+		return e.endpoint.statusError("generate", response)
 	}
 	defer func() { _ = response.Body.Close() }()
 	lines := bufio.NewScanner(response.Body)
@@ -370,7 +367,7 @@
 	return &fault.Unavailable{Target: e.endpoint.name, Operation: "generate", Cause: cause}
 }
 
-// Headers between an agent and a plain service.
+// Headers of requests from an agent to a plain service.
 const (
 	HeaderRequestID = "X-Request-Id"
 )
@@ -389,7 +386,7 @@
 	}
 }
 
-// Call implements Service. A call that is not repeatable is sent at most once.
+// Call implements Service. It sends a call that is not repeatable at most once.
 func (s *HTTPService) Call(ctx context.Context, call ServiceCall) (ServiceAnswer, error) {
 	e := s.oneShot
 	if call.Repeatable {
@@ -416,5 +413,5 @@
 	return ServiceAnswer{Status: response.StatusCode, ContentType: response.Header.Get("Content-Type"), Body: body}, nil
 }
 
-// maximumServiceAnswerBytes bounds a plain service's answer.
+// maximumServiceAnswerBytes bounds the size of a plain service's answer.
 const maximumServiceAnswerBytes = 8 << 20
--- a/internal/external/platform.go
+++ b/internal/external/platform.go
@@ -1,7 +1,7 @@
-// Package external holds all that touches the platform around pinevane: the
-// configuration and membership services, the weight origin, a machine's weight
-// store, its engine and plain services. Each is a small interface with one HTTP
-// implementation, so that another published API is one new file.
+// Package external contains the clients for the platform around pinevane: the configuration and
+// membership services, the weight origin, a machine's weight store, its engine and its plain
+// services. Each is a small interface with one HTTP implementation, so that support for another
+// published API takes one new file.
 package external
 
 import (
@@ -13,11 +13,11 @@
 	"pinevane.example/pinevane/internal/weights"
 )
 
-// Publication is a versioned set of documents that can only be read and
-// watched: the configuration, or the membership list.
+// Publication is a read-only, versioned set of documents that can be watched: the configuration or
+// the membership list.
 type Publication interface {
-	// Watch waits until the publication is newer than since, at most for wait,
-	// and returns the update; the bool is false when nothing changed.
+	// Watch waits until the publication is newer than since, at most for wait, and returns the
+	// update. The bool is false if nothing changed.
 	Watch(ctx context.Context, since monotonic.Version, wait time.Duration) (monotonic.Update, bool, error)
 }
 
@@ -30,8 +30,8 @@
 	RoleAgent Role = "agent"
 )
 
-// Member is one line of the membership list, encoded as JSON in a document
-// whose key is the member's ID.
+// Member is an entry of the membership list, encoded as JSON in a document whose key is the
+// member's ID.
 type Member struct {
 	ID     string `json:"id"`
 	Role   Role   `json:"role"`
@@ -39,13 +39,13 @@
 	Region string `json:"region"`
 	// Address is the IP address and port of the member's pinevane process.
 	Address string `json:"address"`
-	// Service names the plain service behind an agent; empty for an engine.
+	// Service is the name of the plain service behind an agent, or empty for an engine.
 	Service string `json:"service,omitempty"`
 	// Leaving is set when the platform has announced the member's removal.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// Origin holds the weights of every published version.
+// Origin serves the weights of every published version.
 type Origin interface {
 	// Manifest returns the bytes published under a manifest digest.
 	Manifest(ctx context.Context, digest weights.Digest) ([]byte, error)
@@ -53,22 +53,22 @@
 	Chunk(ctx context.Context, chunk weights.Chunk) (io.ReadCloser, error)
 }
 
-// Store is the weight store of one machine. It keeps chunks while the machine
-// lives, also when the agent restarts.
+// Store is the weight store of one machine. It keeps chunks for the lifetime of the machine, also
+// across restarts of the agent.
 type Store interface {
 	// List returns the digests of the complete chunks held.
 	List(ctx context.Context) ([]weights.Digest, error)
-	// Put stores a chunk once the reader ends with io.EOF; any other error
-	// discards what was written.
+	// Put stores a chunk once the reader ends with io.EOF. On any other error the chunk is
+	// discarded.
 	Put(ctx context.Context, chunk weights.Chunk, content io.Reader) error
-	// Open reads a chunk back.
+	// Open opens a stored chunk for reading.
 	Open(ctx context.Context, digest weights.Digest) (io.ReadCloser, error)
-	// Delete drops chunks that no wanted version needs.
+	// Delete removes chunks that no wanted version needs.
 	Delete(ctx context.Context, digests []weights.Digest) error
 }
 
-// Fence orders the orders given to an engine. An engine that checks fences
-// refuses one that is lower than the highest seen.
+// Fence is a fencing token, which defines the sequence of the orders to an engine. An engine that
+// checks fences refuses an order with a fence lower than the highest it has seen.
 type Fence struct {
 	Revision    monotonic.Version `json:"revision"`
 	Incarnation uint64            `json:"incarnation"`
@@ -98,7 +98,7 @@
 	return 0
 }
 
-// Action is what an order asks of an engine.
+// Action is what an order tells an engine to do.
 type Action string
 
 // The actions of orders.
@@ -113,7 +113,7 @@
 	Action  Action `json:"action"`
 	Model   string `json:"model"`
 	Version string `json:"version"`
-	// Chunks names the weights to load from the machine's store, in order.
+	// Chunks lists the digests of the weights to load from the machine's store, in order.
 	Chunks   []weights.Digest `json:"chunks,omitempty"`
 	Adapters []string         `json:"adapters,omitempty"`
 }
@@ -125,7 +125,7 @@
 	Adapters []string `json:"adapters,omitempty"`
 }
 
-// EngineStatus is an engine's word on itself; the load figures lag.
+// EngineStatus is an engine's status report. Its load figures lag behind.
 type EngineStatus struct {
 	Incarnation uint64          `json:"incarnation"`
 	Loaded      []LoadedVersion `json:"loaded"`
@@ -133,17 +133,17 @@
 	Waiting     int             `json:"waiting"`
 }
 
-// GenerationRequest is a request to an engine.
+// GenerationRequest asks an engine to generate an answer to a prompt.
 type GenerationRequest struct {
 	ID      string `json:"id"`
 	Model   string `json:"model"`
 	Version string `json:"version"`
 	Adapter string `json:"adapter,omitempty"`
 	Prompt  string `json:"prompt"`
-	// MaximumTokens bounds the whole answer, tokens before ResumeFrom included.
+	// MaximumTokens bounds the complete answer, including the tokens before ResumeFrom.
 	MaximumTokens int `json:"maximum_tokens"`
 	Priority      int `json:"priority"`
-	// ResumeFrom is how many tokens of the answer were already delivered.
+	// ResumeFrom is the number of tokens of the answer that were already delivered.
 	ResumeFrom int `json:"resume_from,omitempty"`
 }
 
@@ -156,10 +156,10 @@
 	FinishLength FinishReason = "length"
 )
 
-// GenerationEvent is one line of an engine's answer. The last line has Finish
-// set; an answer without it is cut.
+// GenerationEvent is one line of an engine's answer. The last line has Finish set; an answer
+// without it is truncated.
 type GenerationEvent struct {
-	// Index is the token's position in the whole answer.
+	// Index is the token's position in the complete answer.
 	Index       int          `json:"index"`
 	Token       string       `json:"token,omitempty"`
 	Finish      FinishReason `json:"finish,omitempty"`
@@ -170,7 +170,7 @@
 // Engine is a model engine on the agent's own machine.
 type Engine interface {
 	Status(ctx context.Context) (EngineStatus, error)
-	// Execute carries out one order; a *fault.OrderRejected is the engine's own no.
+	// Execute executes an order. A *fault.OrderRejected means that the engine has refused it.
 	Execute(ctx context.Context, order Order) error
 	// Generate streams an answer to emit, in order, until Finish or an error.
 	Generate(ctx context.Context, generation GenerationRequest, emit func(GenerationEvent) error) error
@@ -187,7 +187,7 @@
 	Repeatable bool
 }
 
-// ServiceAnswer is a plain service's whole answer.
+// ServiceAnswer is a plain service's complete answer.
 type ServiceAnswer struct {
 	Status      int
 	ContentType string
--- a/internal/external/resend_test.go
+++ b/internal/external/resend_test.go
@@ -13,15 +13,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// breakingServer answers the first request of each connection and closes the
-// connection without an answer after it has read the second one.
+// breakingServer starts a server that answers its first request, and resets the connection without
+// an answer on every later one.
 func breakingServer(t *testing.T, received *atomic.Int64) string {
 	t.Helper()
-	perConnection := make(chan struct{}, 1)
+	firstRequest := make(chan struct{}, 1)
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		received.Add(1)
 		select {
-		case perConnection <- struct{}{}:
+		case firstRequest <- struct{}{}:
 			return
 		default:
 		}
@@ -36,9 +36,9 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// net/http resends a GET, and any request with an Idempotency-Key, when a reused
-// connection breaks. A plain client shows that the stand-in provokes it.
-func TestAPlainClientResends(t *testing.T) {
+// net/http resends a GET, and any request with an Idempotency-Key, when a reused connection breaks.
+// This test shows with a plain client that breakingServer provokes it.
+func TestPlainClientResends(t *testing.T) {
 	var received atomic.Int64
 	address := breakingServer(t, &received)
 	client := &http.Client{Transport: &http.Transport{}}
@@ -52,7 +52,7 @@
 	assert.Greater(t, received.Load(), int64(2), "the second request was sent more than once")
 }
 
-func TestANonRepeatableCallIsSentOnce(t *testing.T) {
+func TestNonRepeatableCallIsSentOnce(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodDelete} {
 		var received atomic.Int64
 		service := NewHTTPService(breakingServer(t, &received))
