--- a/internal/peering/peering_test.go
+++ b/internal/peering/peering_test.go
@@ -150,9 +150,9 @@
 	established, up := former.hub.Established(former.Address())
 	assert.True(t, up)
 	assert.Same(t, renewed, established)
-	require.NoError(t, former.Publish("test.topic", message.NewMessage("over the former link", nil)))
-	require.NoError(t, renewed.Publish("test.topic", message.NewMessage("over the renewed link", nil)))
-	assert.ElementsMatch(t, []string{"over the former link", "over the renewed link"}, []string{<-received, <-received})
+	require.NoError(t, former.Publish("test.topic", message.NewMessage("by the former", nil)))
+	require.NoError(t, renewed.Publish("test.topic", message.NewMessage("by the renewed", nil)))
+	assert.ElementsMatch(t, []string{"by the former", "by the renewed"}, []string{<-received, <-received})
 	select {
 	case <-former.Done():
 	case <-time.After(2 * replacedLinkTTL):
