--- a/internal/network/client.go
+++ b/internal/network/client.go
@@ -356,8 +356,8 @@
 }
 
 // start sends a call over a pool's connections.
-func (c *Client) start(ctx context.Context, call Call, url string, pool *connectionPool) *attempt {
-	a := &attempt{pool: pool, done: make(chan callResult, 1), startedAt: time.Now()}
+func (c *Client) start(ctx context.Context, call Call, url string, connections *connectionPool) *attempt {
+	a := &attempt{pool: connections, done: make(chan callResult, 1), startedAt: time.Now()}
 	go func() {
 		answer, err := a.run(ctx, call, url)
 		a.done <- callResult{answer: answer, err: err}
@@ -391,7 +391,7 @@
 	defer func() { _ = response.Body.Close() }()
 	a.recordActivity()
 	began := time.Now()
-	body := progressReader{body: response.Body, attempt: a, stallTimer: stallTimer, timeout: call.Timeout}
+	body := progressReader{body: response.Body, owner: a, stallTimer: stallTimer, timeout: call.Timeout}
 	data, err := io.ReadAll(io.LimitReader(body, call.MaxBytes))
 	return Answer{Status: response.StatusCode, Body: data, BodyTime: time.Since(began)}, err
 }
@@ -436,7 +436,7 @@
 // progressReader is a body that resets its call's stall timer on every read.
 type progressReader struct {
 	body       io.Reader
-	attempt    *attempt
+	owner      *attempt
 	stallTimer *time.Timer
 	timeout    time.Duration
 }
@@ -445,7 +445,7 @@
 func (p progressReader) Read(into []byte) (int, error) {
 	count, err := p.body.Read(into)
 	if count > 0 {
-		p.attempt.recordActivity()
+		p.owner.recordActivity()
 		// If ExtraTime is 0 the call's context ends at the first timeout anyway.
 		p.stallTimer.Reset(p.timeout)
 	}
