--- a/internal/entry/borrowing.go
+++ b/internal/entry/borrowing.go
@@ -16,53 +16,52 @@
 
 // Topics between entries.
 const (
-	topicAsk   = "escrow.ask"
-	topicGrant = "escrow.grant"
+	topicBorrowRequest = "escrow.ask"
+	topicBorrowGrant   = "escrow.grant"
 )
 
-// askMessage asks for a part of a tenant's limit.
-type askMessage struct {
+// borrowRequest asks another entry for a part of its share of a tenant's limit.
+type borrowRequest struct {
 	Tenant  string         `cbor:"1,keyasint"`
 	Request escrow.Request `cbor:"2,keyasint"`
 }
 
-// grantMessage answers it.
-type grantMessage struct {
+// borrowGrant answers a borrowRequest.
+type borrowGrant struct {
 	Tenant string       `cbor:"1,keyasint"`
 	Grant  escrow.Grant `cbor:"2,keyasint"`
 }
 
-// SharesKey is the blackboard entry that lists the tenants with demand.
+// SharesKey is the blackboard key of the tenants with demand.
 var SharesKey = blackboard.NewKey[[]ShareView]("limits.shares")
 
-// borrowPeriod is how often demand is compared with what is usable.
-const borrowPeriod = 500 * time.Millisecond
+// borrowInterval is how often demand is compared with the usable share.
+const borrowInterval = 500 * time.Millisecond
 
-// dialTimeout bounds the wait for a link to another entry.
+// dialTimeout is the timeout for a link to another entry.
 const dialTimeout = 2 * time.Second
 
 func (e *Entry) handleBorrowing() {
-	e.node.Hub.Handle(topicAsk, func(link *peering.Link, received *message.Message) {
-		ask, err := peering.Decode[askMessage](received)
+	e.node.Hub.Handle(topicBorrowRequest, func(link *peering.Link, received *message.Message) {
+		request, err := peering.Decode[borrowRequest](received)
 		if err != nil {
 			return
 		}
-		if grant, known := e.limits.answer(ask.Tenant, ask.Request); known {
-			// A grant that is lost costs the donor its part for a term.
-			_ = peering.Send(link, topicGrant, "", grantMessage{Tenant: ask.Tenant, Grant: grant})
+		if grant, known := e.limits.grant(request.Tenant, request.Request); known {
+			// If the grant is lost the donor can't use that part until the grant's term ends.
+			_ = peering.Send(link, topicBorrowGrant, "", borrowGrant{Tenant: request.Tenant, Grant: grant})
 		}
 	})
-	e.node.Hub.Handle(topicGrant, func(_ *peering.Link, received *message.Message) {
-		if grant, err := peering.Decode[grantMessage](received); err == nil {
-			e.limits.receive(grant.Tenant, grant.Grant)
+	e.node.Hub.Handle(topicBorrowGrant, func(_ *peering.Link, received *message.Message) {
+		if grant, err := peering.Decode[borrowGrant](received); err == nil {
+			e.limits.applyGrant(grant.Tenant, grant.Grant)
 		}
 	})
 }
 
-// runBorrowing asks another entry, of the own zone when there is one, for each
-// tenant whose share runs out.
+// runBorrowing requests a part of another entry's share for each tenant whose share is running out.
 func (e *Entry) runBorrowing(ctx context.Context) {
-	ticker := time.NewTicker(borrowPeriod)
+	ticker := time.NewTicker(borrowInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -71,31 +70,31 @@
 			return
 		}
 		blackboard.Write(e.node.Board, SharesKey, e.limits.views())
-		for _, wanted := range e.limits.wishes() {
+		for _, request := range e.limits.borrowRequests() {
 			if donor, found := e.pickDonor(); found {
-				go e.ask(ctx, donor, wanted)
+				go e.requestShare(ctx, donor, request)
 			}
 		}
 	}
 }
 
-// sameZoneShare is how often a donor of the own zone is asked.
-const sameZoneShare = 0.75
+// sameZoneRatio is the ratio of requests that go to a donor in the own zone, if there is one.
+const sameZoneRatio = 0.75
 
 func (e *Entry) pickDonor() (external.Member, bool) {
 	members, _ := blackboard.Read(e.node.Board, node.MembersKey)
-	var near, all []external.Member
+	var sameZone, all []external.Member
 	for _, member := range members {
 		if member.Role != external.RoleEntry || member.ID == e.node.ID() || member.Leaving {
 			continue
 		}
 		all = append(all, member)
 		if member.Zone == e.node.Zone() {
-			near = append(near, member)
+			sameZone = append(sameZone, member)
 		}
 	}
-	if len(near) > 0 && rand.Float64() < sameZoneShare {
-		return near[rand.IntN(len(near))], true
+	if len(sameZone) > 0 && rand.Float64() < sameZoneRatio {
+		return sameZone[rand.IntN(len(sameZone))], true
 	}
 	if len(all) == 0 {
 		return external.Member{}, false
@@ -103,12 +102,12 @@
 	return all[rand.IntN(len(all))], true
 }
 
-func (e *Entry) ask(ctx context.Context, donor external.Member, wanted wish) {
+func (e *Entry) requestShare(ctx context.Context, donor external.Member, request tenantRequest) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	link, err := e.node.Hub.Link(ctx, donor.Address)
 	if err != nil {
 		return
 	}
-	_ = peering.Send(link, topicAsk, "", askMessage{Tenant: wanted.tenant, Request: wanted.request})
+	_ = peering.Send(link, topicBorrowRequest, "", borrowRequest{Tenant: request.tenant, Request: request.request})
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry is the process on the entry machines, behind the platform's
-// balancer. It takes callers' requests, holds tenants to their limits, routes
-// each request to a back end, and retries or resumes where that is safe.
+// Package entry is the process on the entry machines, behind the platform's load balancer. It
+// accepts callers' requests, enforces tenants' limits, routes each request to a back end, and
+// retries or resumes it where that is safe.
 package entry
 
 import (
@@ -12,24 +12,24 @@
 	"pinevane.example/pinevane/internal/node"
 )
 
-// ReplicasKey is the blackboard entry that lists the back ends in view.
+// ReplicasKey is the blackboard key of the back ends that the entry knows.
 var ReplicasKey = blackboard.NewKey[[]ReplicaView]("routing.replicas")
 
 // Options are the settings of an entry.
 type Options struct {
 	Node node.Options
-	// DefaultDeadline applies to requests that name none.
+	// DefaultDeadline applies to requests without a deadline.
 	DefaultDeadline time.Duration
-	// MaximumDeadline bounds what a request may ask for; long streams need hours.
+	// MaximumDeadline bounds the deadline that a request may set. Long streams need hours.
 	MaximumDeadline time.Duration
-	// MaximumBodyBytes bounds a request's body.
+	// MaximumBodyBytes bounds the size of a request's body.
 	MaximumBodyBytes int64
-	// MaximumAttempts bounds the attempts at one request.
+	// MaximumAttempts bounds the number of attempts per request.
 	MaximumAttempts int
-	// Policy chooses among replicas.
+	// Policy is the load balancing policy.
 	Policy Policy
-	// SubsetPerZone is how many agents of each other zone, and how many times
-	// eight of the own zone, an entry keeps links to.
+	// SubsetPerZone is the number of agents per zone that an entry keeps links to. In its own zone
+	// it keeps links to eight times as many.
 	SubsetPerZone int
 }
 
@@ -66,7 +66,7 @@
 	requests *requestCounter
 }
 
-// New builds an entry that is not running yet.
+// New returns an entry that is not running yet.
 func New(options Options, log *logging.Logger) *Entry {
 	options = options.applyDefaults()
 	base := node.New(options.Node, log)
@@ -80,22 +80,22 @@
 	}
 	entry.router = newRouter(entry.replicas, base.Zone(), options.Policy)
 	base.SetOpen(entry.requests.open)
-	base.SetReady(entry.limits.settled)
+	base.SetReady(entry.limits.ready)
 	entry.handleBorrowing()
-	entry.mount(base.Router)
+	entry.mountRoutes(base.Router)
 	return entry
 }
 
-// Node returns the process's shared part.
+// Node returns the part of the process that entries and agents have in common.
 func (e *Entry) Node() *node.Node { return e.node }
 
-// Run serves until stop is closed and open work has finished.
+// Run serves requests until stop is closed and the open requests have ended.
 func (e *Entry) Run(stop <-chan struct{}) error {
 	return e.node.Run(stop, e.replicas.run, e.runLimits, e.runBorrowing)
 }
 
-// runLimits keeps the entry's shares of the tenants' limits in step with the
-// configuration and the number of entries.
+// runLimits updates the entry's shares of the tenants' limits when the configuration or the number
+// of entries changes.
 func (e *Entry) runLimits(ctx context.Context) {
 	changed := e.node.Board.Watch(ctx, node.SnapshotKey.Name(), node.MembersKey.Name())
 	for {
--- a/internal/entry/generate.go
+++ b/internal/entry/generate.go
@@ -13,41 +13,41 @@
 	"pinevane.example/pinevane/internal/protocol"
 )
 
-// retryAfterNoReplica is the wait told to callers while no back end can serve.
+// retryAfterNoReplica is the Retry-After time while no back end can serve a request.
 const retryAfterNoReplica = time.Second
 
-// generation is a request for a model on its way through its attempts.
+// generation is a request to a model with the state of its attempts.
 type generation struct {
 	entry   *Entry
 	call    *call
 	request generationRequest
-	out     answer
-	// pinned is the version of the tokens received so far.
-	pinned string
-	next   int
-	tried  []*replica
-	// mayHaveRun is set once an attempt ended without proof that it did not run.
+	out     answerWriter
+	// pinnedVersion is the version of the tokens received so far, nextIndex the index of the next.
+	pinnedVersion string
+	nextIndex     int
+	tried         []*replica
+	// mayHaveRun is set once an attempt has ended without confirmation that it did not run.
 	mayHaveRun bool
 }
 
-// generate runs a request until its answer is whole, it is refused, or it may
-// not be tried again.
-func (e *Entry) generate(ctx context.Context, c *call, wanted generationRequest, out answer) *fault.Refusal {
-	g := &generation{entry: e, call: c, request: wanted, out: out}
+// generate runs attempts at a request until its answer is complete, it is refused, or it must not
+// be retried.
+func (e *Entry) generate(ctx context.Context, c *call, parsedRequest generationRequest, out answerWriter) *fault.Refusal {
+	g := &generation{entry: e, call: c, request: parsedRequest, out: out}
 	for attempts := 1; ; attempts++ {
-		chosen, found := e.router.choose(need{model: wanted.model, adapter: wanted.adapter, version: g.pinned, prefix: prefixOf(wanted.prompt), excluded: g.tried})
+		chosen, found := e.router.choose(requirements{model: parsedRequest.model, adapter: parsedRequest.adapter, version: g.pinnedVersion, prefix: promptPrefix(parsedRequest.prompt), excluded: g.tried})
 		if !found {
-			if attempts < e.options.MaximumAttempts && g.startOver() {
+			if attempts < e.options.MaximumAttempts && g.restart() {
 				continue
 			}
-			return g.giveUp()
+			return g.refuseNoReplica()
 		}
 		done, refusal := g.attempt(ctx, chosen)
 		if done {
 			return refusal
 		}
-		if attempts >= e.options.MaximumAttempts || !e.metrics.retries.take() {
-			g.execution(refusal)
+		if attempts >= e.options.MaximumAttempts || !e.metrics.retries.withdraw() {
+			g.correctExecution(refusal)
 			return refusal
 		}
 		g.tried = append(g.tried, chosen.target)
@@ -56,67 +56,67 @@
 	}
 }
 
-// startOver drops the pinned version when the caller has seen nothing of it.
-func (g *generation) startOver() bool {
-	if g.pinned == "" || !g.out.restart() {
+// restart drops the pinned version if the caller has received nothing of it.
+func (g *generation) restart() bool {
+	if g.pinnedVersion == "" || !g.out.reset() {
 		return false
 	}
-	g.pinned, g.next, g.tried = "", 0, nil
+	g.pinnedVersion, g.nextIndex, g.tried = "", 0, nil
 	return true
 }
 
-// giveUp refuses a request that no back end can take.
-func (g *generation) giveUp() *fault.Refusal {
+// refuseNoReplica refuses a request that no back end can serve.
+func (g *generation) refuseNoReplica() *fault.Refusal {
 	refusal := fault.NotRun(fault.ReasonNoReplica, "no back end can serve the model now")
 	refusal.RetryAfter = retryAfterNoReplica
-	g.execution(refusal)
+	g.correctExecution(refusal)
 	return refusal
 }
 
-// execution corrects what a refusal says of the whole request.
-func (g *generation) execution(refusal *fault.Refusal) {
+// correctExecution sets a refusal's execution to unknown if any attempt may have run.
+func (g *generation) correctExecution(refusal *fault.Refusal) {
 	if g.mayHaveRun {
 		refusal.Execution = fault.ExecutionUnknown
 	}
 }
 
-// attempt runs one attempt. When done is false the request may be tried again,
-// from where it stopped.
+// attempt runs one attempt. If done is false the request may be retried from where it stopped.
 func (g *generation) attempt(ctx context.Context, chosen choice) (done bool, refusal *fault.Refusal) {
-	remaining, refusal := remainingTime(ctx)
+	remaining, refusal := timeRemaining(ctx)
 	if refusal != nil {
-		g.execution(refusal)
+		g.correctExecution(refusal)
 		return true, refusal
 	}
-	if g.next > 0 {
-		g.entry.node.Log.Log(logging.StreamResumed, zap.String("request", g.call.id), zap.Int("from", g.next), zap.String("back_end", chosen.target.member.ID))
+	if g.nextIndex > 0 {
+		g.entry.node.Log.Log(logging.StreamResumed, zap.String("request", g.call.id), zap.Int("from", g.nextIndex), zap.String("back_end", chosen.target.member.ID))
 	}
-	const spareEvents = 4
+	const extraEvents = 4
 	work := protocol.Submit{
 		RequestID: g.call.id, Tenant: g.call.tenant.Name, Priority: g.call.tenant.Priority,
 		Repeatable: g.call.repeatable, Key: g.call.key, RemainingMilliseconds: remaining.Milliseconds(),
 		Generate: &protocol.Generate{
 			Model: g.request.model, Version: chosen.version, Adapter: g.request.adapter,
-			Prompt: g.request.prompt, MaximumTokens: g.request.maximumTokens, ResumeFrom: g.next,
+			Prompt: g.request.prompt, MaximumTokens: g.request.maximumTokens, ResumeFrom: g.nextIndex,
 		},
 	}
-	started, err := g.entry.replicas.submit(chosen.target, work, eventDepth(g.request.maximumTokens-g.next)+spareEvents)
+	started, err := g.entry.replicas.submit(chosen.target, work, eventBufferSize(g.request.maximumTokens-g.nextIndex)+extraEvents)
 	if err != nil {
 		var notSent *fault.Refusal
 		errors.As(err, &notSent)
 		return false, notSent
 	}
-	return g.follow(ctx, chosen, started)
+	return g.awaitEvents(ctx, chosen, started)
 }
 
-// maximumEventDepth bounds the events of one attempt that wait for the caller.
-// A slower caller's attempt is cancelled and resumed where the caller stands.
-const maximumEventDepth = 4 << 10
+// maximumBufferedEvents bounds the events of one attempt that are buffered for the caller. If a
+// slow caller fills the buffer, events are dropped, and the attempt is cancelled and resumed at the
+// first missing token.
+const maximumBufferedEvents = 4 << 10
 
-func eventDepth(tokens int) int { return min(tokens, maximumEventDepth) }
+func eventBufferSize(tokens int) int { return min(tokens, maximumBufferedEvents) }
 
-// remainingTime returns what is left of the deadline.
-func remainingTime(ctx context.Context) (time.Duration, *fault.Refusal) {
+// timeRemaining returns the time remaining until the deadline.
+func timeRemaining(ctx context.Context) (time.Duration, *fault.Refusal) {
 	deadline, _ := ctx.Deadline()
 	remaining := time.Until(deadline)
 	if ctx.Err() != nil || remaining < time.Millisecond {
@@ -125,13 +125,13 @@
 	return remaining, nil
 }
 
-// follow receives an attempt's events until it ends, its link is lost, the
-// caller hangs up, or the time is over.
-func (g *generation) follow(ctx context.Context, chosen choice, started *flight) (done bool, refusal *fault.Refusal) {
+// awaitEvents handles an attempt's events until the attempt ends, its link is lost, the caller
+// disconnects, or the deadline expires.
+func (g *generation) awaitEvents(ctx context.Context, chosen choice, started *runningAttempt) (done bool, refusal *fault.Refusal) {
 	for {
 		select {
 		case event := <-started.events:
-			done, refusal, ended := g.take(started, chosen, event)
+			done, refusal, ended := g.handleEvent(started, chosen, event)
 			if ended {
 				return done, refusal
 			}
@@ -141,30 +141,30 @@
 			started.cancel()
 			started.end(true)
 			g.mayHaveRun = true
-			return true, deadlineRefusal(ctx)
+			return true, contextRefusal(ctx)
 		}
 	}
 }
 
-func deadlineRefusal(ctx context.Context) *fault.Refusal {
+func contextRefusal(ctx context.Context) *fault.Refusal {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return fault.Unknown(fault.ReasonDeadline, "the request's time is over")
 	}
 	return fault.Unknown(fault.ReasonCanceled, "the caller hung up")
 }
 
-// take handles one event; ended tells that it was the attempt's last.
-func (g *generation) take(started *flight, chosen choice, event protocol.Event) (done bool, refusal *fault.Refusal, ended bool) {
+// handleEvent handles one event. ended is true if it was the attempt's last.
+func (g *generation) handleEvent(started *runningAttempt, chosen choice, event protocol.Event) (done bool, refusal *fault.Refusal, ended bool) {
 	switch event.Kind {
 	case protocol.Token:
-		if event.Index != g.next || event.Version != chosen.version {
+		if event.Index != g.nextIndex || event.Version != chosen.version {
 			started.cancel()
 			started.end(false)
-			done, refusal = g.failed(chosen, fault.Unknown(fault.ReasonWrongVersion, "the back end's answer has a gap"))
+			done, refusal = g.attemptFailed(chosen, fault.Unknown(fault.ReasonWrongVersion, "the back end's answer has a gap"))
 			return done, refusal, true
 		}
-		g.pinned = chosen.version
-		g.next++
+		g.pinnedVersion = chosen.version
+		g.nextIndex++
 		if err := g.out.token(event.Token, event.Version); err != nil {
 			started.cancel()
 			started.end(true)
@@ -172,9 +172,9 @@
 		}
 		return false, nil, false
 	case protocol.Finished:
-		if event.Index != g.next {
+		if event.Index != g.nextIndex {
 			started.end(false)
-			done, refusal = g.failed(chosen, fault.Unknown(fault.ReasonWrongVersion, "the back end's answer ends early"))
+			done, refusal = g.attemptFailed(chosen, fault.Unknown(fault.ReasonWrongVersion, "the back end's answer ends early"))
 			return done, refusal, true
 		}
 		started.end(true)
@@ -187,16 +187,16 @@
 		return false, fault.NotRun(event.Reason, event.Detail), true
 	}
 	started.end(false)
-	done, refusal = g.failed(chosen, fault.Unknown(event.Reason, event.Detail))
+	done, refusal = g.attemptFailed(chosen, fault.Unknown(event.Reason, event.Detail))
 	return done, refusal, true
 }
 
-// failed ends an attempt that may have run: a request that may not be repeated
-// is over.
-func (g *generation) failed(chosen choice, refusal *fault.Refusal) (bool, *fault.Refusal) {
+// attemptFailed records a failed attempt that may have run. A request that is not repeatable is
+// then done.
+func (g *generation) attemptFailed(chosen choice, refusal *fault.Refusal) (bool, *fault.Refusal) {
 	g.mayHaveRun = true
-	if g.next > 0 {
-		g.pinned = chosen.version
+	if g.nextIndex > 0 {
+		g.pinnedVersion = chosen.version
 	}
 	if !g.call.repeatable {
 		g.entry.node.Log.Log(logging.OutcomeUnknown, zap.String("request", g.call.id), zap.String("reason", string(refusal.Reason)))
@@ -205,13 +205,13 @@
 	return false, refusal
 }
 
-// linkLost takes the events that still came, then asks what became of an
-// attempt that may not be repeated.
-func (g *generation) linkLost(ctx context.Context, chosen choice, started *flight) (bool, *fault.Refusal) {
+// linkLost handles the events that arrived before the link was lost. For a request that is not
+// repeatable it then inquires about the attempt's outcome.
+func (g *generation) linkLost(ctx context.Context, chosen choice, started *runningAttempt) (bool, *fault.Refusal) {
 	for {
 		select {
 		case event := <-started.events:
-			done, refusal, ended := g.take(started, chosen, event)
+			done, refusal, ended := g.handleEvent(started, chosen, event)
 			if ended {
 				return done, refusal
 			}
@@ -222,8 +222,8 @@
 	}
 	started.end(false)
 	lost := fault.Unknown(fault.ReasonLinkLost, "the link to the back end was lost")
-	if g.next == 0 && !g.call.repeatable && started.inquire(ctx).Outcome == attempt.NotRun {
+	if g.nextIndex == 0 && !g.call.repeatable && started.inquire(ctx).Outcome == attempt.NotRun {
 		return false, fault.NotRun(fault.ReasonLinkLost, lost.Detail)
 	}
-	return g.failed(chosen, lost)
+	return g.attemptFailed(chosen, lost)
 }
--- a/internal/entry/http.go
+++ b/internal/entry/http.go
@@ -29,61 +29,61 @@
 const (
 	HeaderRequestID    = "X-Request-Id"
 	HeaderModelVersion = "X-Pinevane-Model-Version"
-	// HeaderDeadline is the time a request may take, in milliseconds.
+	// HeaderDeadline is the time that a request may take, in milliseconds.
 	HeaderDeadline = "X-Pinevane-Deadline-Ms"
-	// HeaderRepeatable is "false" on a request that may run at most once.
+	// HeaderRepeatable is "false" on requests that may run at most once.
 	HeaderRepeatable = "X-Pinevane-Repeatable"
-	// HeaderExecution is set on refusals: not-run or unknown.
+	// HeaderExecution is set on refusals, to not-run or unknown.
 	HeaderExecution = "X-Pinevane-Execution"
-	// HeaderIdempotencyKey is the caller's own name for a request.
+	// HeaderIdempotencyKey is the caller's idempotency key for a request.
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
-// maximumKeyBytes bounds a caller's own name for a request.
+// maximumKeyBytes bounds the length of an idempotency key.
 const maximumKeyBytes = 256
 
-func (e *Entry) mount(router chi.Router) {
+func (e *Entry) mountRoutes(router chi.Router) {
 	router.Post("/v1/chat/completions", e.authenticated(e.chatCompletions))
 	router.Post("/v1/completions", e.authenticated(e.completions))
 	router.Get("/v1/models", e.authenticated(e.models))
 	router.HandleFunc("/apps/{service}", e.authenticated(e.callService))
 	router.HandleFunc("/apps/{service}/*", e.authenticated(e.callService))
 	router.NotFound(func(writer http.ResponseWriter, request *http.Request) {
-		e.refuse(writer, newRequestID(), fault.NotRun(fault.ReasonUnknownService, "no such path: "+request.URL.Path))
+		e.writeRefusal(writer, newRequestID(), fault.NotRun(fault.ReasonUnknownService, "no such path: "+request.URL.Path))
 	})
 }
 
-// call is one caller's request with what every kind of request has.
+// call is a caller's request with the data common to all kinds of requests.
 type call struct {
 	id         string
 	tenant     configuration.Tenant
 	snapshot   *configuration.Snapshot
 	key        string
 	repeatable bool
-	arrived    time.Time
-	// begun is set once a streamed answer has started.
-	begun bool
+	arrivedAt  time.Time
+	// streamStarted is set once the header of a streamed answer has been written.
+	streamStarted bool
 }
 
 type handler func(ctx context.Context, writer http.ResponseWriter, request *http.Request, c *call) *fault.Refusal
 
 func newRequestID() string { return watermill.NewUUID() }
 
-// authenticated finds the caller's tenant, applies the deadline, and turns a
-// refusal into its answer.
+// authenticated returns a handler that identifies the tenant, applies the deadline, and answers a
+// refused request with an error.
 func (e *Entry) authenticated(next handler) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		e.requests.add(1)
 		defer e.requests.add(-1)
-		c := &call{id: newRequestID(), arrived: time.Now()}
+		c := &call{id: newRequestID(), arrivedAt: time.Now()}
 		writer.Header().Set(HeaderRequestID, c.id)
 		refusal := e.identify(request, c)
 		if refusal == nil {
 			refusal = e.withDeadline(writer, request, c, next)
 		}
 		e.metrics.observe(c, refusal)
-		if refusal != nil && !c.begun {
-			e.refuse(writer, c.id, refusal)
+		if refusal != nil && !c.streamStarted {
+			e.writeRefusal(writer, c.id, refusal)
 		}
 	}
 }
@@ -102,7 +102,7 @@
 	return next(ctx, writer, request, c)
 }
 
-// identify reads what every request has: tenant, key, repeatability.
+// identify sets the fields that every request has: tenant, idempotency key and repeatability.
 func (e *Entry) identify(request *http.Request, c *call) *fault.Refusal {
 	snapshot, configured := blackboard.Read(e.node.Board, node.SnapshotKey)
 	if !configured {
@@ -138,7 +138,7 @@
 	return refusal
 }
 
-// readBody reads a bounded body whole.
+// readBody reads a complete body of at most MaximumBodyBytes.
 func (e *Entry) readBody(writer http.ResponseWriter, request *http.Request) ([]byte, *fault.Refusal) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, e.options.MaximumBodyBytes))
 	var tooLarge *http.MaxBytesError
@@ -151,12 +151,12 @@
 	return body, nil
 }
 
-// errorBody is the answer to a refused request, in the shape OpenAI clients know.
+// errorBody is the answer to a refused request, in the format that OpenAI clients know.
 type errorBody struct {
 	Error     errorDetail     `json:"error"`
 	Execution fault.Execution `json:"execution"`
 	RequestID string          `json:"request_id"`
-	// RetryAfterMilliseconds is present when waiting helps.
+	// RetryAfterMilliseconds is present if a later retry may succeed.
 	RetryAfterMilliseconds int64 `json:"retry_after_ms,omitempty"`
 }
 
@@ -192,8 +192,8 @@
 	fault.ReasonLinkLost:         http.StatusBadGateway,
 }
 
-// refuse writes a refusal as the whole answer.
-func (e *Entry) refuse(writer http.ResponseWriter, requestID string, refusal *fault.Refusal) {
+// writeRefusal answers a request with a refusal.
+func (e *Entry) writeRefusal(writer http.ResponseWriter, requestID string, refusal *fault.Refusal) {
 	e.node.Log.Log(logging.RequestRefused, zap.String("request", requestID),
 		zap.String("reason", string(refusal.Reason)), zap.String("execution", string(refusal.Execution)))
 	status, listed := statusOfReason[refusal.Reason]
@@ -210,7 +210,7 @@
 	_ = json.NewEncoder(writer).Encode(newErrorBody(requestID, refusal))
 }
 
-// requestCounter counts the callers' requests that are open.
+// requestCounter counts the open requests of callers.
 type requestCounter struct{ count atomic.Int64 }
 
 func (c *requestCounter) add(delta int64) { c.count.Add(delta) }
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -13,9 +13,8 @@
 	"pinevane.example/pinevane/internal/fault"
 )
 
-// countEntries returns how many entries share the tenants' limits: every one on
-// the membership list, leaving or not, so that the sum of the shares stays at
-// or under each limit.
+// countEntries returns how many entries share the tenants' limits. It counts every entry on the
+// membership list, leaving or not, so that the sum of the shares never exceeds a limit.
 func countEntries(members []external.Member) int {
 	count := 0
 	for _, member := range members {
@@ -26,12 +25,12 @@
 	return max(1, count)
 }
 
-// raiseDelay is how long a new or raised share waits: longer than a membership
-// list takes to reach every entry.
+// raiseDelay is how long a new or raised share waits until it takes effect. It is longer than a
+// membership list takes to reach every entry.
 const raiseDelay = 3 * time.Second
 
-// limiter holds an entry's share of each tenant's limits. The share is a part of
-// the whole limit, 0 to 1, and holds for requests, tokens and concurrency alike.
+// limiter enforces an entry's share of each tenant's limits. The share is a fraction of the limit,
+// 0 to 1, and applies to requests, tokens and concurrency alike.
 type limiter struct {
 	now     func() time.Time
 	started time.Time
@@ -44,12 +43,12 @@
 type tenantShare struct {
 	limits  configuration.Tenant
 	account *escrow.Account
-	// requests and tokens are nil until there is a share.
+	// requests and tokens are the token buckets. They are nil until there is a share.
 	requests *rate.Limiter
 	tokens   *rate.Limiter
 	open     int
-	// demand is the part of the limit that was lately asked for, refused requests
-	// included; it decays.
+	// demand is the fraction of the limit that was requested recently, including refused requests.
+	// It decays with demandDecay.
 	demand   float64
 	demandAt time.Duration
 }
@@ -58,10 +57,10 @@
 	return &limiter{now: now, started: now(), tenants: map[string]*tenantShare{}}
 }
 
-// clock is the time on the process's own monotonic clock.
+// clock returns the monotonic time since the limiter was created.
 func (l *limiter) clock() time.Duration { return l.now().Sub(l.started) }
 
-// burstSeconds is how many seconds of its rate a tenant may use at once.
+// burstSeconds is how many seconds' worth of its rate a tenant may use at once.
 const burstSeconds = 2
 
 // configure sets every tenant's base share for a number of entries.
@@ -85,9 +84,9 @@
 	}
 }
 
-// settled reports whether every tenant's base share is in force, from when on an
-// entry can take requests.
-func (l *limiter) settled() bool {
+// ready reports whether every tenant's base share is in effect, which an entry needs in order to
+// accept requests.
+func (l *limiter) ready() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, share := range l.tenants {
@@ -98,9 +97,9 @@
 	return l.configured
 }
 
-// setRate returns a bucket with a rate: the same one adjusted, or a full one
-// where there was none.
-func setRate(bucket *rate.Limiter, now time.Time, perSecond float64) *rate.Limiter {
+// adjustBucket sets a token bucket's rate and returns the bucket. If there was none it returns a
+// full one.
+func adjustBucket(bucket *rate.Limiter, now time.Time, perSecond float64) *rate.Limiter {
 	limit, burst := rate.Limit(perSecond), max(1, int(perSecond*burstSeconds))
 	if bucket == nil && perSecond > 0 {
 		return rate.NewLimiter(limit, burst)
@@ -112,34 +111,33 @@
 	return bucket
 }
 
-// refresh brings the buckets in step with what is usable now.
-func (s *tenantShare) refresh(now time.Time, clock time.Duration) (concurrency int) {
+// updateBuckets adjusts the buckets to the usable share and returns the concurrency limit.
+func (s *tenantShare) updateBuckets(now time.Time, clock time.Duration) (concurrency int) {
 	usable := s.account.Usable(clock)
-	s.requests = setRate(s.requests, now, s.limits.RequestsPerSecond*usable)
-	s.tokens = setRate(s.tokens, now, s.limits.TokensPerSecond*usable)
+	s.requests = adjustBucket(s.requests, now, s.limits.RequestsPerSecond*usable)
+	s.tokens = adjustBucket(s.tokens, now, s.limits.TokensPerSecond*usable)
 	return max(1, int(float64(s.limits.Concurrency)*usable))
 }
 
-// demandDecay is the time in which remembered demand falls to 1/e.
+// demandDecay is the time in which recorded demand decays to 1/e.
 const demandDecay = 2 * time.Second
 
-// note adds one request's part of the limits to the demand.
-func (s *tenantShare) note(clock time.Duration, tokens int) {
+// recordDemand adds one request's fraction of the limits to the demand.
+func (s *tenantShare) recordDemand(clock time.Duration, tokens int) {
 	perRequest := max(1/s.limits.RequestsPerSecond, float64(tokens)/s.limits.TokensPerSecond)
-	s.demand = s.decayed(clock) + perRequest/demandDecay.Seconds()
+	s.demand = s.decayedDemand(clock) + perRequest/demandDecay.Seconds()
 	s.demandAt = clock
 }
 
-func (s *tenantShare) decayed(clock time.Duration) float64 {
+func (s *tenantShare) decayedDemand(clock time.Duration) float64 {
 	return s.demand * math.Exp(-(clock-s.demandAt).Seconds()/demandDecay.Seconds())
 }
 
-// retryAfterConcurrency is the wait told to a caller whose tenant has too many
-// requests open.
+// retryAfterConcurrency is the Retry-After time while a tenant has too many requests open.
 const retryAfterConcurrency = time.Second
 
-// admit takes one request with an estimate of its tokens. The release function
-// must be called when the request has ended.
+// admit admits or refuses a request, given an estimate of its tokens. The release function must be
+// called when the request has ended.
 func (l *limiter) admit(tenant string, tokens int) (release func(), refusal *fault.Refusal) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -148,8 +146,8 @@
 		return nil, fault.NotRun(fault.ReasonNotReady, "the tenant's limits are not known yet")
 	}
 	now := l.now()
-	share.note(l.clock(), tokens)
-	concurrency := share.refresh(now, l.clock())
+	share.recordDemand(l.clock(), tokens)
+	concurrency := share.updateBuckets(now, l.clock())
 	if share.requests == nil || share.tokens == nil {
 		refusal = fault.NotRun(fault.ReasonNotReady, "the entry's share of the tenant's limits is not in force yet")
 		refusal.RetryAfter = raiseDelay
@@ -160,7 +158,7 @@
 		refusal.RetryAfter = retryAfterConcurrency
 		return nil, refusal
 	}
-	if refusal := take(share.requests, now, 1, fault.ReasonLimitRequests, "the tenant is over its requests a second"); refusal != nil {
+	if refusal := withdraw(share.requests, now, 1, fault.ReasonLimitRequests, "the tenant is over its requests a second"); refusal != nil {
 		return nil, refusal
 	}
 	if tokens > 0 {
@@ -179,8 +177,8 @@
 	share.open--
 }
 
-// take draws from a bucket, or tells when enough will be in it.
-func take(bucket *rate.Limiter, now time.Time, count int, reason fault.Reason, detail string) *fault.Refusal {
+// withdraw takes an amount from a bucket, or returns a refusal with the time until it holds enough.
+func withdraw(bucket *rate.Limiter, now time.Time, count int, reason fault.Reason, detail string) *fault.Refusal {
 	reservation := bucket.ReserveN(now, count)
 	if !reservation.OK() {
 		return fault.NotRun(reason, detail)
@@ -195,62 +193,63 @@
 	return refusal
 }
 
-// overdraw draws from a bucket that holds anything, also more than it holds, which the next ones wait for. A
-// large request that had to find its whole size in the bucket would not be admitted beside small ones that take what comes in.
+// overdraw takes an amount from a bucket that is not empty, even if it holds less; later requests
+// wait for the deficit. If large requests had to wait for the full amount, small ones would consume
+// each refill first and starve them.
 func overdraw(bucket *rate.Limiter, now time.Time, count int, reason fault.Reason, detail string) *fault.Refusal {
-	if refusal := take(bucket, now, 1, reason, detail); refusal != nil {
+	if refusal := withdraw(bucket, now, 1, reason, detail); refusal != nil {
 		return refusal
 	}
 	bucket.ReserveN(now, count-1)
 	return nil
 }
 
-// Borrowing starts when demand comes near to what is usable, and asks for what
-// demand needs with a reserve.
+// An entry borrows when demand exceeds borrowThreshold of the usable share. It requests enough to
+// have borrowMargin times the demand.
 const (
-	borrowAt      = 0.8
-	borrowReserve = 1.25
+	borrowThreshold = 0.8
+	borrowMargin    = 1.25
 )
 
-// wish is a request for more of a tenant's limit.
-type wish struct {
+// tenantRequest is a request for a part of another entry's share of a tenant's limit.
+type tenantRequest struct {
 	tenant  string
 	request escrow.Request
 }
 
-// wishes returns the requests to send to other entries now. One request is
-// pending a tenant, so that what comes in is not more than was needed.
-func (l *limiter) wishes() []wish {
+// borrowRequests returns the requests to send to other entries now. Each tenant has at most one
+// pending request, so that no more is granted than is needed.
+func (l *limiter) borrowRequests() []tenantRequest {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	clock := l.clock()
-	var result []wish
+	var result []tenantRequest
 	for name, share := range l.tenants {
-		demand, usable := share.decayed(clock), share.account.Usable(clock)
-		if demand < borrowAt*usable || demand == 0 || share.account.Pending(clock) {
+		demand, usable := share.decayedDemand(clock), share.account.Usable(clock)
+		if demand < borrowThreshold*usable || demand == 0 || share.account.Pending(clock) {
 			continue
 		}
-		amount := demand*borrowReserve - usable
+		amount := demand*borrowMargin - usable
 		if amount > 0 {
-			result = append(result, wish{tenant: name, request: share.account.Ask(amount, clock)})
+			result = append(result, tenantRequest{tenant: name, request: share.account.Ask(amount, clock)})
 		}
 	}
 	return result
 }
 
-// answer grants another entry what this one does not need.
-func (l *limiter) answer(tenant string, request escrow.Request) (escrow.Grant, bool) {
+// grant grants another entry the part of the share that this one does not need.
+func (l *limiter) grant(tenant string, request escrow.Request) (escrow.Grant, bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	share, known := l.tenants[tenant]
 	if !known {
 		return escrow.Grant{}, false
 	}
-	return share.account.Answer(request, share.decayed(l.clock())*borrowReserve, l.clock()), true
+	return share.account.Answer(request, share.decayedDemand(l.clock())*borrowMargin, l.clock()), true
 }
 
-// receive takes another entry's grant.
-func (l *limiter) receive(tenant string, grant escrow.Grant) {
+// applyGrant adds another entry's grant to the share.
+func (l *limiter) applyGrant(tenant string, grant escrow.Grant) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if share, known := l.tenants[tenant]; known {
@@ -266,14 +265,14 @@
 	Open   int     `json:"open"`
 }
 
-// views describes the tenants that have demand.
+// views lists the tenants that have demand or open requests.
 func (l *limiter) views() []ShareView {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	const noticeable = 1e-6
+	const minDemand = 1e-6
 	views := []ShareView{}
 	for name, share := range l.tenants {
-		if demand := share.decayed(l.clock()); demand > noticeable || share.open > 0 {
+		if demand := share.decayedDemand(l.clock()); demand > minDemand || share.open > 0 {
 			views = append(views, ShareView{Tenant: name, Usable: share.account.Usable(l.clock()), Demand: demand, Open: share.open})
 		}
 	}
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -9,7 +9,8 @@
 	"pinevane.example/pinevane/internal/fault"
 )
 
-// metrics counts what callers saw. Tenants are no label: there may be thousands.
+// metrics counts requests and their outcomes. The tenant is not a label, since there may be
+// thousands of tenants.
 type metrics struct {
 	requests *prometheus.CounterVec
 	duration prometheus.Histogram
@@ -40,7 +41,7 @@
 
 func (m *metrics) observe(c *call, refusal *fault.Refusal) {
 	m.retries.deposit()
-	m.duration.Observe(time.Since(c.arrived).Seconds())
+	m.duration.Observe(time.Since(c.arrivedAt).Seconds())
 	if refusal == nil {
 		m.requests.WithLabelValues("answered", "ran").Inc()
 		return
@@ -48,28 +49,27 @@
 	m.requests.WithLabelValues(string(refusal.Reason), string(refusal.Execution)).Inc()
 }
 
-// The retry budget: each request pays in a part of a retry.
+// Each request adds retryRatio of a retry to the budget, up to maximumRetryBalance.
 const (
-	retryShare   = 0.2
-	retryReserve = 64
+	retryRatio          = 0.2
+	maximumRetryBalance = 64
 )
 
-// retryBudget keeps retries to a share of the traffic, so that a failing fleet
-// is not hit by more.
+// retryBudget limits retries to a ratio of the traffic, so that they don't overload a failing fleet.
 type retryBudget struct {
 	mutex   sync.Mutex
 	balance float64
 }
 
-func newRetryBudget() *retryBudget { return &retryBudget{balance: retryReserve} }
+func newRetryBudget() *retryBudget { return &retryBudget{balance: maximumRetryBalance} }
 
 func (b *retryBudget) deposit() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.balance = min(retryReserve, b.balance+retryShare)
+	b.balance = min(maximumRetryBalance, b.balance+retryRatio)
 }
 
-func (b *retryBudget) take() bool {
+func (b *retryBudget) withdraw() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if b.balance < 1 {
--- a/internal/entry/openai.go
+++ b/internal/entry/openai.go
@@ -14,23 +14,23 @@
 	"pinevane.example/pinevane/internal/fault"
 )
 
-// Bounds of a generation request.
+// Defaults and limits of a generation request.
 const (
 	defaultMaximumTokens = 256
-	largestMaximumTokens = 1 << 20
+	maximumTokensLimit   = 1 << 20
 	maximumMessages      = 1024
 )
 
-// chatMessage is one turn of a conversation.
+// chatMessage is one message of a conversation.
 type chatMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// completionRequest covers both OpenAI endpoints; fields that the engines do
-// not know are accepted and ignored, as clients send many.
+// completionRequest is the body of a request to either OpenAI endpoint. Fields that engines do not
+// support are ignored, since clients send many.
 type completionRequest struct {
-	// Model is a model's name, with ":adapter" behind it for an adapter.
+	// Model is a model's name, followed by ":adapter" to select an adapter.
 	Model               string        `json:"model"`
 	Messages            []chatMessage `json:"messages"`
 	Prompt              string        `json:"prompt"`
@@ -39,7 +39,7 @@
 	Stream              bool          `json:"stream"`
 }
 
-// generationRequest is a checked request for a model.
+// generationRequest is a validated request to a model.
 type generationRequest struct {
 	model         string
 	adapter       string
@@ -62,28 +62,28 @@
 	if refusal != nil {
 		return refusal
 	}
-	wanted, refusal := parseCompletion(body, chat)
+	parsedRequest, refusal := parseCompletion(body, chat)
 	if refusal != nil {
 		return refusal
 	}
-	if refusal := checkModel(c, wanted); refusal != nil {
+	if refusal := checkModel(c, parsedRequest); refusal != nil {
 		return refusal
 	}
-	release, refusal := e.limits.admit(c.tenant.Name, wanted.maximumTokens)
+	release, refusal := e.limits.admit(c.tenant.Name, parsedRequest.maximumTokens)
 	if refusal != nil {
 		return refusal
 	}
 	defer release()
-	if wanted.stream {
-		out := &streamingAnswer{writer: writer, call: c, request: wanted, created: time.Now().Unix()}
-		refusal := e.generate(ctx, c, wanted, out)
+	if parsedRequest.stream {
+		out := &streamingAnswer{writer: writer, call: c, request: parsedRequest, created: time.Now().Unix()}
+		refusal := e.generate(ctx, c, parsedRequest, out)
 		return out.close(refusal)
 	}
-	out := &wholeAnswer{}
-	if refusal := e.generate(ctx, c, wanted, out); refusal != nil {
+	out := &completeAnswer{}
+	if refusal := e.generate(ctx, c, parsedRequest, out); refusal != nil {
 		return refusal
 	}
-	out.write(writer, c, wanted)
+	out.write(writer, c, parsedRequest)
 	return nil
 }
 
@@ -93,32 +93,32 @@
 		return generationRequest{}, badRequest("body", "is not valid JSON: "+err.Error())
 	}
 	model, adapter, _ := strings.Cut(parsed.Model, ":")
-	wanted := generationRequest{model: model, adapter: adapter, prompt: parsed.Prompt, stream: parsed.Stream, chat: chat, maximumTokens: defaultMaximumTokens}
+	parsedRequest := generationRequest{model: model, adapter: adapter, prompt: parsed.Prompt, stream: parsed.Stream, chat: chat, maximumTokens: defaultMaximumTokens}
 	if model == "" {
-		return wanted, badRequest("model", "must be set")
+		return parsedRequest, badRequest("model", "must be set")
 	}
 	for _, given := range []*int{parsed.MaximumTokens, parsed.MaximumOutputTokens} {
 		if given == nil {
 			continue
 		}
-		if *given < 1 || *given > largestMaximumTokens {
-			return wanted, badRequest("max_tokens", "must be 1 to 1048576 tokens")
+		if *given < 1 || *given > maximumTokensLimit {
+			return parsedRequest, badRequest("max_tokens", "must be 1 to 1048576 tokens")
 		}
-		wanted.maximumTokens = *given
+		parsedRequest.maximumTokens = *given
 	}
 	if chat {
 		if len(parsed.Messages) == 0 || len(parsed.Messages) > maximumMessages {
-			return wanted, badRequest("messages", "must have 1 to 1024 entries")
+			return parsedRequest, badRequest("messages", "must have 1 to 1024 entries")
 		}
-		wanted.prompt = PromptOf(parsed.Messages)
+		parsedRequest.prompt = PromptOf(parsed.Messages)
 	}
-	if wanted.prompt == "" {
-		return wanted, badRequest("prompt", "must not be empty")
+	if parsedRequest.prompt == "" {
+		return parsedRequest, badRequest("prompt", "must not be empty")
 	}
-	return wanted, nil
+	return parsedRequest, nil
 }
 
-// PromptOf is the prompt that a conversation becomes.
+// PromptOf renders a conversation as a prompt.
 func PromptOf(messages []chatMessage) string {
 	var prompt strings.Builder
 	for _, message := range messages {
@@ -127,21 +127,21 @@
 	return prompt.String()
 }
 
-func checkModel(c *call, wanted generationRequest) *fault.Refusal {
-	model, known := c.snapshot.Models[wanted.model]
+func checkModel(c *call, parsedRequest generationRequest) *fault.Refusal {
+	model, known := c.snapshot.Models[parsedRequest.model]
 	if !known {
-		return fault.NotRun(fault.ReasonUnknownModel, "no model is named "+wanted.model)
+		return fault.NotRun(fault.ReasonUnknownModel, "no model is named "+parsedRequest.model)
 	}
-	if !slices.Contains(c.tenant.Models, wanted.model) {
-		return fault.NotRun(fault.ReasonForbidden, "the tenant may not use model "+wanted.model)
+	if !slices.Contains(c.tenant.Models, parsedRequest.model) {
+		return fault.NotRun(fault.ReasonForbidden, "the tenant may not use model "+parsedRequest.model)
 	}
 	for _, adapter := range model.Adapters {
-		if adapter.Name == wanted.adapter {
+		if adapter.Name == parsedRequest.adapter {
 			return nil
 		}
 	}
-	if wanted.adapter != "" {
-		return fault.NotRun(fault.ReasonUnknownModel, "model "+wanted.model+" has no adapter "+wanted.adapter)
+	if parsedRequest.adapter != "" {
+		return fault.NotRun(fault.ReasonUnknownModel, "model "+parsedRequest.model+" has no adapter "+parsedRequest.adapter)
 	}
 	return nil
 }
@@ -173,15 +173,15 @@
 	return nil
 }
 
-// answer receives the tokens of a generation.
-type answer interface {
+// answerWriter receives the tokens of a generation and writes the answer.
+type answerWriter interface {
 	token(text, version string) error
 	finish(reason external.FinishReason, version string) error
-	// restart discards what was received, when the caller has seen none of it.
-	restart() bool
+	// reset discards the received tokens. It reports false if the caller has received some already.
+	reset() bool
 }
 
-// usage counts an answer's tokens.
+// usage is the number of an answer's tokens.
 type usage struct {
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens"`
@@ -205,47 +205,47 @@
 	Usage   *usage             `json:"usage,omitempty"`
 }
 
-func modelName(wanted generationRequest) string {
-	if wanted.adapter == "" {
-		return wanted.model
+func modelName(parsedRequest generationRequest) string {
+	if parsedRequest.adapter == "" {
+		return parsedRequest.model
 	}
-	return wanted.model + ":" + wanted.adapter
+	return parsedRequest.model + ":" + parsedRequest.adapter
 }
 
-// wholeAnswer collects an answer that is sent in one piece.
-type wholeAnswer struct {
+// completeAnswer buffers an answer that is sent at once.
+type completeAnswer struct {
 	text    strings.Builder
 	tokens  int
 	version string
 	reason  external.FinishReason
 }
 
-func (a *wholeAnswer) token(text, version string) error {
+func (a *completeAnswer) token(text, version string) error {
 	a.text.WriteString(text)
 	a.tokens++
 	a.version = version
 	return nil
 }
 
-func (a *wholeAnswer) finish(reason external.FinishReason, version string) error {
+func (a *completeAnswer) finish(reason external.FinishReason, version string) error {
 	a.reason, a.version = reason, version
 	return nil
 }
 
-func (a *wholeAnswer) restart() bool {
+func (a *completeAnswer) reset() bool {
 	a.text.Reset()
 	a.tokens = 0
 	return true
 }
 
-func (a *wholeAnswer) write(writer http.ResponseWriter, c *call, wanted generationRequest) {
+func (a *completeAnswer) write(writer http.ResponseWriter, c *call, parsedRequest generationRequest) {
 	text := a.text.String()
 	result := completionAnswer{
-		ID: c.id, Object: "text_completion", Created: c.arrived.Unix(), Model: modelName(wanted), Version: a.version,
+		ID: c.id, Object: "text_completion", Created: c.arrivedAt.Unix(), Model: modelName(parsedRequest), Version: a.version,
 		Choices: []completionChoice{{Text: &text, FinishReason: a.reason}},
 		Usage:   &usage{CompletionTokens: a.tokens, TotalTokens: a.tokens},
 	}
-	if wanted.chat {
+	if parsedRequest.chat {
 		result.Object = "chat.completion"
 		result.Choices = []completionChoice{{Message: &chatMessage{Role: "assistant", Content: text}, FinishReason: a.reason}}
 	}
@@ -254,10 +254,10 @@
 	_ = json.NewEncoder(writer).Encode(result)
 }
 
-// streamWriteTimeout bounds the time that a slow caller may block a token.
+// streamWriteTimeout is the timeout for writing a token to a slow caller.
 const streamWriteTimeout = 10 * time.Second
 
-// streamingAnswer passes each token on as a server-sent event.
+// streamingAnswer sends each token as a server-sent event.
 type streamingAnswer struct {
 	writer  http.ResponseWriter
 	call    *call
@@ -265,11 +265,11 @@
 	created int64
 }
 
-func (a *streamingAnswer) begin(version string) {
-	if a.call.begun {
+func (a *streamingAnswer) writeHeader(version string) {
+	if a.call.streamStarted {
 		return
 	}
-	a.call.begun = true
+	a.call.streamStarted = true
 	header := a.writer.Header()
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Cache-Control", "no-cache")
@@ -289,38 +289,38 @@
 }
 
 func (a *streamingAnswer) token(text, version string) error {
-	a.begin(version)
+	a.writeHeader(version)
 	choice := completionChoice{Text: &text}
 	if a.request.chat {
 		choice = completionChoice{Delta: &chatMessage{Role: "assistant", Content: text}}
 	}
-	return a.event(a.chunk(version, choice))
+	return a.writeJSON(a.chunk(version, choice))
 }
 
 func (a *streamingAnswer) finish(reason external.FinishReason, version string) error {
-	a.begin(version)
+	a.writeHeader(version)
 	choice := completionChoice{FinishReason: reason}
 	if a.request.chat {
 		choice.Delta = &chatMessage{}
 	}
-	if err := a.event(a.chunk(version, choice)); err != nil {
+	if err := a.writeJSON(a.chunk(version, choice)); err != nil {
 		return err
 	}
-	return a.raw([]byte("[DONE]"))
+	return a.writeEvent([]byte("[DONE]"))
 }
 
-func (a *streamingAnswer) restart() bool { return !a.call.begun }
+func (a *streamingAnswer) reset() bool { return !a.call.streamStarted }
 
-func (a *streamingAnswer) event(value any) error {
+func (a *streamingAnswer) writeJSON(value any) error {
 	data, err := json.Marshal(value)
 	if err != nil {
 		return &fault.InvalidFrame{Field: "event", Reason: err.Error()}
 	}
-	return a.raw(data)
+	return a.writeEvent(data)
 }
 
-// raw writes one event and flushes it, so that tokens are not held back.
-func (a *streamingAnswer) raw(data []byte) error {
+// writeEvent writes one event and flushes it, so that tokens are not buffered.
+func (a *streamingAnswer) writeEvent(data []byte) error {
 	controller := http.NewResponseController(a.writer)
 	_ = controller.SetWriteDeadline(time.Now().Add(streamWriteTimeout))
 	line := make([]byte, 0, len(data)+8)
@@ -336,15 +336,15 @@
 	return nil
 }
 
-// close ends a stream that failed after it had begun with an error event and no
-// end marker, so that a cut answer never looks whole. A refusal before the first
-// token is left to the plain answer.
+// close ends a stream. If it failed after it had started, close sends an error event and no end
+// marker, so that a truncated answer never looks complete. A refusal before the first token is
+// written by the caller as an ordinary error.
 func (a *streamingAnswer) close(refusal *fault.Refusal) *fault.Refusal {
-	if a.call.begun {
+	if a.call.streamStarted {
 		defer func() { _ = http.NewResponseController(a.writer).SetWriteDeadline(time.Time{}) }()
 	}
-	if refusal != nil && a.call.begun {
-		_ = a.event(newErrorBody(a.call.id, refusal))
+	if refusal != nil && a.call.streamStarted {
+		_ = a.writeJSON(newErrorBody(a.call.id, refusal))
 	}
 	return refusal
 }
--- a/internal/entry/policy.go
+++ b/internal/entry/policy.go
@@ -8,37 +8,37 @@
 	"pinevane.example/pinevane/coordination/placement"
 )
 
-// Policy names a way to choose among replicas that can take an attempt.
+// Policy is the name of a load balancing policy.
 type Policy string
 
-// The policies. TwoChoices is the default; the others are for comparison, but
-// for Affinity, which suits engines that cache prompt prefixes.
+// The load balancing policies. PolicyTwoChoices is the default. PolicyAffinity suits engines that
+// cache prompt prefixes; the others are for comparison.
 const (
 	PolicyTwoChoices  Policy = "two-choices"
 	PolicyRandom      Policy = "random"
 	PolicyRoundRobin  Policy = "round-robin"
 	PolicyLeastLoaded Policy = "least-loaded"
-	// PolicyAffinity sends prompts with the same prefix to the same replica while
-	// its load is near the average.
+	// PolicyAffinity sends prompts with the same prefix to the same replica while its load is near
+	// the average.
 	PolicyAffinity Policy = "affinity"
 )
 
 // Policies lists every policy.
 var Policies = []Policy{PolicyTwoChoices, PolicyRandom, PolicyRoundRobin, PolicyLeastLoaded, PolicyAffinity}
 
-// Bounds of affinity: a replica keeps a prefix until its load is this much over
-// the average.
+// A replica keeps a prefix until its load exceeds affinityFactor times the average plus
+// affinitySlack.
 const (
 	affinityFactor = 1.25
-	affinitySpare  = 2
-	// affinityPrefix is how many bytes of a prompt are its prefix.
+	affinitySlack  = 2
+	// affinityPrefix is the length of a prompt's prefix in bytes.
 	affinityPrefix = 64
 )
 
-// chooser picks one of several replicas. The replica set's mutex is held.
+// chooser picks one of several replicas by a policy. The replica set's mutex must be held.
 type chooser struct {
-	policy Policy
-	turn   atomic.Uint64
+	policy  Policy
+	counter atomic.Uint64
 }
 
 func (c *chooser) pick(choices []choice, prefix string) choice {
@@ -47,12 +47,12 @@
 		return choices[rand.IntN(len(choices))]
 	case PolicyRoundRobin:
 		sortByID(choices)
-		return choices[int(c.turn.Add(1)%uint64(len(choices)))]
+		return choices[int(c.counter.Add(1)%uint64(len(choices)))]
 	case PolicyLeastLoaded:
 		return slices.MinFunc(choices, func(a, b choice) int { return load(a.target) - load(b.target) })
 	case PolicyAffinity:
 		if prefix != "" {
-			return byAffinity(choices, prefix)
+			return pickByAffinity(choices, prefix)
 		}
 	}
 	return betterOfTwo(choices)
@@ -67,9 +67,9 @@
 	})
 }
 
-// byAffinity returns the first replica in the prefix's order whose load is not
-// far over the average.
-func byAffinity(choices []choice, prefix string) choice {
+// pickByAffinity returns the first replica, in the prefix's rendezvous order, whose load is within
+// the bound.
+func pickByAffinity(choices []choice, prefix string) choice {
 	byID := make(map[string]choice, len(choices))
 	ids := make([]string, 0, len(choices))
 	total := 0
@@ -78,7 +78,7 @@
 		ids = append(ids, candidate.target.member.ID)
 		total += load(candidate.target)
 	}
-	bound := affinityFactor*float64(total)/float64(len(choices)) + affinitySpare
+	bound := affinityFactor*float64(total)/float64(len(choices)) + affinitySlack
 	for _, id := range placement.Rank("prefix/"+prefix, ids) {
 		if float64(load(byID[id].target)) <= bound {
 			return byID[id]
@@ -87,4 +87,4 @@
 	return betterOfTwo(choices)
 }
 
-func prefixOf(prompt string) string { return prompt[:min(len(prompt), affinityPrefix)] }
+func promptPrefix(prompt string) string { return prompt[:min(len(prompt), affinityPrefix)] }
--- a/internal/entry/replicas.go
+++ b/internal/entry/replicas.go
@@ -21,36 +21,36 @@
 	"pinevane.example/pinevane/internal/protocol"
 )
 
-// Periods and bounds of the view of back ends.
+// Intervals and limits of the replica set.
 const (
-	// statusSilence is the silence after which a back end gets no new work.
-	statusSilence = 5 * time.Second
-	// redialPeriod is how often lost links are dialled again, with jitter.
-	redialPeriod = time.Second
-	// ejectAfter is how many failures in a row eject a back end.
-	ejectAfter = 3
-	// ejectTime is how long an ejected back end gets no new work.
-	ejectTime = 5 * time.Second
-	// maximumEjectedShare caps the share of back ends that are ejected at once.
-	maximumEjectedShare = 0.5
-	// ownZoneFactor multiplies the subset in the entry's own zone.
+	// statusTimeout is the time without a status report after which a back end gets no new requests.
+	statusTimeout = 5 * time.Second
+	// redialInterval is the mean interval at which lost links are redialled. It has jitter.
+	redialInterval = time.Second
+	// ejectionThreshold is how many consecutive failures eject a back end.
+	ejectionThreshold = 3
+	// ejectionDuration is how long an ejected back end gets no new requests.
+	ejectionDuration = 5 * time.Second
+	// maximumEjectedRatio bounds the ratio of back ends that are ejected at once.
+	maximumEjectedRatio = 0.5
+	// ownZoneFactor multiplies the size of the subset in the entry's own zone.
 	ownZoneFactor = 8
 )
 
-// replica is one back end as this entry sees it.
+// replica is the entry's state of one back end.
 type replica struct {
 	member external.Member
 
 	// The fields below are guarded by the set's mutex.
-	link        *peering.Link
-	session     protocol.Session
-	sequence    uint64
-	status      protocol.StatusReport
-	statusAt    time.Time
-	inFlight    int
-	failures    int
-	ejectedTill time.Time
-	readySince  time.Time
+	link         *peering.Link
+	session      protocol.Session
+	sequence     uint64
+	status       protocol.StatusReport
+	statusAt     time.Time
+	inFlight     int
+	failures     int
+	ejectedUntil time.Time
+	readySince   time.Time
 }
 
 // ReplicaView is one line of the state dump.
@@ -63,25 +63,25 @@
 	Ejected  bool                  `json:"ejected"`
 }
 
-// replicaSet keeps links to a subset of the agents and their last statuses.
+// replicaSet keeps links to a subset of the agents, and their last status reports.
 type replicaSet struct {
 	node    *node.Node
 	options Options
 
-	mutex    sync.Mutex
-	replicas map[string]*replica
-	byLink   map[*peering.Link]*replica
-	pending  map[attempt.ID]chan protocol.Event
-	inquired map[attempt.ID]chan protocol.Resolved
+	mutex     sync.Mutex
+	replicas  map[string]*replica
+	byLink    map[*peering.Link]*replica
+	pending   map[attempt.ID]chan protocol.Event
+	inquiries map[attempt.ID]chan protocol.Resolved
 }
 
 func newReplicaSet(base *node.Node, options Options) *replicaSet {
 	set := &replicaSet{
 		node: base, options: options,
-		replicas: map[string]*replica{},
-		byLink:   map[*peering.Link]*replica{},
-		pending:  map[attempt.ID]chan protocol.Event{},
-		inquired: map[attempt.ID]chan protocol.Resolved{},
+		replicas:  map[string]*replica{},
+		byLink:    map[*peering.Link]*replica{},
+		pending:   map[attempt.ID]chan protocol.Event{},
+		inquiries: map[attempt.ID]chan protocol.Resolved{},
 	}
 	base.Hub.Handle(protocol.TopicSession, set.handleSession)
 	base.Hub.Handle(protocol.TopicStatus, set.handleStatus)
@@ -97,7 +97,7 @@
 		s.reconcile()
 		s.dialMissing(ctx)
 		s.publish()
-		timer := time.NewTimer(redialPeriod/2 + rand.N(redialPeriod))
+		timer := time.NewTimer(redialInterval/2 + rand.N(redialInterval))
 		select {
 		case <-changed:
 		case <-timer.C:
@@ -109,17 +109,17 @@
 	}
 }
 
-// reconcile takes over the membership list. A back end that the list has
-// dropped stays while its link lives: the list may lag or be wrong.
+// reconcile applies the membership list. A back end that was removed from the list stays while its
+// link is up, since the list may be stale or wrong.
 func (s *replicaSet) reconcile() {
 	members, listed := blackboard.Read(s.node.Board, node.MembersKey)
 	if !listed {
 		return
 	}
-	wanted := s.subset(members)
+	subset := s.subset(members)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for id, member := range wanted {
+	for id, member := range subset {
 		existing, known := s.replicas[id]
 		if !known {
 			s.replicas[id] = &replica{member: member}
@@ -127,19 +127,19 @@
 		}
 		existing.member.Leaving = member.Leaving
 		if existing.member.Address != member.Address {
-			s.drop(existing)
+			s.closeLink(existing)
 			s.replicas[id] = &replica{member: member}
 		}
 	}
 	for id, existing := range s.replicas {
-		if _, kept := wanted[id]; !kept && existing.link == nil {
+		if _, kept := subset[id]; !kept && existing.link == nil {
 			delete(s.replicas, id)
 		}
 	}
 }
 
-// drop closes a replica's link; the mutex is held.
-func (s *replicaSet) drop(existing *replica) {
+// closeLink closes a replica's link. The mutex must be held.
+func (s *replicaSet) closeLink(existing *replica) {
 	if existing.link != nil {
 		link := existing.link
 		delete(s.byLink, link)
@@ -148,12 +148,12 @@
 	}
 }
 
-// servicePool is the most back ends of one plain service that entries use. It
-// is the same set for every entry, so that they agree on a key's home.
-const servicePool = 64
+// servicePoolSize bounds the back ends of one plain service that entries use. Every entry uses the
+// same ones, so that all agree on a key's home.
+const servicePoolSize = 64
 
-// subset picks the agents that this entry keeps links to: of the engines more in
-// its own zone and some in every other, of each plain service one common pool.
+// subset picks the agents that this entry keeps links to: for engines, more in its own zone than in
+// every other zone; for each plain service, a pool that is the same for all entries.
 func (s *replicaSet) subset(members []external.Member) map[string]external.Member {
 	engines := map[string][]string{}
 	services := map[string][]string{}
@@ -169,22 +169,22 @@
 		}
 		engines[member.Zone] = append(engines[member.Zone], member.ID)
 	}
-	wanted := map[string]external.Member{}
+	subset := map[string]external.Member{}
 	for zone, ids := range engines {
 		count := s.options.SubsetPerZone
 		if zone == s.node.Zone() {
 			count *= ownZoneFactor
 		}
 		for _, id := range placement.Top("subset/"+s.node.ID(), ids, count) {
-			wanted[id] = byID[id]
+			subset[id] = byID[id]
 		}
 	}
 	for service, ids := range services {
-		for _, id := range placement.Top("service/"+service, ids, servicePool) {
-			wanted[id] = byID[id]
+		for _, id := range placement.Top("service/"+service, ids, servicePoolSize) {
+			subset[id] = byID[id]
 		}
 	}
-	return wanted
+	return subset
 }
 
 func (s *replicaSet) dialMissing(ctx context.Context) {
@@ -209,18 +209,18 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.replicas[target.member.ID] == target && target.link == nil {
-		s.adopt(target, link)
+		s.assignLink(target, link)
 	}
 }
 
-// adopt makes a link the replica's own; the mutex is held.
-func (s *replicaSet) adopt(target *replica, link *peering.Link) {
+// assignLink sets a replica's link. The mutex must be held.
+func (s *replicaSet) assignLink(target *replica, link *peering.Link) {
 	target.link = link
 	s.byLink[link] = target
 }
 
-// replicaOf finds the replica of a link, adopting a link whose first message
-// comes before dial has returned; the mutex is held.
+// replicaOf returns the replica of a link, and assigns the link if its first message arrives before
+// dial has returned. The mutex must be held.
 func (s *replicaSet) replicaOf(link *peering.Link) *replica {
 	if known := s.byLink[link]; known != nil {
 		return known
@@ -229,14 +229,14 @@
 	if candidate == nil || candidate.link != nil || link.Address() != candidate.member.Address {
 		return nil
 	}
-	s.adopt(candidate, link)
+	s.assignLink(candidate, link)
 	return candidate
 }
 
 func (s *replicaSet) handleSession(link *peering.Link, received *message.Message) {
 	session, err := peering.Decode[protocol.Session](received)
 	if err != nil {
-		s.rejected(link, err)
+		s.logRejected(link, err)
 		return
 	}
 	s.mutex.Lock()
@@ -249,7 +249,7 @@
 func (s *replicaSet) handleStatus(link *peering.Link, received *message.Message) {
 	status, err := peering.Decode[protocol.StatusReport](received)
 	if err != nil {
-		s.rejected(link, err)
+		s.logRejected(link, err)
 		return
 	}
 	s.mutex.Lock()
@@ -267,14 +267,15 @@
 func (s *replicaSet) handleEvent(link *peering.Link, received *message.Message) {
 	event, err := peering.Decode[protocol.Event](received)
 	if err != nil {
-		s.rejected(link, err)
+		s.logRejected(link, err)
 		return
 	}
 	s.mutex.Lock()
 	channel := s.pending[event.ID]
 	if channel != nil {
-		// The channel holds a whole answer, so that this never blocks; a peer that
-		// sends more than was asked for loses the surplus.
+		// This must not block. Events that exceed the channel's capacity are dropped: those of a
+		// peer that sends more than was requested, and of an answer that the caller reads too
+		// slowly.
 		select {
 		case channel <- event:
 		default:
@@ -286,11 +287,11 @@
 func (s *replicaSet) handleResolved(link *peering.Link, received *message.Message) {
 	resolved, err := peering.Decode[protocol.Resolved](received)
 	if err != nil {
-		s.rejected(link, err)
+		s.logRejected(link, err)
 		return
 	}
 	s.mutex.Lock()
-	channel := s.inquired[resolved.ID]
+	channel := s.inquiries[resolved.ID]
 	s.mutex.Unlock()
 	if channel != nil {
 		select {
@@ -300,7 +301,7 @@
 	}
 }
 
-func (s *replicaSet) rejected(link *peering.Link, err error) {
+func (s *replicaSet) logRejected(link *peering.Link, err error) {
 	s.node.Log.Log(logging.FrameRejected, zap.String("peer", link.Remote().ID), zap.Error(err))
 }
 
@@ -317,9 +318,9 @@
 	target.statusAt = time.Time{}
 }
 
-// submit sends an attempt to a replica. The returned channel gets its events.
-// An error is proof that nothing was sent.
-func (s *replicaSet) submit(target *replica, work protocol.Submit, depth int) (*flight, error) {
+// submit sends an attempt to a replica and returns it with a channel for its events. An error means
+// that nothing was sent.
+func (s *replicaSet) submit(target *replica, work protocol.Submit, bufferSize int) (*runningAttempt, error) {
 	s.mutex.Lock()
 	link := target.link
 	if link == nil || target.session.Session == 0 {
@@ -328,19 +329,19 @@
 	}
 	target.sequence++
 	work.ID = attempt.ID{Incarnation: target.session.Incarnation, Session: target.session.Session, Sequence: target.sequence}
-	events := make(chan protocol.Event, depth)
+	events := make(chan protocol.Event, bufferSize)
 	s.pending[work.ID] = events
 	target.inFlight++
 	s.mutex.Unlock()
-	started := &flight{set: s, target: target, link: link, id: work.ID, events: events}
-	// When the send fails the frame may still have left: the flight's events
-	// then end with the loss of the link, and the outcome is inquired.
+	started := &runningAttempt{set: s, target: target, link: link, id: work.ID, events: events}
+	// If the send fails the frame may still have been sent. The link is then lost, and the
+	// attempt's outcome is inquired.
 	_ = peering.Send(link, protocol.TopicSubmit, work.RequestID, work)
 	return started, nil
 }
 
-// flight is one attempt under way at a back end.
-type flight struct {
+// runningAttempt is an attempt that was submitted to a back end and has not ended.
+type runningAttempt struct {
 	set    *replicaSet
 	target *replica
 	link   *peering.Link
@@ -349,82 +350,82 @@
 }
 
 // cancel asks the back end to stop the attempt.
-func (f *flight) cancel() {
-	_ = peering.Send(f.link, protocol.TopicCancel, "", protocol.AttemptRef{ID: f.id})
+func (r *runningAttempt) cancel() {
+	_ = peering.Send(r.link, protocol.TopicCancel, "", protocol.AttemptRef{ID: r.id})
 }
 
-// end forgets the attempt and notes whether the back end did well.
-func (f *flight) end(good bool) {
-	f.set.mutex.Lock()
-	defer f.set.mutex.Unlock()
-	delete(f.set.pending, f.id)
-	f.target.inFlight--
-	if good {
-		f.target.failures = 0
+// end removes the attempt and records whether the back end succeeded. Consecutive failures eject it.
+func (r *runningAttempt) end(succeeded bool) {
+	r.set.mutex.Lock()
+	defer r.set.mutex.Unlock()
+	delete(r.set.pending, r.id)
+	r.target.inFlight--
+	if succeeded {
+		r.target.failures = 0
 		return
 	}
-	f.target.failures++
-	if f.target.failures >= ejectAfter && f.set.mayEject() {
-		f.target.ejectedTill = time.Now().Add(ejectTime)
-		f.target.failures = 0
+	r.target.failures++
+	if r.target.failures >= ejectionThreshold && r.set.mayEject() {
+		r.target.ejectedUntil = time.Now().Add(ejectionDuration)
+		r.target.failures = 0
 	}
 }
 
-// mayEject keeps the share of ejected back ends under its cap; the mutex is held.
+// mayEject reports whether another ejection stays within maximumEjectedRatio. The mutex must be
+// held.
 func (s *replicaSet) mayEject() bool {
 	now := time.Now()
 	ejected := 0
 	for _, existing := range s.replicas {
-		if now.Before(existing.ejectedTill) {
+		if now.Before(existing.ejectedUntil) {
 			ejected++
 		}
 	}
-	return float64(ejected+1) <= maximumEjectedShare*float64(len(s.replicas))
+	return float64(ejected+1) <= maximumEjectedRatio*float64(len(s.replicas))
 }
 
-// Periods of inquiries.
+// Timeout and interval of inquiries.
 const (
-	inquiryTimeout = 3 * time.Second
-	inquiryPause   = 100 * time.Millisecond
+	inquiryTimeout  = 3 * time.Second
+	inquiryInterval = 100 * time.Millisecond
 )
 
-// inquire asks a back end, over a new link, what became of an attempt whose
-// link was lost. Unknown means that the back end could not be asked or does not
-// remember.
-func (f *flight) inquire(ctx context.Context) protocol.Resolved {
-	unknown := protocol.Resolved{ID: f.id, Outcome: attempt.Unknown}
+// inquire requests the outcome of an attempt, whose link was lost, from its back end over a new link.
+// Unknown means that the back end could not be reached or has no record of the attempt.
+func (r *runningAttempt) inquire(ctx context.Context) protocol.Resolved {
+	unknown := protocol.Resolved{ID: r.id, Outcome: attempt.Unknown}
 	ctx, cancel := context.WithTimeout(ctx, inquiryTimeout)
 	defer cancel()
 	answers := make(chan protocol.Resolved, 1)
-	f.set.mutex.Lock()
-	f.set.inquired[f.id] = answers
-	f.set.mutex.Unlock()
+	r.set.mutex.Lock()
+	r.set.inquiries[r.id] = answers
+	r.set.mutex.Unlock()
 	defer func() {
-		f.set.mutex.Lock()
-		delete(f.set.inquired, f.id)
-		f.set.mutex.Unlock()
+		r.set.mutex.Lock()
+		delete(r.set.inquiries, r.id)
+		r.set.mutex.Unlock()
 	}()
 	for ctx.Err() == nil {
-		link, err := f.set.node.Hub.Link(ctx, f.target.member.Address)
-		if err == nil && link.Remote().Incarnation != f.id.Incarnation {
+		link, err := r.set.node.Hub.Link(ctx, r.target.member.Address)
+		if err == nil && link.Remote().Incarnation != r.id.Incarnation {
 			return unknown
 		}
 		if err == nil {
-			_ = peering.Send(link, protocol.TopicInquire, "", protocol.AttemptRef{ID: f.id})
+			_ = peering.Send(link, protocol.TopicInquire, "", protocol.AttemptRef{ID: r.id})
 		}
 		select {
 		case resolved := <-answers:
 			if resolved.Outcome != attempt.Running {
 				return resolved
 			}
-		case <-time.After(inquiryPause):
+		case <-time.After(inquiryInterval):
 		case <-ctx.Done():
 		}
 	}
 	return unknown
 }
 
-// publish writes the view of back ends to the blackboard.
+// publish writes the state of the back ends to the blackboard.
 func (s *replicaSet) publish() {
 	s.mutex.Lock()
 	views := make([]ReplicaView, 0, len(s.replicas))
@@ -432,7 +433,7 @@
 	for id, existing := range s.replicas {
 		views = append(views, ReplicaView{
 			ID: id, Zone: existing.member.Zone, Linked: existing.link != nil,
-			Status: existing.status, InFlight: existing.inFlight, Ejected: now.Before(existing.ejectedTill),
+			Status: existing.status, InFlight: existing.inFlight, Ejected: now.Before(existing.ejectedUntil),
 		})
 	}
 	s.mutex.Unlock()
--- a/internal/entry/router.go
+++ b/internal/entry/router.go
@@ -20,63 +20,64 @@
 	return &router{set: set, zone: zone, chooser: chooser{policy: policy}}
 }
 
-// choice is a back end and the version that the attempt is pinned to.
+// choice is a back end, and the version to which the attempt is pinned.
 type choice struct {
 	target  *replica
 	version string
 }
 
-// need is what an attempt asks of a back end.
-type need struct {
+// requirements is what a back end must offer to get an attempt.
+type requirements struct {
 	model   string
 	adapter string
-	// version pins the attempt; empty means any version that takes new requests.
+	// version pins the attempt. Empty means any version that accepts new requests.
 	version string
 	service string
-	// prefix is the beginning of the prompt, for engines that cache it.
+	// prefix is the prefix of the prompt, which engines may have cached.
 	prefix string
-	// excluded back ends have been tried.
+	// excluded lists back ends that have been tried already.
 	excluded []*replica
-	// homeKey, when set, allows one back end only: the key's home.
+	// homeKey, if set, allows only the key's home.
 	homeKey string
 }
 
-// spillLoad is the work in flight at every back end of a zone, per back end,
-// from which the next zone is used too.
-const spillLoad = 48
+// spillThreshold is the load of the least loaded back end in the own zone from which other zones
+// are used too.
+const spillThreshold = 48
 
-// choose picks a back end of the nearest zone that has room.
-func (r *router) choose(wanted need) (choice, bool) {
+// choose picks a back end, in the entry's own zone unless all of those are loaded.
+func (r *router) choose(required requirements) (choice, bool) {
 	r.set.mutex.Lock()
 	defer r.set.mutex.Unlock()
-	if wanted.homeKey != "" {
-		return r.home(wanted)
+	if required.homeKey != "" {
+		return r.home(required)
 	}
-	usable := r.usable(wanted, false)
+	usable := r.candidates(required, false)
 	if len(usable) == 0 {
-		// Absence of evidence never empties the set: rather a suspected back end
-		// than none.
-		usable = r.usable(wanted, true)
+		// A suspected back end is better than none: missing status reports and ejections must not
+		// leave the entry without back ends.
+		usable = r.candidates(required, true)
 	}
 	if len(usable) == 0 {
 		return choice{}, false
 	}
-	near := slices.DeleteFunc(slices.Clone(usable), func(c choice) bool { return c.target.member.Zone != r.zone })
-	if len(near) > 0 && leastLoaded(near) < spillLoad {
-		return r.chooser.pick(near, wanted.prefix), true
+	sameZone := slices.DeleteFunc(slices.Clone(usable), func(c choice) bool { return c.target.member.Zone != r.zone })
+	if len(sameZone) > 0 && lowestLoad(sameZone) < spillThreshold {
+		return r.chooser.pick(sameZone, required.prefix), true
 	}
-	return r.chooser.pick(usable, wanted.prefix), true
+	return r.chooser.pick(usable, required.prefix), true
 }
 
-func leastLoaded(choices []choice) int {
-	least := load(choices[0].target)
+func lowestLoad(choices []choice) int {
+	lowest := load(choices[0].target)
 	for _, candidate := range choices {
-		least = min(least, load(candidate.target))
+		lowest = min(lowest, load(candidate.target))
 	}
-	return least
+	return lowest
 }
 
-// load is the entry's own count plus what the back end reported of others.
+// load returns the larger of the attempts that this entry has in flight at a back end and those of
+// all entries that the back end has reported.
 func load(target *replica) int { return max(target.inFlight, target.status.Open) }
 
 func betterOfTwo(choices []choice) choice {
@@ -88,65 +89,63 @@
 	return first
 }
 
-// usable lists the back ends that can take the work; the set's mutex is held.
-// The desperate view includes ejected and silent ones, but never one that said
-// it is leaving.
-func (r *router) usable(wanted need, desperate bool) []choice {
+// candidates lists the back ends that meet the requirements. With includeSuspected it includes
+// ejected and silent ones, but never one that is leaving. The set's mutex must be held.
+func (r *router) candidates(required requirements, includeSuspected bool) []choice {
 	now := time.Now()
 	var result []choice
 	for _, candidate := range r.set.replicas {
 		if candidate.link == nil || candidate.session.Session == 0 || candidate.status.Leaving || candidate.member.Leaving {
 			continue
 		}
-		if slices.Contains(wanted.excluded, candidate) {
+		if slices.Contains(required.excluded, candidate) {
 			continue
 		}
-		doubtful := now.Before(candidate.ejectedTill) || now.Sub(candidate.statusAt) > statusSilence
-		if doubtful && !desperate {
+		suspected := now.Before(candidate.ejectedUntil) || now.Sub(candidate.statusAt) > statusTimeout
+		if suspected && !includeSuspected {
 			continue
 		}
-		if version, serves := servedVersion(candidate.status, wanted); serves {
+		if version, serves := servedVersion(candidate.status, required); serves {
 			result = append(result, choice{target: candidate, version: version})
 		}
 	}
 	return result
 }
 
-// servedVersion returns the version with which a back end would answer.
-func servedVersion(status protocol.StatusReport, wanted need) (string, bool) {
-	if wanted.service != "" {
-		return "", status.Service == wanted.service
+// servedVersion returns the version with which a back end would answer, if it meets the requirements.
+func servedVersion(status protocol.StatusReport, required requirements) (string, bool) {
+	if required.service != "" {
+		return "", status.Service == required.service
 	}
 	for _, served := range status.Served {
-		if served.Model != wanted.model {
+		if served.Model != required.model {
 			continue
 		}
-		if wanted.adapter != "" && !slices.Contains(served.Adapters, wanted.adapter) {
+		if required.adapter != "" && !slices.Contains(served.Adapters, required.adapter) {
 			continue
 		}
-		if wanted.version == served.Version || wanted.version == "" && !served.Retiring {
+		if required.version == served.Version || required.version == "" && !served.Retiring {
 			return served.Version, true
 		}
 	}
 	return "", false
 }
 
-// home returns the one back end that a caller's key belongs to: the first by
-// rendezvous hashing over all that serve the service, whether or not it can be
-// reached. Entries with the same membership list agree on it.
-func (r *router) home(wanted need) (choice, bool) {
+// home returns the back end that a caller's key belongs to: the first by rendezvous hashing over
+// all that serve the service, reachable or not. Entries with the same membership list agree on it.
+func (r *router) home(required requirements) (choice, bool) {
 	var ids []string
 	for id, candidate := range r.set.replicas {
-		if candidate.member.Service == wanted.service {
+		if candidate.member.Service == required.service {
 			ids = append(ids, id)
 		}
 	}
-	ranked := placement.Rank("key/"+wanted.homeKey, ids)
+	ranked := placement.Rank("key/"+required.homeKey, ids)
 	if len(ranked) == 0 {
 		return choice{}, false
 	}
 	target := r.set.replicas[ranked[0]]
-	if target.link == nil || target.session.Session == 0 || slices.Contains(wanted.excluded, target) {
+	if target.link == nil || target.session.Session == 0 || slices.Contains(required.excluded, target) {
 		return choice{}, false
 	}
 	return choice{target: target}, true
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -17,7 +17,7 @@
 	"pinevane.example/pinevane/internal/protocol"
 )
 
-// callService routes a plain service's call.
+// callService routes a call to a plain service.
 func (e *Entry) callService(ctx context.Context, writer http.ResponseWriter, request *http.Request, c *call) *fault.Refusal {
 	name := chi.URLParam(request, "service")
 	service, known := c.snapshot.Services[name]
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// servicePath is the path and query behind /apps/{service}.
+// servicePath returns the path and query after /apps/{service}.
 func servicePath(request *http.Request, service string) string {
 	path := strings.TrimPrefix(request.URL.EscapedPath(), "/apps/"+service)
 	if path == "" {
@@ -65,16 +65,15 @@
 	return path
 }
 
-// runCall tries a call until it is answered, it is refused, or it may not be
-// tried again.
+// runCall runs attempts at a call until it is answered, refused, or must not be retried.
 func (e *Entry) runCall(ctx context.Context, c *call, work *protocol.Call) (*protocol.Answer, *fault.Refusal) {
-	wanted := need{service: work.Service}
+	required := requirements{service: work.Service}
 	if !c.repeatable && c.key != "" {
-		wanted.homeKey = c.tenant.Name + "/" + c.key
+		required.homeKey = c.tenant.Name + "/" + c.key
 	}
 	mayHaveRun := false
 	for attempts := 1; ; attempts++ {
-		chosen, found := e.router.choose(wanted)
+		chosen, found := e.router.choose(required)
 		if !found {
 			refusal := fault.NotRun(fault.ReasonNoReplica, "no back end can serve the call now")
 			refusal.RetryAfter = retryAfterNoReplica
@@ -89,10 +88,10 @@
 			e.node.Log.Log(logging.OutcomeUnknown, zap.String("request", c.id), zap.String("reason", string(refusal.Reason)))
 			return nil, refusal
 		}
-		if ctx.Err() != nil || attempts >= e.options.MaximumAttempts || !e.metrics.retries.take() {
+		if ctx.Err() != nil || attempts >= e.options.MaximumAttempts || !e.metrics.retries.withdraw() {
 			return nil, withExecution(refusal, mayHaveRun)
 		}
-		wanted.excluded = append(wanted.excluded, chosen.target)
+		required.excluded = append(required.excluded, chosen.target)
 		e.metrics.retried.Inc()
 		e.node.Log.Log(logging.RequestRetried, zap.String("request", c.id), zap.String("reason", string(refusal.Reason)))
 	}
@@ -105,9 +104,9 @@
 	return refusal
 }
 
-// attemptCall runs one attempt. The refusal tells whether it may have run.
+// attemptCall runs one attempt. The refusal states whether the attempt may have run.
 func (e *Entry) attemptCall(ctx context.Context, c *call, work *protocol.Call, chosen choice) (*protocol.Answer, *fault.Refusal) {
-	remaining, refusal := remainingTime(ctx)
+	remaining, refusal := timeRemaining(ctx)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -115,8 +114,8 @@
 		RequestID: c.id, Tenant: c.tenant.Name, Priority: c.tenant.Priority, Repeatable: c.repeatable,
 		Key: c.key, RemainingMilliseconds: remaining.Milliseconds(), Call: work,
 	}
-	const events = 2
-	started, err := e.replicas.submit(chosen.target, submit, events)
+	const bufferSize = 2
+	started, err := e.replicas.submit(chosen.target, submit, bufferSize)
 	if err != nil {
 		var notSent *fault.Refusal
 		errors.As(err, &notSent)
@@ -124,21 +123,21 @@
 	}
 	select {
 	case event := <-started.events:
-		return takeAnswer(started, event)
+		return answerOf(started, event)
 	case <-started.link.Done():
 	case <-ctx.Done():
 		return nil, e.abandonCall(ctx, started)
 	}
 	select {
 	case event := <-started.events:
-		return takeAnswer(started, event)
+		return answerOf(started, event)
 	default:
 	}
 	started.end(false)
 	return e.resolveCall(ctx, c, started)
 }
 
-func takeAnswer(started *flight, event protocol.Event) (*protocol.Answer, *fault.Refusal) {
+func answerOf(started *runningAttempt, event protocol.Event) (*protocol.Answer, *fault.Refusal) {
 	switch {
 	case event.Kind == protocol.Answered && event.Answer != nil:
 		started.end(true)
@@ -151,14 +150,15 @@
 	return nil, fault.Unknown(event.Reason, event.Detail)
 }
 
-// revokeWait is how long a cancelled call is given to prove that it did not run.
+// revokeWait is how long to wait, after a call was cancelled, for the confirmation that it did not
+// run.
 const revokeWait = 50 * time.Millisecond
 
-// abandonCall cancels a call whose time is over or whose caller hung up.
-func (e *Entry) abandonCall(ctx context.Context, started *flight) *fault.Refusal {
+// abandonCall cancels a call whose deadline has expired or whose caller has disconnected.
+func (e *Entry) abandonCall(ctx context.Context, started *runningAttempt) *fault.Refusal {
 	started.cancel()
 	defer started.end(true)
-	refusal := deadlineRefusal(ctx)
+	refusal := contextRefusal(ctx)
 	select {
 	case event := <-started.events:
 		if event.Kind == protocol.Refused {
@@ -169,8 +169,8 @@
 	return refusal
 }
 
-// resolveCall asks what became of a call whose link was lost.
-func (e *Entry) resolveCall(ctx context.Context, c *call, started *flight) (*protocol.Answer, *fault.Refusal) {
+// resolveCall inquires about the outcome of a call whose link was lost.
+func (e *Entry) resolveCall(ctx context.Context, c *call, started *runningAttempt) (*protocol.Answer, *fault.Refusal) {
 	lost := fault.Unknown(fault.ReasonLinkLost, "the link to the back end was lost")
 	if c.repeatable {
 		return nil, lost
