--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -15,7 +15,7 @@
 // ReplicasKey is the blackboard key of the back ends that the entry knows.
 var ReplicasKey = blackboard.NewKey[[]ReplicaView]("routing.replicas")
 
-// Options are the settings of an entry.
+// Options configures an entry.
 type Options struct {
 	Node node.Options
 	// DefaultDeadline applies to requests without a deadline.
--- a/internal/network/client.go
+++ b/internal/network/client.go
@@ -25,7 +25,7 @@
 // delayed by over half a second on links that carry pieces of weights.
 const bodyHedgeDelay = time.Second
 
-// ClientOptions describe a Client.
+// ClientOptions configures a Client.
 type ClientOptions struct {
 	// Dial makes connections; at most MaxIdle of them are kept open for IdleTimeout.
 	Dial        func(ctx context.Context, network, address string) (net.Conn, error)
@@ -155,7 +155,7 @@
 // call's answer arrives. A failed probe shows nothing.
 func (c *Client) probeOvertakes(ctx context.Context, call Call, first *attempt) bool {
 	received := first.receivedAt.Load()
-	probe := c.start(ctx, call, call.ProbeURL, c.hedgePool(first.pool))
+	probe := c.start(ctx, call, call.ProbeURL, c.hedgePool(first.connectionPool))
 	select {
 	case result := <-first.done:
 		first.done <- result
@@ -190,7 +190,7 @@
 		case result := <-first.done:
 			c.recordTime(call, first)
 			return result, true
-		case <-first.pool.silent:
+		case <-first.connectionPool.silent:
 			return callResult{}, false
 		case <-hedgeNow:
 			return callResult{}, false
@@ -218,7 +218,7 @@
 	if call.HedgeURL != "" {
 		url = call.HedgeURL
 	}
-	second := c.start(ctx, call, url, c.hedgePool(first.pool))
+	second := c.start(ctx, call, url, c.hedgePool(first.connectionPool))
 	write := call.Method == http.MethodPut
 	var result callResult
 	select {
@@ -234,7 +234,7 @@
 			break
 		}
 		if silent := first.silentFor(); silent >= c.options.MinHedgeDelay {
-			c.replacePool(first.pool, second.pool, silent)
+			c.replacePool(first.connectionPool, second.connectionPool, silent)
 		}
 		return result.awaitOther(first, write)
 	}
@@ -299,8 +299,8 @@
 	return max(call.MinHedgeDelay, min(max(typical, c.options.MinHedgeDelay), c.options.MaxHedgeDelay))
 }
 
-// recordTime adds the time until a call's answer began to the estimate. An answer that arrived
-// before MaxHold was over is skipped: it shows nothing about the server's speed.
+// recordTime updates the estimate with the time until a call's answer began, beyond MaxHold. An
+// answer that came within MaxHold is skipped: it shows nothing about the server's speed.
 func (c *Client) recordTime(call Call, first *attempt) {
 	took, begun := first.answerTime()
 	if !begun || took < call.MaxHold {
@@ -319,9 +319,9 @@
 
 // attempt is one send of a call.
 type attempt struct {
-	pool      *connectionPool
-	done      chan callResult
-	startedAt time.Time
+	connectionPool *connectionPool
+	done           chan callResult
+	startedAt      time.Time
 
 	// connected is set when the attempt has a connection, reused if that has carried a call before.
 	connected atomic.Bool
@@ -357,7 +357,7 @@
 
 // start sends a call over a pool's connections.
 func (c *Client) start(ctx context.Context, call Call, url string, connections *connectionPool) *attempt {
-	a := &attempt{pool: connections, done: make(chan callResult, 1), startedAt: time.Now()}
+	a := &attempt{connectionPool: connections, done: make(chan callResult, 1), startedAt: time.Now()}
 	go func() {
 		answer, err := a.run(ctx, call, url)
 		a.done <- callResult{answer: answer, err: err}
@@ -384,7 +384,7 @@
 	if err != nil {
 		return Answer{}, err
 	}
-	response, err := a.pool.transport.RoundTrip(request)
+	response, err := a.connectionPool.transport.RoundTrip(request)
 	if err != nil {
 		return Answer{}, err
 	}
--- a/internal/network/client_test.go
+++ b/internal/network/client_test.go
@@ -94,7 +94,7 @@
 	return client, connections, silences, Call{Method: http.MethodGet, URL: server.URL, Timeout: 2 * time.Second, MaxBytes: 1 << 10}
 }
 
-// Calls over several connections that have all closed silent are answered about one hedge delay
+// Calls over several connections that have all gone silent are answered about one hedge delay
 // later, and the silence is reported once.
 func TestCallsOverSilentConnectionsAreHedged(t *testing.T) {
 	const calls = 4
