--- a/internal/agent/gate.go
+++ b/internal/agent/gate.go
@@ -220,7 +220,7 @@
 // from the pinned version and one engine life.
 func (g *gate) generate(ctx context.Context, link *peering.Link, submit protocol.Submit) {
 	work := submit.Generate
-	generation := external.Generation{
+	generation := external.GenerationRequest{
 		ID: submit.RequestID, Model: work.Model, Version: work.Version, Adapter: work.Adapter,
 		Prompt: work.Prompt, MaximumTokens: work.MaximumTokens, Priority: submit.Priority, ResumeFrom: work.ResumeFrom,
 	}
@@ -327,7 +327,7 @@
 }
 
 func (g *gate) handleCancel(link *peering.Link, received *message.Message) {
-	reference, err := peering.Decode[protocol.Reference](received)
+	reference, err := peering.Decode[protocol.AttemptRef](received)
 	if err != nil {
 		return
 	}
@@ -344,7 +344,7 @@
 }
 
 func (g *gate) handleInquire(link *peering.Link, received *message.Message) {
-	reference, err := peering.Decode[protocol.Reference](received)
+	reference, err := peering.Decode[protocol.AttemptRef](received)
 	if err != nil {
 		return
 	}
--- a/internal/forward/silence.go
+++ b/internal/forward/silence.go
@@ -195,8 +195,8 @@
 	if !observed.Waiting || silentFor < inspectAfter {
 		return observed
 	}
-	if state, known := network.ReadTransport(c.net); known {
-		observed.HasTCPInfo, observed.Unacknowledged, observed.Acknowledged, observed.LastPacket = true, state.Unacknowledged(silentFor), !state.Waiting, now-state.SinceHeard
+	if state, known := network.ReadTCPState(c.net); known {
+		observed.HasTCPInfo, observed.Unacknowledged, observed.Acknowledged, observed.LastPacket = true, state.Unacknowledged(silentFor), !state.AwaitingAck, now-state.SinceReceived
 	}
 	return observed
 }
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -79,7 +79,7 @@
 	if upstream == nil {
 		return false
 	}
-	if time.Since(upstream.LastHeard()) > r.options.SilenceTimeout {
+	if time.Since(upstream.LastReceived()) > r.options.SilenceTimeout {
 		_ = upstream.Close()
 		return false
 	}
--- a/internal/rollout/peers.go
+++ b/internal/rollout/peers.go
@@ -115,8 +115,8 @@
 	known, made := p.clients[machine]
 	if !made {
 		known = &cachedClient{client: network.NewClient(network.ClientOptions{
-			Dial: network.Dialer(peerDialTimeout).DialContext, Idle: maxIdlePeerConnections, IdleTimeout: peerIdleTimeout,
-			ReadBuffer: peerBufferBytes, WriteBuffer: peerBufferBytes, LeastQuiet: peerMinSilence, MostQuiet: peerMaxSilence,
+			Dial: network.Dialer(peerDialTimeout).DialContext, MaxIdle: maxIdlePeerConnections, IdleTimeout: peerIdleTimeout,
+			ReadBuffer: peerBufferBytes, WriteBuffer: peerBufferBytes, MinHedgeDelay: peerMinSilence, MaxHedgeDelay: peerMaxSilence,
 			OnSilent: func(silent time.Duration) { p.onSilent(string(machine), silent) },
 		})}
 		p.clients[machine] = known
@@ -154,7 +154,7 @@
 // time that the request waited in the machine's upload queue.
 func (p *peerClient) piece(ctx context.Context, machine dissemination.MachineID, path string, size int) ([]byte, time.Duration, error) {
 	answer, err := p.call(ctx, machine, path, network.Call{
-		Method: http.MethodGet, Timeout: pieceTimeout, Limit: int64(size) + 1, LeastQuiet: pieceMinSilence,
+		Method: http.MethodGet, Timeout: pieceTimeout, MaxBytes: int64(size) + 1, MinHedgeDelay: pieceMinSilence,
 	})
 	if err != nil {
 		return nil, 0, err
@@ -166,7 +166,7 @@
 func query[T any](ctx context.Context, p *peerClient, machine dissemination.MachineID, path string, hold time.Duration) (T, error) {
 	var answer T
 	reply, err := p.call(ctx, machine, path, network.Call{
-		Method: http.MethodGet, Timeout: offerTimeout, Limit: maxManifestBytes, Hold: hold,
+		Method: http.MethodGet, Timeout: offerTimeout, MaxBytes: maxManifestBytes, MaxHold: hold,
 	})
 	if err != nil {
 		return answer, err
@@ -183,7 +183,7 @@
 	if err != nil {
 		return answer, &fault.InvalidFrame{Field: "offer", Reason: err.Error()}
 	}
-	reply, err := p.call(ctx, machine, offerPath, network.Call{Method: http.MethodPost, Body: data, Timeout: offerTimeout, Limit: maxOfferBytes})
+	reply, err := p.call(ctx, machine, offerPath, network.Call{Method: http.MethodPost, Body: data, Timeout: offerTimeout, MaxBytes: maxOfferBytes})
 	if err != nil {
 		return answer, err
 	}
