--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return err
 	}
-	story := explain.Tell(lines, c.Arguments.Request)
+	story := explain.Explain(lines, c.Arguments.Request)
 	for _, line := range story.Lines {
 		fmt.Println(line)
 	}
--- a/internal/explain/cause_test.go
+++ b/internal/explain/cause_test.go
@@ -20,7 +20,7 @@
 func TestAReturnIsPartOfTheCause(t *testing.T) {
 	lines, err := Read(strings.NewReader(returnLines))
 	require.NoError(t, err)
-	assert.Contains(t, Tell(lines, "refused").Cause, "the caller had come back, 1.250 s or more after its first attempt")
-	assert.Contains(t, Tell(lines, "answered").Cause, "the caller had come back, 1.500 s or more")
-	assert.NotContains(t, Tell(lines, "first").Cause, "come back")
+	assert.Contains(t, Explain(lines, "refused").Cause, "the caller had come back, 1.250 s or more after its first attempt")
+	assert.Contains(t, Explain(lines, "answered").Cause, "the caller had come back, 1.500 s or more")
+	assert.NotContains(t, Explain(lines, "first").Cause, "come back")
 }
--- a/internal/explain/content_test.go
+++ b/internal/explain/content_test.go
@@ -19,7 +19,7 @@
 {"ts":"2026-01-01T00:01:00Z","msg":"request given up","process":"entry-a","event":"PV4104","request":"r","status":503,"reason":"content-quarantined","execution":"not-run"}
 `))
 	require.NoError(t, err)
-	story := Tell(lines, "r")
+	story := Explain(lines, "r")
 	assert.Len(t, story.Lines, 4, "the end of the server that had another content is left out")
 	assert.Contains(t, story.Cause, "certain not to have run")
 	assert.Contains(t, story.Cause, `servers have ended under its content aa, the last ones ["i-1","i-3"] (content-quarantined, for 3540 s more)`)
--- a/internal/explain/evacuation_test.go
+++ b/internal/explain/evacuation_test.go
@@ -23,10 +23,10 @@
 func TestAnEvacuationIsTheCauseOfARefusal(t *testing.T) {
 	lines, err := Read(strings.NewReader(evacuationLines))
 	require.NoError(t, err)
-	story := Tell(lines, "r")
+	story := Explain(lines, "r")
 	assert.Contains(t, story.Cause, "zone hall-0 had been evacuated 42.500 s before")
 	assert.NotContains(t, story.Cause, "hall-1")
 	assert.NotContains(t, story.Cause, "hall-2")
 	assert.Equal(t, "hall-0", story.Lines[0].text("zone"), "the line is part of the story")
-	assert.NotContains(t, Tell(lines, "other").Cause, "evacuated")
+	assert.NotContains(t, Explain(lines, "other").Cause, "evacuated")
 }
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -105,8 +105,8 @@
 	return text.String()
 }
 
-// Story is what the logs tell of one request.
-type Story struct {
+// Explanation is what the logs tell of one request.
+type Explanation struct {
 	RequestID string
 	// Lines are the request's own, and those that bear on it, in order of time.
 	Lines []Line
@@ -120,10 +120,10 @@
 	after  = time.Second
 )
 
-// Tell joins the lines of all processes into the story of a request. An unknown
+// Explain joins the lines of all processes into the story of a request. An unknown
 // request gives a story without lines.
-func Tell(lines []Line, requestID string) Story {
-	story := Story{RequestID: requestID}
+func Explain(lines []Line, requestID string) Explanation {
+	story := Explanation{RequestID: requestID}
 	var own []Line
 	servers, processes := map[string]bool{}, map[string]bool{}
 	for _, line := range lines {
--- a/internal/explain/losses.go
+++ b/internal/explain/losses.go
@@ -21,10 +21,10 @@
 	OutcomeInTime Outcome = "in time"
 	// OutcomeLate requests began to be answered after their target, OutcomePaused
 	// streams paused for longer than theirs.
-	OutcomeLate   Outcome = "late"
-	OutcomePaused Outcome = "paused"
-	OutcomeCut    Outcome = "cut"
-	OutcomeLeft   Outcome = "caller left"
+	OutcomeLate       Outcome = "late"
+	OutcomePaused     Outcome = "paused"
+	OutcomeCut        Outcome = "cut"
+	OutcomeCallerLeft Outcome = "caller left"
 )
 
 // ending is one request with when it came, where, and how it ended.
@@ -71,7 +71,7 @@
 	case streamCut:
 		return OutcomeCut
 	case callerLeft:
-		return OutcomeLeft
+		return OutcomeCallerLeft
 	}
 	return ""
 }
--- a/internal/sitetest/explain_test.go
+++ b/internal/sitetest/explain_test.go
@@ -17,12 +17,12 @@
 )
 
 // story waits until the request's end is in the logs and tells its story.
-func story(f *Fleet, t *testing.T, id, ending string) ([]explain.Line, explain.Story) {
+func story(f *Fleet, t *testing.T, id, ending string) ([]explain.Line, explain.Explanation) {
 	t.Helper()
 	f.Eventually("the end is logged", 2*time.Second, func() bool { return countEvents(f, ending, `"`+id+`"`) > 0 })
 	lines, err := explain.Read(strings.NewReader(f.Log.String()))
 	require.NoError(t, err)
-	return lines, explain.Tell(lines, id)
+	return lines, explain.Explain(lines, id)
 }
 
 // without returns the lines less those of an event that name the request.
@@ -42,8 +42,8 @@
 	want := "given up, and it may have run: attempt 1 at server " + runsOf(f, "lost-save")[0].Server + " failed (backend-failed"
 	assert.Contains(t, told.Cause, want)
 	assert.Contains(t, told.Cause, "not tried again because of: may have run")
-	assert.NotContains(t, explain.Tell(without(lines, "PV4105"), "lost-save").Cause, want)
-	assert.NotContains(t, explain.Tell(without(lines, "PV4106"), "lost-save").Cause, "may have run; ")
+	assert.NotContains(t, explain.Explain(without(lines, "PV4105"), "lost-save").Cause, want)
+	assert.NotContains(t, explain.Explain(without(lines, "PV4106"), "lost-save").Cause, "may have run; ")
 }
 
 // A refusal: no server could begin the request in time.
@@ -76,7 +76,7 @@
 	want := "no server was chosen; servers by reason: {"
 	assert.Contains(t, told.Cause, "refused, and certain not to have run")
 	assert.Contains(t, told.Cause, want)
-	assert.NotContains(t, explain.Tell(without(lines, "PV4109"), refused).Cause, want)
+	assert.NotContains(t, explain.Explain(without(lines, "PV4109"), refused).Cause, want)
 }
 
 // A stream cut while versions change: no other server of its version is left.
@@ -116,5 +116,5 @@
 	assert.Contains(t, told.Cause, "the stream was cut after event")
 	assert.Contains(t, told.Cause, "other version")
 	assert.Contains(t, told.Cause, want)
-	assert.NotContains(t, explain.Tell(without(lines, "PV3000"), "long-gloss").Cause, want)
+	assert.NotContains(t, explain.Explain(without(lines, "PV3000"), "long-gloss").Cause, want)
 }
--- a/internal/sitetest/regions_test.go
+++ b/internal/sitetest/regions_test.go
@@ -190,7 +190,7 @@
 		const want = `; only servers in the regions ["region-1"] were allowed, and others would have taken it`
 		assert.Contains(t, told.Cause, "refused, and certain not to have run: no server was chosen", kind)
 		assert.Contains(t, told.Cause, want, kind)
-		assert.NotContains(t, explain.Tell(without(lines, "PV4109"), "nowhere-"+kind).Cause, want, kind)
+		assert.NotContains(t, explain.Explain(without(lines, "PV4109"), "nowhere-"+kind).Cause, want, kind)
 	}
 	assert.Empty(t, f.Site.Ledger.Arrivals())
 	assert.Equal(t, len(calls), refusalsFor(f, t, "data-residency"))
