--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -84,20 +84,20 @@
 	d.reloads = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "pinevane_settings_reloads_total", Help: "Times the settings were read again while the process ran, by whether they are in force."}, []string{"result"})
 	d.Registry.MustRegister(d.silences, d.reloads)
-	d.WatchSilence(options.Store)
+	d.ObserveSilence(options.Store)
 	settings := options.Settings
 	d.settings.Store(&settings)
 	hello := peering.Hello{ID: settings.IP, Incarnation: uint64(d.started.UnixNano()), Role: options.Role, Zone: settings.Zone, Protocol: catalog.ProtocolVersion}
 	d.Hub = peering.NewHub(hello, options.Log, peering.NewCounters(d.Registry))
 	d.Catalog = catalog.New(catalog.Options{
 		Self: settings.IP, Role: options.Role, Zone: settings.Zone, InternalPort: settings.InternalPort, Seeds: settings.Seeds, IsSeed: settings.IsSeed,
-		Store: options.Store, Decoder: options.Decoder, Hub: d.Hub, Log: options.Log, OnSilent: d.NoteSilent,
+		Store: options.Store, Decoder: options.Decoder, Hub: d.Hub, Log: options.Log, OnSilent: d.RecordSilentConnection,
 		VersionApply: settings.Bounds.VersionApply, Contact: settings.Bounds.Contact, Drain: settings.Bounds.Drain,
 		Zones: settings.Regions, LinkBytesPerSecond: settings.LinkBytesPerSecond,
 	})
 	d.OnSettings(d.Catalog.SetSettings)
 	d.Router.Handle(peering.Path, d.Hub)
-	d.Section("catalog", func() any { return d.Catalog.Status() })
+	d.AddSection("catalog", func() any { return d.Catalog.Status() })
 	d.registerCatalog()
 	return d
 }
@@ -120,16 +120,16 @@
 	)
 }
 
-// WatchSilence has the silent connections of a client that notices them logged and counted.
-func (d *Daemon) WatchSilence(client any) {
+// ObserveSilence has the silent connections of a client that notices them logged and counted.
+func (d *Daemon) ObserveSilence(client any) {
 	if reporter, able := client.(fleet.SilenceReporter); able {
-		reporter.OnSilent(d.NoteSilent)
+		reporter.OnSilent(d.RecordSilentConnection)
 	}
 }
 
-// NoteSilent logs and counts a connection that has gone silent. Connections to other machines
+// RecordSilentConnection logs and counts a connection that has gone silent. Connections to other machines
 // are counted together.
-func (d *Daemon) NoteSilent(target string, silent time.Duration) {
+func (d *Daemon) RecordSilentConnection(target string, silent time.Duration) {
 	kind := target
 	if net.ParseIP(target) != nil {
 		kind = "peer"
@@ -141,12 +141,12 @@
 // Settings returns the settings in force.
 func (d *Daemon) Settings() fleet.Settings { return *d.settings.Load() }
 
-// Section adds a part to the state dump.
-func (d *Daemon) Section(name string, describe func() any) { d.sections[name] = describe }
+// AddSection adds a part to the state dump.
+func (d *Daemon) AddSection(name string, describe func() any) { d.sections[name] = describe }
 
-// Action adds something that an operator may have the process do, by a POST to a path of the
+// AddAction adds something that an operator may have the process do, by a POST to a path of the
 // administration address. It must be added before Start.
-func (d *Daemon) Action(path string, do http.HandlerFunc) { d.actions[path] = do }
+func (d *Daemon) AddAction(path string, do http.HandlerFunc) { d.actions[path] = do }
 
 // Limits on the HTTP servers of a process. There is no write timeout, because
 // streams last.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -51,7 +51,7 @@
 		loads: loadquery.NewClient(settings.InternalPort, base.Log), memory: newMemory(settings.MemoryBytes),
 	}
 	registerMemory(base.Registry, g.memory)
-	base.Section("callers", func() any { return g.memory.Status() })
+	base.AddSection("callers", func() any { return g.memory.Status() })
 	g.forwarder = forward.New(forward.Options{
 		Zone: settings.Zone, Regions: settings.Regions, Bounds: settings.Bounds, Dialect: options.Dialect, Log: base.Log,
 		Peers: base.Catalog.EntryCount, Self: settings.IP, Entries: base.Catalog.Entries, Health: base.Catalog, Quarantine: base.Catalog, Notices: base.Catalog, Loads: g.loads,
@@ -63,9 +63,9 @@
 	base.Catalog.OnQuarantine(g.forwarder.ReceiveQuarantine)
 	base.Catalog.OnServerNotice(g.forwarder.ReceiveNotice)
 	base.OnSettings(g.forwarder.SetSettings)
-	base.Action(ReleasePath+"{"+contentParameter+"}", g.release)
-	base.Section("contents", func() any { return g.forwarder.Fingerprints() })
-	base.Section("servers", func() any { return g.forwarder.Servers() })
+	base.AddAction(ReleasePath+"{"+contentParameter+"}", g.release)
+	base.AddSection("contents", func() any { return g.forwarder.Fingerprints() })
+	base.AddSection("servers", func() any { return g.forwarder.Servers() })
 	return g
 }
 
--- a/internal/rollout/agent.go
+++ b/internal/rollout/agent.go
@@ -86,18 +86,18 @@
 	settings := options.Daemon.Settings()
 	a := &Agent{
 		daemon: options.Daemon, log: options.Daemon.Log, server: options.Server, origin: options.Origin,
-		self: dissemination.MachineID(settings.IP), metrics: newMetrics(options.Daemon.Registry), peers: newPeerClient(settings.InternalPort, options.Daemon.NoteSilent),
+		self: dissemination.MachineID(settings.IP), metrics: newMetrics(options.Daemon.Registry), peers: newPeerClient(settings.InternalPort, options.Daemon.RecordSilentConnection),
 		uploads: newUploads(uplinkShare * settings.LinkBytesPerSecond), woken: make(chan struct{}, 1),
 		roundTrips: liveness.NewRoundTrips(probePeriod), started: time.Now(),
 		cold: newColdWord(),
 	}
-	options.Daemon.WatchSilence(options.Server)
-	options.Daemon.WatchSilence(options.Origin)
+	options.Daemon.ObserveSilence(options.Server)
+	options.Daemon.ObserveSilence(options.Origin)
 	options.Daemon.Hub.Handle(fleet.TopicStatusEcho, a.handleEcho)
 	options.Daemon.Hub.OnOpen(a.greet)
 	a.mount(options.Daemon.Router)
 	options.Daemon.Catalog.OnChange(func(*catalog.View) { a.fleetChanged() })
-	options.Daemon.Section("rollout", func() any { return a.status(time.Now()) })
+	options.Daemon.AddSection("rollout", func() any { return a.status(time.Now()) })
 	return a
 }
 
