--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -101,7 +101,7 @@
 		agent.activator.onRetired = agent.weights.collectGarbage
 	}
 	agent.status.openCount = agent.gate.open
-	base.SetOpen(agent.gate.open)
+	base.SetOpenCount(agent.gate.open)
 	base.OnLeave(agent.status.sendAll)
 	return agent
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -79,7 +79,7 @@
 		requests: &requestCounter{},
 	}
 	entry.router = newRouter(entry.replicas, base.Zone(), options.Policy)
-	base.SetOpen(entry.requests.open)
+	base.SetOpenCount(entry.requests.open)
 	base.SetReady(entry.limits.settled)
 	entry.handleBorrowing()
 	entry.mount(base.Router)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -34,13 +34,13 @@
 	// SnapshotKey is the configuration in force.
 	SnapshotKey = blackboard.NewKey[*configuration.Snapshot]("configuration.snapshot")
 	// RejectedKey is the newest configuration that was refused.
-	RejectedKey = blackboard.NewKey[Rejected]("configuration.rejected")
+	RejectedKey = blackboard.NewKey[RejectedRevision]("configuration.rejected")
 	// MembersKey is the membership list.
 	MembersKey = blackboard.NewKey[[]external.Member]("membership.members")
 )
 
-// Rejected is a configuration revision that was refused, and why.
-type Rejected struct {
+// RejectedRevision is a configuration revision that was refused, and why.
+type RejectedRevision struct {
 	Version monotonic.Version `json:"version"`
 	Reason  string            `json:"reason"`
 }
@@ -163,8 +163,8 @@
 // SetReady replaces the readiness check.
 func (n *Node) SetReady(ready func() bool) { n.ready = ready }
 
-// SetOpen replaces the count of open work that a planned stop waits for.
-func (n *Node) SetOpen(open func() int) { n.open = open }
+// SetOpenCount replaces the count of open work that a planned stop waits for.
+func (n *Node) SetOpenCount(open func() int) { n.open = open }
 
 // OnLeave registers a function called when a planned stop begins.
 func (n *Node) OnLeave(function func()) { n.onLeave = append(n.onLeave, function) }
@@ -180,7 +180,7 @@
 	snapshot, err := n.parser.Parse(version, documents)
 	if err != nil {
 		n.Log.Log(logging.SnapshotRejected, zap.Stringer("version", version), zap.Error(err))
-		blackboard.Write(n.Board, RejectedKey, Rejected{Version: version, Reason: err.Error()})
+		blackboard.Write(n.Board, RejectedKey, RejectedRevision{Version: version, Reason: err.Error()})
 		return
 	}
 	n.Log.Log(logging.SnapshotAccepted, zap.Stringer("version", version))
