--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -72,7 +72,7 @@
 		}
 	}
 	for i, synthetic := range result.Weights {
-		if synthetic.Bytes <= 0 || synthetic.ChunkBytes <= 0 || synthetic.ChangedShare < 0 || synthetic.ChangedShare > 1 {
+		if synthetic.Bytes <= 0 || synthetic.ChunkBytes <= 0 || synthetic.ChangedFraction < 0 || synthetic.ChangedFraction > 1 {
 			return nil, &fault.InvalidDocument{Document: path, Path: fmt.Sprintf("weights[%d]", i), Reason: "sizes must be positive and changedShare 0 to 1"}
 		}
 	}
--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -206,7 +206,7 @@
 
 // Synthetic is the made-up weights of a version.
 func Synthetic(version string) weights.Synthetic {
-	return weights.Synthetic{Model: Model, Version: version, Bytes: 1 << 20, ChunkBytes: 64 << 10, ChangedShare: 1}
+	return weights.Synthetic{Model: Model, Version: version, Bytes: 1 << 20, ChunkBytes: 64 << 10, ChangedFraction: 1}
 }
 
 // PublishVersion puts a version into the origin and publishes it.
--- a/internal/weights/manifest_test.go
+++ b/internal/weights/manifest_test.go
@@ -16,7 +16,7 @@
 )
 
 func small() Synthetic {
-	return Synthetic{Model: "m", Version: "1", Bytes: 10_000, ChunkBytes: 4096, ChangedShare: 0.5}
+	return Synthetic{Model: "m", Version: "1", Bytes: 10_000, ChunkBytes: 4096, ChangedFraction: 0.5}
 }
 
 func TestManifestSurvivesItsEncoding(t *testing.T) {
@@ -89,8 +89,8 @@
 
 func TestExampleManifestsMatchTheirDocuments(t *testing.T) {
 	for path, synthetic := range map[string]Synthetic{
-		"yaad-voices/models/dialect.yaml": {Model: "dialect", Version: "2026-11", Bytes: 24 << 20, ChunkBytes: 256 << 10, ChangedShare: 1},
-		"toapa/models/marker.yaml":        {Model: "marker", Version: "2026-11", Bytes: 24 << 20, ChunkBytes: 256 << 10, ChangedShare: 0.4},
+		"yaad-voices/models/dialect.yaml": {Model: "dialect", Version: "2026-11", Bytes: 24 << 20, ChunkBytes: 256 << 10, ChangedFraction: 1},
+		"toapa/models/marker.yaml":        {Model: "marker", Version: "2026-11", Bytes: 24 << 20, ChunkBytes: 256 << 10, ChangedFraction: 0.4},
 	} {
 		_, digest, err := synthetic.Manifest().Encode()
 		require.NoError(t, err)
--- a/internal/weights/synthetic.go
+++ b/internal/weights/synthetic.go
@@ -16,9 +16,9 @@
 	Bytes int64 `yaml:"bytes" json:"bytes"`
 	// ChunkBytes is the size of each chunk but the last.
 	ChunkBytes int64 `yaml:"chunkBytes" json:"chunk_bytes"`
-	// ChangedShare is the share of chunks, 0 to 1, that differ from the model's
+	// ChangedFraction is the share of chunks, 0 to 1, that differ from the model's
 	// other versions.
-	ChangedShare float64 `yaml:"changedShare" json:"changed_share"`
+	ChangedFraction float64 `yaml:"changedShare" json:"changed_share"`
 }
 
 // ChunkCount returns the number of chunks.
@@ -52,7 +52,7 @@
 	var buffer [8]byte
 	binary.LittleEndian.PutUint64(buffer[:], uint64(index))
 	hashed := xxhash.Sum64String(s.Version + string(buffer[:]))
-	return float64(hashed%1_000_000)/1_000_000 < s.ChangedShare
+	return float64(hashed%1_000_000)/1_000_000 < s.ChangedFraction
 }
 
 // Manifest computes the manifest of the made-up weights.
