--- a/internal/agent/weights.go
+++ b/internal/agent/weights.go
@@ -181,7 +181,7 @@
 	if c.options.LinkBytesPerSecond <= 0 {
 		return
 	}
-	limit := rate.Limit(float64(c.options.LinkBytesPerSecond) * rollout.LinkShare)
+	limit := rate.Limit(float64(c.options.LinkBytesPerSecond) * rollout.LinkFraction)
 	c.downlink.SetLimit(limit)
 	c.uplink.SetLimit(limit)
 }
--- a/internal/configuration/snapshot.go
+++ b/internal/configuration/snapshot.go
@@ -54,8 +54,8 @@
 	Name string `json:"name"`
 	// OriginCopies is how many copies of a model may be drawn from the origin.
 	OriginCopies float64 `json:"originCopies"`
-	// LinkShare is the part of a machine's link that weights may use, 0 to 1.
-	LinkShare float64 `json:"linkShare"`
+	// LinkFraction is the part of a machine's link that weights may use, 0 to 1.
+	LinkFraction float64 `json:"linkShare"`
 }
 
 // Snapshot is one configuration revision, checked whole. It is immutable.
@@ -78,7 +78,7 @@
 }
 
 // DefaultRollout is in force when no rollout instance is published.
-var DefaultRollout = Rollout{Name: "default", OriginCopies: 4, LinkShare: 0.5}
+var DefaultRollout = Rollout{Name: "default", OriginCopies: 4, LinkFraction: 0.5}
 
 // Parse checks a whole set of documents, keyed by path, and renders them to a
 // Snapshot. The error is a *fault.InvalidConfiguration that lists every fault.
--- a/internal/demo/requests.go
+++ b/internal/demo/requests.go
@@ -21,7 +21,7 @@
 	callShare  = 0.4
 )
 
-func (d *demo) linkShare() float64 { return d.snapshot.Rollout.LinkShare }
+func (d *demo) linkShare() float64 { return d.snapshot.Rollout.LinkFraction }
 
 func (d *demo) tenants() []string { return slices.Sorted(maps.Keys(d.snapshot.Tenants)) }
 
