--- a/internal/agent/transfer.go
+++ b/internal/agent/transfer.go
@@ -253,7 +253,7 @@
 		return dissemination.QueryReply{}
 	}
 	defer t.poke()
-	if incoming.Ask {
+	if incoming.Query {
 		return t.fetcher.HandleQuery(incoming.From, incoming.Chunks, int(t.owner.waitingUploads.Load()), t.now())
 	}
 	for _, chunk := range incoming.Chunks {
@@ -277,7 +277,7 @@
 }
 
 func (t *transfer) sendOffer(ctx context.Context, message dissemination.Message) {
-	body := offer{From: t.self(), Manifest: t.progress.Manifest, Chunks: message.Chunks, Ask: message.Query}
+	body := offer{From: t.self(), Manifest: t.progress.Manifest, Chunks: message.Chunks, Query: message.Query}
 	answer, err := t.postOffer(ctx, message.Peer, body)
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -319,8 +319,8 @@
 	defer t.mutex.Unlock()
 	defer t.poke()
 	if err == nil {
-		if t.progress.FirstAt.IsZero() {
-			t.progress.FirstAt = time.Now()
+		if t.progress.FirstChunkAt.IsZero() {
+			t.progress.FirstChunkAt = time.Now()
 		}
 		t.fetcher.RecordFetched(action.Peer, action.Chunk, t.now())
 		return
--- a/internal/agent/weights.go
+++ b/internal/agent/weights.go
@@ -27,15 +27,15 @@
 // RolloutProgress is how far one version has come on this machine. Times are
 // zero until the phase is reached.
 type RolloutProgress struct {
-	Model      string         `json:"model"`
-	Version    string         `json:"version"`
-	Manifest   weights.Digest `json:"manifest"`
-	Chunks     int            `json:"chunks"`
-	Missing    int            `json:"missing"`
-	NoticedAt  time.Time      `json:"noticed_at"`
-	ManifestAt time.Time      `json:"manifest_at"`
-	FirstAt    time.Time      `json:"first_chunk_at"`
-	StagedAt   time.Time      `json:"staged_at"`
+	Model        string         `json:"model"`
+	Version      string         `json:"version"`
+	Manifest     weights.Digest `json:"manifest"`
+	Chunks       int            `json:"chunks"`
+	Missing      int            `json:"missing"`
+	NoticedAt    time.Time      `json:"noticed_at"`
+	ManifestAt   time.Time      `json:"manifest_at"`
+	FirstChunkAt time.Time      `json:"first_chunk_at"`
+	StagedAt     time.Time      `json:"staged_at"`
 	// PeerBytes and OriginBytes are what was received, failed transfers included.
 	PeerBytes   int64 `json:"peer_bytes"`
 	OriginBytes int64 `json:"origin_bytes"`
@@ -69,8 +69,8 @@
 	Manifest weights.Digest          `cbor:"2,keyasint"`
 	// Chunks are indexes into the manifest.
 	Chunks []int `cbor:"3,keyasint"`
-	// Ask is set when the sender wants the chunks instead of offering them.
-	Ask bool `cbor:"4,keyasint,omitempty"`
+	// Query is set when the sender wants the chunks instead of offering them.
+	Query bool `cbor:"4,keyasint,omitempty"`
 }
 
 const offerPath = "/v1/offers"
