--- a/internal/agent/activation.go
+++ b/internal/agent/activation.go
@@ -20,27 +20,27 @@
 	"pinevane.example/pinevane/internal/weights"
 )
 
-// Periods of activation.
+// Periods and limits of activation.
 const (
-	// activationTick is how often the engine is looked at.
+	// activationTick is the period at which the engine's status is queried.
 	activationTick = 200 * time.Millisecond
-	// canaryTimeout is how long an unreachable earlier machine is waited for.
+	// canaryTimeout is how long to wait while all earlier machines are unreachable.
 	canaryTimeout = 3 * time.Second
-	// canariesAsked is how many earlier machines are asked for proof.
-	canariesAsked = 3
-	// probeTimeout bounds the probe of a fresh version.
+	// maxCanaries is the maximum number of earlier machines whose state is queried.
+	maxCanaries = 3
+	// probeTimeout limits the probe of a newly loaded version.
 	probeTimeout = 10 * time.Second
-	// statusTimeout bounds a look at the engine.
+	// statusTimeout limits a status query to the engine or to another machine.
 	statusTimeout = 2 * time.Second
 )
 
-// RefusedVersion is a version that is not activated, and why.
+// RefusedVersion is a version that is not activated, with the reason.
 type RefusedVersion struct {
 	Digest weights.Digest `json:"manifest"`
 	Reason string         `json:"reason"`
 }
 
-// ActivationState is what a machine tells others of a version.
+// ActivationState is the state of a version that a machine reports to others.
 type ActivationState string
 
 // The states of a version on a machine.
@@ -52,38 +52,41 @@
 
 const activationPath = "/v1/activations/"
 
-// served is a version that this agent has activated.
-type served struct {
+// servedVersion is a version that this agent has activated.
+type servedVersion struct {
 	protocol.ServedVersion
 	digest weights.Digest
 	// since is when the version became live, or began to retire.
 	since time.Time
-	// removed versions admit nothing and wait for their last request.
+	// removed is set once no new requests are admitted; the version is unloaded
+	// after its last request.
 	removed bool
 }
 
-// activationController gives orders to the engine: it loads staged versions in
-// the zone's order, proves them by a probe, and retires what they replace.
+// activationController sends orders to the engine: it loads staged versions in
+// the zone's order, confirms them with a probe, and retires the versions that
+// they replace.
 type activationController struct {
 	node    *node.Node
 	options Options
 	engine  external.Engine
 	gate    *gate
 	client  *external.HTTPPeerStore
-	// onRetired is told which manifests are still needed after one was unloaded.
+	// onRetired is called with the manifests that are still needed after a version
+	// was unloaded.
 	onRetired func(ctx context.Context, kept []weights.Digest)
-	// sequence is the last part of the fence; only run uses it.
+	// sequence is the last component of the fence; only the goroutine of run uses it.
 	sequence uint64
 
 	mutex       sync.Mutex
 	incarnation uint64
-	served      []served
+	served      []servedVersion
 	refused     []RefusedVersion
-	// unreachableSince tells since when the earlier machines have been silent.
+	// unreachableSince records since when all earlier machines have been unreachable.
 	unreachableSince map[weights.Digest]time.Time
-	// previous is the manifest last retired of each model; its chunks stay in
-	// the store, so that going back costs no transfer.
-	previous map[string]weights.Digest
+	// lastRetired maps each model to its most recently retired manifest. Its chunks
+	// stay in the store, so that a rollback needs no transfer.
+	lastRetired map[string]weights.Digest
 }
 
 func newActivationController(base *node.Node, options Options, engine external.Engine, g *gate) *activationController {
@@ -91,7 +94,7 @@
 		node: base, options: options, engine: engine, gate: g,
 		client:           external.NewHTTPPeerStore(),
 		unreachableSince: map[weights.Digest]time.Time{},
-		previous:         map[string]weights.Digest{},
+		lastRetired:      map[string]weights.Digest{},
 	}
 	base.Router.Get(activationPath+"{digest}", controller.serveState)
 	return controller
@@ -115,10 +118,10 @@
 	status, err := c.engine.Status(statusContext)
 	cancel()
 	if err != nil {
-		c.engineLost()
+		c.handleEngineLost()
 		return
 	}
-	c.noteStatus(status)
+	c.applyStatus(status)
 	staged, _ := blackboard.Read(c.node.Board, StagedKey)
 	for _, version := range staged {
 		if c.stateOf(version.Digest) == ActivationPending && c.mayActivate(ctx, version) {
@@ -128,8 +131,8 @@
 	c.retire(ctx)
 }
 
-// engineLost admits nothing while the engine does not answer.
-func (c *activationController) engineLost() {
+// handleEngineLost stops admitting requests while the engine does not answer.
+func (c *activationController) handleEngineLost() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if len(c.served) == 0 {
@@ -139,8 +142,9 @@
 	c.publish()
 }
 
-// noteStatus forgets what was loaded when the engine has restarted.
-func (c *activationController) noteStatus(status external.EngineStatus) {
+// applyStatus records the engine's status and clears the served versions when the
+// engine has restarted.
+func (c *activationController) applyStatus(status external.EngineStatus) {
 	blackboard.Write(c.node.Board, EngineKey, status)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -169,7 +173,7 @@
 	if slices.ContainsFunc(c.refused, func(r RefusedVersion) bool { return r.Digest == digest }) {
 		return ActivationRefused
 	}
-	if slices.ContainsFunc(c.served, func(s served) bool { return s.digest == digest && !s.Retiring }) {
+	if slices.ContainsFunc(c.served, func(s servedVersion) bool { return s.digest == digest && !s.Retiring }) {
 		return ActivationLive
 	}
 	return ActivationPending
@@ -181,16 +185,17 @@
 	_ = json.NewEncoder(writer).Encode(c.stateOf(digest))
 }
 
-// mayActivate lets the first machine of the zone's order go ahead; the others
-// wait until an earlier one is live, and stop when one was refused.
+// mayActivate reports whether this machine may activate a version now. The first
+// machine of the zone's order activates at once; the others wait until an earlier
+// one is live, and refuse the version when an earlier one has refused it.
 func (c *activationController) mayActivate(ctx context.Context, version StagedVersion) bool {
 	rank := slices.Index(version.ZoneOrder, c.node.ID())
 	if rank <= 0 {
 		return true
 	}
 	reached := false
-	for _, earlier := range version.ZoneOrder[:min(rank, canariesAsked)] {
-		state, err := c.askState(ctx, earlier, version.Digest)
+	for _, earlier := range version.ZoneOrder[:min(rank, maxCanaries)] {
+		state, err := c.queryState(ctx, earlier, version.Digest)
 		if err != nil {
 			continue
 		}
@@ -199,16 +204,16 @@
 		case ActivationLive:
 			return true
 		case ActivationRefused:
-			c.refuse(version, "an earlier machine refused it: "+earlier)
+			c.recordRefusal(version, "an earlier machine refused it: "+earlier)
 			return false
 		}
 	}
-	return c.waitedForSilent(version.Digest, reached)
+	return c.canariesTimedOut(version.Digest, reached)
 }
 
-// waitedForSilent reports whether every earlier machine has been unreachable
-// for so long that this one goes first.
-func (c *activationController) waitedForSilent(digest weights.Digest, reached bool) bool {
+// canariesTimedOut reports whether all earlier machines have been unreachable for
+// longer than canaryTimeout, so that this machine activates first.
+func (c *activationController) canariesTimedOut(digest weights.Digest, reached bool) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if reached {
@@ -223,7 +228,7 @@
 	return time.Since(since) > canaryTimeout
 }
 
-func (c *activationController) askState(ctx context.Context, machine string, digest weights.Digest) (ActivationState, error) {
+func (c *activationController) queryState(ctx context.Context, machine string, digest weights.Digest) (ActivationState, error) {
 	members, _ := blackboard.Read(c.node.Board, node.MembersKey)
 	index := slices.IndexFunc(members, func(member external.Member) bool { return member.ID == machine })
 	if index < 0 {
@@ -243,34 +248,34 @@
 	return state, nil
 }
 
-// nextFence numbers an order. The agent's own listening address, which only one
-// process can hold, keeps a second agent from giving orders to an engine that
-// does not check fences.
+// nextFence returns the fence of the next order. For an engine that does not check
+// fences, the agent's listening address, which only one process can bind, prevents
+// a second agent from sending orders.
 func (c *activationController) nextFence() external.Fence {
 	snapshot, _ := blackboard.Read(c.node.Board, node.SnapshotKey)
 	c.sequence++
 	return external.Fence{Revision: snapshot.Version, Incarnation: c.node.Incarnation(), Sequence: c.sequence}
 }
 
-func (c *activationController) give(ctx context.Context, order external.Order) error {
+func (c *activationController) sendOrder(ctx context.Context, order external.Order) error {
 	order.Fence = c.nextFence()
 	c.node.Log.Log(logging.OrderSent, zap.String("action", string(order.Action)), zap.String("model", order.Model), zap.String("version", order.Version))
 	return c.engine.Give(ctx, order)
 }
 
-// activate loads a version beside the old one, probes it, and admits requests.
+// activate loads a version alongside the old one, probes it, and admits requests to it.
 func (c *activationController) activate(ctx context.Context, version StagedVersion) {
 	order := external.Order{Action: external.ActionLoad, Model: version.Model, Version: version.Version, Adapters: c.adaptersOf(version)}
 	for _, chunk := range version.Manifest.Chunks {
 		order.Chunks = append(order.Chunks, chunk.Digest)
 	}
-	err := c.give(ctx, order)
+	err := c.sendOrder(ctx, order)
 	if err == nil {
 		err = c.probe(ctx, version)
 	}
 	var rejected *fault.OrderRejected
 	if errors.As(err, &rejected) {
-		c.refuse(version, rejected.Reason)
+		c.recordRefusal(version, rejected.Reason)
 		return
 	}
 	if err != nil {
@@ -288,10 +293,11 @@
 	return adapters
 }
 
-// probeTokens is the length of a probe's answer.
+// probeTokens is the number of tokens that a probe generates.
 const probeTokens = 2
 
-// probe makes the engine answer with the fresh version before callers do.
+// probe confirms that the engine answers with the new version before requests are
+// admitted to it.
 func (c *activationController) probe(ctx context.Context, version StagedVersion) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -307,10 +313,10 @@
 	})
 }
 
-// probePriority lets a probe pass waiting requests.
+// probePriority is the highest priority, so that a probe passes waiting requests.
 const probePriority = 9
 
-func (c *activationController) refuse(version StagedVersion, reason string) {
+func (c *activationController) recordRefusal(version StagedVersion, reason string) {
 	c.node.Log.Log(logging.OrderRefused, zap.String("model", version.Model), zap.String("version", version.Version), zap.String("reason", reason))
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -328,8 +334,8 @@
 			c.served[i].since = now
 		}
 	}
-	c.served = slices.DeleteFunc(c.served, func(s served) bool { return s.digest == version.Digest })
-	c.served = append(c.served, served{
+	c.served = slices.DeleteFunc(c.served, func(s servedVersion) bool { return s.digest == version.Digest })
+	c.served = append(c.served, servedVersion{
 		ServedVersion: protocol.ServedVersion{Model: version.Model, Version: version.Version, Adapters: adapters},
 		digest:        version.Digest,
 		since:         now,
@@ -338,52 +344,52 @@
 	c.publish()
 }
 
-// retire unloads versions that were replaced, or whose model has moved away,
-// after their last request.
+// retire unloads versions that were replaced, or whose model is no longer assigned
+// to this machine, after their last request.
 func (c *activationController) retire(ctx context.Context) {
-	for _, version := range c.retirable() {
-		if c.gate.openOn(version.Model, version.Version) > 0 {
+	for _, version := range c.takeRetirable() {
+		if c.gate.openCountOf(version.Model, version.Version) > 0 {
 			continue
 		}
 		order := external.Order{Action: external.ActionUnload, Model: version.Model, Version: version.Version}
-		if c.give(ctx, order) != nil {
+		if c.sendOrder(ctx, order) != nil {
 			continue
 		}
-		c.onRetired(ctx, c.forgetServed(version))
+		c.onRetired(ctx, c.removeServed(version))
 	}
 }
 
-// forgetServed drops an unloaded version and returns the manifests whose chunks
+// removeServed removes an unloaded version and returns the manifests whose chunks
 // are still needed.
-func (c *activationController) forgetServed(version served) []weights.Digest {
+func (c *activationController) removeServed(version servedVersion) []weights.Digest {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.served = slices.DeleteFunc(c.served, func(s served) bool { return s.digest == version.digest && s.removed })
-	c.previous[version.Model] = version.digest
+	c.served = slices.DeleteFunc(c.served, func(s servedVersion) bool { return s.digest == version.digest && s.removed })
+	c.lastRetired[version.Model] = version.digest
 	var kept []weights.Digest
 	for _, remaining := range c.served {
 		kept = append(kept, remaining.digest)
 	}
-	for _, digest := range c.previous {
+	for _, digest := range c.lastRetired {
 		kept = append(kept, digest)
 	}
 	return kept
 }
 
-// retirable marks versions whose grace has passed as removed, so that nothing
-// new is admitted to them, and returns them.
-func (c *activationController) retirable() []served {
+// takeRetirable marks retiring versions whose grace period has ended as removed, so
+// that no new requests are admitted to them, and returns them.
+func (c *activationController) takeRetirable() []servedVersion {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.retireUnassigned()
-	var result []served
+	var result []servedVersion
 	changed := false
 	for i := range c.served {
 		version := &c.served[i]
 		if !version.Retiring || time.Since(version.since) < c.options.RetireGrace {
 			continue
 		}
-		if !version.removed && c.gate.openOn(version.Model, version.Version) > 0 {
+		if !version.removed && c.gate.openCountOf(version.Model, version.Version) > 0 {
 			continue
 		}
 		changed = changed || !version.removed
@@ -396,8 +402,8 @@
 	return result
 }
 
-// retireUnassigned retires models that the configuration or the membership list
-// has moved away from this machine; the mutex is held.
+// retireUnassigned retires models that are no longer assigned to this machine after
+// a change of the configuration or the membership list; the mutex is held.
 func (c *activationController) retireUnassigned() {
 	snapshot, configured := blackboard.Read(c.node.Board, node.SnapshotKey)
 	members, listed := blackboard.Read(c.node.Board, node.MembersKey)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,6 @@
-// Package agent is the process in the slot of each back-end machine. It brings
-// weights to the machine, is the only giver of orders to its engine, and is the
-// gate that every request to that engine or plain service passes.
+// Package agent implements the process that runs on each back-end machine. It
+// transfers weights to the machine, is the only sender of orders to the
+// machine's engine, and admits every request to that engine or plain service.
 package agent
 
 import (
@@ -16,43 +16,43 @@
 
 // The blackboard entries of an agent.
 var (
-	// RolloutKey is the progress of the weights that this machine is to serve.
+	// RolloutKey holds the transfer progress of the weights assigned to this machine.
 	RolloutKey = blackboard.NewKey[[]RolloutProgress]("weights.rollouts")
 	// StagedKey lists versions whose weights are complete in the store.
 	StagedKey = blackboard.NewKey[[]StagedVersion]("weights.staged")
 	// ServedKey lists the versions that requests are admitted to.
 	ServedKey = blackboard.NewKey[[]protocol.ServedVersion]("engine.served")
-	// EngineKey is the engine's last word on itself.
+	// EngineKey holds the engine's latest status report.
 	EngineKey = blackboard.NewKey[external.EngineStatus]("engine.status")
-	// RefusedKey lists versions that the engine would not load.
+	// RefusedKey lists versions that were refused on this machine.
 	RefusedKey = blackboard.NewKey[[]RefusedVersion]("engine.refused")
 )
 
-// Options are the settings of an agent.
+// Options configures an agent.
 type Options struct {
 	Node node.Options
-	// Service names the plain service behind the agent; empty for an engine.
+	// Service is the name of the plain service behind the agent; it is empty for an engine.
 	Service string
 	// BackEndAddress is the engine's or the plain service's address.
 	BackEndAddress string
-	// StoreAddress is the machine's weight store.
+	// StoreAddress is the address of the machine's weight store.
 	StoreAddress string
-	// OriginAddress is the weight origin.
+	// OriginAddress is the address of the weight origin.
 	OriginAddress string
-	// ModelSlots is how many models the engine has room for.
+	// ModelSlots is the number of models that the engine can hold.
 	ModelSlots int
-	// MaximumOpen bounds the attempts that run at once.
+	// MaximumOpen limits the attempts that run concurrently.
 	MaximumOpen int
-	// LinkBytesPerSecond is the machine's link; weights use the share of it that
-	// the configuration allows. Zero means no limit.
+	// LinkBytesPerSecond is the bandwidth of the machine's link; weights use the
+	// fraction of it that the configuration allows. Zero means no limit.
 	LinkBytesPerSecond int64
-	// StallWindow is how long a transfer may go without enough progress.
+	// StallWindow is the time in which a transfer must make the minimum progress.
 	StallWindow time.Duration
-	// RepairPatience is how long a missing chunk is waited for before other
-	// machines are asked.
+	// RepairPatience is how long the agent waits for a missing chunk before it
+	// queries other machines.
 	RepairPatience time.Duration
-	// RetireGrace is how long an old version stays loaded after its successor
-	// is live and its last request has ended.
+	// RetireGrace is the minimum time that an old version stays loaded after its
+	// successor became live. It is unloaded once its last request has also ended.
 	RetireGrace time.Duration
 }
 
@@ -75,7 +75,7 @@
 	return o
 }
 
-// Agent is one agent process.
+// Agent is an agent process with its controllers.
 type Agent struct {
 	options   Options
 	node      *node.Node
@@ -85,7 +85,7 @@
 	activator *activationController
 }
 
-// New builds an agent that is not running yet.
+// New creates an agent; Run starts it.
 func New(options Options, log *logging.Logger) *Agent {
 	options = options.applyDefaults()
 	base := node.New(options.Node, log)
@@ -100,16 +100,16 @@
 		agent.activator = newActivationController(base, options, engine, agent.gate)
 		agent.activator.onRetired = agent.weights.collectGarbage
 	}
-	agent.status.openCount = agent.gate.open
-	base.SetOpenCount(agent.gate.open)
+	agent.status.openCount = agent.gate.openCount
+	base.SetOpenCount(agent.gate.openCount)
 	base.OnLeave(agent.status.sendAll)
 	return agent
 }
 
-// Node returns the process's shared part.
+// Node returns the node that the agent runs on.
 func (a *Agent) Node() *node.Node { return a.node }
 
-// Run serves until stop is closed and open work has finished.
+// Run serves until stop is closed and open requests have finished.
 func (a *Agent) Run(stop <-chan struct{}) error {
 	controllers := []func(context.Context){a.status.run}
 	if a.weights != nil {
--- a/internal/agent/assignment.go
+++ b/internal/agent/assignment.go
@@ -11,17 +11,17 @@
 	"pinevane.example/pinevane/internal/weights"
 )
 
-// assignment is one model that this machine is to serve.
+// assignment describes a model that is assigned to this machine.
 type assignment struct {
 	model  configuration.Model
 	digest weights.Digest
-	// machines are all machines of the fleet that hold the model.
+	// machines lists all machines of the fleet to which the model is assigned.
 	machines []dissemination.Machine
 	// zoneOrder lists this zone's machines in the order in which they activate.
 	zoneOrder []string
 }
 
-// fleet is the membership list as placement needs it.
+// fleet is the membership list in the form that placement needs.
 type fleet struct {
 	byZone  map[string][]string
 	machine map[string]external.Member
@@ -41,8 +41,8 @@
 	return result
 }
 
-// assignmentsFor computes which models a machine serves. Every process computes
-// the same from the same snapshot and list.
+// assignmentsFor computes which models a machine serves. The result depends only
+// on the snapshot and the membership list, so all processes agree on it.
 func assignmentsFor(self string, zone string, slots int, snapshot *configuration.Snapshot, members fleet) []assignment {
 	demands := make([]placement.Demand, 0, len(snapshot.Models))
 	for _, name := range slices.Sorted(maps.Keys(snapshot.Models)) {
@@ -61,9 +61,9 @@
 	var result []assignment
 	for _, demand := range demands {
 		model := snapshot.Models[demand.Model]
-		mine := assignment{model: model, digest: weights.Digest(model.Manifest), machines: holders[demand.Model]}
+		own := assignment{model: model, digest: weights.Digest(model.Manifest), machines: holders[demand.Model]}
 		var zoneMachines []string
-		for _, machine := range mine.machines {
+		for _, machine := range own.machines {
 			if machine.Zone == zone {
 				zoneMachines = append(zoneMachines, string(machine.ID))
 			}
@@ -71,8 +71,8 @@
 		if !slices.Contains(zoneMachines, self) {
 			continue
 		}
-		mine.zoneOrder = placement.Rank("activation/"+model.Name+"/"+model.Version, zoneMachines)
-		result = append(result, mine)
+		own.zoneOrder = placement.Rank("activation/"+model.Name+"/"+model.Version, zoneMachines)
+		result = append(result, own)
 	}
 	return result
 }
--- a/internal/agent/gate.go
+++ b/internal/agent/gate.go
@@ -24,12 +24,12 @@
 
 const entryRole = string(external.RoleEntry)
 
-// answersKept is how many answers of non-repeatable calls are remembered, for
-// entries that lost their link and for callers that send a key again.
-const answersKept = 4096
+// maxKeptAnswers limits the recorded answers of non-repeatable calls. They are
+// replayed to entries that lost their link and to callers that reuse a key.
+const maxKeptAnswers = 4096
 
-// running is one attempt under way.
-type running struct {
+// runningAttempt is an attempt that is in progress.
+type runningAttempt struct {
 	cancel     context.CancelFunc
 	link       *peering.Link
 	repeatable bool
@@ -37,7 +37,7 @@
 	version    string
 }
 
-// gate admits attempts to the machine's engine or plain service.
+// gate is the admission control in front of the machine's engine or plain service.
 type gate struct {
 	node    *node.Node
 	options Options
@@ -47,7 +47,7 @@
 	mutex    sync.Mutex
 	ledger   *attempt.Ledger
 	sessions map[*peering.Link]uint64
-	running  map[attempt.ID]*running
+	running  map[attempt.ID]*runningAttempt
 	keys     *keyLedger
 }
 
@@ -56,8 +56,8 @@
 		node: base, options: options, engine: engine, service: service,
 		ledger:   attempt.NewLedger(base.Incarnation()),
 		sessions: map[*peering.Link]uint64{},
-		running:  map[attempt.ID]*running{},
-		keys:     newKeyLedger(answersKept),
+		running:  map[attempt.ID]*runningAttempt{},
+		keys:     newKeyLedger(maxKeptAnswers),
 	}
 	base.Hub.OnOpen(g.openSession)
 	base.Hub.OnLost(g.closeSession)
@@ -67,20 +67,20 @@
 	return g
 }
 
-// open returns how many attempts run.
-func (g *gate) open() int {
+// openCount returns the number of running attempts.
+func (g *gate) openCount() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return len(g.running)
 }
 
-// openOn returns how many attempts run on one version of a model.
-func (g *gate) openOn(model, version string) int {
+// openCountOf returns the number of attempts running on a version of a model.
+func (g *gate) openCountOf(model, version string) int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	count := 0
-	for _, work := range g.running {
-		if work.model == model && work.version == version {
+	for _, running := range g.running {
+		if running.model == model && running.version == version {
 			count++
 		}
 	}
@@ -98,20 +98,20 @@
 	_ = peering.Send(link, protocol.TopicSession, "", protocol.Session{Incarnation: g.node.Incarnation(), Session: session})
 }
 
-// closeSession ends a link's session. Work that may be repeated is cancelled,
-// because nobody can receive it; other work runs to its end.
+// closeSession ends a link's session. Repeatable attempts are cancelled, because
+// their results can no longer be delivered; others run to completion.
 func (g *gate) closeSession(link *peering.Link) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	session, held := g.sessions[link]
-	if !held {
+	session, exists := g.sessions[link]
+	if !exists {
 		return
 	}
 	delete(g.sessions, link)
 	g.ledger.Close(session)
-	for _, work := range g.running {
-		if work.link == link && work.repeatable {
-			work.cancel()
+	for _, running := range g.running {
+		if running.link == link && running.repeatable {
+			running.cancel()
 		}
 	}
 }
@@ -124,7 +124,7 @@
 	}
 	ctx, refusal := g.admit(link, submit)
 	if ctx == nil && refusal == nil {
-		// The first submission of this attempt answers.
+		// This attempt was already submitted; the first submission answers.
 		return
 	}
 	if refusal != nil {
@@ -134,15 +134,16 @@
 	go g.run(ctx, link, submit)
 }
 
-// admit decides under one lock whether an attempt starts. A refusal is proof
-// that it never will; an attempt that was submitted before gets neither.
+// admit decides under the lock whether an attempt starts. A refusal guarantees that
+// the attempt never runs. For an attempt that was submitted before, both results
+// are nil.
 func (g *gate) admit(link *peering.Link, submit protocol.Submit) (context.Context, *fault.Refusal) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if known := g.ledger.Inquire(submit.ID); known == attempt.Running || known == attempt.Ran {
 		return nil, nil
 	}
-	if refusal := g.refuse(submit); refusal != nil {
+	if refusal := g.checkSubmit(submit); refusal != nil {
 		g.ledger.Revoke(submit.ID)
 		return nil, refusal
 	}
@@ -159,16 +160,16 @@
 	}
 	remaining := time.Duration(submit.RemainingMilliseconds) * time.Millisecond
 	ctx, cancel := context.WithTimeout(context.Background(), remaining)
-	work := &running{cancel: cancel, link: link, repeatable: submit.Repeatable}
+	started := &runningAttempt{cancel: cancel, link: link, repeatable: submit.Repeatable}
 	if submit.Generate != nil {
-		work.model, work.version = submit.Generate.Model, submit.Generate.Version
+		started.model, started.version = submit.Generate.Model, submit.Generate.Version
 	}
-	g.running[submit.ID] = work
+	g.running[submit.ID] = started
 	return ctx, nil
 }
 
-// refuse returns why work can't be taken now, or nil.
-func (g *gate) refuse(submit protocol.Submit) *fault.Refusal {
+// checkSubmit returns the reason why an attempt can't be accepted now, or nil.
+func (g *gate) checkSubmit(submit protocol.Submit) *fault.Refusal {
 	switch {
 	case g.node.Leaving():
 		return fault.NotRun(fault.ReasonLeaving, "the back end is leaving")
@@ -177,14 +178,14 @@
 	case submit.RemainingMilliseconds <= 0:
 		return fault.NotRun(fault.ReasonDeadline, "no time is left")
 	case submit.Generate != nil:
-		return g.refuseGenerate(submit.Generate)
+		return g.checkGenerate(submit.Generate)
 	case submit.Call != nil && submit.Call.Service == g.options.Service && g.service != nil:
 		return nil
 	}
 	return fault.NotRun(fault.ReasonUnknownService, "the back end does not serve this")
 }
 
-func (g *gate) refuseGenerate(work *protocol.Generate) *fault.Refusal {
+func (g *gate) checkGenerate(work *protocol.Generate) *fault.Refusal {
 	served, _ := blackboard.Read(g.node.Board, ServedKey)
 	serves := func(v protocol.ServedVersion) bool {
 		return v.Model == work.Model && v.Version == work.Version &&
@@ -196,13 +197,13 @@
 	return nil
 }
 
-// finish takes an attempt out of the running set; it never runs again.
+// finish removes an attempt from the running set; it never runs again.
 func (g *gate) finish(id attempt.ID) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.ledger.Finish(id)
-	if work, held := g.running[id]; held {
-		work.cancel()
+	if running, found := g.running[id]; found {
+		running.cancel()
 		delete(g.running, id)
 	}
 }
@@ -216,8 +217,8 @@
 	g.call(ctx, link, submit)
 }
 
-// generate streams an engine's answer, checking on each token that it comes
-// from the pinned version and one engine life.
+// generate streams an engine's answer. It checks for each token that it is in order
+// and comes from the pinned version and a single engine incarnation.
 func (g *gate) generate(ctx context.Context, link *peering.Link, submit protocol.Submit) {
 	work := submit.Generate
 	generation := external.Generation{
@@ -242,19 +243,20 @@
 		return g.deliver(link, protocol.Event{ID: submit.ID, Kind: protocol.Token, Index: event.Index, Token: event.Token, Version: event.Version})
 	})
 	if err != nil {
-		g.fail(ctx, link, submit.ID, err)
+		g.reportFailure(ctx, link, submit.ID, err)
 	}
 }
 
-// fail reports an attempt that did not end well. Only a failure to connect, or
-// the engine's own refusal before the first token, proves that it did not run.
-func (g *gate) fail(ctx context.Context, link *peering.Link, id attempt.ID, err error) {
+// reportFailure sends the failure of an attempt to its entry. Only a failed connection
+// attempt, or a refusal by the engine before the first token, proves that the attempt
+// did not run.
+func (g *gate) reportFailure(ctx context.Context, link *peering.Link, id attempt.ID, err error) {
 	event := protocol.Event{ID: id, Kind: protocol.Failed, Reason: fault.ReasonBackendFailed, Detail: err.Error()}
 	var refusal *fault.Refusal
 	switch {
 	case errors.As(err, &refusal):
 		event.Reason = refusal.Reason
-	case neverSent(err):
+	case provesNotRun(err):
 		event.Kind = protocol.Refused
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		event.Reason = fault.ReasonDeadline
@@ -264,9 +266,9 @@
 	g.send(link, event)
 }
 
-// neverSent reports whether an error proves that the back end never got the
-// request or refused it whole.
-func neverSent(err error) bool {
+// provesNotRun reports whether an error proves that the back end never received the
+// request or refused it before running it.
+func provesNotRun(err error) bool {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
 		return true
@@ -287,8 +289,8 @@
 		ContentType: work.ContentType, Body: work.Body, Repeatable: submit.Repeatable,
 	})
 	if err != nil {
-		g.forgetKeyIfUnsent(submit, err)
-		g.fail(ctx, link, submit.ID, err)
+		g.releaseKeyIfNotRun(submit, err)
+		g.reportFailure(ctx, link, submit.ID, err)
 		return
 	}
 	recorded := &protocol.Answer{Status: answer.Status, ContentType: answer.ContentType, Body: answer.Body}
@@ -300,8 +302,8 @@
 	g.send(link, protocol.Event{ID: submit.ID, Kind: protocol.Answered, Answer: recorded})
 }
 
-// answerKnownKey replays the answer of a caller's key that was used before, or
-// claims the key.
+// answerKnownKey replays the recorded answer when the caller's key was used before;
+// otherwise it claims the key and returns false.
 func (g *gate) answerKnownKey(link *peering.Link, submit protocol.Submit) bool {
 	g.mutex.Lock()
 	answer, known := g.keys.claim(submit)
@@ -317,8 +319,8 @@
 	return true
 }
 
-func (g *gate) forgetKeyIfUnsent(submit protocol.Submit, err error) {
-	if !neverSent(err) {
+func (g *gate) releaseKeyIfNotRun(submit protocol.Submit, err error) {
+	if !provesNotRun(err) {
 		return
 	}
 	g.mutex.Lock()
@@ -333,10 +335,10 @@
 	}
 	g.mutex.Lock()
 	outcome := g.ledger.Revoke(reference.ID)
-	work := g.running[reference.ID]
+	running := g.running[reference.ID]
 	g.mutex.Unlock()
-	if outcome == attempt.Running && work != nil {
-		work.cancel()
+	if outcome == attempt.Running && running != nil {
+		running.cancel()
 	}
 	if outcome == attempt.NotRun {
 		g.send(link, protocol.Event{ID: reference.ID, Kind: protocol.Refused, Reason: fault.ReasonRevoked})
@@ -357,12 +359,12 @@
 	_ = peering.Send(link, protocol.TopicResolved, "", resolved)
 }
 
-// deliver sends an event and fails when the link is lost, which ends the work.
+// deliver sends an event. It fails when the link is lost, which ends the attempt.
 func (g *gate) deliver(link *peering.Link, event protocol.Event) error {
 	return peering.Send(link, protocol.TopicEvent, "", event)
 }
 
 func (g *gate) send(link *peering.Link, event protocol.Event) {
-	// When the link is lost the entry inquires over a new one.
+	// The error can be ignored: when the link is lost, the entry inquires over a new one.
 	_ = g.deliver(link, event)
 }
--- a/internal/agent/keys.go
+++ b/internal/agent/keys.go
@@ -7,21 +7,21 @@
 	"pinevane.example/pinevane/internal/protocol"
 )
 
-// keyName is a caller's key within its tenant.
+// keyName identifies a caller's idempotency key within its tenant.
 type keyName struct {
 	tenant string
 	key    string
 }
 
-// keyEntry is a non-repeatable call that started; the answer is nil until it
-// has ended well.
+// keyEntry records a non-repeatable call that has started; its answer is nil
+// until the call has succeeded.
 type keyEntry struct {
 	name   keyName
 	id     attempt.ID
 	answer *protocol.Answer
 }
 
-// keyLedger remembers the newest non-repeatable calls, by attempt and by the
+// keyLedger records the most recent non-repeatable calls, by attempt and by the
 // caller's key. It is not safe for concurrent use.
 type keyLedger struct {
 	limit  int
@@ -38,8 +38,8 @@
 	return keyName{tenant: submit.Tenant, key: submit.Key}
 }
 
-// claim takes a key for an attempt. When the key is taken, known is true and
-// the answer is that of the earlier call, or nil while it has none.
+// claim reserves a key for an attempt. If the key is already in use, known is
+// true and answer is that of the earlier call, or nil while there is none.
 func (l *keyLedger) claim(submit protocol.Submit) (answer *protocol.Answer, known bool) {
 	if earlier, taken := l.byKey[nameOf(submit)]; taken {
 		return earlier.answer, true
@@ -48,7 +48,7 @@
 	return nil, false
 }
 
-// release frees a key whose call provably did not run.
+// release removes a key whose call certainly did not run.
 func (l *keyLedger) release(submit protocol.Submit) {
 	entry, held := l.byID[submit.ID]
 	if !held {
@@ -58,7 +58,7 @@
 	l.recent = slices.DeleteFunc(l.recent, func(other *keyEntry) bool { return other == entry })
 }
 
-// record keeps the answer of a non-repeatable call.
+// record stores the answer of a non-repeatable call.
 func (l *keyLedger) record(submit protocol.Submit, answer *protocol.Answer) {
 	entry, held := l.byID[submit.ID]
 	if !held {
--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -11,11 +11,11 @@
 	"pinevane.example/pinevane/internal/protocol"
 )
 
-// statusHeartbeat is the period of statuses when nothing changes.
-const statusHeartbeat = 2 * time.Second
+// heartbeatPeriod is the period of status reports when nothing changes.
+const heartbeatPeriod = 2 * time.Second
 
-// statusController tells every linked entry of this agent: on each change, and
-// as a heartbeat.
+// statusController sends status reports to every connected entry: on each
+// change, and periodically as a heartbeat.
 type statusController struct {
 	node      *node.Node
 	service   string
@@ -31,7 +31,7 @@
 
 func (c *statusController) run(ctx context.Context) {
 	changed := c.node.Board.Watch(ctx, ServedKey.Name())
-	ticker := time.NewTicker(statusHeartbeat)
+	ticker := time.NewTicker(heartbeatPeriod)
 	defer ticker.Stop()
 	for {
 		c.sendAll()
@@ -61,11 +61,12 @@
 	}
 }
 
-// send tells one process if it is an entry; others don't route.
+// send sends a status report to a process if it is an entry; other processes
+// route no requests.
 func (c *statusController) send(link *peering.Link) {
 	if link.Remote().Role != entryRole || c.openCount == nil {
 		return
 	}
-	// A failed send loses the link; the entry notices.
+	// A failed send closes the link, which the entry detects.
 	_ = peering.Send(link, protocol.TopicStatus, "", c.current())
 }
--- a/internal/agent/transfer.go
+++ b/internal/agent/transfer.go
@@ -19,53 +19,55 @@
 	"pinevane.example/pinevane/internal/weights"
 )
 
-// Periods of a transfer.
+// Periods and limits of a transfer.
 const (
-	// manifestRetry is the pause between rounds of asking for a manifest.
-	manifestRetry = 100 * time.Millisecond
-	// fetcherTick is the period of the fetcher's clock.
+	// manifestRetryDelay is the delay between attempts to fetch a manifest or to list
+	// the store.
+	manifestRetryDelay = 100 * time.Millisecond
+	// fetcherTick is the period at which the fetcher checks its timeouts.
 	fetcherTick = 100 * time.Millisecond
-	// offerTimeout bounds the delivery of an offer.
+	// offerTimeout limits the delivery of an offer and a manifest request to a peer.
 	offerTimeout = 2 * time.Second
-	// minimumBytesPerWindow is the least progress that a transfer must make in a
+	// minBytesPerWindow is the minimum progress that a transfer must make in a
 	// stall window.
-	minimumBytesPerWindow = 16 << 10
+	minBytesPerWindow = 16 << 10
 )
 
-// transfer brings one manifest's chunks to this machine.
+// transfer fetches the chunks of a manifest into this machine's store.
 type transfer struct {
-	owner   *weightsController
-	cancel  context.CancelFunc
-	began   time.Time
-	updates chan struct{}
+	owner     *weightsController
+	cancel    context.CancelFunc
+	startedAt time.Time
+	updates   chan struct{}
 
-	mutex      sync.Mutex
-	assigned   assignment
-	plan       dissemination.Plan
-	manifest   *weights.Manifest
-	fetcher    *dissemination.Fetcher
-	progress   RolloutProgress
-	stagedDone bool
-	// peerBytes and originBytes count what arrived.
+	mutex     sync.Mutex
+	assigned  assignment
+	plan      dissemination.Plan
+	manifest  *weights.Manifest
+	fetcher   *dissemination.Fetcher
+	progress  RolloutProgress
+	announced bool
+	// peerBytes and originBytes count the bytes received.
 	peerBytes   atomic.Int64
 	originBytes atomic.Int64
 }
 
 func newTransfer(owner *weightsController, assigned assignment, cancel context.CancelFunc) *transfer {
 	t := &transfer{
-		owner: owner, cancel: cancel, began: time.Now(), assigned: assigned,
+		owner: owner, cancel: cancel, startedAt: time.Now(), assigned: assigned,
 		updates: make(chan struct{}, 1),
 		progress: RolloutProgress{
 			Model: assigned.model.Name, Version: assigned.model.Version,
 			Manifest: assigned.digest, NoticedAt: time.Now(),
 		},
 	}
-	t.arrange()
+	t.updatePlan()
 	return t
 }
 
-// arrange computes the plan from the assignment; the mutex is held or not needed.
-func (t *transfer) arrange() {
+// updatePlan computes the plan from the assignment. The mutex is held, or the
+// transfer is not shared yet.
+func (t *transfer) updatePlan() {
 	roster := dissemination.NewRoster(t.assigned.machines)
 	t.plan = dissemination.NewPlan(dissemination.StrategyRotated, roster)
 }
@@ -74,18 +76,18 @@
 	return dissemination.MachineID(t.owner.node.ID())
 }
 
-func (t *transfer) now() time.Duration { return time.Since(t.began) }
+func (t *transfer) elapsed() time.Duration { return time.Since(t.startedAt) }
 
-// reassign takes over a new membership list.
+// reassign applies an assignment with a new membership list.
 func (t *transfer) reassign(assigned assignment) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.assigned = assigned
-	t.arrange()
+	t.updatePlan()
 	if t.fetcher != nil {
-		t.fetcher.SetPlan(t.plan, t.now())
+		t.fetcher.SetPlan(t.plan, t.elapsed())
 	}
-	t.poke()
+	t.notify()
 }
 
 func (t *transfer) missingChunks() int {
@@ -97,7 +99,7 @@
 	return t.fetcher.Missing()
 }
 
-func (t *transfer) progressNow() RolloutProgress {
+func (t *transfer) currentProgress() RolloutProgress {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	progress := t.progress
@@ -108,40 +110,41 @@
 	return progress
 }
 
-// poke asks the run loop to carry out new actions.
-func (t *transfer) poke() {
+// notify wakes the run loop to start new actions.
+func (t *transfer) notify() {
 	select {
 	case t.updates <- struct{}{}:
 	default:
 	}
 }
 
-// run transfers until the context ends; a complete machine goes on answering.
+// run fetches chunks until the context ends. After the last chunk it continues, to
+// answer the offers and queries of peers.
 func (t *transfer) run(ctx context.Context) {
-	data, manifest := t.findManifest(ctx)
+	data, manifest := t.fetchManifest(ctx)
 	if manifest == nil {
 		return
 	}
 	held := t.heldChunks(ctx, manifest)
-	t.begin(manifest, held)
-	for _, early := range t.owner.manifestKnown(t.progress.Manifest, data) {
-		t.take(early)
+	t.startFetcher(manifest, held)
+	for _, early := range t.owner.storeManifest(t.progress.Manifest, data) {
+		t.applyOffer(early)
 	}
 	ticker := time.NewTicker(fetcherTick)
 	defer ticker.Stop()
-	lastReport := time.Now()
+	lastPublished := time.Now()
 	for {
-		t.carryOut(ctx)
-		t.checkStaged()
-		if time.Since(lastReport) > progressPeriod {
-			lastReport = time.Now()
+		t.startActions(ctx)
+		t.announceIfComplete()
+		if time.Since(lastPublished) > progressPeriod {
+			lastPublished = time.Now()
 			t.owner.publishProgress()
 		}
 		select {
 		case <-t.updates:
 		case <-ticker.C:
 			t.mutex.Lock()
-			t.fetcher.Tick(t.now())
+			t.fetcher.Tick(t.elapsed())
 			t.mutex.Unlock()
 		case <-ctx.Done():
 			return
@@ -149,40 +152,40 @@
 	}
 }
 
-// findManifest asks the tree's ancestors, and the origin when there are none or
-// they stay silent.
-func (t *transfer) findManifest(ctx context.Context) ([]byte, *weights.Manifest) {
+// fetchManifest fetches the manifest from the ancestors in the distribution tree, and
+// from the origin if there are none or they do not deliver it in time.
+func (t *transfer) fetchManifest(ctx context.Context) ([]byte, *weights.Manifest) {
 	for ctx.Err() == nil {
 		t.mutex.Lock()
 		plan, digest := t.plan, t.assigned.digest
-		turn := slices.Index(plan.OriginReaders(0, t.self()), t.self())
+		rank := slices.Index(plan.OriginReaders(0, t.self()), t.self())
 		t.mutex.Unlock()
 		if data, manifest := t.manifestFromAncestors(ctx, plan, digest); manifest != nil {
 			return data, manifest
 		}
 		_, hasParent := plan.Parent(0, t.self())
-		myTurn := turn >= 0 && t.now() > time.Duration(turn+1)*t.owner.options.RepairPatience
-		if !hasParent || myTurn {
+		fallbackDue := rank >= 0 && t.elapsed() > time.Duration(rank+1)*t.owner.options.RepairPatience
+		if !hasParent || fallbackDue {
 			data, err := t.owner.origin.Manifest(ctx, digest)
 			if manifest := t.acceptManifest(data, digest, err); manifest != nil {
 				return data, manifest
 			}
 		}
-		waiting.For(ctx, manifestRetry)
+		waiting.For(ctx, manifestRetryDelay)
 	}
 	return nil, nil
 }
 
 func (t *transfer) manifestFromAncestors(ctx context.Context, plan dissemination.Plan, digest weights.Digest) ([]byte, *weights.Manifest) {
 	current := t.self()
-	for range maximumManifestAncestors {
+	for range maxManifestAncestors {
 		parent, exists := plan.Parent(0, current)
 		if !exists {
 			return nil, nil
 		}
 		if address, known := t.owner.addressOf(parent); known {
-			askContext, cancel := context.WithTimeout(ctx, offerTimeout)
-			data, err := t.owner.peers.Manifest(askContext, address, digest)
+			requestContext, cancel := context.WithTimeout(ctx, offerTimeout)
+			data, err := t.owner.peers.Manifest(requestContext, address, digest)
 			cancel()
 			if manifest := t.acceptManifest(data, digest, err); manifest != nil {
 				return data, manifest
@@ -193,8 +196,8 @@
 	return nil, nil
 }
 
-// maximumManifestAncestors bounds how far up the tree a manifest is asked for.
-const maximumManifestAncestors = 3
+// maxManifestAncestors limits how many ancestors are asked for a manifest.
+const maxManifestAncestors = 3
 
 func (t *transfer) acceptManifest(data []byte, digest weights.Digest, err error) *weights.Manifest {
 	if err != nil {
@@ -208,13 +211,14 @@
 	return manifest
 }
 
-// heldChunks asks the store what an earlier life or version left.
+// heldChunks reports which chunks the store already holds from an earlier run or
+// version.
 func (t *transfer) heldChunks(ctx context.Context, manifest *weights.Manifest) []bool {
 	held := make([]bool, len(manifest.Chunks))
 	for ctx.Err() == nil {
 		digests, err := t.owner.store.List(ctx)
 		if err != nil {
-			waiting.For(ctx, manifestRetry)
+			waiting.For(ctx, manifestRetryDelay)
 			continue
 		}
 		present := make(map[weights.Digest]bool, len(digests))
@@ -229,7 +233,7 @@
 	return held
 }
 
-func (t *transfer) begin(manifest *weights.Manifest, held []bool) {
+func (t *transfer) startFetcher(manifest *weights.Manifest, held []bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.manifest = manifest
@@ -239,39 +243,39 @@
 		Self: t.self(), Plan: t.plan, Chunks: len(manifest.Chunks), Held: held,
 		ProgressTimeout: t.owner.options.RepairPatience,
 	})
-	t.fetcher.Start(t.now())
+	t.fetcher.Start(t.elapsed())
 	t.owner.node.Log.Log(logging.ManifestFetched, zap.String("model", manifest.Model),
 		zap.String("version", manifest.Version), zap.Int("chunks", len(manifest.Chunks)), zap.Int("missing", t.fetcher.Missing()))
 }
 
-// take feeds an offer or a question to the fetcher and answers which of the
-// asked chunks can be had here.
-func (t *transfer) take(incoming offer) dissemination.QueryReply {
+// applyOffer passes an offer or a query to the fetcher and returns which of the
+// requested chunks are available here.
+func (t *transfer) applyOffer(incoming offer) dissemination.QueryReply {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.fetcher == nil {
 		return dissemination.QueryReply{}
 	}
-	defer t.poke()
+	defer t.notify()
 	if incoming.Query {
-		return t.fetcher.HandleQuery(incoming.From, incoming.Chunks, int(t.owner.waitingUploads.Load()), t.now())
+		return t.fetcher.HandleQuery(incoming.From, incoming.Chunks, int(t.owner.waitingUploads.Load()), t.elapsed())
 	}
 	for _, chunk := range incoming.Chunks {
-		t.fetcher.RecordOffer(incoming.From, chunk, t.now())
+		t.fetcher.RecordOffer(incoming.From, chunk, t.elapsed())
 	}
 	return dissemination.QueryReply{}
 }
 
-// carryOut starts the fetcher's actions.
-func (t *transfer) carryOut(ctx context.Context) {
+// startActions starts the fetcher's pending actions.
+func (t *transfer) startActions(ctx context.Context) {
 	t.mutex.Lock()
 	actions := t.fetcher.TakeActions()
 	t.mutex.Unlock()
-	turn := dissemination.GroupByPeer(actions)
-	for _, action := range turn.Fetches {
+	grouped := dissemination.GroupByPeer(actions)
+	for _, action := range grouped.Fetches {
 		go t.fetch(ctx, action)
 	}
-	for _, message := range turn.Messages {
+	for _, message := range grouped.Messages {
 		go t.sendOffer(ctx, message)
 	}
 }
@@ -281,8 +285,8 @@
 	answer, err := t.postOffer(ctx, message.Peer, body)
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.fetcher.RecordDelivery(message.Peer, message.Chunks, message.Query, err != nil, answer, t.now())
-	t.poke()
+	t.fetcher.RecordDelivery(message.Peer, message.Chunks, message.Query, err != nil, answer, t.elapsed())
+	t.notify()
 }
 
 func (t *transfer) postOffer(ctx context.Context, peer dissemination.MachineID, body offer) (dissemination.QueryReply, error) {
@@ -308,7 +312,7 @@
 	return answer, nil
 }
 
-// fetch transfers one chunk into the store and reports how it went.
+// fetch transfers a chunk into the store and records the result.
 func (t *transfer) fetch(ctx context.Context, action dissemination.Action) {
 	chunk := t.manifest.Chunks[action.Chunk]
 	err := t.transferChunk(ctx, action, chunk)
@@ -317,18 +321,18 @@
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	defer t.poke()
+	defer t.notify()
 	if err == nil {
 		if t.progress.FirstChunkAt.IsZero() {
 			t.progress.FirstChunkAt = time.Now()
 		}
-		t.fetcher.RecordFetched(action.Peer, action.Chunk, t.now())
+		t.fetcher.RecordFetched(action.Peer, action.Chunk, t.elapsed())
 		return
 	}
-	t.fetcher.RecordFetchFailure(action.Peer, action.Chunk, t.reasonOf(err, action), t.now())
+	t.fetcher.RecordFetchFailure(action.Peer, action.Chunk, t.failureReason(err, action), t.elapsed())
 }
 
-func (t *transfer) reasonOf(err error, action dissemination.Action) dissemination.FailureReason {
+func (t *transfer) failureReason(err error, action dissemination.Action) dissemination.FailureReason {
 	var corrupt *fault.Corrupt
 	var stalled *fault.Stalled
 	var unavailable *fault.Unavailable
@@ -352,17 +356,17 @@
 	if action.Kind == dissemination.FetchOrigin {
 		source, counter, label = "origin", &t.originBytes, "origin"
 	}
-	guard := newStallGuard(source, t.owner.options.StallWindow, cancel)
-	defer guard.stop()
+	detector := newStallDetector(source, t.owner.options.StallWindow, cancel)
+	defer detector.stop()
 	body, err := t.open(ctx, action, chunk)
 	if err != nil {
 		return causeOf(ctx, err)
 	}
 	defer func() { _ = body.Close() }()
-	guard.reader = &shapedReader{ctx: ctx, reader: body, limiter: t.owner.downlink}
-	err = t.owner.store.Put(ctx, chunk, weights.NewVerifier(guard, chunk, source))
-	counter.Add(guard.received.Load())
-	t.owner.received.WithLabelValues(label).Add(float64(guard.received.Load()))
+	detector.reader = &rateLimitedReader{ctx: ctx, reader: body, limiter: t.owner.downlink}
+	err = t.owner.store.Put(ctx, chunk, weights.NewVerifier(detector, chunk, source))
+	counter.Add(detector.received.Load())
+	t.owner.received.WithLabelValues(label).Add(float64(detector.received.Load()))
 	return causeOf(ctx, err)
 }
 
@@ -377,8 +381,8 @@
 	return t.owner.peers.Chunk(ctx, address, chunk.Digest)
 }
 
-// causeOf prefers the reason a transfer was cancelled for over the error that
-// the cancellation showed as.
+// causeOf returns the reason for which a transfer was cancelled instead of the error
+// that the cancellation produced.
 func causeOf(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); err != nil && cause != nil {
 		return cause
@@ -386,14 +390,14 @@
 	return err
 }
 
-// checkStaged announces the version once every chunk is verified and stored.
-func (t *transfer) checkStaged() {
+// announceIfComplete announces the version as staged once all chunks are verified and stored.
+func (t *transfer) announceIfComplete() {
 	t.mutex.Lock()
-	if t.stagedDone || t.fetcher.Missing() > 0 {
+	if t.announced || t.fetcher.Missing() > 0 {
 		t.mutex.Unlock()
 		return
 	}
-	t.stagedDone = true
+	t.announced = true
 	t.progress.StagedAt = time.Now()
 	staged := StagedVersion{
 		Model: t.manifest.Model, Version: t.manifest.Version, Digest: t.progress.Manifest,
--- a/internal/agent/transfer_reader.go
+++ b/internal/agent/transfer_reader.go
@@ -12,15 +12,15 @@
 	"pinevane.example/pinevane/internal/fault"
 )
 
-// shapedReader reads no faster than a limiter allows.
-type shapedReader struct {
+// rateLimitedReader limits the rate of reads.
+type rateLimitedReader struct {
 	ctx     context.Context
 	reader  io.Reader
 	limiter *rate.Limiter
 }
 
 // Read implements io.Reader.
-func (r *shapedReader) Read(buffer []byte) (int, error) {
+func (r *rateLimitedReader) Read(buffer []byte) (int, error) {
 	count, err := r.reader.Read(buffer[:min(len(buffer), transferBlock)])
 	if count > 0 {
 		if waitErr := r.limiter.WaitN(r.ctx, count); waitErr != nil {
@@ -30,59 +30,59 @@
 	return count, err
 }
 
-// stallGuard cancels a transfer that makes too little progress in a window,
-// whatever the state of its connection.
-type stallGuard struct {
+// stallDetector cancels a transfer that makes too little progress in a window,
+// regardless of the state of its connection.
+type stallDetector struct {
 	reader   io.Reader
 	received atomic.Int64
 	done     atomic.Bool
 
-	// mutex has a look at the progress wait until its timer is known here: of a short window it comes
-	// before time.AfterFunc has returned.
+	// mutex makes the timer's callback wait until timer is set: with a short window the callback
+	// runs before time.AfterFunc has returned.
 	mutex sync.Mutex
 	timer *time.Timer
 }
 
-// busyWindows is how many windows a source may take to begin: it sends few
-// chunks at once and lets others wait.
-const busyWindows = 5
+// startWindows is the number of windows within which the first byte must arrive. It is
+// more than one because a source limits its concurrent uploads and queues the others.
+const startWindows = 5
 
-func newStallGuard(source string, window time.Duration, cancel context.CancelCauseFunc) *stallGuard {
-	guard := &stallGuard{}
-	var before int64
+func newStallDetector(source string, window time.Duration, cancel context.CancelCauseFunc) *stallDetector {
+	detector := &stallDetector{}
+	var previous int64
 	windows := 0
-	guard.mutex.Lock()
-	defer guard.mutex.Unlock()
-	guard.timer = time.AfterFunc(window, func() {
-		guard.mutex.Lock()
-		defer guard.mutex.Unlock()
-		received := guard.received.Load()
-		if guard.done.Load() {
+	detector.mutex.Lock()
+	defer detector.mutex.Unlock()
+	detector.timer = time.AfterFunc(window, func() {
+		detector.mutex.Lock()
+		defer detector.mutex.Unlock()
+		received := detector.received.Load()
+		if detector.done.Load() {
 			return
 		}
 		windows++
-		if received == 0 && windows < busyWindows {
-			guard.timer.Reset(window)
+		if received == 0 && windows < startWindows {
+			detector.timer.Reset(window)
 			return
 		}
-		if received-before < minimumBytesPerWindow {
+		if received-previous < minBytesPerWindow {
 			cancel(&fault.Stalled{Source: source, Received: received, Window: window})
 			return
 		}
-		before = received
-		guard.timer.Reset(window)
+		previous = received
+		detector.timer.Reset(window)
 	})
-	return guard
+	return detector
 }
 
 // Read implements io.Reader.
-func (g *stallGuard) Read(buffer []byte) (int, error) {
+func (g *stallDetector) Read(buffer []byte) (int, error) {
 	count, err := g.reader.Read(buffer)
 	g.received.Add(int64(count))
 	return count, err
 }
 
-func (g *stallGuard) stop() {
+func (g *stallDetector) stop() {
 	g.done.Store(true)
 	g.timer.Stop()
 }
--- a/internal/agent/transfer_reader_test.go
+++ b/internal/agent/transfer_reader_test.go
@@ -10,14 +10,15 @@
 	"pinevane.example/pinevane/internal/fault"
 )
 
-// A guard whose window is over at once, as on a machine that has no time to spare, looks at its timer
-// while it is still being made. The race detector shows that.
-func TestStallGuardOfAShortWindow(t *testing.T) {
+// With a very short window, the timer's callback runs before time.AfterFunc has returned, as on a
+// machine under load. Without the mutex it reads the timer field while that is being set, which the
+// race detector reports.
+func TestStallDetectorWithShortWindow(t *testing.T) {
 	for range 200 {
 		ctx, cancel := context.WithCancelCause(t.Context())
-		guard := newStallGuard("source", time.Nanosecond, cancel)
+		detector := newStallDetector("source", time.Nanosecond, cancel)
 		<-ctx.Done()
-		guard.stop()
+		detector.stop()
 		var stalled *fault.Stalled
 		require.ErrorAs(t, context.Cause(ctx), &stalled)
 	}
--- a/internal/agent/weights.go
+++ b/internal/agent/weights.go
@@ -24,7 +24,7 @@
 	"pinevane.example/pinevane/internal/weights"
 )
 
-// RolloutProgress is how far one version has come on this machine. Times are
+// RolloutProgress is the transfer progress of a version on this machine. Times are
 // zero until the phase is reached.
 type RolloutProgress struct {
 	Model        string         `json:"model"`
@@ -36,7 +36,7 @@
 	ManifestAt   time.Time      `json:"manifest_at"`
 	FirstChunkAt time.Time      `json:"first_chunk_at"`
 	StagedAt     time.Time      `json:"staged_at"`
-	// PeerBytes and OriginBytes are what was received, failed transfers included.
+	// PeerBytes and OriginBytes count the bytes received, including failed transfers.
 	PeerBytes   int64 `json:"peer_bytes"`
 	OriginBytes int64 `json:"origin_bytes"`
 }
@@ -53,13 +53,13 @@
 
 // Limits of an agent's transfers.
 const (
-	// maximumUploads is how many chunks are sent to peers at once.
-	maximumUploads = 8
-	// maximumEarlyOffers bounds offers for manifests not known yet.
-	maximumEarlyOffers = 64 << 10
-	// maximumOfferBytes bounds the body of an offer.
-	maximumOfferBytes = 1 << 20
-	// progressPeriod is how often progress is written to the blackboard.
+	// maxUploads limits the chunks that are sent to peers concurrently.
+	maxUploads = 8
+	// maxEarlyOffers limits the chunks offered for manifests that are not known yet.
+	maxEarlyOffers = 64 << 10
+	// maxOfferBytes limits the size of an offer's body.
+	maxOfferBytes = 1 << 20
+	// progressPeriod is the minimum time between updates of the progress on the blackboard.
 	progressPeriod = 250 * time.Millisecond
 )
 
@@ -69,24 +69,24 @@
 	Manifest weights.Digest          `cbor:"2,keyasint"`
 	// Chunks are indexes into the manifest.
 	Chunks []int `cbor:"3,keyasint"`
-	// Query is set when the sender wants the chunks instead of offering them.
+	// Query is set when the sender requests the chunks instead of offering them.
 	Query bool `cbor:"4,keyasint,omitempty"`
 }
 
 const offerPath = "/v1/offers"
 
-// weightsController brings the weights of assigned models to this machine.
+// weightsController transfers the weights of assigned models to this machine.
 type weightsController struct {
 	node    *node.Node
 	options Options
 	origin  external.Origin
 	store   external.Store
 	peers   *external.HTTPPeerStore
-	// downlink and uplink hold weights to their share of the machine's link.
+	// downlink and uplink limit weights to their fraction of the machine's link.
 	downlink *rate.Limiter
 	uplink   *rate.Limiter
 	uploads  chan struct{}
-	// waitingUploads counts the uploads that wait for their turn.
+	// waitingUploads counts the uploads that wait for a free upload slot.
 	waitingUploads atomic.Int64
 	received       *prometheus.CounterVec
 
@@ -95,7 +95,8 @@
 	transfers map[weights.Digest]*transfer
 	manifests map[weights.Digest][]byte
 	staged    map[weights.Digest]StagedVersion
-	// early holds offers for manifests that are not known yet.
+	// early holds offers for manifests that are not known yet; earlyCount is the
+	// number of chunks in them.
 	early      map[weights.Digest][]offer
 	earlyCount int
 }
@@ -108,7 +109,7 @@
 		peers:     external.NewHTTPPeerStore(),
 		downlink:  newLinkLimiter(options.LinkBytesPerSecond, 1),
 		uplink:    newLinkLimiter(options.LinkBytesPerSecond, 1),
-		uploads:   make(chan struct{}, maximumUploads),
+		uploads:   make(chan struct{}, maxUploads),
 		transfers: map[weights.Digest]*transfer{},
 		manifests: map[weights.Digest][]byte{},
 		staged:    map[weights.Digest]StagedVersion{},
@@ -125,14 +126,14 @@
 	return controller
 }
 
-// transferBlock is the unit in which transfers are shaped, in bytes.
+// transferBlock is the unit of rate limiting, in bytes.
 const transferBlock = 16 << 10
 
-func newLinkLimiter(bytesPerSecond int64, share float64) *rate.Limiter {
+func newLinkLimiter(bytesPerSecond int64, fraction float64) *rate.Limiter {
 	if bytesPerSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, transferBlock)
 	}
-	return rate.NewLimiter(rate.Limit(float64(bytesPerSecond)*share), 4*transferBlock)
+	return rate.NewLimiter(rate.Limit(float64(bytesPerSecond)*fraction), 4*transferBlock)
 }
 
 func (c *weightsController) run(ctx context.Context) {
@@ -147,15 +148,15 @@
 	}
 }
 
-// reconcile starts the transfers that the snapshot asks for, ends those that
-// it no longer names, and gives the others the newest membership list.
+// reconcile starts the transfers of newly assigned manifests, cancels those that
+// are no longer assigned, and updates the others with the newest membership list.
 func (c *weightsController) reconcile(ctx context.Context) {
 	snapshot, configured := blackboard.Read(c.node.Board, node.SnapshotKey)
 	members, listed := blackboard.Read(c.node.Board, node.MembersKey)
 	if !configured || !listed {
 		return
 	}
-	c.setLinkShare(snapshot.Rollout)
+	c.setLinkFraction(snapshot.Rollout)
 	fleet := newFleet(members)
 	wanted := assignmentsFor(c.node.ID(), c.node.Zone(), c.options.ModelSlots, snapshot, fleet)
 	c.mutex.Lock()
@@ -177,7 +178,7 @@
 	}
 }
 
-func (c *weightsController) setLinkShare(rollout configuration.Rollout) {
+func (c *weightsController) setLinkFraction(rollout configuration.Rollout) {
 	if c.options.LinkBytesPerSecond <= 0 {
 		return
 	}
@@ -186,7 +187,7 @@
 	c.uplink.SetLimit(limit)
 }
 
-// start begins a transfer; the mutex is held.
+// start starts a transfer; the mutex is held.
 func (c *weightsController) start(ctx context.Context, assigned assignment) {
 	c.node.Log.Log(logging.RolloutNoticed, zap.String("model", assigned.model.Name),
 		zap.String("version", assigned.model.Version), zap.Int("machines", len(assigned.machines)))
@@ -196,7 +197,7 @@
 	go started.run(transferContext)
 }
 
-// abandon ends a transfer whose version is no longer wanted; chunks that the
+// abandon cancels a transfer whose version is no longer assigned. Chunks that the
 // next version shares stay in the store. The mutex is held.
 func (c *weightsController) abandon(digest weights.Digest, existing *transfer) {
 	existing.cancel()
@@ -233,7 +234,7 @@
 	c.mutex.Unlock()
 	progress := make([]RolloutProgress, 0, len(transfers))
 	for _, existing := range transfers {
-		progress = append(progress, existing.progressNow())
+		progress = append(progress, existing.currentProgress())
 	}
 	blackboard.Write(c.node.Board, RolloutKey, progress)
 }
@@ -246,8 +247,9 @@
 	return member.Address, known
 }
 
-// manifestKnown stores a verified manifest and hands over early offers.
-func (c *weightsController) manifestKnown(digest weights.Digest, data []byte) []offer {
+// storeManifest stores a verified manifest and returns the offers that arrived
+// before it.
+func (c *weightsController) storeManifest(digest weights.Digest, data []byte) []offer {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.manifests[digest] = data
@@ -260,22 +262,22 @@
 }
 
 func (c *weightsController) handleOffer(writer http.ResponseWriter, request *http.Request) {
-	incoming, received, ok := network.ReadCBOR[offer](writer, request, maximumOfferBytes)
+	incoming, received, ok := network.ReadCBOR[offer](writer, request, maxOfferBytes)
 	if !ok {
 		return
 	}
-	sent := network.WriteCBOR(writer, c.takeOffer(incoming))
+	sent := network.WriteCBOR(writer, c.applyOffer(incoming))
 	c.node.Counters.CountRequest("weights", sent, received)
 }
 
-// takeOffer gives an offer to its transfer, or keeps it until the manifest is
+// applyOffer passes an offer to its transfer, or keeps it until the manifest is
 // known.
-func (c *weightsController) takeOffer(incoming offer) dissemination.QueryReply {
+func (c *weightsController) applyOffer(incoming offer) dissemination.QueryReply {
 	c.mutex.Lock()
 	existing, running := c.transfers[incoming.Manifest]
-	_, manifestHere := c.manifests[incoming.Manifest]
-	if !running || !manifestHere {
-		if c.earlyCount+len(incoming.Chunks) <= maximumEarlyOffers {
+	_, manifestKnown := c.manifests[incoming.Manifest]
+	if !running || !manifestKnown {
+		if c.earlyCount+len(incoming.Chunks) <= maxEarlyOffers {
 			c.early[incoming.Manifest] = append(c.early[incoming.Manifest], incoming)
 			c.earlyCount += len(incoming.Chunks)
 		}
@@ -283,21 +285,21 @@
 		return dissemination.QueryReply{}
 	}
 	c.mutex.Unlock()
-	return existing.take(incoming)
+	return existing.applyOffer(incoming)
 }
 
 func (c *weightsController) serveManifest(writer http.ResponseWriter, request *http.Request) {
 	c.mutex.Lock()
-	data, held := c.manifests[weights.Digest(chi.URLParam(request, "digest"))]
+	data, known := c.manifests[weights.Digest(chi.URLParam(request, "digest"))]
 	c.mutex.Unlock()
-	if !held {
+	if !known {
 		http.Error(writer, "no such manifest", http.StatusNotFound)
 		return
 	}
 	_, _ = writer.Write(data)
 }
 
-// serveChunk streams a chunk from the store to a peer at the uplink's share.
+// serveChunk streams a chunk from the store to a peer within the uplink's rate limit.
 func (c *weightsController) serveChunk(writer http.ResponseWriter, request *http.Request) {
 	c.waitingUploads.Add(1)
 	select {
@@ -319,11 +321,11 @@
 		return
 	}
 	defer func() { _ = content.Close() }()
-	shaped := &shapedReader{ctx: request.Context(), reader: content, limiter: c.uplink}
-	_, _ = io.CopyBuffer(struct{ io.Writer }{writer}, shaped, make([]byte, transferBlock))
+	limited := &rateLimitedReader{ctx: request.Context(), reader: content, limiter: c.uplink}
+	_, _ = io.CopyBuffer(struct{ io.Writer }{writer}, limited, make([]byte, transferBlock))
 }
 
-// collectGarbage deletes chunks that no kept manifest names.
+// collectGarbage deletes chunks that no kept manifest lists.
 func (c *weightsController) collectGarbage(ctx context.Context, kept []weights.Digest) {
 	wanted := map[weights.Digest]bool{}
 	c.mutex.Lock()
