--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
-// Package node is the part that every pinevane process shares: the blackboard,
-// the links to other processes, the publications, the administration endpoints,
-// and the planned stop.
+// Package node implements what all pinevane processes have in common: the
+// blackboard, the links to other processes, the publications, the administration
+// endpoints, and the graceful shutdown.
 package node
 
 import (
@@ -29,33 +29,33 @@
 	"pinevane.example/pinevane/internal/relay"
 )
 
-// The blackboard entries that every process has.
+// The blackboard entries of every process.
 var (
-	// SnapshotKey is the configuration in force.
+	// SnapshotKey holds the configuration in force.
 	SnapshotKey = blackboard.NewKey[*configuration.Snapshot]("configuration.snapshot")
-	// RejectedKey is the newest configuration that was refused.
+	// RejectedKey holds the most recently rejected configuration revision.
 	RejectedKey = blackboard.NewKey[RejectedRevision]("configuration.rejected")
-	// MembersKey is the membership list.
+	// MembersKey holds the membership list.
 	MembersKey = blackboard.NewKey[[]external.Member]("membership.members")
 )
 
-// RejectedRevision is a configuration revision that was refused, and why.
+// RejectedRevision is a configuration revision that was rejected, with the reason.
 type RejectedRevision struct {
 	Version monotonic.Version `json:"version"`
 	Reason  string            `json:"reason"`
 }
 
-// Options are the settings of a process.
+// Options configures a process.
 type Options struct {
 	ID     string
 	Role   external.Role
 	Zone   string
 	Region string
-	// Listen is the IP address and port that peers and callers reach.
+	// Listen is the IP address and port at which peers and callers reach the process.
 	Listen string
-	// AdminListen is the address of metrics and state dump; empty means none.
+	// AdminListen is the address that serves metrics and the state dump; empty means none.
 	AdminListen string
-	// ConfigurationAddress and MembershipAddress are the platform's services.
+	// ConfigurationAddress and MembershipAddress are the addresses of the platform's services.
 	ConfigurationAddress string
 	MembershipAddress    string
 	Seeds                []string
@@ -64,15 +64,16 @@
 	OnSnapshot func(*configuration.Snapshot)
 	// Profile serves pprof on the administration address.
 	Profile bool
-	// SettleTime is how long a stopping process stays after readiness is off.
+	// SettleTime is the minimum time that a stopping process keeps answering after its
+	// readiness is off.
 	SettleTime time.Duration
 }
 
-// Node is one process.
+// Node is the common part of a process.
 type Node struct {
 	options     Options
 	incarnation uint64
-	started     time.Time
+	startedAt   time.Time
 
 	Board    *blackboard.Board
 	Hub      *peering.Hub
@@ -83,25 +84,25 @@
 	// Router serves the process's own address.
 	Router chi.Router
 
-	// parser is used by published only, whose calls do not overlap.
-	parser   *configuration.Parser
-	leaving  atomic.Bool
-	ready    func() bool
-	open     func() int
-	onLeave  []func()
-	server   *http.Server
-	admin    *http.Server
-	listener net.Listener
+	// parser is used only by applyPublication, whose calls do not overlap.
+	parser    *configuration.Parser
+	leaving   atomic.Bool
+	ready     func() bool
+	openCount func() int
+	onLeave   []func()
+	server    *http.Server
+	admin     *http.Server
+	listener  net.Listener
 }
 
-// New builds a process that is not running yet.
+// New creates a node; Run starts it.
 func New(options Options, log *logging.Logger) *Node {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	node := &Node{
 		options:     options,
 		incarnation: uint64(time.Now().UnixNano()),
-		started:     time.Now(),
+		startedAt:   time.Now(),
 		Board:       blackboard.New(time.Now),
 		Log:         log,
 		Registry:    registry,
@@ -109,7 +110,7 @@
 		Router:      chi.NewRouter(),
 		parser:      configuration.NewParser(),
 		ready:       func() bool { return true },
-		open:        func() int { return 0 },
+		openCount:   func() int { return 0 },
 	}
 	hello := peering.Hello{ID: options.ID, Incarnation: node.incarnation, Role: string(options.Role), Zone: options.Zone}
 	node.Hub = peering.NewHub(hello, log, node.Counters)
@@ -123,7 +124,7 @@
 		},
 		Hub:         node.Hub,
 		Log:         log,
-		OnChange:    node.published,
+		OnChange:    node.applyPublication,
 		StartJitter: options.StartJitter,
 	})
 	node.Router.Handle(peering.Path, node.Hub)
@@ -137,16 +138,16 @@
 	})
 }
 
-// ID returns the process's name.
+// ID returns the ID of the process.
 func (n *Node) ID() string { return n.options.ID }
 
-// Zone returns the process's zone.
+// Zone returns the zone of the process.
 func (n *Node) Zone() string { return n.options.Zone }
 
-// Region returns the process's region.
+// Region returns the region of the process.
 func (n *Node) Region() string { return n.options.Region }
 
-// Incarnation differs between lives of a process.
+// Incarnation returns a number that changes with each restart of the process.
 func (n *Node) Incarnation() uint64 { return n.incarnation }
 
 // Snapshot returns the configuration in force.
@@ -154,23 +155,24 @@
 	return blackboard.Read(n.Board, SnapshotKey)
 }
 
-// Leaving reports whether a planned stop has begun.
+// Leaving reports whether the graceful shutdown has begun.
 func (n *Node) Leaving() bool { return n.leaving.Load() }
 
-// Address returns the address that the process listens on.
+// Address returns the address on which the process listens.
 func (n *Node) Address() string { return n.listener.Addr().String() }
 
 // SetReady replaces the readiness check.
 func (n *Node) SetReady(ready func() bool) { n.ready = ready }
 
-// SetOpenCount replaces the count of open work that a planned stop waits for.
-func (n *Node) SetOpenCount(open func() int) { n.open = open }
+// SetOpenCount replaces the function that counts open requests; a graceful shutdown
+// waits until it returns zero.
+func (n *Node) SetOpenCount(open func() int) { n.openCount = open }
 
-// OnLeave registers a function called when a planned stop begins.
+// OnLeave registers a function that is called when the graceful shutdown begins.
 func (n *Node) OnLeave(function func()) { n.onLeave = append(n.onLeave, function) }
 
-// published takes each new state of a publication to the blackboard.
-func (n *Node) published(kind relay.Kind, version monotonic.Version, documents map[string][]byte) {
+// applyPublication writes each new state of a publication to the blackboard.
+func (n *Node) applyPublication(kind relay.Kind, version monotonic.Version, documents map[string][]byte) {
 	if kind == relay.Membership {
 		members := relay.DecodeMembers(documents)
 		n.Log.Log(logging.MembershipChanged, zap.Stringer("version", version), zap.Int("members", len(members)))
@@ -206,7 +208,7 @@
 	})
 }
 
-// Dump is the whole state of a process.
+// Dump is the state dump of a process.
 type Dump struct {
 	ID            string                     `json:"id"`
 	Role          external.Role              `json:"role"`
@@ -227,14 +229,14 @@
 func (n *Node) Dump() Dump {
 	return Dump{
 		ID: n.options.ID, Role: n.options.Role, Zone: n.options.Zone, Region: n.options.Region,
-		Incarnation: n.incarnation, UptimeSeconds: time.Since(n.started).Seconds(),
-		Ready: n.isReady(), Leaving: n.Leaving(), OpenWork: n.open(),
+		Incarnation: n.incarnation, UptimeSeconds: time.Since(n.startedAt).Seconds(),
+		Ready: n.isReady(), Leaving: n.Leaving(), OpenWork: n.openCount(),
 		Relay: n.Relay.Status(), Traffic: n.Counters.Snapshot(), Resources: ReadResources(),
 		Blackboard: n.Board.Dump(),
 	}
 }
 
-// DumpPath is where the administration address serves the state dump.
+// DumpPath is the path of the state dump on the administration address.
 const DumpPath = "/dump"
 
 func (n *Node) adminRouter() chi.Router {
@@ -254,7 +256,8 @@
 	return router
 }
 
-// Limits on the HTTP servers. There is no write timeout, because streams last.
+// Limits of the HTTP servers. There is no write timeout, because streams are
+// long-lived.
 const (
 	readHeaderTimeout  = 5 * time.Second
 	idleTimeout        = 90 * time.Second
@@ -289,12 +292,12 @@
 	return nil
 }
 
-// drainReport is the period of log events while a stopping process drains.
-const drainReport = 2 * time.Second
+// drainLogPeriod is the period of log events while the process drains.
+const drainLogPeriod = 2 * time.Second
 
-// Run serves until stop is closed, then leaves: readiness goes off, open work
-// finishes, and the process keeps answering until the settle time has passed.
-// The controllers are functions that run until their context ends.
+// Run serves until stop is closed and then shuts down gracefully: readiness goes
+// off, open requests finish, and the process keeps answering until the settle time
+// has passed. The controllers run until their context ends.
 func (n *Node) Run(stop <-chan struct{}, controllers ...func(context.Context)) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -317,25 +320,26 @@
 	return nil
 }
 
-// leave begins the planned stop and returns when nothing is open.
+// leave begins the graceful shutdown. It returns when no request is open and the
+// settle time has passed.
 func (n *Node) leave() {
 	n.leaving.Store(true)
-	n.Log.Log(logging.ProcessStopping, zap.Int("open", n.open()))
+	n.Log.Log(logging.ProcessStopping, zap.Int("open", n.openCount()))
 	for _, function := range n.onLeave {
 		function()
 	}
-	began := time.Now()
-	reported := began
-	for n.open() > 0 || time.Since(began) < n.options.SettleTime {
+	leftAt := time.Now()
+	loggedAt := leftAt
+	for n.openCount() > 0 || time.Since(leftAt) < n.options.SettleTime {
 		time.Sleep(50 * time.Millisecond)
-		if time.Since(reported) >= drainReport {
-			reported = time.Now()
-			n.Log.Log(logging.ProcessDraining, zap.Int("open", n.open()))
+		if time.Since(loggedAt) >= drainLogPeriod {
+			loggedAt = time.Now()
+			n.Log.Log(logging.ProcessDraining, zap.Int("open", n.openCount()))
 		}
 	}
 }
 
-// Close ends the servers and links at once.
+// Close closes the servers and links immediately.
 func (n *Node) Close() {
 	n.Hub.Close()
 	if n.server != nil {
--- a/internal/node/resources.go
+++ b/internal/node/resources.go
@@ -8,17 +8,17 @@
 	"syscall"
 )
 
-// Resources is what a process has used.
+// Resources is the resource usage of a process.
 type Resources struct {
-	// ProcessorSeconds is user and system time since the start.
+	// ProcessorSeconds is the user and system CPU time since the process started.
 	ProcessorSeconds float64 `json:"processor_seconds"`
-	// ResidentBytes is the memory held in RAM.
+	// ResidentBytes is the resident set size.
 	ResidentBytes uint64 `json:"resident_bytes"`
 	Goroutines    int    `json:"goroutines"`
 }
 
-// ReadResources asks the operating system what this process has used; fields
-// that it does not tell are zero.
+// ReadResources reads the resource usage of this process from the operating system.
+// Fields that can't be read are zero.
 func ReadResources() Resources {
 	resources := Resources{Goroutines: runtime.NumGoroutine(), ResidentBytes: residentBytes()}
 	var usage syscall.Rusage
