--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,6 @@
-// Package daemon is the part that the processes on the users' machines share:
-// settings and their reload, links to other processes, the catalog, and the
-// administration endpoints. Nothing of a process outlasts it.
+// Package daemon implements what the processes on the users' machines have in
+// common: settings and their reload, links to other processes, the catalog, and
+// the administration endpoints. A process keeps no state across restarts.
 package daemon
 
 import (
@@ -27,7 +27,7 @@
 	"pinevane.example/pinevane/internal/peering"
 )
 
-// MetricsPort is where every process serves its metrics and state dump.
+// MetricsPort is the port on which each process serves its metrics and state dump.
 const MetricsPort = 9464
 
 // Paths of the administration endpoints.
@@ -36,58 +36,58 @@
 	DumpPath    = "/dump"
 )
 
-// Options are what a process is started with.
+// Options configures a process.
 type Options struct {
 	Settings fleet.Settings
-	// Reload reads the settings again; nil when they can't change.
+	// Reload reads the settings again; it is nil if they can't change.
 	Reload  func() (fleet.Settings, error)
 	Role    string
 	Store   fleet.Store
 	Decoder fleet.Decoder
 	Log     *logging.Logger
-	// AdminListen replaces the machine's address and MetricsPort when it is set.
+	// AdminListen, when set, replaces the machine's address and MetricsPort.
 	AdminListen string
 }
 
-// Daemon is one process.
+// Daemon is the common part of a process.
 type Daemon struct {
-	options  Options
-	settings atomic.Pointer[fleet.Settings]
-	started  time.Time
+	options   Options
+	settings  atomic.Pointer[fleet.Settings]
+	startedAt time.Time
 
-	Log      *logging.Logger
-	Registry *prometheus.Registry
-	Hub      *peering.Hub
-	Catalog  *catalog.Catalog
-	silences *prometheus.CounterVec
-	reloads  *prometheus.CounterVec
-	// Router serves the internal port: links and what a role adds.
+	Log               *logging.Logger
+	Registry          *prometheus.Registry
+	Hub               *peering.Hub
+	Catalog           *catalog.Catalog
+	silentConnections *prometheus.CounterVec
+	reloads           *prometheus.CounterVec
+	// Router serves the internal port: links, and the handlers that a role adds.
 	Router chi.Router
 
 	mutex    sync.Mutex
 	servers  []*http.Server
 	sections map[string]func() any
-	// actions are what an operator may have the process do at the administration address.
+	// actions maps paths on the administration address to operator actions.
 	actions map[string]http.HandlerFunc
-	// onSettings are told of settings that were read again.
+	// onSettings are called with reloaded settings.
 	onSettings []func(fleet.Settings)
 }
 
-// New builds a process that does not listen yet.
+// New creates a daemon that does not listen yet.
 func New(options Options) *Daemon {
 	d := &Daemon{
-		options: options, started: time.Now(), Log: options.Log, Registry: prometheus.NewRegistry(),
+		options: options, startedAt: time.Now(), Log: options.Log, Registry: prometheus.NewRegistry(),
 		Router: chi.NewRouter(), sections: map[string]func() any{}, actions: map[string]http.HandlerFunc{},
 	}
-	d.silences = prometheus.NewCounterVec(prometheus.CounterOpts{
+	d.silentConnections = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "pinevane_silent_connections_total", Help: "Open connections that had gone silent while a fresh one worked, by what they led to."}, []string{"target"})
 	d.reloads = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "pinevane_settings_reloads_total", Help: "Times the settings were read again while the process ran, by whether they are in force."}, []string{"result"})
-	d.Registry.MustRegister(d.silences, d.reloads)
+	d.Registry.MustRegister(d.silentConnections, d.reloads)
 	d.ObserveSilence(options.Store)
 	settings := options.Settings
 	d.settings.Store(&settings)
-	hello := peering.Hello{ID: settings.IP, Incarnation: uint64(d.started.UnixNano()), Role: options.Role, Zone: settings.Zone, Protocol: catalog.ProtocolVersion}
+	hello := peering.Hello{ID: settings.IP, Incarnation: uint64(d.startedAt.UnixNano()), Role: options.Role, Zone: settings.Zone, Protocol: catalog.ProtocolVersion}
 	d.Hub = peering.NewHub(hello, options.Log, peering.NewCounters(d.Registry))
 	d.Catalog = catalog.New(catalog.Options{
 		Self: settings.IP, Role: options.Role, Zone: settings.Zone, InternalPort: settings.InternalPort, Seeds: settings.Seeds, IsSeed: settings.IsSeed,
@@ -98,12 +98,12 @@
 	d.OnSettings(d.Catalog.SetSettings)
 	d.Router.Handle(peering.Path, d.Hub)
 	d.AddSection("catalog", func() any { return d.Catalog.Status() })
-	d.registerCatalog()
+	d.registerCatalogMetrics()
 	return d
 }
 
-// registerCatalog tells the catalog's ages and the store's calls as metrics.
-func (d *Daemon) registerCatalog() {
+// registerCatalogMetrics registers the metrics of the catalog and of calls to the store.
+func (d *Daemon) registerCatalogMetrics() {
 	gauge := func(name, help string, value func(catalog.Status) float64) prometheus.Collector {
 		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, func() float64 { return value(d.Catalog.Status()) })
 	}
@@ -120,36 +120,36 @@
 	)
 }
 
-// ObserveSilence has the silent connections of a client that notices them logged and counted.
+// ObserveSilence logs and counts the silent connections of a client that reports them.
 func (d *Daemon) ObserveSilence(client any) {
-	if reporter, able := client.(fleet.SilenceReporter); able {
+	if reporter, ok := client.(fleet.SilenceReporter); ok {
 		reporter.OnSilent(d.RecordSilentConnection)
 	}
 }
 
-// RecordSilentConnection logs and counts a connection that has gone silent. Connections to other machines
-// are counted together.
+// RecordSilentConnection logs and counts a connection that has gone silent. Connections
+// to other machines are counted under one label.
 func (d *Daemon) RecordSilentConnection(target string, silent time.Duration) {
 	kind := target
 	if net.ParseIP(target) != nil {
 		kind = "peer"
 	}
-	d.silences.WithLabelValues(kind).Inc()
+	d.silentConnections.WithLabelValues(kind).Inc()
 	d.Log.Log(logging.ConnectionSilent, zap.String("target", target), zap.Duration("silent", silent))
 }
 
 // Settings returns the settings in force.
 func (d *Daemon) Settings() fleet.Settings { return *d.settings.Load() }
 
-// AddSection adds a part to the state dump.
+// AddSection adds a section to the state dump.
 func (d *Daemon) AddSection(name string, describe func() any) { d.sections[name] = describe }
 
-// AddAction adds something that an operator may have the process do, by a POST to a path of the
-// administration address. It must be added before Start.
-func (d *Daemon) AddAction(path string, do http.HandlerFunc) { d.actions[path] = do }
+// AddAction adds an operator action, which is triggered by a POST to a path on the
+// administration address. It must be called before Start.
+func (d *Daemon) AddAction(path string, handler http.HandlerFunc) { d.actions[path] = handler }
 
-// Limits on the HTTP servers of a process. There is no write timeout, because
-// streams last.
+// Limits of the HTTP servers of a process. There is no write timeout, because
+// streams are long-lived.
 const (
 	readHeaderTimeout  = 5 * time.Second
 	maximumHeaderBytes = 64 << 10
@@ -165,12 +165,12 @@
 	return nil
 }
 
-// ServeOn serves a handler on a listener until Close. The function, when it is not
-// nil, is told of each change of a connection's state.
-func (d *Daemon) ServeOn(listener net.Listener, handler http.Handler, follow func(net.Conn, http.ConnState)) {
+// ServeOn serves a handler on a listener until Close. If onState is not nil, it is
+// called on each change of a connection's state.
+func (d *Daemon) ServeOn(listener net.Listener, handler http.Handler, onState func(net.Conn, http.ConnState)) {
 	server := &http.Server{
 		Handler: handler, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maximumHeaderBytes,
-		ErrorLog: d.Log.Standard(logging.ServerComplained), ConnState: follow,
+		ErrorLog: d.Log.Standard(logging.ServerComplained), ConnState: onState,
 	}
 	d.mutex.Lock()
 	d.servers = append(d.servers, server)
@@ -178,7 +178,7 @@
 	go func() { _ = server.Serve(listener) }()
 }
 
-// Start listens for links and administration, and begins to learn.
+// Start opens the internal and administration addresses and runs the catalog.
 func (d *Daemon) Start(ctx context.Context) error {
 	settings := d.Settings()
 	if err := d.Serve(net.JoinHostPort(settings.IP, strconv.Itoa(settings.InternalPort)), d.Router); err != nil {
@@ -204,7 +204,7 @@
 	return nil
 }
 
-// Close ends every server and link at once.
+// Close closes all servers and links immediately.
 func (d *Daemon) Close() {
 	d.Hub.Close()
 	d.mutex.Lock()
@@ -223,8 +223,8 @@
 		encoder.SetIndent("", "  ")
 		_ = encoder.Encode(d.Dump())
 	})
-	for path, do := range d.actions {
-		router.Post(path, do)
+	for path, handler := range d.actions {
+		router.Post(path, handler)
 	}
 	return router
 }
@@ -234,7 +234,7 @@
 	settings := d.Settings()
 	dump := map[string]any{
 		"name": settings.Name, "role": d.options.Role, "zone": settings.Zone, "ip": settings.IP,
-		"uptime_seconds": time.Since(d.started).Seconds(),
+		"uptime_seconds": time.Since(d.startedAt).Seconds(),
 	}
 	for name, describe := range d.sections {
 		dump[name] = describe()
@@ -242,23 +242,23 @@
 	return dump
 }
 
-// Results of reading the settings again, as the metric names them.
+// Results of a settings reload, as label values of the metric.
 const (
 	reloadInForce = "in force"
 	reloadRefused = "refused"
 )
 
-// OnSettings has a function told of settings that were read again and are in force. It is called
-// by one goroutine at a time.
+// OnSettings registers a function that is called with reloaded settings once they are
+// in force. The calls do not overlap.
 func (d *Daemon) OnSettings(function func(fleet.Settings)) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.onSettings = append(d.onSettings, function)
 }
 
-// Reload reads the settings again. Faulty ones change nothing. Fields that a running process
-// can't take over stay as they are, with a line in the log that names them; the others are in
-// force when it returns.
+// Reload reads the settings again. Invalid settings change nothing. Fields that can't
+// change while the process runs keep their values and are logged; the others are in force
+// when Reload returns.
 func (d *Daemon) Reload() {
 	if d.options.Reload == nil {
 		return
@@ -277,9 +277,9 @@
 	fresh = before.KeepRunning(fresh)
 	d.settings.Store(&fresh)
 	d.mutex.Lock()
-	told := slices.Clone(d.onSettings)
+	listeners := slices.Clone(d.onSettings)
 	d.mutex.Unlock()
-	for _, function := range told {
+	for _, function := range listeners {
 		function(fresh)
 	}
 	d.reloads.WithLabelValues(reloadInForce).Inc()
--- a/internal/daemon/faulty.go
+++ b/internal/daemon/faulty.go
@@ -6,14 +6,14 @@
 	"pinevane.example/pinevane/internal/catalog"
 )
 
-// faultyCollector tells how many records of servers could not be used, by what was wrong with them.
+// faultyCollector exports the number of invalid server records as a metric, by kind of fault.
 type faultyCollector struct {
 	catalog     *catalog.Catalog
 	description *prometheus.Desc
 }
 
-func newFaultyCollector(held *catalog.Catalog) *faultyCollector {
-	return &faultyCollector{catalog: held, description: prometheus.NewDesc(
+func newFaultyCollector(source *catalog.Catalog) *faultyCollector {
+	return &faultyCollector{catalog: source, description: prometheus.NewDesc(
 		"pinevane_faulty_records_total", "Records of servers that could not be used, each time that one was read.", []string{"fault"}, nil)}
 }
 
