--- a/internal/blackboard/blackboard.go
+++ b/internal/blackboard/blackboard.go
@@ -1,6 +1,6 @@
-// Package blackboard holds the typed entries through which the controllers of
-// one process talk: a controller writes what it knows, others read it or watch
-// it change. Notifications travel over watermill's in-process pub/sub.
+// Package blackboard provides typed entries through which the controllers of a
+// process exchange state: a controller writes an entry, others read it or watch it
+// for changes. Notifications use watermill's in-process pub/sub.
 package blackboard
 
 import (
@@ -15,12 +15,12 @@
 	"github.com/ThreeDotsLabs/watermill/pubsub/gochannel"
 )
 
-// Key names an entry and fixes the type of its value.
+// Key identifies an entry and determines the type of its value.
 type Key[T any] struct {
 	name string
 }
 
-// NewKey returns the key of an entry. The name is a topic such as
+// NewKey returns the key of an entry. The name is also the pub/sub topic, such as
 // "configuration.snapshot".
 func NewKey[T any](name string) Key[T] { return Key[T]{name: name} }
 
@@ -43,7 +43,7 @@
 	entries map[string]record
 }
 
-// New returns an empty board; now is the clock used for the ages in a dump.
+// New returns an empty board; now is the clock for the ages in a dump.
 func New(now func() time.Time) *Board {
 	return &Board{
 		now:     now,
@@ -52,7 +52,7 @@
 	}
 }
 
-// Close ends every watch.
+// Close ends all watches.
 func (b *Board) Close() { _ = b.pubsub.Close() }
 
 // Write stores a value and notifies the watchers of its key.
@@ -61,7 +61,7 @@
 	revision := b.entries[key.name].revision + 1
 	b.entries[key.name] = record{value: value, revision: revision, written: b.now()}
 	b.mutex.Unlock()
-	// Publish fails only after Close, when nobody watches any more.
+	// Publish fails only after Close, when there are no watchers.
 	_ = b.pubsub.Publish(key.name, message.NewMessage(watermill.NewShortUUID(), nil))
 }
 
@@ -73,9 +73,9 @@
 	return value, ok
 }
 
-// Watch returns a channel that receives after each change of any named entry;
-// changes that come close together may be reported once. The channel closes
-// when the context ends.
+// Watch returns a channel that receives a value after each change of a named entry.
+// Changes in quick succession may be combined into one. The channel closes when
+// the context ends.
 func (b *Board) Watch(ctx context.Context, names ...string) <-chan struct{} {
 	changed := make(chan struct{}, 1)
 	var watchers sync.WaitGroup
@@ -103,7 +103,7 @@
 	}
 }
 
-// DumpedEntry is one entry of a state dump.
+// DumpedEntry is an entry in a state dump.
 type DumpedEntry struct {
 	Name     string `json:"name"`
 	Revision uint64 `json:"revision"`
@@ -112,7 +112,7 @@
 	Value      any     `json:"value"`
 }
 
-// Dump returns every entry in order of name.
+// Dump returns all entries in order of name.
 func (b *Board) Dump() []DumpedEntry {
 	b.mutex.RLock()
 	defer b.mutex.RUnlock()
--- a/internal/pauses/pauses.go
+++ b/internal/pauses/pauses.go
@@ -1,4 +1,4 @@
-// Package pauses notices when the process itself stood still.
+// Package pauses detects pauses of the process itself.
 package pauses
 
 import (
@@ -9,14 +9,14 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// period is how often the clock is looked at.
-const period = 500 * time.Millisecond
+// checkPeriod is the period at which the clock is checked.
+const checkPeriod = 500 * time.Millisecond
 
-// Watch logs each pause of the process until the context ends.
+// Watch logs the pauses of the process until the context ends.
 func Watch(ctx context.Context, log *logging.Logger) {
 	started := time.Now()
 	detector := liveness.NewDetector(liveness.Options{})
-	ticker := time.NewTicker(period)
+	ticker := time.NewTicker(checkPeriod)
 	defer ticker.Stop()
 	for {
 		select {
