--- a/internal/weights/directory.go
+++ b/internal/weights/directory.go
@@ -12,25 +12,25 @@
 	"pinevane.example/pinevane/internal/fault"
 )
 
-// FromDirectory makes a manifest from the files below a directory, in order of
-// name, cut into chunks. Files are streamed, not held. Progress is told the
-// bytes read so far and the bytes in all.
+// FromDirectory creates a manifest of the files below a directory, in order of name,
+// split into chunks. Files are streamed and not held in memory. Progress is called
+// with the number of bytes read so far and in total.
 func FromDirectory(directory, model, version string, chunkBytes int64, progress func(done, total int64)) (*Manifest, error) {
 	files, total, err := listFiles(directory)
 	if err != nil {
 		return nil, err
 	}
 	manifest := &Manifest{Model: model, Version: version, TotalBytes: total, Files: files}
-	cutter := &chunkCutter{manifest: manifest, size: chunkBytes, hash: blake3.New()}
+	splitter := &chunkSplitter{manifest: manifest, size: chunkBytes, hash: blake3.New()}
 	var done int64
 	for _, file := range files {
-		if err := hashFile(filepath.Join(directory, file.Name), file.Size, cutter); err != nil {
+		if err := hashFile(filepath.Join(directory, file.Name), file.Size, splitter); err != nil {
 			return nil, err
 		}
 		done += file.Size
 		progress(done, total)
 	}
-	cutter.flush()
+	splitter.flush()
 	if err := manifest.check(); err != nil {
 		return nil, err
 	}
@@ -68,13 +68,13 @@
 	return files, total, nil
 }
 
-func hashFile(path string, size int64, into io.Writer) error {
+func hashFile(path string, size int64, output io.Writer) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return &fault.Unavailable{Target: path, Operation: "open", Cause: err}
 	}
 	defer func() { _ = file.Close() }()
-	copied, err := io.Copy(into, file)
+	copied, err := io.Copy(output, file)
 	if err != nil {
 		return &fault.Unavailable{Target: path, Operation: "read", Cause: err}
 	}
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// chunkCutter cuts a byte stream into hashed chunks.
-type chunkCutter struct {
+// chunkSplitter splits a byte stream into hashed chunks.
+type chunkSplitter struct {
 	manifest *Manifest
 	size     int64
 	hash     *blake3.Hasher
@@ -93,7 +93,7 @@
 }
 
 // Write implements io.Writer.
-func (c *chunkCutter) Write(data []byte) (int, error) {
+func (c *chunkSplitter) Write(data []byte) (int, error) {
 	written := len(data)
 	for len(data) > 0 {
 		part := data[:min(int64(len(data)), c.size-c.filled)]
@@ -107,7 +107,7 @@
 	return written, nil
 }
 
-func (c *chunkCutter) flush() {
+func (c *chunkSplitter) flush() {
 	if c.filled == 0 {
 		return
 	}
--- a/internal/weights/manifest.go
+++ b/internal/weights/manifest.go
@@ -1,6 +1,6 @@
 // Package weights describes model weights as a manifest of content-addressed
-// chunks. The manifest's digest is the only thing that a configuration names
-// and the only thing that is trusted; all else is checked against it.
+// chunks. A configuration names the manifest by its digest, which is the root of
+// trust: the manifest and all chunks are verified against it.
 package weights
 
 import (
@@ -14,7 +14,7 @@
 	"pinevane.example/pinevane/internal/fault"
 )
 
-// Limits on manifests, checked before anything is allocated for the weights.
+// Limits of manifests, checked before memory is allocated for the weights.
 const (
 	MaximumManifestBytes = 64 << 20
 	MaximumChunkBytes    = 256 << 20
@@ -27,7 +27,7 @@
 // digestLength is the number of hexadecimal digits of a Digest.
 const digestLength = 64
 
-// Valid reports whether the digest has the right form.
+// Valid reports whether the digest is well-formed.
 func (d Digest) Valid() bool {
 	if len(d) != digestLength {
 		return false
@@ -42,21 +42,21 @@
 	return Digest(hex.EncodeToString(sum[:]))
 }
 
-// Chunk is one piece of the weights.
+// Chunk is a part of the weights that is addressed by its digest.
 type Chunk struct {
 	Digest Digest `json:"digest"`
 	// Size is in bytes.
 	Size int64 `json:"size"`
 }
 
-// File is one file of a directory that a manifest was made from.
+// File is a file of the directory from which a manifest was created.
 type File struct {
 	Name string `json:"name"`
 	// Size is in bytes; files follow each other in the chunks' byte stream.
 	Size int64 `json:"size"`
 }
 
-// Manifest lists the chunks of one version of a model, in order.
+// Manifest lists the chunks of a model version in order.
 type Manifest struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
@@ -76,8 +76,8 @@
 	return data, Sum(data), nil
 }
 
-// Decode checks bytes against the digest they were asked by and the manifest
-// against its own bounds.
+// Decode verifies the bytes of a manifest against the expected digest, and parses and
+// validates the manifest.
 func Decode(data []byte, expected Digest) (*Manifest, error) {
 	if actual := Sum(data); actual != expected {
 		return nil, &fault.Corrupt{Expected: string(expected), Actual: string(actual), Source: "manifest"}
@@ -85,7 +85,7 @@
 	return Parse(data)
 }
 
-// Parse decodes and checks a manifest whose digest is not known.
+// Parse decodes and validates a manifest whose digest is not known.
 func Parse(data []byte) (*Manifest, error) {
 	if len(data) > MaximumManifestBytes {
 		return nil, &fault.InvalidManifest{Field: "manifest", Reason: "larger than 64 MiB"}
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// Verifier passes bytes through while computing their digest and refusing more
-// than the expected size.
+// Verifier is a reader that verifies the size and digest of a chunk while it is
+// read.
 type Verifier struct {
 	reader   io.Reader
 	hash     hash.Hash
@@ -133,7 +133,7 @@
 	received int64
 }
 
-// NewVerifier reads one chunk from a source named for error messages.
+// NewVerifier returns a Verifier for a chunk; source is named in errors.
 func NewVerifier(reader io.Reader, expected Chunk, source string) *Verifier {
 	return &Verifier{reader: reader, hash: blake3.New(), expected: expected, source: source}
 }
@@ -157,17 +157,17 @@
 	return count, io.EOF
 }
 
-// Identity condenses the contents of all chunks, in order, to one digest. An
-// engine that loaded other bytes than the manifest's has another identity.
-func Identity(contents []Digest) Digest {
+// Identity combines the digests of all chunks, in order, into one digest. It differs
+// if an engine has loaded other bytes than those of the manifest.
+func Identity(chunks []Digest) Digest {
 	hasher := blake3.New()
-	for _, digest := range contents {
+	for _, digest := range chunks {
 		_, _ = hasher.Write([]byte(digest))
 	}
 	return Digest(hex.EncodeToString(hasher.Sum(nil)))
 }
 
-// Identity returns the identity that correctly loaded weights have.
+// Identity returns the identity of correctly loaded weights.
 func (m *Manifest) Identity() Digest {
 	digests := make([]Digest, 0, len(m.Chunks))
 	for _, chunk := range m.Chunks {
--- a/internal/weights/manifest_test.go
+++ b/internal/weights/manifest_test.go
@@ -15,12 +15,12 @@
 	"pinevane.example/pinevane/internal/fault"
 )
 
-func small() Synthetic {
+func smallWeights() Synthetic {
 	return Synthetic{Model: "m", Version: "1", Bytes: 10_000, ChunkBytes: 4096, ChangedFraction: 0.5}
 }
 
-func TestManifestSurvivesItsEncoding(t *testing.T) {
-	manifest := small().Manifest()
+func TestManifestEncodeDecodeRoundTrip(t *testing.T) {
+	manifest := smallWeights().Manifest()
 	data, digest, err := manifest.Encode()
 	require.NoError(t, err)
 	decoded, err := Decode(data, digest)
@@ -29,8 +29,8 @@
 	assert.Len(t, decoded.Chunks, 3)
 }
 
-func TestAManifestWithAnotherDigestIsRefused(t *testing.T) {
-	data, digest, err := small().Manifest().Encode()
+func TestManifestWithWrongDigestIsRejected(t *testing.T) {
+	data, digest, err := smallWeights().Manifest().Encode()
 	require.NoError(t, err)
 	data[10] ^= 1
 	_, err = Decode(data, digest)
@@ -38,7 +38,7 @@
 	assert.True(t, errors.As(err, &corrupt))
 }
 
-func TestBadSizesAndCountsAreRefused(t *testing.T) {
+func TestInvalidManifestsAreRejected(t *testing.T) {
 	cases := map[string]string{
 		"no chunks":      `{"model":"m","version":"1","total_bytes":0,"chunks":[]}`,
 		"no model":       `{"version":"1","total_bytes":1,"chunks":[{"digest":"` + strings.Repeat("a", 64) + `","size":1}]}`,
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestVerifierRefusesWrongShortAndLongContent(t *testing.T) {
+func TestVerifierRejectsCorruptShortAndLongContent(t *testing.T) {
 	content := []byte("chunk content")
 	chunk := Chunk{Digest: Sum(content), Size: int64(len(content))}
 	read := func(data []byte) error {
@@ -64,7 +64,7 @@
 	}
 	assert.NoError(t, read(content))
 	for name, data := range map[string][]byte{
-		"wrong": []byte("chunk contenT"), "short": content[:5], "long": append([]byte("x"), content...), "empty": nil,
+		"corrupt": []byte("chunk contenT"), "short": content[:5], "long": append([]byte("x"), content...), "empty": nil,
 	} {
 		var corrupt *fault.Corrupt
 		assert.True(t, errors.As(read(data), &corrupt), name)
@@ -72,7 +72,7 @@
 }
 
 func TestVersionsShareChunks(t *testing.T) {
-	first, second := small(), small()
+	first, second := smallWeights(), smallWeights()
 	first.Bytes, second.Bytes = 400_000, 400_000
 	second.Version = "2"
 	a, b := first.Manifest(), second.Manifest()
@@ -101,7 +101,7 @@
 }
 
 func FuzzParseManifest(f *testing.F) {
-	data, _, err := small().Manifest().Encode()
+	data, _, err := smallWeights().Manifest().Encode()
 	require.NoError(f, err)
 	f.Add(data)
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/weights/synthetic.go
+++ b/internal/weights/synthetic.go
@@ -7,16 +7,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Synthetic specifies made-up weights for stand-ins: the same specification
-// gives the same bytes everywhere.
+// Synthetic specifies generated weights for emulators. The same specification
+// produces the same bytes everywhere.
 type Synthetic struct {
 	Model   string `yaml:"model" json:"model"`
 	Version string `yaml:"version" json:"version"`
 	// Bytes is the total size.
 	Bytes int64 `yaml:"bytes" json:"bytes"`
-	// ChunkBytes is the size of each chunk but the last.
+	// ChunkBytes is the size of each chunk except the last.
 	ChunkBytes int64 `yaml:"chunkBytes" json:"chunk_bytes"`
-	// ChangedFraction is the share of chunks, 0 to 1, that differ from the model's
+	// ChangedFraction is the fraction of chunks, 0 to 1, that differ from the model's
 	// other versions.
 	ChangedFraction float64 `yaml:"changedShare" json:"changed_share"`
 }
@@ -55,7 +55,7 @@
 	return float64(hashed%1_000_000)/1_000_000 < s.ChangedFraction
 }
 
-// Manifest computes the manifest of the made-up weights.
+// Manifest computes the manifest of the generated weights.
 func (s Synthetic) Manifest() *Manifest {
 	manifest := &Manifest{Model: s.Model, Version: s.Version, TotalBytes: s.Bytes}
 	for index := range s.ChunkCount() {
