--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -1,6 +1,6 @@
-// Package deployment describes the places of a fleet for stand-ins: zones, how
-// many machines of which kind, and the made-up weights. A real fleet learns all
-// of this from the platform instead.
+// Package deployment describes an emulated fleet: its zones, the number of machines
+// of each kind, and the synthetic weights. A real fleet gets this information from
+// the platform instead.
 package deployment
 
 import (
@@ -19,14 +19,14 @@
 	"pinevane.example/pinevane/internal/weights"
 )
 
-// Zone is one hall.
+// Zone is a data center hall with its machines.
 type Zone struct {
 	Name    string `yaml:"name"`
 	Region  string `yaml:"region"`
 	Entries int    `yaml:"entries"`
 	// Engines is the number of model servers.
 	Engines int `yaml:"engines"`
-	// Services maps a plain service to its number of servers.
+	// Services maps each plain service to its number of servers.
 	Services map[string]int `yaml:"services"`
 }
 
@@ -34,21 +34,21 @@
 type Deployment struct {
 	Name  string `yaml:"name"`
 	Zones []Zone `yaml:"zones"`
-	// Weights lists made-up versions; the first of a model is the one that the
-	// documents name, later ones are rolled out by the demo.
+	// Weights lists synthetic versions. The first version of a model is the one that the
+	// documents name; the demo rolls out the later ones.
 	Weights []weights.Synthetic `yaml:"weights"`
 
-	// Directory is where the documents are.
+	// Directory is the directory of the configuration documents.
 	Directory string `yaml:"-"`
 }
 
-// Limits of a deployment on one machine.
+// Limits of a deployment that is emulated on one machine.
 const (
 	maximumZones    = 64
 	maximumMachines = 250
 )
 
-// Read reads and checks the deployment of a directory.
+// Read reads and validates the deployment file of a directory.
 func Read(directory string) (*Deployment, error) {
 	path := filepath.Join(directory, configuration.DeploymentFile)
 	data, err := os.ReadFile(path)
@@ -79,26 +79,26 @@
 	return result, nil
 }
 
-// Ports of a machine's processes; every machine has a loopback address of its own.
+// Ports of a machine's processes. Each machine has its own loopback address.
 const (
 	ProcessPort = 7400
 	AdminPort   = 7401
 	BackEndPort = 7402
 )
 
-// Machine is one machine of the fleet with its addresses.
+// Machine is a machine of the fleet with its addresses.
 type Machine struct {
 	external.Member
 	IP string
 }
 
-// AdminAddress is where the machine's process serves its dump.
+// AdminAddress returns the address on which the machine's process serves its dump.
 func (m Machine) AdminAddress() string { return fmt.Sprintf("%s:%d", m.IP, AdminPort) }
 
-// BackEndAddress is where the machine's engine or plain service listens.
+// BackEndAddress returns the address of the machine's engine or plain service.
 func (m Machine) BackEndAddress() string { return fmt.Sprintf("%s:%d", m.IP, BackEndPort) }
 
-// Machines lays the fleet out over the loopback addresses 127.network.zone.n.
+// Machines assigns the loopback addresses 127.network.zone.n to the machines of the fleet.
 func (d *Deployment) Machines(network int) []Machine {
 	var machines []Machine
 	for zoneIndex, zone := range d.Zones {
@@ -126,7 +126,7 @@
 	return machines
 }
 
-// Version returns the made-up weights of a model's version.
+// Version returns the synthetic weights of a model version.
 func (d *Deployment) Version(model, version string) (weights.Synthetic, bool) {
 	for _, synthetic := range d.Weights {
 		if synthetic.Model == model && synthetic.Version == version {
@@ -136,5 +136,5 @@
 	return weights.Synthetic{}, false
 }
 
-// DemoKey is the key of a tenant of the example deployments.
+// DemoKey returns the API key of a tenant in the example deployments.
 func DemoKey(tenant string) string { return "demo-" + tenant }
