--- a/internal/configuration/directory.go
+++ b/internal/configuration/directory.go
@@ -10,12 +10,12 @@
 	"pinevane.example/pinevane/internal/fault"
 )
 
-// DeploymentFile describes a deployment's places for stand-ins; it is not
+// DeploymentFile is the name of the file that describes the emulated fleet. It is not
 // published and not part of the configuration.
 const DeploymentFile = "deployment.yaml"
 
-// ReadDirectory returns every YAML or JSON document below a directory, keyed by
-// its path relative to it.
+// ReadDirectory returns all YAML and JSON documents below a directory, keyed by their
+// relative paths.
 func ReadDirectory(directory string) (map[string][]byte, error) {
 	documents := map[string][]byte{}
 	walk := func(path string, entry fs.DirEntry, err error) error {
@@ -56,7 +56,7 @@
 	return false
 }
 
-// ParseDirectory reads and checks a directory as revision 1.
+// ParseDirectory reads the documents of a directory and parses them as revision 1.
 func ParseDirectory(directory string) (*Snapshot, error) {
 	documents, err := ReadDirectory(directory)
 	if err != nil {
--- a/internal/configuration/document.go
+++ b/internal/configuration/document.go
@@ -1,7 +1,7 @@
-// Package configuration turns the documents that operators publish (templates
-// and instances with their parameters) into one checked Snapshot. The same code
-// runs in every process and in `pinevane check`, so that a revision is accepted
-// everywhere or nowhere.
+// Package configuration parses the documents that operators publish (templates and
+// instances with their parameters) into a validated Snapshot. All processes and
+// `pinevane check` run the same code, so that a revision is either accepted or
+// rejected everywhere.
 package configuration
 
 import (
@@ -15,7 +15,7 @@
 	"pinevane.example/pinevane/internal/fault"
 )
 
-// Kind says what a template renders to.
+// Kind is the kind of object that a template renders to.
 type Kind string
 
 // The kinds of a template's body.
@@ -38,19 +38,20 @@
 	TypeList    ParameterType = "list"
 )
 
-// Parameter declares one value that an instance may set.
+// Parameter declares a value that an instance may set.
 type Parameter struct {
 	Type        ParameterType `yaml:"type"`
 	Unit        string        `yaml:"unit"`
 	Description string        `yaml:"description"`
-	// Default is used when an instance is silent; without one the parameter is required.
+	// Default is used when an instance does not set the parameter; without a default the
+	// parameter is required.
 	Default any      `yaml:"default"`
 	Minimum *float64 `yaml:"minimum"`
 	Maximum *float64 `yaml:"maximum"`
 	Allowed []string `yaml:"allowed"`
 }
 
-// Template is a body with declared parameters.
+// Template is a document body with declared parameters.
 type Template struct {
 	Template   string               `yaml:"template"`
 	Kind       Kind                 `yaml:"kind"`
@@ -69,7 +70,7 @@
 	document string
 }
 
-// MaximumDocumentBytes is the largest value the configuration service holds.
+// MaximumDocumentBytes is the maximum size of a value in the configuration service.
 const MaximumDocumentBytes = 1 << 20
 
 type documentHeader struct {
@@ -77,16 +78,16 @@
 	Instance string `yaml:"instance"`
 }
 
-type faults struct {
+type faultList struct {
 	list []*fault.InvalidDocument
 }
 
-func (f *faults) add(document, path, reason string) {
+func (f *faultList) add(document, path, reason string) {
 	f.list = append(f.list, &fault.InvalidDocument{Document: document, Path: path, Reason: reason})
 }
 
-func decodeStrict(data []byte, into any) error {
-	return yaml.NewDecoder(bytes.NewReader(data), yaml.Strict()).Decode(into)
+func decodeStrict(data []byte, target any) error {
+	return yaml.NewDecoder(bytes.NewReader(data), yaml.Strict()).Decode(target)
 }
 
 func firstLine(err error) string {
@@ -94,7 +95,7 @@
 	return text
 }
 
-func parseDocument(key string, data []byte, found *faults) (*Template, *Instance) {
+func parseDocument(key string, data []byte, found *faultList) (*Template, *Instance) {
 	if len(data) > MaximumDocumentBytes {
 		found.add(key, "document", "larger than 1 MiB")
 		return nil, nil
@@ -114,7 +115,7 @@
 	return nil, nil
 }
 
-func parseTemplate(key string, data []byte, found *faults) *Template {
+func parseTemplate(key string, data []byte, found *faultList) *Template {
 	template := &Template{document: key}
 	if err := decodeStrict(data, template); err != nil {
 		found.add(key, "document", firstLine(err))
@@ -142,7 +143,7 @@
 	return template
 }
 
-func checkDeclaration(key, path string, parameter Parameter, found *faults) {
+func checkDeclaration(key, path string, parameter Parameter, found *faultList) {
 	switch parameter.Type {
 	case TypeString, TypeNumber, TypeInteger, TypeBoolean, TypeList:
 	default:
@@ -152,12 +153,12 @@
 	if parameter.Default == nil {
 		return
 	}
-	if reason := parameter.reject(parameter.Default); reason != "" {
+	if reason := parameter.check(parameter.Default); reason != "" {
 		found.add(key, path+".default", reason)
 	}
 }
 
-func parseInstance(key string, data []byte, found *faults) *Instance {
+func parseInstance(key string, data []byte, found *faultList) *Instance {
 	instance := &Instance{document: key}
 	if err := decodeStrict(data, instance); err != nil {
 		found.add(key, "document", firstLine(err))
@@ -168,31 +169,31 @@
 
 var reference = regexp.MustCompile(`^\$\{([A-Za-z][A-Za-z0-9]*)\}$`)
 
-// references maps the path of each "${name}" scalar to the name.
+// references maps the path of each "${name}" scalar to its parameter name.
 func references(node any, path string) map[string]string {
 	result := map[string]string{}
 	collectReferences(node, path, result)
 	return result
 }
 
-func collectReferences(node any, path string, into map[string]string) {
+func collectReferences(node any, path string, result map[string]string) {
 	switch value := node.(type) {
 	case string:
 		if match := reference.FindStringSubmatch(value); match != nil {
-			into[path] = match[1]
+			result[path] = match[1]
 		}
 	case map[string]any:
 		for key, child := range value {
-			collectReferences(child, path+"."+key, into)
+			collectReferences(child, path+"."+key, result)
 		}
 	case []any:
 		for _, child := range value {
-			collectReferences(child, path+"[]", into)
+			collectReferences(child, path+"[]", result)
 		}
 	}
 }
 
-// substitute returns node with every "${name}" scalar replaced by its value.
+// substitute returns a copy of node with each "${name}" scalar replaced by its value.
 func substitute(node any, values map[string]any) any {
 	switch value := node.(type) {
 	case string:
@@ -216,11 +217,11 @@
 	return node
 }
 
-// reject returns why a value does not fit the parameter, or "".
-func (p Parameter) reject(value any) string {
+// check returns the reason why a value is invalid for the parameter, or "".
+func (p Parameter) check(value any) string {
 	switch p.Type {
 	case TypeString:
-		return p.rejectString(value)
+		return p.checkString(value)
 	case TypeBoolean:
 		if _, ok := value.(bool); !ok {
 			return "must be a boolean"
@@ -230,12 +231,12 @@
 			return "must be a list"
 		}
 	case TypeNumber, TypeInteger:
-		return p.rejectNumber(value)
+		return p.checkNumber(value)
 	}
 	return ""
 }
 
-func (p Parameter) rejectString(value any) string {
+func (p Parameter) checkString(value any) string {
 	text, ok := value.(string)
 	if !ok {
 		return "must be a string"
@@ -251,7 +252,7 @@
 	return "must be one of " + strings.Join(p.Allowed, ", ") + ", is " + text
 }
 
-func (p Parameter) rejectNumber(value any) string {
+func (p Parameter) checkNumber(value any) string {
 	number, ok := asNumber(value)
 	if !ok || math.IsNaN(number) || math.IsInf(number, 0) {
 		return "must be a number" + p.unitSuffix()
--- a/internal/configuration/parse_test.go
+++ b/internal/configuration/parse_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestFaultsNameDocumentPathAndReason(t *testing.T) {
+func TestFaultsReportDocumentPathAndReason(t *testing.T) {
 	const tenant = "tenants/parish-schools.yaml"
 	cases := []struct {
 		name     string
@@ -80,7 +80,7 @@
 	assert.Len(t, invalid.Faults, 3)
 }
 
-func TestParserMemoryGivesTheSameAsAFreshParse(t *testing.T) {
+func TestCachedParseEqualsFreshParse(t *testing.T) {
 	parser := NewParser()
 	documents := example(t, "yaad-voices")
 	steps := []func(map[string][]byte){
@@ -96,10 +96,10 @@
 	}
 	for i, step := range steps {
 		step(documents)
-		remembered, errRemembered := parser.Parse(version, maps.Clone(documents))
+		cached, errCached := parser.Parse(version, maps.Clone(documents))
 		fresh, errFresh := Parse(version, maps.Clone(documents))
-		assert.Equal(t, errFresh, errRemembered, "step %d", i)
-		assert.Equal(t, fresh, remembered, "step %d", i)
+		assert.Equal(t, errFresh, errCached, "step %d", i)
+		assert.Equal(t, fresh, cached, "step %d", i)
 	}
 }
 
@@ -119,7 +119,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		snapshot, err := Parse(version, map[string][]byte{"fuzzed.yaml": data})
 		if (snapshot == nil) == (err == nil) {
-			t.Fatal("either a snapshot or an error")
+			t.Fatal("Parse must return either a snapshot or an error")
 		}
 	})
 }
--- a/internal/configuration/parser.go
+++ b/internal/configuration/parser.go
@@ -10,41 +10,42 @@
 	"pinevane.example/pinevane/internal/fault"
 )
 
-// parsed is one document as it was read, with its faults.
-type parsed struct {
+// parsedDocument is a parsed document with its faults.
+type parsedDocument struct {
 	data     []byte
 	template *Template
 	instance *Instance
-	faults   faults
+	faults   faultList
 }
 
-// rendered is one instance's value, nil when it has faults.
-type rendered struct {
+// renderedInstance is the rendered value of an instance; the value is nil if the
+// instance has faults.
+type renderedInstance struct {
 	template *Template
 	instance *Instance
 	value    any
-	faults   faults
+	faults   faultList
 }
 
-// Parser turns documents into snapshots and remembers what it read, so that a
-// revision costs work for the documents that it changes. The result is the same
-// as without the memory. A Parser is not safe for concurrent use.
+// Parser parses documents into snapshots. It caches parsed documents, so that a new
+// revision only costs work for the documents that changed. The cache does not affect
+// the result. A Parser is not safe for concurrent use.
 type Parser struct {
-	documents map[string]*parsed
-	instances map[string]rendered
+	documents map[string]*parsedDocument
+	instances map[string]renderedInstance
 }
 
-// NewParser returns a parser that remembers nothing.
+// NewParser returns a parser with an empty cache.
 func NewParser() *Parser {
-	return &Parser{documents: map[string]*parsed{}, instances: map[string]rendered{}}
+	return &Parser{documents: map[string]*parsedDocument{}, instances: map[string]renderedInstance{}}
 }
 
-// Parse checks a whole set of documents, keyed by path, and renders them to a
-// Snapshot. The error is a *fault.InvalidConfiguration that lists every fault.
+// Parse validates a complete set of documents, keyed by path, and renders them to a
+// Snapshot. The error is a *fault.InvalidConfiguration that lists all faults.
 func (p *Parser) Parse(version monotonic.Version, documents map[string][]byte) (*Snapshot, error) {
-	found := &faults{}
+	found := &faultList{}
 	keys := slices.Sorted(maps.Keys(documents))
-	p.forget(documents)
+	p.dropRemoved(documents)
 	for _, key := range keys {
 		p.read(key, documents[key], found)
 	}
@@ -62,8 +63,8 @@
 	return builder.snapshot, nil
 }
 
-// forget drops what was remembered of documents that are gone.
-func (p *Parser) forget(documents map[string][]byte) {
+// dropRemoved deletes removed documents from the cache.
+func (p *Parser) dropRemoved(documents map[string][]byte) {
 	for key := range p.documents {
 		if _, kept := documents[key]; !kept {
 			delete(p.documents, key)
@@ -72,10 +73,10 @@
 	}
 }
 
-func (p *Parser) read(key string, data []byte, found *faults) {
+func (p *Parser) read(key string, data []byte, found *faultList) {
 	known := p.documents[key]
 	if known == nil || !bytes.Equal(known.data, data) {
-		known = &parsed{data: data}
+		known = &parsedDocument{data: data}
 		known.template, known.instance = parseDocument(key, data, &known.faults)
 		p.documents[key] = known
 		delete(p.instances, key)
@@ -83,14 +84,14 @@
 	found.list = append(found.list, known.faults.list...)
 }
 
-func (p *Parser) templates(keys []string, found *faults) map[string]*Template {
+func (p *Parser) templates(keys []string, found *faultList) map[string]*Template {
 	templates := map[string]*Template{}
 	for _, key := range keys {
 		template := p.documents[key].template
 		if template == nil {
 			continue
 		}
-		if earlier, twice := templates[template.Template]; twice {
+		if earlier, duplicate := templates[template.Template]; duplicate {
 			found.add(key, "template", "name is already used by "+earlier.document)
 			continue
 		}
@@ -99,21 +100,21 @@
 	return templates
 }
 
-// render returns the value of an instance document; false when the document is
-// no instance or has faults.
-func (p *Parser) render(key string, templates map[string]*Template, found *faults) (rendered, bool) {
+// render renders an instance document. It returns false if the document is not an
+// instance or has faults.
+func (p *Parser) render(key string, templates map[string]*Template, found *faultList) (renderedInstance, bool) {
 	instance := p.documents[key].instance
 	if instance == nil {
-		return rendered{}, false
+		return renderedInstance{}, false
 	}
 	template, known := templates[instance.Template]
 	if !known {
 		found.add(key, "from", "no template is named "+strconv.Quote(instance.Template))
-		return rendered{}, false
+		return renderedInstance{}, false
 	}
-	item, remembered := p.instances[key]
-	if !remembered || item.template != template || item.instance != instance {
-		item = rendered{template: template, instance: instance}
+	item, cached := p.instances[key]
+	if !cached || item.template != template || item.instance != instance {
+		item = renderedInstance{template: template, instance: instance}
 		if body, ok := render(template, instance, &item.faults); ok {
 			item.value = decode(template.Kind, instance, body, &item.faults)
 		}
--- a/internal/configuration/schema.go
+++ b/internal/configuration/schema.go
@@ -16,8 +16,8 @@
 
 var compiledSchemas = sync.OnceValue(compileSchemas)
 
-// compileSchemas panics on a broken embedded schema, which is a build fault
-// that every test of this package would show.
+// compileSchemas compiles the embedded schemas. It panics on an invalid schema, which
+// is a programming error that fails every test of this package.
 func compileSchemas() map[Kind]*jsonschema.Schema {
 	compiler := jsonschema.NewCompiler()
 	result := map[Kind]*jsonschema.Schema{}
@@ -39,8 +39,9 @@
 	return result
 }
 
-// matchesSchema reports each leaf violation of the kind's JSON schema.
-func matchesSchema(kind Kind, document string, data []byte, found *faults) bool {
+// checkSchema validates data against the JSON schema of its kind and adds each leaf
+// violation to found.
+func checkSchema(kind Kind, document string, data []byte, found *faultList) bool {
 	value, err := jsonschema.UnmarshalJSON(bytes.NewReader(data))
 	if err != nil {
 		found.add(document, "body", err.Error())
@@ -55,14 +56,14 @@
 		found.add(document, "body", err.Error())
 		return false
 	}
-	addLeaves(document, violation, found)
+	addViolations(document, violation, found)
 	return false
 }
 
-func addLeaves(document string, violation *jsonschema.ValidationError, found *faults) {
+func addViolations(document string, violation *jsonschema.ValidationError, found *faultList) {
 	if len(violation.Causes) > 0 {
 		for _, cause := range violation.Causes {
-			addLeaves(document, cause, found)
+			addViolations(document, cause, found)
 		}
 		return
 	}
--- a/internal/configuration/snapshot.go
+++ b/internal/configuration/snapshot.go
@@ -10,55 +10,55 @@
 	"pinevane.example/pinevane/coordination/monotonic"
 )
 
-// Adapter is a small addition to a model's weights, chosen by request.
+// Adapter is an addition to a model's weights that a request may select.
 type Adapter struct {
 	Name string `json:"name"`
 }
 
-// Model names one version of a model and where it is to be served.
+// Model is a model version with its number of replicas.
 type Model struct {
 	Name    string `json:"name"`
 	Version string `json:"version"`
 	// Manifest is the BLAKE3 digest of the manifest, 64 hexadecimal digits.
 	Manifest string `json:"manifest"`
-	// ReplicasPerZone is how many machines of each zone serve the model.
+	// ReplicasPerZone is the number of machines in each zone that serve the model.
 	ReplicasPerZone int       `json:"replicasPerZone"`
 	Adapters        []Adapter `json:"adapters,omitempty"`
 }
 
-// Service is a plain back end reached under /apps/{name}/.
+// Service is a plain back end that is reachable under /apps/{name}/.
 type Service struct {
 	Name string `json:"name"`
-	// Repeatable says whether calls may be run more than once.
+	// Repeatable reports whether calls may run more than once.
 	Repeatable bool `json:"repeatable"`
 }
 
-// Tenant is a caller's account with its limits.
+// Tenant is the account of callers, with its keys and limits.
 type Tenant struct {
 	Name string `json:"name"`
 	// KeyDigests are the SHA-256 digests of the tenant's keys, in hexadecimal.
 	KeyDigests []string `json:"keyDigests"`
-	// Priority orders work at engines; higher goes first. 0 to 9.
+	// Priority orders requests at engines, from 0 to 9; higher priorities run first.
 	Priority          int     `json:"priority"`
 	RequestsPerSecond float64 `json:"requestsPerSecond"`
-	// TokensPerSecond limits generated tokens.
+	// TokensPerSecond limits the rate of generated tokens.
 	TokensPerSecond float64 `json:"tokensPerSecond"`
-	// Concurrency limits requests open at once.
+	// Concurrency limits the number of open requests.
 	Concurrency int      `json:"concurrency"`
 	Models      []string `json:"models,omitempty"`
 	Services    []string `json:"services,omitempty"`
 }
 
-// Rollout bounds the resources that carrying weights may take.
+// Rollout limits the resources used to transfer weights.
 type Rollout struct {
 	Name string `json:"name"`
-	// OriginCopies is how many copies of a model may be drawn from the origin.
+	// OriginCopies limits how many copies of a model may be read from the origin.
 	OriginCopies float64 `json:"originCopies"`
-	// LinkFraction is the part of a machine's link that weights may use, 0 to 1.
+	// LinkFraction is the fraction of a machine's link that weights may use, 0 to 1.
 	LinkFraction float64 `json:"linkShare"`
 }
 
-// Snapshot is one configuration revision, checked whole. It is immutable.
+// Snapshot is a completely validated configuration revision. It is immutable.
 type Snapshot struct {
 	Version  monotonic.Version  `json:"version"`
 	Models   map[string]Model   `json:"models"`
@@ -71,30 +71,30 @@
 }
 
 // TenantByKeyDigest returns the tenant that owns a key digest. Only digests are
-// compared, so that the time taken tells nothing of a key.
+// compared, so that timing reveals nothing about a key.
 func (s *Snapshot) TenantByKeyDigest(digest string) (Tenant, bool) {
 	tenant, known := s.Tenants[s.keyOwner[digest]]
 	return tenant, known
 }
 
-// DefaultRollout is in force when no rollout instance is published.
+// DefaultRollout is used when no rollout instance is published.
 var DefaultRollout = Rollout{Name: "default", OriginCopies: 4, LinkFraction: 0.5}
 
-// Parse checks a whole set of documents, keyed by path, and renders them to a
-// Snapshot. The error is a *fault.InvalidConfiguration that lists every fault.
+// Parse validates a complete set of documents, keyed by path, and renders them to a
+// Snapshot. The error is a *fault.InvalidConfiguration that lists all faults.
 func Parse(version monotonic.Version, documents map[string][]byte) (*Snapshot, error) {
 	return NewParser().Parse(version, documents)
 }
 
 type builder struct {
 	snapshot *Snapshot
-	found    *faults
+	found    *faultList
 	// documentOf maps "kind/name" to the document that declared it.
 	documentOf map[string]string
 	hasRollout bool
 }
 
-func newBuilder(version monotonic.Version, found *faults) *builder {
+func newBuilder(version monotonic.Version, found *faultList) *builder {
 	return &builder{
 		snapshot: &Snapshot{
 			Version:  version,
@@ -109,11 +109,11 @@
 	}
 }
 
-// add puts one rendered instance into the snapshot.
-func (b *builder) add(item rendered) {
+// add adds a rendered instance to the snapshot.
+func (b *builder) add(item renderedInstance) {
 	document, name := item.instance.document, item.instance.Instance
 	identity := string(item.template.Kind) + "/" + name
-	if earlier, twice := b.documentOf[identity]; twice {
+	if earlier, duplicate := b.documentOf[identity]; duplicate {
 		b.found.add(document, "instance", "name is already used by "+earlier)
 		return
 	}
@@ -145,8 +145,8 @@
 	}
 }
 
-// render fills a template's body with an instance's parameters.
-func render(template *Template, instance *Instance, found *faults) (map[string]any, bool) {
+// render substitutes an instance's parameters in a template's body.
+func render(template *Template, instance *Instance, found *faultList) (map[string]any, bool) {
 	before := len(found.list)
 	values := map[string]any{}
 	for _, name := range slices.Sorted(maps.Keys(instance.Parameters)) {
@@ -155,7 +155,7 @@
 			found.add(instance.document, "parameters."+name, "is not declared by template "+template.Template)
 			continue
 		}
-		if reason := parameter.reject(instance.Parameters[name]); reason != "" {
+		if reason := parameter.check(instance.Parameters[name]); reason != "" {
 			found.add(instance.document, "parameters."+name, reason)
 			continue
 		}
@@ -178,9 +178,9 @@
 	return body, true
 }
 
-// decode turns a rendered body into the value of its kind, or nil when it has
-// faults.
-func decode(kind Kind, instance *Instance, body map[string]any, found *faults) any {
+// decode decodes a rendered body into the type of its kind. It returns nil if the
+// body has faults.
+func decode(kind Kind, instance *Instance, body map[string]any, found *faultList) any {
 	if body == nil {
 		body = map[string]any{}
 	}
@@ -190,7 +190,7 @@
 		found.add(instance.document, "body", err.Error())
 		return nil
 	}
-	if !matchesSchema(kind, instance.document, data, found) {
+	if !checkSchema(kind, instance.document, data, found) {
 		return nil
 	}
 	switch kind {
@@ -204,7 +204,7 @@
 	return decodeAs[Rollout](instance, data, found)
 }
 
-func decodeAs[T any](instance *Instance, data []byte, found *faults) any {
+func decodeAs[T any](instance *Instance, data []byte, found *faultList) any {
 	var value T
 	if err := json.Unmarshal(data, &value); err != nil {
 		found.add(instance.document, "body", err.Error())
@@ -213,7 +213,7 @@
 	return value
 }
 
-// checkReferences reports tenants that name models or services nobody declares.
+// checkReferences reports tenants that refer to undeclared models or services.
 func (b *builder) checkReferences() {
 	for _, name := range slices.Sorted(maps.Keys(b.snapshot.Tenants)) {
 		tenant := b.snapshot.Tenants[name]
