--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -7,7 +7,7 @@
 	"pinevane.example/pinevane/internal/fault"
 )
 
-// last returns the newest line with one of the events.
+// last returns the last line with one of the events.
 func last(lines []Line, events ...string) (Line, bool) {
 	for index := len(lines) - 1; index >= 0; index-- {
 		for _, event := range events {
@@ -19,17 +19,17 @@
 	return Line{}, false
 }
 
-// cause names what decided the end of a request, from its own lines and those that
-// bear on it.
+// cause explains the outcome of a request from its own lines and from all lines of its
+// explanation.
 func cause(own, all []Line) string {
-	end, ended := last(own, answered, denied, givenUp, streamCut, callerLeft)
+	end, ended := last(own, requestAnswered, requestDenied, requestGivenUp, streamCut, callerLeft)
 	if !ended {
-		return "the request has no end in the logs: its process stopped, or lines are missing"
+		return "the logs contain no end of the request: its process stopped, or lines are missing"
 	}
 	switch end.Event {
-	case answered:
+	case requestAnswered:
 		return answeredCause(own, end)
-	case denied:
+	case requestDenied:
 		return deniedCause(all, end)
 	case callerLeft:
 		return fmt.Sprintf("the caller closed its connection after %.3f s", end.number("took"))
@@ -46,63 +46,64 @@
 	text := fmt.Sprintf("answered with status %s by server %s after %.3f s", end.text("status"), end.text("server"), end.number("took"))
 	if first, target := end.number("first_event"), end.number("target"); target > 0 && first > target {
 		text += fmt.Sprintf("; late: the first event came after %.3f s, the target is %.3f s", first, target)
-		if choice, found := last(own, sent); found {
-			text += fmt.Sprintf("; %.3f s had been expected of the server, on figures %.3f s old", choice.number("expected"), choice.number("status_age"))
+		if choice, found := last(own, requestSent); found {
+			text += fmt.Sprintf("; %.3f s were expected of the server, from a status report %.3f s old", choice.number("expected"), choice.number("status_age"))
 		}
 	}
-	if choice, found := last(own, sent); found {
-		text += returnCause(choice)
+	if choice, found := last(own, requestSent); found {
+		text += repeatCause(choice)
 	}
-	if failure, found := last(own, failed); found {
-		text += "; an attempt before failed: " + failure.text("reason") + " at " + failure.text("server")
+	if failure, found := last(own, attemptFailed); found {
+		text += "; an earlier attempt failed: " + failure.text("reason") + " at " + failure.text("server")
 	}
 	return text
 }
 
-// returnCause tells of a caller that had been refused before.
-func returnCause(choice Line) string {
+// repeatCause describes an earlier attempt of the caller that was refused.
+func repeatCause(choice Line) string {
 	since := choice.number("since_first_attempt")
 	if since <= 0 {
 		return ""
 	}
-	return fmt.Sprintf("; the caller had come back, %.3f s or more after its first attempt", since)
+	return fmt.Sprintf("; the caller had retried, %.3f s or more after its first attempt", since)
 }
 
 func deniedCause(all []Line, end Line) string {
 	text := fmt.Sprintf("denied with %s by configuration %s, in force for %.3f s", end.text("status"), end.text("configuration"), end.number("configuration_age"))
-	if newest, found := last(all, accepted); found && newest.text("version") != end.text("configuration") {
-		text += "; version " + newest.text("version") + " came in force at " + newest.Time.Format("15:04:05.000")
+	if newest, found := last(all, snapshotAccepted); found && newest.text("version") != end.text("configuration") {
+		text += "; version " + newest.text("version") + " came into force at " + newest.Time.Format("15:04:05.000")
 	}
 	return text
 }
 
-// refusalCause explains a request that was sent to no server that ran it.
+// refusalCause explains why a request was refused without being run.
 func refusalCause(own, all []Line, end Line) string {
-	if line, found := last(own, withheldFor); found {
-		return contentCause(all, line)
+	if line, found := last(own, contentWithheld); found {
+		return quarantineCause(all, line)
 	}
-	if line, found := last(own, noServer); found {
+	if line, found := last(own, noServerChosen); found {
 		text := "no server was chosen; servers by reason: " + line.text("servers")
 		if line.number("wait") > 0 {
-			text += fmt.Sprintf("; at the soonest it would have waited for others for %.3f s, %.3f s are allowed", line.number("wait"), line.number("most_wait"))
+			text += fmt.Sprintf("; the shortest wait for other requests would have been %.3f s, %.3f s are allowed", line.number("wait"), line.number("most_wait"))
 			text += fmt.Sprintf("; an idle server would have begun its %s prompt tokens after %.3f s", line.text("prompt_tokens"), line.number("alone"))
 		}
-		return text + returnCause(line) + regionCause(line, end) + evacuationCause(all, line) + versionCause(all, line)
+		return text + repeatCause(line) + regionCause(line, end) + evacuationCause(all, line) + versionCause(all, line)
 	}
-	if _, found := last(own, failed); found {
+	if _, found := last(own, attemptFailed); found {
 		return failureCause(own, all)
 	}
 	return end.text("reason")
 }
 
-// reasonResidency is the reason of a request that a server of another region would have
-// been sent.
+// reasonResidency is the refusal reason of a request for which a server was available
+// only outside the allowed regions.
 const reasonResidency = string(fault.ReasonResidency)
 
-// noRegions is how the log writes allowed regions that contradict each other.
+// noRegions is the log field of allowed regions that have no region in common.
 const noRegions = "[]"
 
-// regionCause tells of a choice that allowed regions bound, and whether they decided it.
+// regionCause describes the allowed regions of a choice, and whether they caused the
+// refusal.
 func regionCause(choice, end Line) string {
 	regions := choice.text("allowed_regions")
 	if regions == "" {
@@ -118,9 +119,9 @@
 	return text
 }
 
-// failureCause explains the last attempt that failed, and why no other followed.
+// failureCause explains the last failed attempt and why it was not retried.
 func failureCause(own, all []Line) string {
-	failure, found := last(own, failed)
+	failure, found := last(own, attemptFailed)
 	if !found {
 		return "no failed attempt is in the logs; lines are missing"
 	}
@@ -129,30 +130,30 @@
 		text += ": " + detail
 	}
 	text += ")" + healthCause(own, all, failure)
-	if line, kept := last(own, withheld); kept && !line.Time.Before(failure.Time) {
+	if line, found := last(own, retryWithheld); found && !line.Time.Before(failure.Time) {
 		text += "; it was not tried again because of: " + line.text("because")
-	} else if line, none := last(own, noServer); none && !line.Time.Before(failure.Time) {
+	} else if line, found := last(own, noServerChosen); found && !line.Time.Before(failure.Time) {
 		text += "; no other server was chosen, servers by reason: " + line.text("servers") + regionCause(line, Line{}) + evacuationCause(all, line)
 	}
 	return text + versionCause(all, failure)
 }
 
-// versionCause tells of a change of version that was under way.
+// versionCause describes a version change that was in progress at the time of a line.
 func versionCause(all []Line, at Line) string {
-	named, found := last(all, versionNamed)
-	if !found || named.Time.After(at.Time) {
+	announced, found := last(all, versionAnnounced)
+	if !found || announced.Time.After(at.Time) {
 		return ""
 	}
 	orders := 0
 	for _, line := range all {
-		if line.Event == orderSent && line.text("version") == named.text("version") && !line.Time.After(at.Time) {
+		if line.Event == orderSent && line.text("version") == announced.text("version") && !line.Time.After(at.Time) {
 			orders++
 		}
 	}
 	var text strings.Builder
-	fmt.Fprintf(&text, "; version %s had been named %.3f s before", named.text("version"), at.Time.Sub(named.Time).Seconds())
+	fmt.Fprintf(&text, "; version %s had been named %.3f s before", announced.text("version"), at.Time.Sub(announced.Time).Seconds())
 	if orders > 0 {
-		fmt.Fprintf(&text, ", and %d servers had been ordered over", orders)
+		fmt.Fprintf(&text, ", and %d servers had been ordered to switch", orders)
 	}
 	return text.String()
 }
--- a/internal/explain/content.go
+++ b/internal/explain/content.go
@@ -5,38 +5,38 @@
 	"strings"
 )
 
-// addContent adds what all processes have found out of a request's content: the servers that ended
-// while it was under way there, its quarantine, and the end of that.
-func addContent(story, lines, own []Line) []Line {
-	line, found := last(own, withheldFor, sent)
+// addFingerprintLines adds the lines of all processes that concern the fingerprint of a request: the
+// crashes of servers that were running it, its quarantine, and the end of the quarantine.
+func addFingerprintLines(selected, lines, own []Line) []Line {
+	line, found := last(own, contentWithheld, requestSent)
 	if !found || line.text("content") == "" {
-		return story
+		return selected
 	}
 	var concerning []Line
 	for _, one := range lines {
-		if concernsContent(one, line.text("content")) {
+		if concernsFingerprint(one, line.text("content")) {
 			concerning = append(concerning, one)
 		}
 	}
-	return addMissing(story, concerning)
+	return addMissing(selected, concerning)
 }
 
-func concernsContent(line Line, content string) bool {
+func concernsFingerprint(line Line, fingerprint string) bool {
 	switch line.Event {
-	case contentShut, contentCleared:
-		return line.text("content") == content
-	case serverEnded:
-		return strings.Contains(line.text("contents"), content)
+	case fingerprintQuarantined, quarantineEnded:
+		return line.text("content") == fingerprint
+	case serverCrashed:
+		return strings.Contains(line.text("contents"), fingerprint)
 	}
 	return false
 }
 
-// contentCause explains a request that was withheld from all servers for its content.
-func contentCause(all []Line, withheld Line) string {
-	text := fmt.Sprintf("servers have ended under its content %s, the last ones %s (%s, for %.0f s more)",
+// quarantineCause explains a request that was withheld from all servers because of its fingerprint.
+func quarantineCause(all []Line, withheld Line) string {
+	text := fmt.Sprintf("servers have crashed while running its fingerprint %s, most recently %s (%s, for %.0f s more)",
 		withheld.text("content"), withheld.text("servers"), withheld.text("reason"), withheld.number("left"))
-	if shut, found := last(all, contentShut); found {
-		text += "; " + shut.text("entry") + " found that out at " + shut.Time.Format("15:04:05.000")
+	if quarantine, found := last(all, fingerprintQuarantined); found {
+		text += "; " + quarantine.text("entry") + " reported this at " + quarantine.Time.Format("15:04:05.000")
 	}
 	return text
 }
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,6 @@
-// Package explain joins the log lines of many processes into the story of one
-// request: what was decided on it, with which inputs, and what the processes
-// believed at that time that bears on it.
+// Package explain combines the log lines of many processes into an explanation of
+// one request: the decisions on it with their inputs, and the relevant state of
+// the processes at that time.
 package explain
 
 import (
@@ -17,7 +17,7 @@
 	"pinevane.example/pinevane/internal/fault"
 )
 
-// Line is one log line.
+// Line is a parsed log line.
 type Line struct {
 	Time    time.Time
 	Process string
@@ -26,11 +26,11 @@
 	Fields  map[string]any
 }
 
-// maximumLineBytes bounds a log line.
+// maximumLineBytes limits the length of a log line.
 const maximumLineBytes = 1 << 20
 
-// Read reads the JSON lines of a log. What stands before the brace of a line, as
-// log collectors write it, is passed over; lines that hold no event are skipped.
+// Read reads the JSON lines of a log. A prefix before the opening brace of a line, as
+// log collectors write it, is ignored. Lines without an event are skipped.
 func Read(source io.Reader) ([]Line, error) {
 	scanner := bufio.NewScanner(source)
 	scanner.Buffer(make([]byte, 0, 64<<10), maximumLineBytes)
@@ -55,14 +55,14 @@
 	if json.Unmarshal(text[start:], &fields) != nil {
 		return Line{}, false
 	}
-	line := Line{Fields: fields, Process: take(fields, "process"), Event: take(fields, "event"), Message: take(fields, "msg")}
-	at, err := time.Parse(time.RFC3339Nano, take(fields, "ts"))
+	line := Line{Fields: fields, Process: takeText(fields, "process"), Event: takeText(fields, "event"), Message: takeText(fields, "msg")}
+	at, err := time.Parse(time.RFC3339Nano, takeText(fields, "ts"))
 	delete(fields, "level")
 	line.Time = at
 	return line, err == nil && line.Event != ""
 }
 
-func take(fields map[string]any, name string) string {
+func takeText(fields map[string]any, name string) string {
 	text, _ := fields[name].(string)
 	delete(fields, name)
 	return text
@@ -88,7 +88,7 @@
 	return value
 }
 
-// String renders the line for people.
+// String formats the line for display.
 func (l Line) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s  %-20s %s  %s", l.Time.Format("15:04:05.000"), l.Process, l.Event, l.Message)
@@ -105,25 +105,25 @@
 	return text.String()
 }
 
-// Explanation is what the logs tell of one request.
+// Explanation is the result of an analysis of the logs for one request.
 type Explanation struct {
 	RequestID string
-	// Lines are the request's own, and those that bear on it, in order of time.
+	// Lines contains the request's own lines and the relevant lines of processes, in order of time.
 	Lines []Line
-	// Cause says in a sentence what decided the request's end.
+	// Cause is a sentence that explains the outcome of the request.
 	Cause string
 }
 
-// How long before and after a request what the processes believed is told.
+// Time before and after a request within which other relevant lines are included.
 const (
-	before = 12 * time.Second
-	after  = time.Second
+	contextBefore = 12 * time.Second
+	contextAfter  = time.Second
 )
 
-// Explain joins the lines of all processes into the story of a request. An unknown
-// request gives a story without lines.
+// Explain combines the lines of all processes into the explanation of a request. The
+// explanation of an unknown request has no lines.
 func Explain(lines []Line, requestID string) Explanation {
-	story := Explanation{RequestID: requestID}
+	explanation := Explanation{RequestID: requestID}
 	var own []Line
 	servers, processes := map[string]bool{}, map[string]bool{}
 	for _, line := range lines {
@@ -137,39 +137,39 @@
 		}
 	}
 	if len(own) == 0 {
-		story.Cause = "no line names the request; it reached no process whose log is given, or its connection was refused"
-		return story
+		explanation.Cause = "no line names the request: it reached no process whose log is given, or its connection was refused"
+		return explanation
 	}
 	sortByTime(own)
-	from, until := own[0].Time.Add(-before), own[len(own)-1].Time.Add(after)
+	from, until := own[0].Time.Add(-contextBefore), own[len(own)-1].Time.Add(contextAfter)
 	for _, line := range lines {
-		if line.text("request") == "" && !line.Time.Before(from) && !line.Time.After(until) && bears(line, servers, processes) {
-			story.Lines = append(story.Lines, line)
+		if line.text("request") == "" && !line.Time.Before(from) && !line.Time.After(until) && isRelevant(line, servers, processes) {
+			explanation.Lines = append(explanation.Lines, line)
 		}
 	}
-	story.Lines = addEvacuations(story.Lines, lines, processes, own[0].Time)
-	story.Lines = addContent(story.Lines, lines, own)
-	story.Lines = append(story.Lines, own...)
-	sortByTime(story.Lines)
-	story.Cause = cause(own, story.Lines)
-	return story
+	explanation.Lines = addEvacuations(explanation.Lines, lines, processes, own[0].Time)
+	explanation.Lines = addFingerprintLines(explanation.Lines, lines, own)
+	explanation.Lines = append(explanation.Lines, own...)
+	sortByTime(explanation.Lines)
+	explanation.Cause = cause(own, explanation.Lines)
+	return explanation
 }
 
 func sortByTime(lines []Line) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return cmp.Compare(a.Time.UnixNano(), b.Time.UnixNano()) })
 }
 
-// bears reports whether what a process came to believe concerns the request: its
-// entry's configuration, store and stops, what is known of its servers, and the
-// naming and ordering of versions.
-func bears(line Line, servers, processes map[string]bool) bool {
+// isRelevant reports whether a line that does not name the request is relevant to it:
+// the configuration, store and shutdown of its entry, the state of its servers, and
+// version announcements and orders.
+func isRelevant(line Line, servers, processes map[string]bool) bool {
 	if server := line.text("server"); server != "" {
 		return servers[server] && processes[line.Process]
 	}
 	switch {
 	case strings.HasPrefix(line.Event, "PV1"), strings.HasPrefix(line.Event, "PV2"):
 		return processes[line.Process] && line.Event != peerConnected
-	case line.Event == versionNamed:
+	case line.Event == versionAnnounced:
 		return processes[line.Process]
 	case line.Event == orderSent, line.Event == versionLive, line.Event == engineLost:
 		return true
@@ -177,29 +177,29 @@
 	return false
 }
 
-// Numbers of the events that a story turns on.
+// Numbers of the events that an explanation evaluates.
 const (
-	peerConnected  = "PV1101"
-	accepted       = "PV2001"
-	zoneEvacuated  = "PV2009"
-	zoneReadmitted = "PV2010"
-	versionNamed   = "PV3000"
-	orderSent      = "PV3006"
-	versionLive    = "PV3008"
-	engineLost     = "PV3108"
-	sent           = "PV4101"
-	answered       = "PV4102"
-	denied         = "PV4103"
-	givenUp        = "PV4104"
-	failed         = "PV4105"
-	withheld       = "PV4106"
-	streamCut      = "PV4107"
-	callerLeft     = "PV4108"
-	noServer       = "PV4109"
-	withheldFor    = "PV4110"
-	serverEjected  = "PV4204"
-	serverTried    = "PV4209"
-	serverEnded    = "PV4210"
-	contentShut    = "PV4211"
-	contentCleared = "PV4212"
+	peerConnected          = "PV1101"
+	snapshotAccepted       = "PV2001"
+	zoneEvacuated          = "PV2009"
+	zoneReadmitted         = "PV2010"
+	versionAnnounced       = "PV3000"
+	orderSent              = "PV3006"
+	versionLive            = "PV3008"
+	engineLost             = "PV3108"
+	requestSent            = "PV4101"
+	requestAnswered        = "PV4102"
+	requestDenied          = "PV4103"
+	requestGivenUp         = "PV4104"
+	attemptFailed          = "PV4105"
+	retryWithheld          = "PV4106"
+	streamCut              = "PV4107"
+	callerLeft             = "PV4108"
+	noServerChosen         = "PV4109"
+	contentWithheld        = "PV4110"
+	serverEjected          = "PV4204"
+	serverTrial            = "PV4209"
+	serverCrashed          = "PV4210"
+	fingerprintQuarantined = "PV4211"
+	quarantineEnded        = "PV4212"
 )
--- a/internal/explain/health.go
+++ b/internal/explain/health.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// healthCause tells what the entry held of a failing server's health: whether the request was
-// its trial, had been sent before it was ejected, or has had it ejected.
+// healthCause describes the state of a failed attempt's server at the entry: whether the request
+// was the server's trial, and whether the server was ejected before or after the failure.
 func healthCause(own, all []Line, failure Line) string {
 	server := failure.text("server")
 	for _, line := range own {
-		if line.Event == serverTried && line.text("server") == server {
-			return "; the request was the trial of that server, which had been ejected, or was not reached by its agent"
+		if line.Event == serverTrial && line.text("server") == server {
+			return "; the request was a trial of that server, which had been ejected or was unreachable for its agent"
 		}
 	}
 	for _, line := range all {
@@ -17,13 +17,13 @@
 		}
 		by := "by " + line.text("by")
 		if entry := line.text("entry"); entry != "" {
-			by = "told by entry " + entry
+			by = "reported by entry " + entry
 		}
-		if early := line.Time.Sub(failure.Time).Seconds(); early >= 0 {
-			return fmt.Sprintf("; the server was ejected %.3f s after that, %s", early, by)
+		if delay := line.Time.Sub(failure.Time).Seconds(); delay >= 0 {
+			return fmt.Sprintf("; the server was ejected %.3f s after that, %s", delay, by)
 		}
-		if out := failure.Time.Sub(line.Time).Seconds(); out < line.number("for") {
-			return fmt.Sprintf("; the server had been ejected %.3f s before, %s, while the attempt was under way or for want of others", out, by)
+		if ejected := failure.Time.Sub(line.Time).Seconds(); ejected < line.number("for") {
+			return fmt.Sprintf("; the server had been ejected %.3f s before, %s, while the attempt was in progress or because no other server was available", ejected, by)
 		}
 	}
 	return ""
--- a/internal/explain/losses.go
+++ b/internal/explain/losses.go
@@ -12,58 +12,58 @@
 	"pinevane.example/pinevane/internal/fleet"
 )
 
-// Outcome is how one request ended, as its entry saw it.
+// Outcome is the outcome of a request as its entry logged it.
 type Outcome string
 
-// The outcomes that are no refusals or failures; those carry their reason after a
-// colon.
+// The outcomes other than refusals and failures, which are "refused: " or "failed: "
+// followed by the reason.
 const (
 	OutcomeInTime Outcome = "in time"
-	// OutcomeLate requests began to be answered after their target, OutcomePaused
-	// streams paused for longer than theirs.
+	// OutcomeLate is the outcome of requests whose first event came after their target,
+	// OutcomePaused that of streams with a pause longer than their target gap.
 	OutcomeLate       Outcome = "late"
 	OutcomePaused     Outcome = "paused"
 	OutcomeCut        Outcome = "cut"
 	OutcomeCallerLeft Outcome = "caller left"
 )
 
-// ending is one request with when it came, where, and how it ended.
-type ending struct {
-	at      time.Time
-	route   string
-	process string
-	outcome Outcome
-	// size is that of a generation, and 0 for other requests.
+// requestEnd is a completed request.
+type requestEnd struct {
+	startedAt time.Time
+	route     string
+	process   string
+	outcome   Outcome
+	// size is the size of a generation, and 0 for other requests.
 	size float64
 }
 
-// Losses counts how requests ended: by time, route and process.
+// Losses holds the completed requests, to be counted by outcome.
 type Losses struct {
-	endings []ending
+	requests []requestEnd
 }
 
-// CountLosses counts the outcome of every request that ends in the lines.
+// CountLosses collects the outcomes of all requests that end in the lines.
 func CountLosses(lines []Line) Losses {
 	var losses Losses
 	for _, line := range lines {
 		if outcome := outcomeOf(line); outcome != "" {
-			began := line.Time.Add(-time.Duration(line.number("took") * float64(time.Second)))
-			losses.endings = append(losses.endings, ending{
-				at: began, route: line.text("route"), process: line.Process, outcome: outcome,
+			startedAt := line.Time.Add(-time.Duration(line.number("took") * float64(time.Second)))
+			losses.requests = append(losses.requests, requestEnd{
+				startedAt: startedAt, route: line.text("route"), process: line.Process, outcome: outcome,
 				size: fleet.GenerationSize(line.number("prompt_tokens"), line.number("answer_tokens")),
 			})
 		}
 	}
-	slices.SortFunc(losses.endings, func(a, b ending) int { return a.at.Compare(b.at) })
+	slices.SortFunc(losses.requests, func(a, b requestEnd) int { return a.startedAt.Compare(b.startedAt) })
 	return losses
 }
 
-// outcomeOf reads the outcome from the line that ends a request; other lines have none.
+// outcomeOf returns the outcome if the line ends a request, and "" otherwise.
 func outcomeOf(line Line) Outcome {
 	switch line.Event {
-	case answered:
+	case requestAnswered:
 		return answerOutcome(line)
-	case givenUp:
+	case requestGivenUp:
 		if line.text("execution") == "not-run" {
 			return Outcome("refused: " + line.text("reason"))
 		}
@@ -77,15 +77,15 @@
 }
 
 func answerOutcome(line Line) Outcome {
-	begun := line.number("first_event")
-	if begun == 0 {
-		begun = line.number("took")
+	firstEvent := line.number("first_event")
+	if firstEvent == 0 {
+		firstEvent = line.number("took")
 	}
 	target, gap := line.number("target"), line.number("target_gap")
 	switch {
 	case line.number("status") >= 500:
 		return Outcome("failed: status " + line.text("status"))
-	case target > 0 && begun > target:
+	case target > 0 && firstEvent > target:
 		return OutcomeLate
 	case gap > 0 && line.number("longest_pause") > gap:
 		return OutcomePaused
@@ -93,31 +93,32 @@
 	return OutcomeInTime
 }
 
-// Write prints the counts by window of time, by route, by process, and by size within each route.
+// Write prints the counts by time window, by route, by process, and by size within each route.
 func (l Losses) Write(output io.Writer, window time.Duration) error {
-	if len(l.endings) == 0 {
+	if len(l.requests) == 0 {
 		_, err := fmt.Fprintln(output, "no request ended in the logs")
 		return err
 	}
-	first := l.endings[0].at
+	first := l.requests[0].startedAt
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
-	l.section(table, "seconds", func(e ending) string {
-		return fmt.Sprintf("%6.1f", (e.at.Sub(first) / window * window).Seconds())
+	l.writeSection(table, "seconds", func(e requestEnd) string {
+		return fmt.Sprintf("%6.1f", (e.startedAt.Sub(first) / window * window).Seconds())
 	})
-	l.section(table, "route", func(e ending) string { return e.route })
-	l.section(table, "process", func(e ending) string { return e.process })
+	l.writeSection(table, "route", func(e requestEnd) string { return e.route })
+	l.writeSection(table, "process", func(e requestEnd) string { return e.process })
 	labels := l.sizeLabels()
 	if len(labels) > 0 {
-		l.section(table, "size", func(e ending) string { return labels[sizeKey{route: e.route, size: e.size}] })
+		l.writeSection(table, "size", func(e requestEnd) string { return labels[sizeKey{route: e.route, size: e.size}] })
 	}
 	return table.Flush()
 }
 
-// section prints one table: requests, the share that was served, also late, the share in time, and every
-// other outcome with its count, the most frequent first. Endings without a key are left out.
-func (l Losses) section(output io.Writer, title string, keyOf func(ending) string) {
+// writeSection prints one table: the number of requests, the fraction served (in time or late), the fraction
+// served in time, and the counts of all other outcomes, most frequent first. Requests without a key are
+// omitted.
+func (l Losses) writeSection(output io.Writer, title string, keyOf func(requestEnd) string) {
 	groups := map[string]map[Outcome]int{}
-	for _, one := range l.endings {
+	for _, one := range l.requests {
 		key := keyOf(one)
 		if key == "" {
 			continue
@@ -140,12 +141,12 @@
 		}
 		inTime := groups[key][OutcomeInTime]
 		served := inTime + groups[key][OutcomeLate] + groups[key][OutcomePaused]
-		_, _ = fmt.Fprintf(output, "%s\t%d\t%.2f\t%.2f\t%s\n", key, total, float64(served)/float64(total), float64(inTime)/float64(total), others(groups[key]))
+		_, _ = fmt.Fprintf(output, "%s\t%d\t%.2f\t%.2f\t%s\n", key, total, float64(served)/float64(total), float64(inTime)/float64(total), otherOutcomes(groups[key]))
 	}
 	_, _ = fmt.Fprintln(output)
 }
 
-func others(counts map[Outcome]int) string {
+func otherOutcomes(counts map[Outcome]int) string {
 	var outcomes []Outcome
 	for outcome := range counts {
 		if outcome != OutcomeInTime {
--- a/internal/explain/losses_test.go
+++ b/internal/explain/losses_test.go
@@ -17,7 +17,7 @@
 {"ts":"2026-12-02T10:00:03.6Z","process":"entry-2","event":"PV4101","msg":"x"}
 `
 
-// A request counts where it began, and its loss under its reason.
+// A request is counted in the time window in which it started, and a loss under its reason.
 func TestLossesAreCountedByTimeRouteAndProcess(t *testing.T) {
 	lines, err := Read(strings.NewReader(lossLines))
 	require.NoError(t, err)
@@ -29,7 +29,7 @@
 	assert.Regexp(t, `entry-2 +2 +0\.50 +0\.00`, text.String())
 }
 
-// Refusals of the largest tenth of a route show beside the others of the route.
+// Refusals of the largest tenth of a route are reported separately from the rest of the route.
 func TestLossesAreSplitBySize(t *testing.T) {
 	var text strings.Builder
 	for prompt := 1; prompt <= 20; prompt++ {
--- a/internal/explain/sizes.go
+++ b/internal/explain/sizes.go
@@ -2,24 +2,24 @@
 
 import "slices"
 
-// Shares of a route's generations, by size.
+// Fractions of a route's generations in the size classes; largeFraction includes largestFraction.
 const (
-	largestShare  = 0.1
-	largeShare    = 0.3
-	smallestShare = 0.1
+	largestFraction  = 0.1
+	largeFraction    = 0.3
+	smallestFraction = 0.1
 )
 
-// sizeKey is a size of a route.
+// sizeKey identifies a generation size of a route.
 type sizeKey struct {
 	route string
 	size  float64
 }
 
-// sizeLabels tells for each size of each route in which part of the route's generations it lies: the
-// largest tenth, the fifth below it, the smallest tenth or the others.
+// sizeLabels returns the size class of each size of each route: the largest tenth, the fifth below it,
+// the smallest tenth or the others.
 func (l Losses) sizeLabels() map[sizeKey]string {
 	byRoute := map[string][]float64{}
-	for _, one := range l.endings {
+	for _, one := range l.requests {
 		if one.size > 0 {
 			byRoute[one.route] = append(byRoute[one.route], one.size)
 		}
@@ -29,20 +29,21 @@
 		slices.Sort(sizes)
 		count := float64(len(sizes))
 		for index, size := range sizes {
-			labels[sizeKey{route: route, size: size}] = route + " " + partOf(float64(index)/count)
+			labels[sizeKey{route: route, size: size}] = route + " " + sizeClass(float64(index)/count)
 		}
 	}
 	return labels
 }
 
-// partOf names the part of a route's generations of which a share is smaller.
-func partOf(smaller float64) string {
+// sizeClass returns the size class of a generation, given the fraction of the route's generations that
+// are smaller.
+func sizeClass(smaller float64) string {
 	switch {
-	case smaller >= 1-largestShare:
+	case smaller >= 1-largestFraction:
 		return "largest tenth"
-	case smaller >= 1-largeShare:
+	case smaller >= 1-largeFraction:
 		return "fifth below"
-	case smaller < smallestShare:
+	case smaller < smallestFraction:
 		return "smallest tenth"
 	}
 	return "others"
