--- a/internal/agent/gate.go
+++ b/internal/agent/gate.go
@@ -47,7 +47,7 @@
 	mutex    sync.Mutex
 	ledger   *attempt.Ledger
 	sessions map[*peering.Link]uint64
-	running  map[attempt.ID]*runningAttempt
+	attempts map[attempt.ID]*runningAttempt
 	keys     *keyLedger
 }
 
@@ -56,7 +56,7 @@
 		node: base, options: options, engine: engine, service: service,
 		ledger:   attempt.NewLedger(base.Incarnation()),
 		sessions: map[*peering.Link]uint64{},
-		running:  map[attempt.ID]*runningAttempt{},
+		attempts: map[attempt.ID]*runningAttempt{},
 		keys:     newKeyLedger(maxKeptAnswers),
 	}
 	base.Hub.OnOpen(g.openSession)
@@ -71,7 +71,7 @@
 func (g *gate) openCount() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return len(g.running)
+	return len(g.attempts)
 }
 
 // openCountOf returns the number of attempts running on a version of a model.
@@ -79,7 +79,7 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	count := 0
-	for _, running := range g.running {
+	for _, running := range g.attempts {
 		if running.model == model && running.version == version {
 			count++
 		}
@@ -109,7 +109,7 @@
 	}
 	delete(g.sessions, link)
 	g.ledger.Close(session)
-	for _, running := range g.running {
+	for _, running := range g.attempts {
 		if running.link == link && running.repeatable {
 			running.cancel()
 		}
@@ -164,7 +164,7 @@
 	if submit.Generate != nil {
 		started.model, started.version = submit.Generate.Model, submit.Generate.Version
 	}
-	g.running[submit.ID] = started
+	g.attempts[submit.ID] = started
 	return ctx, nil
 }
 
@@ -173,7 +173,7 @@
 	switch {
 	case g.node.Leaving():
 		return fault.NotRun(fault.ReasonLeaving, "the back end is leaving")
-	case len(g.running) >= g.options.MaximumOpen:
+	case len(g.attempts) >= g.options.MaximumOpen:
 		return fault.NotRun(fault.ReasonOverloaded, "the back end has too much open work")
 	case submit.RemainingMilliseconds <= 0:
 		return fault.NotRun(fault.ReasonDeadline, "no time is left")
@@ -202,9 +202,9 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.ledger.Finish(id)
-	if running, found := g.running[id]; found {
+	if running, found := g.attempts[id]; found {
 		running.cancel()
-		delete(g.running, id)
+		delete(g.attempts, id)
 	}
 }
 
@@ -335,7 +335,7 @@
 	}
 	g.mutex.Lock()
 	outcome := g.ledger.Revoke(reference.ID)
-	running := g.running[reference.ID]
+	running := g.attempts[reference.ID]
 	g.mutex.Unlock()
 	if outcome == attempt.Running && running != nil {
 		running.cancel()
