--- a/internal/agent/gate.go
+++ b/internal/agent/gate.go
@@ -28,8 +28,8 @@
 // replayed to entries that lost their link and to callers that reuse a key.
 const maxKeptAnswers = 4096
 
-// runningAttempt is an attempt that is in progress.
-type runningAttempt struct {
+// running is an attempt that is in progress.
+type running struct {
 	cancel     context.CancelFunc
 	link       *peering.Link
 	repeatable bool
@@ -47,7 +47,7 @@
 	mutex    sync.Mutex
 	ledger   *attempt.Ledger
 	sessions map[*peering.Link]uint64
-	attempts map[attempt.ID]*runningAttempt
+	running  map[attempt.ID]*running
 	keys     *keyLedger
 }
 
@@ -56,7 +56,7 @@
 		node: base, options: options, engine: engine, service: service,
 		ledger:   attempt.NewLedger(base.Incarnation()),
 		sessions: map[*peering.Link]uint64{},
-		attempts: map[attempt.ID]*runningAttempt{},
+		running:  map[attempt.ID]*running{},
 		keys:     newKeyLedger(maxKeptAnswers),
 	}
 	base.Hub.OnOpen(g.openSession)
@@ -71,7 +71,7 @@
 func (g *gate) openCount() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return len(g.attempts)
+	return len(g.running)
 }
 
 // openCountOf returns the number of attempts running on a version of a model.
@@ -79,8 +79,8 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	count := 0
-	for _, running := range g.attempts {
-		if running.model == model && running.version == version {
+	for _, active := range g.running {
+		if active.model == model && active.version == version {
 			count++
 		}
 	}
@@ -109,9 +109,9 @@
 	}
 	delete(g.sessions, link)
 	g.ledger.Close(session)
-	for _, running := range g.attempts {
-		if running.link == link && running.repeatable {
-			running.cancel()
+	for _, active := range g.running {
+		if active.link == link && active.repeatable {
+			active.cancel()
 		}
 	}
 }
@@ -160,11 +160,11 @@
 	}
 	remaining := time.Duration(submit.RemainingMilliseconds) * time.Millisecond
 	ctx, cancel := context.WithTimeout(context.Background(), remaining)
-	started := &runningAttempt{cancel: cancel, link: link, repeatable: submit.Repeatable}
+	active := &running{cancel: cancel, link: link, repeatable: submit.Repeatable}
 	if submit.Generate != nil {
-		started.model, started.version = submit.Generate.Model, submit.Generate.Version
+		active.model, active.version = submit.Generate.Model, submit.Generate.Version
 	}
-	g.attempts[submit.ID] = started
+	g.running[submit.ID] = active
 	return ctx, nil
 }
 
@@ -173,7 +173,7 @@
 	switch {
 	case g.node.Leaving():
 		return fault.NotRun(fault.ReasonLeaving, "the back end is leaving")
-	case len(g.attempts) >= g.options.MaximumOpen:
+	case len(g.running) >= g.options.MaximumOpen:
 		return fault.NotRun(fault.ReasonOverloaded, "the back end has too much open work")
 	case submit.RemainingMilliseconds <= 0:
 		return fault.NotRun(fault.ReasonDeadline, "no time is left")
@@ -202,9 +202,9 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.ledger.Finish(id)
-	if running, found := g.attempts[id]; found {
-		running.cancel()
-		delete(g.attempts, id)
+	if active, found := g.running[id]; found {
+		active.cancel()
+		delete(g.running, id)
 	}
 }
 
@@ -335,10 +335,10 @@
 	}
 	g.mutex.Lock()
 	outcome := g.ledger.Revoke(reference.ID)
-	running := g.attempts[reference.ID]
+	active := g.running[reference.ID]
 	g.mutex.Unlock()
-	if outcome == attempt.Running && running != nil {
-		running.cancel()
+	if outcome == attempt.Running && active != nil {
+		active.cancel()
 	}
 	if outcome == attempt.NotRun {
 		g.send(link, protocol.Event{ID: reference.ID, Kind: protocol.Refused, Reason: fault.ReasonRevoked})
--- a/internal/explain/losses.go
+++ b/internal/explain/losses.go
@@ -47,9 +47,9 @@
 	var losses Losses
 	for _, line := range lines {
 		if outcome := outcomeOf(line); outcome != "" {
-			startedAt := line.Time.Add(-time.Duration(line.number("took") * float64(time.Second)))
+			begin := line.Time.Add(-time.Duration(line.number("took") * float64(time.Second)))
 			losses.requests = append(losses.requests, requestEnd{
-				startedAt: startedAt, route: line.text("route"), process: line.Process, outcome: outcome,
+				startedAt: begin, route: line.text("route"), process: line.Process, outcome: outcome,
 				size: fleet.GenerationSize(line.number("prompt_tokens"), line.number("answer_tokens")),
 			})
 		}
