--- a/internal/configuration/snapshot.go
+++ b/internal/configuration/snapshot.go
@@ -29,7 +29,7 @@
 // Service is a plain back end that is reachable under /apps/{name}/.
 type Service struct {
 	Name string `json:"name"`
-	// Repeatable reports whether calls may run more than once.
+	// Repeatable is true if calls may run more than once.
 	Repeatable bool `json:"repeatable"`
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -277,9 +277,9 @@
 	fresh = before.KeepRunning(fresh)
 	d.settings.Store(&fresh)
 	d.mutex.Lock()
-	listeners := slices.Clone(d.onSettings)
+	functions := slices.Clone(d.onSettings)
 	d.mutex.Unlock()
-	for _, function := range listeners {
+	for _, function := range functions {
 		function(fresh)
 	}
 	d.reloads.WithLabelValues(reloadInForce).Inc()
--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -85,7 +85,7 @@
 		text := "no server was chosen; servers by reason: " + line.text("servers")
 		if line.number("wait") > 0 {
 			text += fmt.Sprintf("; the shortest wait for other requests would have been %.3f s, %.3f s are allowed", line.number("wait"), line.number("most_wait"))
-			text += fmt.Sprintf("; an idle server would have begun its %s prompt tokens after %.3f s", line.text("prompt_tokens"), line.number("alone"))
+			text += fmt.Sprintf("; an idle server would have sent the first event for its %s prompt tokens after %.3f s", line.text("prompt_tokens"), line.number("alone"))
 		}
 		return text + repeatCause(line) + regionCause(line, end) + evacuationCause(all, line) + versionCause(all, line)
 	}
--- a/internal/explain/content.go
+++ b/internal/explain/content.go
@@ -33,7 +33,7 @@
 
 // quarantineCause explains a request that was withheld from all servers because of its fingerprint.
 func quarantineCause(all []Line, withheld Line) string {
-	text := fmt.Sprintf("servers have crashed while running its fingerprint %s, most recently %s (%s, for %.0f s more)",
+	text := fmt.Sprintf("servers have crashed while running requests with its fingerprint %s, most recently %s (%s, for %.0f s more)",
 		withheld.text("content"), withheld.text("servers"), withheld.text("reason"), withheld.number("left"))
 	if quarantine, found := last(all, fingerprintQuarantined); found {
 		text += "; " + quarantine.text("entry") + " reported this at " + quarantine.Time.Format("15:04:05.000")
--- a/internal/explain/content_test.go
+++ b/internal/explain/content_test.go
@@ -22,6 +22,6 @@
 	explanation := Explain(lines, "r")
 	assert.Len(t, explanation.Lines, 4, "the crash of the server with another fingerprint is left out")
 	assert.Contains(t, explanation.Cause, "certain not to have run")
-	assert.Contains(t, explanation.Cause, `servers have crashed while running its fingerprint aa, most recently ["i-1","i-3"] (content-quarantined, for 3540 s more)`)
+	assert.Contains(t, explanation.Cause, `servers have crashed while running requests with its fingerprint aa, most recently ["i-1","i-3"] (content-quarantined, for 3540 s more)`)
 	assert.Contains(t, explanation.Cause, "10.0.0.9 reported this at 00:00:03.000")
 }
