--- a/internal/rollout/agent.go
+++ b/internal/rollout/agent.go
@@ -85,18 +85,18 @@
 	settings := options.Daemon.Settings()
 	a := &Agent{
 		daemon: options.Daemon, log: options.Daemon.Log, server: options.Server, origin: options.Origin,
-		self: dissemination.MachineID(settings.IP), metrics: newMetrics(options.Daemon.Registry), peers: newPeerClient(settings.InternalPort, options.Daemon.NoteSilent),
+		self: dissemination.MachineID(settings.IP), metrics: newMetrics(options.Daemon.Registry), peers: newPeerClient(settings.InternalPort, options.Daemon.RecordSilentConnection),
 		uploads: newUploadQueue(uplinkFraction * settings.LinkBytesPerSecond), wakeup: make(chan struct{}, 1),
 		roundTrips: liveness.NewRoundTrips(probeInterval), started: time.Now(),
 		cold: newColdState(),
 	}
-	options.Daemon.WatchSilence(options.Server)
-	options.Daemon.WatchSilence(options.Origin)
+	options.Daemon.ObserveSilence(options.Server)
+	options.Daemon.ObserveSilence(options.Origin)
 	options.Daemon.Hub.Handle(fleet.TopicStatusEcho, a.handleEcho)
 	options.Daemon.Hub.OnOpen(a.sendInitialStatus)
 	a.mount(options.Daemon.Router)
 	options.Daemon.Catalog.OnChange(func(*catalog.View) { a.applyView() })
-	options.Daemon.Section("rollout", func() any { return a.status(time.Now()) })
+	options.Daemon.AddSection("rollout", func() any { return a.status(time.Now()) })
 	return a
 }
 
