--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -38,7 +38,7 @@
 func (d *demo) originBytes() (int64, error) {
 	var record emulator.OriginRecord
 	err := d.fleet.Get(context.Background(), "http://"+d.fleet.PlatformAddress()+"/records", &record)
-	return record.DrawnBytes, err
+	return record.SentBytes, err
 }
 
 // report judges the run.
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -181,8 +181,8 @@
 	return status
 }
 
-// Give carries out an order.
-func (e *Engine) Give(order external.Order) error {
+// Execute carries out an order.
+func (e *Engine) Execute(order external.Order) error {
 	err := e.accept(order)
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -259,7 +259,7 @@
 	if !readJSON(writer, request, &order) {
 		return
 	}
-	if err := e.Give(order); err != nil {
+	if err := e.Execute(order); err != nil {
 		http.Error(writer, err.Error(), http.StatusConflict)
 		return
 	}
--- a/internal/emulator/engine_test.go
+++ b/internal/emulator/engine_test.go
@@ -28,7 +28,7 @@
 		order.Chunks = append(order.Chunks, chunk.Digest)
 	}
 	engine := NewEngine(DefaultEngineOptions(), store)
-	require.NoError(t, engine.Give(order))
+	require.NoError(t, engine.Execute(order))
 	return engine, manifest.Identity()
 }
 
@@ -62,8 +62,8 @@
 func TestALowerFenceIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engine, _ := loadedEngine(t)
-		assert.Error(t, engine.Give(external.Order{Action: external.ActionUnload, Model: "m", Version: "1", Fence: external.Fence{Sequence: 1}}))
-		assert.NoError(t, engine.Give(external.Order{Action: external.ActionUnload, Model: "m", Version: "1", Fence: external.Fence{Sequence: 2}}))
+		assert.Error(t, engine.Execute(external.Order{Action: external.ActionUnload, Model: "m", Version: "1", Fence: external.Fence{Sequence: 1}}))
+		assert.NoError(t, engine.Execute(external.Order{Action: external.ActionUnload, Model: "m", Version: "1", Fence: external.Fence{Sequence: 2}}))
 		_, ok := engine.Submit(context.Background(), generation("a", "one", 1))
 		assert.False(t, ok)
 	})
@@ -75,7 +75,7 @@
 	var newest monotonic.Version
 	back := false
 	for _, fence := range fences {
-		if engine.Give(external.Order{Action: external.ActionUnload, Model: "m", Fence: fence}) != nil {
+		if engine.Execute(external.Order{Action: external.ActionUnload, Model: "m", Fence: fence}) != nil {
 			continue
 		}
 		back = back || fence.Revision.Compare(newest) < 0
--- a/internal/emulator/origin.go
+++ b/internal/emulator/origin.go
@@ -91,13 +91,13 @@
 // SetFaults sets the fault state.
 func (o *Origin) SetFaults(faults Faults) { o.faults.set(faults) }
 
-// Drawn returns how many chunk bytes were drawn from the origin.
-func (o *Origin) Drawn() int64 { return o.drawn.Load() }
+// SentBytes returns how many chunk bytes were drawn from the origin.
+func (o *Origin) SentBytes() int64 { return o.drawn.Load() }
 
 // OriginRecord is the origin's own count.
 type OriginRecord struct {
-	// DrawnBytes counts chunk bytes that left the origin, cut transfers included.
-	DrawnBytes int64 `json:"drawn_bytes"`
+	// SentBytes counts chunk bytes that left the origin, cut transfers included.
+	SentBytes int64 `json:"drawn_bytes"`
 }
 
 // Handler serves the origin.
@@ -106,7 +106,7 @@
 	router.Use(o.faults.refuseWhenDown)
 	o.faults.mount(router)
 	router.Get("/records", func(writer http.ResponseWriter, _ *http.Request) {
-		writeJSON(writer, OriginRecord{DrawnBytes: o.Drawn()})
+		writeJSON(writer, OriginRecord{SentBytes: o.SentBytes()})
 	})
 	router.Get("/v1/manifests/{digest}", o.manifest)
 	router.Get("/v1/chunks/{digest}", o.chunk)
--- a/internal/fleettest/fleet_test.go
+++ b/internal/fleettest/fleet_test.go
@@ -47,7 +47,7 @@
 	f := New(t, 3, 1, 2)
 	done := make(chan struct{})
 	group := load(f, 8, done)
-	before := f.Origin.Drawn()
+	before := f.Origin.SentBytes()
 	f.PublishVersion("2")
 	f.WaitServed("2")
 	f.Wait("an answer of the new version", func() bool {
@@ -59,7 +59,7 @@
 	assert.Empty(t, f.Violations())
 	assert.Zero(t, summary.Wrong)
 	assert.Equal(t, summary.Requests, summary.Answered, "%+v", summary)
-	assert.LessOrEqual(t, f.Origin.Drawn()-before, int64(4<<20), "more than four copies")
+	assert.LessOrEqual(t, f.Origin.SentBytes()-before, int64(4<<20), "more than four copies")
 }
 
 func TestARefusedVersionStopsAndTheOldOneGoesOn(t *testing.T) {
@@ -93,10 +93,10 @@
 	f := New(t, 2, 0, 1)
 	f.PublishVersion("2")
 	f.WaitServed("2")
-	drawn := f.Origin.Drawn()
+	drawn := f.Origin.SentBytes()
 	f.PublishVersion("1")
 	f.WaitServed("1")
-	assert.Equal(t, drawn, f.Origin.Drawn())
+	assert.Equal(t, drawn, f.Origin.SentBytes())
 }
 
 func TestAPlannedStopOfAnAgentCutsNothing(t *testing.T) {
