--- a/internal/demo/requests.go
+++ b/internal/demo/requests.go
@@ -39,7 +39,7 @@
 	case draw < callShare && len(tenant.Services) > 0:
 		return d.serviceCall(generator, tenant, request)
 	case draw < callShare+wholeShare:
-		request.Kind = workload.KindWhole
+		request.Kind = workload.KindUnary
 	case draw < callShare+wholeShare+longShare:
 		request.MaximumTokens = longTokens
 	}
@@ -56,7 +56,7 @@
 	request.Body = request.Prompt
 	request.NotRepeatable = !d.snapshot.Services[request.Service].Repeatable
 	if request.NotRepeatable && generator.IntN(2) == 0 {
-		request.CallerKey = request.Prompt
+		request.IdempotencyKey = request.Prompt
 	}
 	return request
 }
--- a/internal/fleettest/fleet_test.go
+++ b/internal/fleettest/fleet_test.go
@@ -201,7 +201,7 @@
 	t.Parallel()
 	f := New(t, 1, 3, 2)
 	request := Call("save")
-	request.CallerKey = "candidate-1-answer-7"
+	request.IdempotencyKey = "candidate-1-answer-7"
 	var group sync.WaitGroup
 	for i := range 6 {
 		group.Go(func() { f.Do(f.Entries[i%2], request) })
--- a/internal/promise/promise.go
+++ b/internal/promise/promise.go
@@ -65,7 +65,7 @@
 		if mayNotRepeat(result.Request) && runs > 1 {
 			add(AtMostOnce, result, fmt.Sprintf("ran %d times", runs))
 		}
-		if result.Answered && runs == 0 && result.Request.CallerKey == "" {
+		if result.Answered && runs == 0 && result.Request.IdempotencyKey == "" {
 			add(AnsweredRan, result, "answered without a run")
 		}
 	}
@@ -80,8 +80,8 @@
 func judgeKeys(results []workload.Result, calls Runs) []Violation {
 	total := map[string]int{}
 	for _, result := range results {
-		if result.Request.CallerKey != "" && result.Request.NotRepeatable {
-			total[result.Request.Key+"/"+result.Request.CallerKey] += calls[result.ID]
+		if result.Request.IdempotencyKey != "" && result.Request.NotRepeatable {
+			total[result.Request.Key+"/"+result.Request.IdempotencyKey] += calls[result.ID]
 		}
 	}
 	var violations []Violation
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -27,7 +27,7 @@
 // The kinds of requests.
 const (
 	KindStream Kind = "stream"
-	KindWhole  Kind = "whole"
+	KindUnary  Kind = "whole"
 	KindCall   Kind = "call"
 )
 
@@ -46,8 +46,8 @@
 	Service string
 	Path    string
 	Body    string
-	// CallerKey is sent as Idempotency-Key when it is set.
-	CallerKey string
+	// IdempotencyKey is sent as Idempotency-Key when it is set.
+	IdempotencyKey string
 	// NotRepeatable marks the request as one that may run at most once.
 	NotRepeatable bool
 	// Deadline is sent when it is not zero.
@@ -156,7 +156,7 @@
 		c.readRefusal(response, &result)
 	case request.Kind == KindStream:
 		c.readStream(response, &result)
-	case request.Kind == KindWhole:
+	case request.Kind == KindUnary:
 		c.readWhole(response, &result)
 	default:
 		c.readCall(response, &result)
@@ -206,8 +206,8 @@
 	outgoing.GetBody = nil
 	outgoing.Header.Set("Authorization", "Bearer "+request.Key)
 	outgoing.Header.Set("Content-Type", "application/json")
-	if request.CallerKey != "" {
-		outgoing.Header.Set(entry.HeaderKey, request.CallerKey)
+	if request.IdempotencyKey != "" {
+		outgoing.Header.Set(entry.HeaderKey, request.IdempotencyKey)
 	}
 	if request.NotRepeatable {
 		outgoing.Header.Set(entry.HeaderRepeatable, "false")
@@ -316,7 +316,7 @@
 		return
 	}
 	wrong := echo.Service != result.Request.Service || echo.Body != result.Request.Body
-	if wrong || result.Request.CallerKey == "" && echo.ID != result.ID {
+	if wrong || result.Request.IdempotencyKey == "" && echo.ID != result.ID {
 		result.Fault = "answer belongs to another request"
 		return
 	}
