--- a/internal/demo/system.go
+++ b/internal/demo/system.go
@@ -103,7 +103,7 @@
 // changes does what operators do, under load.
 func (d *systemDemo) changes() error {
 	named := time.Now()
-	d.site.NameVersion(2)
+	d.site.AnnounceVersion(2)
 	if err := launch.WaitFor(systemVersionTime, "version 2 everywhere", func() bool { return d.allServe(2) }); err != nil {
 		return err
 	}
@@ -146,24 +146,24 @@
 // get after that.
 func (d *systemDemo) serversAsk() {
 	leaving, limited := d.site.Models[d.site.Options.ModelIP(0, 0)], d.site.Models[d.site.Options.ModelIP(1, 0)]
-	leaving.SayLeaving(true)
-	limited.NameLimit(strconv.Itoa(askedRate))
+	leaving.AnnounceLeaving(true)
+	limited.AnnounceLimit(strconv.Itoa(askedRate))
 	time.Sleep(askKnown)
 	from := time.Now()
-	time.Sleep(site.LimitSpan)
-	limited.NameLimit("")
+	time.Sleep(site.LimitWindow)
+	limited.AnnounceLimit("")
 	got := map[string]int{}
-	for _, delivery := range d.site.Ledger.Deliveries() {
+	for _, delivery := range d.site.Requests.Deliveries() {
 		if delivery.At.After(from) {
 			got[delivery.Server]++
 		}
 	}
-	d.printf("a server that says it leaves got %d requests in %s after that, one that takes %d a second got %d", got[leaving.ID()], site.LimitSpan, askedRate, got[limited.ID()])
+	d.printf("a server that says it leaves got %d requests in %s after that, one that takes %d a second got %d", got[leaving.ID()], site.LimitWindow, askedRate, got[limited.ID()])
 	if got[leaving.ID()] > 0 {
 		d.violation("%s got %d requests though it had said that it leaves", leaving.ID(), got[leaving.ID()])
 	}
-	if float64(got[limited.ID()]) > site.LimitBears(askedRate) {
-		d.violation("%s got %d requests in %s, and takes %d a second", limited.ID(), got[limited.ID()], site.LimitSpan, askedRate)
+	if float64(got[limited.ID()]) > site.MaxUnderLimit(askedRate) {
+		d.violation("%s got %d requests in %s, and takes %d a second", limited.ID(), got[limited.ID()], site.LimitWindow, askedRate)
 	}
 }
 
@@ -233,18 +233,18 @@
 // report judges from the servers' ledger and prints what was found.
 func (d *systemDemo) report() error {
 	runs := map[string]int{}
-	for _, run := range d.site.Ledger.Runs() {
-		if run.Spoilt {
+	for _, run := range d.site.Requests.Runs() {
+		if run.Corrupt {
 			d.violation("%s ran on spoilt weights at %s", run.RequestID, run.Server)
 		}
-		if run.KeySeen || run.Tenant != site.Tenant {
+		if run.KeyReceived || run.Tenant != site.Tenant {
 			d.violation("%s reached %s with the caller's key or another tenant", run.RequestID, run.Server)
 		}
 		if run.Service == site.PlainService {
 			runs[run.RequestID]++
 		}
 	}
-	for _, arrival := range d.site.Ledger.Arrivals() {
+	for _, arrival := range d.site.Requests.Arrivals() {
 		if d.residencies.Outside(arrival) {
 			d.violation("%s came to %s in %s, where its route does not allow it", arrival.RequestID, arrival.Server, arrival.Region)
 		}
--- a/internal/emulator/site/answers.go
+++ b/internal/emulator/site/answers.go
@@ -25,7 +25,7 @@
 	s.arrive(id)
 	if s.faults.Shed > 0 {
 		s.faults.Shed--
-		s.ask(writer.Header(), id, s.faults.ShedRest)
+		s.ask(writer.Header(), id, s.faults.ShedBackoff)
 		return refuse(http.StatusServiceUnavailable)
 	}
 	s.waiting++
@@ -58,20 +58,20 @@
 // What a server that names a limit bears in LimitSpan: LimitOvershoot times what the limit allows, and LimitSlack
 // requests.
 const (
-	LimitSpan      = 4 * time.Second
+	LimitWindow    = 4 * time.Second
 	LimitOvershoot = 1.5
 	LimitSlack     = 5
 )
 
-// LimitBears is the most that a server which names a rate bears in LimitSpan.
-func LimitBears(perSecond float64) float64 {
-	return LimitOvershoot*perSecond*LimitSpan.Seconds() + LimitSlack
+// MaxUnderLimit is the most that a server which names a rate bears in LimitSpan.
+func MaxUnderLimit(perSecond float64) float64 {
+	return LimitOvershoot*perSecond*LimitWindow.Seconds() + LimitSlack
 }
 
 // ask writes into the head of an answer what the server asks for now, and records it; the mutex is held. Reports
 // have no request.
 func (s *Server) ask(header http.Header, request string, rest time.Duration) {
-	asked := Ask{RequestID: request, Server: s.options.ID, At: time.Now(), Leaving: s.leaving, Rest: rest}
+	asked := ServerNotice{RequestID: request, Server: s.options.ID, At: time.Now(), Leaving: s.leaving, Backoff: rest}
 	if s.leaving {
 		header.Set("Server-Leaving", "1")
 	}
@@ -84,14 +84,14 @@
 		header.Set("Retry-After", strconv.FormatFloat(rest.Seconds(), 'f', -1, 64))
 	}
 	if request != "" && (asked.Leaving || asked.Limited || rest > 0) {
-		s.options.Ledger.asks.add(asked)
+		s.options.Requests.asks.add(asked)
 	}
 }
 
 // receive reads a request's body and records where it came.
 func (s *Server) receive(request *http.Request) ([]byte, error) {
 	body, err := io.ReadAll(request.Body)
-	s.options.Ledger.arrivals.add(Arrival{
+	s.options.Requests.arrivals.add(Arrival{
 		RequestID: request.Header.Get("Request-Id"), Server: s.options.ID, Service: s.options.Service,
 		Path: request.URL.Path, Zone: s.options.Zone, Region: s.options.Region, BodyBytes: len(body), At: time.Now(),
 	})
@@ -114,8 +114,8 @@
 	}()
 	s.mutex.Lock()
 	run := Run{
-		RequestID: id, Server: s.options.ID, Service: s.options.Service, Version: s.version, Spoilt: s.spoilt,
-		Tenant: request.Header.Get("Tenant"), KeySeen: request.Header.Get("Authorization") != "", At: time.Now(),
+		RequestID: id, Server: s.options.ID, Service: s.options.Service, Version: s.version, Corrupt: s.spoilt,
+		Tenant: request.Header.Get("Tenant"), KeyReceived: request.Header.Get("Authorization") != "", At: time.Now(),
 	}
 	faults := s.faults
 	if faults.LoseAnswers > 0 {
@@ -125,19 +125,19 @@
 		s.faults.CutCount--
 	}
 	s.mutex.Unlock()
-	s.options.Ledger.runs.add(run)
-	if s.options.Begins != nil && s.options.Begins(s, id, body) {
+	s.options.Requests.runs.add(run)
+	if s.options.OnBegin != nil && s.options.OnBegin(s, id, body) {
 		<-request.Context().Done()
 		return
 	}
-	if faults.LoseAnswers > 0 || faults.Lying == LyingResets {
+	if faults.LoseAnswers > 0 || faults.Failure == FailWithResets {
 		panic(http.ErrAbortHandler)
 	}
-	switch faults.Lying {
-	case LyingHangs:
+	switch faults.Failure {
+	case FailWithHangs:
 		<-request.Context().Done()
 		return
-	case LyingErrors:
+	case FailWithErrors:
 		writer.WriteHeader(http.StatusInternalServerError)
 		return
 	}
--- a/internal/emulator/site/crashing.go
+++ b/internal/emulator/site/crashing.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// Crashing describes content that ends each server which begins to run it.
-type Crashing struct {
-	// Body is what the bodies of the requests that do so begin with.
-	Body string
+// CrashTrigger describes content that ends each server which begins to run it.
+type CrashTrigger struct {
+	// BodyPrefix is what the bodies of the requests that do so begin with.
+	BodyPrefix string
 	// After is how long such a request runs until its server ends, Away how long the server is away; 0
 	// leaves it to others to start it again.
-	After time.Duration
-	Away  time.Duration
+	After        time.Duration
+	RestartDelay time.Duration
 	// SameID has the server start again under its ID.
 	SameID bool
 }
 
-// End is one server that a request has ended.
-type End struct {
+// ServerCrash is one server that a request has ended.
+type ServerCrash struct {
 	Server string
 	// RequestID is that of the request.
 	RequestID string
@@ -33,25 +33,25 @@
 // crashes ends servers and starts new ones in their place.
 type crashes struct {
 	mutex    sync.Mutex
-	crashing Crashing
-	ends     []End
+	crashing CrashTrigger
+	ends     []ServerCrash
 	ended    map[*Server]bool
 	reborn   []*Server
 	closed   bool
 }
 
 // CrashOn makes every server end that runs a request of a kind, from now on.
-func (s *Site) CrashOn(crashing Crashing) {
+func (s *Site) CrashOn(crashing CrashTrigger) {
 	s.crashes.mutex.Lock()
 	defer s.crashes.mutex.Unlock()
 	s.crashes.crashing = crashing
 }
 
-// Ends returns the servers that requests have ended, in order of time.
-func (s *Site) Ends() []End {
+// Crashes returns the servers that requests have ended, in order of time.
+func (s *Site) Crashes() []ServerCrash {
 	s.crashes.mutex.Lock()
 	defer s.crashes.mutex.Unlock()
-	return append([]End(nil), s.crashes.ends...)
+	return append([]ServerCrash(nil), s.crashes.ends...)
 }
 
 // begins reports whether a request ends the server that has begun to run it, and sees to that.
@@ -59,7 +59,7 @@
 	s.crashes.mutex.Lock()
 	defer s.crashes.mutex.Unlock()
 	crashing := s.crashes.crashing
-	if crashing.Body == "" || !strings.HasPrefix(string(body), crashing.Body) {
+	if crashing.BodyPrefix == "" || !strings.HasPrefix(string(body), crashing.BodyPrefix) {
 		return false
 	}
 	if !s.crashes.ended[server] && !s.crashes.closed {
@@ -69,18 +69,18 @@
 	return true
 }
 
-func (s *Site) end(server *Server, request string, crashing Crashing) {
+func (s *Site) end(server *Server, request string, crashing CrashTrigger) {
 	staged := server.Crash()
 	s.crashes.mutex.Lock()
-	s.crashes.ends = append(s.crashes.ends, End{Server: server.options.ID, RequestID: request, At: time.Now()})
+	s.crashes.ends = append(s.crashes.ends, ServerCrash{Server: server.options.ID, RequestID: request, At: time.Now()})
 	s.crashes.mutex.Unlock()
 	id := server.options.ID
 	if !crashing.SameID {
 		time.AfterFunc(listedAfterEnd, func() { s.Store.Delete("servers/" + id) })
 		id += "+"
 	}
-	if crashing.Away > 0 {
-		time.AfterFunc(crashing.Away, func() { s.restart(server, id, staged) })
+	if crashing.RestartDelay > 0 {
+		time.AfterFunc(crashing.RestartDelay, func() { s.restart(server, id, staged) })
 	}
 }
 
@@ -93,7 +93,7 @@
 		return
 	}
 	options := old.options
-	options.ID, options.Version, options.Born = id, 0, time.Now().UnixMilli()
+	options.ID, options.Version, options.StartTime = id, 0, time.Now().UnixMilli()
 	fresh := NewServer(options)
 	fresh.Restage(staged)
 	if err := fresh.Start(); err != nil {
--- a/internal/emulator/site/ledger.go
+++ b/internal/emulator/site/ledger.go
@@ -13,12 +13,12 @@
 	Service   string
 	// Version is that of the weights, 0 at a plain service.
 	Version uint64
-	// Spoilt is set when a piece of the layers taken was missing or wrong.
-	Spoilt bool
-	Tenant string
-	// KeySeen is set when the caller's key reached the server.
-	KeySeen bool
-	At      time.Time
+	// Corrupt is set when a piece of the layers taken was missing or wrong.
+	Corrupt bool
+	Tenant  string
+	// KeyReceived is set when the caller's key reached the server.
+	KeyReceived bool
+	At          time.Time
 }
 
 // Delivery is one request that has reached a server and was meant for it: answers that it is
@@ -32,13 +32,13 @@
 	At   time.Time
 }
 
-// Ledger records what came to servers, what was delivered to the one that it was meant for,
+// RequestLog records what came to servers, what was delivered to the one that it was meant for,
 // and what ran, over all of them.
-type Ledger struct {
+type RequestLog struct {
 	runs       entries[Run]
 	deliveries entries[Delivery]
 	arrivals   entries[Arrival]
-	asks       entries[Ask]
+	asks       entries[ServerNotice]
 }
 
 // entries are one kind of the ledger's, in order of time.
@@ -65,8 +65,8 @@
 	return slices.ContainsFunc(e.held, match)
 }
 
-// Ask is what a server has asked of the one that sent a request, in its answer to that.
-type Ask struct {
+// ServerNotice is what a server has asked of the one that sent a request, in its answer to that.
+type ServerNotice struct {
 	RequestID string
 	Server    string
 	At        time.Time
@@ -74,22 +74,22 @@
 	Leaving   bool
 	Limited   bool
 	PerSecond float64
-	// Rest is for how long it wanted nothing more.
-	Rest time.Duration
+	// Backoff is for how long it wanted nothing more.
+	Backoff time.Duration
 }
 
-// Asks returns everything that servers have asked for, in order of time.
-func (l *Ledger) Asks() []Ask { return l.asks.all() }
+// Notices returns everything that servers have asked for, in order of time.
+func (l *RequestLog) Notices() []ServerNotice { return l.asks.all() }
 
 // Deliveries returns everything that has reached a server, in order of time.
-func (l *Ledger) Deliveries() []Delivery { return l.deliveries.all() }
+func (l *RequestLog) Deliveries() []Delivery { return l.deliveries.all() }
 
 // Arrivals returns everything that has come to a server.
-func (l *Ledger) Arrivals() []Arrival { return l.arrivals.all() }
+func (l *RequestLog) Arrivals() []Arrival { return l.arrivals.all() }
 
-// MostWhileCold is the most requests that any one server has received in a second in which
+// MaxWhileCold is the most requests that any one server has received in a second in which
 // it was cold.
-func (l *Ledger) MostWhileCold() int {
+func (l *RequestLog) MaxWhileCold() int {
 	most := 0
 	for _, peak := range ColdPeaks(l.Deliveries()) {
 		most = max(most, peak.Requests)
@@ -124,9 +124,9 @@
 }
 
 // Runs returns everything that ran.
-func (l *Ledger) Runs() []Run { return l.runs.all() }
+func (l *RequestLog) Runs() []Run { return l.runs.all() }
 
 // RanAt reports whether a server has begun a request.
-func (l *Ledger) RanAt(server, requestID string) bool {
+func (l *RequestLog) RanAt(server, requestID string) bool {
 	return l.runs.contain(func(one Run) bool { return one.Server == server && one.RequestID == requestID })
 }
--- a/internal/emulator/site/origin.go
+++ b/internal/emulator/site/origin.go
@@ -54,29 +54,29 @@
 // NewOrigin returns an origin whose newest version is 1.
 func NewOrigin(weights Weights) *Origin { return &Origin{weights: weights, newest: 1} }
 
-// Name makes a version the newest.
-func (o *Origin) Name(version uint64) {
+// Announce makes a version the newest.
+func (o *Origin) Announce(version uint64) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.newest = version
 }
 
-// Spoil hands out a number of pieces with a wrong byte.
-func (o *Origin) Spoil(pieces int) {
+// CorruptPieces hands out a number of pieces with a wrong byte.
+func (o *Origin) CorruptPieces(pieces int) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.spoil = pieces
 }
 
-// SpoilManifest makes the next manifest name a wrong digest.
-func (o *Origin) SpoilManifest() {
+// CorruptManifest makes the next manifest name a wrong digest.
+func (o *Origin) CorruptManifest() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.spoilManifest = true
 }
 
-// SetAway makes the origin answer nobody, or come back.
-func (o *Origin) SetAway(away bool) {
+// SetDown makes the origin answer nobody, or come back.
+func (o *Origin) SetDown(away bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.away = away
--- a/internal/emulator/site/server.go
+++ b/internal/emulator/site/server.go
@@ -17,28 +17,28 @@
 	// LoseAnswers runs requests and closes the connection without an answer.
 	LoseAnswers int
 	// Shed answers 503 without running, and asks for ShedRest where that is set.
-	Shed     int
-	ShedRest time.Duration
+	Shed        int
+	ShedBackoff time.Duration
 	// Silent takes requests and never answers; reports fail too.
 	Silent bool
-	// Lying servers report that they are well and fail every request.
-	Lying Lie
-	// FalselyIll fails every report and health check, and serves requests.
-	FalselyIll bool
-	// Surplus sends a second answer after the next ones.
-	Surplus int
+	// Failure servers report that they are well and fail every request.
+	Failure FailureMode
+	// FailHealthChecks fails every report and health check, and serves requests.
+	FailHealthChecks bool
+	// ExtraAnswers sends a second answer after the next ones.
+	ExtraAnswers int
 }
 
-// Lie is how a server that reports that it is well fails its requests.
-type Lie int
+// FailureMode is how a server that reports that it is well fails its requests.
+type FailureMode int
 
 // The lies: requests run, and are answered with a failure, or their connections are reset, or
 // they are never answered.
 const (
-	Honest Lie = iota
-	LyingErrors
-	LyingResets
-	LyingHangs
+	NoFailure FailureMode = iota
+	FailWithErrors
+	FailWithResets
+	FailWithHangs
 )
 
 // ServerOptions describe a server.
@@ -62,16 +62,16 @@
 	// Heartbeat is how often the record is written again.
 	Heartbeat time.Duration
 	Store     *Store
-	Ledger    *Ledger
-	// Born is the Unix millisecond of the start, as the server tells it; 0 when it does not.
-	Born int64
+	Requests  *RequestLog
+	// StartTime is the Unix millisecond of the start, as the server tells it; 0 when it does not.
+	StartTime int64
 	// ColdTime is how long SetCold makes the server cold, ColdLimit how many requests a
 	// second it then bears; 0 bears any number.
 	ColdTime  time.Duration
 	ColdLimit float64
-	// Begins is told of each request that the server begins to run, by its id and body, and reports
+	// OnBegin is told of each request that the server begins to run, by its id and body, and reports
 	// whether the server ends by it; nil for never.
-	Begins func(server *Server, id string, body []byte) bool
+	OnBegin func(server *Server, id string, body []byte) bool
 	// ReadPerSecond is how many tokens of prompts a model server reads in a second; 0 reads in no time.
 	ReadPerSecond float64
 }
@@ -172,18 +172,18 @@
 	s.beat()
 }
 
-// Lapse ends the server's heartbeats and its record, as an outage of the store does;
+// StopHeartbeats ends the server's heartbeats and its record, as an outage of the store does;
 // it serves on.
-func (s *Server) Lapse() {
+func (s *Server) StopHeartbeats() {
 	s.mutex.Lock()
 	s.lapsed = true
 	s.mutex.Unlock()
 	s.options.Store.Delete("servers/" + s.options.ID)
 }
 
-// Return writes the record of a lapsed server anew, as the next heartbeat that the
+// ResumeHeartbeats writes the record of a lapsed server anew, as the next heartbeat that the
 // store takes does.
-func (s *Server) Return() {
+func (s *Server) ResumeHeartbeats() {
 	s.mutex.Lock()
 	s.lapsed = false
 	s.mutex.Unlock()
@@ -197,22 +197,22 @@
 	s.faults = faults
 }
 
-// NameLimit has every answer name how many requests a second the server takes; an empty text names none.
-func (s *Server) NameLimit(perSecond string) {
+// AnnounceLimit has every answer name how many requests a second the server takes; an empty text names none.
+func (s *Server) AnnounceLimit(perSecond string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.limit = perSecond
 }
 
-// SayLeaving has every answer say that the server leaves, or not; its line says nothing of it.
-func (s *Server) SayLeaving(leaving bool) {
+// AnnounceLeaving has every answer say that the server leaves, or not; its line says nothing of it.
+func (s *Server) AnnounceLeaving(leaving bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.leaving = leaving
 }
 
-// Rot turns a staged piece bad.
-func (s *Server) Rot(index int) {
+// CorruptStaged turns a staged piece bad.
+func (s *Server) CorruptStaged(index int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if piece := s.staged[index]; len(piece) > 0 {
@@ -243,8 +243,8 @@
 	s.wake()
 }
 
-// Fallen reports whether the server has received more than it bears while it was cold.
-func (s *Server) Fallen() bool {
+// Overloaded reports whether the server has received more than it bears while it was cold.
+func (s *Server) Overloaded() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.fallen
@@ -256,7 +256,7 @@
 func (s *Server) arrive(id string) {
 	now := time.Now()
 	cold := now.Before(s.coldUntil)
-	s.options.Ledger.deliveries.add(Delivery{RequestID: id, Server: s.options.ID, Zone: s.options.Zone, Cold: cold, At: now})
+	s.options.Requests.deliveries.add(Delivery{RequestID: id, Server: s.options.ID, Zone: s.options.Zone, Cold: cold, At: now})
 	if !cold || s.options.ColdLimit == 0 {
 		return
 	}
@@ -297,8 +297,8 @@
 		"service": s.options.Service, "address": s.options.Address, "zone": s.options.Zone, "version": "v1", "slots": s.options.Slots,
 		"state": state, "coldRemainingMs": max(0, time.Until(s.coldUntil).Milliseconds()), "stage": "both", "models": s.models(), "layers": s.layers(), "sequence": s.beats,
 	}
-	if s.options.Born != 0 {
-		record["born"] = s.options.Born
+	if s.options.StartTime != 0 {
+		record["born"] = s.options.StartTime
 	}
 	lapsed := s.lapsed
 	s.mutex.Unlock()
@@ -309,7 +309,7 @@
 
 func (s *Server) serve(writer http.ResponseWriter, request *http.Request) {
 	s.mutex.Lock()
-	silent, ill := s.faults.Silent, s.faults.FalselyIll
+	silent, ill := s.faults.Silent, s.faults.FailHealthChecks
 	s.mutex.Unlock()
 	path := request.URL.Path
 	if ill && (path == "/-/report" || path == "/healthz") {
@@ -342,8 +342,8 @@
 		"stage": "both", "models": s.models(), "layers": s.layers(), "busy": s.loading, "sequence": s.sequence,
 		"numWaiting": s.waiting, "numRunning": s.running, "kvUsed": 0, "kvTotal": 1000, "pace": 1.0,
 	}
-	if s.options.Born != 0 {
-		report["born"] = s.options.Born
+	if s.options.StartTime != 0 {
+		report["born"] = s.options.StartTime
 	}
 	s.mutex.Unlock()
 	writeJSON(writer, report)
--- a/internal/emulator/site/site.go
+++ b/internal/emulator/site/site.go
@@ -27,7 +27,7 @@
 	// ReadPerSecond is how many tokens of prompts a model server reads in a second, one prompt after the other, and
 	// UsualPrompt the published size of prompts; 0 reads in no time, and publishes assumed figures.
 	ReadPerSecond float64
-	UsualPrompt   int
+	TypicalPrompt int
 	// LinkMbps is the link that settings tell of each machine; 0 is 80.
 	LinkMbps float64
 	// Bounds in milliseconds and seconds, as the platform names them.
@@ -93,10 +93,10 @@
 
 // Site is the running stand-in of a whole platform.
 type Site struct {
-	Options Options
-	Store   *Store
-	Origin  *Origin
-	Ledger  *Ledger
+	Options  Options
+	Store    *Store
+	Origin   *Origin
+	Requests *RequestLog
 	// Models and Plain are the servers by IP address.
 	Models map[string]*Server
 	Plain  map[string]*Server
@@ -134,7 +134,7 @@
 // Start starts the store, the origin and the servers.
 func Start(options Options) (*Site, error) {
 	s := &Site{
-		Options: options, Store: NewStore(), Origin: NewOrigin(options.Weights), Ledger: &Ledger{},
+		Options: options, Store: NewStore(), Origin: NewOrigin(options.Weights), Requests: &RequestLog{},
 		Models: map[string]*Server{}, Plain: map[string]*Server{}, crashes: crashes{ended: map[*Server]bool{}},
 	}
 	if err := s.listen(s.originAddress(), s.Origin.Handler()); err != nil {
@@ -218,9 +218,9 @@
 	weights := s.Options.Weights
 	server := NewServer(ServerOptions{
 		ID: fmt.Sprintf("i-%d-%d-%d", zone, index, s.starts), Service: ModelService, Zone: ZoneName(zone), Region: RegionName(zone),
-		Address: s.ModelAddress(zone, index), Slots: s.Options.Slots, Weights: &weights, Version: version, Born: time.Now().UnixMilli(),
-		EventTime: s.Options.EventTime, ReadPerSecond: s.Options.ReadPerSecond, Warm: 50 * time.Millisecond, Heartbeat: 400 * time.Millisecond, Store: s.Store, Ledger: s.Ledger,
-		ColdTime: s.Options.coldTime(), ColdLimit: s.Options.ColdLimit(), Begins: s.begins,
+		Address: s.ModelAddress(zone, index), Slots: s.Options.Slots, Weights: &weights, Version: version, StartTime: time.Now().UnixMilli(),
+		EventTime: s.Options.EventTime, ReadPerSecond: s.Options.ReadPerSecond, Warm: 50 * time.Millisecond, Heartbeat: 400 * time.Millisecond, Store: s.Store, Requests: s.Requests,
+		ColdTime: s.Options.coldTime(), ColdLimit: s.Options.ColdLimit(), OnBegin: s.begins,
 	})
 	return server, s.adopt(s.Models, server)
 }
@@ -229,27 +229,27 @@
 // and what was staged still there.
 func (s *Site) RestartModel(zone, index int) error {
 	s.Store.Delete("servers/" + s.Models[s.Options.ModelIP(zone, index)].options.ID)
-	return s.RestartModelUnnoticed(zone, index)
+	return s.RestartModelStillListed(zone, index)
 }
 
-// RestartModelUnderItsID ends a model server and starts it anew under its ID, with nothing in service and nothing
+// RestartModelWithSameID ends a model server and starts it anew under its ID, with nothing in service and nothing
 // staged. It tells that it has started at a moment.
-func (s *Site) RestartModelUnderItsID(zone, index int, born time.Time) error {
+func (s *Site) RestartModelWithSameID(zone, index int, born time.Time) error {
 	old := s.Models[s.Options.ModelIP(zone, index)]
 	old.Crash()
 	options := old.options
-	options.Version, options.Born = 0, born.UnixMilli()
+	options.Version, options.StartTime = 0, born.UnixMilli()
 	return s.adopt(s.Models, NewServer(options))
 }
 
-// RestartModelUnnoticed does the same while the list goes on naming the old server
+// RestartModelStillListed does the same while the list goes on naming the old server
 // beside the new one, as it does until it has missed three heartbeats.
-func (s *Site) RestartModelUnnoticed(zone, index int) error {
+func (s *Site) RestartModelStillListed(zone, index int) error {
 	old := s.Models[s.Options.ModelIP(zone, index)]
 	staged := old.Crash()
 	s.starts++
 	options := old.options
-	options.ID, options.Version, options.Born = fmt.Sprintf("i-%d-%d-%d", zone, index, s.starts), 0, time.Now().UnixMilli()
+	options.ID, options.Version, options.StartTime = fmt.Sprintf("i-%d-%d-%d", zone, index, s.starts), 0, time.Now().UnixMilli()
 	fresh := NewServer(options)
 	fresh.Restage(staged)
 	return s.adopt(s.Models, fresh)
@@ -259,8 +259,8 @@
 	s.starts++
 	return s.adopt(s.Plain, NewServer(ServerOptions{
 		ID: fmt.Sprintf("p-%d-%d-%d", zone, index, s.starts), Service: PlainService, Zone: ZoneName(zone), Region: RegionName(zone),
-		Address: fmt.Sprintf("%s:%d", s.Options.PlainIP(zone, index), serverPort), Slots: s.Options.Slots, Born: time.Now().UnixMilli(),
-		EventTime: s.Options.EventTime, Heartbeat: 400 * time.Millisecond, Store: s.Store, Ledger: s.Ledger, Begins: s.begins,
+		Address: fmt.Sprintf("%s:%d", s.Options.PlainIP(zone, index), serverPort), Slots: s.Options.Slots, StartTime: time.Now().UnixMilli(),
+		EventTime: s.Options.EventTime, Heartbeat: 400 * time.Millisecond, Store: s.Store, Requests: s.Requests, OnBegin: s.begins,
 	}))
 }
 
@@ -305,7 +305,7 @@
 			map[string]any{"name": ModelService, "healthPath": "/healthz", "maxConnections": 400,
 				"coldStartS": s.Options.ColdStartS, "coldPerS": s.Options.ColdPerS, "engine": map[string]any{
 					"slots": s.Options.Slots, "stride": 1, "step_ms": cmp.Or(s.Options.StepMilliseconds, assumedStep), "read_per_s": cmp.Or(s.Options.ReadPerSecond, assumedReadPerSecond), "chunk": 2048, "layers": w.Layers,
-					"chunks": w.Pieces, "chunkBytes": w.PieceBytes, "usual": map[string]any{"prompt": cmp.Or(s.Options.UsualPrompt, assumedPrompt), "answer": 10},
+					"chunks": w.Pieces, "chunkBytes": w.PieceBytes, "usual": map[string]any{"prompt": cmp.Or(s.Options.TypicalPrompt, assumedPrompt), "answer": 10},
 					"models": []any{map[string]any{"name": w.Model, "warmS": 0.05}},
 				}},
 			map[string]any{"name": PlainService, "healthPath": "/healthz", "maxConnections": 400},
@@ -316,9 +316,9 @@
 	}
 }
 
-// NameVersion publishes a new version of the model's weights.
-func (s *Site) NameVersion(version uint64) {
-	s.Origin.Name(version)
+// AnnounceVersion publishes a new version of the model's weights.
+func (s *Site) AnnounceVersion(version uint64) {
+	s.Origin.Announce(version)
 	s.Store.Put("op/version/"+s.Options.Weights.Model, map[string]any{"model": s.Options.Weights.Model, "version": version})
 }
 
--- a/internal/emulator/site/store.go
+++ b/internal/emulator/site/store.go
@@ -110,8 +110,8 @@
 	s.wake()
 }
 
-// SetDeaf makes watches hear nothing until Compact.
-func (s *Store) SetDeaf() {
+// BlockWatches makes watches hear nothing until Compact.
+func (s *Store) BlockWatches() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.deaf = true
--- a/internal/experiment/soak/asks.go
+++ b/internal/experiment/soak/asks.go
@@ -27,8 +27,8 @@
 
 // nameLimit has a server name half a request to four a second for a while.
 func (r *run) nameLimit(server *site.Server, fault Fault) {
-	server.NameLimit(strconv.FormatFloat(float64(fault.Count)/2, 'f', -1, 64))
-	r.after(limitTime+fault.For, func() error { server.NameLimit(""); return nil })
+	server.AnnounceLimit(strconv.FormatFloat(float64(fault.Count)/2, 'f', -1, 64))
+	r.after(limitTime+fault.For, func() error { server.AnnounceLimit(""); return nil })
 }
 
 // sayLeaving has a server say in its answers that it leaves, while its line says nothing of that, and puts an empty
@@ -38,13 +38,13 @@
 		return
 	}
 	r.busy[server.ID()] = true
-	server.SayLeaving(true)
+	server.AnnounceLeaving(true)
 	r.restartAfterDrain(zone, index, server)
 }
 
 // askForRest has a server turn some requests away and ask for rest.
 func (r *run) askForRest(server *site.Server, fault Fault) {
-	r.spoilFor(server, site.Faults{Shed: restsAsked, ShedRest: restTime}, lyingTime+fault.For)
+	r.spoilFor(server, site.Faults{Shed: restsAsked, ShedBackoff: restTime}, lyingTime+fault.For)
 }
 
 // untouched reports whether an entry has been neither stopped, killed nor frozen between two moments: what it was
@@ -62,7 +62,7 @@
 
 // asksAt are what one server has asked for, with the entries that were told.
 type asksAt struct {
-	asks    []site.Ask
+	asks    []site.ServerNotice
 	entries []string
 }
 
@@ -123,18 +123,18 @@
 	var found []Violation
 	for index, ask := range told.asks {
 		entry, count := told.entries[index], 0
-		if ask.Rest == 0 {
+		if ask.Backoff == 0 {
 			continue
 		}
 		for _, delivery := range deliveries {
-			if senders[delivery.RequestID] != entry || delivery.At.Before(ask.At.Add(askKnown)) || delivery.At.After(ask.At.Add(ask.Rest)) {
+			if senders[delivery.RequestID] != entry || delivery.At.Before(ask.At.Add(askKnown)) || delivery.At.After(ask.At.Add(ask.Backoff)) {
 				continue
 			}
 			count++
 			if count == restAllowed+1 && r.untouched(entry, ask.At, delivery.At) {
 				found = append(found, Violation{
 					Promise: RestIsKept, At: delivery.At, Request: delivery.RequestID,
-					Detail: fmt.Sprintf("%s sent it and %d more to %s, which had asked it for %s of rest %s before", entry, restAllowed, delivery.Server, ask.Rest, delivery.At.Sub(ask.At)),
+					Detail: fmt.Sprintf("%s sent it and %d more to %s, which had asked it for %s of rest %s before", entry, restAllowed, delivery.Server, ask.Backoff, delivery.At.Sub(ask.At)),
 				})
 			}
 		}
@@ -144,7 +144,7 @@
 
 // judgeLimit finds the first span in which a server got more than it had named, from entries that were told.
 func (r Record) judgeLimit(told *asksAt, deliveries []site.Delivery, senders map[string]string) []Violation {
-	var named []site.Ask
+	var named []site.ServerNotice
 	first := map[string]time.Time{}
 	for index, ask := range told.asks {
 		if !ask.Limited {
@@ -162,7 +162,7 @@
 	for _, ask := range named {
 		most = max(most, ask.PerSecond)
 	}
-	allowed := site.LimitBears(most)
+	allowed := site.MaxUnderLimit(most)
 	var counted []site.Delivery
 	for _, delivery := range deliveries {
 		entry := senders[delivery.RequestID]
@@ -171,13 +171,13 @@
 			continue
 		}
 		counted = append(counted, delivery)
-		for delivery.At.Sub(counted[0].At) >= site.LimitSpan {
+		for delivery.At.Sub(counted[0].At) >= site.LimitWindow {
 			counted = counted[1:]
 		}
 		if float64(len(counted)) > allowed {
 			return []Violation{{
 				Promise: LimitIsKept, At: delivery.At, Request: delivery.RequestID,
-				Detail: fmt.Sprintf("%s got %d requests in %s from entries that it had told, and had named %g a second", delivery.Server, len(counted), site.LimitSpan, most),
+				Detail: fmt.Sprintf("%s got %d requests in %s from entries that it had told, and had named %g a second", delivery.Server, len(counted), site.LimitWindow, most),
 			}}
 		}
 	}
--- a/internal/experiment/soak/faults.go
+++ b/internal/experiment/soak/faults.go
@@ -50,7 +50,7 @@
 		r.disturb(fault.For)
 		r.after(fault.For, func() error { r.site.Store.SetDown(false); return nil })
 	case StoreForgets:
-		r.site.Store.SetDeaf()
+		r.site.Store.BlockWatches()
 		r.disturb(fault.For)
 		r.after(fault.For, func() error { r.site.Store.Compact(); return nil })
 	case StoreRefuses:
@@ -64,16 +64,16 @@
 		if fault.Kind == ServerCrash {
 			return r.site.RestartModel(zone, agent)
 		}
-		return r.site.RestartModelUnnoticed(zone, agent)
+		return r.site.RestartModelStillListed(zone, agent)
 	case ServerLeaves:
 		r.leave(zone, agent, server)
 	case PiecesRot:
 		r.disturb(serverFaultTime, server.ID())
 		for piece := range fault.Count {
-			server.Rot(piece)
+			server.CorruptStaged(piece)
 		}
 	case OriginSpoils:
-		r.site.Origin.Spoil(fault.Count)
+		r.site.Origin.CorruptPieces(fault.Count)
 	case CutStreams:
 		r.spoilServer(server, site.Faults{CutAfter: fault.Count, CutCount: fault.Count})
 	case LoseAnswers:
@@ -81,7 +81,7 @@
 	case Shed:
 		r.spoilServer(server, site.Faults{Shed: fault.Count})
 	case SurplusAnswers:
-		r.spoilServer(server, site.Faults{Surplus: fault.Count})
+		r.spoilServer(server, site.Faults{ExtraAnswers: fault.Count})
 	case NewVersion:
 		r.nameVersion(now)
 	case TwoVersions:
@@ -104,13 +104,13 @@
 	case TenantNarrows:
 		r.narrowTenant(fault)
 	case LieErrors:
-		r.spoilFor(r.anyServer(fault), site.Faults{Lying: site.LyingErrors}, lyingTime+fault.For)
+		r.spoilFor(r.anyServer(fault), site.Faults{Failure: site.FailWithErrors}, lyingTime+fault.For)
 	case LieResets:
-		r.spoilFor(r.anyServer(fault), site.Faults{Lying: site.LyingResets}, lyingTime+fault.For)
+		r.spoilFor(r.anyServer(fault), site.Faults{Failure: site.FailWithResets}, lyingTime+fault.For)
 	case LieHangs:
-		r.spoilFor(r.anyServer(fault), site.Faults{Lying: site.LyingHangs}, lyingTime+fault.For)
+		r.spoilFor(r.anyServer(fault), site.Faults{Failure: site.FailWithHangs}, lyingTime+fault.For)
 	case FalselyIll:
-		r.spoilFor(server, site.Faults{FalselyIll: true}, lyingTime+fault.For)
+		r.spoilFor(server, site.Faults{FailHealthChecks: true}, lyingTime+fault.For)
 	case Flap:
 		r.flap(r.anyServer(fault))
 	case SettingsChange:
@@ -149,7 +149,7 @@
 
 func (r *run) nameVersion(now time.Time) {
 	r.version++
-	r.site.NameVersion(r.version)
+	r.site.AnnounceVersion(r.version)
 	r.record.Namings = append(r.record.Namings, Naming{Version: r.version, At: now})
 }
 
@@ -228,13 +228,13 @@
 	r.disturb(storeKeepsQuiet + returnPause)
 	var lapsed []*site.Server
 	for _, server := range r.site.Models {
-		server.Lapse()
+		server.StopHeartbeats()
 		lapsed = append(lapsed, server)
 	}
 	r.after(storeKeepsQuiet, func() error { r.site.Store.SetDown(false); return nil })
 	r.after(storeKeepsQuiet+returnPause, func() error {
 		for _, server := range lapsed {
-			server.Return()
+			server.ResumeHeartbeats()
 		}
 		return nil
 	})
--- a/internal/experiment/soak/health.go
+++ b/internal/experiment/soak/health.go
@@ -30,7 +30,7 @@
 func (r *run) spoilFor(server *site.Server, faults site.Faults, lasts time.Duration) {
 	server.SetFaults(faults)
 	held := time.Duration(0)
-	if faults.Lying == site.LyingHangs {
+	if faults.Failure == site.FailWithHangs {
 		held = time.Duration(r.site.Options.TimeoutMs) * time.Millisecond
 	}
 	r.disturb(lasts+held, server.ID())
@@ -43,7 +43,7 @@
 	for turn := range flapTurns {
 		faults := site.Faults{}
 		if turn%2 == 0 {
-			faults.Lying = site.LyingResets
+			faults.Failure = site.FailWithResets
 		}
 		r.after(time.Duration(turn)*flapPeriod, func() error { server.SetFaults(faults); return nil })
 	}
--- a/internal/experiment/soak/judge.go
+++ b/internal/experiment/soak/judge.go
@@ -101,10 +101,10 @@
 	Restrictions []Restriction
 	Deliveries   []site.Delivery
 	// Asks are what servers have asked for in their answers.
-	Asks        []site.Ask
+	Asks        []site.ServerNotice
 	Evacuations []Evacuation
 	// Ends are the servers that requests have ended, Endings the entries that such requests were sent to.
-	Ends    []site.End
+	Ends    []site.ServerCrash
 	Endings map[string]string
 	// Reloads are the times in which changed settings come into force.
 	Reloads []Span
@@ -196,10 +196,10 @@
 	add := func(promise Promise, detail string) {
 		found = append(found, Violation{Promise: promise, At: run.At, Request: run.RequestID, Detail: run.Server + ": " + detail})
 	}
-	if run.Spoilt {
+	if run.Corrupt {
 		add(SoundWeights, "it ran on missing or wrong pieces")
 	}
-	if run.KeySeen || run.Tenant != site.Tenant {
+	if run.KeyReceived || run.Tenant != site.Tenant {
 		add(CallerIsolation, "it came with the caller's key or another tenant")
 	}
 	for _, naming := range r.Namings {
--- a/internal/experiment/soak/query_of_death.go
+++ b/internal/experiment/soak/query_of_death.go
@@ -41,7 +41,7 @@
 // askEnding has a content asked at all entries for a time, by callers that are not counted among the
 // others: nobody expects an answer.
 func (r *run) askEnding(fault Fault) {
-	r.site.CrashOn(site.Crashing{Body: endingBody, After: endingAfter})
+	r.site.CrashOn(site.CrashTrigger{BodyPrefix: endingBody, After: endingAfter})
 	lasts, content := endingTime+fault.For, fault.Count%endingContents
 	r.disturb(lasts+endedFor, endedServers)
 	ctx, cancel := context.WithTimeout(r.context, lasts)
@@ -98,7 +98,7 @@
 
 // startEnded starts servers again that have ended a while ago, where nothing else has.
 func (r *run) startEnded() error {
-	for _, end := range r.site.Ends() {
+	for _, end := range r.site.Crashes() {
 		if r.restarted[end.Server] || time.Since(end.At) < endedFor {
 			continue
 		}
@@ -108,7 +108,7 @@
 				if r.site.Models[r.site.Options.ModelIP(zone, index)].ID() != end.Server {
 					continue
 				}
-				if err := r.site.RestartModelUnnoticed(zone, index); err != nil {
+				if err := r.site.RestartModelStillListed(zone, index); err != nil {
 					return err
 				}
 			}
@@ -143,7 +143,7 @@
 }
 
 // thirdEnd is when as many servers had ended under a content as are allowed.
-func thirdEnd(ends []site.End, prefix string) (time.Time, bool) {
+func thirdEnd(ends []site.ServerCrash, prefix string) (time.Time, bool) {
 	count := 0
 	for _, end := range ends {
 		if strings.HasPrefix(end.RequestID, prefix) {
--- a/internal/experiment/soak/soak.go
+++ b/internal/experiment/soak/soak.go
@@ -241,9 +241,9 @@
 func (r *run) gather() {
 	// What callers saw comes first: each request of theirs has then left its traces at servers.
 	r.record.Attempts, r.record.Endings = r.callers.all(), r.callers.allEndings()
-	r.record.Ends = r.site.Ends()
-	r.record.Runs, r.record.Arrivals, r.record.Deliveries = r.site.Ledger.Runs(), r.site.Ledger.Arrivals(), r.site.Ledger.Deliveries()
-	r.record.Asks = r.site.Ledger.Asks()
+	r.record.Ends = r.site.Crashes()
+	r.record.Runs, r.record.Arrivals, r.record.Deliveries = r.site.Requests.Runs(), r.site.Requests.Arrivals(), r.site.Requests.Deliveries()
+	r.record.Asks = r.site.Requests.Notices()
 }
 
 // tell prints a violation once.
@@ -313,7 +313,7 @@
 	}
 	r.printf("requests checked: %d answered, %d refused, %d failed; %d arrivals and %d runs at servers", answered, refused,
 		len(r.record.Attempts)-answered-refused, len(r.record.Arrivals), len(r.record.Runs))
-	r.printf("cold servers received up to %d requests in a second, and bear %g", r.site.Ledger.MostWhileCold(), r.record.ColdLimit)
+	r.printf("cold servers received up to %d requests in a second, and bear %g", r.site.Requests.MaxWhileCold(), r.record.ColdLimit)
 	r.printf("violations: %d", len(found))
 	for _, one := range found {
 		r.tell(one)
--- a/internal/experiment/soak/soak_test.go
+++ b/internal/experiment/soak/soak_test.go
@@ -46,12 +46,12 @@
 			{RequestID: "once", Server: "i-5", Zone: site.ZoneName(1), At: at(96.5)}, {RequestID: "once", Server: "i-5", Zone: site.ZoneName(1), At: at(96.6)},
 			{RequestID: "once", Server: "i-5", Zone: site.ZoneName(1), At: at(96.7)},
 		},
-		Asks: []site.Ask{
+		Asks: []site.ServerNotice{
 			{RequestID: "stream", Server: "i-1", At: at(39), Leaving: true},
-			{RequestID: "once", Server: "i-4", At: at(90), Rest: 2 * time.Second},
+			{RequestID: "once", Server: "i-4", At: at(90), Backoff: 2 * time.Second},
 			{RequestID: "once", Server: "i-5", At: at(93), Limited: true, PerSecond: 0.5}, {RequestID: "once", Server: "i-5", At: at(99), Limited: true, PerSecond: 0.5},
 		},
-		Ends: []site.End{
+		Ends: []site.ServerCrash{
 			{Server: "i-7", RequestID: "ending-0-1-0", At: at(80)}, {Server: "i-8", RequestID: "ending-0-1-1", At: at(81)}, {Server: "i-9", RequestID: "ending-0-1-2", At: at(82)},
 			{Server: "i-6", RequestID: "ending-1-1-0", At: at(82)},
 		},
@@ -78,8 +78,8 @@
 		{WholeOwnAnswer, func(r *Record) { r.Attempts[1].Own = false }},
 		{AtMostOnce, func(r *Record) { r.Runs = append(r.Runs, r.Runs[0]) }},
 		{TrueRefusal, func(r *Record) { r.Attempts[0].Status = 503 }},
-		{SoundWeights, func(r *Record) { r.Runs[1].Spoilt = true }},
-		{CallerIsolation, func(r *Record) { r.Runs[0].KeySeen = true }},
+		{SoundWeights, func(r *Record) { r.Runs[1].Corrupt = true }},
+		{CallerIsolation, func(r *Record) { r.Runs[0].KeyReceived = true }},
 		{CallerIsolation, func(r *Record) { r.Runs[0].Tenant = "another" }},
 		{VersionInTime, func(r *Record) { r.Runs[1].Version = 1 }},
 		{LeavingIsLeft, func(r *Record) { r.Runs[1].Server = "i-2" }},
--- a/internal/experiment/soak/upgrade_test.go
+++ b/internal/experiment/soak/upgrade_test.go
@@ -146,7 +146,7 @@
 	var shares []float64
 	for step := 1; step < len(groups); step++ {
 		began := time.Now()
-		time.AfterFunc(namedAfter, func() { r.site.NameVersion(uint64(step) + 1) })
+		time.AfterFunc(namedAfter, func() { r.site.AnnounceVersion(uint64(step) + 1) })
 		r.replace(t, groups[step-1], groups[step])
 		sent := r.sentIn(began, time.Now())
 		shares = append(shares, servedShare(sent))
--- a/internal/sitetest/crashing_test.go
+++ b/internal/sitetest/crashing_test.go
@@ -88,7 +88,7 @@
 
 // culpritArrivals are the times at which the content has come to servers after a moment.
 func (f *Fleet) culpritArrivals(after time.Time) (late []time.Duration) {
-	for _, arrival := range f.Site.Ledger.Arrivals() {
+	for _, arrival := range f.Site.Requests.Arrivals() {
 		if strings.HasPrefix(arrival.RequestID, culpritID) && arrival.At.After(after) {
 			late = append(late, arrival.At.Sub(after))
 		}
@@ -98,7 +98,7 @@
 
 // thirdEnd is when the third server ended.
 func (f *Fleet) thirdEnd() time.Time {
-	ends := f.Site.Ends()
+	ends := f.Site.Crashes()
 	require.GreaterOrEqual(f.t, len(ends), endsAllowed, "servers that have ended")
 	return ends[endsAllowed-1].At
 }
@@ -107,15 +107,15 @@
 // entry it is asked, and harmless requests are served.
 func TestContentThatEndsItsServersIsKeptFromThem(t *testing.T) {
 	f := Start(t, crashingOptions())
-	f.Site.CrashOn(site.Crashing{Body: culpritBody, After: 50 * time.Millisecond, Away: 2 * time.Second})
+	f.Site.CrashOn(site.CrashTrigger{BodyPrefix: culpritBody, After: 50 * time.Millisecond, RestartDelay: 2 * time.Second})
 	stopHarmless, stopCulprit := f.harmless(20*time.Millisecond), f.askCulprit(askedEach)
 	time.Sleep(askedFor)
 	culprits, harmless, ended := stopCulprit(), stopHarmless(), time.Now()
 	third := f.thirdEnd()
-	t.Logf("servers that ended: %d, sends after the third: %d", len(f.Site.Ends()), len(f.culpritArrivals(third)))
+	t.Logf("servers that ended: %d, sends after the third: %d", len(f.Site.Crashes()), len(f.culpritArrivals(third)))
 	assert.LessOrEqual(t, len(f.culpritArrivals(third.Add(knownWithin))), latecomersAllowed, "sends after the content must be known")
 	assert.Empty(t, f.culpritArrivals(third.Add(endPause)), "sends after the content can be known")
-	last := f.Site.Ends()[len(f.Site.Ends())-1].At
+	last := f.Site.Crashes()[len(f.Site.Crashes())-1].At
 	if back := last.Add(3 * time.Second); back.Before(ended) {
 		assert.GreaterOrEqual(t, shareServed(harmless, back, ended, time.Second), servedAgain, "harmless requests served once the servers are back")
 	}
@@ -153,7 +153,7 @@
 // the agents.
 func TestContentIsKnownWhenAllEntriesWereKilled(t *testing.T) {
 	f := Start(t, crashingOptions())
-	f.Site.CrashOn(site.Crashing{Body: culpritBody, After: 50 * time.Millisecond, Away: 500 * time.Millisecond})
+	f.Site.CrashOn(site.CrashTrigger{BodyPrefix: culpritBody, After: 50 * time.Millisecond, RestartDelay: 500 * time.Millisecond})
 	f.askUntilShut()
 	for zone := range f.Site.Options.Zones {
 		for index := range f.Site.Options.Entries {
@@ -178,7 +178,7 @@
 	options := DefaultOptions()
 	options.PlainServers = 2
 	f := Start(t, options)
-	f.Site.CrashOn(site.Crashing{Body: culpritBody, After: 50 * time.Millisecond, Away: time.Second})
+	f.Site.CrashOn(site.CrashTrigger{BodyPrefix: culpritBody, After: 50 * time.Millisecond, RestartDelay: time.Second})
 	stop := traffic(askedEach, func(ctx context.Context, number int) outcome {
 		one := outcome{id: culpritID + strconv.Itoa(number), begun: time.Now()}
 		one.answer, one.err = f.Call(ctx, number%2, number/2%2, http.MethodPost, site.SafePrefix+"culprit", one.id, nil, culpritBody)
@@ -187,7 +187,7 @@
 	time.Sleep(askedFor)
 	stop()
 	third := f.thirdEnd()
-	t.Logf("servers that ended: %d, sends after the third: %d", len(f.Site.Ends()), len(f.culpritArrivals(third)))
+	t.Logf("servers that ended: %d, sends after the third: %d", len(f.Site.Crashes()), len(f.culpritArrivals(third)))
 	assert.LessOrEqual(t, len(f.culpritArrivals(third.Add(knownWithin))), latecomersAllowed, "sends after the content must be known")
 	assert.Empty(t, f.culpritArrivals(third.Add(endPause)), "sends after the content can be known")
 }
@@ -196,19 +196,19 @@
 // servers have ended.
 func TestContentThatIsAskedRarelyIsKeptFromServersToo(t *testing.T) {
 	f := Start(t, crashingOptions())
-	f.Site.CrashOn(site.Crashing{Body: culpritBody, After: 50 * time.Millisecond, Away: 10 * time.Second})
+	f.Site.CrashOn(site.CrashTrigger{BodyPrefix: culpritBody, After: 50 * time.Millisecond, RestartDelay: 10 * time.Second})
 	for number := range 6 {
 		_, err := f.streamOf(context.Background(), number, "culprit", culpritID+strconv.Itoa(number), culpritBody, 10)
 		require.NoError(t, err)
 		time.Sleep(1300 * time.Millisecond)
 	}
-	assert.Len(t, f.Site.Ends(), endsAllowed)
+	assert.Len(t, f.Site.Crashes(), endsAllowed)
 }
 
 // BUDGET: ended servers are back before a connection can show that they were away, under the same IDs.
 func TestContentIsKnownByServersThatAreBackAtOnce(t *testing.T) {
 	f := Start(t, crashingOptions())
-	f.Site.CrashOn(site.Crashing{Body: culpritBody, After: 50 * time.Millisecond, Away: time.Nanosecond, SameID: true})
+	f.Site.CrashOn(site.CrashTrigger{BodyPrefix: culpritBody, After: 50 * time.Millisecond, RestartDelay: time.Nanosecond, SameID: true})
 	stop := f.askCulprit(400 * time.Millisecond)
 	time.Sleep(askedFor)
 	stop()
@@ -225,7 +225,7 @@
 		return answer
 	}
 	for _, server := range f.Site.Plain {
-		server.SetFaults(site.Faults{Lying: site.LyingResets})
+		server.SetFaults(site.Faults{Failure: site.FailWithResets})
 	}
 	for number := range 12 {
 		assert.NotEqual(t, http.StatusOK, ask(number).Status)
@@ -288,13 +288,13 @@
 // An operator has a content sent to servers again, at one entry, and all follow.
 func TestReleasedContentIsSentAgain(t *testing.T) {
 	f := Start(t, crashingOptions())
-	f.Site.CrashOn(site.Crashing{Body: culpritBody, After: 50 * time.Millisecond, Away: 500 * time.Millisecond})
+	f.Site.CrashOn(site.CrashTrigger{BodyPrefix: culpritBody, After: 50 * time.Millisecond, RestartDelay: 500 * time.Millisecond})
 	f.askUntilShut()
 	for _, answer := range f.askEverywhere("shut") {
 		assert.Equal(t, http.StatusServiceUnavailable, answer.Status)
 		assert.Greater(t, retryAfter(t, answer), time.Minute, "when the caller may come back")
 	}
-	f.Site.CrashOn(site.Crashing{})
+	f.Site.CrashOn(site.CrashTrigger{})
 	held, isList := f.Process(Name(catalog.RoleEntry, 0, 0)).Dump()["contents"].([]forward.FingerprintView)
 	require.True(t, isList)
 	require.Len(t, held, 1)
--- a/internal/sitetest/deaf_store_test.go
+++ b/internal/sitetest/deaf_store_test.go
@@ -21,13 +21,13 @@
 // peers kept that after the store had said that its history was gone.
 func TestNamedWhileTheStoreIsDeaf(t *testing.T) {
 	f := Start(t, DefaultOptions())
-	f.Site.Origin.SetAway(true)
+	f.Site.Origin.SetDown(true)
 	time.Sleep(1500 * time.Millisecond)
 	for version := uint64(2); version <= 7; version++ {
-		f.Site.Store.SetDeaf()
+		f.Site.Store.BlockWatches()
 		time.Sleep(10 * time.Millisecond)
 		named := time.Now()
-		f.Site.NameVersion(version)
+		f.Site.AnnounceVersion(version)
 		time.AfterFunc(deafFor, f.Site.Store.Compact)
 		time.Sleep(3500 * time.Millisecond)
 		for zone := range 2 {
@@ -52,7 +52,7 @@
 	for _, deaf := range []bool{false, true} {
 		t.Run(fmt.Sprintf("deaf %v", deaf), func(t *testing.T) {
 			f := Start(t, lateCancelOptions())
-			f.Site.Origin.SetAway(true)
+			f.Site.Origin.SetDown(true)
 			stop := traffic(120*time.Millisecond, func(ctx context.Context, number int) outcome {
 				one := outcome{id: fmt.Sprintf("stream-%d", number), begun: time.Now()}
 				one.answer, one.err = f.Stream(ctx, number%2, number/2%2, one.id, heldEvents)
@@ -60,10 +60,10 @@
 			})
 			time.Sleep(1500 * time.Millisecond)
 			if deaf {
-				f.Site.Store.SetDeaf()
+				f.Site.Store.BlockWatches()
 			}
 			named := time.Now()
-			f.Site.NameVersion(2)
+			f.Site.AnnounceVersion(2)
 			if deaf {
 				time.AfterFunc(deafFor, f.Site.Store.Compact)
 			}
@@ -71,7 +71,7 @@
 			time.Sleep(time.Until(bound.Add(2 * time.Second)))
 			stop()
 			var late []time.Duration
-			for _, run := range f.Site.Ledger.Runs() {
+			for _, run := range f.Site.Requests.Runs() {
 				if run.Service == site.ModelService && run.Version == 1 && run.At.After(bound) {
 					late = append(late, run.At.Sub(bound).Round(time.Millisecond))
 				}
@@ -88,12 +88,12 @@
 // In calm, the doubt of a store that may be about to forget its history costs nothing.
 func TestVersionsAreHardlyBelievedOlderInCalmAnywhere(t *testing.T) {
 	f := Start(t, DefaultOptions())
-	f.Site.Origin.SetAway(true)
+	f.Site.Origin.SetDown(true)
 	time.Sleep(1500 * time.Millisecond)
 	sum, count := time.Duration(0), 0
 	for version := uint64(2); version <= 7; version++ {
 		named := time.Now()
-		f.Site.NameVersion(version)
+		f.Site.AnnounceVersion(version)
 		time.Sleep(1370 * time.Millisecond)
 		for zone := range 2 {
 			for index := range 2 {
@@ -129,7 +129,7 @@
 	f.Site.Store.SetDown(true)
 	time.Sleep(4500 * time.Millisecond)
 	f.Site.Origin.Withhold(0)
-	f.Site.NameVersion(2)
+	f.Site.AnnounceVersion(2)
 	f.Site.Store.SetDown(false)
 	named := time.Now()
 	const withheld = 2 * time.Second
@@ -146,7 +146,7 @@
 			assert.GreaterOrEqual(t, served, 0.9, "from %s after the naming", at)
 		}
 	}
-	for _, run := range f.Site.Ledger.Runs() {
+	for _, run := range f.Site.Requests.Runs() {
 		if run.Service == site.ModelService && run.Version == 1 {
 			assert.False(t, run.At.After(bound), "begun %s after the bound", run.At.Sub(bound))
 		}
@@ -158,13 +158,13 @@
 func TestNamedWhileTheStoreTurnsMachinesAway(t *testing.T) {
 	options := DefaultOptions()
 	f := Start(t, options)
-	f.Site.Origin.SetAway(true)
+	f.Site.Origin.SetDown(true)
 	time.Sleep(1500 * time.Millisecond)
 	version := uint64(1)
 	name := func() {
 		version++
 		named := time.Now()
-		f.Site.NameVersion(version)
+		f.Site.AnnounceVersion(version)
 		time.Sleep(900 * time.Millisecond)
 		for zone := range 2 {
 			for index := range 2 {
--- a/internal/sitetest/evacuation_failure_test.go
+++ b/internal/sitetest/evacuation_failure_test.go
@@ -189,7 +189,7 @@
 	_, spoilt := stop()
 	assert.Zero(t, spoilt)
 	assert.Zero(t, f.between(second, asked.Add(newsTime), time.Now()))
-	assert.LessOrEqual(t, f.Site.Ledger.MostWhileCold(), 15)
+	assert.LessOrEqual(t, f.Site.Requests.MaxWhileCold(), 15)
 }
 
 // EVAC, FAILBACK: an evacuation that is taken back and asked for again within a heartbeat, over
@@ -214,8 +214,8 @@
 	f.takeBack(zone)
 	_, spoilt := stop()
 	assert.Zero(t, spoilt)
-	assert.LessOrEqual(t, f.Site.Ledger.MostWhileCold(), 15)
+	assert.LessOrEqual(t, f.Site.Requests.MaxWhileCold(), 15)
 	for _, server := range f.Site.Models {
-		assert.False(t, server.Fallen())
+		assert.False(t, server.Overloaded())
 	}
 }
--- a/internal/sitetest/evacuation_test.go
+++ b/internal/sitetest/evacuation_test.go
@@ -45,7 +45,7 @@
 // between counts the requests that reached a zone's servers in a span of time.
 func (f *Fleet) between(zone string, from, until time.Time) int {
 	count := 0
-	for _, arrival := range f.Site.Ledger.Deliveries() {
+	for _, arrival := range f.Site.Requests.Deliveries() {
 		if arrival.Zone == zone && arrival.At.After(from) && arrival.At.Before(until) {
 			count++
 		}
@@ -156,7 +156,7 @@
 	stop := busy(f, 6)
 	time.Sleep(300 * time.Millisecond)
 	named := time.Now()
-	f.Site.NameVersion(2)
+	f.Site.AnnounceVersion(2)
 	done := f.evacuateFor(site.ZoneName(1), 2500*time.Millisecond)
 	bound := time.Duration(f.Site.Options.VersionMs) * time.Millisecond
 	f.Eventually("every server serves version 2", time.Until(named.Add(bound)), func() bool { return f.allServe(2) })
@@ -164,7 +164,7 @@
 	_, spoilt := stop()
 	assert.Zero(t, spoilt)
 	assert.Zero(t, done.late(f))
-	for _, run := range f.Site.Ledger.Runs() {
+	for _, run := range f.Site.Requests.Runs() {
 		if run.Service == site.ModelService && run.At.After(named.Add(bound)) {
 			assert.Equal(t, uint64(2), run.Version)
 		}
@@ -202,10 +202,10 @@
 			assert.Len(t, answer.Events, events)
 		})
 	}
-	f.Eventually("the streams are open", time.Second, func() bool { return len(f.Site.Ledger.Runs()) >= streams })
+	f.Eventually("the streams are open", time.Second, func() bool { return len(f.Site.Requests.Runs()) >= streams })
 	done := f.evacuateFor(site.ZoneName(1), 2500*time.Millisecond)
 	open.Wait()
-	assert.Len(t, f.Site.Ledger.Runs(), streams, "no stream was moved")
+	assert.Len(t, f.Site.Requests.Runs(), streams, "no stream was moved")
 	assert.Positive(t, f.between(done.zone, done.asked.Add(-time.Second), done.asked), "some were open in the zone")
 	assert.Positive(t, countEvents(f, "PV2013", done.zone), "their entries say when the last has ended")
 	assert.Zero(t, done.late(f))
@@ -232,13 +232,13 @@
 			assert.Len(t, answer.Events, events)
 		})
 	}
-	f.Eventually("the streams are open", time.Second, func() bool { return len(f.Site.Ledger.Runs()) >= streams })
+	f.Eventually("the streams are open", time.Second, func() bool { return len(f.Site.Requests.Runs()) >= streams })
 	asked := time.Now()
 	inZone := f.between(zone, asked.Add(-time.Second), asked)
 	f.Site.Evacuate(zone)
 	open.Wait()
 	assert.Positive(t, inZone)
-	assert.Len(t, f.Site.Ledger.Runs(), streams+inZone, "each broken stream was continued once")
+	assert.Len(t, f.Site.Requests.Runs(), streams+inZone, "each broken stream was continued once")
 	assert.Zero(t, f.between(zone, asked, time.Now()))
 }
 
@@ -277,7 +277,7 @@
 		assert.Contains(t, answer.Body, "not-run")
 	}
 	assert.Less(t, time.Since(began), 500*time.Millisecond)
-	assert.Empty(t, f.Site.Ledger.Runs())
+	assert.Empty(t, f.Site.Requests.Runs())
 	f.Site.EndEvacuation(zone)
 	f.Eventually("service is back", 2*time.Second, func() bool {
 		answer, err := f.Stream(context.Background(), 0, 0, "back-"+strconv.FormatInt(time.Now().UnixNano(), 10), 2)
@@ -319,12 +319,12 @@
 	_, spoilt := stop()
 	assert.Zero(t, spoilt)
 	assert.Zero(t, done.late(f))
-	most := f.Site.Ledger.MostWhileCold()
+	most := f.Site.Requests.MaxWhileCold()
 	t.Logf("a cold server received up to %d requests in a second", most)
 	assert.LessOrEqual(t, most, 15)
 	assert.Greater(t, most, 4, "cold servers are used")
 	for _, server := range f.Site.Models {
-		assert.False(t, server.Fallen())
+		assert.False(t, server.Overloaded())
 	}
 }
 
@@ -341,11 +341,11 @@
 	time.Sleep(time.Second)
 	burst()
 	calm()
-	most := f.Site.Ledger.MostWhileCold()
+	most := f.Site.Requests.MaxWhileCold()
 	assert.LessOrEqual(t, most, 15)
 	assert.Greater(t, most, 4, "cold servers are used")
 	for _, server := range f.Site.Models {
-		assert.False(t, server.Fallen())
+		assert.False(t, server.Overloaded())
 	}
 }
 
@@ -362,9 +362,9 @@
 		time.Sleep(2 * time.Second)
 	}
 	stop()
-	assert.LessOrEqual(t, f.Site.Ledger.MostWhileCold(), 15)
+	assert.LessOrEqual(t, f.Site.Requests.MaxWhileCold(), 15)
 	for _, server := range f.Site.Models {
-		assert.False(t, server.Fallen())
+		assert.False(t, server.Overloaded())
 	}
 }
 
--- a/internal/sitetest/explain_test.go
+++ b/internal/sitetest/explain_test.go
@@ -91,7 +91,7 @@
 	}()
 	f.Eventually("the stream runs", time.Second, func() bool { return len(runsOf(f, "long-gloss")) == 1 })
 	serving := runsOf(f, "long-gloss")[0].Server
-	f.Site.NameVersion(2)
+	f.Site.AnnounceVersion(2)
 	others := func() []*site.Server {
 		var left []*site.Server
 		for _, server := range f.Site.Models {
--- a/internal/sitetest/fallback_test.go
+++ b/internal/sitetest/fallback_test.go
@@ -17,8 +17,8 @@
 	options.VersionMs = 12000
 	f := Start(t, options)
 	f.Eventually("version 1 is verified", 3*time.Second, func() bool { return countEvents(f, "PV3005", "") >= 4 })
-	f.Site.Origin.SetAway(true)
-	f.Site.NameVersion(2)
+	f.Site.Origin.SetDown(true)
+	f.Site.AnnounceVersion(2)
 	f.Eventually("version 2 is noticed", 3*time.Second, func() bool { return countEvents(f, "PV3001", `"version":2`) >= 4 })
 	return f
 }
@@ -31,12 +31,12 @@
 	require.NoError(t, err)
 	f.StartAgent(1, 5)
 	f.Eventually("the new server serves version 1", 5*time.Second, func() bool { return fresh.Version() == 1 })
-	f.Site.Origin.SetAway(false)
+	f.Site.Origin.SetDown(false)
 	f.Eventually("every server serves version 2", 11*time.Second, func() bool { return f.allServe(2) })
 	_, err = f.Stream(context.Background(), 0, 0, "after", 3)
 	assert.NoError(t, err)
-	for _, run := range f.Site.Ledger.Runs() {
-		assert.False(t, run.Spoilt)
+	for _, run := range f.Site.Requests.Runs() {
+		assert.False(t, run.Corrupt)
 	}
 }
 
@@ -47,15 +47,15 @@
 	options.VersionMs = 12000
 	f := Start(t, options)
 	f.Eventually("version 1 is verified", 3*time.Second, func() bool { return countEvents(f, "PV3005", "") >= 4 })
-	f.Site.NameVersion(2)
+	f.Site.AnnounceVersion(2)
 	f.Eventually("version 2 is here", 4*time.Second, func() bool { return countEvents(f, "PV3005", `"version":2`) >= 4 })
-	f.Site.Origin.SetAway(true)
-	f.Site.NameVersion(3)
+	f.Site.Origin.SetDown(true)
+	f.Site.AnnounceVersion(3)
 	f.Eventually("version 3 is noticed", 3*time.Second, func() bool { return countEvents(f, "PV3001", `"version":3`) >= 4 })
 	require.NoError(t, f.Site.RestartModel(0, 0))
 	f.Eventually("the restarted server serves", 3*time.Second, func() bool { return f.Site.Models[f.Site.Options.ModelIP(0, 0)].Version() == 2 })
 	f.Eventually("the others change over to version 2 before the bound of version 1", 12*time.Second, func() bool { return f.allServe(2) })
-	f.Site.Origin.SetAway(false)
+	f.Site.Origin.SetDown(false)
 	f.Eventually("every server serves version 3", 12*time.Second, func() bool { return f.allServe(3) })
 }
 
@@ -69,19 +69,19 @@
 func TestVersionOnItsWayIsCompletedWhenANewerOneIsNamed(t *testing.T) {
 	f := Start(t, slowLinks(8000))
 	f.Eventually("version 1 is verified", 6*time.Second, func() bool { return countEvents(f, "PV3005", "") >= 4 })
-	f.Site.NameVersion(2)
+	f.Site.AnnounceVersion(2)
 	f.Eventually("version 2 has left the origin", 3*time.Second, func() bool { return f.Site.Origin.Copies() >= 1 })
-	f.Site.Origin.SetAway(true)
+	f.Site.Origin.SetDown(true)
 	require.Zero(t, countEvents(f, "PV3005", `"version":2`), "it is not here whole anywhere")
-	f.Site.NameVersion(3)
+	f.Site.AnnounceVersion(3)
 	f.Eventually("version 3 is noticed", 3*time.Second, func() bool { return countEvents(f, "PV3001", `"version":3`) >= 4 })
 	f.Eventually("every server changes over to version 2", 9*time.Second, func() bool { return f.allServe(2) })
 	_, err := f.Stream(context.Background(), 0, 0, "between", 3)
 	assert.NoError(t, err)
-	f.Site.Origin.SetAway(false)
+	f.Site.Origin.SetDown(false)
 	f.Eventually("every server serves version 3", 12*time.Second, func() bool { return f.allServe(3) })
-	for _, run := range f.Site.Ledger.Runs() {
-		assert.False(t, run.Spoilt)
+	for _, run := range f.Site.Requests.Runs() {
+		assert.False(t, run.Corrupt)
 	}
 }
 
@@ -99,13 +99,13 @@
 func TestWholeFallbackIsNotGivenUpForAPart(t *testing.T) {
 	f := Start(t, slowLinks(8000))
 	f.Eventually("version 1 is verified", 6*time.Second, func() bool { return countEvents(f, "PV3005", "") >= 4 })
-	f.Site.NameVersion(2)
+	f.Site.AnnounceVersion(2)
 	f.Eventually("version 2 is here", 6*time.Second, func() bool { return countEvents(f, "PV3005", `"version":2`) >= 4 })
-	f.Site.NameVersion(3)
+	f.Site.AnnounceVersion(3)
 	f.Eventually("version 3 has begun", 3*time.Second, func() bool { return countEvents(f, "PV3101", `"version":3`) >= 4 })
-	f.Site.Origin.SetAway(true)
+	f.Site.Origin.SetDown(true)
 	require.Zero(t, countEvents(f, "PV3005", `"version":3`))
-	f.Site.NameVersion(4)
+	f.Site.AnnounceVersion(4)
 	f.Eventually("version 4 is noticed", 3*time.Second, func() bool { return countEvents(f, "PV3001", `"version":4`) >= 4 })
 	f.Eventually("every server changes over to version 2", 9*time.Second, func() bool { return f.allServe(2) })
 }
@@ -115,10 +115,10 @@
 	f := Start(t, slowLinks(12000))
 	f.Eventually("version 1 is verified", 6*time.Second, func() bool { return countEvents(f, "PV3005", "") >= 4 })
 	f.Eventually("version 1 is served", 6*time.Second, func() bool { return f.allServe(1) })
-	f.Site.NameVersion(2)
+	f.Site.AnnounceVersion(2)
 	f.Eventually("version 2 has begun", 3*time.Second, func() bool { return countEvents(f, "PV3101", `"version":2`) >= 4 })
-	f.Site.Origin.SetAway(true)
-	f.Site.NameVersion(3)
+	f.Site.Origin.SetDown(true)
+	f.Site.AnnounceVersion(3)
 	f.Eventually("version 3 is noticed", 3*time.Second, func() bool { return countEvents(f, "PV3001", `"version":3`) >= 4 })
 	require.Zero(t, countEvents(f, "PV3005", `"version":2`))
 	require.NoError(t, f.Site.RestartModel(0, 0))
--- a/internal/sitetest/fleet_test.go
+++ b/internal/sitetest/fleet_test.go
@@ -51,7 +51,7 @@
 // hear nothing and its history is then forgotten.
 func TestChangeInForceWhileTheStoreForgets(t *testing.T) {
 	f := Start(t, DefaultOptions())
-	f.Site.Store.SetDeaf()
+	f.Site.Store.BlockWatches()
 	time.Sleep(200 * time.Millisecond)
 	acknowledged := time.Now()
 	version := f.Site.Configure(revoke)
@@ -125,7 +125,7 @@
 	time.Sleep(1500 * time.Millisecond)
 	_, spoilt := stop()
 	assert.Zero(t, spoilt)
-	for _, run := range f.Site.Ledger.Runs() {
+	for _, run := range f.Site.Requests.Runs() {
 		if run.At.After(said.Add(time.Second)) {
 			assert.NotEqual(t, leaving.ID(), run.Server)
 		}
@@ -192,7 +192,7 @@
 	f.Site.Store.SetDown(true)
 	time.Sleep(2500 * time.Millisecond)
 	for _, server := range f.Site.Models {
-		server.Lapse()
+		server.StopHeartbeats()
 	}
 	f.Site.Store.SetDown(false)
 	f.Eventually("an entry has heard of the lapse", 2*time.Second, func() bool { return countEvents(f, "PV4207", "") > 0 })
@@ -224,7 +224,7 @@
 	lapseInAnOutage(f)
 	time.Sleep(time.Second)
 	for _, server := range f.Site.Models {
-		server.Return()
+		server.ResumeHeartbeats()
 	}
 	time.Sleep(2500 * time.Millisecond)
 	for zone := range options.Zones {
--- a/internal/sitetest/health_test.go
+++ b/internal/sitetest/health_test.go
@@ -40,7 +40,7 @@
 // receivedBy lists the requests that a server has received after a moment.
 func (f *Fleet) receivedBy(server *site.Server, after time.Time) []site.Delivery {
 	var received []site.Delivery
-	for _, delivery := range f.Site.Ledger.Deliveries() {
+	for _, delivery := range f.Site.Requests.Deliveries() {
 		if delivery.Server == server.ID() && delivery.At.After(after) {
 			received = append(received, delivery)
 		}
@@ -63,7 +63,7 @@
 func assertNoneRanTwice(t *testing.T, f *Fleet) {
 	t.Helper()
 	ran := map[string]int{}
-	for _, run := range f.Site.Ledger.Runs() {
+	for _, run := range f.Site.Requests.Runs() {
 		if strings.HasPrefix(run.RequestID, "save-") {
 			ran[run.RequestID]++
 			assert.Equal(t, 1, ran[run.RequestID], run.RequestID)
@@ -75,15 +75,15 @@
 // and the zone one trial each time its ejection ends; no caller of a request that may be sent
 // again sees it, and once the server is sound it is in use again.
 func TestLyingServerCostsFewRequests(t *testing.T) {
-	for name, lie := range map[string]site.Lie{"errors": site.LyingErrors, "resets": site.LyingResets, "hangs": site.LyingHangs} {
+	for name, lie := range map[string]site.FailureMode{"errors": site.FailWithErrors, "resets": site.FailWithResets, "hangs": site.FailWithHangs} {
 		t.Run(name, func(t *testing.T) {
 			f := Start(t, healthOptions())
 			stop, stopSaves := busy(f, 9), saves(f, 6)
 			time.Sleep(500 * time.Millisecond)
 			model, plain := f.modelServer(0), f.plainServer(0)
 			began := time.Now()
-			model.SetFaults(site.Faults{Lying: lie})
-			plain.SetFaults(site.Faults{Lying: lie})
+			model.SetFaults(site.Faults{Failure: lie})
+			plain.SetFaults(site.Faults{Failure: lie})
 			time.Sleep(4 * time.Second)
 			toModel, toPlain := len(f.receivedBy(model, began)), len(f.receivedBy(plain, began))
 			model.SetFaults(site.Faults{})
@@ -115,11 +115,11 @@
 	flapping := []*site.Server{f.modelServer(0), f.modelServer(1)}
 	for turn := range 12 {
 		for index, server := range flapping {
-			lie := site.Honest
+			lie := site.NoFailure
 			if (turn+index)%2 == 0 {
-				lie = site.LyingResets
+				lie = site.FailWithResets
 			}
-			server.SetFaults(site.Faults{Lying: lie})
+			server.SetFaults(site.Faults{Failure: lie})
 		}
 		time.Sleep(500 * time.Millisecond)
 	}
@@ -150,7 +150,7 @@
 	time.Sleep(500 * time.Millisecond)
 	began := time.Now()
 	for index := range 2 {
-		f.modelServer(index).SetFaults(site.Faults{FalselyIll: true})
+		f.modelServer(index).SetFaults(site.Faults{FailHealthChecks: true})
 	}
 	f.Eventually("the entries are told", 2*time.Second, func() bool { return countEvents(f, "PV4203", `"reachable":false`) >= 2 })
 	time.Sleep(2 * time.Second)
@@ -203,7 +203,7 @@
 func TestZoneKnowsOfAnEjectedServer(t *testing.T) {
 	f := Start(t, healthOptions())
 	model := f.modelServer(0)
-	model.SetFaults(site.Faults{Lying: site.LyingErrors})
+	model.SetFaults(site.Faults{Failure: site.FailWithErrors})
 	for number := 0; countEvents(f, "PV4204", model.ID()) == 0; number++ {
 		answer, err := f.Stream(context.Background(), 0, 0, fmt.Sprint("learn-", number), 2)
 		require.NoError(t, err)
--- a/internal/sitetest/late_cancel_test.go
+++ b/internal/sitetest/late_cancel_test.go
@@ -81,7 +81,7 @@
 	}
 	stop := traffic(120*time.Millisecond, stream("stream"))
 	named := time.Now()
-	f.Site.NameVersion(2)
+	f.Site.AnnounceVersion(2)
 	bound := named.Add(time.Duration(f.Site.Options.VersionMs) * time.Millisecond)
 	time.Sleep(time.Until(bound.Add(-holdBefore)))
 	holdQueues(f, true)
@@ -103,7 +103,7 @@
 	holdQueues(f, false)
 	time.Sleep(time.Until(bound.Add(lookedAfter)))
 	stop()
-	for _, run := range f.Site.Ledger.Runs() {
+	for _, run := range f.Site.Requests.Runs() {
 		if run.Service == site.ModelService && run.Version == 1 && run.At.After(bound) {
 			late = append(late, run.At.Sub(bound))
 		}
@@ -129,8 +129,8 @@
 		answer, err := f.Stream(context.Background(), 0, 0, fmt.Sprintf("after-%d", attempts), 3)
 		return err == nil && answer.Status == http.StatusOK && answer.Whole
 	})
-	for _, run := range f.Site.Ledger.Runs() {
-		assert.False(t, run.Spoilt)
+	for _, run := range f.Site.Requests.Runs() {
+		assert.False(t, run.Corrupt)
 	}
 }
 
@@ -142,8 +142,8 @@
 	late, _ := lateRuns(t, f)
 	assert.Empty(t, late, "requests that began on the old version, by the time after its bound")
 	f.Eventually("every server serves version 2", 5*time.Second, func() bool { return f.allServe(2) })
-	for _, run := range f.Site.Ledger.Runs() {
-		assert.False(t, run.Spoilt)
+	for _, run := range f.Site.Requests.Runs() {
+		assert.False(t, run.Corrupt)
 	}
 }
 
@@ -156,10 +156,10 @@
 	late, _ := lateRunsOfTwoVersions(t, f)
 	assert.Empty(t, late, "requests that began on the old version, by the time after its bound")
 	assert.Zero(t, countEvents(f, "PV3114", `"serving":1,`), "servers with version 1 that were left to the entries")
-	f.Site.Origin.SetAway(false)
+	f.Site.Origin.SetDown(false)
 	f.Eventually("every server serves version 3", 6*time.Second, func() bool { return f.allServe(3) })
-	for _, run := range f.Site.Ledger.Runs() {
-		assert.False(t, run.Spoilt)
+	for _, run := range f.Site.Requests.Runs() {
+		assert.False(t, run.Corrupt)
 	}
 }
 
@@ -170,7 +170,7 @@
 	_, named := lateRunsOfTwoVersions(t, f)
 	bound := named.Add(time.Duration(f.Site.Options.VersionMs) * time.Millisecond)
 	var late []time.Duration
-	for _, run := range f.Site.Ledger.Runs() {
+	for _, run := range f.Site.Requests.Runs() {
 		if run.Service == site.ModelService && run.Version == 2 && run.At.After(bound) {
 			late = append(late, run.At.Sub(bound))
 		}
@@ -187,9 +187,9 @@
 		for limit := time.Now().Add(2 * time.Second); time.Now().Before(limit) && countEvents(f, "PV3005", `"version":2`) < 4; {
 			time.Sleep(5 * time.Millisecond)
 		}
-		f.Site.Origin.SetAway(true)
+		f.Site.Origin.SetDown(true)
 		now := time.Now()
-		f.Site.NameVersion(3)
+		f.Site.AnnounceVersion(3)
 		named <- now
 	}()
 	late, _ := lateRuns(t, f)
@@ -203,7 +203,7 @@
 	f := Start(t, DefaultOptions())
 	named, bound := f.nameAmidSilence(ofTheSystem)
 	before, late, latest := 0, 0, time.Duration(0)
-	for _, run := range f.Site.Ledger.Runs() {
+	for _, run := range f.Site.Requests.Runs() {
 		switch {
 		case run.Service != site.ModelService || run.Version != 1 || run.At.Before(named):
 		case run.At.After(bound):
--- a/internal/sitetest/leaving_test.go
+++ b/internal/sitetest/leaving_test.go
@@ -30,7 +30,7 @@
 	leaving := f.Site.Models[f.Site.Options.ModelIP(0, 0)]
 	plain := f.Site.Plain[f.Site.Options.PlainIP(1, 0)]
 	for _, server := range []*site.Server{leaving, plain} {
-		server.SayLeaving(true)
+		server.AnnounceLeaving(true)
 	}
 	said := time.Now()
 	time.Sleep(4 * time.Second)
@@ -52,14 +52,14 @@
 	stop := f.harmless(5 * time.Millisecond)
 	time.Sleep(500 * time.Millisecond)
 	leaving := f.Site.Models[f.Site.Options.ModelIP(0, 0)]
-	leaving.SayLeaving(true)
+	leaving.AnnounceLeaving(true)
 	said := time.Now()
 	time.Sleep(leftAlone)
-	leaving.SayLeaving(false)
+	leaving.AnnounceLeaving(false)
 	time.Sleep(time.Second)
-	leaving.Lapse()
+	leaving.StopHeartbeats()
 	time.Sleep(time.Second)
-	leaving.Return()
+	leaving.ResumeHeartbeats()
 	time.Sleep(2 * time.Second)
 	stop()
 	assert.Empty(t, f.arrivedAt(leaving.ID(), said.Add(leftAlone)))
--- a/internal/sitetest/limit_test.go
+++ b/internal/sitetest/limit_test.go
@@ -36,7 +36,7 @@
 
 // arrivedAt are the moments at which requests came to a server, in order.
 func (f *Fleet) arrivedAt(server string, after time.Time) (moments []time.Time) {
-	for _, arrival := range f.Site.Ledger.Arrivals() {
+	for _, arrival := range f.Site.Requests.Arrivals() {
 		if arrival.Server == server && arrival.At.After(after) {
 			moments = append(moments, arrival.At)
 		}
@@ -75,17 +75,17 @@
 	limited := f.Site.Models[f.Site.Options.ModelIP(0, 0)]
 	stop := f.harmless(10 * time.Millisecond)
 	time.Sleep(time.Second)
-	limited.NameLimit(strconv.FormatFloat(rate, 'f', -1, 64))
+	limited.AnnounceLimit(strconv.FormatFloat(rate, 'f', -1, 64))
 	named := time.Now()
 	time.Sleep(10 * time.Second)
 	held := f.arrivedAt(limited.ID(), named.Add(limitKnown))
-	limited.NameLimit("")
+	limited.AnnounceLimit("")
 	over := time.Now()
 	time.Sleep(limitOver + 2*time.Second)
 	outcomes := stop()
-	most := mostWithin(held, site.LimitSpan)
-	t.Logf("most requests in %s: %d, in all of %s: %d", site.LimitSpan, most, over.Sub(named)-limitKnown, len(held))
-	assert.LessOrEqual(t, float64(most), site.LimitBears(rate))
+	most := mostWithin(held, site.LimitWindow)
+	t.Logf("most requests in %s: %d, in all of %s: %d", site.LimitWindow, most, over.Sub(named)-limitKnown, len(held))
+	assert.LessOrEqual(t, float64(most), site.MaxUnderLimit(rate))
 	assert.GreaterOrEqual(t, len(held), 3, "the two entries of its zone go on using it")
 	assert.GreaterOrEqual(t, len(f.arrivedAt(limited.ID(), over.Add(limitOver))), 20, "requests in 2 s once all know that the limit is over")
 	assert.GreaterOrEqual(t, shareServed(outcomes, named, over.Add(limitOver+2*time.Second), time.Second), servedAgain)
@@ -103,14 +103,14 @@
 	}
 	only := f.Site.Plain[options.PlainIP(0, 0)]
 	time.Sleep(time.Second)
-	only.NameLimit(strconv.FormatFloat(rate, 'f', -1, 64))
+	only.AnnounceLimit(strconv.FormatFloat(rate, 'f', -1, 64))
 	named := time.Now()
 	stop := f.plainTraffic(20 * time.Millisecond)
 	time.Sleep(8 * time.Second)
 	outcomes := stop()
 	held := f.arrivedAt(only.ID(), named.Add(limitKnown))
-	t.Logf("most requests in %s: %d, in all: %d", site.LimitSpan, mostWithin(held, site.LimitSpan), len(held))
-	assert.LessOrEqual(t, float64(mostWithin(held, site.LimitSpan)), site.LimitBears(rate))
+	t.Logf("most requests in %s: %d, in all: %d", site.LimitWindow, mostWithin(held, site.LimitWindow), len(held))
+	assert.LessOrEqual(t, float64(mostWithin(held, site.LimitWindow)), site.MaxUnderLimit(rate))
 	assert.GreaterOrEqual(t, len(held), int(rate*(8*time.Second-limitKnown).Seconds()/2), "half of what the server takes is used")
 	refused := 0
 	for _, one := range outcomes {
@@ -132,7 +132,7 @@
 	const rate = 2.5
 	f := Start(t, limitOptions())
 	for _, server := range f.Site.Models {
-		server.NameLimit(strconv.FormatFloat(rate, 'f', -1, 64))
+		server.AnnounceLimit(strconv.FormatFloat(rate, 'f', -1, 64))
 	}
 	stop := f.harmless(20 * time.Millisecond)
 	named := time.Now()
@@ -142,7 +142,7 @@
 	for _, server := range f.Site.Models {
 		held := f.arrivedAt(server.ID(), named.Add(limitKnown))
 		total += len(held)
-		assert.LessOrEqual(t, float64(mostWithin(held, site.LimitSpan)), site.LimitBears(rate), server.ID())
+		assert.LessOrEqual(t, float64(mostWithin(held, site.LimitWindow)), site.MaxUnderLimit(rate), server.ID())
 		assert.GreaterOrEqual(t, len(held), int(rate*asked.Seconds()/2), "half of what %s takes is used", server.ID())
 	}
 	t.Logf("used: %.2f", float64(total)/(rate*asked.Seconds()*float64(len(f.Site.Models))))
--- a/internal/sitetest/recovery_test.go
+++ b/internal/sitetest/recovery_test.go
@@ -135,7 +135,7 @@
 			silence(t, ofTheSystem)
 		}
 		named := time.Now()
-		f.Site.NameVersion(2)
+		f.Site.AnnounceVersion(2)
 		if disturb && after > 0 {
 			time.Sleep(after)
 			silence(t, ofTheSystem)
@@ -175,7 +175,7 @@
 func testUnansweredOrder(t *testing.T, taken bool) {
 	f, proxy := agentBehind(t)
 	proxy.muteAt("POST /-/order", taken)
-	f.Site.NameVersion(2)
+	f.Site.AnnounceVersion(2)
 	f.Eventually("the order has gone", 10*time.Second, func() bool { return countEvents(f, logging.OrderSent.Number, "") > 0 })
 	sent := time.Now()
 	f.Eventually("the order's fate is known", 10*time.Second, func() bool {
--- a/internal/sitetest/regions_test.go
+++ b/internal/sitetest/regions_test.go
@@ -71,7 +71,7 @@
 
 // arrivalsOutside lists what came to servers of other regions than some.
 func arrivalsOutside(f *Fleet, regions ...string) []site.Arrival {
-	return slices.DeleteFunc(f.Site.Ledger.Arrivals(), func(one site.Arrival) bool { return slices.Contains(regions, one.Region) })
+	return slices.DeleteFunc(f.Site.Requests.Arrivals(), func(one site.Arrival) bool { return slices.Contains(regions, one.Region) })
 }
 
 // serversOf returns the servers of a zone, of both services.
@@ -99,10 +99,10 @@
 		}
 		time.Sleep(apart)
 	}
-	require.NoError(t, f.Site.RestartModelUnnoticed(zone, 0))
+	require.NoError(t, f.Site.RestartModelStillListed(zone, 0))
 	time.Sleep(apart)
 	for _, server := range serversOf(f, zone) {
-		server.Lapse()
+		server.StopHeartbeats()
 		server.Crash()
 	}
 	time.Sleep(apart)
@@ -146,7 +146,7 @@
 // noServerIn ends every server of a zone and takes it off the list.
 func noServerIn(f *Fleet, zone int) {
 	for _, server := range serversOf(f, zone) {
-		server.Lapse()
+		server.StopHeartbeats()
 		server.Crash()
 	}
 	f.Eventually("the entry has lost them", 3*time.Second, func() bool {
@@ -192,7 +192,7 @@
 		assert.Contains(t, told.Cause, want, kind)
 		assert.NotContains(t, explain.Tell(without(lines, "PV4109"), "nowhere-"+kind).Cause, want, kind)
 	}
-	assert.Empty(t, f.Site.Ledger.Arrivals())
+	assert.Empty(t, f.Site.Requests.Arrivals())
 	assert.Equal(t, len(calls), refusalsFor(f, t, "data-residency"))
 	f.configure(restrictTenant())
 	answer, err := calls["safe"]("anywhere")
@@ -232,7 +232,7 @@
 	assert.Equal(t, "5", answer.Header.Get("Retry-After"), "only another configuration helps")
 	_, told := story(f, t, "apart", "PV4104")
 	assert.Contains(t, told.Cause, "the allowed regions of the route and the tenant have none in common")
-	assert.Empty(t, f.Site.Ledger.Arrivals())
+	assert.Empty(t, f.Site.Requests.Arrivals())
 }
 
 // HOME: a stream that is under way when the regions change goes on where it is; when it breaks
@@ -268,7 +268,7 @@
 				}
 			}
 			answer := <-done
-			arrivals := slices.DeleteFunc(f.Site.Ledger.Arrivals(), func(arrival site.Arrival) bool { return arrival.RequestID != id })
+			arrivals := slices.DeleteFunc(f.Site.Requests.Arrivals(), func(arrival site.Arrival) bool { return arrival.RequestID != id })
 			if one.want == "" {
 				assert.False(t, answer.Whole)
 				assert.Len(t, arrivals, 1)
--- a/internal/sitetest/requests_test.go
+++ b/internal/sitetest/requests_test.go
@@ -24,7 +24,7 @@
 
 func runsOf(f *Fleet, id string) []site.Run {
 	var runs []site.Run
-	for _, run := range f.Site.Ledger.Runs() {
+	for _, run := range f.Site.Requests.Runs() {
 		if run.RequestID == id {
 			runs = append(runs, run)
 		}
@@ -62,9 +62,9 @@
 		})
 	}
 	all.Wait()
-	for _, run := range f.Site.Ledger.Runs() {
+	for _, run := range f.Site.Requests.Runs() {
 		assert.Equal(t, site.Tenant, run.Tenant)
-		assert.False(t, run.KeySeen)
+		assert.False(t, run.KeyReceived)
 	}
 	answer, err := f.Call(ctx, 0, 0, http.MethodGet, site.SafePrefix, "bad-key", map[string]string{"Authorization": "Token other"}, "")
 	require.NoError(t, err)
@@ -172,7 +172,7 @@
 	}
 	all.Wait()
 	arrivals := 0
-	for _, run := range f.Site.Ledger.Runs() {
+	for _, run := range f.Site.Requests.Runs() {
 		if run.Service == site.PlainService {
 			arrivals++
 		}
--- a/internal/sitetest/rest_test.go
+++ b/internal/sitetest/rest_test.go
@@ -35,7 +35,7 @@
 	stop := f.harmless(5 * time.Millisecond)
 	time.Sleep(500 * time.Millisecond)
 	resting := f.Site.Models[f.Site.Options.ModelIP(0, 0)]
-	resting.SetFaults(site.Faults{Shed: 1, ShedRest: restAsked})
+	resting.SetFaults(site.Faults{Shed: 1, ShedBackoff: restAsked})
 	asked := time.Now()
 	time.Sleep(6 * time.Second)
 	outcomes := stop()
@@ -57,7 +57,7 @@
 func TestAllServersAskForRest(t *testing.T) {
 	f := Start(t, oneEntryOptions())
 	for _, server := range f.Site.Plain {
-		server.SetFaults(site.Faults{Shed: 1000, ShedRest: restAsked})
+		server.SetFaults(site.Faults{Shed: 1000, ShedBackoff: restAsked})
 	}
 	started := time.Now()
 	stop := f.plainTraffic(20 * time.Millisecond)
--- a/internal/sitetest/restarted_test.go
+++ b/internal/sitetest/restarted_test.go
@@ -19,7 +19,7 @@
 func TestRestartedServersServeTheNewestVersionAgain(t *testing.T) {
 	options := DefaultOptions()
 	f := Start(t, options)
-	f.Site.NameVersion(2)
+	f.Site.AnnounceVersion(2)
 	f.Eventually("every server serves version 2", 6*time.Second, func() bool { return f.allServe(2) })
 	stop := traffic(20*time.Millisecond, func(ctx context.Context, number int) outcome {
 		one := outcome{id: fmt.Sprintf("stream-%d", number), begun: time.Now()}
@@ -30,10 +30,10 @@
 	began := time.Now()
 	for zone := range options.Zones {
 		for index := range options.ModelServers {
-			require.NoError(t, f.Site.RestartModelUnderItsID(zone, index, time.Now()))
+			require.NoError(t, f.Site.RestartModelWithSameID(zone, index, time.Now()))
 			if index == 0 {
 				time.Sleep(30 * time.Millisecond)
-				require.NoError(t, f.Site.RestartModelUnderItsID(zone, index, time.Now()))
+				require.NoError(t, f.Site.RestartModelWithSameID(zone, index, time.Now()))
 			}
 			f.Eventually("every server serves version 2 again", 4*time.Second, func() bool { return f.allServe(2) })
 		}
@@ -41,8 +41,8 @@
 	ended := time.Now()
 	outcomes := stop()
 	assert.GreaterOrEqual(t, shareServed(outcomes, began, ended, time.Second), 0.9, "three of four servers are there all the time")
-	for _, run := range f.Site.Ledger.Runs() {
-		assert.False(t, run.Spoilt)
+	for _, run := range f.Site.Requests.Runs() {
+		assert.False(t, run.Corrupt)
 	}
 	f.Eventually("agents have read anew what lies at their servers", time.Second, func() bool {
 		return countEvents(f, "PV3116", "") >= options.Zones*options.ModelServers
@@ -52,9 +52,9 @@
 // A server starts again with a clock that is set back, and one whose birth is in the future before.
 func TestRestartedServerWithAFalseClockIsUsed(t *testing.T) {
 	f := Start(t, DefaultOptions())
-	require.NoError(t, f.Site.RestartModelUnderItsID(0, 0, time.Now().Add(time.Hour)))
+	require.NoError(t, f.Site.RestartModelWithSameID(0, 0, time.Now().Add(time.Hour)))
 	f.Eventually("the server serves", 4*time.Second, func() bool { return f.allServe(1) })
-	require.NoError(t, f.Site.RestartModelUnderItsID(0, 0, time.Now().Add(-time.Hour)))
+	require.NoError(t, f.Site.RestartModelWithSameID(0, 0, time.Now().Add(-time.Hour)))
 	f.Eventually("the server serves again", 4*time.Second, func() bool { return f.allServe(1) })
 	reborn := f.Site.Models[f.Site.Options.ModelIP(0, 0)]
 	number := 0
@@ -64,7 +64,7 @@
 		if err != nil || answer.Status != http.StatusOK {
 			return false
 		}
-		return f.Site.Ledger.RanAt(reborn.ID(), fmt.Sprintf("after-%d", number))
+		return f.Site.Requests.RanAt(reborn.ID(), fmt.Sprintf("after-%d", number))
 	})
 }
 
--- a/internal/sitetest/settings_test.go
+++ b/internal/sitetest/settings_test.go
@@ -42,7 +42,7 @@
 	for number := range 8 {
 		require.Equal(t, http.StatusOK, statusOf(t, f, "after-"+strconv.Itoa(number)))
 	}
-	for _, arrival := range f.Site.Ledger.Arrivals() {
+	for _, arrival := range f.Site.Requests.Arrivals() {
 		want := site.ZoneName(2)
 		if arrival.RequestID == "before" {
 			want = site.ZoneName(home)
--- a/internal/sitetest/silence_test.go
+++ b/internal/sitetest/silence_test.go
@@ -190,7 +190,7 @@
 // nobody can fetch, and returns two seconds after the bound of that naming.
 func (f *Fleet) nameAmidSilence(silenced silencer.Filter) (named, bound time.Time) {
 	f.t.Helper()
-	f.Site.Origin.SetAway(true)
+	f.Site.Origin.SetDown(true)
 	stop := traffic(15*time.Millisecond, func(ctx context.Context, number int) outcome {
 		one := outcome{id: fmt.Sprintf("stream-%d", number), begun: time.Now()}
 		one.answer, one.err = f.Stream(ctx, number%2, number/2%2, one.id, 4)
@@ -200,7 +200,7 @@
 	_, err := silencer.Silence(silenced)
 	require.NoError(f.t, err)
 	named = time.Now()
-	f.Site.NameVersion(2)
+	f.Site.AnnounceVersion(2)
 	bound = named.Add(time.Duration(f.Site.Options.VersionMs) * time.Millisecond)
 	time.Sleep(time.Until(bound.Add(2 * time.Second)))
 	stop()
@@ -215,7 +215,7 @@
 	_, bound := f.nameAmidSilence(toTheStore)
 	late := 0
 	latest := time.Duration(0)
-	for _, run := range f.Site.Ledger.Runs() {
+	for _, run := range f.Site.Requests.Runs() {
 		if run.Service == site.ModelService && run.Version == 1 && run.At.After(bound) {
 			late++
 			latest = max(latest, run.At.Sub(bound))
@@ -232,13 +232,13 @@
 // after the second naming. Nothing begins on version 1 after the bound of version 2.
 func TestEntryThatStartsBetweenTwoVersionsKeepsTheFirstBound(t *testing.T) {
 	f := Start(t, DefaultOptions())
-	f.Site.Origin.SetAway(true)
+	f.Site.Origin.SetDown(true)
 	time.Sleep(500 * time.Millisecond)
 	named := time.Now()
-	f.Site.NameVersion(2)
+	f.Site.AnnounceVersion(2)
 	bound := named.Add(time.Duration(f.Site.Options.VersionMs) * time.Millisecond)
 	time.Sleep(2500 * time.Millisecond)
-	f.Site.NameVersion(3)
+	f.Site.AnnounceVersion(3)
 	time.Sleep(200 * time.Millisecond)
 	name := Name(catalog.RoleEntry, 1, 1)
 	f.Kill(name)
@@ -254,7 +254,7 @@
 	time.Sleep(time.Until(bound.Add(2500 * time.Millisecond)))
 	stop()
 	late, latest := 0, time.Duration(0)
-	for _, run := range f.Site.Ledger.Runs() {
+	for _, run := range f.Site.Requests.Runs() {
 		if run.Service == site.ModelService && run.Version == 1 && run.At.After(bound) {
 			late++
 			latest = max(latest, run.At.Sub(bound))
--- a/internal/sitetest/sizes_test.go
+++ b/internal/sitetest/sizes_test.go
@@ -28,7 +28,7 @@
 // often as all.
 func TestLargePromptsAreServedInAnOverload(t *testing.T) {
 	options := DefaultOptions()
-	options.ReadPerSecond, options.UsualPrompt = sizesRead, sizesUsual
+	options.ReadPerSecond, options.TypicalPrompt = sizesRead, sizesUsual
 	f := Start(t, options)
 	random := rand.New(rand.NewPCG(1, 1))
 	type result struct {
--- a/internal/sitetest/told_asks_test.go
+++ b/internal/sitetest/told_asks_test.go
@@ -61,12 +61,12 @@
 	options.PlainServers = 2
 	f := Start(t, options)
 	leaving, limited := f.Site.Plain[options.PlainIP(0, 0)], f.Site.Plain[options.PlainIP(0, 1)]
-	leaving.SayLeaving(true)
+	leaving.AnnounceLeaving(true)
 	f.askPlainAt(0, 0, leaving.ID(), "leaving")
 	f.Eventually("all know that it leaves", toldWithin, func() bool {
 		return f.everyEntry(leaving.ID(), func(view forward.ServerView) bool { return view.AnnouncedLeaving })
 	})
-	limited.NameLimit("3")
+	limited.AnnounceLimit("3")
 	f.askPlainAt(0, 1, limited.ID(), "limited")
 	named := func(view forward.ServerView) bool { return view.Limit != nil && view.Limit.PerSecond == 3 }
 	f.Eventually("all know the limit", toldWithin, func() bool { return f.everyEntry(limited.ID(), named) })
@@ -78,7 +78,7 @@
 		return f.viewAt(2, 1, leaving.ID()).AnnouncedLeaving && named(f.viewAt(2, 1, limited.ID()))
 	})
 
-	limited.NameLimit("")
+	limited.AnnounceLimit("")
 	f.askPlainAt(0, 0, limited.ID(), "over")
 	f.Eventually("all know that the limit is over", toldWithin, func() bool {
 		return f.everyEntry(limited.ID(), func(view forward.ServerView) bool { return view.Limit == nil })
--- a/internal/sitetest/versions_test.go
+++ b/internal/sitetest/versions_test.go
@@ -58,15 +58,15 @@
 	stop := load(f, t)
 	time.Sleep(300 * time.Millisecond)
 	named := time.Now()
-	f.Site.NameVersion(2)
+	f.Site.AnnounceVersion(2)
 	bound := time.Duration(f.Site.Options.VersionMs) * time.Millisecond
 	f.Eventually("every server serves version 2", bound, func() bool { return f.allServe(2) })
 	time.Sleep(time.Until(named.Add(bound + 300*time.Millisecond)))
 	sent, spoilt := stop()
 	assert.Greater(t, sent, 100)
 	assert.Zero(t, spoilt)
-	for _, run := range f.Site.Ledger.Runs() {
-		assert.False(t, run.Spoilt)
+	for _, run := range f.Site.Requests.Runs() {
+		assert.False(t, run.Corrupt)
 		if run.Service == site.ModelService && run.At.After(named.Add(bound)) {
 			assert.Equal(t, uint64(2), run.Version)
 		}
@@ -78,9 +78,9 @@
 // newest is served in time, counted from the first.
 func TestTwoVersionsInQuickSuccession(t *testing.T) {
 	f := Start(t, DefaultOptions())
-	f.Site.NameVersion(2)
+	f.Site.AnnounceVersion(2)
 	time.Sleep(400 * time.Millisecond)
-	f.Site.NameVersion(3)
+	f.Site.AnnounceVersion(3)
 	f.Eventually("every server serves version 3", time.Duration(f.Site.Options.VersionMs)*time.Millisecond, func() bool { return f.allServe(3) })
 }
 
@@ -90,11 +90,11 @@
 func TestLaterVersionIsNotTurnedAway(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	bound := time.Duration(f.Site.Options.VersionMs) * time.Millisecond
-	f.Site.NameVersion(2)
+	f.Site.AnnounceVersion(2)
 	f.Eventually("every server serves version 2", bound, func() bool { return f.allServe(2) })
 	time.Sleep(bound)
 	stop := load(f, t)
-	f.Site.NameVersion(3)
+	f.Site.AnnounceVersion(3)
 	f.Eventually("every server serves version 3", bound, func() bool { return f.allServe(3) })
 	_, spoilt := stop()
 	assert.Zero(t, spoilt)
@@ -105,17 +105,17 @@
 // WHOLE: pieces that turn bad after they were staged are noticed before the order.
 func TestPiecesThatTurnBadAreFetchedAgain(t *testing.T) {
 	f := Start(t, DefaultOptions())
-	f.Site.NameVersion(2)
+	f.Site.AnnounceVersion(2)
 	f.Eventually("pieces are staged", 3*time.Second, func() bool { return countEvents(f, "PV3005", `"version":2`) >= 4 })
 	for _, server := range f.Site.Models {
-		server.Rot(3)
-		server.Rot(17)
+		server.CorruptStaged(3)
+		server.CorruptStaged(17)
 	}
 	f.Eventually("every server serves version 2", 6*time.Second, func() bool { return f.allServe(2) })
 	_, err := f.Stream(context.Background(), 0, 0, "after", 3)
 	assert.NoError(t, err)
-	for _, run := range f.Site.Ledger.Runs() {
-		assert.False(t, run.Spoilt)
+	for _, run := range f.Site.Requests.Runs() {
+		assert.False(t, run.Corrupt)
 	}
 }
 
@@ -123,14 +123,14 @@
 // not match is not believed for long.
 func TestOriginThatHandsOutWrongBytes(t *testing.T) {
 	f := Start(t, DefaultOptions())
-	f.Site.Origin.Spoil(5)
-	f.Site.Origin.SpoilManifest()
-	f.Site.NameVersion(2)
+	f.Site.Origin.CorruptPieces(5)
+	f.Site.Origin.CorruptManifest()
+	f.Site.AnnounceVersion(2)
 	f.Eventually("every server serves version 2", 10*time.Second, func() bool { return f.allServe(2) })
 	_, err := f.Stream(context.Background(), 0, 0, "after", 3)
 	assert.NoError(t, err)
-	for _, run := range f.Site.Ledger.Runs() {
-		assert.False(t, run.Spoilt)
+	for _, run := range f.Site.Requests.Runs() {
+		assert.False(t, run.Corrupt)
 	}
 }
 
@@ -155,7 +155,7 @@
 	options := DefaultOptions()
 	options.ModelServers = 0
 	f := Start(t, options)
-	f.Site.NameVersion(4)
+	f.Site.AnnounceVersion(4)
 	for zone := range options.Zones {
 		for index := range 3 {
 			_, err := f.Site.StartModel(zone, index, 0)
@@ -174,7 +174,7 @@
 	f.Eventually("pieces are verified", 3*time.Second, func() bool { return countEvents(f, "PV3005", "") >= 4 })
 	for zone := range f.Site.Options.Zones {
 		for index := range f.Site.Options.ModelServers {
-			assert.NoError(t, f.Site.RestartModelUnnoticed(zone, index))
+			assert.NoError(t, f.Site.RestartModelStillListed(zone, index))
 		}
 	}
 	f.Eventually("the restarted servers serve", 3*time.Second, func() bool { return f.allServe(1) })
