--- a/internal/command/daemons.go
+++ b/internal/command/daemons.go
@@ -20,13 +20,13 @@
 const (
 	// memoryLimitBytes is the soft limit of Go's memory unless GOMEMLIMIT is set.
 	memoryLimitBytes = 24 << 20
-	// garbagePercent lets the heap grow by this much between collections unless
+	// heapGrowthPercent lets the heap grow by this much between collections unless
 	// GOGC is set; a daemon has processor time to spare for it.
-	garbagePercent = 40
+	heapGrowthPercent = 40
 )
 
 // limitMemory keeps a daemon under its part of a machine.
-func limitMemory() { limitMemoryAt(garbagePercent) }
+func limitMemory() { limitMemoryAt(heapGrowthPercent) }
 
 func limitMemoryAt(percent int) {
 	if os.Getenv("GOMEMLIMIT") == "" {
@@ -68,7 +68,7 @@
 		if err := c.Decisions.Check(); err != nil {
 			return err
 		}
-		return c.runOnPlatform(catalog.RoleEntry, c.Decisions)
+		return c.runWithSettings(catalog.RoleEntry, c.Decisions)
 	}
 	if err := c.check(); err != nil {
 		return err
@@ -104,8 +104,8 @@
 }
 
 const (
-	minimumLinkRate = 64 << 10
-	maximumLinkRate = 1_000_000_000_000
+	minLinkRate = 64 << 10
+	maxLinkRate = 1_000_000_000_000
 )
 
 func (c *agentCommand) check() error {
@@ -126,7 +126,7 @@
 		return &fault.InvalidSetting{Flag: "--service", Value: c.Service, Allowed: "the name of a published service"}
 	}
 	if c.LinkRate != 0 {
-		if err := checkInteger("--link-rate", c.LinkRate, minimumLinkRate, maximumLinkRate, "bytes a second, or 0"); err != nil {
+		if err := checkInteger("--link-rate", c.LinkRate, minLinkRate, maxLinkRate, "bytes a second, or 0"); err != nil {
 			return err
 		}
 	}
@@ -148,7 +148,7 @@
 // Execute runs the command.
 func (c *agentCommand) Execute([]string) error {
 	if c.Settings != "" {
-		return c.runOnPlatform(catalog.RoleAgent, forward.DefaultPolicy())
+		return c.runWithSettings(catalog.RoleAgent, forward.DefaultPolicy())
 	}
 	if err := c.check(); err != nil {
 		return err
--- a/internal/command/emulate.go
+++ b/internal/command/emulate.go
@@ -64,7 +64,7 @@
 		return err
 	}
 	if c.OriginRate != 0 {
-		if err := checkInteger("--origin-rate", c.OriginRate, minimumLinkRate, maximumLinkRate, "bytes a second, or 0"); err != nil {
+		if err := checkInteger("--origin-rate", c.OriginRate, minLinkRate, maxLinkRate, "bytes a second, or 0"); err != nil {
 			return err
 		}
 	}
@@ -122,7 +122,7 @@
 		return err
 	}
 	if c.StoreRate != 0 {
-		if err := checkInteger("--store-rate", c.StoreRate, minimumLinkRate, maximumLinkRate, "bytes a second, or 0"); err != nil {
+		if err := checkInteger("--store-rate", c.StoreRate, minLinkRate, maxLinkRate, "bytes a second, or 0"); err != nil {
 			return err
 		}
 	}
--- a/internal/command/experiment.go
+++ b/internal/command/experiment.go
@@ -61,7 +61,7 @@
 		{"--dead", c.Dead, 0.5}, {"--stalled", c.Stalled, 0.5}, {"--corrupt", c.Corrupt, 0.5}, {"--stale-list", c.StaleList, 1}, {"--held", c.Held, 0.99},
 	}
 	for _, share := range shares {
-		if err := checkShare(share.flag, share.value, 0, share.high); err != nil {
+		if err := checkRatio(share.flag, share.value, 0, share.high); err != nil {
 			return err
 		}
 	}
--- a/internal/command/load.go
+++ b/internal/command/load.go
@@ -71,7 +71,7 @@
 
 func (c *loadCommand) print(report *demo.LoadReport) error {
 	if c.Baseline != "" {
-		if err := compare(c.Baseline, report); err != nil {
+		if err := printComparison(c.Baseline, report); err != nil {
 			return err
 		}
 	}
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// compare prints the ratio of each figure to an earlier run's.
-func compare(path string, report *demo.LoadReport) error {
+// printComparison prints the ratio of each figure to an earlier run's.
+func printComparison(path string, report *demo.LoadReport) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return &fault.Unavailable{Target: path, Operation: "read", Cause: err}
--- a/internal/command/platform.go
+++ b/internal/command/platform.go
@@ -20,16 +20,16 @@
 	"pinevane.example/pinevane/platform"
 )
 
-// platformGarbagePercent lets the heap grow further between collections than
+// platformHeapGrowthPercent lets the heap grow further between collections than
 // elsewhere: the users' machines have the memory, and price processor time.
-const platformGarbagePercent = 100
+const platformHeapGrowthPercent = 100
 
 // settingsCheckPeriod is how often the settings file is looked at for changes.
 const settingsCheckPeriod = 2 * time.Second
 
-// runOnPlatform runs a role with the settings file of the users' platform; entries
+// runWithSettings runs a role with the settings file of the users' platform; entries
 // decide by the policy.
-func (f *processFlags) runOnPlatform(role string, policy forward.Policy) error {
+func (f *processFlags) runWithSettings(role string, policy forward.Policy) error {
 	level, err := zapcore.ParseLevel(f.LogLevel)
 	if err != nil || level > zapcore.ErrorLevel {
 		return &fault.InvalidSetting{Flag: "--log-level", Value: f.LogLevel, Allowed: "debug, info, warn or error"}
@@ -42,21 +42,21 @@
 	if err := checkRole(role, settings); err != nil {
 		return err
 	}
-	limitMemoryAt(platformGarbagePercent)
+	limitMemoryAt(platformHeapGrowthPercent)
 	log := logging.NewBounded(level, settings.Name, os.Stdout)
 	defer log.Sync()
 	base := daemon.New(daemon.Options{
 		Settings: settings, Role: role, Store: platform.NewStore(settings.StoreAddress), Decoder: platform.NewDecoder(), Log: log,
 		Reload: func() (fleet.Settings, error) { return platform.ReadSettings(f.Settings) },
 	})
-	run := roleRun(role, base, policy)
+	run := newRole(role, base, policy)
 	// Not before: what is built meanwhile would keep the settings of the start.
 	go changes.run(base.Reload)
 	return run(stopSignal())
 }
 
-// roleRun builds the role's process, and returns what runs it until a channel is closed.
-func roleRun(role string, base *daemon.Daemon, policy forward.Policy) func(stop <-chan struct{}) error {
+// newRole builds the role's process, and returns what runs it until a channel is closed.
+func newRole(role string, base *daemon.Daemon, policy forward.Policy) func(stop <-chan struct{}) error {
 	if role == catalog.RoleEntry {
 		return gateway.New(gateway.Options{Daemon: base, Dialect: platform.Dialect{}, Policy: policy}).Run
 	}
@@ -79,10 +79,10 @@
 	return nil
 }
 
-// settingsWatch notices changes of a settings file, from before the file is first read: a hang-up
+// settingsWatcher notices changes of a settings file, from before the file is first read: a hang-up
 // signal would end a process that does not wait for it, and a change that comes while the process starts
 // would never be noticed.
-type settingsWatch struct {
+type settingsWatcher struct {
 	path   string
 	hangUp chan os.Signal
 	// last is the state of the file that was last read.
@@ -90,24 +90,24 @@
 }
 
 // watchSettings begins to notice changes of a file.
-func watchSettings(path string) *settingsWatch {
-	w := &settingsWatch{path: path, hangUp: make(chan os.Signal, 1)}
+func watchSettings(path string) *settingsWatcher {
+	w := &settingsWatcher{path: path, hangUp: make(chan os.Signal, 1)}
 	signal.Notify(w.hangUp, syscall.SIGHUP)
-	w.last = modified(path)
+	w.last = modificationTime(path)
 	return w
 }
 
 // run reads the settings again on the hang-up signal, and when the file has changed.
-func (w *settingsWatch) run(reload func()) {
+func (w *settingsWatcher) run(reload func()) {
 	ticker := time.NewTicker(settingsCheckPeriod)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-w.hangUp:
-			w.last = modified(w.path)
+			w.last = modificationTime(w.path)
 			reload()
 		case <-ticker.C:
-			if now := modified(w.path); now != w.last {
+			if now := modificationTime(w.path); now != w.last {
 				w.last = now
 				reload()
 			}
@@ -115,8 +115,8 @@
 	}
 }
 
-// modified tells one state of a file from another.
-func modified(path string) string {
+// modificationTime tells one state of a file from another.
+func modificationTime(path string) string {
 	info, err := os.Stat(filepath.Clean(path))
 	if err != nil {
 		return ""
--- a/internal/command/settings.go
+++ b/internal/command/settings.go
@@ -97,7 +97,7 @@
 	return nil
 }
 
-func checkShare(flag string, value, low, high float64) error {
+func checkRatio(flag string, value, low, high float64) error {
 	if !(value >= low && value <= high) {
 		return &fault.InvalidSetting{Flag: flag, Value: strconv.FormatFloat(value, 'g', -1, 64), Allowed: fmt.Sprintf("a share of %g to %g", low, high)}
 	}
--- a/internal/command/soak.go
+++ b/internal/command/soak.go
@@ -20,8 +20,8 @@
 
 // Bounds of a soak's length in minutes: one series of faults takes 9 s.
 const (
-	shortestSoak = 0.15
-	longestSoak  = 600
+	minSoakMinutes = 0.15
+	maxSoakMinutes  = 600
 )
 
 // Execute runs the command.
@@ -30,7 +30,7 @@
 		return err
 	}
 	duration := time.Duration(c.Minutes * float64(time.Minute))
-	if !(c.Minutes >= shortestSoak && c.Minutes <= longestSoak) {
+	if !(c.Minutes >= minSoakMinutes && c.Minutes <= maxSoakMinutes) {
 		return &fault.InvalidSetting{Flag: "--minutes", Value: duration.String(), Allowed: "0.15 to 600"}
 	}
 	kinds, err := soakKinds(c.Kinds)
@@ -41,7 +41,7 @@
 	if err != nil {
 		return err
 	}
-	logs, err := logFolder(c.Logs)
+	logs, err := makeLogDirectory(c.Logs)
 	if err != nil {
 		return err
 	}
@@ -64,8 +64,8 @@
 	return kinds, nil
 }
 
-// logFolder makes the folder for logs, or a new temporary one.
-func logFolder(path string) (string, error) {
+// makeLogDirectory makes the folder for logs, or a new temporary one.
+func makeLogDirectory(path string) (string, error) {
 	if path == "" {
 		made, err := os.MkdirTemp("", "pinevane-soak")
 		if err != nil {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -76,19 +76,19 @@
 		return nil, err
 	}
 	defer d.fleet.Stop()
-	if err := d.bringUp(); err != nil {
+	if err := d.start(); err != nil {
 		return nil, err
 	}
 	if options.Hold {
-		d.hold()
+		d.waitForStop()
 		return nil, nil
 	}
-	report, err := d.perform()
+	report, err := d.run()
 	if err != nil {
 		return nil, err
 	}
 	report.print(options.Output, d.versions)
-	return report, report.verdict(d.versions)
+	return report, report.check(d.versions)
 }
 
 func prepare(options Options) (*demo, error) {
@@ -127,7 +127,7 @@
 	return d, nil
 }
 
-func (d *demo) say(format string, arguments ...any) {
+func (d *demo) printf(format string, arguments ...any) {
 	_, _ = fmt.Fprintf(d.options.Output, "%6.1fs  %s\n", time.Since(d.began).Seconds(), fmt.Sprintf(format, arguments...))
 }
 
@@ -141,16 +141,16 @@
 	return result
 }
 
-// bringUp starts the fleet and waits until the first version answers everywhere.
-func (d *demo) bringUp() error {
-	d.say("starting %d machines of %s", len(d.fleet.Machines), d.deployment.Name)
+// start starts the fleet and waits until the first version answers everywhere.
+func (d *demo) start() error {
+	d.printf("starting %d machines of %s", len(d.fleet.Machines), d.deployment.Name)
 	if err := d.fleet.Start(); err != nil {
 		return err
 	}
 	if err := d.publishVersion(d.versions[0].Version); err != nil {
 		return err
 	}
-	d.say("%d processes run; waiting for version %s", d.fleet.Count(), d.versions[0].Version)
+	d.printf("%d processes run; waiting for version %s", d.fleet.Count(), d.versions[0].Version)
 	if _, err := d.waitLive(d.versions[0].Version, time.Now()); err != nil {
 		return err
 	}
@@ -159,7 +159,7 @@
 			return err
 		}
 	}
-	d.say("every entry is ready")
+	d.printf("every entry is ready")
 	return nil
 }
 
@@ -201,7 +201,7 @@
 		}
 		if len(live) != reported {
 			reported = len(live)
-			d.say("version %s is live on %d of %d replicas", version, reported, len(engines))
+			d.printf("version %s is live on %d of %d replicas", version, reported, len(engines))
 		}
 		return len(live) == len(engines)
 	})
@@ -213,7 +213,7 @@
 	return times, err
 }
 
-func (d *demo) hold() {
+func (d *demo) waitForStop() {
 	entries := d.machines(external.RoleEntry, false)
 	tenant := d.tenants()[0]
 	_, _ = fmt.Fprintf(d.options.Output, `
@@ -229,7 +229,7 @@
 Interrupt to stop.
 `, entries[0].Address, deployment.DemoKey(tenant), d.model, entries[0].AdminAddress())
 	<-d.options.Stop
-	d.say("stopping")
+	d.printf("stopping")
 	d.stopAll()
 }
 
@@ -249,8 +249,8 @@
 	}
 }
 
-// perform runs the load through a rollout and a planned stop, and reports.
-func (d *demo) perform() (*Report, error) {
+// run runs the load through a rollout and a planned stop, and reports.
+func (d *demo) run() (*Report, error) {
 	before, err := d.originBytes()
 	if err != nil {
 		return nil, err
@@ -259,7 +259,7 @@
 	defer cancel()
 	load := d.startLoad(ctx)
 	time.Sleep(steadyTime)
-	d.say("%d requests answered on version %s", workload.Summarize(d.recorder.Results()).Answered, d.versions[0].Version)
+	d.printf("%d requests answered on version %s", workload.Summarize(d.recorder.Results()).Answered, d.versions[0].Version)
 	times, err := d.rollOut(d.versions[1])
 	if err != nil {
 		return nil, err
@@ -295,7 +295,7 @@
 }
 
 func (d *demo) rollOut(next weights.Synthetic) ([]time.Duration, error) {
-	d.say("publishing version %s: %.1f MB in %d chunks, %.0f MB/s a link, %.0f MB/s at the origin", next.Version,
+	d.printf("publishing version %s: %.1f MB in %d chunks, %.0f MB/s a link, %.0f MB/s at the origin", next.Version,
 		megabytes(next.Bytes), next.ChunkCount(), megabytes(linkRate), megabytes(originRate))
 	published := time.Now()
 	if err := d.publishVersion(next.Version); err != nil {
@@ -308,7 +308,7 @@
 func (d *demo) plannedStops() error {
 	agent := d.machines(external.RoleAgent, true)[0]
 	entry := d.machines(external.RoleEntry, false)[0]
-	d.say("planned stop of agent %s and entry %s", agent.ID, entry.ID)
+	d.printf("planned stop of agent %s and entry %s", agent.ID, entry.ID)
 	// The balancer stops sending to an entry that is not ready.
 	d.stopped.Store(entry.Address, true)
 	for _, machine := range []deployment.Machine{agent, entry} {
@@ -321,7 +321,7 @@
 			return &fault.Timeout{Waiting: "planned stop of " + machine.ID, After: stopTimeout}
 		}
 	}
-	d.say("both have finished their open work and ended")
+	d.printf("both have finished their open work and ended")
 	return nil
 }
 
--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -96,17 +96,17 @@
 		return nil, err
 	}
 	defer d.fleet.Stop()
-	if err := d.bringUp(); err != nil {
+	if err := d.start(); err != nil {
 		return nil, err
 	}
 	run := &loadRun{demo: d, options: options, calls: newHistogram(), direct: newHistogram(), first: newHistogram(), between: newHistogram()}
-	if err := run.perform(); err != nil {
+	if err := run.run(); err != nil {
 		return nil, err
 	}
 	return run.summarize()
 }
 
-func (r *loadRun) perform() error {
+func (r *loadRun) run() error {
 	var work sync.WaitGroup
 	end := time.Now().Add(r.options.Duration)
 	work.Go(func() { r.arrivals(r.options.Rate, end, &work, r.request) })
@@ -190,7 +190,7 @@
 // loseZone kills every process and back end of the last zone.
 func (r *loadRun) loseZone() error {
 	zone := r.deployment.Zones[len(r.deployment.Zones)-1].Name
-	r.say("zone %s is lost", zone)
+	r.printf("zone %s is lost", zone)
 	for _, machine := range r.fleet.Machines {
 		if machine.Zone != zone {
 			continue
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -60,7 +60,7 @@
 	report := &Report{
 		Deployment: d.deployment.Name, Machines: len(d.machines(external.RoleAgent, true)), Live: len(times), Chunks: next.ChunkCount(),
 		FirstLive: times[0].Seconds(), HalfLive: times[len(times)/2].Seconds(), AllLive: times[len(times)-1].Seconds(),
-		LowerBound:  float64(next.Bytes) / (linkRate * d.linkShare()),
+		LowerBound:  float64(next.Bytes) / (linkRate * d.linkRatio()),
 		OriginBytes: originBytes, OriginCopies: float64(originBytes) / float64(next.Bytes),
 		Requests: workload.Summarize(results), Violations: violations,
 	}
@@ -73,8 +73,8 @@
 	return report, nil
 }
 
-// maximumListed bounds the violations that are printed.
-const maximumListed = 10
+// maxListedViolations bounds the violations that are printed.
+const maxListedViolations = 10
 
 func (r *Report) print(out io.Writer, versions []weights.Synthetic) {
 	line := func(format string, arguments ...any) { _, _ = fmt.Fprintf(out, format+"\n", arguments...) }
@@ -90,13 +90,13 @@
 		line("  refused as %s: %d", reason, count)
 	}
 	line("promises checked from the stand-ins' records: %d violations", len(r.Violations))
-	for _, violation := range r.Violations[:min(len(r.Violations), maximumListed)] {
+	for _, violation := range r.Violations[:min(len(r.Violations), maxListedViolations)] {
 		line("  %s: request %s: %s", violation.Promise, violation.Request, violation.Detail)
 	}
 }
 
-// verdict returns a *fault.PromiseBroken unless everything held.
-func (r *Report) verdict(versions []weights.Synthetic) error {
+// check returns a *fault.PromiseBroken unless everything held.
+func (r *Report) check(versions []weights.Synthetic) error {
 	if len(r.Violations) > 0 {
 		return &fault.PromiseBroken{Promise: string(r.Violations[0].Promise), Detail: r.Violations[0].Detail}
 	}
--- a/internal/demo/requests.go
+++ b/internal/demo/requests.go
@@ -15,13 +15,13 @@
 const (
 	shortTokens = 24
 	longTokens  = 160
-	// longShare, wholeShare and callShare are shares of the requests.
-	longShare  = 0.1
-	wholeShare = 0.3
-	callShare  = 0.4
+	// longRatio, wholeShare and callShare are shares of the requests.
+	longRatio  = 0.1
+	unaryRatio = 0.3
+	callRatio  = 0.4
 )
 
-func (d *demo) linkShare() float64 { return d.snapshot.Rollout.LinkShare }
+func (d *demo) linkRatio() float64 { return d.snapshot.Rollout.LinkShare }
 
 func (d *demo) tenants() []string { return slices.Sorted(maps.Keys(d.snapshot.Tenants)) }
 
@@ -36,11 +36,11 @@
 	}
 	draw := generator.Float64()
 	switch {
-	case draw < callShare && len(tenant.Services) > 0:
+	case draw < callRatio && len(tenant.Services) > 0:
 		return d.serviceCall(generator, tenant, request)
-	case draw < callShare+wholeShare:
+	case draw < callRatio+unaryRatio:
 		request.Kind = workload.KindUnary
-	case draw < callShare+wholeShare+longShare:
+	case draw < callRatio+unaryRatio+longRatio:
 		request.MaximumTokens = longTokens
 	}
 	if adapters := d.snapshot.Models[d.model].Adapters; len(adapters) > 0 && generator.IntN(3) == 0 {
--- a/internal/demo/system.go
+++ b/internal/demo/system.go
@@ -57,7 +57,7 @@
 	refused  atomic.Int64
 	failed   atomic.Int64
 	mutex    sync.Mutex
-	broken   []string
+	violations   []string
 }
 
 // RunSystem runs entries and agents as processes against the stand-in of the
@@ -88,10 +88,10 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var callers sync.WaitGroup
 	for caller := range systemCallers {
-		callers.Go(func() { d.call(ctx, caller) })
+		callers.Go(func() { d.runCaller(ctx, caller) })
 	}
 	time.Sleep(systemWarmUp)
-	err := d.changes()
+	err := d.operate()
 	cancel()
 	callers.Wait()
 	if err != nil {
@@ -100,8 +100,8 @@
 	return d.report()
 }
 
-// changes does what operators do, under load.
-func (d *systemDemo) changes() error {
+// operate does what operators do, under load.
+func (d *systemDemo) operate() error {
 	named := time.Now()
 	d.site.AnnounceVersion(2)
 	if err := launch.WaitFor(systemVersionTime, "version 2 everywhere", func() bool { return d.allServe(2) }); err != nil {
@@ -120,7 +120,7 @@
 		return err
 	}
 	d.printf("an empty server serves %.1f s after it came; the origin has sent %.2f copies", time.Since(came).Seconds(), d.site.Origin.Copies())
-	d.serversAsk()
+	d.checkServerNotices()
 	d.site.Configure(nil)
 	stopped := launch.SiteProcess(site.RoleEntry, 0, 0)
 	began := time.Now()
@@ -136,19 +136,19 @@
 
 // Shape of what servers ask for in their answers.
 const (
-	// askedRate is what one server names, in requests a second.
-	askedRate = 2
-	// askKnown is how long it takes until every entry knows.
-	askKnown = time.Second
+	// announcedRate is what one server names, in requests a second.
+	announcedRate = 2
+	// noticePropagation is how long it takes until every entry knows.
+	noticePropagation = time.Second
 )
 
-// serversAsk has one server say in its answers that it leaves and another one name a limit, and counts what they
+// checkServerNotices has one server say in its answers that it leaves and another one name a limit, and counts what they
 // get after that.
-func (d *systemDemo) serversAsk() {
+func (d *systemDemo) checkServerNotices() {
 	leaving, limited := d.site.Models[d.site.Options.ModelIP(0, 0)], d.site.Models[d.site.Options.ModelIP(1, 0)]
 	leaving.AnnounceLeaving(true)
-	limited.AnnounceLimit(strconv.Itoa(askedRate))
-	time.Sleep(askKnown)
+	limited.AnnounceLimit(strconv.Itoa(announcedRate))
+	time.Sleep(noticePropagation)
 	from := time.Now()
 	time.Sleep(site.LimitWindow)
 	limited.AnnounceLimit("")
@@ -158,12 +158,12 @@
 			got[delivery.Server]++
 		}
 	}
-	d.printf("a server that says it leaves got %d requests in %s after that, one that takes %d a second got %d", got[leaving.ID()], site.LimitWindow, askedRate, got[limited.ID()])
+	d.printf("a server that says it leaves got %d requests in %s after that, one that takes %d a second got %d", got[leaving.ID()], site.LimitWindow, announcedRate, got[limited.ID()])
 	if got[leaving.ID()] > 0 {
-		d.violation("%s got %d requests though it had said that it leaves", leaving.ID(), got[leaving.ID()])
+		d.recordViolation("%s got %d requests though it had said that it leaves", leaving.ID(), got[leaving.ID()])
 	}
-	if float64(got[limited.ID()]) > site.MaxUnderLimit(askedRate) {
-		d.violation("%s got %d requests in %s, and takes %d a second", limited.ID(), got[limited.ID()], site.LimitWindow, askedRate)
+	if float64(got[limited.ID()]) > site.MaxUnderLimit(announcedRate) {
+		d.recordViolation("%s got %d requests in %s, and takes %d a second", limited.ID(), got[limited.ID()], site.LimitWindow, announcedRate)
 	}
 }
 
@@ -176,9 +176,9 @@
 	return true
 }
 
-// call sends requests of every kind, one after the other, to an entry of one zone,
+// runCaller sends requests of every kind, one after the other, to an entry of one zone,
 // and to the next when that one refuses the connection.
-func (d *systemDemo) call(ctx context.Context, caller int) {
+func (d *systemDemo) runCaller(ctx context.Context, caller int) {
 	client := &http.Client{Transport: &http.Transport{DisableCompression: true}}
 	for number := 0; ctx.Err() == nil; number++ {
 		id := fmt.Sprintf("demo-%d-%d", caller, number)
@@ -197,7 +197,7 @@
 func (d *systemDemo) send(client *http.Client, caller, entry int, method, path, id string, events int) {
 	request, err := d.site.NewRequest(caller%d.site.Options.Zones, entry, method, path, id, "words", events)
 	if err != nil {
-		d.violation("%s: %v", id, err)
+		d.recordViolation("%s: %v", id, err)
 		return
 	}
 	response, err := client.Do(request)
@@ -212,22 +212,22 @@
 	switch {
 	case err != nil:
 		d.failed.Add(1)
-		d.violation("%s: the answer was cut: %v", id, err)
+		d.recordViolation("%s: the answer was cut: %v", id, err)
 	case response.StatusCode == http.StatusServiceUnavailable:
 		d.refused.Add(1)
 	case response.StatusCode != http.StatusOK:
 		d.failed.Add(1)
 	case events > 0 && strings.Count(string(body), "data: "+id+"/") != events:
-		d.violation("%s: not the whole own answer", id)
+		d.recordViolation("%s: not the whole own answer", id)
 	default:
 		d.answered.Add(1)
 	}
 }
 
-func (d *systemDemo) violation(format string, values ...any) {
+func (d *systemDemo) recordViolation(format string, values ...any) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.broken = append(d.broken, fmt.Sprintf(format, values...))
+	d.violations = append(d.violations, fmt.Sprintf(format, values...))
 }
 
 // report judges from the servers' ledger and prints what was found.
@@ -235,10 +235,10 @@
 	runs := map[string]int{}
 	for _, run := range d.site.Requests.Runs() {
 		if run.Corrupt {
-			d.violation("%s ran on spoilt weights at %s", run.RequestID, run.Server)
+			d.recordViolation("%s ran on spoilt weights at %s", run.RequestID, run.Server)
 		}
 		if run.KeyReceived || run.Tenant != site.Tenant {
-			d.violation("%s reached %s with the caller's key or another tenant", run.RequestID, run.Server)
+			d.recordViolation("%s reached %s with the caller's key or another tenant", run.RequestID, run.Server)
 		}
 		if run.Service == site.PlainService {
 			runs[run.RequestID]++
@@ -246,21 +246,21 @@
 	}
 	for _, arrival := range d.site.Requests.Arrivals() {
 		if d.residencies.Outside(arrival) {
-			d.violation("%s came to %s in %s, where its route does not allow it", arrival.RequestID, arrival.Server, arrival.Region)
+			d.recordViolation("%s came to %s in %s, where its route does not allow it", arrival.RequestID, arrival.Server, arrival.Region)
 		}
 	}
 	for id, count := range runs {
 		if count > 1 {
-			d.violation("%s ran %d times", id, count)
+			d.recordViolation("%s ran %d times", id, count)
 		}
 	}
 	d.printf("requests: %d answered, %d refused, %d failed", d.answered.Load(), d.refused.Load(), d.failed.Load())
-	d.printf("violations: %d", len(d.broken))
-	for _, one := range d.broken {
+	d.printf("violations: %d", len(d.violations))
+	for _, one := range d.violations {
 		d.printf("  %s", one)
 	}
-	if len(d.broken) > 0 {
-		return &fault.PromiseBroken{Promise: "demo", Detail: d.broken[0]}
+	if len(d.violations) > 0 {
+		return &fault.PromiseBroken{Promise: "demo", Detail: d.violations[0]}
 	}
 	return nil
 }
--- a/internal/emulator/answer.go
+++ b/internal/emulator/answer.go
@@ -10,9 +10,9 @@
 	"pinevane.example/pinevane/internal/weights"
 )
 
-// naturalTokens is the longest answer of the stand-in engine when the request
+// maxAnswerTokens is the longest answer of the stand-in engine when the request
 // sets no smaller bound.
-const naturalTokens = 4096
+const maxAnswerTokens = 4096
 
 var tokenAlphabet = base32.NewEncoding("abcdefghijklmnopqrstuvwxyz234567").WithPadding(base32.NoPadding)
 
@@ -34,7 +34,7 @@
 // Answer returns the whole answer to a prompt.
 func Answer(identity weights.Digest, adapter, prompt string, maximumTokens int) string {
 	var text strings.Builder
-	for index := range min(maximumTokens, naturalTokens) {
+	for index := range min(maximumTokens, maxAnswerTokens) {
 		text.WriteString(Token(identity, adapter, prompt, index))
 	}
 	return text.String()
--- a/internal/emulator/cache.go
+++ b/internal/emulator/cache.go
@@ -31,10 +31,10 @@
 
 // Shape of the published cache events.
 const (
-	cacheEventLag = 300 * time.Millisecond
-	// lostEventEvery is which of the events is never published.
-	lostEventEvery     = 17
-	maximumCacheEvents = 1024
+	cacheEventDelay = 300 * time.Millisecond
+	// droppedEventInterval is which of the events is never published.
+	droppedEventInterval     = 17
+	maxCacheEvents = 1024
 )
 
 // prefixCache remembers the most recently used prompt prefixes.
@@ -58,23 +58,23 @@
 	if held {
 		c.recent = slices.Delete(c.recent, position, position+1)
 	} else {
-		c.note(CacheStored, prefix)
+		c.appendEvent(CacheStored, prefix)
 	}
 	c.recent = append(c.recent, prefix)
 	if len(c.recent) > c.limit {
-		c.note(CacheEvicted, c.recent[0])
+		c.appendEvent(CacheEvicted, c.recent[0])
 		c.recent = slices.Delete(c.recent, 0, 1)
 	}
 	return held
 }
 
-func (c *prefixCache) note(kind CacheEventKind, prefix string) {
+func (c *prefixCache) appendEvent(kind CacheEventKind, prefix string) {
 	c.sequence++
-	if c.sequence%lostEventEvery == 0 {
+	if c.sequence%droppedEventInterval == 0 {
 		return
 	}
 	c.events = append(c.events, CacheEvent{Sequence: c.sequence, Kind: kind, Prefix: prefix, at: time.Now()})
-	if len(c.events) > maximumCacheEvents {
+	if len(c.events) > maxCacheEvents {
 		c.events = slices.Delete(c.events, 0, 1)
 	}
 }
@@ -83,7 +83,7 @@
 func (c *prefixCache) published(since uint64) []CacheEvent {
 	events := []CacheEvent{}
 	for _, event := range c.events {
-		if event.Sequence > since && time.Since(event.at) >= cacheEventLag {
+		if event.Sequence > since && time.Since(event.at) >= cacheEventDelay {
 			events = append(events, event)
 		}
 	}
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -103,8 +103,8 @@
 	At       time.Time      `json:"at"`
 }
 
-// maximumRecords bounds the records of a stand-in.
-const maximumRecords = 1 << 20
+// maxRecords bounds the records of a stand-in.
+const maxRecords = 1 << 20
 
 // NewEngine returns an engine that loads weights from a store.
 func NewEngine(options EngineOptions, store *Store) *Engine {
@@ -135,7 +135,7 @@
 // Handler serves the engine and its machine's store.
 func (e *Engine) Handler() http.Handler {
 	router := chi.NewRouter()
-	router.Use(e.faults.refuseWhenDown)
+	router.Use(e.faults.rejectWhenDown)
 	e.faults.mount(router)
 	e.store.mount(router)
 	e.mountCache(router)
@@ -183,16 +183,16 @@
 
 // Execute carries out an order.
 func (e *Engine) Execute(order external.Order) error {
-	err := e.accept(order)
+	err := e.apply(order)
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if len(e.orders) < maximumRecords {
+	if len(e.orders) < maxRecords {
 		e.orders = append(e.orders, OrderRecord{Order: order, Accepted: err == nil, At: time.Now()})
 	}
 	return err
 }
 
-func (e *Engine) accept(order external.Order) error {
+func (e *Engine) apply(order external.Order) error {
 	if reason := e.checkFence(order.Fence); reason != "" {
 		return &fault.OrderRejected{Action: string(order.Action), Reason: reason}
 	}
@@ -305,7 +305,7 @@
 	if index < 0 {
 		return nil, false
 	}
-	generation.MaximumTokens = min(generation.MaximumTokens, naturalTokens)
+	generation.MaximumTokens = min(generation.MaximumTokens, maxAnswerTokens)
 	queued := &sequence{
 		ctx:        ctx,
 		generation: generation,
@@ -313,7 +313,7 @@
 		next:       generation.ResumeFrom,
 		events:     make(chan external.GenerationEvent, max(0, generation.MaximumTokens-generation.ResumeFrom)+2),
 	}
-	if len(e.records) < maximumRecords {
+	if len(e.records) < maxRecords {
 		e.records = append(e.records, GenerationRecord{
 			ID: generation.ID, Model: generation.Model, Version: generation.Version,
 			ResumeFrom: generation.ResumeFrom, Started: time.Now(),
--- a/internal/emulator/engine_test.go
+++ b/internal/emulator/engine_test.go
@@ -69,9 +69,9 @@
 	})
 }
 
-// goesBack gives an engine orders and reports whether one that it took was for an older revision
+// acceptsStaleOrder gives an engine orders and reports whether one that it took was for an older revision
 // than one before.
-func goesBack(engine *Engine, fences []external.Fence) bool {
+func acceptsStaleOrder(engine *Engine, fences []external.Fence) bool {
 	var newest monotonic.Version
 	back := false
 	for _, fence := range fences {
@@ -95,7 +95,7 @@
 	})
 	rapid.Check(t, func(t *rapid.T) {
 		engine := NewEngine(DefaultEngineOptions(), NewStore(0))
-		if goesBack(engine, rapid.SliceOf(fence).Draw(t, "orders")) {
+		if acceptsStaleOrder(engine, rapid.SliceOf(fence).Draw(t, "orders")) {
 			t.Fatal("an older order was taken")
 		}
 	})
@@ -109,7 +109,7 @@
 		options := DefaultEngineOptions()
 		options.CheckFences = checked
 		engine := NewEngine(options, NewStore(0))
-		assert.Equal(t, back, goesBack(engine, []external.Fence{{Revision: newer, Sequence: 1}, {Revision: late, Sequence: 2}}))
+		assert.Equal(t, back, acceptsStaleOrder(engine, []external.Fence{{Revision: newer, Sequence: 1}, {Revision: late, Sequence: 2}}))
 	}
 }
 
@@ -140,16 +140,16 @@
 func TestCacheEventsComeLateAndWithGaps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engine, _ := loadedEngine(t)
-		for i := range lostEventEvery + 3 {
+		for i := range droppedEventInterval + 3 {
 			events, _ := engine.Submit(context.Background(), generation("a", strings.Repeat("x", i+1), 1))
 			collect(events)
 		}
-		time.Sleep(cacheEventLag)
+		time.Sleep(cacheEventDelay)
 		published := engine.CacheEvents(0)
-		assert.Len(t, published, lostEventEvery+2)
+		assert.Len(t, published, droppedEventInterval+2)
 		events, _ := engine.Submit(context.Background(), generation("b", "fresh", 1))
 		collect(events)
-		assert.Len(t, engine.CacheEvents(0), lostEventEvery+2, "the newest event is not out yet")
+		assert.Len(t, engine.CacheEvents(0), droppedEventInterval+2, "the newest event is not out yet")
 	})
 }
 
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -63,8 +63,8 @@
 	})
 }
 
-// refuseWhenDown fails a call while the stand-in is down.
-func (f *faultState) refuseWhenDown(next http.Handler) http.Handler {
+// rejectWhenDown fails a call while the stand-in is down.
+func (f *faultState) rejectWhenDown(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if request.URL.Path != FaultPath && f.get().Down {
 			http.Error(writer, "down", http.StatusServiceUnavailable)
@@ -74,7 +74,7 @@
 	})
 }
 
-const maximumBodyBytes = 64 << 20
+const maxBodyBytes = 64 << 20
 
 func writeJSON(writer http.ResponseWriter, value any) {
 	writer.Header().Set("Content-Type", "application/json")
@@ -83,7 +83,7 @@
 }
 
 func readJSON(writer http.ResponseWriter, request *http.Request, into any) bool {
-	body := http.MaxBytesReader(writer, request.Body, maximumBodyBytes)
+	body := http.MaxBytesReader(writer, request.Body, maxBodyBytes)
 	if err := json.NewDecoder(body).Decode(into); err != nil {
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return false
--- a/internal/emulator/origin.go
+++ b/internal/emulator/origin.go
@@ -14,8 +14,8 @@
 	"pinevane.example/pinevane/internal/weights"
 )
 
-// writeBlock is how many bytes a shaped transfer writes at a time.
-const writeBlock = 16 << 10
+// writeBlockBytes is how many bytes a shaped transfer writes at a time.
+const writeBlockBytes = 16 << 10
 
 // Shaper limits the bytes a second of one link; a zero rate means no limit.
 type Shaper struct{ limiter *rate.Limiter }
@@ -25,18 +25,18 @@
 	if bytesPerSecond <= 0 {
 		return &Shaper{limiter: rate.NewLimiter(rate.Inf, 0)}
 	}
-	return &Shaper{limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), 4*writeBlock)}
+	return &Shaper{limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), 4*writeBlockBytes)}
 }
 
 // write sends content at the shaped rate; stallAt is the byte at which the
 // transfer hangs until the caller leaves, or a negative number.
 func (s *Shaper) write(writer http.ResponseWriter, request *http.Request, content []byte, stallAt int) {
-	for offset := 0; offset < len(content); offset += writeBlock {
+	for offset := 0; offset < len(content); offset += writeBlockBytes {
 		if stallAt >= 0 && offset >= stallAt {
 			<-request.Context().Done()
 			return
 		}
-		block := content[offset:min(offset+writeBlock, len(content))]
+		block := content[offset:min(offset+writeBlockBytes, len(content))]
 		if err := s.limiter.WaitN(request.Context(), len(block)); err != nil {
 			return
 		}
@@ -51,7 +51,7 @@
 type Origin struct {
 	faults faultState
 	shaper *Shaper
-	drawn  atomic.Int64
+	sentBytes  atomic.Int64
 
 	mutex     sync.RWMutex
 	manifests map[weights.Digest][]byte
@@ -92,7 +92,7 @@
 func (o *Origin) SetFaults(faults Faults) { o.faults.set(faults) }
 
 // SentBytes returns how many chunk bytes were drawn from the origin.
-func (o *Origin) SentBytes() int64 { return o.drawn.Load() }
+func (o *Origin) SentBytes() int64 { return o.sentBytes.Load() }
 
 // OriginRecord is the origin's own count.
 type OriginRecord struct {
@@ -103,7 +103,7 @@
 // Handler serves the origin.
 func (o *Origin) Handler() http.Handler {
 	router := chi.NewRouter()
-	router.Use(o.faults.refuseWhenDown)
+	router.Use(o.faults.rejectWhenDown)
 	o.faults.mount(router)
 	router.Get("/records", func(writer http.ResponseWriter, _ *http.Request) {
 		writeJSON(writer, OriginRecord{SentBytes: o.SentBytes()})
@@ -134,16 +134,16 @@
 	}
 	faults := o.faults.get()
 	content := source.synthetic.Content(source.index)
-	corruptShare(content, faults.CorruptShare)
+	corruptRandomly(content, faults.CorruptShare)
 	stallAt := -1
 	if faults.Stalled {
 		stallAt = len(content) / 2
 	}
-	counted := &countingWriter{ResponseWriter: writer, count: &o.drawn}
+	counted := &countingWriter{ResponseWriter: writer, count: &o.sentBytes}
 	o.shaper.write(counted, request, content, stallAt)
 }
 
-func corruptShare(content []byte, share float64) {
+func corruptRandomly(content []byte, share float64) {
 	if share > 0 && rand.Float64() < share {
 		content[len(content)/2] ^= 0xff
 	}
@@ -217,7 +217,7 @@
 		http.Error(writer, "body was cut", http.StatusBadRequest)
 		return
 	}
-	if err := s.waitToStore(request, len(content)); err != nil {
+	if err := s.waitForWriteRate(request, len(content)); err != nil {
 		http.Error(writer, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
@@ -227,9 +227,9 @@
 	writer.WriteHeader(http.StatusNoContent)
 }
 
-func (s *Store) waitToStore(request *http.Request, size int) error {
-	for remaining := size; remaining > 0; remaining -= writeBlock {
-		if err := s.shaper.limiter.WaitN(request.Context(), min(remaining, writeBlock)); err != nil {
+func (s *Store) waitForWriteRate(request *http.Request, size int) error {
+	for remaining := size; remaining > 0; remaining -= writeBlockBytes {
+		if err := s.shaper.limiter.WaitN(request.Context(), min(remaining, writeBlockBytes)); err != nil {
 			return &fault.Unavailable{Target: "weight store", Operation: "put", Cause: err}
 		}
 	}
--- a/internal/emulator/publication.go
+++ b/internal/emulator/publication.go
@@ -59,19 +59,19 @@
 	}
 	p.feed.Apply(update)
 	if p.lag == 0 {
-		p.reveal()
+		p.publish()
 		return next
 	}
 	time.AfterFunc(p.lag, func() {
 		p.mutex.Lock()
 		defer p.mutex.Unlock()
-		p.reveal()
+		p.publish()
 	})
 	return next
 }
 
-// reveal shows the newest state to readers, unless the publication is frozen.
-func (p *Publication) reveal() {
+// publish shows the newest state to readers, unless the publication is frozen.
+func (p *Publication) publish() {
 	if p.faults.get().Frozen {
 		return
 	}
@@ -95,7 +95,7 @@
 	}
 	p.feed, p.visible = monotonic.NewFeed(), monotonic.NewFeed()
 	p.feed.Apply(update)
-	p.reveal()
+	p.publish()
 }
 
 // SetFaults sets the fault state.
@@ -111,7 +111,7 @@
 // Mount adds the publication's routes to a router.
 func (p *Publication) Mount(router chi.Router, path string) {
 	router.Group(func(group chi.Router) {
-		group.Use(p.faults.refuseWhenDown)
+		group.Use(p.faults.rejectWhenDown)
 		group.Get(path, p.watch)
 	})
 	router.Route(path+"/control", func(control chi.Router) {
@@ -155,7 +155,7 @@
 func (p *Publication) waitNewer(ctx context.Context, since monotonic.Version) (monotonic.Update, bool) {
 	for {
 		p.mutex.Lock()
-		p.catchUp()
+		p.publishPending()
 		update, newer := p.visible.Since(since)
 		changed := p.changed
 		p.mutex.Unlock()
@@ -170,10 +170,10 @@
 	}
 }
 
-// catchUp catches up with changes made while the publication was frozen.
-func (p *Publication) catchUp() {
+// publishPending catches up with changes made while the publication was frozen.
+func (p *Publication) publishPending() {
 	if p.lag == 0 {
-		p.reveal()
+		p.publish()
 	}
 }
 
--- a/internal/emulator/service.go
+++ b/internal/emulator/service.go
@@ -41,7 +41,7 @@
 // Handler serves the service.
 func (s *Service) Handler() http.Handler {
 	router := chi.NewRouter()
-	router.Use(s.faults.refuseWhenDown)
+	router.Use(s.faults.rejectWhenDown)
 	s.faults.mount(router)
 	router.Get("/records", func(writer http.ResponseWriter, _ *http.Request) { writeJSON(writer, s.Runs()) })
 	router.HandleFunc("/*", s.call)
@@ -58,7 +58,7 @@
 }
 
 func (s *Service) call(writer http.ResponseWriter, request *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maximumBodyBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
--- a/internal/emulator/site/answers.go
+++ b/internal/emulator/site/answers.go
@@ -22,10 +22,10 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.arrive(id)
+	s.recordDelivery(id)
 	if s.faults.Shed > 0 {
 		s.faults.Shed--
-		s.ask(writer.Header(), id, s.faults.ShedBackoff)
+		s.writeNotice(writer.Header(), id, s.faults.ShedBackoff)
 		return refuse(http.StatusServiceUnavailable)
 	}
 	s.waiting++
@@ -45,7 +45,7 @@
 			return false
 		}
 	}
-	if s.options.Weights != nil && !s.whole() {
+	if s.options.Weights != nil && !s.completelyLoaded() {
 		return refuse(http.StatusMisdirectedRequest)
 	}
 	if expected := request.Header.Get("Expect-Version"); expected != "" && expected != strconv.FormatUint(s.version, 10) {
@@ -68,9 +68,9 @@
 	return LimitOvershoot*perSecond*LimitWindow.Seconds() + LimitSlack
 }
 
-// ask writes into the head of an answer what the server asks for now, and records it; the mutex is held. Reports
+// writeNotice writes into the head of an answer what the server asks for now, and records it; the mutex is held. Reports
 // have no request.
-func (s *Server) ask(header http.Header, request string, rest time.Duration) {
+func (s *Server) writeNotice(header http.Header, request string, rest time.Duration) {
 	asked := ServerNotice{RequestID: request, Server: s.options.ID, At: time.Now(), Leaving: s.leaving, Backoff: rest}
 	if s.leaving {
 		header.Set("Server-Leaving", "1")
@@ -84,12 +84,12 @@
 		header.Set("Retry-After", strconv.FormatFloat(rest.Seconds(), 'f', -1, 64))
 	}
 	if request != "" && (asked.Leaving || asked.Limited || rest > 0) {
-		s.options.Requests.asks.add(asked)
+		s.options.Requests.notices.add(asked)
 	}
 }
 
-// receive reads a request's body and records where it came.
-func (s *Server) receive(request *http.Request) ([]byte, error) {
+// readBody reads a request's body and records where it came.
+func (s *Server) readBody(request *http.Request) ([]byte, error) {
 	body, err := io.ReadAll(request.Body)
 	s.options.Requests.arrivals.add(Arrival{
 		RequestID: request.Header.Get("Request-Id"), Server: s.options.ID, Service: s.options.Service,
@@ -98,23 +98,23 @@
 	return body, err
 }
 
-func (s *Server) run(writer http.ResponseWriter, request *http.Request) {
+func (s *Server) handleRequest(writer http.ResponseWriter, request *http.Request) {
 	id := request.Header.Get("Request-Id")
 	writer.Header().Set("Request-Id", id)
 	writer.Header().Set("Instance-Id", s.options.ID)
-	body, err := s.receive(request)
+	body, err := s.readBody(request)
 	if err != nil || !s.admit(writer, request) {
 		return
 	}
 	defer func() {
 		s.mutex.Lock()
 		s.running--
-		s.wake()
+		s.notifyWaiting()
 		s.mutex.Unlock()
 	}()
 	s.mutex.Lock()
 	run := Run{
-		RequestID: id, Server: s.options.ID, Service: s.options.Service, Version: s.version, Corrupt: s.spoilt,
+		RequestID: id, Server: s.options.ID, Service: s.options.Service, Version: s.version, Corrupt: s.corrupt,
 		Tenant: request.Header.Get("Tenant"), KeyReceived: request.Header.Get("Authorization") != "", At: time.Now(),
 	}
 	faults := s.faults
@@ -143,7 +143,7 @@
 	}
 	writer.Header().Set("Response-Seal", "seal-"+id)
 	s.mutex.Lock()
-	s.ask(writer.Header(), id, 0)
+	s.writeNotice(writer.Header(), id, 0)
 	s.mutex.Unlock()
 	if s.options.Weights == nil {
 		s.answerPlain(writer, request, body)
@@ -153,18 +153,18 @@
 	if faults.CutCount > 0 {
 		cutAfter = faults.CutAfter
 	}
-	s.readPrompt(request)
+	s.simulatePrefill(request)
 	s.answerStream(writer, request, run, cutAfter)
 }
 
-// readPrompt takes as long as the server needs to read the request's prompt, after those before it.
-func (s *Server) readPrompt(request *http.Request) {
+// simulatePrefill takes as long as the server needs to read the request's prompt, after those before it.
+func (s *Server) simulatePrefill(request *http.Request) {
 	if s.options.ReadPerSecond <= 0 {
 		return
 	}
 	prompt, _ := tokenUsage(request)
-	s.reading.Lock()
-	defer s.reading.Unlock()
+	s.readMutex.Lock()
+	defer s.readMutex.Unlock()
 	time.Sleep(time.Duration(float64(prompt) / s.options.ReadPerSecond * float64(time.Second)))
 }
 
--- a/internal/emulator/site/crashing.go
+++ b/internal/emulator/site/crashing.go
@@ -26,57 +26,57 @@
 	At        time.Time
 }
 
-// listedAfterEnd is how long the list goes on naming a server that has ended without a word: three
+// listedAfterCrash is how long the list goes on naming a server that has ended without a word: three
 // heartbeats.
-const listedAfterEnd = 1200 * time.Millisecond
+const listedAfterCrash = 1200 * time.Millisecond
 
-// crashes ends servers and starts new ones in their place.
-type crashes struct {
+// crashTracker ends servers and starts new ones in their place.
+type crashTracker struct {
 	mutex    sync.Mutex
-	crashing CrashTrigger
-	ends     []ServerCrash
-	ended    map[*Server]bool
-	reborn   []*Server
+	trigger CrashTrigger
+	crashes     []ServerCrash
+	crashed    map[*Server]bool
+	restarted   []*Server
 	closed   bool
 }
 
 // CrashOn makes every server end that runs a request of a kind, from now on.
 func (s *Site) CrashOn(crashing CrashTrigger) {
-	s.crashes.mutex.Lock()
-	defer s.crashes.mutex.Unlock()
-	s.crashes.crashing = crashing
+	s.tracker.mutex.Lock()
+	defer s.tracker.mutex.Unlock()
+	s.tracker.trigger = crashing
 }
 
 // Crashes returns the servers that requests have ended, in order of time.
 func (s *Site) Crashes() []ServerCrash {
-	s.crashes.mutex.Lock()
-	defer s.crashes.mutex.Unlock()
-	return append([]ServerCrash(nil), s.crashes.ends...)
+	s.tracker.mutex.Lock()
+	defer s.tracker.mutex.Unlock()
+	return append([]ServerCrash(nil), s.tracker.crashes...)
 }
 
-// begins reports whether a request ends the server that has begun to run it, and sees to that.
-func (s *Site) begins(server *Server, id string, body []byte) bool {
-	s.crashes.mutex.Lock()
-	defer s.crashes.mutex.Unlock()
-	crashing := s.crashes.crashing
+// crashesOn reports whether a request ends the server that has begun to run it, and sees to that.
+func (s *Site) crashesOn(server *Server, id string, body []byte) bool {
+	s.tracker.mutex.Lock()
+	defer s.tracker.mutex.Unlock()
+	crashing := s.tracker.trigger
 	if crashing.BodyPrefix == "" || !strings.HasPrefix(string(body), crashing.BodyPrefix) {
 		return false
 	}
-	if !s.crashes.ended[server] && !s.crashes.closed {
-		s.crashes.ended[server] = true
-		time.AfterFunc(crashing.After, func() { s.end(server, id, crashing) })
+	if !s.tracker.crashed[server] && !s.tracker.closed {
+		s.tracker.crashed[server] = true
+		time.AfterFunc(crashing.After, func() { s.crash(server, id, crashing) })
 	}
 	return true
 }
 
-func (s *Site) end(server *Server, request string, crashing CrashTrigger) {
+func (s *Site) crash(server *Server, request string, crashing CrashTrigger) {
 	staged := server.Crash()
-	s.crashes.mutex.Lock()
-	s.crashes.ends = append(s.crashes.ends, ServerCrash{Server: server.options.ID, RequestID: request, At: time.Now()})
-	s.crashes.mutex.Unlock()
+	s.tracker.mutex.Lock()
+	s.tracker.crashes = append(s.tracker.crashes, ServerCrash{Server: server.options.ID, RequestID: request, At: time.Now()})
+	s.tracker.mutex.Unlock()
 	id := server.options.ID
 	if !crashing.SameID {
-		time.AfterFunc(listedAfterEnd, func() { s.Store.Delete("servers/" + id) })
+		time.AfterFunc(listedAfterCrash, func() { s.Store.Delete("servers/" + id) })
 		id += "+"
 	}
 	if crashing.RestartDelay > 0 {
@@ -87,9 +87,9 @@
 // restart starts a server at the place of one that has ended, with what was staged there and nothing in
 // service.
 func (s *Site) restart(old *Server, id string, staged map[int][]byte) {
-	s.crashes.mutex.Lock()
-	defer s.crashes.mutex.Unlock()
-	if s.crashes.closed {
+	s.tracker.mutex.Lock()
+	defer s.tracker.mutex.Unlock()
+	if s.tracker.closed {
 		return
 	}
 	options := old.options
@@ -100,15 +100,15 @@
 		// The address is taken, because a test has started another server there.
 		return
 	}
-	s.crashes.reborn = append(s.crashes.reborn, fresh)
+	s.tracker.restarted = append(s.tracker.restarted, fresh)
 }
 
 // close ends the servers that were started anew.
-func (c *crashes) close() {
+func (c *crashTracker) close() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.closed = true
-	for _, server := range c.reborn {
+	for _, server := range c.restarted {
 		server.Crash()
 	}
 }
--- a/internal/emulator/site/ledger.go
+++ b/internal/emulator/site/ledger.go
@@ -35,34 +35,34 @@
 // RequestLog records what came to servers, what was delivered to the one that it was meant for,
 // and what ran, over all of them.
 type RequestLog struct {
-	runs       entries[Run]
-	deliveries entries[Delivery]
-	arrivals   entries[Arrival]
-	asks       entries[ServerNotice]
+	runs       list[Run]
+	deliveries list[Delivery]
+	arrivals   list[Arrival]
+	notices       list[ServerNotice]
 }
 
-// entries are one kind of the ledger's, in order of time.
-type entries[T any] struct {
+// list are one kind of the ledger's, in order of time.
+type list[T any] struct {
 	mutex sync.Mutex
-	held  []T
+	items  []T
 }
 
-func (e *entries[T]) add(one T) {
+func (e *list[T]) add(one T) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.held = append(e.held, one)
+	e.items = append(e.items, one)
 }
 
-func (e *entries[T]) all() []T {
+func (e *list[T]) all() []T {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return slices.Clone(e.held)
+	return slices.Clone(e.items)
 }
 
-func (e *entries[T]) contain(match func(T) bool) bool {
+func (e *list[T]) contain(match func(T) bool) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return slices.ContainsFunc(e.held, match)
+	return slices.ContainsFunc(e.items, match)
 }
 
 // ServerNotice is what a server has asked of the one that sent a request, in its answer to that.
@@ -79,7 +79,7 @@
 }
 
 // Notices returns everything that servers have asked for, in order of time.
-func (l *RequestLog) Notices() []ServerNotice { return l.asks.all() }
+func (l *RequestLog) Notices() []ServerNotice { return l.notices.all() }
 
 // Deliveries returns everything that has reached a server, in order of time.
 func (l *RequestLog) Deliveries() []Delivery { return l.deliveries.all() }
--- a/internal/emulator/site/orders.go
+++ b/internal/emulator/site/orders.go
@@ -16,23 +16,23 @@
 
 func (r layerRange) within(other layerRange) bool { return r.from >= other.from && r.to <= other.to }
 
-// all is the range of all layers of the server's model.
-func (s *Server) all() layerRange {
+// allLayers is the range of all layers of the server's model.
+func (s *Server) allLayers() layerRange {
 	if s.options.Weights == nil {
 		return layerRange{}
 	}
 	return layerRange{to: s.options.Weights.Layers}
 }
 
-// whole reports whether every layer of a version is in service; the mutex is held.
-func (s *Server) whole() bool { return s.version != 0 && s.held == s.all() }
+// completelyLoaded reports whether every layer of a version is in service; the mutex is held.
+func (s *Server) completelyLoaded() bool { return s.version != 0 && s.loadedLayers == s.allLayers() }
 
 // layers are told beside the models; none while the server takes an order.
 func (s *Server) layers() map[string]any {
 	if s.options.Weights == nil || s.version == 0 || s.loading {
 		return nil
 	}
-	return map[string]any{"from": s.held.from, "targetVersion": s.held.to, "version": s.version}
+	return map[string]any{"from": s.loadedLayers.from, "targetVersion": s.loadedLayers.to, "version": s.version}
 }
 
 // startOrder is an order to take layers of a staged version into service; without a range,
@@ -67,27 +67,27 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	asked, exists := order.layers(s.all())
+	asked, exists := order.layers(s.allLayers())
 	more := s.version == order.Version
 	switch {
 	case !exists:
 		writer.WriteHeader(http.StatusBadRequest)
 	case s.loading || (order.Expected != nil && *order.Expected != s.sequence):
 		writer.WriteHeader(http.StatusConflict)
-	case more && asked.within(s.held):
+	case more && asked.within(s.loadedLayers):
 		writer.WriteHeader(http.StatusOK)
 	default:
 		s.sequence++
 		s.loading = true
-		spoilt := s.stagedWrong(order.Version, asked) || (more && s.spoilt)
+		spoilt := s.stagedCorrupt(order.Version, asked) || (more && s.corrupt)
 		go s.load(order.Version, asked, spoilt)
 		writer.WriteHeader(http.StatusAccepted)
 	}
 }
 
-// stagedWrong reports whether what lies here is not what layers of a version consist of; the
+// stagedCorrupt reports whether what lies here is not what layers of a version consist of; the
 // mutex is held. A piece that two layers share belongs to both.
-func (s *Server) stagedWrong(version uint64, layers layerRange) bool {
+func (s *Server) stagedCorrupt(version uint64, layers layerRange) bool {
 	weights := s.options.Weights
 	first := layers.from * weights.Pieces / weights.Layers
 	end := (layers.to*weights.Pieces + weights.Layers - 1) / weights.Layers
@@ -112,10 +112,10 @@
 	}
 	time.Sleep(s.options.Warm)
 	s.mutex.Lock()
-	s.version, s.held, s.spoilt, s.loading = version, layers, spoilt, false
-	s.wake()
+	s.version, s.loadedLayers, s.corrupt, s.loading = version, layers, spoilt, false
+	s.notifyWaiting()
 	s.mutex.Unlock()
-	s.beat()
+	s.writeHeartbeat()
 }
 
 func (s *Server) serveStage(writer http.ResponseWriter, request *http.Request) {
--- a/internal/emulator/site/origin.go
+++ b/internal/emulator/site/origin.go
@@ -41,12 +41,12 @@
 	// newest is the newest named version.
 	newest uint64
 	bytes  int64
-	// spoil is how many of the next pieces are handed out with a wrong byte.
-	spoil int
-	// spoilManifest makes the next manifest name a wrong digest.
-	spoilManifest bool
-	// away makes the origin close every connection without an answer.
-	away bool
+	// corruptPieces is how many of the next pieces are handed out with a wrong byte.
+	corruptPieces int
+	// corruptManifest makes the next manifest name a wrong digest.
+	corruptManifest bool
+	// down makes the origin close every connection without an answer.
+	down bool
 	// withheld are pieces that are handed out to nobody.
 	withheld map[int]bool
 }
@@ -65,21 +65,21 @@
 func (o *Origin) CorruptPieces(pieces int) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.spoil = pieces
+	o.corruptPieces = pieces
 }
 
 // CorruptManifest makes the next manifest name a wrong digest.
 func (o *Origin) CorruptManifest() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.spoilManifest = true
+	o.corruptManifest = true
 }
 
 // SetDown makes the origin answer nobody, or come back.
 func (o *Origin) SetDown(away bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.away = away
+	o.down = away
 }
 
 // Withhold makes the origin break off each answer with one of some pieces; none lifts that.
@@ -98,10 +98,10 @@
 	return o.withheld[piece]
 }
 
-func (o *Origin) isAway() bool {
+func (o *Origin) isDown() bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return o.away
+	return o.down
 }
 
 // Copies returns how many whole copies were sent.
@@ -117,7 +117,7 @@
 	mux.HandleFunc("GET /-/manifest/{model}", o.serveManifest)
 	mux.HandleFunc("GET /-/piece/{model}", o.servePiece)
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		if o.isAway() {
+		if o.isDown() {
 			panic(http.ErrAbortHandler)
 		}
 		mux.ServeHTTP(writer, request)
@@ -147,8 +147,8 @@
 		digests[index] = hex.EncodeToString(sum[:])
 	}
 	o.mutex.Lock()
-	if o.spoilManifest {
-		o.spoilManifest = false
+	if o.corruptManifest {
+		o.corruptManifest = false
 		digests[0] = strings.Repeat("0", len(digests[0]))
 	}
 	o.mutex.Unlock()
@@ -170,8 +170,8 @@
 	content := o.weights.Piece(version, index)
 	o.mutex.Lock()
 	o.bytes += int64(len(content))
-	if o.spoil > 0 {
-		o.spoil--
+	if o.corruptPieces > 0 {
+		o.corruptPieces--
 		content[len(content)/2] ^= 1
 	}
 	o.mutex.Unlock()
--- a/internal/emulator/site/server.go
+++ b/internal/emulator/site/server.go
@@ -82,15 +82,15 @@
 
 	mutex   sync.Mutex
 	version uint64
-	// held are the layers of the version that are in service.
-	held     layerRange
-	spoilt   bool
+	// loadedLayers are the layers of the version that are in service.
+	loadedLayers     layerRange
+	corrupt   bool
 	loading  bool
 	sequence int
-	beats    int
+	heartbeats    int
 	draining bool
-	// lapsed servers write no record any more.
-	lapsed  bool
+	// heartbeatsStopped servers write no record any more.
+	heartbeatsStopped  bool
 	staged  map[int][]byte
 	running int
 	waiting int
@@ -99,15 +99,15 @@
 	// coldUntil is when the server will be warm; coldArrivals are those of the last second.
 	coldUntil    time.Time
 	coldArrivals []time.Time
-	// fallen is set once a cold server has received more than it bears.
-	fallen bool
+	// overloaded is set once a cold server has received more than it bears.
+	overloaded bool
 	// limit and leaving are what every answer says, also reports: the rate as a text, empty for none.
 	limit   string
 	leaving bool
 	// queueHeld is set while nothing that waits begins.
 	queueHeld bool
-	// reading is held while a prompt is read.
-	reading sync.Mutex
+	// readMutex is held while a prompt is read.
+	readMutex sync.Mutex
 	server  *http.Server
 	stop    context.CancelFunc
 }
@@ -117,7 +117,7 @@
 func NewServer(options ServerOptions) *Server {
 	s := &Server{options: options, version: options.Version, staged: map[int][]byte{}, freed: make(chan struct{})}
 	if options.Weights != nil && options.Version > 0 {
-		s.held = s.all()
+		s.loadedLayers = s.allLayers()
 		for index := range options.Weights.Pieces {
 			s.staged[index] = options.Weights.Piece(options.Version, index)
 		}
@@ -135,14 +135,14 @@
 	s.stop = cancel
 	s.server = &http.Server{Handler: http.HandlerFunc(s.serve), ReadHeaderTimeout: 5 * time.Second}
 	go func() { _ = s.server.Serve(listener) }()
-	s.beat()
+	s.writeHeartbeat()
 	go func() {
 		ticker := time.NewTicker(s.options.Heartbeat)
 		defer ticker.Stop()
 		for {
 			select {
 			case <-ticker.C:
-				s.beat()
+				s.writeHeartbeat()
 			case <-ctx.Done():
 				return
 			}
@@ -169,14 +169,14 @@
 	s.mutex.Lock()
 	s.draining = true
 	s.mutex.Unlock()
-	s.beat()
+	s.writeHeartbeat()
 }
 
 // StopHeartbeats ends the server's heartbeats and its record, as an outage of the store does;
 // it serves on.
 func (s *Server) StopHeartbeats() {
 	s.mutex.Lock()
-	s.lapsed = true
+	s.heartbeatsStopped = true
 	s.mutex.Unlock()
 	s.options.Store.Delete("servers/" + s.options.ID)
 }
@@ -185,9 +185,9 @@
 // store takes does.
 func (s *Server) ResumeHeartbeats() {
 	s.mutex.Lock()
-	s.lapsed = false
+	s.heartbeatsStopped = false
 	s.mutex.Unlock()
-	s.beat()
+	s.writeHeartbeat()
 }
 
 // SetFaults replaces the faults.
@@ -230,7 +230,7 @@
 	s.coldArrivals = nil
 	s.mutex.Unlock()
 	if tellNow {
-		s.beat()
+		s.writeHeartbeat()
 	}
 }
 
@@ -240,20 +240,20 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.queueHeld = held
-	s.wake()
+	s.notifyWaiting()
 }
 
 // Overloaded reports whether the server has received more than it bears while it was cold.
 func (s *Server) Overloaded() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.fallen
+	return s.overloaded
 }
 
-// arrive records a request that has reached the server and is meant for it. A cold server
+// recordDelivery records a request that has reached the server and is meant for it. A cold server
 // that receives more than it bears in a second falls over: from then on it answers nobody,
 // as a silent one does. The mutex is held.
-func (s *Server) arrive(id string) {
+func (s *Server) recordDelivery(id string) {
 	now := time.Now()
 	cold := now.Before(s.coldUntil)
 	s.options.Requests.deliveries.add(Delivery{RequestID: id, Server: s.options.ID, Zone: s.options.Zone, Cold: cold, At: now})
@@ -265,7 +265,7 @@
 		s.coldArrivals = s.coldArrivals[1:]
 	}
 	if float64(len(s.coldArrivals)) > s.options.ColdLimit {
-		s.fallen, s.faults.Silent = true, true
+		s.overloaded, s.faults.Silent = true, true
 	}
 }
 
@@ -273,7 +273,7 @@
 func (s *Server) Version() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if !s.whole() {
+	if !s.completelyLoaded() {
 		return 0
 	}
 	return s.version
@@ -286,21 +286,21 @@
 	return []map[string]any{{"name": s.options.Weights.Model, "version": s.version, "adapters": []string{}}}
 }
 
-func (s *Server) beat() {
+func (s *Server) writeHeartbeat() {
 	s.mutex.Lock()
-	s.beats++
+	s.heartbeats++
 	state := "ready"
 	if s.draining {
 		state = "draining"
 	}
 	record := map[string]any{
 		"service": s.options.Service, "address": s.options.Address, "zone": s.options.Zone, "version": "v1", "slots": s.options.Slots,
-		"state": state, "coldRemainingMs": max(0, time.Until(s.coldUntil).Milliseconds()), "stage": "both", "models": s.models(), "layers": s.layers(), "sequence": s.beats,
+		"state": state, "coldRemainingMs": max(0, time.Until(s.coldUntil).Milliseconds()), "stage": "both", "models": s.models(), "layers": s.layers(), "sequence": s.heartbeats,
 	}
 	if s.options.StartTime != 0 {
 		record["born"] = s.options.StartTime
 	}
-	lapsed := s.lapsed
+	lapsed := s.heartbeatsStopped
 	s.mutex.Unlock()
 	if !lapsed {
 		s.options.Store.Put("servers/"+s.options.ID, record)
@@ -318,7 +318,7 @@
 	}
 	if silent {
 		if !strings.HasPrefix(path, "/-/") {
-			_, _ = s.receive(request)
+			_, _ = s.readBody(request)
 		}
 		<-request.Context().Done()
 		panic(http.ErrAbortHandler)
@@ -331,13 +331,13 @@
 	case strings.HasPrefix(path, "/-/stage-"):
 		s.serveStage(writer, request)
 	default:
-		s.run(writer, request)
+		s.handleRequest(writer, request)
 	}
 }
 
 func (s *Server) serveReport(writer http.ResponseWriter) {
 	s.mutex.Lock()
-	s.ask(writer.Header(), "", 0)
+	s.writeNotice(writer.Header(), "", 0)
 	report := map[string]any{
 		"stage": "both", "models": s.models(), "layers": s.layers(), "busy": s.loading, "sequence": s.sequence,
 		"numWaiting": s.waiting, "numRunning": s.running, "kvUsed": 0, "kvTotal": 1000, "pace": 1.0,
@@ -349,8 +349,8 @@
 	writeJSON(writer, report)
 }
 
-// wake lets waiting requests look again; the mutex is held.
-func (s *Server) wake() {
+// notifyWaiting lets waiting requests look again; the mutex is held.
+func (s *Server) notifyWaiting() {
 	close(s.freed)
 	s.freed = make(chan struct{})
 }
--- a/internal/emulator/site/site.go
+++ b/internal/emulator/site/site.go
@@ -66,23 +66,23 @@
 	Tenant        = "tenant-one"
 )
 
-// assumedStep is the published time of a token step in milliseconds where a test sets none.
-const assumedStep = 1.0
+// defaultStepMilliseconds is the published time of a token step in milliseconds where a test sets none.
+const defaultStepMilliseconds = 1.0
 
 // assumedReadPerSecond and assumedPrompt are the published reading rate of prompts, in tokens, and their usual size
 // where a test sets none.
 const (
-	assumedReadPerSecond = 1e6
-	assumedPrompt        = 10
+	defaultReadPerSecond = 1e6
+	defaultPrompt        = 10
 )
 
-// assumedLinkMbps is the link of a machine in Mbit/s where a test sets none.
-const assumedLinkMbps = 80.0
+// defaultLinkMbps is the link of a machine in Mbit/s where a test sets none.
+const defaultLinkMbps = 80.0
 
 // Ports of the machines.
 const (
 	serverPort  = 8001
-	callersPort = 8005
+	callerPort = 8005
 	readyPort   = 8002
 	controlPort = 8000
 	firstPort   = 7700
@@ -105,7 +105,7 @@
 	configuration map[string]any
 	servers       []*http.Server
 	starts        int
-	crashes       crashes
+	tracker       crashTracker
 }
 
 func (o Options) ip(zone, machine int) string {
@@ -135,7 +135,7 @@
 func Start(options Options) (*Site, error) {
 	s := &Site{
 		Options: options, Store: NewStore(), Origin: NewOrigin(options.Weights), Requests: &RequestLog{},
-		Models: map[string]*Server{}, Plain: map[string]*Server{}, crashes: crashes{ended: map[*Server]bool{}},
+		Models: map[string]*Server{}, Plain: map[string]*Server{}, tracker: crashTracker{crashed: map[*Server]bool{}},
 	}
 	if err := s.listen(s.originAddress(), s.Origin.Handler()); err != nil {
 		return nil, err
@@ -169,7 +169,7 @@
 
 // Close ends everything.
 func (s *Site) Close() {
-	s.crashes.close()
+	s.tracker.close()
 	for _, server := range s.servers {
 		_ = server.Close()
 	}
@@ -220,9 +220,9 @@
 		ID: fmt.Sprintf("i-%d-%d-%d", zone, index, s.starts), Service: ModelService, Zone: ZoneName(zone), Region: RegionName(zone),
 		Address: s.ModelAddress(zone, index), Slots: s.Options.Slots, Weights: &weights, Version: version, StartTime: time.Now().UnixMilli(),
 		EventTime: s.Options.EventTime, ReadPerSecond: s.Options.ReadPerSecond, Warm: 50 * time.Millisecond, Heartbeat: 400 * time.Millisecond, Store: s.Store, Requests: s.Requests,
-		ColdTime: s.Options.coldTime(), ColdLimit: s.Options.ColdLimit(), OnBegin: s.begins,
+		ColdTime: s.Options.coldTime(), ColdLimit: s.Options.ColdLimit(), OnBegin: s.crashesOn,
 	})
-	return server, s.adopt(s.Models, server)
+	return server, s.startServer(s.Models, server)
 }
 
 // RestartModel crashes a model server and starts it anew, with nothing in service
@@ -239,7 +239,7 @@
 	old.Crash()
 	options := old.options
 	options.Version, options.StartTime = 0, born.UnixMilli()
-	return s.adopt(s.Models, NewServer(options))
+	return s.startServer(s.Models, NewServer(options))
 }
 
 // RestartModelStillListed does the same while the list goes on naming the old server
@@ -252,19 +252,19 @@
 	options.ID, options.Version, options.StartTime = fmt.Sprintf("i-%d-%d-%d", zone, index, s.starts), 0, time.Now().UnixMilli()
 	fresh := NewServer(options)
 	fresh.Restage(staged)
-	return s.adopt(s.Models, fresh)
+	return s.startServer(s.Models, fresh)
 }
 
 func (s *Site) startPlain(zone, index int) error {
 	s.starts++
-	return s.adopt(s.Plain, NewServer(ServerOptions{
+	return s.startServer(s.Plain, NewServer(ServerOptions{
 		ID: fmt.Sprintf("p-%d-%d-%d", zone, index, s.starts), Service: PlainService, Zone: ZoneName(zone), Region: RegionName(zone),
 		Address: fmt.Sprintf("%s:%d", s.Options.PlainIP(zone, index), serverPort), Slots: s.Options.Slots, StartTime: time.Now().UnixMilli(),
-		EventTime: s.Options.EventTime, Heartbeat: 400 * time.Millisecond, Store: s.Store, Requests: s.Requests, OnBegin: s.begins,
+		EventTime: s.Options.EventTime, Heartbeat: 400 * time.Millisecond, Store: s.Store, Requests: s.Requests, OnBegin: s.crashesOn,
 	}))
 }
 
-func (s *Site) adopt(all map[string]*Server, server *Server) error {
+func (s *Site) startServer(all map[string]*Server, server *Server) error {
 	if err := server.Start(); err != nil {
 		return err
 	}
@@ -304,8 +304,8 @@
 		"services": []any{
 			map[string]any{"name": ModelService, "healthPath": "/healthz", "maxConnections": 400,
 				"coldStartS": s.Options.ColdStartS, "coldPerS": s.Options.ColdPerS, "engine": map[string]any{
-					"slots": s.Options.Slots, "stride": 1, "step_ms": cmp.Or(s.Options.StepMilliseconds, assumedStep), "read_per_s": cmp.Or(s.Options.ReadPerSecond, assumedReadPerSecond), "chunk": 2048, "layers": w.Layers,
-					"chunks": w.Pieces, "chunkBytes": w.PieceBytes, "usual": map[string]any{"prompt": cmp.Or(s.Options.TypicalPrompt, assumedPrompt), "answer": 10},
+					"slots": s.Options.Slots, "stride": 1, "step_ms": cmp.Or(s.Options.StepMilliseconds, defaultStepMilliseconds), "read_per_s": cmp.Or(s.Options.ReadPerSecond, defaultReadPerSecond), "chunk": 2048, "layers": w.Layers,
+					"chunks": w.Pieces, "chunkBytes": w.PieceBytes, "usual": map[string]any{"prompt": cmp.Or(s.Options.TypicalPrompt, defaultPrompt), "answer": 10},
 					"models": []any{map[string]any{"name": w.Model, "warmS": 0.05}},
 				}},
 			map[string]any{"name": PlainService, "healthPath": "/healthz", "maxConnections": 400},
@@ -364,7 +364,7 @@
 	settings := map[string]any{
 		"nodeName": fmt.Sprintf("%s-%d-%d", role, zone, index), "zone": ZoneName(zone), "region": zones[ZoneName(zone)], "zones": zones,
 		"internalPorts": []int{firstPort, lastPort}, "seeds": seeds, "unknownField": true,
-		"limits": map[string]any{"memoryMb": 150, "linkMbps": cmp.Or(s.Options.LinkMbps, assumedLinkMbps)},
+		"limits": map[string]any{"memoryMb": 150, "linkMbps": cmp.Or(s.Options.LinkMbps, defaultLinkMbps)},
 		"bounds": map[string]any{
 			"drainMs": s.Options.DrainMs, "graceS": s.Options.GraceS, "configApplyMs": s.Options.ConfigApplyMs,
 			"version_ms": s.Options.VersionMs, "recoverS": 12, "reuseAfterS": 2, "retryBudgetRatio": 0.2, "retryWindowS": 10,
@@ -381,7 +381,7 @@
 		ip := s.Options.EntryIP(zone, index)
 		settings["ip"] = ip
 		settings["listen"] = map[string]any{
-			"front": fmt.Sprintf("%s:%d", ip, callersPort), "ready": fmt.Sprintf("%s:%d", ip, readyPort), "control": fmt.Sprintf("%s:%d", ip, controlPort),
+			"front": fmt.Sprintf("%s:%d", ip, callerPort), "ready": fmt.Sprintf("%s:%d", ip, readyPort), "control": fmt.Sprintf("%s:%d", ip, controlPort),
 		}
 	}
 	data, err := json.Marshal(settings)
@@ -407,7 +407,7 @@
 
 // EntryURL is where callers reach an entry.
 func (s *Site) EntryURL(zone, index int) string {
-	return fmt.Sprintf("http://%s:%d", s.Options.EntryIP(zone, index), callersPort)
+	return fmt.Sprintf("http://%s:%d", s.Options.EntryIP(zone, index), callerPort)
 }
 
 // ReadyURL is where the platform asks an entry whether it takes callers.
--- a/internal/emulator/site/store.go
+++ b/internal/emulator/site/store.go
@@ -18,28 +18,28 @@
 	"pinevane.example/pinevane/internal/waiting"
 )
 
-// item is a record as the store tells it.
-type item struct {
+// record is a record as the store tells it.
+type record struct {
 	Key      string `json:"keyFile"`
 	Value    []byte `json:"value,omitempty"`
 	Revision uint64 `json:"revision"`
-	Gone     bool   `json:"gone,omitempty"`
+	Removed     bool   `json:"gone,omitempty"`
 }
 
 // Store is the stand-in of the platform's store.
 type Store struct {
 	mutex    sync.Mutex
 	revision uint64
-	items    map[string]item
-	history  []item
-	// forgotten is the revision up to which the history is gone.
-	forgotten uint64
+	items    map[string]record
+	history  []record
+	// compactedTo is the revision up to which the history is gone.
+	compactedTo uint64
 	changed   chan struct{}
 	// refused are the IP addresses that are turned away.
 	refused map[string]bool
 	down    bool
-	// deaf makes watches hear nothing.
-	deaf  bool
+	// watchesBlocked makes watches hear nothing.
+	watchesBlocked  bool
 	delay time.Duration
 	// pageSize bounds one page of a listing.
 	pageSize int
@@ -47,12 +47,12 @@
 	// bandwidth is that of the store's link in bytes a second, 0 for no bound; linkFree
 	// is when the link has sent what it was given.
 	bandwidth float64
-	linkFree  time.Time
+	linkFreeAt  time.Time
 }
 
 // NewStore returns an empty store.
 func NewStore() *Store {
-	return &Store{items: map[string]item{}, changed: make(chan struct{}), refused: map[string]bool{}, pageSize: 500}
+	return &Store{items: map[string]record{}, changed: make(chan struct{}), refused: map[string]bool{}, pageSize: 500}
 }
 
 // Put writes a record as JSON and returns its revision.
@@ -61,12 +61,12 @@
 	if err != nil {
 		panic(err)
 	}
-	return s.write(item{Key: key, Value: data})
+	return s.write(record{Key: key, Value: data})
 }
 
 // PutRaw writes a record byte for byte and returns its revision.
 func (s *Store) PutRaw(key string, value []byte) uint64 {
-	return s.write(item{Key: key, Value: value})
+	return s.write(record{Key: key, Value: value})
 }
 
 // SetDelay holds every answer back for a time.
@@ -77,25 +77,25 @@
 }
 
 // Delete removes a record.
-func (s *Store) Delete(key string) { s.write(item{Key: key, Gone: true}) }
+func (s *Store) Delete(key string) { s.write(record{Key: key, Removed: true}) }
 
-func (s *Store) write(one item) uint64 {
+func (s *Store) write(one record) uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.revision++
 	one.Revision = s.revision
 	s.history = append(s.history, one)
-	if one.Gone {
+	if one.Removed {
 		delete(s.items, one.Key)
 	} else {
 		s.items[one.Key] = one
 	}
-	s.wake()
+	s.notifyWatches()
 	return s.revision
 }
 
-// wake lets waiting watches look again; the mutex is held.
-func (s *Store) wake() {
+// notifyWatches lets waiting watches look again; the mutex is held.
+func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -104,17 +104,17 @@
 func (s *Store) Compact() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.forgotten = s.revision
+	s.compactedTo = s.revision
 	s.history = nil
-	s.deaf = false
-	s.wake()
+	s.watchesBlocked = false
+	s.notifyWatches()
 }
 
 // BlockWatches makes watches hear nothing until Compact.
 func (s *Store) BlockWatches() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.deaf = true
+	s.watchesBlocked = true
 }
 
 // SetDown makes every call fail.
@@ -122,7 +122,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.down = down
-	s.wake()
+	s.notifyWatches()
 }
 
 // SetBandwidth bounds what the store sends to all callers together, in bytes a second;
@@ -133,22 +133,22 @@
 	s.bandwidth = bytesPerSecond
 }
 
-// linkPart is how many bytes of an answer the store's link carries at a time.
-const linkPart = 16 << 10
+// linkBlockBytes is how many bytes of an answer the store's link carries at a time.
+const linkBlockBytes = 16 << 10
 
-// take waits until the link has carried some bytes, behind those of all other callers.
-func (s *Store) take(ctx context.Context, size int) {
+// waitForLink waits until the link has carried some bytes, behind those of all other callers.
+func (s *Store) waitForLink(ctx context.Context, size int) {
 	s.mutex.Lock()
 	if s.bandwidth == 0 {
 		s.mutex.Unlock()
 		return
 	}
 	now := time.Now()
-	if s.linkFree.Before(now) {
-		s.linkFree = now
+	if s.linkFreeAt.Before(now) {
+		s.linkFreeAt = now
 	}
-	s.linkFree = s.linkFree.Add(time.Duration(float64(size) / s.bandwidth * float64(time.Second)))
-	wait := s.linkFree.Sub(now)
+	s.linkFreeAt = s.linkFreeAt.Add(time.Duration(float64(size) / s.bandwidth * float64(time.Second)))
+	wait := s.linkFreeAt.Sub(now)
 	s.mutex.Unlock()
 	waiting.For(ctx, wait)
 }
@@ -161,9 +161,9 @@
 	}
 	writer.Header().Set("Content-Type", "application/json")
 	for len(data) > 0 && request.Context().Err() == nil {
-		part := data[:min(linkPart, len(data))]
+		part := data[:min(linkBlockBytes, len(data))]
 		data = data[len(part):]
-		s.take(request.Context(), len(part))
+		s.waitForLink(request.Context(), len(part))
 		_, _ = writer.Write(part)
 	}
 }
@@ -188,7 +188,7 @@
 	for _, address := range addresses {
 		s.refused[address] = true
 	}
-	s.wake()
+	s.notifyWatches()
 }
 
 // Calls returns how many calls were made.
@@ -198,8 +198,8 @@
 	return s.calls
 }
 
-// turnsAway reports whether a caller gets 503; the mutex is held.
-func (s *Store) turnsAway(request *http.Request) bool {
+// rejects reports whether a caller gets 503; the mutex is held.
+func (s *Store) rejects(request *http.Request) bool {
 	machine, _ := request.Context().Value(machineKey{}).(string)
 	return s.down || s.refused[machine]
 }
@@ -216,18 +216,18 @@
 	prefix, after := request.URL.Query().Get("pathPrefix"), request.URL.Query().Get("after")
 	s.mutex.Lock()
 	s.calls++
-	if s.turnsAway(request) {
+	if s.rejects(request) {
 		s.mutex.Unlock()
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	var items []item
+	var items []record
 	for key, one := range s.items {
 		if strings.HasPrefix(key, prefix) && key > after {
 			items = append(items, one)
 		}
 	}
-	slices.SortFunc(items, func(a, b item) int { return cmp.Compare(a.Key, b.Key) })
+	slices.SortFunc(items, func(a, b record) int { return cmp.Compare(a.Key, b.Key) })
 	more := len(items) > s.pageSize
 	items = items[:min(len(items), s.pageSize)]
 	answer := map[string]any{"items": items, "more": more, "at": s.revision}
@@ -248,8 +248,8 @@
 		if first {
 			s.calls++
 		}
-		status, events := s.look(request, query.Get("pathPrefix"), after)
-		at, changed, deaf, delay := s.revision, s.changed, s.deaf, s.delay
+		status, events := s.changesAfter(request, query.Get("pathPrefix"), after)
+		at, changed, deaf, delay := s.revision, s.changed, s.watchesBlocked, s.delay
 		s.mutex.Unlock()
 		if status != http.StatusOK {
 			writer.WriteHeader(status)
@@ -267,7 +267,7 @@
 				at = after
 			}
 			waiting.For(request.Context(), delay)
-			s.writeJSON(writer, request, map[string]any{"events": []item{}, "at": at})
+			s.writeJSON(writer, request, map[string]any{"events": []record{}, "at": at})
 			return
 		case <-request.Context().Done():
 			return
@@ -275,15 +275,15 @@
 	}
 }
 
-// look finds the changes after a revision; the mutex is held.
-func (s *Store) look(request *http.Request, prefix string, after uint64) (int, []item) {
-	if s.turnsAway(request) {
+// changesAfter finds the changes after a revision; the mutex is held.
+func (s *Store) changesAfter(request *http.Request, prefix string, after uint64) (int, []record) {
+	if s.rejects(request) {
 		return http.StatusServiceUnavailable, nil
 	}
-	if after < s.forgotten {
+	if after < s.compactedTo {
 		return http.StatusGone, nil
 	}
-	var events []item
+	var events []record
 	for _, one := range s.history {
 		if one.Revision > after && strings.HasPrefix(one.Key, prefix) {
 			events = append(events, one)
--- a/internal/workload/identities_test.go
+++ b/internal/workload/identities_test.go
@@ -16,13 +16,13 @@
 	var looking sync.WaitGroup
 	looking.Go(func() {
 		for range 200 {
-			identities.of("m", "1")
+			identities.get("m", "1")
 		}
 	})
 	for version := range 200 {
 		identities.Add(&weights.Manifest{Model: "m", Version: strconv.Itoa(version)})
 	}
 	looking.Wait()
-	_, known := identities.of("m", "1")
+	_, known := identities.get("m", "1")
 	assert.True(t, known)
 }
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -89,7 +89,7 @@
 	i.known[manifest.Model+"@"+manifest.Version] = manifest.Identity()
 }
 
-func (i *Identities) of(model, version string) (weights.Digest, bool) {
+func (i *Identities) get(model, version string) (weights.Digest, bool) {
 	i.mutex.RLock()
 	defer i.mutex.RUnlock()
 	identity, known := i.known[model+"@"+version]
@@ -157,7 +157,7 @@
 	case request.Kind == KindStream:
 		c.readStream(response, &result)
 	case request.Kind == KindUnary:
-		c.readWhole(response, &result)
+		c.readUnary(response, &result)
 	default:
 		c.readCall(response, &result)
 	}
@@ -229,12 +229,12 @@
 
 // expected is the right answer to a generation.
 func (c *Client) expected(request Request, version string) (string, bool) {
-	identity, known := c.identities.of(request.Model, version)
+	identity, known := c.identities.get(request.Model, version)
 	prompt := "user: " + request.Prompt + "\n"
 	return emulator.Answer(identity, request.Adapter, prompt, request.MaximumTokens), known
 }
 
-func (c *Client) judge(result *Result, text, version string) {
+func (c *Client) checkText(result *Result, text, version string) {
 	result.Version = version
 	right, known := c.expected(result.Request, version)
 	switch {
@@ -247,7 +247,7 @@
 	}
 }
 
-func (c *Client) readWhole(response *http.Response, result *Result) {
+func (c *Client) readUnary(response *http.Response, result *Result) {
 	var body chatAnswer
 	if err := json.NewDecoder(response.Body).Decode(&body); err != nil {
 		result.Execution, result.Reason = fault.ExecutionUnknown, "cut-answer"
@@ -257,7 +257,7 @@
 		result.Fault = "answer has no finished choice"
 		return
 	}
-	c.judge(result, body.Choices[0].Message.Content, body.Version)
+	c.checkText(result, body.Choices[0].Message.Content, body.Version)
 }
 
 // readStream takes a stream for whole only when its end marker came.
@@ -273,7 +273,7 @@
 			continue
 		}
 		if data == "[DONE]" {
-			c.judge(result, text.String(), version)
+			c.checkText(result, text.String(), version)
 			return
 		}
 		var event chatAnswer
@@ -357,8 +357,8 @@
 	Faults   []string             `json:"faults,omitempty"`
 }
 
-// maximumFaults bounds the listed faults.
-const maximumFaults = 10
+// maxFaults bounds the listed faults.
+const maxFaults = 10
 
 // Summarize condenses results.
 func Summarize(results []Result) Summary {
@@ -367,7 +367,7 @@
 		switch {
 		case result.Fault != "":
 			summary.Wrong++
-			if len(summary.Faults) < maximumFaults {
+			if len(summary.Faults) < maxFaults {
 				summary.Faults = append(summary.Faults, result.ID+": "+result.Fault)
 			}
 		case result.Answered:
