--- a/internal/emulator/answer.go
+++ b/internal/emulator/answer.go
@@ -10,14 +10,14 @@
 	"pinevane.example/pinevane/internal/weights"
 )
 
-// maxAnswerTokens is the longest answer of the stand-in engine when the request
-// sets no smaller bound.
+// maxAnswerTokens is the length of an answer when the request sets no smaller limit.
 const maxAnswerTokens = 4096
 
 var tokenAlphabet = base32.NewEncoding("abcdefghijklmnopqrstuvwxyz234567").WithPadding(base32.NoPadding)
 
-// Token returns the token at a position of the answer to a prompt by weights of
-// an identity: any mix of versions, requests or positions shows in the text.
+// Token returns the token at the given position of the answer to a prompt. It depends on the
+// weights' identity, the adapter, the prompt and the position, so that an answer mixed from
+// several versions, requests or positions is detected from its text.
 func Token(identity weights.Digest, adapter, prompt string, index int) string {
 	hasher := xxhash.New()
 	_, _ = hasher.WriteString(string(identity))
@@ -31,7 +31,7 @@
 	return tokenAlphabet.EncodeToString(sum[:4]) + " "
 }
 
-// Answer returns the whole answer to a prompt.
+// Answer returns the complete answer to a prompt.
 func Answer(identity weights.Digest, adapter, prompt string, maximumTokens int) string {
 	var text strings.Builder
 	for index := range min(maximumTokens, maxAnswerTokens) {
--- a/internal/emulator/cache.go
+++ b/internal/emulator/cache.go
@@ -11,7 +11,7 @@
 	"pinevane.example/pinevane/internal/external"
 )
 
-// CacheEventKind says what happened to a prompt prefix in an engine's cache.
+// CacheEventKind is what happened to a prompt prefix in an engine's cache.
 type CacheEventKind string
 
 // The kinds of cache events.
@@ -20,8 +20,8 @@
 	CacheEvicted CacheEventKind = "evicted"
 )
 
-// CacheEvent is an engine's word on its prefix cache. Events are published late,
-// and some never: their numbers then have a gap.
+// CacheEvent is a change of an engine's prefix cache. Events are published with a delay, and some
+// are dropped, which leaves a gap in their sequence numbers.
 type CacheEvent struct {
 	Sequence uint64         `json:"sequence"`
 	Kind     CacheEventKind `json:"kind"`
@@ -29,15 +29,15 @@
 	at       time.Time
 }
 
-// Shape of the published cache events.
+// Timing and limits of the published cache events.
 const (
 	cacheEventDelay = 300 * time.Millisecond
-	// droppedEventInterval is which of the events is never published.
-	droppedEventInterval     = 17
-	maxCacheEvents = 1024
+	// Every droppedEventInterval-th event is dropped.
+	droppedEventInterval = 17
+	maxCacheEvents       = 1024
 )
 
-// prefixCache remembers the most recently used prompt prefixes.
+// prefixCache is an LRU cache of prompt prefixes.
 type prefixCache struct {
 	limit    int
 	recent   []string
@@ -45,12 +45,12 @@
 	events   []CacheEvent
 }
 
-// cachedPrefixBytes is how much of a prompt counts as its prefix.
+// cachedPrefixBytes is the length of the prefix under which a prompt is cached.
 const cachedPrefixBytes = 64
 
 func newPrefixCache(limit int) prefixCache { return prefixCache{limit: limit} }
 
-// touch records a prompt and reports whether its prefix was held.
+// touch records the use of a prompt and reports whether its prefix was cached.
 func (c *prefixCache) touch(prompt string) bool {
 	prefix := prompt[:min(len(prompt), cachedPrefixBytes)]
 	position := slices.Index(c.recent, prefix)
@@ -79,7 +79,7 @@
 	}
 }
 
-// published returns the events after a number that are old enough to be out.
+// published returns the events after a sequence number that are older than the publication delay.
 func (c *prefixCache) published(since uint64) []CacheEvent {
 	events := []CacheEvent{}
 	for _, event := range c.events {
@@ -90,22 +90,22 @@
 	return events
 }
 
-// CacheEvents returns the published events after a number.
+// CacheEvents returns the published events after a sequence number.
 func (e *Engine) CacheEvents(since uint64) []CacheEvent {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.cache.published(since)
 }
 
-// KeyValueState is what an engine exports of a sequence under way, so that another
-// engine with the same version can go on without a prefill.
+// KeyValueState is the exported state of a running sequence, with which another engine of the same
+// version continues it without a prefill.
 type KeyValueState struct {
 	Generation external.Generation `json:"generation"`
 	// Next is the position of the next token.
 	Next int `json:"next"`
 }
 
-// Export returns the state of a running sequence; false when there is none.
+// Export returns the state of a running sequence, or false when it does not exist.
 func (e *Engine) Export(id string) (KeyValueState, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -117,20 +117,19 @@
 	return KeyValueState{}, false
 }
 
-// Import takes over an exported state: a generation that resumes it has its
-// prompt in the cache.
+// Import accepts an exported state: a generation that resumes it finds its prompt in the cache.
 func (e *Engine) Import(state KeyValueState) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.cache.touch(state.Generation.Prompt)
 }
 
-// Cancel ends a sequence and reports whether it was there.
+// Cancel ends a sequence and reports whether it existed.
 func (e *Engine) Cancel(id string) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	found := false
-	drop := func(s *sequence) bool {
+	remove := func(s *sequence) bool {
 		if s.generation.ID != id {
 			return false
 		}
@@ -138,12 +137,12 @@
 		close(s.events)
 		return true
 	}
-	e.running = slices.DeleteFunc(e.running, drop)
-	e.waiting = slices.DeleteFunc(e.waiting, drop)
+	e.running = slices.DeleteFunc(e.running, remove)
+	e.waiting = slices.DeleteFunc(e.waiting, remove)
 	return found
 }
 
-// mountCache serves cache events, export, import and cancelling.
+// mountCache adds the routes for cache events, state export and import, and cancellation.
 func (e *Engine) mountCache(router chi.Router) {
 	router.Get("/v1/cache-events", func(writer http.ResponseWriter, request *http.Request) {
 		writeJSON(writer, e.CacheEvents(parseNumber(request.URL.Query().Get("since"))))
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -15,28 +15,27 @@
 	"pinevane.example/pinevane/internal/weights"
 )
 
-// EngineOptions is the timing and size model of the stand-in engine.
+// EngineOptions configures the timing and capacity of the emulated engine.
 type EngineOptions struct {
-	// FirstToken is the prefill time of a prompt that is not in the prefix cache.
+	// FirstToken is the prefill time of an uncached prompt.
 	FirstToken time.Duration
-	// BetweenTokens is the time of one decoding step with a single sequence.
+	// BetweenTokens is the duration of a decoding step with a single sequence.
 	BetweenTokens time.Duration
-	// BatchSlowdown lengthens a step by this share for each further sequence.
+	// BatchSlowdown is the fraction by which each further sequence lengthens a step.
 	BatchSlowdown float64
-	// MaximumBatch is how many sequences decode together; others wait.
+	// MaximumBatch is the number of sequences that decode together; others are queued.
 	MaximumBatch int
-	// LoadTime is the time to load one version.
+	// LoadTime is the time it takes to load a version.
 	LoadTime time.Duration
-	// CheckFences makes the engine refuse orders with a fence that is not higher
-	// than the last.
+	// CheckFences rejects orders whose fence is not higher than the last accepted one.
 	CheckFences bool
-	// ReportLag is how old the load figures of a status are.
+	// ReportLag is the maximum age of the load figures in a status.
 	ReportLag time.Duration
-	// PrefixCacheEntries is how many prompt prefixes the cache holds.
+	// PrefixCacheEntries is the capacity of the prefix cache.
 	PrefixCacheEntries int
 }
 
-// DefaultEngineOptions returns the model used by the demo.
+// DefaultEngineOptions returns the options used by the demo.
 func DefaultEngineOptions() EngineOptions {
 	return EngineOptions{
 		FirstToken:         40 * time.Millisecond,
@@ -55,18 +54,18 @@
 	identity weights.Digest
 }
 
-// sequence is one request in the engine.
+// sequence is a request queued or running in the engine.
 type sequence struct {
 	ctx        context.Context
 	generation external.Generation
 	weights    loadedWeights
 	next       int
-	// skipSteps is how many steps the prefill still takes.
+	// prefill is the remaining prefill time.
 	prefill time.Duration
 	events  chan external.GenerationEvent
 }
 
-// Engine is the stand-in of a model engine with continuous batching.
+// Engine emulates a model engine with continuous batching.
 type Engine struct {
 	options EngineOptions
 	store   *Store
@@ -86,27 +85,27 @@
 	orders      []OrderRecord
 }
 
-// GenerationRecord is the engine's own note of a request that it started.
+// GenerationRecord records a request that the engine started.
 type GenerationRecord struct {
 	ID      string `json:"id"`
 	Model   string `json:"model"`
 	Version string `json:"version"`
-	// ResumeFrom is the position the engine started at.
+	// ResumeFrom is the position of the first token that the engine generated.
 	ResumeFrom int       `json:"resume_from"`
 	Started    time.Time `json:"started"`
 }
 
-// OrderRecord is the engine's own note of an order.
+// OrderRecord records an order and whether the engine accepted it.
 type OrderRecord struct {
 	Order    external.Order `json:"order"`
 	Accepted bool           `json:"accepted"`
 	At       time.Time      `json:"at"`
 }
 
-// maxRecords bounds the records of a stand-in.
+// maxRecords limits the number of records an emulated component keeps.
 const maxRecords = 1 << 20
 
-// NewEngine returns an engine that loads weights from a store.
+// NewEngine returns an engine that loads weights from store.
 func NewEngine(options EngineOptions, store *Store) *Engine {
 	return &Engine{
 		options:     options,
@@ -116,7 +115,7 @@
 	}
 }
 
-// Restart drops what is loaded and every request, as a crash would.
+// Restart simulates a crash: loaded versions and all requests are dropped.
 func (e *Engine) Restart() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -129,7 +128,7 @@
 	e.running, e.waiting = nil, nil
 }
 
-// SetFaults sets the fault state.
+// SetFaults replaces the injected faults.
 func (e *Engine) SetFaults(faults Faults) { e.faults.set(faults) }
 
 // Handler serves the engine and its machine's store.
@@ -157,14 +156,15 @@
 	return router
 }
 
-// Records returns a copy of the engine's own records.
+// Records returns a copy of the generation records.
 func (e *Engine) Records() []GenerationRecord {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return slices.Clone(e.records)
 }
 
-// Status returns the loaded versions as they are and the load with its lag.
+// Status returns the loaded versions, which are current, and the load figures, which lag by up to
+// ReportLag.
 func (e *Engine) Status() external.EngineStatus {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -181,7 +181,7 @@
 	return status
 }
 
-// Execute carries out an order.
+// Execute applies an order and records the result.
 func (e *Engine) Execute(order external.Order) error {
 	err := e.apply(order)
 	e.mutex.Lock()
@@ -219,8 +219,8 @@
 	return ""
 }
 
-// load reads the chunks as the store holds them, without checking them: that
-// is the agent's duty, and a failure shows in the answers.
+// load reads the chunks from the store without verifying them. Verification is the agent's duty,
+// and a corrupt chunk shows in the answers.
 func (e *Engine) load(order external.Order) error {
 	if refused := e.faults.get().RefusedVersion; refused != "" && refused == order.Version {
 		return &fault.OrderRejected{Action: string(order.Action), Reason: "engine can't run version " + order.Version}
@@ -294,8 +294,8 @@
 	}
 }
 
-// Submit queues a request; the channel closes after the last event, or early
-// when the engine restarts. The bool is false when the version is not loaded.
+// Submit queues a request. The channel is closed after the last event, or early when the engine
+// restarts. Submit returns false when the version is not loaded.
 func (e *Engine) Submit(ctx context.Context, generation external.Generation) (<-chan external.GenerationEvent, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -327,7 +327,7 @@
 	return queued.events, true
 }
 
-// enqueue keeps the queue in order of priority, first come first within one.
+// enqueue keeps the queue sorted by priority, and first in, first out within a priority.
 func (e *Engine) enqueue(queued *sequence) {
 	position := len(e.waiting)
 	for position > 0 && e.waiting[position-1].generation.Priority < queued.generation.Priority {
@@ -336,7 +336,7 @@
 	e.waiting = slices.Insert(e.waiting, position, queued)
 }
 
-// decode runs steps until nothing is left to do.
+// decode runs decoding steps until no sequence is left.
 func (e *Engine) decode() {
 	for {
 		pause, busy := e.beginStep()
@@ -382,7 +382,7 @@
 	e.running = kept
 }
 
-// advance gives a sequence its next token and reports whether it goes on.
+// advance generates the next token of a sequence and reports whether the sequence continues.
 func (e *Engine) advance(active *sequence, elapsed time.Duration) bool {
 	if active.ctx.Err() != nil {
 		return false
--- a/internal/emulator/engine_test.go
+++ b/internal/emulator/engine_test.go
@@ -16,7 +16,7 @@
 	"pinevane.example/pinevane/internal/weights"
 )
 
-// loadedEngine returns an engine that serves version 1, and its weights' identity.
+// loadedEngine returns an engine that serves version 1 and the identity of its weights.
 func loadedEngine(t *testing.T) (*Engine, weights.Digest) {
 	t.Helper()
 	synthetic := weights.Synthetic{Model: "m", Version: "1", Bytes: 8192, ChunkBytes: 4096}
@@ -45,7 +45,7 @@
 	return all.String(), finished
 }
 
-func TestAnswersAreAFunctionOfRequestAndVersion(t *testing.T) {
+func TestAnswersDependOnRequestAndVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engine, identity := loadedEngine(t)
 		first, ok := engine.Submit(context.Background(), generation("a", "one", 10))
@@ -59,7 +59,7 @@
 	})
 }
 
-func TestALowerFenceIsRefused(t *testing.T) {
+func TestLowerFenceIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engine, _ := loadedEngine(t)
 		assert.Error(t, engine.Execute(external.Order{Action: external.ActionUnload, Model: "m", Version: "1", Fence: external.Fence{Sequence: 1}}))
@@ -69,24 +69,24 @@
 	})
 }
 
-// acceptsStaleOrder gives an engine orders and reports whether one that it took was for an older revision
-// than one before.
+// acceptsStaleOrder executes orders on an engine and reports whether it accepted one with an older
+// revision than an earlier one.
 func acceptsStaleOrder(engine *Engine, fences []external.Fence) bool {
 	var newest monotonic.Version
-	back := false
+	stale := false
 	for _, fence := range fences {
 		if engine.Execute(external.Order{Action: external.ActionUnload, Model: "m", Fence: fence}) != nil {
 			continue
 		}
-		back = back || fence.Revision.Compare(newest) < 0
+		stale = stale || fence.Revision.Compare(newest) < 0
 		newest = fence.Revision
 	}
-	return back
+	return stale
 }
 
-// Orders of several lives of an agent may come late, twice and in any order, and those that are
-// taken never take the engine back to an older revision.
-func TestLateOrdersNeverTakeAnEngineBack(t *testing.T) {
+// Orders from several incarnations of an agent may arrive late, duplicated and reordered. Fences
+// must keep the accepted ones from reverting the engine to an older revision.
+func TestLateOrdersNeverRevertEngine(t *testing.T) {
 	fence := rapid.Custom(func(t *rapid.T) external.Fence {
 		return external.Fence{
 			Revision:    monotonic.Version{Epoch: rapid.Uint64Range(1, 2).Draw(t, "epoch"), Revision: rapid.Uint64Range(1, 4).Draw(t, "revision")},
@@ -96,48 +96,48 @@
 	rapid.Check(t, func(t *rapid.T) {
 		engine := NewEngine(DefaultEngineOptions(), NewStore(0))
 		if acceptsStaleOrder(engine, rapid.SliceOf(fence).Draw(t, "orders")) {
-			t.Fatal("an older order was taken")
+			t.Fatal("an order with an older revision was accepted")
 		}
 	})
 }
 
-// An engine that does not check fences is taken back by a late order, which the check above
-// notices.
-func TestWithoutFencesALateOrderTakesAnEngineBack(t *testing.T) {
+// Without fence checks a late order reverts the engine, which shows that acceptsStaleOrder detects
+// it.
+func TestLateOrderRevertsEngineWithoutFences(t *testing.T) {
 	newer, late := monotonic.Version{Epoch: 1, Revision: 2}, monotonic.Version{Epoch: 1, Revision: 1}
-	for checked, back := range map[bool]bool{true: false, false: true} {
+	for checked, reverted := range map[bool]bool{true: false, false: true} {
 		options := DefaultEngineOptions()
 		options.CheckFences = checked
 		engine := NewEngine(options, NewStore(0))
-		assert.Equal(t, back, acceptsStaleOrder(engine, []external.Fence{{Revision: newer, Sequence: 1}, {Revision: late, Sequence: 2}}))
+		assert.Equal(t, reverted, acceptsStaleOrder(engine, []external.Fence{{Revision: newer, Sequence: 1}, {Revision: late, Sequence: 2}}))
 	}
 }
 
-func TestAnExportedSequenceGoesOnElsewhere(t *testing.T) {
+func TestExportedSequenceContinuesOnAnotherEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source, identity := loadedEngine(t)
 		target, _ := loadedEngine(t)
 		events, _ := source.Submit(context.Background(), generation("a", "moved", 40))
-		// A moment at which no step ends: a token that is written between the export and the
-		// cancelling would be written again elsewhere.
+		// No step ends at this time: a token generated between the export and the cancellation
+		// would be generated again on the target.
 		const betweenSteps = 203 * time.Millisecond
 		time.Sleep(betweenSteps)
 		state, running := source.Export("a")
 		require.True(t, running)
 		assert.True(t, source.Cancel("a"))
-		begun, finished := collect(events)
+		before, finished := collect(events)
 		assert.False(t, finished)
 		target.Import(state)
 		resumed := state.Generation
 		resumed.ResumeFrom = state.Next
-		rest, _ := target.Submit(context.Background(), resumed)
-		ended, finished := collect(rest)
+		resumedEvents, _ := target.Submit(context.Background(), resumed)
+		after, finished := collect(resumedEvents)
 		assert.True(t, finished)
-		assert.Equal(t, Answer(identity, "", "moved", 40), begun+ended)
+		assert.Equal(t, Answer(identity, "", "moved", 40), before+after)
 	})
 }
 
-func TestCacheEventsComeLateAndWithGaps(t *testing.T) {
+func TestCacheEventsAreDelayedAndHaveGaps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engine, _ := loadedEngine(t)
 		for i := range droppedEventInterval + 3 {
@@ -149,11 +149,11 @@
 		assert.Len(t, published, droppedEventInterval+2)
 		events, _ := engine.Submit(context.Background(), generation("b", "fresh", 1))
 		collect(events)
-		assert.Len(t, engine.CacheEvents(0), droppedEventInterval+2, "the newest event is not out yet")
+		assert.Len(t, engine.CacheEvents(0), droppedEventInterval+2, "the newest event is not published yet")
 	})
 }
 
-func TestPriorityGoesFirst(t *testing.T) {
+func TestHigherPriorityRunsFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engine, _ := loadedEngine(t)
 		engine.options.MaximumBatch = 1
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -1,8 +1,7 @@
-// Package emulator provides stand-ins for the platform: the configuration and
-// membership services, the weight origin, a machine's weight store and engine,
-// and plain services. They serve the platform's protocols over HTTP, accept
-// injected faults, and keep their own records, from which experiments check
-// what pinevane promised.
+// Package emulator emulates the platform: the configuration and membership services, the weight
+// origin, a machine's weight store and engine, and plain services. The emulated components serve
+// the platform's protocols over HTTP, accept injected faults, and keep records from which
+// experiments verify pinevane's guarantees.
 package emulator
 
 import (
@@ -14,18 +13,18 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// Faults is the fault state of a stand-in; fields that do not concern a kind
-// of stand-in are ignored by it.
+// Faults are the injected faults of an emulated component. A component ignores the fields that
+// don't apply to it.
 type Faults struct {
-	// Down makes every call fail.
+	// Down fails every call.
 	Down bool `json:"down,omitempty"`
-	// Frozen makes a publication keep answering with its state of that moment.
+	// Frozen stops a publication from showing new changes.
 	Frozen bool `json:"frozen,omitempty"`
-	// Stalled makes transfers stop in the middle and answers hang.
+	// Stalled stops transfers halfway and leaves requests unanswered.
 	Stalled bool `json:"stalled,omitempty"`
-	// CorruptShare is the share of chunks, 0 to 1, served with a wrong byte.
+	// CorruptShare is the fraction of chunks, 0 to 1, that are served corrupt.
 	CorruptShare float64 `json:"corrupt_share,omitempty"`
-	// RefusedVersion is a model version that an engine will not load.
+	// RefusedVersion is a model version that the engine refuses to load.
 	RefusedVersion string `json:"refused_version,omitempty"`
 }
 
@@ -46,7 +45,7 @@
 	f.current = faults
 }
 
-// FaultPath is where experiments read and set the fault state.
+// FaultPath is the path at which experiments read and set the faults.
 const FaultPath = "/faults"
 
 func (f *faultState) mount(router chi.Router) {
@@ -63,7 +62,7 @@
 	})
 }
 
-// rejectWhenDown fails a call while the stand-in is down.
+// rejectWhenDown answers 503 while the component is down.
 func (f *faultState) rejectWhenDown(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if request.URL.Path != FaultPath && f.get().Down {
@@ -78,7 +77,7 @@
 
 func writeJSON(writer http.ResponseWriter, value any) {
 	writer.Header().Set("Content-Type", "application/json")
-	// A failed write means that the client has gone.
+	// A write error means that the client has disconnected.
 	_ = json.NewEncoder(writer).Encode(value)
 }
 
@@ -91,7 +90,7 @@
 	return true
 }
 
-// sleep waits unless the request ends first, and reports whether it waited.
+// sleep waits for a duration and returns false if the request ends first.
 func sleep(request *http.Request, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/emulator/origin.go
+++ b/internal/emulator/origin.go
@@ -14,13 +14,13 @@
 	"pinevane.example/pinevane/internal/weights"
 )
 
-// writeBlockBytes is how many bytes a shaped transfer writes at a time.
+// writeBlockBytes is the block size of a rate-limited transfer.
 const writeBlockBytes = 16 << 10
 
-// Shaper limits the bytes a second of one link; a zero rate means no limit.
+// Shaper limits the throughput of a link; a rate of zero means no limit.
 type Shaper struct{ limiter *rate.Limiter }
 
-// NewShaper returns a shaper of bytes a second.
+// NewShaper returns a shaper with a limit in bytes per second.
 func NewShaper(bytesPerSecond int64) *Shaper {
 	if bytesPerSecond <= 0 {
 		return &Shaper{limiter: rate.NewLimiter(rate.Inf, 0)}
@@ -28,8 +28,8 @@
 	return &Shaper{limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), 4*writeBlockBytes)}
 }
 
-// write sends content at the shaped rate; stallAt is the byte at which the
-// transfer hangs until the caller leaves, or a negative number.
+// write sends content at the limited rate. At offset stallAt, unless negative, the transfer hangs
+// until the client disconnects.
 func (s *Shaper) write(writer http.ResponseWriter, request *http.Request, content []byte, stallAt int) {
 	for offset := 0; offset < len(content); offset += writeBlockBytes {
 		if stallAt >= 0 && offset >= stallAt {
@@ -46,12 +46,11 @@
 	}
 }
 
-// Origin is the stand-in of the weight origin. It makes up the weights it is
-// told of and counts the bytes drawn from it.
+// Origin emulates the weight origin. It serves synthetic weights and counts the bytes it sends.
 type Origin struct {
-	faults faultState
-	shaper *Shaper
-	sentBytes  atomic.Int64
+	faults    faultState
+	shaper    *Shaper
+	sentBytes atomic.Int64
 
 	mutex     sync.RWMutex
 	manifests map[weights.Digest][]byte
@@ -63,7 +62,7 @@
 	index     int
 }
 
-// NewOrigin returns an origin with a link of bytes a second.
+// NewOrigin returns an origin whose link has the given rate.
 func NewOrigin(bytesPerSecond int64) *Origin {
 	return &Origin{
 		shaper:    NewShaper(bytesPerSecond),
@@ -72,7 +71,7 @@
 	}
 }
 
-// Add publishes made-up weights and returns their manifest and its digest.
+// Add publishes synthetic weights and returns their manifest and its digest.
 func (o *Origin) Add(synthetic weights.Synthetic) (*weights.Manifest, weights.Digest, error) {
 	manifest := synthetic.Manifest()
 	data, digest, err := manifest.Encode()
@@ -88,15 +87,15 @@
 	return manifest, digest, nil
 }
 
-// SetFaults sets the fault state.
+// SetFaults replaces the injected faults.
 func (o *Origin) SetFaults(faults Faults) { o.faults.set(faults) }
 
-// SentBytes returns how many chunk bytes were drawn from the origin.
+// SentBytes returns the number of chunk bytes sent.
 func (o *Origin) SentBytes() int64 { return o.sentBytes.Load() }
 
-// OriginRecord is the origin's own count.
+// OriginRecord is the origin's record of what it sent.
 type OriginRecord struct {
-	// SentBytes counts chunk bytes that left the origin, cut transfers included.
+	// SentBytes counts the chunk bytes sent, including those of interrupted transfers.
 	SentBytes int64 `json:"drawn_bytes"`
 }
 
@@ -160,7 +159,7 @@
 	return written, err
 }
 
-// Store is the stand-in of a machine's weight store, held in memory.
+// Store emulates a machine's weight store in memory.
 type Store struct {
 	shaper *Shaper
 
@@ -168,12 +167,12 @@
 	chunks map[weights.Digest][]byte
 }
 
-// NewStore returns a store that takes bytes a second in writes.
+// NewStore returns a store with a limited write rate in bytes per second.
 func NewStore(bytesPerSecond int64) *Store {
 	return &Store{shaper: NewShaper(bytesPerSecond), chunks: map[weights.Digest][]byte{}}
 }
 
-// Content returns a held chunk.
+// Content returns a stored chunk.
 func (s *Store) Content(digest weights.Digest) ([]byte, bool) {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
@@ -181,7 +180,7 @@
 	return content, held
 }
 
-// Wipe drops every chunk, as when the machine is replaced.
+// Wipe deletes every chunk, as happens when a machine is replaced.
 func (s *Store) Wipe() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -210,7 +209,7 @@
 	})
 }
 
-// put stores a body that ended properly; a cut body is discarded.
+// put stores a complete body; a truncated one is discarded.
 func (s *Store) put(writer http.ResponseWriter, request *http.Request) {
 	content, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, weights.MaximumChunkBytes))
 	if err != nil {
--- a/internal/emulator/publication.go
+++ b/internal/emulator/publication.go
@@ -13,12 +13,12 @@
 	"pinevane.example/pinevane/coordination/monotonic"
 )
 
-// PublicationLimit is how many calls a second the configuration service takes,
-// a waiting watch counting as one.
+// PublicationLimit is the rate limit of the configuration service in calls per second; a watch
+// counts as one call.
 const PublicationLimit = 2000
 
-// Publication is the stand-in of a published set of documents: the
-// configuration service, or the membership list with a lag.
+// Publication emulates a service that publishes documents: the configuration service, or the
+// membership service with its lag.
 type Publication struct {
 	faults  faultState
 	lag     time.Duration
@@ -30,8 +30,8 @@
 	changed chan struct{}
 }
 
-// NewPublication returns an empty publication of an epoch. Changes become
-// visible to readers after the lag.
+// NewPublication returns an empty publication with an epoch. Changes become visible to readers
+// after lag.
 func NewPublication(epoch uint64, lag time.Duration) *Publication {
 	publication := &Publication{
 		lag:     lag,
@@ -70,7 +70,7 @@
 	return next
 }
 
-// publish shows the newest state to readers, unless the publication is frozen.
+// publish makes the latest state visible to readers, unless the publication is frozen.
 func (p *Publication) publish() {
 	if p.faults.get().Frozen {
 		return
@@ -84,8 +84,8 @@
 	p.changed = make(chan struct{})
 }
 
-// Reset starts the publication over with an epoch and one revision of documents,
-// as a restarted service would.
+// Reset replaces the publication with a new epoch that has one revision, as after a restart of the
+// service.
 func (p *Publication) Reset(epoch uint64, documents map[string][]byte) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -98,10 +98,10 @@
 	p.publish()
 }
 
-// SetFaults sets the fault state.
+// SetFaults replaces the injected faults.
 func (p *Publication) SetFaults(faults Faults) { p.faults.set(faults) }
 
-// Handler serves the publication at a path, with the stand-in's own controls.
+// Handler serves the publication at path, together with the routes that control the emulation.
 func (p *Publication) Handler(path string) http.Handler {
 	router := chi.NewRouter()
 	p.Mount(router, path)
@@ -170,7 +170,7 @@
 	}
 }
 
-// publishPending catches up with changes made while the publication was frozen.
+// publishPending publishes changes that were made while the publication was frozen.
 func (p *Publication) publishPending() {
 	if p.lag == 0 {
 		p.publish()
--- a/internal/emulator/service.go
+++ b/internal/emulator/service.go
@@ -12,8 +12,7 @@
 	"pinevane.example/pinevane/internal/external"
 )
 
-// Service is the stand-in of a plain service. It counts how often each request
-// identifier ran.
+// Service emulates a plain service. It counts how often each request ID was executed.
 type Service struct {
 	name   string
 	delay  time.Duration
@@ -23,15 +22,15 @@
 	runs  map[string]int
 }
 
-// NewService returns a service whose calls take a delay.
+// NewService returns a service whose calls take delay.
 func NewService(name string, delay time.Duration) *Service {
 	return &Service{name: name, delay: delay, runs: map[string]int{}}
 }
 
-// SetFaults sets the fault state.
+// SetFaults replaces the injected faults.
 func (s *Service) SetFaults(faults Faults) { s.faults.set(faults) }
 
-// Runs returns how often each request identifier ran.
+// Runs returns the number of executions of each request ID.
 func (s *Service) Runs() map[string]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -48,7 +47,7 @@
 	return router
 }
 
-// ServiceEcho is the answer of the stand-in service: a function of the request.
+// ServiceEcho is the response of the emulated service; it echoes the request.
 type ServiceEcho struct {
 	Service string `json:"service"`
 	ID      string `json:"id"`
--- a/internal/emulator/site/answers.go
+++ b/internal/emulator/site/answers.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// admit waits for a place; it answers itself when there is none.
+// admit waits until the request may run. If it is rejected, admit writes the response and returns
+// false.
 func (s *Server) admit(writer http.ResponseWriter, request *http.Request) bool {
 	id := request.Header.Get("Request-Id")
 	refuse := func(status int) bool {
@@ -55,40 +56,41 @@
 	return true
 }
 
-// What a server that names a limit bears in LimitSpan: LimitOvershoot times what the limit allows, and LimitSlack
-// requests.
+// A server that announces a rate limit tolerates LimitOvershoot times the limit plus LimitSlack
+// requests within LimitWindow.
 const (
 	LimitWindow    = 4 * time.Second
 	LimitOvershoot = 1.5
 	LimitSlack     = 5
 )
 
-// MaxUnderLimit is the most that a server which names a rate bears in LimitSpan.
+// MaxUnderLimit returns the number of requests that a server with a rate limit tolerates within
+// LimitWindow.
 func MaxUnderLimit(perSecond float64) float64 {
 	return LimitOvershoot*perSecond*LimitWindow.Seconds() + LimitSlack
 }
 
-// writeNotice writes into the head of an answer what the server asks for now, and records it; the mutex is held. Reports
-// have no request.
-func (s *Server) writeNotice(header http.Header, request string, rest time.Duration) {
-	asked := ServerNotice{RequestID: request, Server: s.options.ID, At: time.Now(), Leaving: s.leaving, Backoff: rest}
+// writeNotice sets the server notice in response headers and records it; the mutex is held. Status
+// reports pass an empty request ID and are not recorded.
+func (s *Server) writeNotice(header http.Header, requestID string, backoff time.Duration) {
+	notice := ServerNotice{RequestID: requestID, Server: s.options.ID, At: time.Now(), Leaving: s.leaving, Backoff: backoff}
 	if s.leaving {
 		header.Set("Server-Leaving", "1")
 	}
 	if s.limit != "" {
 		header.Set("Server-Limit", s.limit)
 		rate, err := strconv.ParseFloat(s.limit, 64)
-		asked.Limited, asked.PerSecond = err == nil, rate
+		notice.Limited, notice.PerSecond = err == nil, rate
 	}
-	if rest > 0 {
-		header.Set("Retry-After", strconv.FormatFloat(rest.Seconds(), 'f', -1, 64))
+	if backoff > 0 {
+		header.Set("Retry-After", strconv.FormatFloat(backoff.Seconds(), 'f', -1, 64))
 	}
-	if request != "" && (asked.Leaving || asked.Limited || rest > 0) {
-		s.options.Requests.notices.add(asked)
+	if requestID != "" && (notice.Leaving || notice.Limited || backoff > 0) {
+		s.options.Requests.notices.add(notice)
 	}
 }
 
-// readBody reads a request's body and records where it came.
+// readBody reads a request's body and records its arrival.
 func (s *Server) readBody(request *http.Request) ([]byte, error) {
 	body, err := io.ReadAll(request.Body)
 	s.options.Requests.arrivals.add(Arrival{
@@ -157,7 +159,7 @@
 	s.answerStream(writer, request, run, cutAfter)
 }
 
-// simulatePrefill takes as long as the server needs to read the request's prompt, after those before it.
+// simulatePrefill waits as long as the server needs to process the prompt, one prompt at a time.
 func (s *Server) simulatePrefill(request *http.Request) {
 	if s.options.ReadPerSecond <= 0 {
 		return
@@ -168,7 +170,7 @@
 	time.Sleep(time.Duration(float64(prompt) / s.options.ReadPerSecond * float64(time.Second)))
 }
 
-// tokenUsage is the size of a request's prompt and the most tokens of its answer; 0 where they can't be read.
+// tokenUsage returns the prompt size and the maximum answer size in tokens; 0 if unreadable.
 func tokenUsage(request *http.Request) (prompt, answer int) {
 	first, second, _ := strings.Cut(request.Header.Get("Token-Usage"), ",")
 	prompt, _ = strconv.Atoi(first)
@@ -181,8 +183,8 @@
 	_, _ = fmt.Fprintf(writer, "%s %s %s", request.Method, request.RequestURI, body)
 }
 
-// answerStream writes as many events as the request may have tokens, after the
-// last that the caller has.
+// answerStream writes up to the requested number of events, starting after the caller's
+// Last-Event-Id.
 func (s *Server) answerStream(writer http.ResponseWriter, request *http.Request, run Run, cutAfter int) {
 	writer.Header().Set("Content-Type", "text/event-stream")
 	writer.Header().Set("Weight-Versions", strconv.FormatUint(run.Version, 10))
--- a/internal/emulator/site/caller.go
+++ b/internal/emulator/site/caller.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// callerDeadline is how long the callers of demos and soaks wait, in milliseconds.
+// callerDeadline is the deadline of requests in demos and soak tests, in milliseconds.
 const callerDeadline = "6000"
 
-// NewRequest is a request as a caller of the platform sends it to an entry. More than no
-// events ask for a stream of so many.
+// NewRequest returns a request as a caller sends it to an entry. It asks for a stream when events
+// is positive.
 func (s *Site) NewRequest(zone, entry int, method, path, id, body string, events int) (*http.Request, error) {
 	request, err := http.NewRequest(method, s.EntryURL(zone, entry)+path, strings.NewReader(body))
 	if err != nil {
--- a/internal/emulator/site/crashing.go
+++ b/internal/emulator/site/crashing.go
@@ -6,86 +6,84 @@
 	"time"
 )
 
-// CrashTrigger describes content that ends each server which begins to run it.
+// CrashTrigger describes requests that crash every server which begins to execute them.
 type CrashTrigger struct {
-	// BodyPrefix is what the bodies of the requests that do so begin with.
+	// BodyPrefix matches the bodies of the requests.
 	BodyPrefix string
-	// After is how long such a request runs until its server ends, Away how long the server is away; 0
-	// leaves it to others to start it again.
+	// After is the time from the begin of the request to the crash, RestartDelay the time until
+	// the server restarts; with 0 it is not restarted.
 	After        time.Duration
 	RestartDelay time.Duration
-	// SameID has the server start again under its ID.
+	// SameID restarts the server under its old ID.
 	SameID bool
 }
 
-// ServerCrash is one server that a request has ended.
+// ServerCrash records a crash of a server and the request that caused it.
 type ServerCrash struct {
-	Server string
-	// RequestID is that of the request.
+	Server    string
 	RequestID string
 	At        time.Time
 }
 
-// listedAfterCrash is how long the list goes on naming a server that has ended without a word: three
-// heartbeats.
+// listedAfterCrash is how long a crashed server stays listed: three heartbeats.
 const listedAfterCrash = 1200 * time.Millisecond
 
-// crashTracker ends servers and starts new ones in their place.
+// crashTracker crashes servers and restarts them.
 type crashTracker struct {
-	mutex    sync.Mutex
-	trigger CrashTrigger
-	crashes     []ServerCrash
-	crashed    map[*Server]bool
-	restarted   []*Server
-	closed   bool
+	mutex     sync.Mutex
+	trigger   CrashTrigger
+	crashes   []ServerCrash
+	crashed   map[*Server]bool
+	restarted []*Server
+	closed    bool
 }
 
-// CrashOn makes every server end that runs a request of a kind, from now on.
-func (s *Site) CrashOn(crashing CrashTrigger) {
+// CrashOn sets the requests that crash servers from now on.
+func (s *Site) CrashOn(trigger CrashTrigger) {
 	s.tracker.mutex.Lock()
 	defer s.tracker.mutex.Unlock()
-	s.tracker.trigger = crashing
+	s.tracker.trigger = trigger
 }
 
-// Crashes returns the servers that requests have ended, in order of time.
+// Crashes returns the crashes caused by requests, in order of time.
 func (s *Site) Crashes() []ServerCrash {
 	s.tracker.mutex.Lock()
 	defer s.tracker.mutex.Unlock()
 	return append([]ServerCrash(nil), s.tracker.crashes...)
 }
 
-// crashesOn reports whether a request ends the server that has begun to run it, and sees to that.
+// crashesOn reports whether a request crashes the server that executes it, and schedules the
+// crash.
 func (s *Site) crashesOn(server *Server, id string, body []byte) bool {
 	s.tracker.mutex.Lock()
 	defer s.tracker.mutex.Unlock()
-	crashing := s.tracker.trigger
-	if crashing.BodyPrefix == "" || !strings.HasPrefix(string(body), crashing.BodyPrefix) {
+	trigger := s.tracker.trigger
+	if trigger.BodyPrefix == "" || !strings.HasPrefix(string(body), trigger.BodyPrefix) {
 		return false
 	}
 	if !s.tracker.crashed[server] && !s.tracker.closed {
 		s.tracker.crashed[server] = true
-		time.AfterFunc(crashing.After, func() { s.crash(server, id, crashing) })
+		time.AfterFunc(trigger.After, func() { s.crash(server, id, trigger) })
 	}
 	return true
 }
 
-func (s *Site) crash(server *Server, request string, crashing CrashTrigger) {
+func (s *Site) crash(server *Server, request string, trigger CrashTrigger) {
 	staged := server.Crash()
 	s.tracker.mutex.Lock()
 	s.tracker.crashes = append(s.tracker.crashes, ServerCrash{Server: server.options.ID, RequestID: request, At: time.Now()})
 	s.tracker.mutex.Unlock()
 	id := server.options.ID
-	if !crashing.SameID {
+	if !trigger.SameID {
 		time.AfterFunc(listedAfterCrash, func() { s.Store.Delete("servers/" + id) })
 		id += "+"
 	}
-	if crashing.RestartDelay > 0 {
-		time.AfterFunc(crashing.RestartDelay, func() { s.restart(server, id, staged) })
+	if trigger.RestartDelay > 0 {
+		time.AfterFunc(trigger.RestartDelay, func() { s.restart(server, id, staged) })
 	}
 }
 
-// restart starts a server at the place of one that has ended, with what was staged there and nothing in
-// service.
+// restart starts a replacement of a crashed server, with its staged pieces and no version loaded.
 func (s *Site) restart(old *Server, id string, staged map[int][]byte) {
 	s.tracker.mutex.Lock()
 	defer s.tracker.mutex.Unlock()
@@ -97,13 +95,13 @@
 	fresh := NewServer(options)
 	fresh.Restage(staged)
 	if err := fresh.Start(); err != nil {
-		// The address is taken, because a test has started another server there.
+		// The address is in use because the test started another server there.
 		return
 	}
 	s.tracker.restarted = append(s.tracker.restarted, fresh)
 }
 
-// close ends the servers that were started anew.
+// close stops the restarted servers.
 func (c *crashTracker) close() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/emulator/site/ledger.go
+++ b/internal/emulator/site/ledger.go
@@ -6,51 +6,50 @@
 	"time"
 )
 
-// Run is one request that a server has begun.
+// Run is a request that a server began to execute.
 type Run struct {
 	RequestID string
 	Server    string
 	Service   string
-	// Version is that of the weights, 0 at a plain service.
+	// Version is the version of the weights, 0 for a plain service.
 	Version uint64
-	// Corrupt is set when a piece of the layers taken was missing or wrong.
+	// Corrupt is set when a piece of the loaded layers was missing or corrupt.
 	Corrupt bool
 	Tenant  string
-	// KeyReceived is set when the caller's key reached the server.
+	// KeyReceived is set when the caller's key was forwarded to the server.
 	KeyReceived bool
 	At          time.Time
 }
 
-// Delivery is one request that has reached a server and was meant for it: answers that it is
-// not, 421, are left out.
+// Delivery is a request that reached the server it was meant for. Requests answered 421 for
+// another instance are excluded.
 type Delivery struct {
 	RequestID string
 	Server    string
 	Zone      string
-	// Cold is set when the server was cold.
+	// Cold is set when the server was in its cold start.
 	Cold bool
 	At   time.Time
 }
 
-// RequestLog records what came to servers, what was delivered to the one that it was meant for,
-// and what ran, over all of them.
+// RequestLog records arrivals, deliveries, executions and notices of all servers.
 type RequestLog struct {
 	runs       list[Run]
 	deliveries list[Delivery]
 	arrivals   list[Arrival]
-	notices       list[ServerNotice]
+	notices    list[ServerNotice]
 }
 
-// list are one kind of the ledger's, in order of time.
+// list is a concurrent list of records in order of time.
 type list[T any] struct {
 	mutex sync.Mutex
-	items  []T
+	items []T
 }
 
-func (e *list[T]) add(one T) {
+func (e *list[T]) add(record T) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.items = append(e.items, one)
+	e.items = append(e.items, record)
 }
 
 func (e *list[T]) all() []T {
@@ -65,46 +64,47 @@
 	return slices.ContainsFunc(e.items, match)
 }
 
-// ServerNotice is what a server has asked of the one that sent a request, in its answer to that.
+// ServerNotice is a notice that a server sent in its response headers.
 type ServerNotice struct {
 	RequestID string
 	Server    string
 	At        time.Time
-	// Leaving is set when the server said that it leaves, Limited when it named a rate, PerSecond.
+	// Leaving is set when the server announced that it leaves, Limited when it announced the rate
+	// limit PerSecond.
 	Leaving   bool
 	Limited   bool
 	PerSecond float64
-	// Backoff is for how long it wanted nothing more.
+	// Backoff is the announced Retry-After, 0 for none.
 	Backoff time.Duration
 }
 
-// Notices returns everything that servers have asked for, in order of time.
+// Notices returns all server notices, in order of time.
 func (l *RequestLog) Notices() []ServerNotice { return l.notices.all() }
 
-// Deliveries returns everything that has reached a server, in order of time.
+// Deliveries returns all deliveries, in order of time.
 func (l *RequestLog) Deliveries() []Delivery { return l.deliveries.all() }
 
-// Arrivals returns everything that has come to a server.
+// Arrivals returns all arrivals, in order of time.
 func (l *RequestLog) Arrivals() []Arrival { return l.arrivals.all() }
 
-// MaxWhileCold is the most requests that any one server has received in a second in which
-// it was cold.
+// MaxWhileCold returns the highest number of requests that any server received within a second of
+// its cold start.
 func (l *RequestLog) MaxWhileCold() int {
-	most := 0
+	peakRequests := 0
 	for _, peak := range ColdPeaks(l.Deliveries()) {
-		most = max(most, peak.Requests)
+		peakRequests = max(peakRequests, peak.Requests)
 	}
-	return most
+	return peakRequests
 }
 
-// ColdPeak is the most requests that a server has received in a second in which it was cold,
-// and the last of them.
+// ColdPeak is the highest number of requests that a server received within a second of its cold
+// start, and the last of them.
 type ColdPeak struct {
 	Requests int
 	Last     Delivery
 }
 
-// ColdPeaks finds each server's peak in deliveries that are in order of time.
+// ColdPeaks returns each server's peak; deliveries must be in order of time.
 func ColdPeaks(deliveries []Delivery) map[string]ColdPeak {
 	recent, peaks := map[string][]time.Time{}, map[string]ColdPeak{}
 	for _, delivery := range deliveries {
@@ -123,10 +123,10 @@
 	return peaks
 }
 
-// Runs returns everything that ran.
+// Runs returns all executions, in order of time.
 func (l *RequestLog) Runs() []Run { return l.runs.all() }
 
-// RanAt reports whether a server has begun a request.
+// RanAt reports whether a server began to execute a request.
 func (l *RequestLog) RanAt(server, requestID string) bool {
-	return l.runs.contain(func(one Run) bool { return one.Server == server && one.RequestID == requestID })
+	return l.runs.contain(func(run Run) bool { return run.Server == server && run.RequestID == requestID })
 }
--- a/internal/emulator/site/orders.go
+++ b/internal/emulator/site/orders.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// layerRange is a range of a model's layers, to exclusive.
+// layerRange is a range of a model's layers; to is exclusive.
 type layerRange struct {
 	from, to int
 }
 
 func (r layerRange) within(other layerRange) bool { return r.from >= other.from && r.to <= other.to }
 
-// allLayers is the range of all layers of the server's model.
+// allLayers returns the range of all layers of the server's model.
 func (s *Server) allLayers() layerRange {
 	if s.options.Weights == nil {
 		return layerRange{}
@@ -24,10 +24,10 @@
 	return layerRange{to: s.options.Weights.Layers}
 }
 
-// completelyLoaded reports whether every layer of a version is in service; the mutex is held.
+// completelyLoaded reports whether every layer of the version is loaded; the mutex is held.
 func (s *Server) completelyLoaded() bool { return s.version != 0 && s.loadedLayers == s.allLayers() }
 
-// layers are told beside the models; none while the server takes an order.
+// layers returns the loaded layer range for status reports, or nil while an order is executed.
 func (s *Server) layers() map[string]any {
 	if s.options.Weights == nil || s.version == 0 || s.loading {
 		return nil
@@ -35,8 +35,7 @@
 	return map[string]any{"from": s.loadedLayers.from, "targetVersion": s.loadedLayers.to, "version": s.version}
 }
 
-// startOrder is an order to take layers of a staged version into service; without a range,
-// all of them.
+// startOrder is an order to load layers of a staged version; without a range, all of them.
 type startOrder struct {
 	Op       string `json:"op"`
 	Version  uint64 `json:"version"`
@@ -45,20 +44,19 @@
 	Expected *int   `json:"expectedRevision"`
 }
 
-// layers is the range that the order asks for, of a number in all; false when there is no such
-// range.
+// layers returns the requested range, and false if it is empty or not within all.
 func (o startOrder) layers(all layerRange) (layerRange, bool) {
-	asked := all
+	requested := all
 	if o.From != nil {
-		asked.from = *o.From
+		requested.from = *o.From
 	}
 	if o.To != nil {
-		asked.to = *o.To
+		requested.to = *o.To
 	}
-	return asked, asked.within(all) && asked.from < asked.to
+	return requested, requested.within(all) && requested.from < requested.to
 }
 
-// serveOrder takes an order from the own machine.
+// serveOrder accepts an order from the agent on the same machine.
 func (s *Server) serveOrder(writer http.ResponseWriter, request *http.Request) {
 	var order startOrder
 	if json.NewDecoder(request.Body).Decode(&order) != nil || order.Op != "start" {
@@ -67,26 +65,26 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	asked, exists := order.layers(s.allLayers())
-	more := s.version == order.Version
+	requested, exists := order.layers(s.allLayers())
+	sameVersion := s.version == order.Version
 	switch {
 	case !exists:
 		writer.WriteHeader(http.StatusBadRequest)
 	case s.loading || (order.Expected != nil && *order.Expected != s.sequence):
 		writer.WriteHeader(http.StatusConflict)
-	case more && asked.within(s.loadedLayers):
+	case sameVersion && requested.within(s.loadedLayers):
 		writer.WriteHeader(http.StatusOK)
 	default:
 		s.sequence++
 		s.loading = true
-		spoilt := s.stagedCorrupt(order.Version, asked) || (more && s.corrupt)
-		go s.load(order.Version, asked, spoilt)
+		corrupt := s.stagedCorrupt(order.Version, requested) || (sameVersion && s.corrupt)
+		go s.load(order.Version, requested, corrupt)
 		writer.WriteHeader(http.StatusAccepted)
 	}
 }
 
-// stagedCorrupt reports whether what lies here is not what layers of a version consist of; the
-// mutex is held. A piece that two layers share belongs to both.
+// stagedCorrupt reports whether a staged piece of the layers is missing or corrupt; the mutex is
+// held. A piece that two layers share belongs to both.
 func (s *Server) stagedCorrupt(version uint64, layers layerRange) bool {
 	weights := s.options.Weights
 	first := layers.from * weights.Pieces / weights.Layers
@@ -99,8 +97,8 @@
 	return false
 }
 
-// load takes layers of a version into service after what runs.
-func (s *Server) load(version uint64, layers layerRange, spoilt bool) {
+// load waits until no request is running, then loads layers of a version.
+func (s *Server) load(version uint64, layers layerRange, corrupt bool) {
 	for {
 		s.mutex.Lock()
 		running, freed := s.running, s.freed
@@ -112,7 +110,7 @@
 	}
 	time.Sleep(s.options.Warm)
 	s.mutex.Lock()
-	s.version, s.loadedLayers, s.corrupt, s.loading = version, layers, spoilt, false
+	s.version, s.loadedLayers, s.corrupt, s.loading = version, layers, corrupt, false
 	s.notifyWaiting()
 	s.mutex.Unlock()
 	s.writeHeartbeat()
@@ -121,7 +119,7 @@
 func (s *Server) serveStage(writer http.ResponseWriter, request *http.Request) {
 	own, _, _ := net.SplitHostPort(s.options.Address)
 	from, _, _ := net.SplitHostPort(request.RemoteAddr)
-	// On loopback the own machine shows as the system's first address.
+	// On loopback, connections from the same machine may come from 127.0.0.1.
 	if from != own && from != "127.0.0.1" {
 		writer.WriteHeader(http.StatusForbidden)
 		return
@@ -136,8 +134,8 @@
 		s.staged[index] = content
 	case text == "":
 		held := []int{}
-		for one := range s.staged {
-			held = append(held, one)
+		for piece := range s.staged {
+			held = append(held, piece)
 		}
 		writeJSON(writer, map[string]any{"held": held})
 	case s.staged[index] == nil:
--- a/internal/emulator/site/origin.go
+++ b/internal/emulator/site/origin.go
@@ -10,7 +10,7 @@
 	"sync"
 )
 
-// Weights make up the pieces of every version of a model.
+// Weights describes a model's synthetic weights, which are generated for every version.
 type Weights struct {
 	Model      string
 	Pieces     int
@@ -18,7 +18,7 @@
 	Layers     int
 }
 
-// Piece returns a made-up piece.
+// Piece returns a synthetic piece.
 func (w Weights) Piece(version uint64, index int) []byte {
 	random := rand.New(rand.NewPCG(version, uint64(index)))
 	content := make([]byte, w.PieceBytes)
@@ -28,61 +28,61 @@
 	return content
 }
 
-// Digest returns the sum of a piece.
+// Digest returns the SHA-256 digest of a piece.
 func (w Weights) Digest(version uint64, index int) [32]byte {
 	return sha256.Sum256(w.Piece(version, index))
 }
 
-// Origin is the stand-in of the origin of weights.
+// Origin emulates the weight origin.
 type Origin struct {
 	weights Weights
 
 	mutex sync.Mutex
-	// newest is the newest named version.
+	// newest is the latest announced version.
 	newest uint64
 	bytes  int64
-	// corruptPieces is how many of the next pieces are handed out with a wrong byte.
+	// corruptPieces is the number of upcoming pieces to send corrupt.
 	corruptPieces int
-	// corruptManifest makes the next manifest name a wrong digest.
+	// corruptManifest puts a wrong digest into the next manifest.
 	corruptManifest bool
-	// down makes the origin close every connection without an answer.
+	// down closes every connection without an answer.
 	down bool
-	// withheld are pieces that are handed out to nobody.
+	// withheld are pieces whose requests are aborted.
 	withheld map[int]bool
 }
 
-// NewOrigin returns an origin whose newest version is 1.
+// NewOrigin returns an origin whose latest version is 1.
 func NewOrigin(weights Weights) *Origin { return &Origin{weights: weights, newest: 1} }
 
-// Announce makes a version the newest.
+// Announce makes a version the latest.
 func (o *Origin) Announce(version uint64) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.newest = version
 }
 
-// CorruptPieces hands out a number of pieces with a wrong byte.
+// CorruptPieces sends the next pieces with a wrong byte.
 func (o *Origin) CorruptPieces(pieces int) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.corruptPieces = pieces
 }
 
-// CorruptManifest makes the next manifest name a wrong digest.
+// CorruptManifest puts a wrong digest into the next manifest.
 func (o *Origin) CorruptManifest() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.corruptManifest = true
 }
 
-// SetDown makes the origin answer nobody, or come back.
-func (o *Origin) SetDown(away bool) {
+// SetDown makes the origin close every connection without an answer, or restores it.
+func (o *Origin) SetDown(down bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.down = away
+	o.down = down
 }
 
-// Withhold makes the origin break off each answer with one of some pieces; none lifts that.
+// Withhold aborts the requests for the given pieces; without arguments it withholds none.
 func (o *Origin) Withhold(pieces ...int) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -104,7 +104,7 @@
 	return o.down
 }
 
-// Copies returns how many whole copies were sent.
+// Copies returns how many complete copies of the weights were sent, as a fraction.
 func (o *Origin) Copies() float64 {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -124,7 +124,8 @@
 	})
 }
 
-// versionOf reads the version asked for; two behind the newest are gone.
+// versionOf returns the requested version and whether it is available: only the two latest
+// versions are.
 func (o *Origin) versionOf(request *http.Request) (uint64, bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
--- a/internal/emulator/site/records_test.go
+++ b/internal/emulator/site/records_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The regions of a route and of the tenant bind together; an empty list restricts nothing, and
-// two without a common region allow none.
-func TestRegionsOfRouteAndTenantBindTogether(t *testing.T) {
+// A request may only be served in regions that both its route and its tenant allow. An empty list
+// allows every region; two lists without a common region allow none.
+func TestRouteAndTenantRegionsAreIntersected(t *testing.T) {
 	arrival := func(path string, zone int) Arrival { return Arrival{Path: path, Region: RegionName(zone)} }
 	allowed := AllowedRegions{Streams: []string{RegionName(0), RegionName(1)}, Once: []string{RegionName(2)}}.residencies()
 	assert.False(t, allowed.Outside(arrival(StreamPrefix, 1)))
@@ -24,8 +24,8 @@
 	}
 }
 
-// A cold server's peak is the most in any second, by server, and leaves out what came to it
-// while it was warm.
+// A server's cold-start peak is its highest number of requests within any second, without the
+// requests that arrived when it was no longer cold.
 func TestColdPeaks(t *testing.T) {
 	began := time.Now()
 	delivery := func(server string, milliseconds int, cold bool) Delivery {
--- a/internal/emulator/site/regions.go
+++ b/internal/emulator/site/regions.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// RegionName names the region of a zone; each zone is a region of its own.
+// RegionName returns the name of a zone's region; each zone is its own region.
 func RegionName(zone int) string { return fmt.Sprintf("region-%d", zone) }
 
-// regionsOfZones maps the name of every zone to its region's.
+// regionsOfZones maps zone names to region names.
 func (o Options) regionsOfZones() map[string]string {
 	regions := map[string]string{}
 	for zone := range o.Zones {
@@ -19,47 +19,47 @@
 	return regions
 }
 
-// allowedRegionsField is how the platform spells the regions of a route or tenant.
+// allowedRegionsField is the configuration field with the allowed regions of a route or tenant.
 const allowedRegionsField = "allowedRegions"
 
-// AllowRouteRegions sets the regions in which requests of a route may be served. Without
-// any the list is empty, which is how the platform publishes a route without restriction.
+// AllowRouteRegions sets the regions in which a route's requests may be served. Without regions it
+// sets an empty list, as the platform does for an unrestricted route.
 func AllowRouteRegions(configuration map[string]any, route string, regions ...string) {
 	allowRegions(configuration["routes"], route, regions)
 }
 
-// AllowTenantRegions sets the same for the requests of a tenant.
+// AllowTenantRegions sets the regions in which a tenant's requests may be served.
 func AllowTenantRegions(configuration map[string]any, tenant string, regions ...string) {
 	allowRegions(configuration["tenants"], tenant, regions)
 }
 
 func allowRegions(owners any, name string, regions []string) {
-	listed, _ := owners.([]any)
-	for _, one := range listed {
-		if owner, _ := one.(map[string]any); owner["name"] == name {
+	entries, _ := owners.([]any)
+	for _, entry := range entries {
+		if owner, _ := entry.(map[string]any); owner["name"] == name {
 			owner[allowedRegionsField] = append([]string{}, regions...)
 		}
 	}
 }
 
-// Arrival is a request that has come to a server, whether or not the server ran it.
+// Arrival is a request that reached a server, whether or not it was executed.
 type Arrival struct {
 	RequestID string
 	Server    string
 	Service   string
 	Path      string
 	Zone      string
-	// Region is the zone's, and empty for a zone that the fleet does not name.
+	// Region is the zone's region, empty for a zone that is not configured.
 	Region string
-	// BodyBytes is how much of a body came with it.
+	// BodyBytes is the number of body bytes received.
 	BodyBytes int
 	At        time.Time
 }
 
-// Residencies are the regions in which requests under a prefix of the path are allowed.
+// Residencies maps path prefixes to the regions in which their requests may be served.
 type Residencies map[string][]string
 
-// Outside reports whether a request has come to a region that its path's do not contain.
+// Outside reports whether a request arrived in a region that its path does not allow.
 func (r Residencies) Outside(arrival Arrival) bool {
 	for prefix, regions := range r {
 		if strings.HasPrefix(arrival.Path, prefix) && !slices.Contains(regions, arrival.Region) {
@@ -69,24 +69,25 @@
 	return false
 }
 
-// RestrictTwoRoutes publishes a configuration in which streams are allowed in the first two
-// zones' regions and requests that run once in the last two's. Published before any process
-// starts, it makes every arrival elsewhere a fault, whatever is disturbed.
+// RestrictTwoRoutes publishes a configuration that allows streams in the regions of the first two
+// zones and non-idempotent requests in those of the last two. It is published before any process
+// starts, so that an arrival elsewhere is a violation whatever faults are injected.
 func (s *Site) RestrictTwoRoutes() Residencies { return s.Restrict(s.Options.TwoRoutes()) }
 
-// AllowedRegions are the regions that a configuration allows for streams, for requests that
-// run once, and for everything of the tenant. Without any, a list restricts nothing.
+// AllowedRegions are the allowed regions of the stream route, of the non-idempotent route, and of
+// the tenant. An empty list allows every region.
 type AllowedRegions struct {
 	Streams, Once, Tenant []string
 }
 
-// TwoRoutes are the regions of RestrictTwoRoutes.
+// TwoRoutes returns the regions that RestrictTwoRoutes allows.
 func (o Options) TwoRoutes() AllowedRegions {
 	last := o.Zones - 1
 	return AllowedRegions{Streams: []string{RegionName(0), RegionName(1)}, Once: []string{RegionName(last - 1), RegionName(last)}}
 }
 
-// Restrict publishes a configuration with these regions and returns where it allows requests.
+// Restrict publishes a configuration with the allowed regions and returns the resulting
+// residencies.
 func (s *Site) Restrict(allowed AllowedRegions) Residencies {
 	s.Configure(func(configuration map[string]any) {
 		AllowRouteRegions(configuration, streamRoute, allowed.Streams...)
@@ -96,7 +97,7 @@
 	return allowed.residencies()
 }
 
-// residencies joins the regions of the routes and of the tenant, each of which binds.
+// residencies returns the regions that both the route and the tenant allow.
 func (a AllowedRegions) residencies() Residencies {
 	joined := Residencies{}
 	for prefix, regions := range map[string][]string{StreamPrefix: a.Streams, OncePrefix: a.Once, SafePrefix: nil} {
--- a/internal/emulator/site/server.go
+++ b/internal/emulator/site/server.go
@@ -9,31 +9,33 @@
 	"time"
 )
 
-// Faults are a server's injected faults. Each count is used up by requests.
+// Faults are the injected faults of a server. Counters decrease with each affected request.
 type Faults struct {
-	// CutAfter breaks a stream off after as many events, CutCount times.
+	// CutAfter is the number of events after which a stream is cut; the next CutCount streams are
+	// cut.
 	CutAfter int
 	CutCount int
-	// LoseAnswers runs requests and closes the connection without an answer.
+	// LoseAnswers executes the next requests but closes their connections without an answer.
 	LoseAnswers int
-	// Shed answers 503 without running, and asks for ShedRest where that is set.
+	// Shed rejects the next requests with 503 without executing them, with a Retry-After of
+	// ShedBackoff if set.
 	Shed        int
 	ShedBackoff time.Duration
-	// Silent takes requests and never answers; reports fail too.
+	// Silent accepts requests and status queries and never answers.
 	Silent bool
-	// Failure servers report that they are well and fail every request.
+	// Failure makes the server report as healthy while every request fails.
 	Failure FailureMode
-	// FailHealthChecks fails every report and health check, and serves requests.
+	// FailHealthChecks fails status reports and health checks while requests are served.
 	FailHealthChecks bool
-	// ExtraAnswers sends a second answer after the next ones.
+	// ExtraAnswers sends a second answer after each of the next ones.
 	ExtraAnswers int
 }
 
-// FailureMode is how a server that reports that it is well fails its requests.
+// FailureMode is how a server that reports as healthy fails its requests.
 type FailureMode int
 
-// The lies: requests run, and are answered with a failure, or their connections are reset, or
-// they are never answered.
+// Failure modes: requests are executed and then answered with an error, have their connection
+// reset, or are never answered.
 const (
 	NoFailure FailureMode = iota
 	FailWithErrors
@@ -41,79 +43,83 @@
 	FailWithHangs
 )
 
-// ServerOptions describe a server.
+// ServerOptions configures a server.
 type ServerOptions struct {
 	ID      string
 	Service string
 	Zone    string
-	// Region is the zone's.
+	// Region is the region of the zone.
 	Region string
-	// Address is an IP address and port.
+	// Address is the IP address and port to listen on.
 	Address string
 	Slots   int
-	// Weights are set for a model server.
+	// Weights is set for a model server.
 	Weights *Weights
-	// Version is served from the beginning; 0 for none.
+	// Version is the initially loaded version, 0 for none.
 	Version uint64
-	// EventTime is the time of one event, or of a plain answer; Warm that of taking a
-	// version into service.
+	// EventTime is the time of a stream event or of a plain answer, Warm the time to load a
+	// version.
 	EventTime time.Duration
 	Warm      time.Duration
-	// Heartbeat is how often the record is written again.
+	// Heartbeat is the interval at which the server's record is written.
 	Heartbeat time.Duration
 	Store     *Store
 	Requests  *RequestLog
-	// StartTime is the Unix millisecond of the start, as the server tells it; 0 when it does not.
+	// StartTime is the announced start time in Unix milliseconds, 0 to omit it.
 	StartTime int64
-	// ColdTime is how long SetCold makes the server cold, ColdLimit how many requests a
-	// second it then bears; 0 bears any number.
+	// ColdTime is the duration of the cold start that SetCold begins, ColdLimit the number of
+	// requests per second that the server tolerates in it; 0 means no limit.
 	ColdTime  time.Duration
 	ColdLimit float64
-	// OnBegin is told of each request that the server begins to run, by its id and body, and reports
-	// whether the server ends by it; nil for never.
+	// OnBegin is called with the ID and body of each request that the server begins to execute,
+	// and reports whether the request crashes the server. It may be nil.
 	OnBegin func(server *Server, id string, body []byte) bool
-	// ReadPerSecond is how many tokens of prompts a model server reads in a second; 0 reads in no time.
+	// ReadPerSecond is the prefill rate of a model server in prompt tokens per second; 0 means
+	// that prefill takes no time.
 	ReadPerSecond float64
 }
 
-// Server is the stand-in of a model server or a plain service.
+// Server emulates a model server or a plain service.
 type Server struct {
 	options ServerOptions
 
 	mutex   sync.Mutex
 	version uint64
-	// loadedLayers are the layers of the version that are in service.
-	loadedLayers     layerRange
-	corrupt   bool
-	loading  bool
-	sequence int
-	heartbeats    int
-	draining bool
-	// heartbeatsStopped servers write no record any more.
-	heartbeatsStopped  bool
-	staged  map[int][]byte
-	running int
-	waiting int
-	freed   chan struct{}
-	faults  Faults
-	// coldUntil is when the server will be warm; coldArrivals are those of the last second.
+	// loadedLayers is the loaded layer range of the version.
+	loadedLayers layerRange
+	corrupt      bool
+	loading      bool
+	sequence     int
+	heartbeats   int
+	draining     bool
+	// heartbeatsStopped suppresses heartbeats.
+	heartbeatsStopped bool
+	staged            map[int][]byte
+	running           int
+	waiting           int
+	freed             chan struct{}
+	faults            Faults
+	// coldUntil is the end of the cold start; coldArrivals are its arrivals within the last
+	// second.
 	coldUntil    time.Time
 	coldArrivals []time.Time
-	// overloaded is set once a cold server has received more than it bears.
+	// overloaded is set when the server received more than ColdLimit requests per second in its
+	// cold start.
 	overloaded bool
-	// limit and leaving are what every answer says, also reports: the rate as a text, empty for none.
+	// limit and leaving are announced in every answer and status report; an empty limit announces
+	// none.
 	limit   string
 	leaving bool
-	// queueHeld is set while nothing that waits begins.
+	// queueHeld keeps waiting requests from starting.
 	queueHeld bool
-	// readMutex is held while a prompt is read.
+	// readMutex serializes prefills.
 	readMutex sync.Mutex
-	server  *http.Server
-	stop    context.CancelFunc
+	server    *http.Server
+	stop      context.CancelFunc
 }
 
-// NewServer returns a server that does not listen yet; one that serves a version
-// has it staged too.
+// NewServer returns a server that does not listen yet. The pieces of its initial version are
+// staged.
 func NewServer(options ServerOptions) *Server {
 	s := &Server{options: options, version: options.Version, staged: map[int][]byte{}, freed: make(chan struct{})}
 	if options.Weights != nil && options.Version > 0 {
@@ -125,7 +131,7 @@
 	return s
 }
 
-// Start listens and enters the list of servers.
+// Start begins to listen and to write heartbeats.
 func (s *Server) Start() error {
 	listener, err := net.Listen("tcp", s.options.Address)
 	if err != nil {
@@ -151,8 +157,8 @@
 	return nil
 }
 
-// Crash ends the server; its record stays for the store to drop. What is staged
-// outlasts it.
+// Crash stops the server without removing its record, and returns the staged pieces, which survive
+// the crash.
 func (s *Server) Crash() map[int][]byte {
 	s.stop()
 	_ = s.server.Close()
@@ -161,10 +167,10 @@
 	return s.staged
 }
 
-// Restage gives a new server what lay at a crashed one.
+// Restage gives a new server the staged pieces of a crashed one.
 func (s *Server) Restage(staged map[int][]byte) { s.staged = staged }
 
-// Leave announces a planned end.
+// Leave announces a planned shutdown.
 func (s *Server) Leave() {
 	s.mutex.Lock()
 	s.draining = true
@@ -172,8 +178,8 @@
 	s.writeHeartbeat()
 }
 
-// StopHeartbeats ends the server's heartbeats and its record, as an outage of the store does;
-// it serves on.
+// StopHeartbeats stops the heartbeats and removes the server's record, as after an outage of the
+// store. The server keeps serving.
 func (s *Server) StopHeartbeats() {
 	s.mutex.Lock()
 	s.heartbeatsStopped = true
@@ -181,8 +187,7 @@
 	s.options.Store.Delete("servers/" + s.options.ID)
 }
 
-// ResumeHeartbeats writes the record of a lapsed server anew, as the next heartbeat that the
-// store takes does.
+// ResumeHeartbeats writes the server's record again, as the first heartbeat after the outage does.
 func (s *Server) ResumeHeartbeats() {
 	s.mutex.Lock()
 	s.heartbeatsStopped = false
@@ -190,52 +195,54 @@
 	s.writeHeartbeat()
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (s *Server) SetFaults(faults Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.faults = faults
 }
 
-// AnnounceLimit has every answer name how many requests a second the server takes; an empty text names none.
+// AnnounceLimit announces a rate limit in requests per second in every answer; an empty string
+// announces none.
 func (s *Server) AnnounceLimit(perSecond string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.limit = perSecond
 }
 
-// AnnounceLeaving has every answer say that the server leaves, or not; its line says nothing of it.
+// AnnounceLeaving sets whether every answer announces that the server leaves. Its record does not
+// change.
 func (s *Server) AnnounceLeaving(leaving bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.leaving = leaving
 }
 
-// CorruptStaged turns a staged piece bad.
+// CorruptStaged changes a byte of a staged piece.
 func (s *Server) CorruptStaged(index int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if piece := s.staged[index]; len(piece) > 0 {
-		bad := append([]byte(nil), piece...)
-		bad[0] ^= 1
-		s.staged[index] = bad
+		corrupted := append([]byte(nil), piece...)
+		corrupted[0] ^= 1
+		s.staged[index] = corrupted
 	}
 }
 
-// SetCold makes the server cold for its cold time from now on; its line tells it with the
-// next heartbeat, or at once.
-func (s *Server) SetCold(tellNow bool) {
+// SetCold begins a cold start. It is announced at once if announceNow is set, otherwise by the next
+// heartbeat.
+func (s *Server) SetCold(announceNow bool) {
 	s.mutex.Lock()
 	s.coldUntil = time.Now().Add(s.options.ColdTime)
 	s.coldArrivals = nil
 	s.mutex.Unlock()
-	if tellNow {
+	if announceNow {
 		s.writeHeartbeat()
 	}
 }
 
-// HoldQueue has every request wait from now on, whatever place is free, or lets what waits begin.
-// Requests under way go on.
+// HoldQueue sets whether requests have to wait even if capacity is free. Running requests
+// continue.
 func (s *Server) HoldQueue(held bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -243,16 +250,15 @@
 	s.notifyWaiting()
 }
 
-// Overloaded reports whether the server has received more than it bears while it was cold.
+// Overloaded reports whether the server received more requests than it tolerates in a cold start.
 func (s *Server) Overloaded() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.overloaded
 }
 
-// recordDelivery records a request that has reached the server and is meant for it. A cold server
-// that receives more than it bears in a second falls over: from then on it answers nobody,
-// as a silent one does. The mutex is held.
+// recordDelivery records a request that reached the server it was meant for; the mutex is held. A
+// server that receives more requests per second than it tolerates in a cold start stops answering.
 func (s *Server) recordDelivery(id string) {
 	now := time.Now()
 	cold := now.Before(s.coldUntil)
@@ -269,7 +275,7 @@
 	}
 }
 
-// Version returns the version served whole, or 0.
+// Version returns the version if all its layers are loaded, otherwise 0.
 func (s *Server) Version() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -300,19 +306,19 @@
 	if s.options.StartTime != 0 {
 		record["born"] = s.options.StartTime
 	}
-	lapsed := s.heartbeatsStopped
+	stopped := s.heartbeatsStopped
 	s.mutex.Unlock()
-	if !lapsed {
+	if !stopped {
 		s.options.Store.Put("servers/"+s.options.ID, record)
 	}
 }
 
 func (s *Server) serve(writer http.ResponseWriter, request *http.Request) {
 	s.mutex.Lock()
-	silent, ill := s.faults.Silent, s.faults.FailHealthChecks
+	silent, unhealthy := s.faults.Silent, s.faults.FailHealthChecks
 	s.mutex.Unlock()
 	path := request.URL.Path
-	if ill && (path == "/-/report" || path == "/healthz") {
+	if unhealthy && (path == "/-/report" || path == "/healthz") {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -349,23 +355,23 @@
 	writeJSON(writer, report)
 }
 
-// notifyWaiting lets waiting requests look again; the mutex is held.
+// notifyWaiting wakes waiting requests; the mutex is held.
 func (s *Server) notifyWaiting() {
 	close(s.freed)
 	s.freed = make(chan struct{})
 }
 
-// Running returns how many requests run now.
+// Running returns the number of running requests.
 func (s *Server) Running() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.running
 }
 
-// ID returns the server's name on the list.
+// ID returns the server's instance ID.
 func (s *Server) ID() string { return s.options.ID }
 
-// Waiting returns how many requests wait now.
+// Waiting returns the number of waiting requests.
 func (s *Server) Waiting() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/emulator/site/site.go
+++ b/internal/emulator/site/site.go
@@ -9,28 +9,29 @@
 	"time"
 )
 
-// Options describe a small fleet on loopback addresses.
+// Options describes a small fleet on loopback addresses.
 type Options struct {
 	// Network is the second octet of the fleet's addresses.
 	Network int
 	Zones   int
-	// Entries and ModelServers are counts in each zone.
+	// Entries, ModelServers and PlainServers are counts per zone.
 	Entries      int
 	ModelServers int
 	PlainServers int
 	Weights      Weights
 	EventTime    time.Duration
 	Slots        int
-	// StepMilliseconds is the published time of a token step; 0 publishes assumedStep, which
-	// is shorter than most tests' EventTime.
+	// StepMilliseconds is the published time of a decoding step; 0 publishes
+	// defaultStepMilliseconds, which is shorter than most tests' EventTime.
 	StepMilliseconds float64
-	// ReadPerSecond is how many tokens of prompts a model server reads in a second, one prompt after the other, and
-	// UsualPrompt the published size of prompts; 0 reads in no time, and publishes assumed figures.
+	// ReadPerSecond is a model server's prefill rate in prompt tokens per second, one prompt at a
+	// time, and TypicalPrompt the published prompt size. With 0, prefill takes no time and the
+	// defaults are published.
 	ReadPerSecond float64
 	TypicalPrompt int
-	// LinkMbps is the link that settings tell of each machine; 0 is 80.
+	// LinkMbps is the link rate in the settings of each machine; 0 means defaultLinkMbps.
 	LinkMbps float64
-	// Bounds in milliseconds and seconds, as the platform names them.
+	// Bounds in milliseconds and seconds, named as in the platform's settings.
 	VersionMs     int
 	ConfigApplyMs int
 	DrainMs       int
@@ -38,20 +39,20 @@
 	BudgetSlack   int
 	TimeoutMs     int
 	EvacuateMs    int
-	// ColdPerS is the rate that a cold server is made for, ColdStartS how long one is cold;
-	// ColdPerS x ColdOvershoot + ColdSlack requests in a second are what it bears.
+	// ColdPerS is the rate limit of a server in its cold start, ColdStartS the duration of a cold
+	// start. The server tolerates ColdPerS x ColdOvershoot + ColdSlack requests per second.
 	ColdPerS      float64
 	ColdStartS    float64
 	ColdOvershoot float64
 	ColdSlack     float64
 }
 
-// ColdLimit is how many requests a second a cold server bears.
+// ColdLimit returns the number of requests per second that a server tolerates in its cold start.
 func (o Options) ColdLimit() float64 { return o.ColdPerS*o.ColdOvershoot + o.ColdSlack }
 
 func (o Options) coldTime() time.Duration { return time.Duration(o.ColdStartS * float64(time.Second)) }
 
-// Names of the stand-in's services, routes and keys.
+// Names of the emulated services, routes and keys.
 const (
 	ModelService  = "language"
 	PlainService  = "records"
@@ -66,23 +67,23 @@
 	Tenant        = "tenant-one"
 )
 
-// defaultStepMilliseconds is the published time of a token step in milliseconds where a test sets none.
+// defaultStepMilliseconds is the published time of a decoding step if a test sets none.
 const defaultStepMilliseconds = 1.0
 
-// assumedReadPerSecond and assumedPrompt are the published reading rate of prompts, in tokens, and their usual size
-// where a test sets none.
+// defaultReadPerSecond and defaultPrompt are the published prefill rate in tokens per second and
+// the published prompt size in tokens if a test sets none.
 const (
 	defaultReadPerSecond = 1e6
 	defaultPrompt        = 10
 )
 
-// defaultLinkMbps is the link of a machine in Mbit/s where a test sets none.
+// defaultLinkMbps is the link rate of a machine if a test sets none.
 const defaultLinkMbps = 80.0
 
 // Ports of the machines.
 const (
 	serverPort  = 8001
-	callerPort = 8005
+	callerPort  = 8005
 	readyPort   = 8002
 	controlPort = 8000
 	firstPort   = 7700
@@ -91,13 +92,13 @@
 	originPort  = 8006
 )
 
-// Site is the running stand-in of a whole platform.
+// Site is a running emulation of the platform.
 type Site struct {
 	Options  Options
 	Store    *Store
 	Origin   *Origin
 	Requests *RequestLog
-	// Models and Plain are the servers by IP address.
+	// Models and Plain map IP addresses to servers.
 	Models map[string]*Server
 	Plain  map[string]*Server
 
@@ -112,10 +113,10 @@
 	return fmt.Sprintf("127.%d.%d.%d", o.Network, zone+1, machine)
 }
 
-// ZoneName names a zone.
+// ZoneName returns the name of a zone.
 func ZoneName(zone int) string { return fmt.Sprintf("hall-%d", zone) }
 
-// Machine numbers of the kinds, within a zone.
+// First machine number of each kind within a zone.
 const (
 	firstEntry = 10
 	firstModel = 100
@@ -167,20 +168,20 @@
 	return nil
 }
 
-// Close ends everything.
+// Close stops all servers.
 func (s *Site) Close() {
 	s.tracker.close()
 	for _, server := range s.servers {
 		_ = server.Close()
 	}
-	for _, all := range []map[string]*Server{s.Models, s.Plain} {
-		for _, server := range all {
+	for _, servers := range []map[string]*Server{s.Models, s.Plain} {
+		for _, server := range servers {
 			server.Crash()
 		}
 	}
 }
 
-// storeAddress is the store's address for one machine.
+// storeAddress returns the address at which a machine reaches the store.
 func (s *Site) storeAddress(role string, zone, index int) string {
 	machine := firstEntry + index
 	if role == RoleAgent {
@@ -193,8 +194,8 @@
 
 func (o Options) originAddress() string { return fmt.Sprintf("%s:%d", o.ip(200, 2), originPort) }
 
-// FreeNetwork returns a network of a range, from one of them on, on which no other
-// stand-in runs; when there is none, the one to begin with.
+// FreeNetwork returns a network of a range that no other emulation uses. It tries them in turn
+// from begin, and returns that one if none is free.
 func FreeNetwork(first, count, begin int) int {
 	for offset := range count {
 		network := first + (begin+offset)%count
@@ -207,12 +208,12 @@
 	return first + begin%count
 }
 
-// ModelAddress is the address of a model server.
+// ModelAddress returns the address of a model server.
 func (s *Site) ModelAddress(zone, index int) string {
 	return fmt.Sprintf("%s:%d", s.Options.ModelIP(zone, index), serverPort)
 }
 
-// StartModel starts a model server, empty when the version is 0.
+// StartModel starts a model server, without a loaded version if version is 0.
 func (s *Site) StartModel(zone, index int, version uint64) (*Server, error) {
 	s.starts++
 	weights := s.Options.Weights
@@ -225,25 +226,25 @@
 	return server, s.startServer(s.Models, server)
 }
 
-// RestartModel crashes a model server and starts it anew, with nothing in service
-// and what was staged still there.
+// RestartModel crashes and restarts a model server under a new ID. Staged pieces survive; no
+// version is loaded.
 func (s *Site) RestartModel(zone, index int) error {
 	s.Store.Delete("servers/" + s.Models[s.Options.ModelIP(zone, index)].options.ID)
 	return s.RestartModelStillListed(zone, index)
 }
 
-// RestartModelWithSameID ends a model server and starts it anew under its ID, with nothing in service and nothing
-// staged. It tells that it has started at a moment.
-func (s *Site) RestartModelWithSameID(zone, index int, born time.Time) error {
+// RestartModelWithSameID crashes and restarts a model server under its old ID, with no version
+// loaded and no pieces staged. It announces the given start time.
+func (s *Site) RestartModelWithSameID(zone, index int, startTime time.Time) error {
 	old := s.Models[s.Options.ModelIP(zone, index)]
 	old.Crash()
 	options := old.options
-	options.Version, options.StartTime = 0, born.UnixMilli()
+	options.Version, options.StartTime = 0, startTime.UnixMilli()
 	return s.startServer(s.Models, NewServer(options))
 }
 
-// RestartModelStillListed does the same while the list goes on naming the old server
-// beside the new one, as it does until it has missed three heartbeats.
+// RestartModelStillListed is RestartModel, except that the old record stays listed beside the new
+// one, as happens until three heartbeats are missed.
 func (s *Site) RestartModelStillListed(zone, index int) error {
 	old := s.Models[s.Options.ModelIP(zone, index)]
 	staged := old.Crash()
@@ -264,16 +265,16 @@
 	}))
 }
 
-func (s *Site) startServer(all map[string]*Server, server *Server) error {
+func (s *Site) startServer(servers map[string]*Server, server *Server) error {
 	if err := server.Start(); err != nil {
 		return err
 	}
 	host, _, _ := net.SplitHostPort(server.options.Address)
-	all[host] = server
+	servers[host] = server
 	return nil
 }
 
-// Configure publishes the next configuration, changed by a function.
+// Configure applies a change to the configuration, publishes it and returns its version.
 func (s *Site) Configure(change func(configuration map[string]any)) uint64 {
 	s.version += 3
 	if s.configuration == nil {
@@ -322,14 +323,14 @@
 	s.Store.Put("op/version/"+s.Options.Weights.Model, map[string]any{"model": s.Options.Weights.Model, "version": version})
 }
 
-// evacuationPrefix precedes the zone in the key of an evacuation.
+// evacuationPrefix is the key prefix of evacuations; the zone follows.
 const evacuationPrefix = "op/evacuate/"
 
-// Evacuate asks that the servers of a zone are sent nothing new.
+// Evacuate requests that no new requests are sent to a zone.
 func (s *Site) Evacuate(zone string) { s.Store.Put(evacuationPrefix+zone, map[string]any{}) }
 
-// EndEvacuation takes that back; the zone's model servers have become cold just before, which
-// their lines tell only with the next heartbeat.
+// EndEvacuation ends an evacuation. The zone's model servers begin a cold start just before, which
+// is announced only by their next heartbeat.
 func (s *Site) EndEvacuation(zone string) {
 	for _, server := range s.Models {
 		if server.options.Zone == zone {
@@ -345,7 +346,7 @@
 	RoleAgent = "agent"
 )
 
-// OpenStore makes the store reachable for a machine.
+// OpenStore starts to serve the store at a machine's address for it.
 func (s *Site) OpenStore(role string, zone, index int) error {
 	ip := s.Options.EntryIP(zone, index)
 	if role == RoleAgent {
@@ -358,8 +359,8 @@
 func (s *Site) Settings(role string, zone, index int) []byte {
 	zones := s.Options.regionsOfZones()
 	var seeds []string
-	for one := range s.Options.Zones {
-		seeds = append(seeds, fmt.Sprintf("%s:%d", s.Options.EntryIP(one, 0), controlPort))
+	for seedZone := range s.Options.Zones {
+		seeds = append(seeds, fmt.Sprintf("%s:%d", s.Options.EntryIP(seedZone, 0), controlPort))
 	}
 	settings := map[string]any{
 		"nodeName": fmt.Sprintf("%s-%d-%d", role, zone, index), "zone": ZoneName(zone), "region": zones[ZoneName(zone)], "zones": zones,
@@ -391,7 +392,7 @@
 	return data
 }
 
-// ChangedSettings returns the settings file of a machine with a change.
+// ChangedSettings returns a machine's settings file with a change applied.
 func (s *Site) ChangedSettings(role string, zone, index int, change func(settings map[string]any)) []byte {
 	var settings map[string]any
 	if err := json.Unmarshal(s.Settings(role, zone, index), &settings); err != nil {
@@ -405,12 +406,12 @@
 	return data
 }
 
-// EntryURL is where callers reach an entry.
+// EntryURL returns the URL of an entry for callers.
 func (s *Site) EntryURL(zone, index int) string {
 	return fmt.Sprintf("http://%s:%d", s.Options.EntryIP(zone, index), callerPort)
 }
 
-// ReadyURL is where the platform asks an entry whether it takes callers.
+// ReadyURL returns the URL of an entry's readiness check.
 func (s *Site) ReadyURL(zone, index int) string {
 	return fmt.Sprintf("http://%s:%d/-/readyz", s.Options.EntryIP(zone, index), readyPort)
 }
--- a/internal/emulator/site/store.go
+++ b/internal/emulator/site/store.go
@@ -1,7 +1,7 @@
-// Package site is a stand-in of the users' platform for tests and the demo: its
-// store of records, its model servers and plain services, and its origin of
-// weights, written from their published protocol. It keeps records of what ran,
-// from which the promises are checked, and takes injected faults.
+// Package site emulates the users' platform for tests and the demo: its record store, its model
+// servers and plain services, and its weight origin, implemented from their published protocols.
+// It accepts injected faults and records what was executed, from which tests verify the
+// guarantees.
 package site
 
 import (
@@ -18,36 +18,36 @@
 	"pinevane.example/pinevane/internal/waiting"
 )
 
-// record is a record as the store tells it.
+// record is a record in the store's wire format.
 type record struct {
 	Key      string `json:"keyFile"`
 	Value    []byte `json:"value,omitempty"`
 	Revision uint64 `json:"revision"`
-	Removed     bool   `json:"gone,omitempty"`
+	Removed  bool   `json:"gone,omitempty"`
 }
 
-// Store is the stand-in of the platform's store.
+// Store emulates the platform's record store.
 type Store struct {
 	mutex    sync.Mutex
 	revision uint64
 	items    map[string]record
 	history  []record
-	// compactedTo is the revision up to which the history is gone.
+	// compactedTo is the revision up to which the history was compacted.
 	compactedTo uint64
-	changed   chan struct{}
-	// refused are the IP addresses that are turned away.
+	changed     chan struct{}
+	// refused are the IP addresses of machines whose calls are rejected.
 	refused map[string]bool
 	down    bool
-	// watchesBlocked makes watches hear nothing.
-	watchesBlocked  bool
-	delay time.Duration
-	// pageSize bounds one page of a listing.
+	// watchesBlocked keeps watches from returning events.
+	watchesBlocked bool
+	delay          time.Duration
+	// pageSize is the maximum page size of a listing.
 	pageSize int
 	calls    int
-	// bandwidth is that of the store's link in bytes a second, 0 for no bound; linkFree
-	// is when the link has sent what it was given.
-	bandwidth float64
-	linkFreeAt  time.Time
+	// bandwidth is the rate of the store's link in bytes per second, 0 for no limit; linkFreeAt is
+	// the time at which the link has sent everything queued.
+	bandwidth  float64
+	linkFreeAt time.Time
 }
 
 // NewStore returns an empty store.
@@ -64,12 +64,12 @@
 	return s.write(record{Key: key, Value: data})
 }
 
-// PutRaw writes a record byte for byte and returns its revision.
+// PutRaw writes a record unchanged and returns its revision.
 func (s *Store) PutRaw(key string, value []byte) uint64 {
 	return s.write(record{Key: key, Value: value})
 }
 
-// SetDelay holds every answer back for a time.
+// SetDelay delays every answer.
 func (s *Store) SetDelay(delay time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -79,28 +79,28 @@
 // Delete removes a record.
 func (s *Store) Delete(key string) { s.write(record{Key: key, Removed: true}) }
 
-func (s *Store) write(one record) uint64 {
+func (s *Store) write(update record) uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.revision++
-	one.Revision = s.revision
-	s.history = append(s.history, one)
-	if one.Removed {
-		delete(s.items, one.Key)
+	update.Revision = s.revision
+	s.history = append(s.history, update)
+	if update.Removed {
+		delete(s.items, update.Key)
 	} else {
-		s.items[one.Key] = one
+		s.items[update.Key] = update
 	}
 	s.notifyWatches()
 	return s.revision
 }
 
-// notifyWatches lets waiting watches look again; the mutex is held.
+// notifyWatches wakes waiting watches; the mutex is held.
 func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Compact forgets the history and cuts the waiting watches.
+// Compact discards the history and ends waiting watches.
 func (s *Store) Compact() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -110,7 +110,7 @@
 	s.notifyWatches()
 }
 
-// BlockWatches makes watches hear nothing until Compact.
+// BlockWatches keeps watches from returning events until Compact.
 func (s *Store) BlockWatches() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -125,18 +125,18 @@
 	s.notifyWatches()
 }
 
-// SetBandwidth bounds what the store sends to all callers together, in bytes a second;
-// 0 lifts the bound.
+// SetBandwidth limits the total rate of the store's answers in bytes per second; 0 removes the
+// limit.
 func (s *Store) SetBandwidth(bytesPerSecond float64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.bandwidth = bytesPerSecond
 }
 
-// linkBlockBytes is how many bytes of an answer the store's link carries at a time.
+// linkBlockBytes is the block size of a rate-limited answer.
 const linkBlockBytes = 16 << 10
 
-// waitForLink waits until the link has carried some bytes, behind those of all other callers.
+// waitForLink waits until the link has sent size more bytes, after those of all earlier answers.
 func (s *Store) waitForLink(ctx context.Context, size int) {
 	s.mutex.Lock()
 	if s.bandwidth == 0 {
@@ -153,7 +153,7 @@
 	waiting.For(ctx, wait)
 }
 
-// writeJSON answers with a value, over the store's link.
+// writeJSON sends a value as JSON at the link's rate.
 func (s *Store) writeJSON(writer http.ResponseWriter, request *http.Request, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -161,15 +161,15 @@
 	}
 	writer.Header().Set("Content-Type", "application/json")
 	for len(data) > 0 && request.Context().Err() == nil {
-		part := data[:min(linkBlockBytes, len(data))]
-		data = data[len(part):]
-		s.waitForLink(request.Context(), len(part))
-		_, _ = writer.Write(part)
+		block := data[:min(linkBlockBytes, len(data))]
+		data = data[len(block):]
+		s.waitForLink(request.Context(), len(block))
+		_, _ = writer.Write(block)
 	}
 }
 
-// machineKey is the context's key for the machine that calls: each is given an
-// address of the store of its own, because on loopback all come from one.
+// machineKey is the context key of the calling machine. Each machine has its own address of the
+// store, because on loopback all calls come from the same IP address.
 type machineKey struct{}
 
 // HandlerFor serves the store to one machine.
@@ -180,7 +180,7 @@
 	})
 }
 
-// Refuse turns the calls of some machines away.
+// Refuse rejects the calls of the given machines, and of no others.
 func (s *Store) Refuse(addresses ...string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -191,14 +191,14 @@
 	s.notifyWatches()
 }
 
-// Calls returns how many calls were made.
+// Calls returns the number of calls.
 func (s *Store) Calls() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.calls
 }
 
-// rejects reports whether a caller gets 503; the mutex is held.
+// rejects reports whether a call is answered with 503; the mutex is held.
 func (s *Store) rejects(request *http.Request) bool {
 	machine, _ := request.Context().Value(machineKey{}).(string)
 	return s.down || s.refused[machine]
@@ -222,9 +222,9 @@
 		return
 	}
 	var items []record
-	for key, one := range s.items {
+	for key, stored := range s.items {
 		if strings.HasPrefix(key, prefix) && key > after {
-			items = append(items, one)
+			items = append(items, stored)
 		}
 	}
 	slices.SortFunc(items, func(a, b record) int { return cmp.Compare(a.Key, b.Key) })
@@ -249,13 +249,13 @@
 			s.calls++
 		}
 		status, events := s.changesAfter(request, query.Get("pathPrefix"), after)
-		at, changed, deaf, delay := s.revision, s.changed, s.watchesBlocked, s.delay
+		at, changed, blocked, delay := s.revision, s.changed, s.watchesBlocked, s.delay
 		s.mutex.Unlock()
 		if status != http.StatusOK {
 			writer.WriteHeader(status)
 			return
 		}
-		if len(events) > 0 && !deaf {
+		if len(events) > 0 && !blocked {
 			waiting.For(request.Context(), delay)
 			s.writeJSON(writer, request, map[string]any{"events": events, "at": at})
 			return
@@ -263,7 +263,7 @@
 		select {
 		case <-changed:
 		case <-timer.C:
-			if deaf {
+			if blocked {
 				at = after
 			}
 			waiting.For(request.Context(), delay)
@@ -275,7 +275,7 @@
 	}
 }
 
-// changesAfter finds the changes after a revision; the mutex is held.
+// changesAfter returns the changes after a revision, or an error status; the mutex is held.
 func (s *Store) changesAfter(request *http.Request, prefix string, after uint64) (int, []record) {
 	if s.rejects(request) {
 		return http.StatusServiceUnavailable, nil
@@ -284,9 +284,9 @@
 		return http.StatusGone, nil
 	}
 	var events []record
-	for _, one := range s.history {
-		if one.Revision > after && strings.HasPrefix(one.Key, prefix) {
-			events = append(events, one)
+	for _, update := range s.history {
+		if update.Revision > after && strings.HasPrefix(update.Key, prefix) {
+			events = append(events, update)
 		}
 	}
 	return http.StatusOK, events
