--- a/cmd/pinevane/main.go
+++ b/cmd/pinevane/main.go
@@ -1,4 +1,4 @@
-// Command pinevane is every process of the system, one command a role.
+// Command pinevane runs every process of the system; each role is a subcommand.
 package main
 
 import (
--- a/internal/command/daemons.go
+++ b/internal/command/daemons.go
@@ -15,17 +15,17 @@
 	"pinevane.example/pinevane/internal/forward"
 )
 
-// Memory of a daemon. The binary's own mapped pages take about 17 MiB of what
-// counts as resident, so that the heap must stay small.
+// Memory settings of a daemon. About 17 MiB of the resident memory are mapped pages of the binary
+// itself, so the heap must stay small.
 const (
-	// memoryLimitBytes is the soft limit of Go's memory unless GOMEMLIMIT is set.
+	// memoryLimitBytes is the soft memory limit of the Go runtime unless GOMEMLIMIT is set.
 	memoryLimitBytes = 24 << 20
-	// heapGrowthPercent lets the heap grow by this much between collections unless
-	// GOGC is set; a daemon has processor time to spare for it.
+	// heapGrowthPercent is the GC percentage unless GOGC is set. It trades CPU time, which a
+	// daemon has to spare, for a smaller heap.
 	heapGrowthPercent = 40
 )
 
-// limitMemory keeps a daemon under its part of a machine.
+// limitMemory keeps the memory of a daemon within its share of a machine.
 func limitMemory() { limitMemoryAt(heapGrowthPercent) }
 
 func limitMemoryAt(percent int) {
@@ -39,11 +39,11 @@
 
 type entryCommand struct {
 	processFlags
-	DefaultDeadline time.Duration  `long:"default-deadline" env:"PINEVANE_DEFAULT_DEADLINE" default:"60s" description:"time of a request that names none, 1s to 24h"`
+	DefaultDeadline time.Duration  `long:"default-deadline" env:"PINEVANE_DEFAULT_DEADLINE" default:"60s" description:"deadline of a request that sets none, 1s to 24h"`
 	MaximumBody     int64          `long:"maximum-body" env:"PINEVANE_MAXIMUM_BODY" default:"1048576" description:"largest request body, 1024 to 67108864 bytes"`
 	Policy          string         `long:"policy" env:"PINEVANE_POLICY" default:"two-choices" description:"two-choices, random, round-robin, least-loaded or affinity"`
 	Decisions       forward.Policy `group:"Decisions on the users' machines"`
-	MaximumAttempts int64          `long:"maximum-attempts" env:"PINEVANE_MAXIMUM_ATTEMPTS" default:"4" description:"most attempts at one request, 1 to 16"`
+	MaximumAttempts int64          `long:"maximum-attempts" env:"PINEVANE_MAXIMUM_ATTEMPTS" default:"4" description:"maximum attempts per request, 1 to 16"`
 }
 
 func (c *entryCommand) check() error {
@@ -91,15 +91,15 @@
 
 type agentCommand struct {
 	processFlags
-	Service        string        `long:"service" env:"PINEVANE_SERVICE" description:"name of the plain service on this machine; leave out for a model engine"`
+	Service        string        `long:"service" env:"PINEVANE_SERVICE" description:"name of the plain service on this machine; omit for a model engine"`
 	BackEnd        string        `long:"back-end" env:"PINEVANE_BACK_END" description:"IP address and port of this machine's engine or plain service"`
-	Store          string        `long:"store" env:"PINEVANE_STORE" description:"IP address and port of this machine's weight store; needed with an engine"`
-	Origin         string        `long:"origin" env:"PINEVANE_ORIGIN" description:"IP address and port of the weight origin; needed with an engine"`
-	ModelSlots     int64         `long:"model-slots" env:"PINEVANE_MODEL_SLOTS" default:"2" description:"models that the engine has room for, 1 to 64"`
-	MaximumOpen    int64         `long:"maximum-open" env:"PINEVANE_MAXIMUM_OPEN" default:"512" description:"attempts that run at once, 1 to 65536"`
+	Store          string        `long:"store" env:"PINEVANE_STORE" description:"IP address and port of this machine's weight store; required with an engine"`
+	Origin         string        `long:"origin" env:"PINEVANE_ORIGIN" description:"IP address and port of the weight origin; required with an engine"`
+	ModelSlots     int64         `long:"model-slots" env:"PINEVANE_MODEL_SLOTS" default:"2" description:"number of models that fit into the engine, 1 to 64"`
+	MaximumOpen    int64         `long:"maximum-open" env:"PINEVANE_MAXIMUM_OPEN" default:"512" description:"maximum concurrent attempts, 1 to 65536"`
 	LinkRate       int64         `long:"link-rate" env:"PINEVANE_LINK_RATE" default:"0" description:"this machine's link in bytes a second, 0 (no limit) or 65536 to 10^12"`
-	StallWindow    time.Duration `long:"stall-window" env:"PINEVANE_STALL_WINDOW" default:"2s" description:"time without progress after which a transfer is given up, 100ms to 5m"`
-	RepairPatience time.Duration `long:"repair-patience" env:"PINEVANE_REPAIR_PATIENCE" default:"1s" description:"time that a missing chunk is waited for, 50ms to 5m"`
+	StallWindow    time.Duration `long:"stall-window" env:"PINEVANE_STALL_WINDOW" default:"2s" description:"time without progress after which a transfer is aborted, 100ms to 5m"`
+	RepairPatience time.Duration `long:"repair-patience" env:"PINEVANE_REPAIR_PATIENCE" default:"1s" description:"time to wait for a missing chunk, 50ms to 5m"`
 	RetireGrace    time.Duration `long:"retire-grace" env:"PINEVANE_RETIRE_GRACE" default:"5s" description:"time that a replaced version stays loaded, 0s to 24h"`
 }
 
--- a/internal/command/demo.go
+++ b/internal/command/demo.go
@@ -8,10 +8,10 @@
 )
 
 type demoCommand struct {
-	Platform   string `long:"platform" env:"PINEVANE_DEMO_PLATFORM" default:"product" description:"product (the product's own stand-ins) or system (the stand-in of the users' platform)"`
+	Platform   string `long:"platform" env:"PINEVANE_DEMO_PLATFORM" default:"product" description:"product (pinevane's own emulators) or system (the emulation of the users' platform)"`
 	Deployment string `long:"deployment" env:"PINEVANE_DEMO_DEPLOYMENT" default:"examples/yaad-voices" description:"directory of a deployment"`
-	Hold       bool   `long:"hold" env:"PINEVANE_DEMO_HOLD" description:"leave the fleet up until an interrupt"`
-	Logs       string `long:"logs" env:"PINEVANE_DEMO_LOGS" description:"directory for a log file a process; discarded when left out"`
+	Hold       bool   `long:"hold" env:"PINEVANE_DEMO_HOLD" description:"keep the fleet running until interrupted"`
+	Logs       string `long:"logs" env:"PINEVANE_DEMO_LOGS" description:"directory for one log file per process; logs are discarded if omitted"`
 }
 
 // Execute runs the command.
--- a/internal/command/documents.go
+++ b/internal/command/documents.go
@@ -41,8 +41,7 @@
 	return nil
 }
 
-// checkDeployment checks the description of a deployment's places, where there is
-// one.
+// checkDeployment validates the deployment description, if the directory has one.
 func checkDeployment(directory string) error {
 	if _, err := os.Stat(filepath.Join(directory, configuration.DeploymentFile)); errors.Is(err, fs.ErrNotExist) {
 		return nil
@@ -115,7 +114,7 @@
 	return nil
 }
 
-// hashWithProgress shows a bar on standard error while it reads the files.
+// hashWithProgress builds the manifest and shows a progress bar on standard error.
 func (c *manifestCommand) hashWithProgress() (*weights.Manifest, error) {
 	bars := mpb.New(mpb.WithOutput(os.Stderr), mpb.WithAutoRefresh())
 	bar := bars.AddBar(0, mpb.PrependDecorators(decor.Name("hashing ")), mpb.AppendDecorators(decor.Percentage()))
--- a/internal/command/emulate.go
+++ b/internal/command/emulate.go
@@ -19,12 +19,12 @@
 )
 
 type emulateCommand struct {
-	Platform emulatePlatformCommand `command:"platform" description:"Stand in for the configuration and membership services and the weight origin"`
-	Machine  emulateMachineCommand  `command:"machine" description:"Stand in for machines with a model engine and a weight store"`
-	Service  emulateServiceCommand  `command:"service" description:"Stand in for a plain service"`
+	Platform emulatePlatformCommand `command:"platform" description:"Emulate the configuration and membership services and the weight origin"`
+	Machine  emulateMachineCommand  `command:"machine" description:"Emulate machines with a model engine and a weight store"`
+	Service  emulateServiceCommand  `command:"service" description:"Emulate a plain service"`
 }
 
-// serveUntilStopped serves stand-ins until a stop signal.
+// serveUntilStopped serves emulated components until a stop signal.
 func serveUntilStopped(name string, handlers map[string]http.Handler) error {
 	log, err := logging.New(zapcore.InfoLevel, name)
 	if err != nil {
@@ -88,11 +88,11 @@
 	if err != nil {
 		return err
 	}
-	described, err := deployment.Read(directory)
+	deployed, err := deployment.Read(directory)
 	if err != nil {
 		return err
 	}
-	for _, synthetic := range described.Weights {
+	for _, synthetic := range deployed.Weights {
 		if _, _, err := origin.Add(synthetic); err != nil {
 			return err
 		}
@@ -161,8 +161,7 @@
 	})
 }
 
-// executablePath is the path of this binary, for the desk commands that start
-// processes.
+// executablePath returns the path of this binary, for commands that start processes.
 func executablePath() (string, error) {
 	path, err := os.Executable()
 	if err != nil {
--- a/internal/command/experiment.go
+++ b/internal/command/experiment.go
@@ -15,7 +15,7 @@
 type experimentCommand struct {
 	Rollout rolloutCommand `command:"rollout" description:"Measure how weights reach a fleet, in virtual time or with --real over processes"`
 	Load    loadCommand    `command:"load" description:"Load a small fleet over real sockets and compare with calling its back ends directly"`
-	Soak    soakCommand    `command:"soak" description:"Run real processes under faults drawn from a seed and check the promises"`
+	Soak    soakCommand    `command:"soak" description:"Run real processes under seeded random faults and verify the guarantees"`
 }
 
 type rolloutCommand struct {
@@ -25,14 +25,14 @@
 	Chunks       int64   `long:"chunks" default:"256" description:"number of chunks, 1 to 8192"`
 	Strategy     string  `long:"strategy" default:"rotated" description:"star, chain, tree, rotated or pull"`
 	Duplex       string  `long:"duplex" default:"full" description:"full or half"`
-	Dead         float64 `long:"dead" default:"0" description:"share of machines that die meanwhile, 0 to 0.5"`
-	Stalled      float64 `long:"stalled" default:"0" description:"share of machines whose uplink hangs, 0 to 0.5"`
-	Corrupt      float64 `long:"corrupt" default:"0" description:"share of transfers that arrive corrupt, 0 to 0.5"`
-	StaleList    float64 `long:"stale-list" default:"0" description:"share of machines with a wrong membership list, 0 to 1"`
-	Partition    bool    `long:"partition" description:"cut one zone off from the others in the middle"`
+	Dead         float64 `long:"dead" default:"0" description:"fraction of machines that crash during the rollout, 0 to 0.5"`
+	Stalled      float64 `long:"stalled" default:"0" description:"fraction of machines whose uplink stalls, 0 to 0.5"`
+	Corrupt      float64 `long:"corrupt" default:"0" description:"fraction of transfers that arrive corrupt, 0 to 0.5"`
+	StaleList    float64 `long:"stale-list" default:"0" description:"fraction of machines with a stale membership list, 0 to 1"`
+	Partition    bool    `long:"partition" description:"disconnect one zone from the others halfway"`
 	OriginCopies int64   `long:"origin-copies" default:"1" description:"zones that read each chunk from the origin, 1 to 4"`
-	Held         float64 `long:"held" default:"0" description:"share of chunks that the machines hold already, 0 to 0.99"`
-	NoVerify     bool    `long:"no-verify" description:"accept corrupt chunks, to see the check notice it"`
+	Held         float64 `long:"held" default:"0" description:"fraction of chunks that the machines already store, 0 to 0.99"`
+	NoVerify     bool    `long:"no-verify" description:"accept corrupt chunks, to test that the check detects it"`
 	Seed         int64   `long:"seed" default:"1" description:"seed of every random choice, 0 to 2^53"`
 	Real         bool    `long:"real" description:"run real processes on loopback with shaped rates; machines 3 to 48"`
 	Deployment   string  `long:"deployment" default:"examples/yaad-voices" description:"deployment directory for --real"`
@@ -54,14 +54,14 @@
 			return err
 		}
 	}
-	shares := []struct {
+	ratios := []struct {
 		flag        string
 		value, high float64
 	}{
 		{"--dead", c.Dead, 0.5}, {"--stalled", c.Stalled, 0.5}, {"--corrupt", c.Corrupt, 0.5}, {"--stale-list", c.StaleList, 1}, {"--held", c.Held, 0.99},
 	}
-	for _, share := range shares {
-		if err := checkRatio(share.flag, share.value, 0, share.high); err != nil {
+	for _, ratio := range ratios {
+		if err := checkRatio(ratio.flag, ratio.value, 0, ratio.high); err != nil {
 			return err
 		}
 	}
--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -20,12 +20,12 @@
 	if err != nil {
 		return err
 	}
-	story := explain.Tell(lines, c.Arguments.Request)
-	for _, line := range story.Lines {
+	timeline := explain.Tell(lines, c.Arguments.Request)
+	for _, line := range timeline.Lines {
 		fmt.Println(line)
 	}
-	fmt.Printf("\ncause: %s\n", story.Cause)
-	if len(story.Lines) == 0 {
+	fmt.Printf("\ncause: %s\n", timeline.Cause)
+	if len(timeline.Lines) == 0 {
 		return &fault.InvalidSetting{Flag: "ID", Value: c.Arguments.Request, Allowed: "the id of a request in the logs"}
 	}
 	return nil
--- a/internal/command/load.go
+++ b/internal/command/load.go
@@ -14,9 +14,9 @@
 
 type loadCommand struct {
 	Rate       float64       `long:"rate" default:"400" description:"requests a second, 1 to 5000"`
-	Duration   time.Duration `long:"duration" default:"20s" description:"time of the load, 2s to 1h"`
-	During     string        `long:"during" description:"what happens meanwhile: rollout, zone-loss or drain; nothing when left out"`
-	Policy     []string      `long:"policy" default:"two-choices" description:"routing policy of the entries; several, one run each, by repeating the flag"`
+	Duration   time.Duration `long:"duration" default:"20s" description:"duration of the load, 2s to 1h"`
+	During     string        `long:"during" description:"disturbance during the load: rollout, zone-loss or drain; none if omitted"`
+	Policy     []string      `long:"policy" default:"two-choices" description:"routing policy of the entries; may be repeated for one run each"`
 	Deployment string        `long:"deployment" default:"examples/yaad-voices" description:"directory of a deployment"`
 	Seed       int64         `long:"seed" default:"1" description:"seed of arrivals and requests, 0 to 2^53"`
 	Baseline   string        `long:"baseline" description:"JSON of an earlier run to compare with"`
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// printComparison prints the ratio of each figure to an earlier run's.
+// printComparison prints the ratio of each figure to that of an earlier run.
 func printComparison(path string, report *demo.LoadReport) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/command/losses.go
+++ b/internal/command/losses.go
@@ -9,7 +9,7 @@
 )
 
 type lossesCommand struct {
-	Window    time.Duration `long:"window" default:"2s" description:"length of the windows of time"`
+	Window    time.Duration `long:"window" default:"2s" description:"length of a time window"`
 	Arguments struct {
 		Files []string `positional-arg-name:"LOGFILE" description:"logs of any number of processes" required:"1"`
 	} `positional-args:"true" required:"true"`
@@ -35,12 +35,12 @@
 		if err != nil {
 			return nil, &fault.InvalidSetting{Flag: "LOGFILE", Value: path, Allowed: "a readable file"}
 		}
-		read, err := explain.Read(file)
+		fileLines, err := explain.Read(file)
 		_ = file.Close()
 		if err != nil {
 			return nil, err
 		}
-		lines = append(lines, read...)
+		lines = append(lines, fileLines...)
 	}
 	return lines, nil
 }
--- a/internal/command/platform.go
+++ b/internal/command/platform.go
@@ -20,21 +20,21 @@
 	"pinevane.example/pinevane/platform"
 )
 
-// platformHeapGrowthPercent lets the heap grow further between collections than
-// elsewhere: the users' machines have the memory, and price processor time.
+// platformHeapGrowthPercent is the GC percentage on the users' machines. It is higher than
+// elsewhere: these machines have enough memory, while CPU time is charged.
 const platformHeapGrowthPercent = 100
 
-// settingsCheckPeriod is how often the settings file is looked at for changes.
+// settingsCheckPeriod is the interval at which the settings file is checked for changes.
 const settingsCheckPeriod = 2 * time.Second
 
-// runWithSettings runs a role with the settings file of the users' platform; entries
-// decide by the policy.
+// runWithSettings runs a role with the settings file of the users' platform. The policy is used by
+// entries only.
 func (f *processFlags) runWithSettings(role string, policy forward.Policy) error {
 	level, err := zapcore.ParseLevel(f.LogLevel)
 	if err != nil || level > zapcore.ErrorLevel {
 		return &fault.InvalidSetting{Flag: "--log-level", Value: f.LogLevel, Allowed: "debug, info, warn or error"}
 	}
-	changes := watchSettings(f.Settings)
+	watcher := watchSettings(f.Settings)
 	settings, err := platform.ReadSettings(f.Settings)
 	if err != nil {
 		return err
@@ -45,51 +45,51 @@
 	limitMemoryAt(platformHeapGrowthPercent)
 	log := logging.NewBounded(level, settings.Name, os.Stdout)
 	defer log.Sync()
-	base := daemon.New(daemon.Options{
+	process := daemon.New(daemon.Options{
 		Settings: settings, Role: role, Store: platform.NewStore(settings.StoreAddress), Decoder: platform.NewDecoder(), Log: log,
 		Reload: func() (fleet.Settings, error) { return platform.ReadSettings(f.Settings) },
 	})
-	run := newRole(role, base, policy)
-	// Not before: what is built meanwhile would keep the settings of the start.
-	go changes.run(base.Reload)
+	run := newRole(role, process, policy)
+	// Started only after the role is built: a reload during construction would leave the
+	// components with the old settings.
+	go watcher.run(process.Reload)
 	return run(stopSignal())
 }
 
-// newRole builds the role's process, and returns what runs it until a channel is closed.
-func newRole(role string, base *daemon.Daemon, policy forward.Policy) func(stop <-chan struct{}) error {
+// newRole builds the role's process and returns its Run method.
+func newRole(role string, process *daemon.Daemon, policy forward.Policy) func(stop <-chan struct{}) error {
 	if role == catalog.RoleEntry {
-		return gateway.New(gateway.Options{Daemon: base, Dialect: platform.Dialect{}, Policy: policy}).Run
+		return gateway.New(gateway.Options{Daemon: process, Dialect: platform.Dialect{}, Policy: policy}).Run
 	}
 	return rollout.New(rollout.Options{
-		Daemon: base, Server: platform.NewModelServer(base.Settings().ServerAddress), Origin: platform.NewOrigin(),
+		Daemon: process, Server: platform.NewModelServer(process.Settings().ServerAddress), Origin: platform.NewOrigin(),
 	}).Run
 }
 
-// checkRole checks what the settings must hold for a role.
+// checkRole validates that the settings have the fields that a role requires.
 func checkRole(role string, settings fleet.Settings) error {
 	required := []struct{ field, value string }{{"app", settings.ServerAddress}, {"service", settings.Service}}
 	if role == catalog.RoleEntry {
 		required = []struct{ field, value string }{{"listen.front", settings.Callers}, {"listen.ready", settings.Ready}}
 	}
-	for _, one := range required {
-		if one.value == "" {
-			return &fault.InvalidSetting{Flag: "settings field " + one.field, Allowed: "a value, for the role " + role}
+	for _, setting := range required {
+		if setting.value == "" {
+			return &fault.InvalidSetting{Flag: "settings field " + setting.field, Allowed: "a value, for the role " + role}
 		}
 	}
 	return nil
 }
 
-// settingsWatcher notices changes of a settings file, from before the file is first read: a hang-up
-// signal would end a process that does not wait for it, and a change that comes while the process starts
-// would never be noticed.
+// settingsWatcher detects changes of a settings file. It is created before the file is first read:
+// an unhandled SIGHUP would terminate the process, and a change during startup would go unnoticed.
 type settingsWatcher struct {
 	path   string
 	hangUp chan os.Signal
-	// last is the state of the file that was last read.
+	// last is the modification time of the file when it was last read.
 	last string
 }
 
-// watchSettings begins to notice changes of a file.
+// watchSettings returns a watcher that detects changes from now on.
 func watchSettings(path string) *settingsWatcher {
 	w := &settingsWatcher{path: path, hangUp: make(chan os.Signal, 1)}
 	signal.Notify(w.hangUp, syscall.SIGHUP)
@@ -97,7 +97,7 @@
 	return w
 }
 
-// run reads the settings again on the hang-up signal, and when the file has changed.
+// run calls reload on SIGHUP and when the file has changed.
 func (w *settingsWatcher) run(reload func()) {
 	ticker := time.NewTicker(settingsCheckPeriod)
 	defer ticker.Stop()
@@ -107,15 +107,15 @@
 			w.last = modificationTime(w.path)
 			reload()
 		case <-ticker.C:
-			if now := modificationTime(w.path); now != w.last {
-				w.last = now
+			if current := modificationTime(w.path); current != w.last {
+				w.last = current
 				reload()
 			}
 		}
 	}
 }
 
-// modificationTime tells one state of a file from another.
+// modificationTime returns a file's modification time, or an empty string if it can't be read.
 func modificationTime(path string) string {
 	info, err := os.Stat(filepath.Clean(path))
 	if err != nil {
--- a/internal/command/platform_test.go
+++ b/internal/command/platform_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A hang-up signal, or a change of the settings file, that comes between the first reading and
-// the end of the start ends no process and is not lost.
-func TestSettingsThatChangeDuringTheStartAreReadAgain(t *testing.T) {
+// A SIGHUP or a change of the settings file between the first read and the end of startup must
+// neither terminate the process nor be missed.
+func TestSettingsChangesDuringStartupAreReloaded(t *testing.T) {
 	for name, change := range map[string]func(path string){
 		"signal": func(string) { require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP)) },
 		"file": func(path string) {
@@ -25,14 +25,14 @@
 			require.NoError(t, os.WriteFile(path, []byte("{}"), 0o600))
 			watch := watchSettings(path)
 			change(path)
-			// A signal takes a moment to arrive.
+			// Signal delivery is asynchronous.
 			time.Sleep(100 * time.Millisecond)
-			read := make(chan struct{}, 1)
-			go watch.run(func() { read <- struct{}{} })
+			reloaded := make(chan struct{}, 1)
+			go watch.run(func() { reloaded <- struct{}{} })
 			select {
-			case <-read:
+			case <-reloaded:
 			case <-time.After(2 * settingsCheckPeriod):
-				assert.Fail(t, "the settings were not read again")
+				assert.Fail(t, "the settings were not reloaded")
 			}
 		})
 	}
--- a/internal/command/policy_test.go
+++ b/internal/command/policy_test.go
@@ -11,9 +11,9 @@
 	"pinevane.example/pinevane/internal/forward"
 )
 
-// The flags' defaults and the policy's are the same, and each weight out of its range
-// is named.
-func TestDecisionsOfAnEntryAreChecked(t *testing.T) {
+// The defaults of the flags must equal those of the policy, and every weight out of range must be
+// rejected.
+func TestEntryPolicyFlagsAreValidated(t *testing.T) {
 	var command entryCommand
 	_, err := flags.NewParser(&command, flags.None).ParseArgs(nil)
 	require.NoError(t, err)
--- a/internal/command/release.go
+++ b/internal/command/release.go
@@ -7,11 +7,11 @@
 	"pinevane.example/pinevane/internal/gateway"
 )
 
-// releaseCommand ends the quarantine of a content.
+// releaseCommand ends the quarantine of a request fingerprint.
 type releaseCommand struct {
 	Arguments struct {
 		Address string `positional-arg-name:"ADDRESS" description:"administration address of an entry, IP and port"`
-		Content string `positional-arg-name:"CONTENT" description:"the content's identity, 32 hexadecimal digits, as the dump and PV4211 name it"`
+		Content string `positional-arg-name:"CONTENT" description:"fingerprint of the request content, 32 hexadecimal digits, as shown in the dump and PV4211"`
 	} `positional-args:"true" required:"true"`
 }
 
--- a/internal/command/settings.go
+++ b/internal/command/settings.go
@@ -15,9 +15,9 @@
 	"pinevane.example/pinevane/internal/node"
 )
 
-// processFlags are the settings that entries and agents share.
+// processFlags are the flags that entries and agents share.
 type processFlags struct {
-	Settings      string        `long:"settings" env:"PINEVANE_CONFIG" description:"settings file of the platform; every other flag but the log level is then left out"`
+	Settings      string        `long:"settings" env:"PINEVANE_CONFIG" description:"settings file of the platform; replaces every other flag except the log level"`
 	ID            string        `long:"id" env:"PINEVANE_ID" description:"name of this process on the membership list, unique in the fleet"`
 	Zone          string        `long:"zone" env:"PINEVANE_ZONE" description:"zone that this process is in"`
 	Region        string        `long:"region" env:"PINEVANE_REGION" description:"region that the zone is in"`
@@ -25,9 +25,9 @@
 	AdminListen   string        `long:"admin-listen" env:"PINEVANE_ADMIN_LISTEN" default:"127.0.0.1:0" description:"IP address and port of metrics and state dump; keep it on loopback"`
 	Configuration string        `long:"configuration" env:"PINEVANE_CONFIGURATION" description:"IP address and port of the configuration service"`
 	Membership    string        `long:"membership" env:"PINEVANE_MEMBERSHIP" description:"IP address and port of the membership service"`
-	Seeds         []string      `long:"seed" env:"PINEVANE_SEEDS" env-delim:"," description:"IP address and port of a peer to learn from when the platform can't be read; may be repeated"`
-	StartJitter   time.Duration `long:"start-jitter" env:"PINEVANE_START_JITTER" default:"200ms" description:"spread of the first read of the platform, 0s to 60s"`
-	SettleTime    time.Duration `long:"settle-time" env:"PINEVANE_SETTLE_TIME" default:"2s" description:"time to keep answering after readiness is off, 0s to 10m"`
+	Seeds         []string      `long:"seed" env:"PINEVANE_SEEDS" env-delim:"," description:"IP address and port of a peer to learn from when the platform is unreachable; may be repeated"`
+	StartJitter   time.Duration `long:"start-jitter" env:"PINEVANE_START_JITTER" default:"200ms" description:"maximum random delay of the first read of the platform, 0s to 60s"`
+	SettleTime    time.Duration `long:"settle-time" env:"PINEVANE_SETTLE_TIME" default:"2s" description:"time to keep answering after the readiness check fails, 0s to 10m"`
 	LogLevel      string        `long:"log-level" env:"PINEVANE_LOG_LEVEL" default:"info" description:"debug, info, warn or error"`
 	Profile       bool          `long:"profile" env:"PINEVANE_PROFILE" description:"serve pprof on the administration address"`
 }
@@ -75,7 +75,8 @@
 	}
 }
 
-// checkAddress accepts an IP address and port; processes use no names.
+// checkAddress accepts an IP address and port. Host names are rejected, because processes don't
+// resolve names.
 func checkAddress(flag, value string) error {
 	if _, err := netip.ParseAddrPort(value); err != nil {
 		return &fault.InvalidSetting{Flag: flag, Value: value, Allowed: "an IP address and port, for example 127.0.0.1:7400"}
@@ -99,7 +100,7 @@
 
 func checkRatio(flag string, value, low, high float64) error {
 	if !(value >= low && value <= high) {
-		return &fault.InvalidSetting{Flag: flag, Value: strconv.FormatFloat(value, 'g', -1, 64), Allowed: fmt.Sprintf("a share of %g to %g", low, high)}
+		return &fault.InvalidSetting{Flag: flag, Value: strconv.FormatFloat(value, 'g', -1, 64), Allowed: fmt.Sprintf("a fraction of %g to %g", low, high)}
 	}
 	return nil
 }
--- a/internal/command/soak.go
+++ b/internal/command/soak.go
@@ -13,15 +13,15 @@
 
 type soakCommand struct {
 	Seed    int64   `long:"seed" default:"1" description:"seed of the schedule of faults, 0 to 2^53"`
-	Minutes float64 `long:"minutes" default:"1" description:"time during which faults strike, 0.15 to 600 minutes"`
-	Kinds   string  `long:"kinds" description:"kinds of faults to draw from, with commas between them; all when left out"`
-	Logs    string  `long:"logs" description:"directory for a log file a process; a new temporary one when left out"`
+	Minutes float64 `long:"minutes" default:"1" description:"time during which faults are injected, 0.15 to 600 minutes"`
+	Kinds   string  `long:"kinds" description:"comma-separated kinds of faults to draw from; all if omitted"`
+	Logs    string  `long:"logs" description:"directory for one log file per process; a new temporary one if omitted"`
 }
 
-// Bounds of a soak's length in minutes: one series of faults takes 9 s.
+// Bounds of a soak test's length in minutes. One round of faults takes 9 s.
 const (
 	minSoakMinutes = 0.15
-	maxSoakMinutes  = 600
+	maxSoakMinutes = 600
 )
 
 // Execute runs the command.
@@ -48,7 +48,7 @@
 	return soak.Run(soak.Options{Executable: executable, LogDirectory: logs, Seed: uint64(c.Seed), Duration: duration, Kinds: kinds, Output: os.Stdout})
 }
 
-// soakKinds reads a list of kinds of faults; all of them when it is empty.
+// soakKinds parses a comma-separated list of fault kinds; an empty list selects all.
 func soakKinds(list string) ([]soak.Kind, error) {
 	if list == "" {
 		return soak.Kinds, nil
@@ -64,14 +64,14 @@
 	return kinds, nil
 }
 
-// makeLogDirectory makes the folder for logs, or a new temporary one.
+// makeLogDirectory creates the log directory, or a temporary one if path is empty.
 func makeLogDirectory(path string) (string, error) {
 	if path == "" {
-		made, err := os.MkdirTemp("", "pinevane-soak")
+		created, err := os.MkdirTemp("", "pinevane-soak")
 		if err != nil {
-			return "", &fault.Unavailable{Target: "temporary folder", Operation: "make", Cause: err}
+			return "", &fault.Unavailable{Target: "temporary directory", Operation: "make", Cause: err}
 		}
-		return made, nil
+		return created, nil
 	}
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		return "", &fault.InvalidSetting{Flag: "--logs", Value: path, Allowed: "a directory: " + err.Error()}
