--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,7 +1,6 @@
-// Package demo runs a whole small fleet on one machine, as plain processes on
-// loopback addresses: it brings a first version live, answers requests, rolls a
-// second version out meanwhile, stops machines as planned, and checks from the
-// stand-ins' own records that the promises held.
+// Package demo runs a small fleet on one machine, as processes on loopback addresses. It brings a
+// first version live, sends requests, rolls out a second version under load, stops machines
+// gracefully, and verifies the guarantees from the emulators' own records.
 package demo
 
 import (
@@ -25,23 +24,23 @@
 	"pinevane.example/pinevane/internal/workload"
 )
 
-// Options sets up a demo.
+// Options configures a demo.
 type Options struct {
 	Executable   string
 	Directory    string
 	LogDirectory string
-	// Hold keeps the fleet up until Stop is closed.
+	// Hold keeps the fleet running until Stop is closed.
 	Hold bool
 	Stop <-chan struct{}
-	// Output gets the progress and the report.
+	// Output receives the progress and the report.
 	Output io.Writer
-	// EnginesPerZone replaces the deployment's number of engines when not zero.
+	// EnginesPerZone overrides the deployment's number of engines if not zero.
 	EnginesPerZone int
-	// EntryFlags are given to every entry.
+	// EntryFlags are passed to every entry.
 	EntryFlags []string
 }
 
-// Rates and times of the demo, in bytes a second and seconds.
+// Rates (bytes per second), callers and timeouts of the demo.
 const (
 	linkRate     = 16 << 20
 	originRate   = 32 << 20
@@ -52,7 +51,7 @@
 	stopTimeout  = 30 * time.Second
 )
 
-// demo is one run.
+// demo is a running demo.
 type demo struct {
 	options    Options
 	deployment *deployment.Deployment
@@ -64,12 +63,12 @@
 	model      string
 	versions   []weights.Synthetic
 	manifests  map[string]*weights.Manifest
-	// stopped holds the entries that callers no longer use.
+	// stopped is the set of addresses that callers no longer use.
 	stopped sync.Map
 }
 
-// Run runs the demo. The report is nil when the fleet was held; the error is a
-// *fault.PromiseBroken when a promise did not hold.
+// Run runs the demo. The report is nil if the fleet was held; the error is a *fault.PromiseBroken
+// if a guarantee was violated.
 func Run(options Options) (*Report, error) {
 	d, err := prepare(options)
 	if err != nil {
@@ -92,16 +91,16 @@
 }
 
 func prepare(options Options) (*demo, error) {
-	described, err := deployment.Read(options.Directory)
+	deployed, err := deployment.Read(options.Directory)
 	if err != nil {
 		return nil, err
 	}
-	if len(described.Weights) < 2 {
+	if len(deployed.Weights) < 2 {
 		return nil, &fault.InvalidDocument{Document: options.Directory, Path: "weights", Reason: "the demo needs two versions"}
 	}
 	if options.EnginesPerZone > 0 {
-		for i := range described.Zones {
-			described.Zones[i].Engines = options.EnginesPerZone
+		for i := range deployed.Zones {
+			deployed.Zones[i].Engines = options.EnginesPerZone
 		}
 	}
 	snapshot, err := configuration.ParseDirectory(options.Directory)
@@ -109,18 +108,18 @@
 		return nil, err
 	}
 	d := &demo{
-		options: options, deployment: described, snapshot: snapshot, recorder: &workload.Recorder{}, began: time.Now(),
-		model: described.Weights[0].Model, versions: described.Weights, manifests: map[string]*weights.Manifest{},
+		options: options, deployment: deployed, snapshot: snapshot, recorder: &workload.Recorder{}, began: time.Now(),
+		model: deployed.Weights[0].Model, versions: deployed.Weights, manifests: map[string]*weights.Manifest{},
 	}
 	identities := workload.NewIdentities()
-	for _, synthetic := range described.Weights {
+	for _, synthetic := range deployed.Weights {
 		manifest := synthetic.Manifest()
 		identities.Add(manifest)
 		d.manifests[synthetic.Version] = manifest
 	}
 	d.client = workload.NewClient(identities)
 	d.fleet = launch.New(launch.Options{
-		Executable: options.Executable, Deployment: described, LogDirectory: options.LogDirectory,
+		Executable: options.Executable, Deployment: deployed, LogDirectory: options.LogDirectory,
 		LinkRate: linkRate, OriginRate: originRate,
 		EntryFlags: options.EntryFlags, AgentFlags: []string{"--retire-grace", "2s"},
 	})
@@ -141,7 +140,7 @@
 	return result
 }
 
-// start starts the fleet and waits until the first version answers everywhere.
+// start starts the fleet and waits until the first version is live everywhere.
 func (d *demo) start() error {
 	d.printf("starting %d machines of %s", len(d.fleet.Machines), d.deployment.Name)
 	if err := d.fleet.Start(); err != nil {
@@ -150,7 +149,7 @@
 	if err := d.publishVersion(d.versions[0].Version); err != nil {
 		return err
 	}
-	d.printf("%d processes run; waiting for version %s", d.fleet.Count(), d.versions[0].Version)
+	d.printf("%d processes are running; waiting for version %s", d.fleet.Count(), d.versions[0].Version)
 	if _, err := d.waitLive(d.versions[0].Version, time.Now()); err != nil {
 		return err
 	}
@@ -163,8 +162,8 @@
 	return nil
 }
 
-// entryReady reports whether an entry is ready and has a link to every back end
-// that it wants to use, which in a larger fleet is a part of them.
+// entryReady reports whether an entry is ready and linked to every back end in its routing table,
+// which in a larger fleet is a subset of all.
 func (d *demo) entryReady(machine deployment.Machine) bool {
 	dump, err := d.fleet.Dump(machine)
 	if err != nil || !dump.Ready {
@@ -184,8 +183,8 @@
 	return true
 }
 
-// waitLive waits until every engine serves a version and returns when each did,
-// counted from a moment.
+// waitLive waits until every engine serves a version and returns the sorted times that this took,
+// measured from a start time.
 func (d *demo) waitLive(version string, from time.Time) ([]time.Duration, error) {
 	engines := d.machines(external.RoleAgent, true)
 	live := map[string]time.Duration{}
@@ -217,7 +216,7 @@
 	entries := d.machines(external.RoleEntry, false)
 	tenant := d.tenants()[0]
 	_, _ = fmt.Fprintf(d.options.Output, `
-The fleet is up. Try:
+The fleet is running. Try:
 
   curl -s http://%[1]s/v1/chat/completions -H 'Authorization: Bearer %[2]s' -H 'Content-Type: application/json' -d '{"model":"%[3]s","messages":[{"role":"user","content":"hello"}],"max_tokens":16}'
   curl -sN http://%[1]s/v1/chat/completions -H 'Authorization: Bearer %[2]s' -H 'Content-Type: application/json' -d '{"model":"%[3]s","messages":[{"role":"user","content":"hello"}],"max_tokens":16,"stream":true}'
@@ -233,7 +232,7 @@
 	d.stopAll()
 }
 
-// stopAll stops every process as planned: entries first, then agents.
+// stopAll stops every process gracefully: entries first, then agents.
 func (d *demo) stopAll() {
 	for _, role := range []external.Role{external.RoleEntry, external.RoleAgent} {
 		for _, machine := range d.fleet.Machines {
@@ -249,7 +248,7 @@
 	}
 }
 
-// run runs the load through a rollout and a planned stop, and reports.
+// run applies load during a rollout and a graceful stop, and returns the report.
 func (d *demo) run() (*Report, error) {
 	before, err := d.originBytes()
 	if err != nil {
@@ -277,7 +276,7 @@
 	return d.report(times, after-before)
 }
 
-// publishVersion publishes the model's document with a version.
+// publishVersion publishes the model's document with the given version.
 func (d *demo) publishVersion(version string) error {
 	_, digest, err := d.manifests[version].Encode()
 	if err != nil {
@@ -295,7 +294,7 @@
 }
 
 func (d *demo) rollOut(next weights.Synthetic) ([]time.Duration, error) {
-	d.printf("publishing version %s: %.1f MB in %d chunks, %.0f MB/s a link, %.0f MB/s at the origin", next.Version,
+	d.printf("publishing version %s: %.1f MB in %d chunks, %.0f MB/s per link, %.0f MB/s at the origin", next.Version,
 		megabytes(next.Bytes), next.ChunkCount(), megabytes(linkRate), megabytes(originRate))
 	published := time.Now()
 	if err := d.publishVersion(next.Version); err != nil {
@@ -304,12 +303,12 @@
 	return d.waitLive(next.Version, published)
 }
 
-// plannedStops stops an agent and an entry under load.
+// plannedStops stops an agent and an entry gracefully under load.
 func (d *demo) plannedStops() error {
 	agent := d.machines(external.RoleAgent, true)[0]
 	entry := d.machines(external.RoleEntry, false)[0]
 	d.printf("planned stop of agent %s and entry %s", agent.ID, entry.ID)
-	// The balancer stops sending to an entry that is not ready.
+	// A load balancer stops sending to an entry that is not ready.
 	d.stopped.Store(entry.Address, true)
 	for _, machine := range []deployment.Machine{agent, entry} {
 		if err := d.fleet.Signal(machine.ID, syscall.SIGTERM); err != nil {
@@ -321,12 +320,12 @@
 			return &fault.Timeout{Waiting: "planned stop of " + machine.ID, After: stopTimeout}
 		}
 	}
-	d.printf("both have finished their open work and ended")
+	d.printf("both have completed their open requests and exited")
 	return nil
 }
 
-// startLoad runs callers against every entry until the context ends; requests
-// under way then are finished.
+// startLoad starts callers that send requests to all entries until the context is canceled; their
+// current requests are completed.
 func (d *demo) startLoad(ctx context.Context) *sync.WaitGroup {
 	var load sync.WaitGroup
 	var sequence atomic.Int64
--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -17,7 +17,7 @@
 	"pinevane.example/pinevane/internal/workload"
 )
 
-// Disturbance is what happens in the middle of a load.
+// Disturbance is what happens during a load test.
 type Disturbance string
 
 // The disturbances.
@@ -28,10 +28,10 @@
 	DisturbDrain    Disturbance = "drain"
 )
 
-// LoadOptions sets up a load.
+// LoadOptions configures a load test.
 type LoadOptions struct {
 	Options
-	// Rate is requests a second, at Poisson-distributed moments.
+	// Rate is the request rate per second, with Poisson arrivals.
 	Rate     float64
 	Duration time.Duration
 	During   Disturbance
@@ -39,8 +39,8 @@
 	Seed     uint64
 }
 
-// LoadReport is what a load came to. Times count from the moment at which a
-// request was due, not from when it could be sent.
+// LoadReport is the result of a load test. Latencies are measured from the time at which a request
+// was due, not from the time at which it was sent.
 type LoadReport struct {
 	Rate     float64     `json:"rate"`
 	Seconds  float64     `json:"seconds"`
@@ -51,10 +51,10 @@
 	NotRun   int         `json:"not_run"`
 	Errors   int         `json:"errors"`
 	Wrong    int         `json:"wrong"`
-	// CutByDeadEntry counts requests whose own entry was killed.
+	// CutByDeadEntry counts the requests whose entry was killed.
 	CutByDeadEntry int `json:"cut_by_dead_entry"`
-	// Added is what both hops add to an app call, against calling the stand-in
-	// service directly in the same run.
+	// Added is the latency that both hops add to a service call, compared with direct calls to the
+	// emulated services in the same run.
 	AddedP50      float64              `json:"added_p50_ms"`
 	AddedP99      float64              `json:"added_p99_ms"`
 	DirectP50     float64              `json:"direct_p50_ms"`
@@ -66,15 +66,15 @@
 	Reasons       map[fault.Reason]int `json:"refusals_by_reason"`
 }
 
-// directRate is how many calls a second go to the services directly.
+// directRate is the rate of direct calls to the services per second.
 const directRate = 50
 
-// histogramLimit is the longest time that is told apart, in microseconds.
+// histogramLimit is the highest value that a histogram can distinguish, in microseconds.
 const histogramLimit = 120_000_000
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, histogramLimit, 3) }
 
-// loadRun is one load under way.
+// loadRun is a running load test.
 type loadRun struct {
 	*demo
 	options  LoadOptions
@@ -88,7 +88,7 @@
 	cut     int
 }
 
-// RunLoad brings a fleet up and loads it with open-loop arrivals.
+// RunLoad starts a fleet and loads it with open-loop arrivals.
 func RunLoad(options LoadOptions) (*LoadReport, error) {
 	options.EntryFlags = []string{"--policy", options.Policy}
 	d, err := prepare(options.Options)
@@ -117,7 +117,7 @@
 	return err
 }
 
-// arrivals starts a function at Poisson-distributed moments until the end.
+// arrivals calls a function at Poisson-distributed times until the end.
 func (r *loadRun) arrivals(perSecond float64, end time.Time, work *sync.WaitGroup, do func(*rand.Rand, time.Time)) {
 	generator := rand.New(rand.NewPCG(r.options.Seed, uint64(perSecond)))
 	for due := time.Now(); due.Before(end); {
@@ -132,7 +132,7 @@
 	request := r.nextRequest(generator, r.sequence.Add(1))
 	address := r.pickEntry(generator)
 	result := r.client.Do(context.Background(), address, request)
-	late := result.Started.Sub(due)
+	delay := result.Started.Sub(due)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if _, killed := r.stopped.Load(address); killed && r.options.During == DisturbZoneLoss && !result.Answered && result.Execution == fault.ExecutionUnknown {
@@ -144,10 +144,10 @@
 		return
 	}
 	if request.Kind == workload.KindCall {
-		record(r.calls, late+result.Duration)
+		record(r.calls, delay+result.Duration)
 	}
 	if request.Kind == workload.KindStream {
-		record(r.first, late+result.FirstToken)
+		record(r.first, delay+result.FirstToken)
 		for _, gap := range result.Gaps {
 			record(r.between, gap)
 		}
@@ -155,11 +155,11 @@
 }
 
 func record(histogram *hdrhistogram.Histogram, duration time.Duration) {
-	// A value over the limit is counted as the limit.
+	// A value over the limit is recorded as the limit.
 	_ = histogram.RecordValue(min(max(1, duration.Microseconds()), histogramLimit))
 }
 
-// directCall calls a plain service of the fleet without the system.
+// directCall calls a plain service without going through the entries and agents.
 func (r *loadRun) directCall(generator *rand.Rand, due time.Time) {
 	services := r.machines(external.RoleAgent, false)
 	machine := services[generator.IntN(len(services))]
@@ -187,7 +187,7 @@
 	return nil
 }
 
-// loseZone kills every process and back end of the last zone.
+// loseZone kills every process and back end in the last zone.
 func (r *loadRun) loseZone() error {
 	zone := r.deployment.Zones[len(r.deployment.Zones)-1].Name
 	r.printf("zone %s is lost", zone)
@@ -245,8 +245,7 @@
 	report.AddedP50 = milliseconds(r.calls, median) - report.DirectP50
 	report.AddedP99 = milliseconds(r.calls, percentile99) - report.DirectP99
 	if r.options.During == DisturbZoneLoss {
-		// The records of the lost back ends are gone, so that what they ran can't be
-		// counted.
+		// The records of the lost back ends are gone, so their executions can't be counted.
 		return report, nil
 	}
 	calls, generations, err := r.records()
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -14,22 +14,22 @@
 	"pinevane.example/pinevane/internal/workload"
 )
 
-// Report is what a run came to.
+// Report is the result of a demo.
 type Report struct {
 	Deployment string `json:"deployment"`
 	Machines   int    `json:"machines"`
 	Live       int    `json:"live"`
 	Chunks     int    `json:"chunks"`
-	// FirstLive, HalfLive and AllLive are seconds from publishing to live.
+	// FirstLive, HalfLive and AllLive are the times from publication until live, in seconds.
 	FirstLive float64 `json:"first_live_seconds"`
 	HalfLive  float64 `json:"half_live_seconds"`
 	AllLive   float64 `json:"all_live_seconds"`
-	// LowerBound is the time that a link needs for one copy, in seconds.
+	// LowerBound is the time that a link needs to transfer one copy, in seconds.
 	LowerBound   float64 `json:"lower_bound_seconds"`
 	Ratio        float64 `json:"ratio_to_lower_bound"`
 	OriginBytes  int64   `json:"origin_bytes"`
 	OriginCopies float64 `json:"origin_copies"`
-	// MixedOrPartial counts answers from partial weights or a mix of versions.
+	// MixedOrPartial counts the answers from incomplete weights or from several versions.
 	MixedOrPartial int                 `json:"mixed_or_partial_served"`
 	Requests       workload.Summary    `json:"requests"`
 	Violations     []promise.Violation `json:"violations"`
@@ -41,7 +41,7 @@
 	return record.SentBytes, err
 }
 
-// report judges the run.
+// report verifies the guarantees and returns the report of the run.
 func (d *demo) report(times []time.Duration, originBytes int64) (*Report, error) {
 	results := d.recorder.Results()
 	calls, generations, err := d.records()
@@ -73,7 +73,7 @@
 	return report, nil
 }
 
-// maxListedViolations bounds the violations that are printed.
+// maxListedViolations is the maximum number of violations that are printed.
 const maxListedViolations = 10
 
 func (r *Report) print(out io.Writer, versions []weights.Synthetic) {
@@ -89,13 +89,14 @@
 	for reason, count := range r.Requests.Reasons {
 		line("  refused as %s: %d", reason, count)
 	}
-	line("promises checked from the stand-ins' records: %d violations", len(r.Violations))
+	line("guarantees verified from the emulators' records: %d violations", len(r.Violations))
 	for _, violation := range r.Violations[:min(len(r.Violations), maxListedViolations)] {
 		line("  %s: request %s: %s", violation.Promise, violation.Request, violation.Detail)
 	}
 }
 
-// check returns a *fault.PromiseBroken unless everything held.
+// check returns a *fault.PromiseBroken if a guarantee was violated or a version answered no
+// request.
 func (r *Report) check(versions []weights.Synthetic) error {
 	if len(r.Violations) > 0 {
 		return &fault.PromiseBroken{Promise: string(r.Violations[0].Promise), Detail: r.Violations[0].Detail}
@@ -110,7 +111,7 @@
 
 func megabytes[T int64 | int](bytes T) float64 { return float64(bytes) / (1 << 20) }
 
-// records reads how often each back end ran each request.
+// records returns how often each request was executed by the back ends.
 func (d *demo) records() (calls, generations promise.Runs, err error) {
 	calls, generations = promise.Runs{}, promise.Runs{}
 	for _, machine := range d.fleet.Machines {
--- a/internal/demo/requests.go
+++ b/internal/demo/requests.go
@@ -11,11 +11,11 @@
 	"pinevane.example/pinevane/internal/workload"
 )
 
-// Shapes of the demo's requests.
+// Mix and sizes of the demo's requests.
 const (
 	shortTokens = 24
 	longTokens  = 160
-	// longRatio, wholeShare and callShare are shares of the requests.
+	// longRatio, unaryRatio and callRatio are fractions of the requests.
 	longRatio  = 0.1
 	unaryRatio = 0.3
 	callRatio  = 0.4
@@ -25,8 +25,8 @@
 
 func (d *demo) tenants() []string { return slices.Sorted(maps.Keys(d.snapshot.Tenants)) }
 
-// nextRequest draws a request of some tenant: short and long streams, whole
-// answers, and calls of plain services.
+// nextRequest generates a request of a random tenant: a short or long stream, a non-streamed
+// generation, or a call of a plain service.
 func (d *demo) nextRequest(generator *rand.Rand, sequence int64) workload.Request {
 	names := d.tenants()
 	tenant := d.snapshot.Tenants[names[generator.IntN(len(names))]]
--- a/internal/demo/system.go
+++ b/internal/demo/system.go
@@ -18,14 +18,14 @@
 	"pinevane.example/pinevane/internal/launch"
 )
 
-// SystemOptions set up a demo on the stand-in of the users' platform.
+// SystemOptions configures a demo on the emulation of the users' platform.
 type SystemOptions struct {
 	Executable   string
 	LogDirectory string
 	Output       io.Writer
 }
 
-// Times and sizes of the demo on the platform's stand-in.
+// Times and sizes of the demo on the emulation of the users' platform.
 const (
 	systemNetwork     = 140
 	systemWarmUp      = 2 * time.Second
@@ -44,26 +44,26 @@
 	}
 }
 
-// systemDemo is one run.
+// systemDemo is a running demo.
 type systemDemo struct {
 	options SystemOptions
 	fleet   *launch.SiteFleet
 	site    *site.Site
 	group   *launch.Group
-	// residencies hold from before the first process starts.
+	// residencies are enforced from before the first process starts.
 	residencies site.Residencies
 
-	answered atomic.Int64
-	refused  atomic.Int64
-	failed   atomic.Int64
-	mutex    sync.Mutex
-	violations   []string
+	answered   atomic.Int64
+	refused    atomic.Int64
+	failed     atomic.Int64
+	mutex      sync.Mutex
+	violations []string
 }
 
-// RunSystem runs entries and agents as processes against the stand-in of the
-// users' platform: it answers requests, brings a version into service everywhere,
-// adds an empty server, has servers ask to be spared, changes the configuration, stops an entry as planned, and
-// checks from the servers' own ledger that the promises held.
+// RunSystem runs entries and agents as processes on an emulation of the users' platform. It sends
+// requests, rolls out a version, adds an empty server, has servers announce that they leave or
+// limit their rate, changes the configuration, stops an entry gracefully, and verifies the
+// guarantees from the servers' request log.
 func RunSystem(options SystemOptions) error {
 	fleet, err := launch.NewSiteFleet(options.Executable, options.LogDirectory, systemFleet())
 	if err != nil {
@@ -84,7 +84,7 @@
 		return err
 	}
 	shape := d.site.Options
-	d.printf("%d entries and %d agents run, as processes, in %d zones", shape.Zones*shape.Entries, shape.Zones*shape.ModelServers, shape.Zones)
+	d.printf("%d entries and %d agents are running as processes in %d zones", shape.Zones*shape.Entries, shape.Zones*shape.ModelServers, shape.Zones)
 	ctx, cancel := context.WithCancel(context.Background())
 	var callers sync.WaitGroup
 	for caller := range systemCallers {
@@ -100,70 +100,70 @@
 	return d.report()
 }
 
-// operate does what operators do, under load.
+// operate performs the operators' actions under load.
 func (d *systemDemo) operate() error {
-	named := time.Now()
+	announced := time.Now()
 	d.site.AnnounceVersion(2)
-	if err := launch.WaitFor(systemVersionTime, "version 2 everywhere", func() bool { return d.allServe(2) }); err != nil {
+	if err := launch.WaitFor(systemVersionTime, "version 2 to be in service everywhere", func() bool { return d.allServe(2) }); err != nil {
 		return err
 	}
-	d.printf("version 2 is in service everywhere %.1f s after its naming; the origin sent %.2f copies", time.Since(named).Seconds(), d.site.Origin.Copies())
-	const late = 7
-	if _, err := d.site.StartModel(1, late, 0); err != nil {
+	d.printf("version 2 is in service everywhere %.1f s after its announcement; the origin sent %.2f copies", time.Since(announced).Seconds(), d.site.Origin.Copies())
+	const addedIndex = 7
+	if _, err := d.site.StartModel(1, addedIndex, 0); err != nil {
 		return &fault.Unavailable{Target: "stand-in", Operation: "start", Cause: err}
 	}
-	came := time.Now()
-	if err := d.fleet.Start(site.RoleAgent, 1, late); err != nil {
+	added := time.Now()
+	if err := d.fleet.Start(site.RoleAgent, 1, addedIndex); err != nil {
 		return err
 	}
-	if err := launch.WaitFor(systemVersionTime, "the empty server serves", func() bool { return d.allServe(2) }); err != nil {
+	if err := launch.WaitFor(systemVersionTime, "the empty server to serve", func() bool { return d.allServe(2) }); err != nil {
 		return err
 	}
-	d.printf("an empty server serves %.1f s after it came; the origin has sent %.2f copies", time.Since(came).Seconds(), d.site.Origin.Copies())
+	d.printf("an empty server is in service %.1f s after it was added; the origin has sent %.2f copies", time.Since(added).Seconds(), d.site.Origin.Copies())
 	d.checkServerNotices()
 	d.site.Configure(nil)
 	stopped := launch.SiteProcess(site.RoleEntry, 0, 0)
-	began := time.Now()
+	stopping := time.Now()
 	if err := d.group.Signal(stopped, syscall.SIGTERM); err != nil {
 		return err
 	}
 	if !d.group.WaitExit(stopped, systemVersionTime) {
-		return &fault.Timeout{Waiting: "the stopped entry ends", After: systemVersionTime}
+		return &fault.Timeout{Waiting: "the stopped entry to exit", After: systemVersionTime}
 	}
-	d.printf("an entry stopped as planned within %.1f s", time.Since(began).Seconds())
+	d.printf("an entry stopped gracefully within %.1f s", time.Since(stopping).Seconds())
 	return nil
 }
 
-// Shape of what servers ask for in their answers.
+// Parameters of the server notices.
 const (
-	// announcedRate is what one server names, in requests a second.
+	// announcedRate is the rate limit that a server announces, in requests per second.
 	announcedRate = 2
-	// noticePropagation is how long it takes until every entry knows.
+	// noticePropagation is the time until every entry knows a notice.
 	noticePropagation = time.Second
 )
 
-// checkServerNotices has one server say in its answers that it leaves and another one name a limit, and counts what they
-// get after that.
+// checkServerNotices has one server announce that it leaves and another one a rate limit, and
+// counts the requests that they receive after that.
 func (d *systemDemo) checkServerNotices() {
 	leaving, limited := d.site.Models[d.site.Options.ModelIP(0, 0)], d.site.Models[d.site.Options.ModelIP(1, 0)]
 	leaving.AnnounceLeaving(true)
 	limited.AnnounceLimit(strconv.Itoa(announcedRate))
 	time.Sleep(noticePropagation)
-	from := time.Now()
+	start := time.Now()
 	time.Sleep(site.LimitWindow)
 	limited.AnnounceLimit("")
-	got := map[string]int{}
+	received := map[string]int{}
 	for _, delivery := range d.site.Requests.Deliveries() {
-		if delivery.At.After(from) {
-			got[delivery.Server]++
+		if delivery.At.After(start) {
+			received[delivery.Server]++
 		}
 	}
-	d.printf("a server that says it leaves got %d requests in %s after that, one that takes %d a second got %d", got[leaving.ID()], site.LimitWindow, announcedRate, got[limited.ID()])
-	if got[leaving.ID()] > 0 {
-		d.recordViolation("%s got %d requests though it had said that it leaves", leaving.ID(), got[leaving.ID()])
+	d.printf("a server that announced it is leaving received %d requests in the next %s, one with a limit of %d per second received %d", received[leaving.ID()], site.LimitWindow, announcedRate, received[limited.ID()])
+	if received[leaving.ID()] > 0 {
+		d.recordViolation("%s received %d requests after it had announced that it is leaving", leaving.ID(), received[leaving.ID()])
 	}
-	if float64(got[limited.ID()]) > site.MaxUnderLimit(announcedRate) {
-		d.recordViolation("%s got %d requests in %s, and takes %d a second", limited.ID(), got[limited.ID()], site.LimitWindow, announcedRate)
+	if float64(received[limited.ID()]) > site.MaxUnderLimit(announcedRate) {
+		d.recordViolation("%s received %d requests in %s with a limit of %d per second", limited.ID(), received[limited.ID()], site.LimitWindow, announcedRate)
 	}
 }
 
@@ -176,8 +176,7 @@
 	return true
 }
 
-// runCaller sends requests of every kind, one after the other, to an entry of one zone,
-// and to the next when that one refuses the connection.
+// runCaller sends requests of all kinds, one at a time, to alternating entries of a zone.
 func (d *systemDemo) runCaller(ctx context.Context, caller int) {
 	client := &http.Client{Transport: &http.Transport{DisableCompression: true}}
 	for number := 0; ctx.Err() == nil; number++ {
@@ -202,8 +201,8 @@
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		// An entry that has stopped takes no connections; the platform would not send
-		// any there.
+		// A stopped entry accepts no connections; the platform's load balancer would not send any
+		// to it.
 		time.Sleep(20 * time.Millisecond)
 		return
 	}
@@ -212,7 +211,7 @@
 	switch {
 	case err != nil:
 		d.failed.Add(1)
-		d.recordViolation("%s: the answer was cut: %v", id, err)
+		d.recordViolation("%s: incomplete answer: %v", id, err)
 	case response.StatusCode == http.StatusServiceUnavailable:
 		d.refused.Add(1)
 	case response.StatusCode != http.StatusOK:
@@ -230,15 +229,15 @@
 	d.violations = append(d.violations, fmt.Sprintf(format, values...))
 }
 
-// report judges from the servers' ledger and prints what was found.
+// report verifies the guarantees from the servers' request log and prints the result.
 func (d *systemDemo) report() error {
 	runs := map[string]int{}
 	for _, run := range d.site.Requests.Runs() {
 		if run.Corrupt {
-			d.recordViolation("%s ran on spoilt weights at %s", run.RequestID, run.Server)
+			d.recordViolation("%s was executed with corrupt weights on %s", run.RequestID, run.Server)
 		}
 		if run.KeyReceived || run.Tenant != site.Tenant {
-			d.recordViolation("%s reached %s with the caller's key or another tenant", run.RequestID, run.Server)
+			d.recordViolation("%s reached %s with the caller's key or a wrong tenant", run.RequestID, run.Server)
 		}
 		if run.Service == site.PlainService {
 			runs[run.RequestID]++
@@ -246,18 +245,18 @@
 	}
 	for _, arrival := range d.site.Requests.Arrivals() {
 		if d.residencies.Outside(arrival) {
-			d.recordViolation("%s came to %s in %s, where its route does not allow it", arrival.RequestID, arrival.Server, arrival.Region)
+			d.recordViolation("%s reached %s in %s, which is outside its allowed regions", arrival.RequestID, arrival.Server, arrival.Region)
 		}
 	}
 	for id, count := range runs {
 		if count > 1 {
-			d.recordViolation("%s ran %d times", id, count)
+			d.recordViolation("%s was executed %d times", id, count)
 		}
 	}
 	d.printf("requests: %d answered, %d refused, %d failed", d.answered.Load(), d.refused.Load(), d.failed.Load())
 	d.printf("violations: %d", len(d.violations))
-	for _, one := range d.violations {
-		d.printf("  %s", one)
+	for _, violation := range d.violations {
+		d.printf("  %s", violation)
 	}
 	if len(d.violations) > 0 {
 		return &fault.PromiseBroken{Promise: "demo", Detail: d.violations[0]}
