--- a/internal/workload/identities_test.go
+++ b/internal/workload/identities_test.go
@@ -10,11 +10,11 @@
 	"pinevane.example/pinevane/internal/weights"
 )
 
-// A version may be added while answers to others are judged; the race detector watches.
-func TestIdentitiesAreAddedWhileOthersAreLookedUp(t *testing.T) {
+// Add must be safe while other versions are looked up; the race detector finds a missing lock.
+func TestIdentitiesAreSafeForConcurrentUse(t *testing.T) {
 	identities := NewIdentities()
-	var looking sync.WaitGroup
-	looking.Go(func() {
+	var lookups sync.WaitGroup
+	lookups.Go(func() {
 		for range 200 {
 			identities.get("m", "1")
 		}
@@ -22,7 +22,7 @@
 	for version := range 200 {
 		identities.Add(&weights.Manifest{Model: "m", Version: strconv.Itoa(version)})
 	}
-	looking.Wait()
+	lookups.Wait()
 	_, known := identities.get("m", "1")
 	assert.True(t, known)
 }
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -1,6 +1,6 @@
-// Package workload sends callers' requests to entries and checks every answer
-// against what the stand-in engines must say, so that a cut, mixed or mistaken
-// answer is found from the answer itself.
+// Package workload sends callers' requests to entries and verifies every answer against the
+// expected text of the emulated engines, so that an incomplete, mixed or misdirected answer is
+// detected from the answer itself.
 package workload
 
 import (
@@ -31,30 +31,30 @@
 	KindCall   Kind = "call"
 )
 
-// Request is one caller's request.
+// Request is a caller's request.
 type Request struct {
 	Kind Kind
-	// Key is the tenant's key.
+	// Key is the tenant's API key.
 	Key string
-	// Model and Adapter name the model of a generation.
+	// Model and Adapter select the model of a generation.
 	Model   string
 	Adapter string
 	Prompt  string
-	// MaximumTokens bounds a generation.
+	// MaximumTokens limits the length of a generation.
 	MaximumTokens int
-	// Service, Path and Body make a plain call.
+	// Service, Path and Body describe a call of a plain service.
 	Service string
 	Path    string
 	Body    string
-	// IdempotencyKey is sent as Idempotency-Key when it is set.
+	// IdempotencyKey is sent as Idempotency-Key if set.
 	IdempotencyKey string
-	// NotRepeatable marks the request as one that may run at most once.
+	// NotRepeatable marks a request that may be executed at most once.
 	NotRepeatable bool
-	// Deadline is sent when it is not zero.
+	// Deadline is sent if not zero.
 	Deadline time.Duration
 }
 
-// Result is what the caller saw.
+// Result is the outcome of a request as the caller sees it.
 type Result struct {
 	Request   Request
 	ID        string
@@ -63,26 +63,26 @@
 	Execution fault.Execution
 	Reason    fault.Reason
 	Version   string
-	// Fault tells why an answer is wrong; empty means that it is right.
+	// Fault describes why the answer is wrong; empty if it is correct.
 	Fault      string
 	Started    time.Time
 	FirstToken time.Duration
-	// Gaps are the times between tokens of a stream.
+	// Gaps are the times between consecutive tokens of a stream.
 	Gaps     []time.Duration
 	Duration time.Duration
 }
 
-// Identities holds the identity of the weights of each model and version. Versions are
-// added while clients look others up.
+// Identities maps models and versions to the identities of their weights. It is safe for
+// concurrent use.
 type Identities struct {
 	mutex sync.RWMutex
 	known map[string]weights.Digest
 }
 
-// NewIdentities returns a set that knows no version.
+// NewIdentities returns an empty set.
 func NewIdentities() *Identities { return &Identities{known: map[string]weights.Digest{}} }
 
-// Add registers the weights of a version.
+// Add adds the weights of a version.
 func (i *Identities) Add(manifest *weights.Manifest) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -96,13 +96,13 @@
 	return identity, known
 }
 
-// Client sends requests and checks answers.
+// Client sends requests and verifies the answers.
 type Client struct {
 	http       *http.Client
 	identities *Identities
 }
 
-// NewClient returns a client that knows the right answers of some versions.
+// NewClient returns a client that verifies answers of the versions in identities.
 func NewClient(identities *Identities) *Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: 512, MaxIdleConns: 4096}
 	return &Client{http: &http.Client{Transport: transport}, identities: identities}
@@ -134,7 +134,7 @@
 	Execution fault.Execution `json:"execution"`
 }
 
-// Do sends a request to an entry and checks the answer.
+// Do sends a request to an entry and verifies the answer.
 func (c *Client) Do(ctx context.Context, address string, request Request) Result {
 	result := Result{Request: request, Started: time.Now()}
 	outgoing, err := c.build(ctx, address, request)
@@ -165,7 +165,7 @@
 	return result
 }
 
-// CallDirectly makes a call to a plain service's own address, past the system.
+// CallDirectly calls a plain service at its own address, bypassing entries and agents.
 func (c *Client) CallDirectly(ctx context.Context, address string) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/items", strings.NewReader("direct"))
 	if err != nil {
@@ -227,7 +227,7 @@
 	result.Execution, result.Reason = body.Execution, body.Error.Code
 }
 
-// expected is the right answer to a generation.
+// expected returns the correct answer to a generation.
 func (c *Client) expected(request Request, version string) (string, bool) {
 	identity, known := c.identities.get(request.Model, version)
 	prompt := "user: " + request.Prompt + "\n"
@@ -236,12 +236,12 @@
 
 func (c *Client) checkText(result *Result, text, version string) {
 	result.Version = version
-	right, known := c.expected(result.Request, version)
+	expectedText, known := c.expected(result.Request, version)
 	switch {
 	case !known:
-		result.Fault = "answer claims the unknown version " + version
-	case text != right:
-		result.Fault = fmt.Sprintf("answer differs from version %s's (%d bytes, expected %d)", version, len(text), len(right))
+		result.Fault = "answer reports the unknown version " + version
+	case text != expectedText:
+		result.Fault = fmt.Sprintf("answer differs from version %s's (%d bytes, expected %d)", version, len(text), len(expectedText))
 	default:
 		result.Answered = true
 	}
@@ -260,7 +260,7 @@
 	c.checkText(result, body.Choices[0].Message.Content, body.Version)
 }
 
-// readStream takes a stream for whole only when its end marker came.
+// readStream accepts a stream as complete only after its end marker.
 func (c *Client) readStream(response *http.Response, result *Result) {
 	lines := bufio.NewScanner(response.Body)
 	lines.Buffer(make([]byte, 0, 4<<10), 1<<20)
@@ -312,11 +312,11 @@
 	}
 	var echo emulator.ServiceEcho
 	if err := json.Unmarshal(data, &echo); err != nil {
-		result.Fault = "answer is not the service's"
+		result.Fault = "answer is not from the service"
 		return
 	}
-	wrong := echo.Service != result.Request.Service || echo.Body != result.Request.Body
-	if wrong || result.Request.IdempotencyKey == "" && echo.ID != result.ID {
+	mismatch := echo.Service != result.Request.Service || echo.Body != result.Request.Body
+	if mismatch || result.Request.IdempotencyKey == "" && echo.ID != result.ID {
 		result.Fault = "answer belongs to another request"
 		return
 	}
@@ -343,24 +343,24 @@
 	return append([]Result(nil), r.results...)
 }
 
-// Summary condenses results.
+// Summary aggregates results.
 type Summary struct {
 	Requests int `json:"requests"`
 	Answered int `json:"answered"`
-	// NotRun and Unknown count refusals by execution.
+	// NotRun and Unknown count refused requests by execution status.
 	NotRun  int `json:"not_run"`
 	Unknown int `json:"unknown"`
-	// Wrong counts answers that were mixed up, mixed in version, or not whole.
+	// Wrong counts answers that belong to another request, mix versions, or are incomplete.
 	Wrong    int                  `json:"wrong"`
 	Versions map[string]int       `json:"answers_by_version"`
 	Reasons  map[fault.Reason]int `json:"refusals_by_reason"`
 	Faults   []string             `json:"faults,omitempty"`
 }
 
-// maxFaults bounds the listed faults.
+// maxFaults is the maximum number of listed faults.
 const maxFaults = 10
 
-// Summarize condenses results.
+// Summarize aggregates results.
 func Summarize(results []Result) Summary {
 	summary := Summary{Requests: len(results), Versions: map[string]int{}, Reasons: map[fault.Reason]int{}}
 	for _, result := range results {
