--- a/internal/command/experiment.go
+++ b/internal/command/experiment.go
@@ -89,7 +89,7 @@
 		return err
 	}
 	if c.Real {
-		return c.real()
+		return c.runProcesses()
 	}
 	result := rollout.Simulate(c.options())
 	if c.Report != "" {
@@ -105,11 +105,11 @@
 	return nil
 }
 
-// realZones is the number of zones of the example deployments.
-const realZones = 3
+// exampleZones is the number of zones of the example deployments.
+const exampleZones = 3
 
-func (c *rolloutCommand) real() error {
-	if err := checkInteger("--machines", c.Machines, realZones, 48, "machines with --real"); err != nil {
+func (c *rolloutCommand) runProcesses() error {
+	if err := checkInteger("--machines", c.Machines, exampleZones, 48, "machines with --real"); err != nil {
 		return err
 	}
 	executable, err := executablePath()
@@ -120,17 +120,17 @@
 	if c.JSON {
 		output = os.Stderr
 	}
-	perZone := int(math.Ceil(float64(c.Machines) / realZones))
+	perZone := int(math.Ceil(float64(c.Machines) / exampleZones))
 	report, err := demo.Run(demo.Options{Executable: executable, Directory: c.Deployment, Output: output, EnginesPerZone: perZone})
 	if report != nil && c.JSON {
-		if err := printJSON(realResult{Report: report, Strategy: dissemination.StrategyRotated, Seed: c.Seed}); err != nil {
+		if err := printJSON(processResult{Report: report, Strategy: dissemination.StrategyRotated, Seed: c.Seed}); err != nil {
 			return err
 		}
 	}
 	return err
 }
 
-type realResult struct {
+type processResult struct {
 	*demo.Report
 	Strategy dissemination.Strategy `json:"strategy"`
 	Seed     int64                  `json:"seed"`
--- a/internal/command/release.go
+++ b/internal/command/release.go
@@ -10,8 +10,8 @@
 // releaseCommand ends the quarantine of a request fingerprint.
 type releaseCommand struct {
 	Arguments struct {
-		Address string `positional-arg-name:"ADDRESS" description:"administration address of an entry, IP and port"`
-		Content string `positional-arg-name:"CONTENT" description:"fingerprint of the request content, 32 hexadecimal digits, as shown in the dump and PV4211"`
+		Address     string `positional-arg-name:"ADDRESS" description:"administration address of an entry, IP and port"`
+		Fingerprint string `positional-arg-name:"CONTENT" description:"fingerprint of the request content, 32 hexadecimal digits, as shown in the dump and PV4211"`
 	} `positional-args:"true" required:"true"`
 }
 
@@ -21,7 +21,7 @@
 		return err
 	}
 	client := &http.Client{Timeout: dumpTimeout}
-	response, err := client.Post("http://"+c.Arguments.Address+gateway.ReleasePath+c.Arguments.Content, "", nil)
+	response, err := client.Post("http://"+c.Arguments.Address+gateway.ReleasePath+c.Arguments.Fingerprint, "", nil)
 	if err != nil {
 		return &fault.Unavailable{Target: c.Arguments.Address, Operation: "release", Cause: err}
 	}
@@ -30,7 +30,7 @@
 	case http.StatusNoContent:
 		return nil
 	case http.StatusBadRequest:
-		return &fault.InvalidSetting{Flag: "CONTENT", Value: c.Arguments.Content, Allowed: "32 hexadecimal digits"}
+		return &fault.InvalidSetting{Flag: "CONTENT", Value: c.Arguments.Fingerprint, Allowed: "32 hexadecimal digits"}
 	}
 	return &fault.Unavailable{Target: c.Arguments.Address, Operation: "release", Status: response.StatusCode}
 }
--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -80,12 +80,12 @@
 	options  LoadOptions
 	sequence atomic.Int64
 
-	mutex   sync.Mutex
-	calls   *hdrhistogram.Histogram
-	direct  *hdrhistogram.Histogram
-	first   *hdrhistogram.Histogram
-	between *hdrhistogram.Histogram
-	cut     int
+	mutex          sync.Mutex
+	calls          *hdrhistogram.Histogram
+	direct         *hdrhistogram.Histogram
+	firstToken     *hdrhistogram.Histogram
+	betweenTokens  *hdrhistogram.Histogram
+	cutByDeadEntry int
 }
 
 // RunLoad starts a fleet and loads it with open-loop arrivals.
@@ -99,7 +99,7 @@
 	if err := d.start(); err != nil {
 		return nil, err
 	}
-	run := &loadRun{demo: d, options: options, calls: newHistogram(), direct: newHistogram(), first: newHistogram(), between: newHistogram()}
+	run := &loadRun{demo: d, options: options, calls: newHistogram(), direct: newHistogram(), firstToken: newHistogram(), betweenTokens: newHistogram()}
 	if err := run.run(); err != nil {
 		return nil, err
 	}
@@ -109,16 +109,16 @@
 func (r *loadRun) run() error {
 	var work sync.WaitGroup
 	end := time.Now().Add(r.options.Duration)
-	work.Go(func() { r.arrivals(r.options.Rate, end, &work, r.request) })
-	work.Go(func() { r.arrivals(directRate, end, &work, r.directCall) })
+	work.Go(func() { r.generateArrivals(r.options.Rate, end, &work, r.request) })
+	work.Go(func() { r.generateArrivals(directRate, end, &work, r.directCall) })
 	time.Sleep(r.options.Duration / 4)
 	err := r.disturb()
 	work.Wait()
 	return err
 }
 
-// arrivals calls a function at Poisson-distributed times until the end.
-func (r *loadRun) arrivals(perSecond float64, end time.Time, work *sync.WaitGroup, do func(*rand.Rand, time.Time)) {
+// generateArrivals calls a function at Poisson-distributed times until the end.
+func (r *loadRun) generateArrivals(perSecond float64, end time.Time, work *sync.WaitGroup, do func(*rand.Rand, time.Time)) {
 	generator := rand.New(rand.NewPCG(r.options.Seed, uint64(perSecond)))
 	for due := time.Now(); due.Before(end); {
 		due = due.Add(time.Duration(generator.ExpFloat64() / perSecond * float64(time.Second)))
@@ -136,7 +136,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if _, killed := r.stopped.Load(address); killed && r.options.During == DisturbZoneLoss && !result.Answered && result.Execution == fault.ExecutionUnknown {
-		r.cut++
+		r.cutByDeadEntry++
 		return
 	}
 	r.recorder.Add(result)
@@ -144,17 +144,17 @@
 		return
 	}
 	if request.Kind == workload.KindCall {
-		record(r.calls, delay+result.Duration)
+		recordDuration(r.calls, delay+result.Duration)
 	}
 	if request.Kind == workload.KindStream {
-		record(r.first, delay+result.FirstToken)
+		recordDuration(r.firstToken, delay+result.FirstToken)
 		for _, gap := range result.Gaps {
-			record(r.between, gap)
+			recordDuration(r.betweenTokens, gap)
 		}
 	}
 }
 
-func record(histogram *hdrhistogram.Histogram, duration time.Duration) {
+func recordDuration(histogram *hdrhistogram.Histogram, duration time.Duration) {
 	// A value over the limit is recorded as the limit.
 	_ = histogram.RecordValue(min(max(1, duration.Microseconds()), histogramLimit))
 }
@@ -171,7 +171,7 @@
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	record(r.direct, time.Since(due))
+	recordDuration(r.direct, time.Since(due))
 }
 
 func (r *loadRun) disturb() error {
@@ -227,7 +227,7 @@
 	percentile99 = 99
 )
 
-func milliseconds(histogram *hdrhistogram.Histogram, percentile float64) float64 {
+func percentileMilliseconds(histogram *hdrhistogram.Histogram, percentile float64) float64 {
 	return float64(histogram.ValueAtQuantile(percentile)) / 1000
 }
 
@@ -237,13 +237,13 @@
 	report := &LoadReport{
 		Rate: r.options.Rate, Seconds: r.options.Duration.Seconds(), During: r.options.During, Policy: r.options.Policy,
 		Requests: summary.Requests, Answered: summary.Answered, NotRun: summary.NotRun,
-		Errors: summary.Unknown, Wrong: summary.Wrong, CutByDeadEntry: r.cut, Reasons: summary.Reasons,
-		DirectP50: milliseconds(r.direct, median), DirectP99: milliseconds(r.direct, percentile99),
-		FirstTokenP50: milliseconds(r.first, median), FirstTokenP95: milliseconds(r.first, percentile95),
-		BetweenP95: milliseconds(r.between, percentile95),
+		Errors: summary.Unknown, Wrong: summary.Wrong, CutByDeadEntry: r.cutByDeadEntry, Reasons: summary.Reasons,
+		DirectP50: percentileMilliseconds(r.direct, median), DirectP99: percentileMilliseconds(r.direct, percentile99),
+		FirstTokenP50: percentileMilliseconds(r.firstToken, median), FirstTokenP95: percentileMilliseconds(r.firstToken, percentile95),
+		BetweenP95: percentileMilliseconds(r.betweenTokens, percentile95),
 	}
-	report.AddedP50 = milliseconds(r.calls, median) - report.DirectP50
-	report.AddedP99 = milliseconds(r.calls, percentile99) - report.DirectP99
+	report.AddedP50 = percentileMilliseconds(r.calls, median) - report.DirectP50
+	report.AddedP99 = percentileMilliseconds(r.calls, percentile99) - report.DirectP99
 	if r.options.During == DisturbZoneLoss {
 		// The records of the lost back ends are gone, so their executions can't be counted.
 		return report, nil
--- a/internal/emulator/cache.go
+++ b/internal/emulator/cache.go
@@ -54,8 +54,8 @@
 func (c *prefixCache) touch(prompt string) bool {
 	prefix := prompt[:min(len(prompt), cachedPrefixBytes)]
 	position := slices.Index(c.recent, prefix)
-	held := position >= 0
-	if held {
+	cached := position >= 0
+	if cached {
 		c.recent = slices.Delete(c.recent, position, position+1)
 	} else {
 		c.appendEvent(CacheStored, prefix)
@@ -65,7 +65,7 @@
 		c.appendEvent(CacheEvicted, c.recent[0])
 		c.recent = slices.Delete(c.recent, 0, 1)
 	}
-	return held
+	return cached
 }
 
 func (c *prefixCache) appendEvent(kind CacheEventKind, prefix string) {
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -227,8 +227,8 @@
 	}
 	contents := make([]weights.Digest, 0, len(order.Chunks))
 	for _, digest := range order.Chunks {
-		content, held := e.store.Content(digest)
-		if !held {
+		content, found := e.store.Content(digest)
+		if !found {
 			return &fault.OrderRejected{Action: string(order.Action), Reason: "store lacks chunk " + string(digest)}
 		}
 		contents = append(contents, weights.Sum(content))
--- a/internal/emulator/origin.go
+++ b/internal/emulator/origin.go
@@ -114,9 +114,9 @@
 
 func (o *Origin) manifest(writer http.ResponseWriter, request *http.Request) {
 	o.mutex.RLock()
-	data, held := o.manifests[weights.Digest(chi.URLParam(request, "digest"))]
+	data, found := o.manifests[weights.Digest(chi.URLParam(request, "digest"))]
 	o.mutex.RUnlock()
-	if !held {
+	if !found {
 		http.Error(writer, "no such manifest", http.StatusNotFound)
 		return
 	}
@@ -125,9 +125,9 @@
 
 func (o *Origin) chunk(writer http.ResponseWriter, request *http.Request) {
 	o.mutex.RLock()
-	source, held := o.chunks[weights.Digest(chi.URLParam(request, "digest"))]
+	source, found := o.chunks[weights.Digest(chi.URLParam(request, "digest"))]
 	o.mutex.RUnlock()
-	if !held {
+	if !found {
 		http.Error(writer, "no such chunk", http.StatusNotFound)
 		return
 	}
@@ -176,8 +176,8 @@
 func (s *Store) Content(digest weights.Digest) ([]byte, bool) {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
-	content, held := s.chunks[digest]
-	return content, held
+	content, found := s.chunks[digest]
+	return content, found
 }
 
 // Wipe deletes every chunk, as happens when a machine is replaced.
@@ -236,8 +236,8 @@
 }
 
 func (s *Store) get(writer http.ResponseWriter, request *http.Request) {
-	content, held := s.Content(weights.Digest(chi.URLParam(request, "digest")))
-	if !held {
+	content, found := s.Content(weights.Digest(chi.URLParam(request, "digest")))
+	if !found {
 		http.Error(writer, "no such chunk", http.StatusNotFound)
 		return
 	}
--- a/internal/emulator/site/answers.go
+++ b/internal/emulator/site/answers.go
@@ -35,10 +35,10 @@
 		if s.options.Weights != nil && s.version == 0 && !s.loading {
 			return refuse(http.StatusServiceUnavailable)
 		}
-		freed := s.freed
+		slotFreed := s.slotFreed
 		s.mutex.Unlock()
 		select {
-		case <-freed:
+		case <-slotFreed:
 		case <-request.Context().Done():
 		}
 		s.mutex.Lock()
--- a/internal/emulator/site/orders.go
+++ b/internal/emulator/site/orders.go
@@ -101,12 +101,12 @@
 func (s *Server) load(version uint64, layers layerRange, corrupt bool) {
 	for {
 		s.mutex.Lock()
-		running, freed := s.running, s.freed
+		running, slotFreed := s.running, s.slotFreed
 		s.mutex.Unlock()
 		if running == 0 {
 			break
 		}
-		<-freed
+		<-slotFreed
 	}
 	time.Sleep(s.options.Warm)
 	s.mutex.Lock()
--- a/internal/emulator/site/server.go
+++ b/internal/emulator/site/server.go
@@ -97,7 +97,7 @@
 	staged            map[int][]byte
 	running           int
 	waiting           int
-	freed             chan struct{}
+	slotFreed         chan struct{}
 	faults            Faults
 	// coldUntil is the end of the cold start; coldArrivals are its arrivals within the last
 	// second.
@@ -121,7 +121,7 @@
 // NewServer returns a server that does not listen yet. The pieces of its initial version are
 // staged.
 func NewServer(options ServerOptions) *Server {
-	s := &Server{options: options, version: options.Version, staged: map[int][]byte{}, freed: make(chan struct{})}
+	s := &Server{options: options, version: options.Version, staged: map[int][]byte{}, slotFreed: make(chan struct{})}
 	if options.Weights != nil && options.Version > 0 {
 		s.loadedLayers = s.allLayers()
 		for index := range options.Weights.Pieces {
@@ -357,8 +357,8 @@
 
 // notifyWaiting wakes waiting requests; the mutex is held.
 func (s *Server) notifyWaiting() {
-	close(s.freed)
-	s.freed = make(chan struct{})
+	close(s.slotFreed)
+	s.slotFreed = make(chan struct{})
 }
 
 // Running returns the number of running requests.
--- a/internal/emulator/site/site.go
+++ b/internal/emulator/site/site.go
@@ -105,7 +105,7 @@
 	version       uint64
 	configuration map[string]any
 	servers       []*http.Server
-	starts        int
+	startCount    int
 	tracker       crashTracker
 }
 
@@ -215,10 +215,10 @@
 
 // StartModel starts a model server, without a loaded version if version is 0.
 func (s *Site) StartModel(zone, index int, version uint64) (*Server, error) {
-	s.starts++
+	s.startCount++
 	weights := s.Options.Weights
 	server := NewServer(ServerOptions{
-		ID: fmt.Sprintf("i-%d-%d-%d", zone, index, s.starts), Service: ModelService, Zone: ZoneName(zone), Region: RegionName(zone),
+		ID: fmt.Sprintf("i-%d-%d-%d", zone, index, s.startCount), Service: ModelService, Zone: ZoneName(zone), Region: RegionName(zone),
 		Address: s.ModelAddress(zone, index), Slots: s.Options.Slots, Weights: &weights, Version: version, StartTime: time.Now().UnixMilli(),
 		EventTime: s.Options.EventTime, ReadPerSecond: s.Options.ReadPerSecond, Warm: 50 * time.Millisecond, Heartbeat: 400 * time.Millisecond, Store: s.Store, Requests: s.Requests,
 		ColdTime: s.Options.coldTime(), ColdLimit: s.Options.ColdLimit(), OnBegin: s.crashesOn,
@@ -248,18 +248,18 @@
 func (s *Site) RestartModelStillListed(zone, index int) error {
 	old := s.Models[s.Options.ModelIP(zone, index)]
 	staged := old.Crash()
-	s.starts++
+	s.startCount++
 	options := old.options
-	options.ID, options.Version, options.StartTime = fmt.Sprintf("i-%d-%d-%d", zone, index, s.starts), 0, time.Now().UnixMilli()
+	options.ID, options.Version, options.StartTime = fmt.Sprintf("i-%d-%d-%d", zone, index, s.startCount), 0, time.Now().UnixMilli()
 	fresh := NewServer(options)
 	fresh.Restage(staged)
 	return s.startServer(s.Models, fresh)
 }
 
 func (s *Site) startPlain(zone, index int) error {
-	s.starts++
+	s.startCount++
 	return s.startServer(s.Plain, NewServer(ServerOptions{
-		ID: fmt.Sprintf("p-%d-%d-%d", zone, index, s.starts), Service: PlainService, Zone: ZoneName(zone), Region: RegionName(zone),
+		ID: fmt.Sprintf("p-%d-%d-%d", zone, index, s.startCount), Service: PlainService, Zone: ZoneName(zone), Region: RegionName(zone),
 		Address: fmt.Sprintf("%s:%d", s.Options.PlainIP(zone, index), serverPort), Slots: s.Options.Slots, StartTime: time.Now().UnixMilli(),
 		EventTime: s.Options.EventTime, Heartbeat: 400 * time.Millisecond, Store: s.Store, Requests: s.Requests, OnBegin: s.crashesOn,
 	}))
--- a/internal/workload/workload.go
+++ b/internal/workload/workload.go
@@ -75,24 +75,24 @@
 // Identities maps models and versions to the identities of their weights. It is safe for
 // concurrent use.
 type Identities struct {
-	mutex sync.RWMutex
-	known map[string]weights.Digest
+	mutex   sync.RWMutex
+	digests map[string]weights.Digest
 }
 
 // NewIdentities returns an empty set.
-func NewIdentities() *Identities { return &Identities{known: map[string]weights.Digest{}} }
+func NewIdentities() *Identities { return &Identities{digests: map[string]weights.Digest{}} }
 
 // Add adds the weights of a version.
 func (i *Identities) Add(manifest *weights.Manifest) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	i.known[manifest.Model+"@"+manifest.Version] = manifest.Identity()
+	i.digests[manifest.Model+"@"+manifest.Version] = manifest.Identity()
 }
 
 func (i *Identities) get(model, version string) (weights.Digest, bool) {
 	i.mutex.RLock()
 	defer i.mutex.RUnlock()
-	identity, known := i.known[model+"@"+version]
+	identity, known := i.digests[model+"@"+version]
 	return identity, known
 }
 
@@ -108,24 +108,24 @@
 	return &Client{http: &http.Client{Transport: transport}, identities: identities}
 }
 
-type chatTurn struct {
+type chatMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
 type chatBody struct {
-	Model         string     `json:"model"`
-	Messages      []chatTurn `json:"messages"`
-	MaximumTokens int        `json:"max_tokens"`
-	Stream        bool       `json:"stream"`
+	Model         string        `json:"model"`
+	Messages      []chatMessage `json:"messages"`
+	MaximumTokens int           `json:"max_tokens"`
+	Stream        bool          `json:"stream"`
 }
 
 type chatAnswer struct {
 	Version string `json:"system_fingerprint"`
 	Choices []struct {
-		Message      *chatTurn `json:"message"`
-		Delta        *chatTurn `json:"delta"`
-		FinishReason string    `json:"finish_reason"`
+		Message      *chatMessage `json:"message"`
+		Delta        *chatMessage `json:"delta"`
+		FinishReason string       `json:"finish_reason"`
 	} `json:"choices"`
 	Error *struct {
 		Code    fault.Reason `json:"code"`
@@ -137,7 +137,7 @@
 // Do sends a request to an entry and verifies the answer.
 func (c *Client) Do(ctx context.Context, address string, request Request) Result {
 	result := Result{Request: request, Started: time.Now()}
-	outgoing, err := c.build(ctx, address, request)
+	outgoing, err := c.buildRequest(ctx, address, request)
 	if err != nil {
 		result.Fault = err.Error()
 		return result
@@ -182,7 +182,7 @@
 	return nil
 }
 
-func (c *Client) build(ctx context.Context, address string, request Request) (*http.Request, error) {
+func (c *Client) buildRequest(ctx context.Context, address string, request Request) (*http.Request, error) {
 	path, body := "/apps/"+request.Service+request.Path, []byte(request.Body)
 	if request.Kind != KindCall {
 		path = "/v1/chat/completions"
@@ -192,7 +192,7 @@
 		}
 		encoded, err := json.Marshal(chatBody{
 			Model: model, MaximumTokens: request.MaximumTokens, Stream: request.Kind == KindStream,
-			Messages: []chatTurn{{Role: "user", Content: request.Prompt}},
+			Messages: []chatMessage{{Role: "user", Content: request.Prompt}},
 		})
 		if err != nil {
 			return nil, &fault.InvalidFrame{Field: "body", Reason: err.Error()}
