--- a/internal/demo/system.go
+++ b/internal/demo/system.go
@@ -217,7 +217,7 @@
 	case response.StatusCode != http.StatusOK:
 		d.failed.Add(1)
 	case events > 0 && strings.Count(string(body), "data: "+id+"/") != events:
-		d.recordViolation("%s: not the whole own answer", id)
+		d.recordViolation("%s: incomplete or wrong answer", id)
 	default:
 		d.answered.Add(1)
 	}
