--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -17,7 +17,7 @@
 	"pinevane.example/pinevane/internal/workload"
 )
 
-// Disturbance is what happens in the middle of a load.
+// Disturbance is what happens during a load test.
 type Disturbance string
 
 // The disturbances.
@@ -28,10 +28,10 @@
 	DisturbDrain    Disturbance = "drain"
 )
 
-// LoadOptions sets up a load.
+// LoadOptions configures a load test.
 type LoadOptions struct {
 	Options
-	// Rate is requests a second, at Poisson-distributed moments.
+	// Rate is the request rate per second, with Poisson arrivals.
 	Rate     float64
 	Duration time.Duration
 	During   Disturbance
@@ -39,8 +39,8 @@
 	Seed     uint64
 }
 
-// LoadReport is what a load came to. Times count from the moment at which a
-// request was due, not from when it could be sent.
+// LoadReport is the result of a load test. Latencies are measured from the time at which a request
+// was due, not from the time at which it was sent.
 type LoadReport struct {
 	Rate     float64     `json:"rate"`
 	Seconds  float64     `json:"seconds"`
@@ -51,10 +51,10 @@
 	NotRun   int         `json:"not_run"`
 	Errors   int         `json:"errors"`
 	Wrong    int         `json:"wrong"`
-	// CutByDeadEntry counts requests whose own entry was killed.
+	// CutByDeadEntry counts the requests whose entry was killed.
 	CutByDeadEntry int `json:"cut_by_dead_entry"`
-	// Added is what both hops add to an app call, against calling the stand-in
-	// service directly in the same run.
+	// Added is the latency that both hops add to a service call, compared with direct calls to the
+	// emulated services in the same run.
 	AddedP50      float64              `json:"added_p50_ms"`
 	AddedP99      float64              `json:"added_p99_ms"`
 	DirectP50     float64              `json:"direct_p50_ms"`
@@ -66,29 +66,29 @@
 	Reasons       map[fault.Reason]int `json:"refusals_by_reason"`
 }
 
-// directRate is how many calls a second go to the services directly.
+// directRate is the rate of direct calls to the services per second.
 const directRate = 50
 
-// histogramLimit is the longest time that is told apart, in microseconds.
+// histogramLimit is the highest value that a histogram can distinguish, in microseconds.
 const histogramLimit = 120_000_000
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, histogramLimit, 3) }
 
-// loadRun is one load under way.
+// loadRun is a running load test.
 type loadRun struct {
 	*demo
 	options  LoadOptions
 	sequence atomic.Int64
 
-	mutex   sync.Mutex
-	calls   *hdrhistogram.Histogram
-	direct  *hdrhistogram.Histogram
-	first   *hdrhistogram.Histogram
-	between *hdrhistogram.Histogram
-	cut     int
+	mutex          sync.Mutex
+	calls          *hdrhistogram.Histogram
+	direct         *hdrhistogram.Histogram
+	firstToken     *hdrhistogram.Histogram
+	betweenTokens  *hdrhistogram.Histogram
+	cutByDeadEntry int
 }
 
-// RunLoad brings a fleet up and loads it with open-loop arrivals.
+// RunLoad starts a fleet and loads it with open-loop arrivals.
 func RunLoad(options LoadOptions) (*LoadReport, error) {
 	options.EntryFlags = []string{"--policy", options.Policy}
 	d, err := prepare(options.Options)
@@ -96,29 +96,29 @@
 		return nil, err
 	}
 	defer d.fleet.Stop()
-	if err := d.bringUp(); err != nil {
+	if err := d.start(); err != nil {
 		return nil, err
 	}
-	run := &loadRun{demo: d, options: options, calls: newHistogram(), direct: newHistogram(), first: newHistogram(), between: newHistogram()}
-	if err := run.perform(); err != nil {
+	run := &loadRun{demo: d, options: options, calls: newHistogram(), direct: newHistogram(), firstToken: newHistogram(), betweenTokens: newHistogram()}
+	if err := run.run(); err != nil {
 		return nil, err
 	}
 	return run.summarize()
 }
 
-func (r *loadRun) perform() error {
+func (r *loadRun) run() error {
 	var work sync.WaitGroup
 	end := time.Now().Add(r.options.Duration)
-	work.Go(func() { r.arrivals(r.options.Rate, end, &work, r.request) })
-	work.Go(func() { r.arrivals(directRate, end, &work, r.directCall) })
+	work.Go(func() { r.generateArrivals(r.options.Rate, end, &work, r.request) })
+	work.Go(func() { r.generateArrivals(directRate, end, &work, r.directCall) })
 	time.Sleep(r.options.Duration / 4)
 	err := r.disturb()
 	work.Wait()
 	return err
 }
 
-// arrivals starts a function at Poisson-distributed moments until the end.
-func (r *loadRun) arrivals(perSecond float64, end time.Time, work *sync.WaitGroup, do func(*rand.Rand, time.Time)) {
+// generateArrivals calls a function at Poisson-distributed times until the end.
+func (r *loadRun) generateArrivals(perSecond float64, end time.Time, work *sync.WaitGroup, do func(*rand.Rand, time.Time)) {
 	generator := rand.New(rand.NewPCG(r.options.Seed, uint64(perSecond)))
 	for due := time.Now(); due.Before(end); {
 		due = due.Add(time.Duration(generator.ExpFloat64() / perSecond * float64(time.Second)))
@@ -132,11 +132,11 @@
 	request := r.nextRequest(generator, r.sequence.Add(1))
 	address := r.pickEntry(generator)
 	result := r.client.Do(context.Background(), address, request)
-	late := result.Started.Sub(due)
+	delay := result.Started.Sub(due)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if _, killed := r.stopped.Load(address); killed && r.options.During == DisturbZoneLoss && !result.Answered && result.Execution == fault.ExecutionUnknown {
-		r.cut++
+		r.cutByDeadEntry++
 		return
 	}
 	r.recorder.Add(result)
@@ -144,22 +144,22 @@
 		return
 	}
 	if request.Kind == workload.KindCall {
-		record(r.calls, late+result.Duration)
+		recordDuration(r.calls, delay+result.Duration)
 	}
 	if request.Kind == workload.KindStream {
-		record(r.first, late+result.FirstToken)
+		recordDuration(r.firstToken, delay+result.FirstToken)
 		for _, gap := range result.Gaps {
-			record(r.between, gap)
+			recordDuration(r.betweenTokens, gap)
 		}
 	}
 }
 
-func record(histogram *hdrhistogram.Histogram, duration time.Duration) {
-	// A value over the limit is counted as the limit.
+func recordDuration(histogram *hdrhistogram.Histogram, duration time.Duration) {
+	// A value over the limit is recorded as the limit.
 	_ = histogram.RecordValue(min(max(1, duration.Microseconds()), histogramLimit))
 }
 
-// directCall calls a plain service of the fleet without the system.
+// directCall calls a plain service without going through the entries and agents.
 func (r *loadRun) directCall(generator *rand.Rand, due time.Time) {
 	services := r.machines(external.RoleAgent, false)
 	machine := services[generator.IntN(len(services))]
@@ -171,7 +171,7 @@
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	record(r.direct, time.Since(due))
+	recordDuration(r.direct, time.Since(due))
 }
 
 func (r *loadRun) disturb() error {
@@ -187,10 +187,10 @@
 	return nil
 }
 
-// loseZone kills every process and back end of the last zone.
+// loseZone kills every process and back end in the last zone.
 func (r *loadRun) loseZone() error {
 	zone := r.deployment.Zones[len(r.deployment.Zones)-1].Name
-	r.say("zone %s is lost", zone)
+	r.printf("zone %s is lost", zone)
 	for _, machine := range r.fleet.Machines {
 		if machine.Zone != zone {
 			continue
@@ -227,7 +227,7 @@
 	percentile99 = 99
 )
 
-func milliseconds(histogram *hdrhistogram.Histogram, percentile float64) float64 {
+func percentileMilliseconds(histogram *hdrhistogram.Histogram, percentile float64) float64 {
 	return float64(histogram.ValueAtQuantile(percentile)) / 1000
 }
 
@@ -237,16 +237,15 @@
 	report := &LoadReport{
 		Rate: r.options.Rate, Seconds: r.options.Duration.Seconds(), During: r.options.During, Policy: r.options.Policy,
 		Requests: summary.Requests, Answered: summary.Answered, NotRun: summary.NotRun,
-		Errors: summary.Unknown, Wrong: summary.Wrong, CutByDeadEntry: r.cut, Reasons: summary.Reasons,
-		DirectP50: milliseconds(r.direct, median), DirectP99: milliseconds(r.direct, percentile99),
-		FirstTokenP50: milliseconds(r.first, median), FirstTokenP95: milliseconds(r.first, percentile95),
-		BetweenP95: milliseconds(r.between, percentile95),
+		Errors: summary.Unknown, Wrong: summary.Wrong, CutByDeadEntry: r.cutByDeadEntry, Reasons: summary.Reasons,
+		DirectP50: percentileMilliseconds(r.direct, median), DirectP99: percentileMilliseconds(r.direct, percentile99),
+		FirstTokenP50: percentileMilliseconds(r.firstToken, median), FirstTokenP95: percentileMilliseconds(r.firstToken, percentile95),
+		BetweenP95: percentileMilliseconds(r.betweenTokens, percentile95),
 	}
-	report.AddedP50 = milliseconds(r.calls, median) - report.DirectP50
-	report.AddedP99 = milliseconds(r.calls, percentile99) - report.DirectP99
+	report.AddedP50 = percentileMilliseconds(r.calls, median) - report.DirectP50
+	report.AddedP99 = percentileMilliseconds(r.calls, percentile99) - report.DirectP99
 	if r.options.During == DisturbZoneLoss {
-		// The records of the lost back ends are gone, so that what they ran can't be
-		// counted.
+		// The records of the lost back ends are gone, so their executions can't be counted.
 		return report, nil
 	}
 	calls, generations, err := r.records()
--- a/internal/demo/requests.go
+++ b/internal/demo/requests.go
@@ -11,22 +11,22 @@
 	"pinevane.example/pinevane/internal/workload"
 )
 
-// Shapes of the demo's requests.
+// Mix and sizes of the demo's requests.
 const (
 	shortTokens = 24
 	longTokens  = 160
-	// longShare, wholeShare and callShare are shares of the requests.
-	longShare  = 0.1
-	wholeShare = 0.3
-	callShare  = 0.4
+	// longRatio, unaryRatio and callRatio are fractions of the requests.
+	longRatio  = 0.1
+	unaryRatio = 0.3
+	callRatio  = 0.4
 )
 
-func (d *demo) linkShare() float64 { return d.snapshot.Rollout.LinkFraction }
+func (d *demo) linkRatio() float64 { return d.snapshot.Rollout.LinkFraction }
 
 func (d *demo) tenants() []string { return slices.Sorted(maps.Keys(d.snapshot.Tenants)) }
 
-// nextRequest draws a request of some tenant: short and long streams, whole
-// answers, and calls of plain services.
+// nextRequest generates a request of a random tenant: a short or long stream, a non-streamed
+// generation, or a call of a plain service.
 func (d *demo) nextRequest(generator *rand.Rand, sequence int64) workload.Request {
 	names := d.tenants()
 	tenant := d.snapshot.Tenants[names[generator.IntN(len(names))]]
@@ -36,11 +36,11 @@
 	}
 	draw := generator.Float64()
 	switch {
-	case draw < callShare && len(tenant.Services) > 0:
+	case draw < callRatio && len(tenant.Services) > 0:
 		return d.serviceCall(generator, tenant, request)
-	case draw < callShare+wholeShare:
-		request.Kind = workload.KindWhole
-	case draw < callShare+wholeShare+longShare:
+	case draw < callRatio+unaryRatio:
+		request.Kind = workload.KindUnary
+	case draw < callRatio+unaryRatio+longRatio:
 		request.MaximumTokens = longTokens
 	}
 	if adapters := d.snapshot.Models[d.model].Adapters; len(adapters) > 0 && generator.IntN(3) == 0 {
@@ -56,7 +56,7 @@
 	request.Body = request.Prompt
 	request.NotRepeatable = !d.snapshot.Services[request.Service].Repeatable
 	if request.NotRepeatable && generator.IntN(2) == 0 {
-		request.CallerKey = request.Prompt
+		request.IdempotencyKey = request.Prompt
 	}
 	return request
 }
--- a/internal/emulator/origin.go
+++ b/internal/emulator/origin.go
@@ -14,29 +14,29 @@
 	"pinevane.example/pinevane/internal/weights"
 )
 
-// writeBlock is how many bytes a shaped transfer writes at a time.
-const writeBlock = 16 << 10
+// writeBlockBytes is the block size of a rate-limited transfer.
+const writeBlockBytes = 16 << 10
 
-// Shaper limits the bytes a second of one link; a zero rate means no limit.
+// Shaper limits the throughput of a link; a rate of zero means no limit.
 type Shaper struct{ limiter *rate.Limiter }
 
-// NewShaper returns a shaper of bytes a second.
+// NewShaper returns a shaper with a limit in bytes per second.
 func NewShaper(bytesPerSecond int64) *Shaper {
 	if bytesPerSecond <= 0 {
 		return &Shaper{limiter: rate.NewLimiter(rate.Inf, 0)}
 	}
-	return &Shaper{limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), 4*writeBlock)}
+	return &Shaper{limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), 4*writeBlockBytes)}
 }
 
-// write sends content at the shaped rate; stallAt is the byte at which the
-// transfer hangs until the caller leaves, or a negative number.
+// write sends content at the limited rate. At offset stallAt, unless negative, the transfer hangs
+// until the client disconnects.
 func (s *Shaper) write(writer http.ResponseWriter, request *http.Request, content []byte, stallAt int) {
-	for offset := 0; offset < len(content); offset += writeBlock {
+	for offset := 0; offset < len(content); offset += writeBlockBytes {
 		if stallAt >= 0 && offset >= stallAt {
 			<-request.Context().Done()
 			return
 		}
-		block := content[offset:min(offset+writeBlock, len(content))]
+		block := content[offset:min(offset+writeBlockBytes, len(content))]
 		if err := s.limiter.WaitN(request.Context(), len(block)); err != nil {
 			return
 		}
@@ -46,12 +46,11 @@
 	}
 }
 
-// Origin is the stand-in of the weight origin. It makes up the weights it is
-// told of and counts the bytes drawn from it.
+// Origin emulates the weight origin. It serves synthetic weights and counts the bytes it sends.
 type Origin struct {
-	faults faultState
-	shaper *Shaper
-	drawn  atomic.Int64
+	faults    faultState
+	shaper    *Shaper
+	sentBytes atomic.Int64
 
 	mutex     sync.RWMutex
 	manifests map[weights.Digest][]byte
@@ -63,7 +62,7 @@
 	index     int
 }
 
-// NewOrigin returns an origin with a link of bytes a second.
+// NewOrigin returns an origin whose link has the given rate.
 func NewOrigin(bytesPerSecond int64) *Origin {
 	return &Origin{
 		shaper:    NewShaper(bytesPerSecond),
@@ -72,7 +71,7 @@
 	}
 }
 
-// Add publishes made-up weights and returns their manifest and its digest.
+// Add publishes synthetic weights and returns their manifest and its digest.
 func (o *Origin) Add(synthetic weights.Synthetic) (*weights.Manifest, weights.Digest, error) {
 	manifest := synthetic.Manifest()
 	data, digest, err := manifest.Encode()
@@ -88,25 +87,25 @@
 	return manifest, digest, nil
 }
 
-// SetFaults sets the fault state.
+// SetFaults replaces the injected faults.
 func (o *Origin) SetFaults(faults Faults) { o.faults.set(faults) }
 
-// Drawn returns how many chunk bytes were drawn from the origin.
-func (o *Origin) Drawn() int64 { return o.drawn.Load() }
+// SentBytes returns the number of chunk bytes sent.
+func (o *Origin) SentBytes() int64 { return o.sentBytes.Load() }
 
-// OriginRecord is the origin's own count.
+// OriginRecord is the origin's record of what it sent.
 type OriginRecord struct {
-	// DrawnBytes counts chunk bytes that left the origin, cut transfers included.
-	DrawnBytes int64 `json:"drawn_bytes"`
+	// SentBytes counts the chunk bytes sent, including those of interrupted transfers.
+	SentBytes int64 `json:"drawn_bytes"`
 }
 
 // Handler serves the origin.
 func (o *Origin) Handler() http.Handler {
 	router := chi.NewRouter()
-	router.Use(o.faults.refuseWhenDown)
+	router.Use(o.faults.rejectWhenDown)
 	o.faults.mount(router)
 	router.Get("/records", func(writer http.ResponseWriter, _ *http.Request) {
-		writeJSON(writer, OriginRecord{DrawnBytes: o.Drawn()})
+		writeJSON(writer, OriginRecord{SentBytes: o.SentBytes()})
 	})
 	router.Get("/v1/manifests/{digest}", o.manifest)
 	router.Get("/v1/chunks/{digest}", o.chunk)
@@ -115,9 +114,9 @@
 
 func (o *Origin) manifest(writer http.ResponseWriter, request *http.Request) {
 	o.mutex.RLock()
-	data, held := o.manifests[weights.Digest(chi.URLParam(request, "digest"))]
+	data, found := o.manifests[weights.Digest(chi.URLParam(request, "digest"))]
 	o.mutex.RUnlock()
-	if !held {
+	if !found {
 		http.Error(writer, "no such manifest", http.StatusNotFound)
 		return
 	}
@@ -126,24 +125,24 @@
 
 func (o *Origin) chunk(writer http.ResponseWriter, request *http.Request) {
 	o.mutex.RLock()
-	source, held := o.chunks[weights.Digest(chi.URLParam(request, "digest"))]
+	source, found := o.chunks[weights.Digest(chi.URLParam(request, "digest"))]
 	o.mutex.RUnlock()
-	if !held {
+	if !found {
 		http.Error(writer, "no such chunk", http.StatusNotFound)
 		return
 	}
 	faults := o.faults.get()
 	content := source.synthetic.Content(source.index)
-	corruptShare(content, faults.CorruptShare)
+	corruptRandomly(content, faults.CorruptShare)
 	stallAt := -1
 	if faults.Stalled {
 		stallAt = len(content) / 2
 	}
-	counted := &countingWriter{ResponseWriter: writer, count: &o.drawn}
+	counted := &countingWriter{ResponseWriter: writer, count: &o.sentBytes}
 	o.shaper.write(counted, request, content, stallAt)
 }
 
-func corruptShare(content []byte, share float64) {
+func corruptRandomly(content []byte, share float64) {
 	if share > 0 && rand.Float64() < share {
 		content[len(content)/2] ^= 0xff
 	}
@@ -160,7 +159,7 @@
 	return written, err
 }
 
-// Store is the stand-in of a machine's weight store, held in memory.
+// Store emulates a machine's weight store in memory.
 type Store struct {
 	shaper *Shaper
 
@@ -168,20 +167,20 @@
 	chunks map[weights.Digest][]byte
 }
 
-// NewStore returns a store that takes bytes a second in writes.
+// NewStore returns a store with a limited write rate in bytes per second.
 func NewStore(bytesPerSecond int64) *Store {
 	return &Store{shaper: NewShaper(bytesPerSecond), chunks: map[weights.Digest][]byte{}}
 }
 
-// Content returns a held chunk.
+// Content returns a stored chunk.
 func (s *Store) Content(digest weights.Digest) ([]byte, bool) {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
-	content, held := s.chunks[digest]
-	return content, held
+	content, found := s.chunks[digest]
+	return content, found
 }
 
-// Wipe drops every chunk, as when the machine is replaced.
+// Wipe deletes every chunk, as happens when a machine is replaced.
 func (s *Store) Wipe() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -210,14 +209,14 @@
 	})
 }
 
-// put stores a body that ended properly; a cut body is discarded.
+// put stores a complete body; a truncated one is discarded.
 func (s *Store) put(writer http.ResponseWriter, request *http.Request) {
 	content, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, weights.MaximumChunkBytes))
 	if err != nil {
 		http.Error(writer, "body was cut", http.StatusBadRequest)
 		return
 	}
-	if err := s.waitToStore(request, len(content)); err != nil {
+	if err := s.waitForWriteRate(request, len(content)); err != nil {
 		http.Error(writer, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
@@ -227,9 +226,9 @@
 	writer.WriteHeader(http.StatusNoContent)
 }
 
-func (s *Store) waitToStore(request *http.Request, size int) error {
-	for remaining := size; remaining > 0; remaining -= writeBlock {
-		if err := s.shaper.limiter.WaitN(request.Context(), min(remaining, writeBlock)); err != nil {
+func (s *Store) waitForWriteRate(request *http.Request, size int) error {
+	for remaining := size; remaining > 0; remaining -= writeBlockBytes {
+		if err := s.shaper.limiter.WaitN(request.Context(), min(remaining, writeBlockBytes)); err != nil {
 			return &fault.Unavailable{Target: "weight store", Operation: "put", Cause: err}
 		}
 	}
@@ -237,8 +236,8 @@
 }
 
 func (s *Store) get(writer http.ResponseWriter, request *http.Request) {
-	content, held := s.Content(weights.Digest(chi.URLParam(request, "digest")))
-	if !held {
+	content, found := s.Content(weights.Digest(chi.URLParam(request, "digest")))
+	if !found {
 		http.Error(writer, "no such chunk", http.StatusNotFound)
 		return
 	}
--- a/internal/emulator/publication.go
+++ b/internal/emulator/publication.go
@@ -13,12 +13,12 @@
 	"pinevane.example/pinevane/coordination/monotonic"
 )
 
-// PublicationLimit is how many calls a second the configuration service takes,
-// a waiting watch counting as one.
+// PublicationLimit is the rate limit of the configuration service in calls per second; a watch
+// counts as one call.
 const PublicationLimit = 2000
 
-// Publication is the stand-in of a published set of documents: the
-// configuration service, or the membership list with a lag.
+// Publication emulates a service that publishes documents: the configuration service, or the
+// membership service with its lag.
 type Publication struct {
 	faults  faultState
 	lag     time.Duration
@@ -30,8 +30,8 @@
 	changed chan struct{}
 }
 
-// NewPublication returns an empty publication of an epoch. Changes become
-// visible to readers after the lag.
+// NewPublication returns an empty publication with an epoch. Changes become visible to readers
+// after lag.
 func NewPublication(epoch uint64, lag time.Duration) *Publication {
 	publication := &Publication{
 		lag:     lag,
@@ -59,19 +59,19 @@
 	}
 	p.feed.Apply(update)
 	if p.lag == 0 {
-		p.reveal()
+		p.publish()
 		return next
 	}
 	time.AfterFunc(p.lag, func() {
 		p.mutex.Lock()
 		defer p.mutex.Unlock()
-		p.reveal()
+		p.publish()
 	})
 	return next
 }
 
-// reveal shows the newest state to readers, unless the publication is frozen.
-func (p *Publication) reveal() {
+// publish makes the latest state visible to readers, unless the publication is frozen.
+func (p *Publication) publish() {
 	if p.faults.get().Frozen {
 		return
 	}
@@ -84,8 +84,8 @@
 	p.changed = make(chan struct{})
 }
 
-// Reset starts the publication over with an epoch and one revision of documents,
-// as a restarted service would.
+// Reset replaces the publication with a new epoch that has one revision, as after a restart of the
+// service.
 func (p *Publication) Reset(epoch uint64, documents map[string][]byte) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -95,13 +95,13 @@
 	}
 	p.feed, p.visible = monotonic.NewFeed(), monotonic.NewFeed()
 	p.feed.Apply(update)
-	p.reveal()
+	p.publish()
 }
 
-// SetFaults sets the fault state.
+// SetFaults replaces the injected faults.
 func (p *Publication) SetFaults(faults Faults) { p.faults.set(faults) }
 
-// Handler serves the publication at a path, with the stand-in's own controls.
+// Handler serves the publication at path, together with the routes that control the emulation.
 func (p *Publication) Handler(path string) http.Handler {
 	router := chi.NewRouter()
 	p.Mount(router, path)
@@ -111,7 +111,7 @@
 // Mount adds the publication's routes to a router.
 func (p *Publication) Mount(router chi.Router, path string) {
 	router.Group(func(group chi.Router) {
-		group.Use(p.faults.refuseWhenDown)
+		group.Use(p.faults.rejectWhenDown)
 		group.Get(path, p.watch)
 	})
 	router.Route(path+"/control", func(control chi.Router) {
@@ -155,7 +155,7 @@
 func (p *Publication) waitNewer(ctx context.Context, since monotonic.Version) (monotonic.Update, bool) {
 	for {
 		p.mutex.Lock()
-		p.catchUp()
+		p.publishPending()
 		update, newer := p.visible.Since(since)
 		changed := p.changed
 		p.mutex.Unlock()
@@ -170,10 +170,10 @@
 	}
 }
 
-// catchUp catches up with changes made while the publication was frozen.
-func (p *Publication) catchUp() {
+// publishPending publishes changes that were made while the publication was frozen.
+func (p *Publication) publishPending() {
 	if p.lag == 0 {
-		p.reveal()
+		p.publish()
 	}
 }
 
--- a/internal/emulator/service.go
+++ b/internal/emulator/service.go
@@ -12,8 +12,7 @@
 	"pinevane.example/pinevane/internal/external"
 )
 
-// Service is the stand-in of a plain service. It counts how often each request
-// identifier ran.
+// Service emulates a plain service. It counts how often each request ID was executed.
 type Service struct {
 	name   string
 	delay  time.Duration
@@ -23,15 +22,15 @@
 	runs  map[string]int
 }
 
-// NewService returns a service whose calls take a delay.
+// NewService returns a service whose calls take delay.
 func NewService(name string, delay time.Duration) *Service {
 	return &Service{name: name, delay: delay, runs: map[string]int{}}
 }
 
-// SetFaults sets the fault state.
+// SetFaults replaces the injected faults.
 func (s *Service) SetFaults(faults Faults) { s.faults.set(faults) }
 
-// Runs returns how often each request identifier ran.
+// Runs returns the number of executions of each request ID.
 func (s *Service) Runs() map[string]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -41,14 +40,14 @@
 // Handler serves the service.
 func (s *Service) Handler() http.Handler {
 	router := chi.NewRouter()
-	router.Use(s.faults.refuseWhenDown)
+	router.Use(s.faults.rejectWhenDown)
 	s.faults.mount(router)
 	router.Get("/records", func(writer http.ResponseWriter, _ *http.Request) { writeJSON(writer, s.Runs()) })
 	router.HandleFunc("/*", s.call)
 	return router
 }
 
-// ServiceEcho is the answer of the stand-in service: a function of the request.
+// ServiceEcho is the response of the emulated service; it echoes the request.
 type ServiceEcho struct {
 	Service string `json:"service"`
 	ID      string `json:"id"`
@@ -58,7 +57,7 @@
 }
 
 func (s *Service) call(writer http.ResponseWriter, request *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maximumBodyBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
--- a/internal/emulator/site/answers.go
+++ b/internal/emulator/site/answers.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// admit waits for a place; it answers itself when there is none.
+// admit waits until the request may run. If it is rejected, admit writes the response and returns
+// false.
 func (s *Server) admit(writer http.ResponseWriter, request *http.Request) bool {
 	id := request.Header.Get("Request-Id")
 	refuse := func(status int) bool {
@@ -22,10 +23,10 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.arrive(id)
+	s.recordDelivery(id)
 	if s.faults.Shed > 0 {
 		s.faults.Shed--
-		s.ask(writer.Header(), id, s.faults.ShedRest)
+		s.writeNotice(writer.Header(), id, s.faults.ShedBackoff)
 		return refuse(http.StatusServiceUnavailable)
 	}
 	s.waiting++
@@ -34,10 +35,10 @@
 		if s.options.Weights != nil && s.version == 0 && !s.loading {
 			return refuse(http.StatusServiceUnavailable)
 		}
-		freed := s.freed
+		slotFreed := s.slotFreed
 		s.mutex.Unlock()
 		select {
-		case <-freed:
+		case <-slotFreed:
 		case <-request.Context().Done():
 		}
 		s.mutex.Lock()
@@ -45,7 +46,7 @@
 			return false
 		}
 	}
-	if s.options.Weights != nil && !s.whole() {
+	if s.options.Weights != nil && !s.completelyLoaded() {
 		return refuse(http.StatusMisdirectedRequest)
 	}
 	if expected := request.Header.Get("Expect-Version"); expected != "" && expected != strconv.FormatUint(s.version, 10) {
@@ -55,67 +56,68 @@
 	return true
 }
 
-// What a server that names a limit bears in LimitSpan: LimitOvershoot times what the limit allows, and LimitSlack
-// requests.
+// A server that announces a rate limit tolerates LimitOvershoot times the limit plus LimitSlack
+// requests within LimitWindow.
 const (
-	LimitSpan      = 4 * time.Second
+	LimitWindow    = 4 * time.Second
 	LimitOvershoot = 1.5
 	LimitSlack     = 5
 )
 
-// LimitBears is the most that a server which names a rate bears in LimitSpan.
-func LimitBears(perSecond float64) float64 {
-	return LimitOvershoot*perSecond*LimitSpan.Seconds() + LimitSlack
+// MaxUnderLimit returns the number of requests that a server with a rate limit tolerates within
+// LimitWindow.
+func MaxUnderLimit(perSecond float64) float64 {
+	return LimitOvershoot*perSecond*LimitWindow.Seconds() + LimitSlack
 }
 
-// ask writes into the head of an answer what the server asks for now, and records it; the mutex is held. Reports
-// have no request.
-func (s *Server) ask(header http.Header, request string, rest time.Duration) {
-	asked := Ask{RequestID: request, Server: s.options.ID, At: time.Now(), Leaving: s.leaving, Rest: rest}
+// writeNotice sets the server notice in response headers and records it; the mutex is held. Status
+// reports pass an empty request ID and are not recorded.
+func (s *Server) writeNotice(header http.Header, requestID string, backoff time.Duration) {
+	notice := ServerNotice{RequestID: requestID, Server: s.options.ID, At: time.Now(), Leaving: s.leaving, Backoff: backoff}
 	if s.leaving {
 		header.Set("Server-Leaving", "1")
 	}
 	if s.limit != "" {
 		header.Set("Server-Limit", s.limit)
 		rate, err := strconv.ParseFloat(s.limit, 64)
-		asked.Limited, asked.PerSecond = err == nil, rate
+		notice.Limited, notice.PerSecond = err == nil, rate
 	}
-	if rest > 0 {
-		header.Set("Retry-After", strconv.FormatFloat(rest.Seconds(), 'f', -1, 64))
+	if backoff > 0 {
+		header.Set("Retry-After", strconv.FormatFloat(backoff.Seconds(), 'f', -1, 64))
 	}
-	if request != "" && (asked.Leaving || asked.Limited || rest > 0) {
-		s.options.Ledger.asks.add(asked)
+	if requestID != "" && (notice.Leaving || notice.Limited || backoff > 0) {
+		s.options.Requests.notices.add(notice)
 	}
 }
 
-// receive reads a request's body and records where it came.
-func (s *Server) receive(request *http.Request) ([]byte, error) {
+// readBody reads a request's body and records its arrival.
+func (s *Server) readBody(request *http.Request) ([]byte, error) {
 	body, err := io.ReadAll(request.Body)
-	s.options.Ledger.arrivals.add(Arrival{
+	s.options.Requests.arrivals.add(Arrival{
 		RequestID: request.Header.Get("Request-Id"), Server: s.options.ID, Service: s.options.Service,
 		Path: request.URL.Path, Zone: s.options.Zone, Region: s.options.Region, BodyBytes: len(body), At: time.Now(),
 	})
 	return body, err
 }
 
-func (s *Server) run(writer http.ResponseWriter, request *http.Request) {
+func (s *Server) handleRequest(writer http.ResponseWriter, request *http.Request) {
 	id := request.Header.Get("Request-Id")
 	writer.Header().Set("Request-Id", id)
 	writer.Header().Set("Instance-Id", s.options.ID)
-	body, err := s.receive(request)
+	body, err := s.readBody(request)
 	if err != nil || !s.admit(writer, request) {
 		return
 	}
 	defer func() {
 		s.mutex.Lock()
 		s.running--
-		s.wake()
+		s.notifyWaiting()
 		s.mutex.Unlock()
 	}()
 	s.mutex.Lock()
 	run := Run{
-		RequestID: id, Server: s.options.ID, Service: s.options.Service, Version: s.version, Spoilt: s.spoilt,
-		Tenant: request.Header.Get("Tenant"), KeySeen: request.Header.Get("Authorization") != "", At: time.Now(),
+		RequestID: id, Server: s.options.ID, Service: s.options.Service, Version: s.version, Corrupt: s.corrupt,
+		Tenant: request.Header.Get("Tenant"), KeyReceived: request.Header.Get("Authorization") != "", At: time.Now(),
 	}
 	faults := s.faults
 	if faults.LoseAnswers > 0 {
@@ -125,25 +127,25 @@
 		s.faults.CutCount--
 	}
 	s.mutex.Unlock()
-	s.options.Ledger.runs.add(run)
-	if s.options.Begins != nil && s.options.Begins(s, id, body) {
+	s.options.Requests.runs.add(run)
+	if s.options.OnBegin != nil && s.options.OnBegin(s, id, body) {
 		<-request.Context().Done()
 		return
 	}
-	if faults.LoseAnswers > 0 || faults.Lying == LyingResets {
+	if faults.LoseAnswers > 0 || faults.Failure == FailWithResets {
 		panic(http.ErrAbortHandler)
 	}
-	switch faults.Lying {
-	case LyingHangs:
+	switch faults.Failure {
+	case FailWithHangs:
 		<-request.Context().Done()
 		return
-	case LyingErrors:
+	case FailWithErrors:
 		writer.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	writer.Header().Set("Response-Seal", "seal-"+id)
 	s.mutex.Lock()
-	s.ask(writer.Header(), id, 0)
+	s.writeNotice(writer.Header(), id, 0)
 	s.mutex.Unlock()
 	if s.options.Weights == nil {
 		s.answerPlain(writer, request, body)
@@ -153,22 +155,22 @@
 	if faults.CutCount > 0 {
 		cutAfter = faults.CutAfter
 	}
-	s.readPrompt(request)
+	s.simulatePrefill(request)
 	s.answerStream(writer, request, run, cutAfter)
 }
 
-// readPrompt takes as long as the server needs to read the request's prompt, after those before it.
-func (s *Server) readPrompt(request *http.Request) {
+// simulatePrefill waits as long as the server needs to process the prompt, one prompt at a time.
+func (s *Server) simulatePrefill(request *http.Request) {
 	if s.options.ReadPerSecond <= 0 {
 		return
 	}
 	prompt, _ := tokenUsage(request)
-	s.reading.Lock()
-	defer s.reading.Unlock()
+	s.readMutex.Lock()
+	defer s.readMutex.Unlock()
 	time.Sleep(time.Duration(float64(prompt) / s.options.ReadPerSecond * float64(time.Second)))
 }
 
-// tokenUsage is the size of a request's prompt and the most tokens of its answer; 0 where they can't be read.
+// tokenUsage returns the prompt size and the maximum answer size in tokens; 0 if unreadable.
 func tokenUsage(request *http.Request) (prompt, answer int) {
 	first, second, _ := strings.Cut(request.Header.Get("Token-Usage"), ",")
 	prompt, _ = strconv.Atoi(first)
@@ -181,8 +183,8 @@
 	_, _ = fmt.Fprintf(writer, "%s %s %s", request.Method, request.RequestURI, body)
 }
 
-// answerStream writes as many events as the request may have tokens, after the
-// last that the caller has.
+// answerStream writes up to the requested number of events, starting after the caller's
+// Last-Event-Id.
 func (s *Server) answerStream(writer http.ResponseWriter, request *http.Request, run Run, cutAfter int) {
 	writer.Header().Set("Content-Type", "text/event-stream")
 	writer.Header().Set("Weight-Versions", strconv.FormatUint(run.Version, 10))
--- a/internal/emulator/site/crashing.go
+++ b/internal/emulator/site/crashing.go
@@ -6,109 +6,107 @@
 	"time"
 )
 
-// Crashing describes content that ends each server which begins to run it.
-type Crashing struct {
-	// Body is what the bodies of the requests that do so begin with.
-	Body string
-	// After is how long such a request runs until its server ends, Away how long the server is away; 0
-	// leaves it to others to start it again.
-	After time.Duration
-	Away  time.Duration
-	// SameID has the server start again under its ID.
+// CrashTrigger describes requests that crash every server which begins to execute them.
+type CrashTrigger struct {
+	// BodyPrefix matches the bodies of the requests.
+	BodyPrefix string
+	// After is the time from the begin of the request to the crash, RestartDelay the time until
+	// the server restarts; with 0 it is not restarted.
+	After        time.Duration
+	RestartDelay time.Duration
+	// SameID restarts the server under its old ID.
 	SameID bool
 }
 
-// End is one server that a request has ended.
-type End struct {
-	Server string
-	// RequestID is that of the request.
+// ServerCrash records a crash of a server and the request that caused it.
+type ServerCrash struct {
+	Server    string
 	RequestID string
 	At        time.Time
 }
 
-// listedAfterEnd is how long the list goes on naming a server that has ended without a word: three
-// heartbeats.
-const listedAfterEnd = 1200 * time.Millisecond
+// listedAfterCrash is how long a crashed server stays listed: three heartbeats.
+const listedAfterCrash = 1200 * time.Millisecond
 
-// crashes ends servers and starts new ones in their place.
-type crashes struct {
-	mutex    sync.Mutex
-	crashing Crashing
-	ends     []End
-	ended    map[*Server]bool
-	reborn   []*Server
-	closed   bool
+// crashTracker crashes servers and restarts them.
+type crashTracker struct {
+	mutex     sync.Mutex
+	trigger   CrashTrigger
+	crashes   []ServerCrash
+	crashed   map[*Server]bool
+	restarted []*Server
+	closed    bool
 }
 
-// CrashOn makes every server end that runs a request of a kind, from now on.
-func (s *Site) CrashOn(crashing Crashing) {
-	s.crashes.mutex.Lock()
-	defer s.crashes.mutex.Unlock()
-	s.crashes.crashing = crashing
+// CrashOn sets the requests that crash servers from now on.
+func (s *Site) CrashOn(trigger CrashTrigger) {
+	s.tracker.mutex.Lock()
+	defer s.tracker.mutex.Unlock()
+	s.tracker.trigger = trigger
 }
 
-// Ends returns the servers that requests have ended, in order of time.
-func (s *Site) Ends() []End {
-	s.crashes.mutex.Lock()
-	defer s.crashes.mutex.Unlock()
-	return append([]End(nil), s.crashes.ends...)
+// Crashes returns the crashes caused by requests, in order of time.
+func (s *Site) Crashes() []ServerCrash {
+	s.tracker.mutex.Lock()
+	defer s.tracker.mutex.Unlock()
+	return append([]ServerCrash(nil), s.tracker.crashes...)
 }
 
-// begins reports whether a request ends the server that has begun to run it, and sees to that.
-func (s *Site) begins(server *Server, id string, body []byte) bool {
-	s.crashes.mutex.Lock()
-	defer s.crashes.mutex.Unlock()
-	crashing := s.crashes.crashing
-	if crashing.Body == "" || !strings.HasPrefix(string(body), crashing.Body) {
+// crashesOn reports whether a request crashes the server that executes it, and schedules the
+// crash.
+func (s *Site) crashesOn(server *Server, id string, body []byte) bool {
+	s.tracker.mutex.Lock()
+	defer s.tracker.mutex.Unlock()
+	trigger := s.tracker.trigger
+	if trigger.BodyPrefix == "" || !strings.HasPrefix(string(body), trigger.BodyPrefix) {
 		return false
 	}
-	if !s.crashes.ended[server] && !s.crashes.closed {
-		s.crashes.ended[server] = true
-		time.AfterFunc(crashing.After, func() { s.end(server, id, crashing) })
+	if !s.tracker.crashed[server] && !s.tracker.closed {
+		s.tracker.crashed[server] = true
+		time.AfterFunc(trigger.After, func() { s.crash(server, id, trigger) })
 	}
 	return true
 }
 
-func (s *Site) end(server *Server, request string, crashing Crashing) {
+func (s *Site) crash(server *Server, request string, trigger CrashTrigger) {
 	staged := server.Crash()
-	s.crashes.mutex.Lock()
-	s.crashes.ends = append(s.crashes.ends, End{Server: server.options.ID, RequestID: request, At: time.Now()})
-	s.crashes.mutex.Unlock()
+	s.tracker.mutex.Lock()
+	s.tracker.crashes = append(s.tracker.crashes, ServerCrash{Server: server.options.ID, RequestID: request, At: time.Now()})
+	s.tracker.mutex.Unlock()
 	id := server.options.ID
-	if !crashing.SameID {
-		time.AfterFunc(listedAfterEnd, func() { s.Store.Delete("servers/" + id) })
+	if !trigger.SameID {
+		time.AfterFunc(listedAfterCrash, func() { s.Store.Delete("servers/" + id) })
 		id += "+"
 	}
-	if crashing.Away > 0 {
-		time.AfterFunc(crashing.Away, func() { s.restart(server, id, staged) })
+	if trigger.RestartDelay > 0 {
+		time.AfterFunc(trigger.RestartDelay, func() { s.restart(server, id, staged) })
 	}
 }
 
-// restart starts a server at the place of one that has ended, with what was staged there and nothing in
-// service.
+// restart starts a replacement of a crashed server, with its staged pieces and no version loaded.
 func (s *Site) restart(old *Server, id string, staged map[int][]byte) {
-	s.crashes.mutex.Lock()
-	defer s.crashes.mutex.Unlock()
-	if s.crashes.closed {
+	s.tracker.mutex.Lock()
+	defer s.tracker.mutex.Unlock()
+	if s.tracker.closed {
 		return
 	}
 	options := old.options
-	options.ID, options.Version, options.Born = id, 0, time.Now().UnixMilli()
+	options.ID, options.Version, options.StartTime = id, 0, time.Now().UnixMilli()
 	fresh := NewServer(options)
 	fresh.Restage(staged)
 	if err := fresh.Start(); err != nil {
-		// The address is taken, because a test has started another server there.
+		// The address is in use because the test started another server there.
 		return
 	}
-	s.crashes.reborn = append(s.crashes.reborn, fresh)
+	s.tracker.restarted = append(s.tracker.restarted, fresh)
 }
 
-// close ends the servers that were started anew.
-func (c *crashes) close() {
+// close stops the restarted servers.
+func (c *crashTracker) close() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.closed = true
-	for _, server := range c.reborn {
+	for _, server := range c.restarted {
 		server.Crash()
 	}
 }
--- a/internal/emulator/site/store.go
+++ b/internal/emulator/site/store.go
@@ -1,7 +1,7 @@
-// Package site is a stand-in of the users' platform for tests and the demo: its
-// store of records, its model servers and plain services, and its origin of
-// weights, written from their published protocol. It keeps records of what ran,
-// from which the promises are checked, and takes injected faults.
+// Package site emulates the users' platform for tests and the demo: its record store, its model
+// servers and plain services, and its weight origin, implemented from their published protocols.
+// It accepts injected faults and records what was executed, from which tests verify the
+// guarantees.
 package site
 
 import (
@@ -18,41 +18,41 @@
 	"pinevane.example/pinevane/internal/waiting"
 )
 
-// item is a record as the store tells it.
-type item struct {
+// record is a record in the store's wire format.
+type record struct {
 	Key      string `json:"keyFile"`
 	Value    []byte `json:"value,omitempty"`
 	Revision uint64 `json:"revision"`
-	Gone     bool   `json:"gone,omitempty"`
+	Removed  bool   `json:"gone,omitempty"`
 }
 
-// Store is the stand-in of the platform's store.
+// Store emulates the platform's record store.
 type Store struct {
 	mutex    sync.Mutex
 	revision uint64
-	items    map[string]item
-	history  []item
-	// forgotten is the revision up to which the history is gone.
-	forgotten uint64
-	changed   chan struct{}
-	// refused are the IP addresses that are turned away.
+	items    map[string]record
+	history  []record
+	// compactedTo is the revision up to which the history was compacted.
+	compactedTo uint64
+	changed     chan struct{}
+	// refused are the IP addresses of machines whose calls are rejected.
 	refused map[string]bool
 	down    bool
-	// deaf makes watches hear nothing.
-	deaf  bool
-	delay time.Duration
-	// pageSize bounds one page of a listing.
+	// watchesBlocked keeps watches from returning events.
+	watchesBlocked bool
+	delay          time.Duration
+	// pageSize is the maximum page size of a listing.
 	pageSize int
 	calls    int
-	// bandwidth is that of the store's link in bytes a second, 0 for no bound; linkFree
-	// is when the link has sent what it was given.
-	bandwidth float64
-	linkFree  time.Time
+	// bandwidth is the rate of the store's link in bytes per second, 0 for no limit; linkFreeAt is
+	// the time at which the link has sent everything queued.
+	bandwidth  float64
+	linkFreeAt time.Time
 }
 
 // NewStore returns an empty store.
 func NewStore() *Store {
-	return &Store{items: map[string]item{}, changed: make(chan struct{}), refused: map[string]bool{}, pageSize: 500}
+	return &Store{items: map[string]record{}, changed: make(chan struct{}), refused: map[string]bool{}, pageSize: 500}
 }
 
 // Put writes a record as JSON and returns its revision.
@@ -61,15 +61,15 @@
 	if err != nil {
 		panic(err)
 	}
-	return s.write(item{Key: key, Value: data})
+	return s.write(record{Key: key, Value: data})
 }
 
-// PutRaw writes a record byte for byte and returns its revision.
+// PutRaw writes a record unchanged and returns its revision.
 func (s *Store) PutRaw(key string, value []byte) uint64 {
-	return s.write(item{Key: key, Value: value})
+	return s.write(record{Key: key, Value: value})
 }
 
-// SetDelay holds every answer back for a time.
+// SetDelay delays every answer.
 func (s *Store) SetDelay(delay time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -77,44 +77,44 @@
 }
 
 // Delete removes a record.
-func (s *Store) Delete(key string) { s.write(item{Key: key, Gone: true}) }
+func (s *Store) Delete(key string) { s.write(record{Key: key, Removed: true}) }
 
-func (s *Store) write(one item) uint64 {
+func (s *Store) write(update record) uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.revision++
-	one.Revision = s.revision
-	s.history = append(s.history, one)
-	if one.Gone {
-		delete(s.items, one.Key)
+	update.Revision = s.revision
+	s.history = append(s.history, update)
+	if update.Removed {
+		delete(s.items, update.Key)
 	} else {
-		s.items[one.Key] = one
+		s.items[update.Key] = update
 	}
-	s.wake()
+	s.notifyWatches()
 	return s.revision
 }
 
-// wake lets waiting watches look again; the mutex is held.
-func (s *Store) wake() {
+// notifyWatches wakes waiting watches; the mutex is held.
+func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Compact forgets the history and cuts the waiting watches.
+// Compact discards the history and ends waiting watches.
 func (s *Store) Compact() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.forgotten = s.revision
+	s.compactedTo = s.revision
 	s.history = nil
-	s.deaf = false
-	s.wake()
+	s.watchesBlocked = false
+	s.notifyWatches()
 }
 
-// SetDeaf makes watches hear nothing until Compact.
-func (s *Store) SetDeaf() {
+// BlockWatches keeps watches from returning events until Compact.
+func (s *Store) BlockWatches() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.deaf = true
+	s.watchesBlocked = true
 }
 
 // SetDown makes every call fail.
@@ -122,38 +122,38 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.down = down
-	s.wake()
+	s.notifyWatches()
 }
 
-// SetBandwidth bounds what the store sends to all callers together, in bytes a second;
-// 0 lifts the bound.
+// SetBandwidth limits the total rate of the store's answers in bytes per second; 0 removes the
+// limit.
 func (s *Store) SetBandwidth(bytesPerSecond float64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.bandwidth = bytesPerSecond
 }
 
-// linkPart is how many bytes of an answer the store's link carries at a time.
-const linkPart = 16 << 10
+// linkBlockBytes is the block size of a rate-limited answer.
+const linkBlockBytes = 16 << 10
 
-// take waits until the link has carried some bytes, behind those of all other callers.
-func (s *Store) take(ctx context.Context, size int) {
+// waitForLink waits until the link has sent size more bytes, after those of all earlier answers.
+func (s *Store) waitForLink(ctx context.Context, size int) {
 	s.mutex.Lock()
 	if s.bandwidth == 0 {
 		s.mutex.Unlock()
 		return
 	}
 	now := time.Now()
-	if s.linkFree.Before(now) {
-		s.linkFree = now
+	if s.linkFreeAt.Before(now) {
+		s.linkFreeAt = now
 	}
-	s.linkFree = s.linkFree.Add(time.Duration(float64(size) / s.bandwidth * float64(time.Second)))
-	wait := s.linkFree.Sub(now)
+	s.linkFreeAt = s.linkFreeAt.Add(time.Duration(float64(size) / s.bandwidth * float64(time.Second)))
+	wait := s.linkFreeAt.Sub(now)
 	s.mutex.Unlock()
 	waiting.For(ctx, wait)
 }
 
-// writeJSON answers with a value, over the store's link.
+// writeJSON sends a value as JSON at the link's rate.
 func (s *Store) writeJSON(writer http.ResponseWriter, request *http.Request, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -161,15 +161,15 @@
 	}
 	writer.Header().Set("Content-Type", "application/json")
 	for len(data) > 0 && request.Context().Err() == nil {
-		part := data[:min(linkPart, len(data))]
-		data = data[len(part):]
-		s.take(request.Context(), len(part))
-		_, _ = writer.Write(part)
+		block := data[:min(linkBlockBytes, len(data))]
+		data = data[len(block):]
+		s.waitForLink(request.Context(), len(block))
+		_, _ = writer.Write(block)
 	}
 }
 
-// machineKey is the context's key for the machine that calls: each is given an
-// address of the store of its own, because on loopback all come from one.
+// machineKey is the context key of the calling machine. Each machine has its own address of the
+// store, because on loopback all calls come from the same IP address.
 type machineKey struct{}
 
 // HandlerFor serves the store to one machine.
@@ -180,7 +180,7 @@
 	})
 }
 
-// Refuse turns the calls of some machines away.
+// Refuse rejects the calls of the given machines, and of no others.
 func (s *Store) Refuse(addresses ...string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -188,18 +188,18 @@
 	for _, address := range addresses {
 		s.refused[address] = true
 	}
-	s.wake()
+	s.notifyWatches()
 }
 
-// Calls returns how many calls were made.
+// Calls returns the number of calls.
 func (s *Store) Calls() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.calls
 }
 
-// turnsAway reports whether a caller gets 503; the mutex is held.
-func (s *Store) turnsAway(request *http.Request) bool {
+// rejects reports whether a call is answered with 503; the mutex is held.
+func (s *Store) rejects(request *http.Request) bool {
 	machine, _ := request.Context().Value(machineKey{}).(string)
 	return s.down || s.refused[machine]
 }
@@ -216,18 +216,18 @@
 	prefix, after := request.URL.Query().Get("pathPrefix"), request.URL.Query().Get("after")
 	s.mutex.Lock()
 	s.calls++
-	if s.turnsAway(request) {
+	if s.rejects(request) {
 		s.mutex.Unlock()
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	var items []item
-	for key, one := range s.items {
+	var items []record
+	for key, stored := range s.items {
 		if strings.HasPrefix(key, prefix) && key > after {
-			items = append(items, one)
+			items = append(items, stored)
 		}
 	}
-	slices.SortFunc(items, func(a, b item) int { return cmp.Compare(a.Key, b.Key) })
+	slices.SortFunc(items, func(a, b record) int { return cmp.Compare(a.Key, b.Key) })
 	more := len(items) > s.pageSize
 	items = items[:min(len(items), s.pageSize)]
 	answer := map[string]any{"items": items, "more": more, "at": s.revision}
@@ -248,14 +248,14 @@
 		if first {
 			s.calls++
 		}
-		status, events := s.look(request, query.Get("pathPrefix"), after)
-		at, changed, deaf, delay := s.revision, s.changed, s.deaf, s.delay
+		status, events := s.changesAfter(request, query.Get("pathPrefix"), after)
+		at, changed, blocked, delay := s.revision, s.changed, s.watchesBlocked, s.delay
 		s.mutex.Unlock()
 		if status != http.StatusOK {
 			writer.WriteHeader(status)
 			return
 		}
-		if len(events) > 0 && !deaf {
+		if len(events) > 0 && !blocked {
 			waiting.For(request.Context(), delay)
 			s.writeJSON(writer, request, map[string]any{"events": events, "at": at})
 			return
@@ -263,11 +263,11 @@
 		select {
 		case <-changed:
 		case <-timer.C:
-			if deaf {
+			if blocked {
 				at = after
 			}
 			waiting.For(request.Context(), delay)
-			s.writeJSON(writer, request, map[string]any{"events": []item{}, "at": at})
+			s.writeJSON(writer, request, map[string]any{"events": []record{}, "at": at})
 			return
 		case <-request.Context().Done():
 			return
@@ -275,18 +275,18 @@
 	}
 }
 
-// look finds the changes after a revision; the mutex is held.
-func (s *Store) look(request *http.Request, prefix string, after uint64) (int, []item) {
-	if s.turnsAway(request) {
+// changesAfter returns the changes after a revision, or an error status; the mutex is held.
+func (s *Store) changesAfter(request *http.Request, prefix string, after uint64) (int, []record) {
+	if s.rejects(request) {
 		return http.StatusServiceUnavailable, nil
 	}
-	if after < s.forgotten {
+	if after < s.compactedTo {
 		return http.StatusGone, nil
 	}
-	var events []item
-	for _, one := range s.history {
-		if one.Revision > after && strings.HasPrefix(one.Key, prefix) {
-			events = append(events, one)
+	var events []record
+	for _, update := range s.history {
+		if update.Revision > after && strings.HasPrefix(update.Key, prefix) {
+			events = append(events, update)
 		}
 	}
 	return http.StatusOK, events
--- a/internal/workload/identities_test.go
+++ b/internal/workload/identities_test.go
@@ -10,19 +10,19 @@
 	"pinevane.example/pinevane/internal/weights"
 )
 
-// A version may be added while answers to others are judged; the race detector watches.
-func TestIdentitiesAreAddedWhileOthersAreLookedUp(t *testing.T) {
+// Add must be safe while other versions are looked up; the race detector finds a missing lock.
+func TestIdentitiesAreSafeForConcurrentUse(t *testing.T) {
 	identities := NewIdentities()
-	var looking sync.WaitGroup
-	looking.Go(func() {
+	var lookups sync.WaitGroup
+	lookups.Go(func() {
 		for range 200 {
-			identities.of("m", "1")
+			identities.get("m", "1")
 		}
 	})
 	for version := range 200 {
 		identities.Add(&weights.Manifest{Model: "m", Version: strconv.Itoa(version)})
 	}
-	looking.Wait()
-	_, known := identities.of("m", "1")
+	lookups.Wait()
+	_, known := identities.get("m", "1")
 	assert.True(t, known)
 }
