--- a/Makefile
+++ b/Makefile
@@ -1,16 +1,16 @@
-# Commands of the project; each installs what it needs.
+# Development commands. setup installs the required tools.
 DEPLOYMENT ?= yaad-voices
 PLATFORM ?= product
 HOLD ?=
 BINARY := bin/pinevane
 PACKAGES := ./...
-# Tests that fail for a fault which is known and open: a line each in KNOWN-RED.txt, which
-# begins with the test's name and a colon. They are printed, and only they are passed over.
+# Tests with a known, unresolved failure: one line each in KNOWN-RED.txt, which begins with the
+# test's name and a colon. These tests are printed, and only they are skipped.
 KNOWN_RED := $(shell sed -n 's/^\(Test[A-Za-z0-9_]*\):.*/\1/p' KNOWN-RED.txt 2>/dev/null | paste -sd'|')
 MOST_KNOWN_RED := 3
-# The soak that every check plays: its schedule has evacuations, cold servers, narrower regions,
-# servers that hang and flap, that name a limit, ask for rest and say that they leave, settings that are
-# spoilt, a burst of callers and two versions.
+# The soak test of every check. The schedule of this seed has evacuations, cold starts, narrower regions,
+# servers that hang, flap, announce a rate limit or a backoff or that they leave, corrupt settings, a burst
+# of callers and two versions.
 SOAK_SEED ?= 67083181
 SOAK_MINUTES ?= 0.6
 
