--- a/internal/command/soak.go
+++ b/internal/command/soak.go
@@ -49,15 +49,15 @@
 }
 
 // soakKinds reads a list of kinds of faults; all of them when it is empty.
-func soakKinds(list string) ([]soak.Kind, error) {
+func soakKinds(list string) ([]soak.FaultKind, error) {
 	if list == "" {
-		return soak.Kinds, nil
+		return soak.FaultKinds, nil
 	}
-	var kinds []soak.Kind
+	var kinds []soak.FaultKind
 	for name := range strings.SplitSeq(list, ",") {
-		kind := soak.Kind(name)
-		if !slices.Contains(soak.Kinds, kind) {
-			return nil, &fault.InvalidSetting{Flag: "--kinds", Value: name, Allowed: fmt.Sprint(soak.Kinds)}
+		kind := soak.FaultKind(name)
+		if !slices.Contains(soak.FaultKinds, kind) {
+			return nil, &fault.InvalidSetting{Flag: "--kinds", Value: name, Allowed: fmt.Sprint(soak.FaultKinds)}
 		}
 		kinds = append(kinds, kind)
 	}
--- a/internal/experiment/soak/asks.go
+++ b/internal/experiment/soak/asks.go
@@ -28,7 +28,7 @@
 // nameLimit has a server name half a request to four a second for a while.
 func (r *run) nameLimit(server *site.Server, fault Fault) {
 	server.NameLimit(strconv.FormatFloat(float64(fault.Count)/2, 'f', -1, 64))
-	r.after(limitTime+fault.For, func() error { server.NameLimit(""); return nil })
+	r.after(limitTime+fault.Duration, func() error { server.NameLimit(""); return nil })
 }
 
 // sayLeaving has a server say in its answers that it leaves, while its line says nothing of that, and puts an empty
@@ -44,13 +44,13 @@
 
 // askForRest has a server turn some requests away and ask for rest.
 func (r *run) askForRest(server *site.Server, fault Fault) {
-	r.spoilFor(server, site.Faults{Shed: restsAsked, ShedRest: restTime}, lyingTime+fault.For)
+	r.spoilFor(server, site.Faults{Shed: restsAsked, ShedRest: restTime}, lyingTime+fault.Duration)
 }
 
 // untouched reports whether an entry has been neither stopped, killed nor frozen between two moments: what it was
 // told before is forgotten with that.
 func (r Record) untouched(entry string, from, to time.Time) bool {
-	for _, spans := range [][]Span{r.Disturbed, r.Stops} {
+	for _, spans := range [][]Interval{r.Disturbances, r.Stops} {
 		for _, span := range spans {
 			if span.Name == entry && span.disturbs(from, to) {
 				return false
@@ -70,7 +70,7 @@
 // rate.
 func (r Record) judgeAsks(senders map[string]string) []Violation {
 	byServer := map[string]*asksAt{}
-	for _, ask := range r.Asks {
+	for _, ask := range r.Notices {
 		entry, known := senders[ask.RequestID]
 		if !known {
 			continue
@@ -110,7 +110,7 @@
 		at, known := first[entry]
 		if known && delivery.At.After(at.Add(r.Drain+slack)) && r.untouched(entry, at, delivery.At) {
 			found = append(found, Violation{
-				Promise: LeavingIsLeft, At: delivery.At, Request: delivery.RequestID,
+				Guarantee: NoWorkToLeaving, At: delivery.At, Request: delivery.RequestID,
 				Detail: fmt.Sprintf("%s sent it to %s %s after it had passed on that the server leaves", entry, delivery.Server, delivery.At.Sub(at)),
 			})
 		}
@@ -133,7 +133,7 @@
 			count++
 			if count == restAllowed+1 && r.untouched(entry, ask.At, delivery.At) {
 				found = append(found, Violation{
-					Promise: RestIsKept, At: delivery.At, Request: delivery.RequestID,
+					Guarantee: BackoffKept, At: delivery.At, Request: delivery.RequestID,
 					Detail: fmt.Sprintf("%s sent it and %d more to %s, which had asked it for %s of rest %s before", entry, restAllowed, delivery.Server, ask.Rest, delivery.At.Sub(ask.At)),
 				})
 			}
@@ -176,7 +176,7 @@
 		}
 		if float64(len(counted)) > allowed {
 			return []Violation{{
-				Promise: LimitIsKept, At: delivery.At, Request: delivery.RequestID,
+				Guarantee: RateLimitKept, At: delivery.At, Request: delivery.RequestID,
 				Detail: fmt.Sprintf("%s got %d requests in %s from entries that it had told, and had named %g a second", delivery.Server, len(counted), site.LimitSpan, most),
 			}}
 		}
--- a/internal/experiment/soak/callers.go
+++ b/internal/experiment/soak/callers.go
@@ -107,8 +107,8 @@
 	}
 	answer, err := io.ReadAll(response.Body)
 	_ = response.Body.Close()
-	attempt.Ended, attempt.Status, attempt.Whole = time.Now(), response.StatusCode, err == nil
-	attempt.Own = isOwn(*attempt, string(answer), method, path, body, events)
+	attempt.Ended, attempt.Status, attempt.Complete = time.Now(), response.StatusCode, err == nil
+	attempt.Correct = isOwn(*attempt, string(answer), method, path, body, events)
 	return true
 }
 
--- a/internal/experiment/soak/faults.go
+++ b/internal/experiment/soak/faults.go
@@ -40,26 +40,26 @@
 	case KillMany:
 		return r.killMany(zone)
 	case FreezeEntry:
-		return r.freeze(launch.SiteProcess(site.RoleEntry, zone, entry), fault.For)
+		return r.freeze(launch.SiteProcess(site.RoleEntry, zone, entry), fault.Duration)
 	case FreezeAgent:
-		return r.freeze(launch.SiteProcess(site.RoleAgent, zone, agent), fault.For)
+		return r.freeze(launch.SiteProcess(site.RoleAgent, zone, agent), fault.Duration)
 	case StopEntry:
 		return r.stop(zone, entry)
 	case StoreDown:
 		r.site.Store.SetDown(true)
-		r.disturb(fault.For)
-		r.after(fault.For, func() error { r.site.Store.SetDown(false); return nil })
-	case StoreForgets:
+		r.disturb(fault.Duration)
+		r.after(fault.Duration, func() error { r.site.Store.SetDown(false); return nil })
+	case StoreLosesHistory:
 		r.site.Store.SetDeaf()
-		r.disturb(fault.For)
-		r.after(fault.For, func() error { r.site.Store.Compact(); return nil })
+		r.disturb(fault.Duration)
+		r.after(fault.Duration, func() error { r.site.Store.Compact(); return nil })
 	case StoreRefuses:
 		r.site.Store.Refuse(r.site.Options.EntryIP(zone, entry), r.site.Options.ModelIP(zone, agent))
-		r.disturb(fault.For, launch.SiteProcess(site.RoleEntry, zone, entry), launch.SiteProcess(site.RoleAgent, zone, agent))
-		r.after(fault.For, func() error { r.site.Store.Refuse(); return nil })
-	case ServersLapse:
+		r.disturb(fault.Duration, launch.SiteProcess(site.RoleEntry, zone, entry), launch.SiteProcess(site.RoleAgent, zone, agent))
+		r.after(fault.Duration, func() error { r.site.Store.Refuse(); return nil })
+	case ServersExpire:
 		r.lapse()
-	case ServerCrash, ServerUnlisted:
+	case ServerCrash, ServerCrashUnnoticed:
 		r.disturb(serverFaultTime, server.ID())
 		if fault.Kind == ServerCrash {
 			return r.site.RestartModel(zone, agent)
@@ -67,12 +67,12 @@
 		return r.site.RestartModelUnnoticed(zone, agent)
 	case ServerLeaves:
 		r.leave(zone, agent, server)
-	case PiecesRot:
+	case PiecesCorrupted:
 		r.disturb(serverFaultTime, server.ID())
 		for piece := range fault.Count {
 			server.Rot(piece)
 		}
-	case OriginSpoils:
+	case OriginCorrupts:
 		r.site.Origin.Spoil(fault.Count)
 	case CutStreams:
 		r.spoilServer(server, site.Faults{CutAfter: fault.Count, CutCount: fault.Count})
@@ -90,42 +90,42 @@
 	case Reconfigure:
 		r.site.Configure(nil)
 	case Evacuate:
-		r.evacuate(zone, evacuationTime+fault.For)
+		r.evacuate(zone, evacuationTime+fault.Duration)
 	case EvacuateTwice:
-		r.evacuateTwice(zone, fault.For, evacuationTime+fault.For)
-	case ServerCold:
+		r.evacuateTwice(zone, fault.Duration, evacuationTime+fault.Duration)
+	case ServerTurnsCold:
 		server.SetCold(true)
-	case ServerNewCold:
+	case ServerStartsCold:
 		return r.startCold(zone, agent, server)
-	case ZoneCold:
+	case ZoneTurnsCold:
 		r.turnCold(zone)
 	case RouteNarrows:
 		r.narrowRoute(fault)
 	case TenantNarrows:
 		r.narrowTenant(fault)
-	case LieErrors:
-		r.spoilFor(r.anyServer(fault), site.Faults{Lying: site.LyingErrors}, lyingTime+fault.For)
-	case LieResets:
-		r.spoilFor(r.anyServer(fault), site.Faults{Lying: site.LyingResets}, lyingTime+fault.For)
-	case LieHangs:
-		r.spoilFor(r.anyServer(fault), site.Faults{Lying: site.LyingHangs}, lyingTime+fault.For)
-	case FalselyIll:
-		r.spoilFor(server, site.Faults{FalselyIll: true}, lyingTime+fault.For)
+	case FalselyHealthyErrors:
+		r.spoilFor(r.anyServer(fault), site.Faults{Lying: site.LyingErrors}, lyingTime+fault.Duration)
+	case FalselyHealthyResets:
+		r.spoilFor(r.anyServer(fault), site.Faults{Lying: site.LyingResets}, lyingTime+fault.Duration)
+	case FalselyHealthyHangs:
+		r.spoilFor(r.anyServer(fault), site.Faults{Lying: site.LyingHangs}, lyingTime+fault.Duration)
+	case FalselyUnhealthy:
+		r.spoilFor(server, site.Faults{FalselyIll: true}, lyingTime+fault.Duration)
 	case Flap:
 		r.flap(r.anyServer(fault))
 	case SettingsChange:
 		return r.changeSettings(fault)
-	case SettingsSpoilt:
+	case SettingsInvalid:
 		return r.spoilSettings(fault)
 	case Burst:
-		r.burst(burstTime + fault.For)
+		r.burst(burstTime + fault.Duration)
 	case QueryOfDeath:
 		r.askEnding(fault)
-	case ServerLimits:
+	case ServerNoticeLimit:
 		r.nameLimit(r.anyServer(fault), fault)
-	case ServerSaysGone:
+	case ServerNoticeLeaving:
 		r.sayLeaving(zone, agent, server)
-	case ServerRests:
+	case ServerNoticeBackoff:
 		r.askForRest(r.anyServer(fault), fault)
 	}
 	return nil
@@ -139,7 +139,7 @@
 		names = []string{""}
 	}
 	for _, name := range names {
-		r.record.Disturbed = append(r.record.Disturbed, Span{From: now, To: now.Add(lasts), Name: name})
+		r.record.Disturbances = append(r.record.Disturbances, Interval{From: now, To: now.Add(lasts), Name: name})
 	}
 }
 
@@ -150,7 +150,7 @@
 func (r *run) nameVersion(now time.Time) {
 	r.version++
 	r.site.NameVersion(r.version)
-	r.record.Namings = append(r.record.Namings, Naming{Version: r.version, At: now})
+	r.record.VersionAnnouncements = append(r.record.VersionAnnouncements, VersionAnnouncement{Version: r.version, At: now})
 }
 
 // kill ends a process without warning and starts it again.
@@ -209,11 +209,11 @@
 	}
 	r.busy[name] = true
 	now := time.Now()
-	r.record.Stops = append(r.record.Stops, Span{From: now, To: now.Add(r.record.Grace), Name: name})
+	r.record.Stops = append(r.record.Stops, Interval{From: now, To: now.Add(r.record.Grace), Name: name})
 	r.after(r.record.Grace, func() error {
 		r.busy[name] = false
 		if !r.fleet.Group.WaitExit(name, stopLimit) {
-			r.found = append(r.found, Violation{Promise: StopCutsNothing, At: time.Now(), Detail: name + " did not end within its grace"})
+			r.found = append(r.found, Violation{Guarantee: StopDropsNothing, At: time.Now(), Detail: name + " did not end within its grace"})
 			return nil
 		}
 		return r.fleet.Restart(site.RoleEntry, zone, index)
--- a/internal/experiment/soak/judge.go
+++ b/internal/experiment/soak/judge.go
@@ -8,28 +8,28 @@
 	"pinevane.example/pinevane/internal/emulator/site"
 )
 
-// Promise names what a violation breaks.
-type Promise string
+// Guarantee names what a violation breaks.
+type Guarantee string
 
 // The promises that are checked.
 const (
-	WholeOwnAnswer     Promise = "whole own answer"
-	AtMostOnce         Promise = "at most once"
-	TrueRefusal        Promise = "a refusal is true"
-	SoundWeights       Promise = "no partial or mixed weights"
-	CallerIsolation    Promise = "the caller's key stays here"
-	VersionInTime      Promise = "versions in time"
-	LeavingIsLeft      Promise = "a leaving server gets no new work"
-	StopCutsNothing    Promise = "a planned stop cuts nothing"
-	RecoveryInTime     Promise = "recovery in time"
-	AllowedRegions     Promise = "requests stay in their allowed regions"
-	EvacuatedIsLeft    Promise = "an evacuated zone gets no new work"
-	ColdIsSpared       Promise = "cold servers get what they bear"
-	ReloadCutsNone     Promise = "changed settings cut nothing"
-	ProcessesStay      Promise = "no process ends by itself"
-	QueryOfDeathIsKept Promise = "a query of death is kept from servers"
-	RestIsKept         Promise = "a server that asks for rest gets it"
-	LimitIsKept        Promise = "a server gets no more than it names"
+	CompleteOwnAnswer     Guarantee = "whole own answer"
+	AtMostOnce            Guarantee = "at most once"
+	RefusedNotExecuted    Guarantee = "a refusal is true"
+	ConsistentWeights     Guarantee = "no partial or mixed weights"
+	CallerIsolation       Guarantee = "the caller's key stays here"
+	VersionInTime         Guarantee = "versions in time"
+	NoWorkToLeaving       Guarantee = "a leaving server gets no new work"
+	StopDropsNothing      Guarantee = "a planned stop cuts nothing"
+	RecoveryInTime        Guarantee = "recovery in time"
+	AllowedRegions        Guarantee = "requests stay in their allowed regions"
+	NoWorkToEvacuated     Guarantee = "an evacuated zone gets no new work"
+	ColdLimitKept         Guarantee = "cold servers get what they bear"
+	ReloadDropsNothing    Guarantee = "changed settings cut nothing"
+	NoUnexpectedExit      Guarantee = "no process ends by itself"
+	QueryOfDeathContained Guarantee = "a query of death is kept from servers"
+	BackoffKept           Guarantee = "a server that asks for rest gets it"
+	RateLimitKept         Guarantee = "a server gets no more than it names"
 )
 
 // RequestKind tells how often a request may run.
@@ -54,14 +54,14 @@
 	Ended time.Time
 	// Status is 0 when no head of an answer came.
 	Status int
-	// Whole is set when the answer came to its end, Own when it is the answer to this
+	// Complete is set when the answer came to its end, Own when it is the answer to this
 	// request with nothing missing.
-	Whole bool
-	Own   bool
+	Complete bool
+	Correct  bool
 }
 
-// Span is a time in which something was disturbed.
-type Span struct {
+// Interval is a time in which something was disturbed.
+type Interval struct {
 	From time.Time
 	To   time.Time
 	// Name is the process or server that it concerns, empty for what all depend on.
@@ -69,7 +69,7 @@
 }
 
 // disturbs reports whether what was disturbed, or is shortly after it, lies between two moments.
-func (s Span) disturbs(from, to time.Time) bool {
+func (s Interval) disturbs(from, to time.Time) bool {
 	return s.From.Before(to) && s.To.Add(contact).After(from)
 }
 
@@ -79,35 +79,35 @@
 	At     time.Time
 }
 
-// Naming is a named version of the weights.
-type Naming struct {
+// VersionAnnouncement is a named version of the weights.
+type VersionAnnouncement struct {
 	Version uint64
 	At      time.Time
 }
 
 // Record is everything that a run has seen.
 type Record struct {
-	Attempts   []Attempt
-	Runs       []site.Run
-	Arrivals   []site.Arrival
-	Disturbed  []Span
-	Stops      []Span
-	Departures []Departure
-	Namings    []Naming
+	Attempts             []Attempt
+	Runs                 []site.Run
+	Arrivals             []site.Arrival
+	Disturbances         []Interval
+	Stops                []Interval
+	Departures           []Departure
+	VersionAnnouncements []VersionAnnouncement
 	// Residencies hold from before the first process starts.
 	Residencies site.Residencies
 	// Restrictions are those of the configurations, in order, the first of which was published
 	// before any process started.
 	Restrictions []Restriction
 	Deliveries   []site.Delivery
-	// Asks are what servers have asked for in their answers.
-	Asks        []site.Ask
+	// Notices are what servers have asked for in their answers.
+	Notices     []site.Ask
 	Evacuations []Evacuation
-	// Ends are the servers that requests have ended, Endings the entries that such requests were sent to.
-	Ends    []site.End
-	Endings map[string]string
+	// Crashes are the servers that requests have ended, Endings the entries that such requests were sent to.
+	Crashes      []site.End
+	CrashSenders map[string]string
 	// Reloads are the times in which changed settings come into force.
-	Reloads []Span
+	Reloads []Interval
 	// VersionApply and those below it are the bounds of the platform.
 	VersionApply       time.Duration
 	ConfigurationApply time.Duration
@@ -120,10 +120,10 @@
 
 // Violation is one broken promise.
 type Violation struct {
-	Promise Promise
-	At      time.Time
-	Request string
-	Detail  string
+	Guarantee Guarantee
+	At        time.Time
+	Request   string
+	Detail    string
 }
 
 // Margins of the judge.
@@ -134,8 +134,8 @@
 	slack = 300 * time.Millisecond
 )
 
-// Judge finds every broken promise in a record.
-func Judge(record Record) []Violation {
+// Check finds every broken promise in a record.
+func Check(record Record) []Violation {
 	var found []Violation
 	runs := map[string][]site.Run{}
 	for _, run := range record.Runs {
@@ -152,7 +152,7 @@
 	for _, arrival := range record.Arrivals {
 		if record.Residencies.Outside(arrival) {
 			found = append(found, Violation{
-				Promise: AllowedRegions, At: arrival.At, Request: arrival.RequestID, Detail: "it came to " + arrival.Server + " in " + arrival.Region,
+				Guarantee: AllowedRegions, At: arrival.At, Request: arrival.RequestID, Detail: "it came to " + arrival.Server + " in " + arrival.Region,
 			})
 		}
 	}
@@ -166,17 +166,17 @@
 
 func judgeAttempt(attempt Attempt, runs []site.Run) []Violation {
 	var found []Violation
-	add := func(promise Promise, detail string) {
-		found = append(found, Violation{Promise: promise, At: attempt.Ended, Request: attempt.ID, Detail: detail})
+	add := func(promise Guarantee, detail string) {
+		found = append(found, Violation{Guarantee: promise, At: attempt.Ended, Request: attempt.ID, Detail: detail})
 	}
-	if attempt.Status == http.StatusOK && attempt.Whole && !attempt.Own {
-		add(WholeOwnAnswer, "a complete answer lacks something, or is another's, from "+attempt.Entry)
+	if attempt.Status == http.StatusOK && attempt.Complete && !attempt.Correct {
+		add(CompleteOwnAnswer, "a complete answer lacks something, or is another's, from "+attempt.Entry)
 	}
 	if attempt.Kind == CallOnce && len(runs) > 1 {
 		add(AtMostOnce, fmt.Sprintf("ran %d times", len(runs)))
 	}
 	if saysNotRun(attempt.Status) && len(runs) > 0 {
-		add(TrueRefusal, fmt.Sprintf("%s answered %d, and it ran at %s", attempt.Entry, attempt.Status, runs[0].Server))
+		add(RefusedNotExecuted, fmt.Sprintf("%s answered %d, and it ran at %s", attempt.Entry, attempt.Status, runs[0].Server))
 	}
 	return found
 }
@@ -193,16 +193,16 @@
 // judgeRun judges what one server has begun.
 func (r Record) judgeRun(run site.Run) []Violation {
 	var found []Violation
-	add := func(promise Promise, detail string) {
-		found = append(found, Violation{Promise: promise, At: run.At, Request: run.RequestID, Detail: run.Server + ": " + detail})
+	add := func(promise Guarantee, detail string) {
+		found = append(found, Violation{Guarantee: promise, At: run.At, Request: run.RequestID, Detail: run.Server + ": " + detail})
 	}
 	if run.Spoilt {
-		add(SoundWeights, "it ran on missing or wrong pieces")
+		add(ConsistentWeights, "it ran on missing or wrong pieces")
 	}
 	if run.KeySeen || run.Tenant != site.Tenant {
 		add(CallerIsolation, "it came with the caller's key or another tenant")
 	}
-	for _, naming := range r.Namings {
+	for _, naming := range r.VersionAnnouncements {
 		due := naming.At.Add(r.VersionApply + slack)
 		if run.Version != 0 && run.Version < naming.Version && run.At.After(due) && r.calm(naming.At, run.At) {
 			add(VersionInTime, fmt.Sprintf("it ran on version %d, %s after %d was named", run.Version, run.At.Sub(naming.At), naming.Version))
@@ -210,7 +210,7 @@
 	}
 	for _, departure := range r.Departures {
 		if run.Server == departure.Server && run.At.After(departure.At.Add(r.Drain+slack)) && r.calm(departure.At, run.At) {
-			add(LeavingIsLeft, fmt.Sprintf("it ran %s after the server said that it leaves", run.At.Sub(departure.At)))
+			add(NoWorkToLeaving, fmt.Sprintf("it ran %s after the server said that it leaves", run.At.Sub(departure.At)))
 		}
 	}
 	return found
@@ -219,13 +219,13 @@
 // judgeStop judges a request that was under way at an entry when it was stopped as
 // planned, while nothing else was disturbed.
 func (r Record) judgeStop(attempt Attempt) []Violation {
-	if attempt.Status == 0 || attempt.Whole {
+	if attempt.Status == 0 || attempt.Complete {
 		return nil
 	}
 	for _, stop := range r.Stops {
 		under := attempt.Entry == stop.Name && attempt.Sent.Before(stop.From) && attempt.Ended.After(stop.From) && attempt.Ended.Before(stop.From.Add(r.Grace))
 		if under && r.calm(attempt.Sent, attempt.Ended) {
-			return []Violation{{Promise: StopCutsNothing, At: attempt.Ended, Request: attempt.ID, Detail: attempt.Entry + " cut it " + attempt.Ended.Sub(stop.From).String() + " after its stop"}}
+			return []Violation{{Guarantee: StopDropsNothing, At: attempt.Ended, Request: attempt.ID, Detail: attempt.Entry + " cut it " + attempt.Ended.Sub(stop.From).String() + " after its stop"}}
 		}
 	}
 	return nil
@@ -233,7 +233,7 @@
 
 // calm reports whether nothing was disturbed from a while before one moment to another.
 func (r Record) calm(from, to time.Time) bool {
-	for _, span := range r.Disturbed {
+	for _, span := range r.Disturbances {
 		if span.disturbs(from, to) {
 			return false
 		}
--- a/internal/experiment/soak/judge_place.go
+++ b/internal/experiment/soak/judge_place.go
@@ -16,8 +16,8 @@
 // Evacuation is a time in which a zone's servers were to get nothing new; Ended is zero as long
 // as it lasts.
 type Evacuation struct {
-	Zone         string
-	Asked, Ended time.Time
+	Zone             string
+	Requested, Ended time.Time
 }
 
 // senders maps each request to the entry that it was sent to.
@@ -31,7 +31,7 @@
 
 // inTouch reports whether an entry, and what all depend on, has been undisturbed for a while.
 func (r Record) inTouch(entry string, at time.Time) bool {
-	for _, spans := range [][]Span{r.Disturbed, r.Stops} {
+	for _, spans := range [][]Interval{r.Disturbances, r.Stops} {
 		for _, span := range spans {
 			if (span.Name == "" || span.Name == entry) && !span.From.After(at) && span.To.Add(contact).After(at) {
 				return false
@@ -50,7 +50,7 @@
 		entry, known := senders[arrival.RequestID]
 		if known && !r.Residencies.Outside(arrival) && !r.allowed(arrival, entry) {
 			found = append(found, Violation{
-				Promise: AllowedRegions, At: arrival.At, Request: arrival.RequestID,
+				Guarantee: AllowedRegions, At: arrival.At, Request: arrival.RequestID,
 				Detail: fmt.Sprintf("%s sent it to %s in %s, which no configuration allowed that may have been in force", entry, arrival.Server, arrival.Region),
 			})
 		}
@@ -86,8 +86,8 @@
 		for _, evacuation := range r.Evacuations {
 			if known && evacuation.forbids(delivery, r.EvacuationApply+slack) && r.inTouch(entry, delivery.At) {
 				found = append(found, Violation{
-					Promise: EvacuatedIsLeft, At: delivery.At, Request: delivery.RequestID,
-					Detail: fmt.Sprintf("%s sent it to %s, %s after the evacuation of %s was asked for", entry, delivery.Server, delivery.At.Sub(evacuation.Asked), evacuation.Zone),
+					Guarantee: NoWorkToEvacuated, At: delivery.At, Request: delivery.RequestID,
+					Detail: fmt.Sprintf("%s sent it to %s, %s after the evacuation of %s was asked for", entry, delivery.Server, delivery.At.Sub(evacuation.Requested), evacuation.Zone),
 				})
 			}
 		}
@@ -98,7 +98,7 @@
 // forbids reports whether a request came to the zone after the bound and before the end.
 func (e Evacuation) forbids(delivery site.Delivery, bound time.Duration) bool {
 	lasted := e.Ended.IsZero() || delivery.At.Before(e.Ended)
-	return delivery.Zone == e.Zone && delivery.At.After(e.Asked.Add(bound)) && lasted
+	return delivery.Zone == e.Zone && delivery.At.After(e.Requested.Add(bound)) && lasted
 }
 
 // judgeCold judges what cold servers received in any second, from all entries whether in touch
@@ -108,7 +108,7 @@
 	for server, peak := range site.ColdPeaks(r.Deliveries) {
 		if float64(peak.Requests) > r.ColdLimit {
 			found = append(found, Violation{
-				Promise: ColdIsSpared, At: peak.Last.At, Request: peak.Last.RequestID,
+				Guarantee: ColdLimitKept, At: peak.Last.At, Request: peak.Last.RequestID,
 				Detail: fmt.Sprintf("%s received %d requests in a second, and bears %g", server, peak.Requests, r.ColdLimit),
 			})
 		}
@@ -119,13 +119,13 @@
 // judgeReload judges a request that was under way at an entry, or came to it, while changed
 // settings were coming into force and nothing was disturbed.
 func (r Record) judgeReload(attempt Attempt) []Violation {
-	if attempt.Status != 0 && attempt.Whole {
+	if attempt.Status != 0 && attempt.Complete {
 		return nil
 	}
 	for _, reload := range r.Reloads {
 		under := attempt.Entry == reload.Name && attempt.Sent.Before(reload.To) && attempt.Ended.After(reload.From)
 		if under && r.calm(attempt.Sent, attempt.Ended) && r.inTouch(attempt.Entry, attempt.Ended) {
-			return []Violation{{Promise: ReloadCutsNone, At: attempt.Ended, Request: attempt.ID, Detail: attempt.Entry + " cut it " + attempt.Ended.Sub(reload.From).String() + " after its settings changed"}}
+			return []Violation{{Guarantee: ReloadDropsNothing, At: attempt.Ended, Request: attempt.ID, Detail: attempt.Entry + " cut it " + attempt.Ended.Sub(reload.From).String() + " after its settings changed"}}
 		}
 	}
 	return nil
--- a/internal/experiment/soak/query_of_death.go
+++ b/internal/experiment/soak/query_of_death.go
@@ -42,7 +42,7 @@
 // others: nobody expects an answer.
 func (r *run) askEnding(fault Fault) {
 	r.site.CrashOn(site.Crashing{Body: endingBody, After: endingAfter})
-	lasts, content := endingTime+fault.For, fault.Count%endingContents
+	lasts, content := endingTime+fault.Duration, fault.Count%endingContents
 	r.disturb(lasts+endedFor, endedServers)
 	ctx, cancel := context.WithTimeout(r.context, lasts)
 	r.after(lasts, func() error { cancel(); return nil })
@@ -122,19 +122,19 @@
 	var found []Violation
 	for content := range endingContents {
 		prefix := fmt.Sprintf("%s%d-", endingID, content)
-		known, ended := thirdEnd(r.Ends, prefix)
+		known, ended := thirdEnd(r.Crashes, prefix)
 		if !ended {
 			continue
 		}
 		late := 0
 		for _, arrival := range r.Arrivals {
-			if !strings.HasPrefix(arrival.RequestID, prefix) || !arrival.At.After(known.Add(contact)) || !r.inTouch(r.Endings[arrival.RequestID], arrival.At) {
+			if !strings.HasPrefix(arrival.RequestID, prefix) || !arrival.At.After(known.Add(contact)) || !r.inTouch(r.CrashSenders[arrival.RequestID], arrival.At) {
 				continue
 			}
 			if late++; late > lateAllowed {
 				found = append(found, Violation{
-					Promise: QueryOfDeathIsKept, At: arrival.At, Request: arrival.RequestID,
-					Detail: fmt.Sprintf("%s sent it to %s, %s after three servers had ended under its content", r.Endings[arrival.RequestID], arrival.Server, arrival.At.Sub(known)),
+					Guarantee: QueryOfDeathContained, At: arrival.At, Request: arrival.RequestID,
+					Detail: fmt.Sprintf("%s sent it to %s, %s after three servers had ended under its content", r.CrashSenders[arrival.RequestID], arrival.Server, arrival.At.Sub(known)),
 				})
 			}
 		}
--- a/internal/experiment/soak/regions.go
+++ b/internal/experiment/soak/regions.go
@@ -39,7 +39,7 @@
 	if fault.Index%2 == 0 {
 		list, key = &r.allowed.Once, "regions of requests that run once"
 	}
-	r.narrow(list, key, (*list)[fault.Count%len(*list):][:1], narrowTime+fault.For)
+	r.narrow(list, key, (*list)[fault.Count%len(*list):][:1], narrowTime+fault.Duration)
 }
 
 // narrowTenant allows requests of the tenant in all regions but one. The middle one, which both
@@ -50,5 +50,5 @@
 	if other := fault.Count % r.site.Options.Zones; other != shared {
 		regions = append(regions, site.RegionName(other))
 	}
-	r.narrow(&r.allowed.Tenant, "regions of the tenant", regions, narrowTime+fault.For)
+	r.narrow(&r.allowed.Tenant, "regions of the tenant", regions, narrowTime+fault.Duration)
 }
--- a/internal/experiment/soak/run_test.go
+++ b/internal/experiment/soak/run_test.go
@@ -16,7 +16,7 @@
 // gets none.
 func TestMissingRecoveryIsFound(t *testing.T) {
 	since := time.Now()
-	served := Attempt{Sent: since.Add(time.Second), Status: 200, Own: true}
+	served := Attempt{Sent: since.Add(time.Second), Status: 200, Correct: true}
 	refused := Attempt{Sent: since.Add(time.Second), Status: 503}
 	earlier := Attempt{Sent: since.Add(-time.Second), Status: 503}
 	for _, one := range []struct {
@@ -35,7 +35,7 @@
 	r := &run{callers: &callers{attempts: []Attempt{earlier}}}
 	r.judgeRecovery(since)
 	require.Len(t, r.found, 1)
-	assert.Equal(t, RecoveryInTime, r.found[0].Promise)
+	assert.Equal(t, RecoveryInTime, r.found[0].Guarantee)
 }
 
 // A process that has ended though nothing ended it is found and started again; one that a fault
@@ -63,7 +63,7 @@
 		return len(r.found) == expected
 	}, 10*time.Second, 50*time.Millisecond)
 	for _, found := range r.found {
-		assert.Equal(t, ProcessesStay, found.Promise)
+		assert.Equal(t, NoUnexpectedExit, found.Guarantee)
 		assert.NotContains(t, found.Detail, killed)
 	}
 }
--- a/internal/experiment/soak/schedule.go
+++ b/internal/experiment/soak/schedule.go
@@ -10,70 +10,70 @@
 	"time"
 )
 
-// Kind is a kind of fault.
-type Kind string
+// FaultKind is a kind of fault.
+type FaultKind string
 
 // The kinds of faults.
 const (
-	KillEntry      Kind = "kill-entry"
-	KillAgent      Kind = "kill-agent"
-	KillMany       Kind = "kill-many"
-	FreezeEntry    Kind = "freeze-entry"
-	FreezeAgent    Kind = "freeze-agent"
-	StopEntry      Kind = "stop-entry"
-	StoreDown      Kind = "store-down"
-	StoreForgets   Kind = "store-forgets"
-	StoreRefuses   Kind = "store-refuses"
-	ServersLapse   Kind = "servers-lapse"
-	ServerCrash    Kind = "server-crash"
-	ServerUnlisted Kind = "server-crash-unnoticed"
-	ServerLeaves   Kind = "server-leaves"
-	PiecesRot      Kind = "pieces-rot"
-	OriginSpoils   Kind = "origin-spoils"
-	CutStreams     Kind = "cut-streams"
-	LoseAnswers    Kind = "lose-answers"
-	Shed           Kind = "shed"
-	SurplusAnswers Kind = "surplus-answers"
-	NewVersion     Kind = "new-version"
-	TwoVersions    Kind = "two-versions"
-	Reconfigure    Kind = "reconfigure"
-	Evacuate       Kind = "evacuate"
-	EvacuateTwice  Kind = "evacuate-twice"
-	ServerCold     Kind = "server-turns-cold"
-	ServerNewCold  Kind = "server-starts-cold"
-	ZoneCold       Kind = "zone-turns-cold"
-	RouteNarrows   Kind = "route-narrows"
-	TenantNarrows  Kind = "tenant-narrows"
-	LieErrors      Kind = "lie-errors"
-	LieResets      Kind = "lie-resets"
-	LieHangs       Kind = "lie-hangs"
-	FalselyIll     Kind = "falsely-ill"
-	Flap           Kind = "flap"
-	SettingsChange Kind = "settings-change"
-	SettingsSpoilt Kind = "settings-spoilt"
-	Burst          Kind = "burst"
-	QueryOfDeath   Kind = "query-of-death"
-	ServerLimits   Kind = "server-names-limit"
-	ServerSaysGone Kind = "server-says-it-leaves"
-	ServerRests    Kind = "server-asks-for-rest"
+	KillEntry            FaultKind = "kill-entry"
+	KillAgent            FaultKind = "kill-agent"
+	KillMany             FaultKind = "kill-many"
+	FreezeEntry          FaultKind = "freeze-entry"
+	FreezeAgent          FaultKind = "freeze-agent"
+	StopEntry            FaultKind = "stop-entry"
+	StoreDown            FaultKind = "store-down"
+	StoreLosesHistory    FaultKind = "store-forgets"
+	StoreRefuses         FaultKind = "store-refuses"
+	ServersExpire        FaultKind = "servers-lapse"
+	ServerCrash          FaultKind = "server-crash"
+	ServerCrashUnnoticed FaultKind = "server-crash-unnoticed"
+	ServerLeaves         FaultKind = "server-leaves"
+	PiecesCorrupted      FaultKind = "pieces-rot"
+	OriginCorrupts       FaultKind = "origin-spoils"
+	CutStreams           FaultKind = "cut-streams"
+	LoseAnswers          FaultKind = "lose-answers"
+	Shed                 FaultKind = "shed"
+	SurplusAnswers       FaultKind = "surplus-answers"
+	NewVersion           FaultKind = "new-version"
+	TwoVersions          FaultKind = "two-versions"
+	Reconfigure          FaultKind = "reconfigure"
+	Evacuate             FaultKind = "evacuate"
+	EvacuateTwice        FaultKind = "evacuate-twice"
+	ServerTurnsCold      FaultKind = "server-turns-cold"
+	ServerStartsCold     FaultKind = "server-starts-cold"
+	ZoneTurnsCold        FaultKind = "zone-turns-cold"
+	RouteNarrows         FaultKind = "route-narrows"
+	TenantNarrows        FaultKind = "tenant-narrows"
+	FalselyHealthyErrors FaultKind = "lie-errors"
+	FalselyHealthyResets FaultKind = "lie-resets"
+	FalselyHealthyHangs  FaultKind = "lie-hangs"
+	FalselyUnhealthy     FaultKind = "falsely-ill"
+	Flap                 FaultKind = "flap"
+	SettingsChange       FaultKind = "settings-change"
+	SettingsInvalid      FaultKind = "settings-spoilt"
+	Burst                FaultKind = "burst"
+	QueryOfDeath         FaultKind = "query-of-death"
+	ServerNoticeLimit    FaultKind = "server-names-limit"
+	ServerNoticeLeaving  FaultKind = "server-says-it-leaves"
+	ServerNoticeBackoff  FaultKind = "server-asks-for-rest"
 )
 
-// Kinds lists every kind.
-var Kinds = []Kind{
-	KillEntry, KillAgent, KillMany, FreezeEntry, FreezeAgent, StopEntry, StoreDown, StoreForgets, StoreRefuses, ServersLapse,
-	ServerCrash, ServerUnlisted, ServerLeaves, PiecesRot, OriginSpoils, CutStreams, LoseAnswers, Shed, SurplusAnswers,
-	NewVersion, TwoVersions, Reconfigure, Evacuate, EvacuateTwice, ServerCold, ServerNewCold, ZoneCold, RouteNarrows, TenantNarrows,
-	LieErrors, LieResets, LieHangs, FalselyIll, Flap, SettingsChange, SettingsSpoilt, Burst, QueryOfDeath,
-	ServerLimits, ServerSaysGone, ServerRests,
+// FaultKinds lists every kind.
+var FaultKinds = []FaultKind{
+	KillEntry, KillAgent, KillMany, FreezeEntry, FreezeAgent, StopEntry, StoreDown, StoreLosesHistory, StoreRefuses, ServersExpire,
+	ServerCrash, ServerCrashUnnoticed, ServerLeaves, PiecesCorrupted, OriginCorrupts, CutStreams, LoseAnswers, Shed, SurplusAnswers,
+	NewVersion, TwoVersions, Reconfigure, Evacuate, EvacuateTwice, ServerTurnsCold, ServerStartsCold, ZoneTurnsCold, RouteNarrows, TenantNarrows,
+	FalselyHealthyErrors, FalselyHealthyResets, FalselyHealthyHangs, FalselyUnhealthy, Flap, SettingsChange, SettingsInvalid, Burst, QueryOfDeath,
+	ServerNoticeLimit, ServerNoticeLeaving, ServerNoticeBackoff,
 }
 
 // Fault is one fault of a schedule.
 type Fault struct {
-	Kind Kind
+	Kind FaultKind
 	// At is when it strikes, counted from the start of the load; For is how long it
 	// lasts, where it lasts.
-	At  time.Duration
-	For time.Duration
+	At       time.Duration
+	Duration time.Duration
 	// Zone and Index choose the machine, Count how much is struck.
 	Zone  int
 	Index int
@@ -93,18 +93,18 @@
 	seedStream = 1
 )
 
-// Draw makes the schedule of a seed: series of one to four faults that overlap, with calm
+// GenerateSchedule makes the schedule of a seed: series of one to four faults that overlap, with calm
 // between them, of some kinds, on a fleet of zones with a number of machines.
-func Draw(seed uint64, duration time.Duration, zones, machines int, kinds []Kind) []Fault {
+func GenerateSchedule(seed uint64, duration time.Duration, zones, machines int, kinds []FaultKind) []Fault {
 	random := rand.New(rand.NewPCG(seed, seedStream))
 	var schedule []Fault
 	for begin := time.Duration(0); begin+seriesPeriod <= duration; begin += seriesPeriod {
 		for range 1 + random.IntN(mostInSeries) {
 			schedule = append(schedule, Fault{
-				Kind: kinds[random.IntN(len(kinds))],
-				At:   begin + time.Duration(random.Int64N(int64(seriesSpread))),
-				For:  shortest + time.Duration(random.Int64N(int64(longest-shortest))),
-				Zone: random.IntN(zones), Index: random.IntN(machines), Count: 1 + random.IntN(8),
+				Kind:     kinds[random.IntN(len(kinds))],
+				At:       begin + time.Duration(random.Int64N(int64(seriesSpread))),
+				Duration: shortest + time.Duration(random.Int64N(int64(longest-shortest))),
+				Zone:     random.IntN(zones), Index: random.IntN(machines), Count: 1 + random.IntN(8),
 			})
 		}
 	}
--- a/internal/experiment/soak/settings.go
+++ b/internal/experiment/soak/settings.go
@@ -32,7 +32,7 @@
 		return nil
 	}
 	now := time.Now()
-	r.record.Reloads = append(r.record.Reloads, Span{From: now, To: now.Add(r.record.ConfigurationApply), Name: process.name()})
+	r.record.Reloads = append(r.record.Reloads, Interval{From: now, To: now.Add(r.record.ConfigurationApply), Name: process.name()})
 	return r.fleet.Reload(process.name(), settings)
 }
 
@@ -51,7 +51,7 @@
 		settings["zones"].(map[string]any)[addedZone] = site.RegionName(fault.Count % r.site.Options.Zones)
 		settings["bounds"].(map[string]any)["budgetSlack"] = r.site.Options.BudgetSlack + fault.Count
 	})
-	return r.reloadFor(process, changed, fault.For)
+	return r.reloadFor(process, changed, fault.Duration)
 }
 
 // spoilSettings writes a settings file that can't be taken over.
@@ -68,5 +68,5 @@
 	default:
 		spoilt = r.site.ChangedSettings(process.role, process.zone, process.index, func(settings map[string]any) { settings["zones"] = "none" })
 	}
-	return r.reloadFor(process, spoilt, fault.For)
+	return r.reloadFor(process, spoilt, fault.Duration)
 }
--- a/internal/experiment/soak/soak.go
+++ b/internal/experiment/soak/soak.go
@@ -24,7 +24,7 @@
 	Seed         uint64
 	Duration     time.Duration
 	// Kinds are those that the schedule is drawn from.
-	Kinds  []Kind
+	Kinds  []FaultKind
 	Output io.Writer
 }
 
@@ -78,7 +78,7 @@
 	version  uint64
 	record   Record
 	found    []Violation
-	struck   map[Kind]int
+	struck   map[FaultKind]int
 	allowed  site.AllowedRegions
 	// told are the violations that have been printed.
 	told map[Violation]bool
@@ -127,7 +127,7 @@
 	bounds := fleet.Site.Options
 	r := &run{
 		options: options, fleet: fleet, site: fleet.Site, callers: &callers{site: fleet.Site},
-		busy: map[string]bool{}, version: 1, struck: map[Kind]int{}, told: map[Violation]bool{}, restarted: map[string]bool{}, allowed: bounds.TwoRoutes(),
+		busy: map[string]bool{}, version: 1, struck: map[FaultKind]int{}, told: map[Violation]bool{}, restarted: map[string]bool{}, allowed: bounds.TwoRoutes(),
 		record: Record{
 			VersionApply: time.Duration(bounds.VersionMs) * time.Millisecond, Drain: time.Duration(bounds.DrainMs) * time.Millisecond,
 			Grace:              time.Duration(bounds.GraceS * float64(time.Second)),
@@ -178,7 +178,7 @@
 // follow plays the schedule, lets the fleet settle, and counts what it then serves.
 func (r *run) follow() error {
 	began := time.Now()
-	for _, one := range Draw(r.options.Seed, r.options.Duration, r.site.Options.Zones, r.site.Options.ModelServers, r.options.Kinds) {
+	for _, one := range GenerateSchedule(r.options.Seed, r.options.Duration, r.site.Options.Zones, r.site.Options.ModelServers, r.options.Kinds) {
 		r.timeline = append(r.timeline, step{at: began.Add(one.At), do: func() error {
 			r.struck[one.Kind]++
 			return r.strike(one)
@@ -231,7 +231,7 @@
 // look judges what was seen so far and prints what is new.
 func (r *run) look() error {
 	r.gather()
-	for _, one := range append(r.found, Judge(r.record)...) {
+	for _, one := range append(r.found, Check(r.record)...) {
 		r.tell(one)
 	}
 	return r.lookAtProcesses()
@@ -240,10 +240,10 @@
 // gather takes over what callers and servers have seen.
 func (r *run) gather() {
 	// What callers saw comes first: each request of theirs has then left its traces at servers.
-	r.record.Attempts, r.record.Endings = r.callers.all(), r.callers.allEndings()
-	r.record.Ends = r.site.Ends()
+	r.record.Attempts, r.record.CrashSenders = r.callers.all(), r.callers.allEndings()
+	r.record.Crashes = r.site.Ends()
 	r.record.Runs, r.record.Arrivals, r.record.Deliveries = r.site.Ledger.Runs(), r.site.Ledger.Arrivals(), r.site.Ledger.Deliveries()
-	r.record.Asks = r.site.Ledger.Asks()
+	r.record.Notices = r.site.Ledger.Asks()
 }
 
 // tell prints a violation once.
@@ -252,7 +252,7 @@
 		return
 	}
 	r.told[one] = true
-	r.printf("  seed %d, %s: %s, request %q: %s", r.options.Seed, one.At.Format("15:04:05.000"), one.Promise, one.Request, one.Detail)
+	r.printf("  seed %d, %s: %s, request %q: %s", r.options.Seed, one.At.Format("15:04:05.000"), one.Guarantee, one.Request, one.Detail)
 }
 
 // lookAtProcesses notes processes that have ended by themselves, and starts them again.
@@ -264,7 +264,7 @@
 				if r.busy[name] || !r.fleet.Group.WaitExit(name, endedAtOnce) {
 					continue
 				}
-				r.found = append(r.found, Violation{Promise: ProcessesStay, At: time.Now(), Detail: name + " has ended"})
+				r.found = append(r.found, Violation{Guarantee: NoUnexpectedExit, At: time.Now(), Detail: name + " has ended"})
 				if err := r.fleet.Restart(role, zone, index); err != nil {
 					return err
 				}
@@ -280,13 +280,13 @@
 	for _, attempt := range r.callers.all() {
 		if attempt.Sent.After(since) {
 			total++
-			if attempt.Status == 200 && attempt.Own {
+			if attempt.Status == 200 && attempt.Correct {
 				served++
 			}
 		}
 	}
 	if total == 0 || float64(served) < finalShare*float64(total) {
-		r.found = append(r.found, Violation{Promise: RecoveryInTime, At: since, Detail: fmt.Sprintf("%d of %d requests served after all faults", served, total)})
+		r.found = append(r.found, Violation{Guarantee: RecoveryInTime, At: since, Detail: fmt.Sprintf("%d of %d requests served after all faults", served, total)})
 	}
 }
 
@@ -296,17 +296,17 @@
 		return err
 	}
 	r.gather()
-	found := append(r.found, Judge(r.record)...)
+	found := append(r.found, Check(r.record)...)
 	answered, refused := 0, 0
 	for _, attempt := range r.record.Attempts {
 		switch {
-		case attempt.Status == 200 && attempt.Own:
+		case attempt.Status == 200 && attempt.Correct:
 			answered++
 		case saysNotRun(attempt.Status):
 			refused++
 		}
 	}
-	for _, kind := range Kinds {
+	for _, kind := range FaultKinds {
 		if count := r.struck[kind]; count > 0 {
 			r.printf("  %-24s %d", kind, count)
 		}
@@ -319,7 +319,7 @@
 		r.tell(one)
 	}
 	if len(found) > 0 {
-		return &fault.GuaranteeViolated{Guarantee: string(found[0].Promise), Detail: found[0].Detail}
+		return &fault.GuaranteeViolated{Guarantee: string(found[0].Guarantee), Detail: found[0].Detail}
 	}
 	return nil
 }
--- a/internal/experiment/soak/upgrade_test.go
+++ b/internal/experiment/soak/upgrade_test.go
@@ -92,7 +92,7 @@
 		var stopping sync.WaitGroup
 		for zone := range options.Zones {
 			now := time.Now()
-			r.record.Stops = append(r.record.Stops, Span{From: now, To: now.Add(r.record.Grace), Name: launch.SiteProcess(site.RoleEntry, zone, index)})
+			r.record.Stops = append(r.record.Stops, Interval{From: now, To: now.Add(r.record.Grace), Name: launch.SiteProcess(site.RoleEntry, zone, index)})
 			stopping.Go(func() { restart(site.RoleEntry, zone, index) })
 			time.Sleep(replacedEach)
 		}
@@ -110,7 +110,7 @@
 func unserved(attempts []Attempt) map[string]int {
 	counts := map[string]int{}
 	for _, attempt := range attempts {
-		if attempt.Status != 200 || !attempt.Own {
+		if attempt.Status != 200 || !attempt.Correct {
 			counts[fmt.Sprintf("kind %d: %d", attempt.Kind, attempt.Status)]++
 		}
 	}
@@ -138,7 +138,7 @@
 	for _, group := range groups {
 		defer group.Stop()
 	}
-	r := newRun(Options{Executable: former, Output: io.Discard, Seed: 1, Kinds: Kinds}, fleet)
+	r := newRun(Options{Executable: former, Output: io.Discard, Seed: 1, Kinds: FaultKinds}, fleet)
 	require.NoError(t, fleet.StartAll(readyLimit))
 	ctx, cancel := context.WithCancel(context.Background())
 	r.context = ctx
@@ -156,8 +156,8 @@
 	cancel()
 	r.calling.Wait()
 	r.gather()
-	for _, one := range Judge(r.record) {
-		t.Errorf("%s: %s %s", one.Promise, one.Request, one.Detail)
+	for _, one := range Check(r.record) {
+		t.Errorf("%s: %s %s", one.Guarantee, one.Request, one.Detail)
 	}
 	t.Logf("served: %.4f while the former build replaced itself, %.4f while the present one came, %.4f while the former one did; %d requests",
 		shares[0], shares[1], shares[2], len(r.record.Attempts))
--- a/internal/experiment/soak/zones.go
+++ b/internal/experiment/soak/zones.go
@@ -36,7 +36,7 @@
 	r.busy[name] = true
 	r.site.Evacuate(name)
 	index := len(r.record.Evacuations)
-	r.record.Evacuations = append(r.record.Evacuations, Evacuation{Zone: name, Asked: time.Now()})
+	r.record.Evacuations = append(r.record.Evacuations, Evacuation{Zone: name, Requested: time.Now()})
 	r.after(lasts, func() error {
 		r.busy[name] = false
 		r.record.Evacuations[index].Ended = time.Now()
