--- a/internal/command/experiment.go
+++ b/internal/command/experiment.go
@@ -79,7 +79,7 @@
 		Machines: int(c.Machines), Zones: int(c.Zones), Regions: int(c.Regions), Chunks: int(c.Chunks),
 		Strategy: dissemination.Strategy(c.Strategy), Duplex: rollout.Duplex(c.Duplex), Seed: uint64(c.Seed),
 		Dead: c.Dead, Stalled: c.Stalled, Corrupt: c.Corrupt, StaleList: c.StaleList, Partition: c.Partition,
-		OriginCopies: int(c.OriginCopies), HeldShare: c.Held, SkipVerification: c.NoVerify,
+		OriginCopies: int(c.OriginCopies), HeldFraction: c.Held, SkipVerification: c.NoVerify,
 	}
 }
 
--- a/internal/experiment/rollout/simulation.go
+++ b/internal/experiment/rollout/simulation.go
@@ -44,8 +44,8 @@
 	Partition bool
 	// OriginCopies is how many zones read each chunk from the origin.
 	OriginCopies int
-	// HeldShare is the share of chunks that machines hold already.
-	HeldShare float64
+	// HeldFraction is the share of chunks that machines hold already.
+	HeldFraction float64
 	// SkipVerification makes machines accept corrupt chunks, to show that the
 	// check of what is served notices it.
 	SkipVerification bool
@@ -227,7 +227,7 @@
 func (s *simulation) heldChunks() []bool {
 	held := make([]bool, s.options.Chunks)
 	for chunk := range held {
-		held[chunk] = s.random.Float64() < s.options.HeldShare
+		held[chunk] = s.random.Float64() < s.options.HeldFraction
 	}
 	return held
 }
@@ -250,7 +250,7 @@
 // lowerBound is the least number of slots: every machine's link carries every
 // missing chunk once, and the last chunk still has to double its way through.
 func (s *simulation) lowerBound() float64 {
-	chunks := float64(s.options.Chunks) * (1 - s.options.HeldShare)
+	chunks := float64(s.options.Chunks) * (1 - s.options.HeldFraction)
 	bound := chunks
 	if s.options.Duplex == DuplexHalf {
 		bound = 2*chunks - chunks/float64(s.options.Machines)
--- a/internal/experiment/rollout/simulation_test.go
+++ b/internal/experiment/rollout/simulation_test.go
@@ -60,7 +60,7 @@
 
 func TestSharedChunksAreNotDrawnAgain(t *testing.T) {
 	options := base()
-	options.HeldShare = 0.6
+	options.HeldFraction = 0.6
 	result := Simulate(options)
 	assert.True(t, result.Converged)
 	assert.LessOrEqual(t, result.OriginCopies, 0.5, "about 40 of 100 chunks are missing")
