--- a/internal/catalog/starved_test.go
+++ b/internal/catalog/starved_test.go
@@ -80,7 +80,7 @@
 	made, err := c.options.Hub.Link(t.Context(), proxy.Address())
 	require.NoError(t, err)
 	held := useLink(made, c)
-	require.Positive(t, proxy.Hold())
+	require.Positive(t, proxy.Blackhole())
 	assert.Less(t, timeUntilDropped(t, c, made, held), deadLinkTimeout)
 }
 
--- a/internal/forward/silence_detector_test.go
+++ b/internal/forward/silence_detector_test.go
@@ -129,7 +129,7 @@
 	}
 	toServers := silencer.Between(func(one netip.AddrPort) bool { return addresses[one] }, func(netip.AddrPort) bool { return true })
 	for ctx.Err() == nil {
-		_, err := silencer.Lose(toServers, fraction)
+		_, err := silencer.DropPackets(toServers, fraction)
 		assert.NoError(s.t, err)
 		time.Sleep(5 * time.Millisecond)
 	}
--- a/internal/forward/silence_test.go
+++ b/internal/forward/silence_test.go
@@ -228,7 +228,7 @@
 	"all is acknowledged": func(s *testFleet) {
 		count := 0
 		for _, proxy := range s.proxies {
-			count += proxy.Hold()
+			count += proxy.Blackhole()
 		}
 		assert.Positive(s.t, count)
 	},
--- a/internal/silencer/proxy.go
+++ b/internal/silencer/proxy.go
@@ -39,9 +39,9 @@
 // Address is where the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Hold makes the connections that are open now pass nothing on any more, and returns how
+// Blackhole makes the connections that are open now pass nothing on any more, and returns how
 // many there are. Later ones work.
-func (p *Proxy) Hold() int {
+func (p *Proxy) Blackhole() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, one := range p.open {
--- a/internal/silencer/proxy_test.go
+++ b/internal/silencer/proxy_test.go
@@ -27,7 +27,7 @@
 	}
 	oldNear, oldFar := connect()
 	assert.True(t, hears(t, oldNear, oldFar))
-	assert.Equal(t, 1, proxy.Hold())
+	assert.Equal(t, 1, proxy.Blackhole())
 	assert.False(t, hears(t, oldNear, oldFar))
 	assert.False(t, hears(t, oldFar, oldNear))
 	newNear, newFar := connect()
--- a/internal/silencer/silencer.go
+++ b/internal/silencer/silencer.go
@@ -43,9 +43,9 @@
 // ends it has silenced. Listening sockets stay as they are.
 func Silence(picked Filter) (int, error) { return attach(picked, dropAll) }
 
-// Lose makes the open connections that a filter picks lose a share of the packets that reach each
+// DropPackets makes the open connections that a filter picks lose a share of the packets that reach each
 // end, and returns how many ends do. The kernels send again what is lost.
-func Lose(picked Filter, share float64) (int, error) {
+func DropPackets(picked Filter, share float64) (int, error) {
 	// random reads a random number instead of the packet: SKF_AD_OFF, as an unsigned number, and
 	// SKF_AD_RANDOM of the kernel.
 	const random = 0xfffff000 + 56
--- a/internal/silencer/silencer_test.go
+++ b/internal/silencer/silencer_test.go
@@ -67,7 +67,7 @@
 	near, far := pair(t, listener)
 	only := near.LocalAddr().(*net.TCPAddr).AddrPort()
 	lossy := Between(func(address netip.AddrPort) bool { return address == only }, func(netip.AddrPort) bool { return true })
-	count, err := Lose(lossy, 0.3)
+	count, err := DropPackets(lossy, 0.3)
 	require.NoError(t, err)
 	assert.Equal(t, 2, count, "both ends")
 	for range packets {
@@ -77,7 +77,7 @@
 	require.NoError(t, far.SetReadDeadline(time.Now().Add(20*time.Second)))
 	_, err = io.ReadFull(far, make([]byte, packets))
 	assert.NoError(t, err)
-	_, err = Lose(lossy, 1)
+	_, err = DropPackets(lossy, 1)
 	require.NoError(t, err)
 	assert.False(t, hears(t, near, far))
 }
