--- a/internal/demo/system.go
+++ b/internal/demo/system.go
@@ -122,7 +122,7 @@
 	d.printf("an empty server serves %.1f s after it came; the origin has sent %.2f copies", time.Since(came).Seconds(), d.site.Origin.Copies())
 	d.serversAsk()
 	d.site.Configure(nil)
-	stopped := launch.SiteProcess(site.RoleEntry, 0, 0)
+	stopped := launch.SiteProcessName(site.RoleEntry, 0, 0)
 	began := time.Now()
 	if err := d.group.Signal(stopped, syscall.SIGTERM); err != nil {
 		return err
--- a/internal/experiment/soak/callers.go
+++ b/internal/experiment/soak/callers.go
@@ -62,7 +62,7 @@
 	for number := 0; ctx.Err() == nil; number++ {
 		attempt := Attempt{ID: fmt.Sprintf("soak-%d-%d-%d", zone, caller, number)}
 		index := (caller + number/8) % c.site.Options.Entries
-		attempt.Entry = launch.SiteProcess(site.RoleEntry, zone, index)
+		attempt.Entry = launch.SiteProcessName(site.RoleEntry, zone, index)
 		events := 1 + random.IntN(mostEvents)
 		switch number % 4 {
 		case 0:
--- a/internal/experiment/soak/faults.go
+++ b/internal/experiment/soak/faults.go
@@ -40,9 +40,9 @@
 	case KillMany:
 		return r.killMany(zone)
 	case FreezeEntry:
-		return r.freeze(launch.SiteProcess(site.RoleEntry, zone, entry), fault.Duration)
+		return r.freeze(launch.SiteProcessName(site.RoleEntry, zone, entry), fault.Duration)
 	case FreezeAgent:
-		return r.freeze(launch.SiteProcess(site.RoleAgent, zone, agent), fault.Duration)
+		return r.freeze(launch.SiteProcessName(site.RoleAgent, zone, agent), fault.Duration)
 	case StopEntry:
 		return r.stop(zone, entry)
 	case StoreDown:
@@ -55,7 +55,7 @@
 		r.after(fault.Duration, func() error { r.site.Store.Compact(); return nil })
 	case StoreRefuses:
 		r.site.Store.Refuse(r.site.Options.EntryIP(zone, entry), r.site.Options.ModelIP(zone, agent))
-		r.disturb(fault.Duration, launch.SiteProcess(site.RoleEntry, zone, entry), launch.SiteProcess(site.RoleAgent, zone, agent))
+		r.disturb(fault.Duration, launch.SiteProcessName(site.RoleEntry, zone, entry), launch.SiteProcessName(site.RoleAgent, zone, agent))
 		r.after(fault.Duration, func() error { r.site.Store.Refuse(); return nil })
 	case ServersExpire:
 		r.lapse()
@@ -155,7 +155,7 @@
 
 // kill ends a process without warning and starts it again.
 func (r *run) kill(role string, zone, index int) error {
-	name := launch.SiteProcess(role, zone, index)
+	name := launch.SiteProcessName(role, zone, index)
 	if r.busy[name] {
 		return nil
 	}
@@ -203,7 +203,7 @@
 
 // stop ends an entry as planned and starts it again once it has ended.
 func (r *run) stop(zone, index int) error {
-	name := launch.SiteProcess(site.RoleEntry, zone, index)
+	name := launch.SiteProcessName(site.RoleEntry, zone, index)
 	if r.busy[name] {
 		return nil
 	}
--- a/internal/experiment/soak/query_of_death.go
+++ b/internal/experiment/soak/query_of_death.go
@@ -63,7 +63,7 @@
 	for number := 0; ctx.Err() == nil; number++ {
 		zone, index := random.IntN(c.site.Options.Zones), random.IntN(c.site.Options.Entries)
 		id := fmt.Sprintf("%s%d-%d-%d", endingID, content, fault, number)
-		c.noteEnding(id, launch.SiteProcess(site.RoleEntry, zone, index))
+		c.noteEnding(id, launch.SiteProcessName(site.RoleEntry, zone, index))
 		go c.sendEnding(client, zone, index, id, content)
 		select {
 		case <-ticker.C:
--- a/internal/experiment/soak/run_test.go
+++ b/internal/experiment/soak/run_test.go
@@ -54,7 +54,7 @@
 			require.NoError(t, fleet.Start(site.RoleAgent, zone, index))
 		}
 	}
-	killed := launch.SiteProcess(site.RoleAgent, 1, 2)
+	killed := launch.SiteProcessName(site.RoleAgent, 1, 2)
 	r := &run{options: Options{Output: io.Discard}, fleet: fleet, site: fleet.Site, busy: map[string]bool{killed: true}}
 	expected := options.Zones*(options.Entries+options.ModelServers) - 1
 	assert.Eventually(t, func() bool {
--- a/internal/experiment/soak/settings.go
+++ b/internal/experiment/soak/settings.go
@@ -16,7 +16,7 @@
 	zone, index int
 }
 
-func (m machine) name() string { return launch.SiteProcess(m.role, m.zone, m.index) }
+func (m machine) name() string { return launch.SiteProcessName(m.role, m.zone, m.index) }
 
 // anyProcess picks an entry or an agent.
 func (r *run) anyProcess(fault Fault) machine {
--- a/internal/experiment/soak/soak.go
+++ b/internal/experiment/soak/soak.go
@@ -260,7 +260,7 @@
 	for zone := range r.site.Options.Zones {
 		for role, count := range map[string]int{site.RoleEntry: r.site.Options.Entries, site.RoleAgent: r.site.Options.ModelServers} {
 			for index := range count {
-				name := launch.SiteProcess(role, zone, index)
+				name := launch.SiteProcessName(role, zone, index)
 				if r.busy[name] || !r.fleet.Group.WaitExit(name, endedAtOnce) {
 					continue
 				}
--- a/internal/experiment/soak/upgrade_test.go
+++ b/internal/experiment/soak/upgrade_test.go
@@ -77,7 +77,7 @@
 	r.fleet.Group = to
 	options := r.site.Options
 	restart := func(role string, zone, index int) {
-		name := launch.SiteProcess(role, zone, index)
+		name := launch.SiteProcessName(role, zone, index)
 		require.NoError(t, from.Signal(name, syscall.SIGTERM))
 		require.True(t, from.WaitExit(name, stopLimit), name)
 		require.NoError(t, r.fleet.Restart(role, zone, index))
@@ -92,7 +92,7 @@
 		var stopping sync.WaitGroup
 		for zone := range options.Zones {
 			now := time.Now()
-			r.record.Stops = append(r.record.Stops, Interval{From: now, To: now.Add(r.record.Grace), Name: launch.SiteProcess(site.RoleEntry, zone, index)})
+			r.record.Stops = append(r.record.Stops, Interval{From: now, To: now.Add(r.record.Grace), Name: launch.SiteProcessName(site.RoleEntry, zone, index)})
 			stopping.Go(func() { restart(site.RoleEntry, zone, index) })
 			time.Sleep(replacedEach)
 		}
--- a/internal/launch/site.go
+++ b/internal/launch/site.go
@@ -41,8 +41,8 @@
 	_ = os.RemoveAll(f.folder)
 }
 
-// SiteProcess names a process by its role and place.
-func SiteProcess(role string, zone, index int) string {
+// SiteProcessName names a process by its role and place.
+func SiteProcessName(role string, zone, index int) string {
 	return fmt.Sprintf("%s-%d-%d", role, zone, index)
 }
 
@@ -56,7 +56,7 @@
 
 // Restart starts a process on a machine on which one has run.
 func (f *SiteFleet) Restart(role string, zone, index int) error {
-	name := SiteProcess(role, zone, index)
+	name := SiteProcessName(role, zone, index)
 	if err := f.writeSettings(name, f.Site.Settings(role, zone, index)); err != nil {
 		return err
 	}
--- a/internal/sitetest/fleet.go
+++ b/internal/sitetest/fleet.go
@@ -141,7 +141,7 @@
 }
 
 // Name names a process.
-func Name(role string, zone, index int) string { return launch.SiteProcess(role, zone, index) }
+func Name(role string, zone, index int) string { return launch.SiteProcessName(role, zone, index) }
 
 func (f *Fleet) build(role string, zone, index int) *daemon.Daemon {
 	settings, err := platform.ParseSettings(f.Site.Settings(role, zone, index))
