--- a/internal/experiment/rollout/faults.go
+++ b/internal/experiment/rollout/faults.go
@@ -14,7 +14,7 @@
 			s.After(s.randomTime(expected), func() { s.kill(m) })
 		}
 		if s.random.Float64() < s.options.Stalled {
-			s.After(s.randomTime(expected), func() { s.hang(m) })
+			s.After(s.randomTime(expected), func() { s.stall(m) })
 		}
 	}
 	if s.options.Partition {
@@ -35,7 +35,7 @@
 	s.alive--
 	s.result.Dead++
 	if m.complete >= 0 {
-		s.done--
+		s.completed--
 	}
 	for _, waiting := range m.queue {
 		s.fail(waiting, silenceTimeout, dissemination.Unreachable)
@@ -43,8 +43,8 @@
 	m.queue = nil
 }
 
-// hang stops a machine's uplink; what waits for it makes no progress.
-func (s *simulation) hang(m *machine) {
+// stall stops a machine's uplink; what waits for it makes no progress.
+func (s *simulation) stall(m *machine) {
 	m.stalled = true
 	for _, waiting := range m.queue {
 		s.fail(waiting, stallWindow, dissemination.Stalled)
--- a/internal/experiment/rollout/simulation.go
+++ b/internal/experiment/rollout/simulation.go
@@ -62,12 +62,12 @@
 	stallWindow = 3 * slot
 	// silenceTimeout is how long a dead machine is waited for.
 	silenceTimeout = 2 * slot
-	patience       = 4 * slot
+	progressTimeout       = 4 * slot
 	tickPeriod     = slot
 	// limitFactor ends a rollout that does not converge, in lower bounds.
 	limitFactor = 20
-	// maximumJitter lengthens each transfer by up to this share.
-	maximumJitter = 0.02
+	// maxJitter lengthens each transfer by up to this share.
+	maxJitter = 0.02
 )
 
 // Result is what a rollout came to.
@@ -114,11 +114,11 @@
 	dead     bool
 	stalled  bool
 	sending  bool
-	getting  bool
+	receiving  bool
 	queue    []*request
 	awaiting []*request
-	// good is the simulator's own record of which chunks are held and right.
-	good     []bool
+	// correct is the simulator's own record of which chunks are held and right.
+	correct     []bool
 	complete time.Duration
 }
 
@@ -130,28 +130,28 @@
 	byID     map[dissemination.MachineID]*machine
 	// originQueue holds requests at the origin; originBusy counts its transfers.
 	originQueue []*request
-	originBusy  int
+	originSending  int
 	originSent  int
 	partitioned bool
 	alive       int
-	done        int
+	completed        int
 	result      Result
-	zoneCross   int
-	regionCross int
+	zoneCrossings   int
+	regionCrossings int
 }
 
 // Simulate runs a rollout in virtual time. The same options give the same result.
 func Simulate(options Options) Result {
 	s := newSimulation(options)
-	s.plan()
+	s.assignPlans()
 	s.scheduleFaults()
 	for _, m := range s.machines {
 		s.After(s.randomTime(tickPeriod), func() { s.tick(m) })
 		m.fetcher.Start(0)
-		s.carryOut(m)
+		s.executeActions(m)
 	}
 	limit := s.timeLimit()
-	for s.Pending() && s.done < s.alive && s.Now() < limit {
+	for s.Pending() && s.completed < s.alive && s.Now() < limit {
 		s.Step()
 	}
 	return s.summarize()
@@ -176,7 +176,7 @@
 	}
 	for i := range options.Machines {
 		zone := i * options.Zones / options.Machines
-		m := &machine{index: i, good: make([]bool, options.Chunks), complete: -1}
+		m := &machine{index: i, correct: make([]bool, options.Chunks), complete: -1}
 		m.Machine = dissemination.Machine{
 			ID:     dissemination.MachineID(fmt.Sprintf("m%05d", i)),
 			Zone:   fmt.Sprintf("zone-%d", zone),
@@ -195,11 +195,11 @@
 // lacks and that it has although they are gone.
 const (
 	staleMissing = 0.03
-	staleGhosts  = 0.02
+	staleDeparted  = 0.02
 )
 
-// plan gives each machine its list and its fetcher.
-func (s *simulation) plan() {
+// assignPlans gives each machine its list and its fetcher.
+func (s *simulation) assignPlans() {
 	all := make([]dissemination.Machine, 0, len(s.machines))
 	for _, m := range s.machines {
 		all = append(all, m.Machine)
@@ -217,9 +217,9 @@
 			list := append([]dissemination.Machine{m.Machine}, stale[s.random.IntN(staleRosters)]...)
 			plan = dissemination.NewPlanWithCopies(s.options.Strategy, dissemination.NewRoster(list), s.options.OriginCopies)
 		}
-		copy(m.good, held)
+		copy(m.correct, held)
 		m.fetcher = dissemination.NewFetcher(dissemination.Options{
-			Self: m.ID, Plan: plan, Chunks: s.options.Chunks, Held: held, ProgressTimeout: patience,
+			Self: m.ID, Plan: plan, Chunks: s.options.Chunks, Held: held, ProgressTimeout: progressTimeout,
 		})
 	}
 }
@@ -238,7 +238,7 @@
 		if s.random.Float64() >= staleMissing {
 			list = append(list, m)
 		}
-		if s.random.Float64() < staleGhosts {
+		if s.random.Float64() < staleDeparted {
 			ghost := m
 			ghost.ID += dissemination.MachineID(fmt.Sprintf("-gone-%d", variant))
 			list = append(list, ghost)
@@ -263,18 +263,18 @@
 		return
 	}
 	m.fetcher.Tick(s.Now())
-	s.carryOut(m)
+	s.executeActions(m)
 	s.After(tickPeriod, func() { s.tick(m) })
 }
 
-// carryOut does what a fetcher wants.
-func (s *simulation) carryOut(m *machine) {
+// executeActions does what a fetcher wants.
+func (s *simulation) executeActions(m *machine) {
 	for _, action := range m.fetcher.TakeActions() {
 		switch action.Kind {
 		case dissemination.Offer:
 			s.sendOffer(m, action)
 		case dissemination.Query:
-			s.sendAsk(m, action)
+			s.sendQuery(m, action)
 		case dissemination.Fetch:
 			s.sendFetch(m, action)
 		case dissemination.FetchOrigin:
@@ -299,7 +299,7 @@
 		}
 		result.Live++
 		last = max(last, m.complete)
-		for _, good := range m.good {
+		for _, good := range m.correct {
 			if !good {
 				result.MixedOrPartial++
 				break
@@ -311,8 +311,8 @@
 	result.LowerBoundSlots = s.lowerBound()
 	result.Ratio = result.CompletionSlots / result.LowerBoundSlots
 	result.OriginCopies = float64(s.originSent) / float64(o.Chunks)
-	result.ZoneCrossings = float64(s.zoneCross) / float64(o.Chunks)
-	result.RegionCrossings = float64(s.regionCross) / float64(o.Chunks)
+	result.ZoneCrossings = float64(s.zoneCrossings) / float64(o.Chunks)
+	result.RegionCrossings = float64(s.regionCrossings) / float64(o.Chunks)
 	for point := range curvePoints + 1 {
 		limit := last * time.Duration(point) / curvePoints
 		count := 0
--- a/internal/experiment/rollout/simulation_test.go
+++ b/internal/experiment/rollout/simulation_test.go
@@ -8,7 +8,7 @@
 	"pinevane.example/pinevane/coordination/dissemination"
 )
 
-func base() Options {
+func baseOptions() Options {
 	return Options{
 		Machines: 120, Zones: 3, Regions: 3, Chunks: 96, Strategy: dissemination.StrategyRotated,
 		Duplex: DuplexFull, Seed: 1, OriginCopies: 1,
@@ -16,7 +16,7 @@
 }
 
 func TestUndisturbedRolloutIsNearTheBound(t *testing.T) {
-	result := Simulate(base())
+	result := Simulate(baseOptions())
 	assert.Equal(t, 120, result.Live)
 	assert.LessOrEqual(t, result.Ratio, 1.35)
 	assert.LessOrEqual(t, result.OriginCopies, 1.05)
@@ -24,14 +24,14 @@
 }
 
 func TestTheSameSeedGivesTheSameResult(t *testing.T) {
-	options := base()
+	options := baseOptions()
 	options.Dead, options.Stalled, options.Corrupt, options.StaleList = 0.02, 0.02, 0.01, 0.05
 	assert.Equal(t, Simulate(options), Simulate(options))
 }
 
 func TestEveryFaultMixConvergesWithinTheOriginBudget(t *testing.T) {
 	for seed := range uint64(8) {
-		options := base()
+		options := baseOptions()
 		options.Seed = seed
 		options.Dead, options.Stalled, options.Corrupt, options.StaleList = 0.04, 0.04, 0.01, 0.1
 		options.Partition = seed%2 == 1
@@ -44,7 +44,7 @@
 
 func TestEveryStrategyCompletes(t *testing.T) {
 	for _, strategy := range dissemination.Strategies {
-		options := base()
+		options := baseOptions()
 		options.Machines, options.Chunks, options.Strategy = 24, 32, strategy
 		result := Simulate(options)
 		assert.True(t, result.Converged, string(strategy))
@@ -53,13 +53,13 @@
 
 // A plan that is no tree once sent a fetcher round in circles.
 func TestPullCompletesWhenMachinesAvoidEachOther(t *testing.T) {
-	options := base()
+	options := baseOptions()
 	options.Strategy, options.Stalled, options.Dead = dissemination.StrategyPull, 0.05, 0.05
 	assert.True(t, Simulate(options).Converged)
 }
 
 func TestSharedChunksAreNotDrawnAgain(t *testing.T) {
-	options := base()
+	options := baseOptions()
 	options.HeldFraction = 0.6
 	result := Simulate(options)
 	assert.True(t, result.Converged)
@@ -67,13 +67,13 @@
 }
 
 func TestHalfDuplexCompletes(t *testing.T) {
-	options := base()
+	options := baseOptions()
 	options.Duplex = DuplexHalf
 	assert.True(t, Simulate(options).Converged)
 }
 
 func TestWithoutVerificationWrongWeightsAreNoticed(t *testing.T) {
-	options := base()
+	options := baseOptions()
 	options.Corrupt, options.SkipVerification = 0.01, true
 	assert.Positive(t, Simulate(options).MixedOrPartial)
 }
--- a/internal/experiment/rollout/transport.go
+++ b/internal/experiment/rollout/transport.go
@@ -30,24 +30,24 @@
 		peer := s.byID[action.Peer]
 		if s.reachable(m, peer) {
 			peer.fetcher.RecordOffer(m.ID, action.Chunk, s.Now())
-			s.carryOut(peer)
+			s.executeActions(peer)
 			return
 		}
 		s.After(silenceTimeout, func() {
 			m.fetcher.RecordOfferFailure(action.Peer, action.Chunk, s.Now())
-			s.carryOut(m)
+			s.executeActions(m)
 		})
 	})
 }
 
-func (s *simulation) sendAsk(m *machine, action dissemination.Action) {
+func (s *simulation) sendQuery(m *machine, action dissemination.Action) {
 	s.result.Messages++
 	s.After(controlDelay, func() {
 		peer := s.byID[action.Peer]
 		if !s.reachable(m, peer) {
 			s.After(silenceTimeout, func() {
 				m.fetcher.RecordQueryFailure(action.Peer, action.Chunk, s.Now())
-				s.carryOut(m)
+				s.executeActions(m)
 			})
 			return
 		}
@@ -62,7 +62,7 @@
 			default:
 				m.fetcher.RecordDenial(peer.ID, action.Chunk)
 			}
-			s.carryOut(m)
+			s.executeActions(m)
 		})
 	})
 }
@@ -71,7 +71,7 @@
 	wanted := &request{from: s.byID[action.Peer], to: m, chunk: action.Chunk, height: m.fetcher.Height(action.Chunk)}
 	s.After(controlDelay, func() {
 		if !s.reachable(m, wanted.from) {
-			s.After(silenceTimeout, func() { s.report(wanted, action.Peer, dissemination.Unreachable) })
+			s.After(silenceTimeout, func() { s.reportFailure(wanted, action.Peer, dissemination.Unreachable) })
 			return
 		}
 		if wanted.from.stalled {
@@ -87,12 +87,12 @@
 // canSend reports whether a machine's link is free to send on. A link carries
 // one transfer at a time in each direction, at its whole rate.
 func (s *simulation) canSend(m *machine) bool {
-	return !m.dead && !m.sending && (s.options.Duplex != DuplexHalf || !m.getting)
+	return !m.dead && !m.sending && (s.options.Duplex != DuplexHalf || !m.receiving)
 }
 
-// canGet reports whether a machine's link is free to receive on.
-func (s *simulation) canGet(m *machine) bool {
-	return !m.dead && !m.getting && (s.options.Duplex != DuplexHalf || !m.sending)
+// canReceive reports whether a machine's link is free to receive on.
+func (s *simulation) canReceive(m *machine) bool {
+	return !m.dead && !m.receiving && (s.options.Duplex != DuplexHalf || !m.sending)
 }
 
 // moreUrgent orders the transfers that wait for a link.
@@ -107,19 +107,19 @@
 	}
 	var first *request
 	for _, waiting := range m.queue {
-		if s.canGet(waiting.to) && (first == nil || moreUrgent(waiting, first)) {
+		if s.canReceive(waiting.to) && (first == nil || moreUrgent(waiting, first)) {
 			first = waiting
 		}
 	}
 	if first != nil {
 		m.queue = remove(m.queue, first)
-		s.begin(first)
+		s.startTransfer(first)
 	}
 }
 
 // matchReceiver starts a transfer that waits for this machine to be free.
 func (s *simulation) matchReceiver(m *machine) {
-	if !s.canGet(m) {
+	if !s.canReceive(m) {
 		return
 	}
 	var first *request
@@ -130,22 +130,22 @@
 	}
 	if first != nil {
 		first.from.queue = remove(first.from.queue, first)
-		s.begin(first)
+		s.startTransfer(first)
 		return
 	}
 	s.matchOrigin()
 }
 
 func (s *simulation) matchOrigin() {
-	for i := 0; i < len(s.originQueue) && s.originBusy < originSlots; {
+	for i := 0; i < len(s.originQueue) && s.originSending < originSlots; {
 		waiting := s.originQueue[i]
-		if !s.canGet(waiting.to) {
+		if !s.canReceive(waiting.to) {
 			i++
 			continue
 		}
 		s.originQueue = append(s.originQueue[:i], s.originQueue[i+1:]...)
 		if !waiting.to.dead {
-			s.begin(waiting)
+			s.startTransfer(waiting)
 		}
 	}
 }
@@ -159,27 +159,27 @@
 	return list
 }
 
-// begin occupies both ends for the time of a transfer.
-func (s *simulation) begin(started *request) {
+// startTransfer occupies both ends for the time of a transfer.
+func (s *simulation) startTransfer(started *request) {
 	started.to.awaiting = remove(started.to.awaiting, started)
-	duration := slot + time.Duration(s.random.Float64()*maximumJitter*float64(slot))
+	duration := slot + time.Duration(s.random.Float64()*maxJitter*float64(slot))
 	corrupt := s.random.Float64() < s.options.Corrupt
 	if started.from == nil {
-		started.to.getting = true
-		s.originBusy++
+		started.to.receiving = true
+		s.originSending++
 		s.originSent++
-		s.After(duration, func() { s.end(started, corrupt) })
+		s.After(duration, func() { s.endTransfer(started, corrupt) })
 		return
 	}
 	started.from.sending = true
-	started.to.getting = true
-	s.After(duration, func() { s.end(started, corrupt) })
+	started.to.receiving = true
+	s.After(duration, func() { s.endTransfer(started, corrupt) })
 }
 
-func (s *simulation) end(ended *request, corrupt bool) {
-	ended.to.getting = false
+func (s *simulation) endTransfer(ended *request, corrupt bool) {
+	ended.to.receiving = false
 	if ended.from == nil {
-		s.originBusy--
+		s.originSending--
 	} else {
 		ended.from.sending = false
 	}
@@ -208,27 +208,27 @@
 	source := dissemination.MachineID("")
 	if ended.from != nil {
 		source = ended.from.ID
-		s.countBorders(ended)
+		s.countCrossings(ended)
 	}
 	if ended.to.fetcher.Holds(ended.chunk) {
 		s.result.Duplicates++
 	}
 	// A copy is right when its source's copy was and nothing happened on the way.
-	ended.to.good[ended.chunk] = !corrupt && (ended.from == nil || ended.from.good[ended.chunk])
+	ended.to.correct[ended.chunk] = !corrupt && (ended.from == nil || ended.from.correct[ended.chunk])
 	ended.to.fetcher.RecordFetched(source, ended.chunk, s.Now())
-	s.carryOut(ended.to)
+	s.executeActions(ended.to)
 	if ended.to.fetcher.Missing() == 0 && ended.to.complete < 0 {
 		ended.to.complete = s.Now()
-		s.done++
+		s.completed++
 	}
 }
 
-func (s *simulation) countBorders(ended *request) {
+func (s *simulation) countCrossings(ended *request) {
 	if ended.from.Zone != ended.to.Zone {
-		s.zoneCross++
+		s.zoneCrossings++
 	}
 	if ended.from.Region != ended.to.Region {
-		s.regionCross++
+		s.regionCrossings++
 	}
 }
 
@@ -238,7 +238,7 @@
 	if failed.from != nil {
 		source = failed.from.ID
 	}
-	s.After(delay, func() { s.report(failed, source, reason) })
+	s.After(delay, func() { s.reportFailure(failed, source, reason) })
 }
 
 var reasonNames = map[dissemination.FailureReason]string{
@@ -248,11 +248,11 @@
 	dissemination.NotHeld:     "not-held",
 }
 
-func (s *simulation) report(failed *request, source dissemination.MachineID, reason dissemination.FailureReason) {
+func (s *simulation) reportFailure(failed *request, source dissemination.MachineID, reason dissemination.FailureReason) {
 	if failed.to.dead {
 		return
 	}
 	s.result.Failed[reasonNames[reason]]++
 	failed.to.fetcher.RecordFetchFailure(source, failed.chunk, reason, s.Now())
-	s.carryOut(failed.to)
+	s.executeActions(failed.to)
 }
--- a/internal/experiment/soak/callers.go
+++ b/internal/experiment/soak/callers.go
@@ -18,11 +18,11 @@
 // Shape of the load.
 const (
 	callersPerZone = 6
-	mostEvents     = 40
+	maxEvents     = 40
 	callTimeout    = 7 * time.Second
-	// reconnectPause follows a connection that an entry did not take.
-	reconnectPause = 50 * time.Millisecond
-	pauseBetween   = 15 * time.Millisecond
+	// reconnectDelay follows a connection that an entry did not take.
+	reconnectDelay = 50 * time.Millisecond
+	requestDelay   = 15 * time.Millisecond
 )
 
 // callers send requests of every kind and record what came of them.
@@ -31,28 +31,28 @@
 
 	mutex    sync.Mutex
 	attempts []Attempt
-	// endings are the entries that requests were sent to whose content ends its servers.
-	endings map[string]string
+	// crashSenders are the entries that requests were sent to whose content ends its servers.
+	crashSenders map[string]string
 }
 
-func (c *callers) note(attempt Attempt) {
+func (c *callers) recordAttempt(attempt Attempt) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.attempts = append(c.attempts, attempt)
 }
 
-// all returns what was recorded so far.
-func (c *callers) all() []Attempt {
+// allAttempts returns what was recorded so far.
+func (c *callers) allAttempts() []Attempt {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return append([]Attempt(nil), c.attempts...)
 }
 
-// allEndings returns the entries that requests were sent to whose content ends its servers.
-func (c *callers) allEndings() map[string]string {
+// allCrashSenders returns the entries that requests were sent to whose content ends its servers.
+func (c *callers) allCrashSenders() map[string]string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return maps.Clone(c.endings)
+	return maps.Clone(c.crashSenders)
 }
 
 // run calls the entries of one zone until the context ends, over kept connections.
@@ -63,7 +63,7 @@
 		attempt := Attempt{ID: fmt.Sprintf("soak-%d-%d-%d", zone, caller, number)}
 		index := (caller + number/8) % c.site.Options.Entries
 		attempt.Entry = launch.SiteProcessName(site.RoleEntry, zone, index)
-		events := 1 + random.IntN(mostEvents)
+		events := 1 + random.IntN(maxEvents)
 		switch number % 4 {
 		case 0:
 			attempt.Kind = CallOnce
@@ -73,10 +73,10 @@
 			attempt.Kind = CallStream
 		}
 		if c.send(client, zone, index, &attempt, events) {
-			c.note(attempt)
-			time.Sleep(pauseBetween)
+			c.recordAttempt(attempt)
+			time.Sleep(requestDelay)
 		} else {
-			time.Sleep(reconnectPause)
+			time.Sleep(reconnectDelay)
 		}
 	}
 }
@@ -108,12 +108,12 @@
 	answer, err := io.ReadAll(response.Body)
 	_ = response.Body.Close()
 	attempt.Ended, attempt.Status, attempt.Complete = time.Now(), response.StatusCode, err == nil
-	attempt.Correct = isOwn(*attempt, string(answer), method, path, body, events)
+	attempt.Correct = isCorrect(*attempt, string(answer), method, path, body, events)
 	return true
 }
 
-// isOwn reports whether an answer is the whole one to the request.
-func isOwn(attempt Attempt, answer, method, path, body string, events int) bool {
+// isCorrect reports whether an answer is the whole one to the request.
+func isCorrect(attempt Attempt, answer, method, path, body string, events int) bool {
 	if attempt.Kind != CallStream {
 		if method == http.MethodGet {
 			return strings.HasPrefix(answer, method+" "+path+" ")
--- a/internal/experiment/soak/faults.go
+++ b/internal/experiment/soak/faults.go
@@ -10,25 +10,25 @@
 
 // Times of faults that are not drawn.
 const (
-	// restartPause is how long the platform takes to start a process that has ended.
-	restartPause = 700 * time.Millisecond
-	// storeKeepsQuiet is how long the store is away around lapsed servers, and
+	// restartDelay is how long the platform takes to start a process that has ended.
+	restartDelay = 700 * time.Millisecond
+	// storeOutage is how long the store is away around lapsed servers, and
 	// returnPause how long they take to write their lines anew.
-	storeKeepsQuiet = 2 * time.Second
-	returnPause     = 900 * time.Millisecond
-	// secondVersion follows the first of two.
-	secondVersion = 2 * time.Second
-	// stopLimit is when a stopped entry must have ended.
-	stopLimit = 10 * time.Second
-	// burstTime is the least that a burst of callers lasts; what was drawn comes on top of it.
-	burstTime = 2 * time.Second
-	// serverFaultTime is how long a server's own faults, which requests use up, may
+	storeOutage = 2 * time.Second
+	returnDelay     = 900 * time.Millisecond
+	// secondVersionDelay follows the first of two.
+	secondVersionDelay = 2 * time.Second
+	// stopTimeout is when a stopped entry must have ended.
+	stopTimeout = 10 * time.Second
+	// minBurstTime is the least that a burst of callers lasts; what was drawn comes on top of it.
+	minBurstTime = 2 * time.Second
+	// serverFaultPeriod is how long a server's own faults, which requests use up, may
 	// still show.
-	serverFaultTime = 3 * time.Second
+	serverFaultPeriod = 3 * time.Second
 )
 
-// strike carries a fault out. What ends it is queued on the run's timeline.
-func (r *run) strike(fault Fault) error {
+// inject carries a fault out. What ends it is queued on the run's timeline.
+func (r *run) inject(fault Fault) error {
 	zone, now := fault.Zone, time.Now()
 	entry, agent := fault.Index%r.site.Options.Entries, fault.Index%r.site.Options.ModelServers
 	server := r.site.Models[r.site.Options.ModelIP(zone, agent)]
@@ -38,7 +38,7 @@
 	case KillAgent:
 		return r.kill(site.RoleAgent, zone, agent)
 	case KillMany:
-		return r.killMany(zone)
+		return r.killZone(zone)
 	case FreezeEntry:
 		return r.freeze(launch.SiteProcessName(site.RoleEntry, zone, entry), fault.Duration)
 	case FreezeAgent:
@@ -47,93 +47,93 @@
 		return r.stop(zone, entry)
 	case StoreDown:
 		r.site.Store.SetDown(true)
-		r.disturb(fault.Duration)
-		r.after(fault.Duration, func() error { r.site.Store.SetDown(false); return nil })
+		r.recordDisturbance(fault.Duration)
+		r.schedule(fault.Duration, func() error { r.site.Store.SetDown(false); return nil })
 	case StoreLosesHistory:
 		r.site.Store.SetDeaf()
-		r.disturb(fault.Duration)
-		r.after(fault.Duration, func() error { r.site.Store.Compact(); return nil })
+		r.recordDisturbance(fault.Duration)
+		r.schedule(fault.Duration, func() error { r.site.Store.Compact(); return nil })
 	case StoreRefuses:
 		r.site.Store.Refuse(r.site.Options.EntryIP(zone, entry), r.site.Options.ModelIP(zone, agent))
-		r.disturb(fault.Duration, launch.SiteProcessName(site.RoleEntry, zone, entry), launch.SiteProcessName(site.RoleAgent, zone, agent))
-		r.after(fault.Duration, func() error { r.site.Store.Refuse(); return nil })
+		r.recordDisturbance(fault.Duration, launch.SiteProcessName(site.RoleEntry, zone, entry), launch.SiteProcessName(site.RoleAgent, zone, agent))
+		r.schedule(fault.Duration, func() error { r.site.Store.Refuse(); return nil })
 	case ServersExpire:
-		r.lapse()
+		r.expireServers()
 	case ServerCrash, ServerCrashUnnoticed:
-		r.disturb(serverFaultTime, server.ID())
+		r.recordDisturbance(serverFaultPeriod, server.ID())
 		if fault.Kind == ServerCrash {
 			return r.site.RestartModel(zone, agent)
 		}
 		return r.site.RestartModelUnnoticed(zone, agent)
 	case ServerLeaves:
-		r.leave(zone, agent, server)
+		r.announceLeaving(zone, agent, server)
 	case PiecesCorrupted:
-		r.disturb(serverFaultTime, server.ID())
+		r.recordDisturbance(serverFaultPeriod, server.ID())
 		for piece := range fault.Count {
 			server.Rot(piece)
 		}
 	case OriginCorrupts:
 		r.site.Origin.Spoil(fault.Count)
 	case CutStreams:
-		r.spoilServer(server, site.Faults{CutAfter: fault.Count, CutCount: fault.Count})
+		r.setServerFaults(server, site.Faults{CutAfter: fault.Count, CutCount: fault.Count})
 	case LoseAnswers:
-		r.spoilServer(server, site.Faults{LoseAnswers: fault.Count})
+		r.setServerFaults(server, site.Faults{LoseAnswers: fault.Count})
 	case Shed:
-		r.spoilServer(server, site.Faults{Shed: fault.Count})
+		r.setServerFaults(server, site.Faults{Shed: fault.Count})
 	case SurplusAnswers:
-		r.spoilServer(server, site.Faults{Surplus: fault.Count})
+		r.setServerFaults(server, site.Faults{Surplus: fault.Count})
 	case NewVersion:
-		r.nameVersion(now)
+		r.announceVersion(now)
 	case TwoVersions:
-		r.nameVersion(now)
-		r.after(secondVersion, func() error { r.nameVersion(time.Now()); return nil })
+		r.announceVersion(now)
+		r.schedule(secondVersionDelay, func() error { r.announceVersion(time.Now()); return nil })
 	case Reconfigure:
 		r.site.Configure(nil)
 	case Evacuate:
-		r.evacuate(zone, evacuationTime+fault.Duration)
+		r.evacuate(zone, minEvacuationTime+fault.Duration)
 	case EvacuateTwice:
-		r.evacuateTwice(zone, fault.Duration, evacuationTime+fault.Duration)
+		r.evacuateTwice(zone, fault.Duration, minEvacuationTime+fault.Duration)
 	case ServerTurnsCold:
 		server.SetCold(true)
 	case ServerStartsCold:
-		return r.startCold(zone, agent, server)
+		return r.restartCold(zone, agent, server)
 	case ZoneTurnsCold:
-		r.turnCold(zone)
+		r.turnZoneCold(zone)
 	case RouteNarrows:
 		r.narrowRoute(fault)
 	case TenantNarrows:
 		r.narrowTenant(fault)
 	case FalselyHealthyErrors:
-		r.spoilFor(r.anyServer(fault), site.Faults{Lying: site.LyingErrors}, lyingTime+fault.Duration)
+		r.setServerFaultsFor(r.pickServer(fault), site.Faults{Lying: site.LyingErrors}, minFalseHealthTime+fault.Duration)
 	case FalselyHealthyResets:
-		r.spoilFor(r.anyServer(fault), site.Faults{Lying: site.LyingResets}, lyingTime+fault.Duration)
+		r.setServerFaultsFor(r.pickServer(fault), site.Faults{Lying: site.LyingResets}, minFalseHealthTime+fault.Duration)
 	case FalselyHealthyHangs:
-		r.spoilFor(r.anyServer(fault), site.Faults{Lying: site.LyingHangs}, lyingTime+fault.Duration)
+		r.setServerFaultsFor(r.pickServer(fault), site.Faults{Lying: site.LyingHangs}, minFalseHealthTime+fault.Duration)
 	case FalselyUnhealthy:
-		r.spoilFor(server, site.Faults{FalselyIll: true}, lyingTime+fault.Duration)
+		r.setServerFaultsFor(server, site.Faults{FalselyIll: true}, minFalseHealthTime+fault.Duration)
 	case Flap:
-		r.flap(r.anyServer(fault))
+		r.flap(r.pickServer(fault))
 	case SettingsChange:
 		return r.changeSettings(fault)
 	case SettingsInvalid:
-		return r.spoilSettings(fault)
+		return r.writeInvalidSettings(fault)
 	case Burst:
-		r.burst(burstTime + fault.Duration)
+		r.burst(minBurstTime + fault.Duration)
 	case QueryOfDeath:
-		r.askEnding(fault)
+		r.sendCrashing(fault)
 	case ServerNoticeLimit:
-		r.nameLimit(r.anyServer(fault), fault)
+		r.announceRateLimit(r.pickServer(fault), fault)
 	case ServerNoticeLeaving:
-		r.sayLeaving(zone, agent, server)
+		r.noticeLeaving(zone, agent, server)
 	case ServerNoticeBackoff:
-		r.askForRest(r.anyServer(fault), fault)
+		r.noticeBackoff(r.pickServer(fault), fault)
 	}
 	return nil
 }
 
-// disturb notes that some processes or servers are disturbed for a time from now on; without
+// recordDisturbance notes that some processes or servers are disturbed for a time from now on; without
 // any, it is something that all depend on.
-func (r *run) disturb(lasts time.Duration, names ...string) {
+func (r *run) recordDisturbance(lasts time.Duration, names ...string) {
 	now := time.Now()
 	if len(names) == 0 {
 		names = []string{""}
@@ -143,11 +143,11 @@
 	}
 }
 
-func (r *run) spoilServer(server *site.Server, faults site.Faults) {
-	r.spoilFor(server, faults, serverFaultTime)
+func (r *run) setServerFaults(server *site.Server, faults site.Faults) {
+	r.setServerFaultsFor(server, faults, serverFaultPeriod)
 }
 
-func (r *run) nameVersion(now time.Time) {
+func (r *run) announceVersion(now time.Time) {
 	r.version++
 	r.site.NameVersion(r.version)
 	r.record.VersionAnnouncements = append(r.record.VersionAnnouncements, VersionAnnouncement{Version: r.version, At: now})
@@ -160,20 +160,20 @@
 		return nil
 	}
 	r.busy[name] = true
-	r.disturb(restartPause, name)
+	r.recordDisturbance(restartDelay, name)
 	if err := r.fleet.Group.Signal(name, syscall.SIGKILL); err != nil {
 		return err
 	}
-	r.after(restartPause, func() error {
+	r.schedule(restartDelay, func() error {
 		r.busy[name] = false
-		_ = r.fleet.Group.WaitExit(name, stopLimit)
+		_ = r.fleet.Group.WaitExit(name, stopTimeout)
 		return r.fleet.Restart(role, zone, index)
 	})
 	return nil
 }
 
-// killMany ends every process of a zone at the same time.
-func (r *run) killMany(zone int) error {
+// killZone ends every process of a zone at the same time.
+func (r *run) killZone(zone int) error {
 	for index := range r.site.Options.Entries {
 		if err := r.kill(site.RoleEntry, zone, index); err != nil {
 			return err
@@ -193,8 +193,8 @@
 		return nil
 	}
 	r.busy[name] = true
-	r.disturb(lasts, name)
-	r.after(lasts, func() error {
+	r.recordDisturbance(lasts, name)
+	r.schedule(lasts, func() error {
 		r.busy[name] = false
 		return r.fleet.Group.Signal(name, syscall.SIGCONT)
 	})
@@ -210,10 +210,10 @@
 	r.busy[name] = true
 	now := time.Now()
 	r.record.Stops = append(r.record.Stops, Interval{From: now, To: now.Add(r.record.Grace), Name: name})
-	r.after(r.record.Grace, func() error {
+	r.schedule(r.record.Grace, func() error {
 		r.busy[name] = false
-		if !r.fleet.Group.WaitExit(name, stopLimit) {
-			r.found = append(r.found, Violation{Guarantee: StopDropsNothing, At: time.Now(), Detail: name + " did not end within its grace"})
+		if !r.fleet.Group.WaitExit(name, stopTimeout) {
+			r.violations = append(r.violations, Violation{Guarantee: StopDropsNothing, At: time.Now(), Detail: name + " did not end within its grace"})
 			return nil
 		}
 		return r.fleet.Restart(site.RoleEntry, zone, index)
@@ -221,18 +221,18 @@
 	return r.fleet.Group.Signal(name, syscall.SIGTERM)
 }
 
-// lapse has the store lose every model server's line while it is away; the servers write
+// expireServers has the store lose every model server's line while it is away; the servers write
 // them anew after it.
-func (r *run) lapse() {
+func (r *run) expireServers() {
 	r.site.Store.SetDown(true)
-	r.disturb(storeKeepsQuiet + returnPause)
+	r.recordDisturbance(storeOutage + returnDelay)
 	var lapsed []*site.Server
 	for _, server := range r.site.Models {
 		server.Lapse()
 		lapsed = append(lapsed, server)
 	}
-	r.after(storeKeepsQuiet, func() error { r.site.Store.SetDown(false); return nil })
-	r.after(storeKeepsQuiet+returnPause, func() error {
+	r.schedule(storeOutage, func() error { r.site.Store.SetDown(false); return nil })
+	r.schedule(storeOutage+returnDelay, func() error {
 		for _, server := range lapsed {
 			server.Return()
 		}
@@ -240,8 +240,8 @@
 	})
 }
 
-// leave has a server announce its end, and puts an empty one in its place after it.
-func (r *run) leave(zone, index int, server *site.Server) {
+// announceLeaving has a server announce its end, and puts an empty one in its place after it.
+func (r *run) announceLeaving(zone, index int, server *site.Server) {
 	if r.busy[server.ID()] {
 		return
 	}
@@ -251,16 +251,16 @@
 	r.restartAfterDrain(zone, index, server)
 }
 
-// leavingServesOn is how long a server that leaves serves on after its drain.
-const leavingServesOn = 2 * time.Second
+// leavingExtraTime is how long a server that leaves serves on after its drain.
+const leavingExtraTime = 2 * time.Second
 
 // restartAfterDrain puts an empty server in the place of one that leaves, unless that has been replaced meanwhile.
 func (r *run) restartAfterDrain(zone, index int, server *site.Server) {
-	r.after(r.record.Drain+leavingServesOn, func() error {
+	r.schedule(r.record.Drain+leavingExtraTime, func() error {
 		if r.site.Models[r.site.Options.ModelIP(zone, index)] != server {
 			return nil
 		}
-		r.disturb(serverFaultTime, server.ID())
+		r.recordDisturbance(serverFaultPeriod, server.ID())
 		return r.site.RestartModel(zone, index)
 	})
 }
--- a/internal/experiment/soak/judge.go
+++ b/internal/experiment/soak/judge.go
@@ -68,9 +68,9 @@
 	Name string
 }
 
-// disturbs reports whether what was disturbed, or is shortly after it, lies between two moments.
-func (s Interval) disturbs(from, to time.Time) bool {
-	return s.From.Before(to) && s.To.Add(contact).After(from)
+// overlaps reports whether what was disturbed, or is shortly after it, lies between two moments.
+func (s Interval) overlaps(from, to time.Time) bool {
+	return s.From.Before(to) && s.To.Add(recoveryMargin).After(from)
 }
 
 // Departure is a server that has announced its end.
@@ -128,8 +128,8 @@
 
 // Margins of the judge.
 const (
-	// contact is how long after a disturbance bounds of time do not hold yet.
-	contact = 3 * time.Second
+	// recoveryMargin is how long after a disturbance bounds of time do not hold yet.
+	recoveryMargin = 3 * time.Second
 	// slack is allowed on bounds of time for what is on its way.
 	slack = 300 * time.Millisecond
 )
@@ -142,12 +142,12 @@
 		runs[run.RequestID] = append(runs[run.RequestID], run)
 	}
 	for _, attempt := range record.Attempts {
-		found = append(found, judgeAttempt(attempt, runs[attempt.ID])...)
-		found = append(found, record.judgeStop(attempt)...)
-		found = append(found, record.judgeReload(attempt)...)
+		found = append(found, checkAttempt(attempt, runs[attempt.ID])...)
+		found = append(found, record.checkStop(attempt)...)
+		found = append(found, record.checkReload(attempt)...)
 	}
 	for _, run := range record.Runs {
-		found = append(found, record.judgeRun(run)...)
+		found = append(found, record.checkRun(run)...)
 	}
 	for _, arrival := range record.Arrivals {
 		if record.Residencies.Outside(arrival) {
@@ -157,14 +157,14 @@
 		}
 	}
 	senders := record.senders()
-	found = append(found, record.judgeRestrictions(senders)...)
-	found = append(found, record.judgeEvacuations(senders)...)
-	found = append(found, record.judgeEndings()...)
-	found = append(found, record.judgeAsks(senders)...)
-	return append(found, record.judgeCold()...)
+	found = append(found, record.checkRestrictions(senders)...)
+	found = append(found, record.checkEvacuations(senders)...)
+	found = append(found, record.checkCrashes()...)
+	found = append(found, record.checkNotices(senders)...)
+	return append(found, record.checkCold()...)
 }
 
-func judgeAttempt(attempt Attempt, runs []site.Run) []Violation {
+func checkAttempt(attempt Attempt, runs []site.Run) []Violation {
 	var found []Violation
 	add := func(promise Guarantee, detail string) {
 		found = append(found, Violation{Guarantee: promise, At: attempt.Ended, Request: attempt.ID, Detail: detail})
@@ -175,14 +175,14 @@
 	if attempt.Kind == CallOnce && len(runs) > 1 {
 		add(AtMostOnce, fmt.Sprintf("ran %d times", len(runs)))
 	}
-	if saysNotRun(attempt.Status) && len(runs) > 0 {
+	if meansNotExecuted(attempt.Status) && len(runs) > 0 {
 		add(RefusedNotExecuted, fmt.Sprintf("%s answered %d, and it ran at %s", attempt.Entry, attempt.Status, runs[0].Server))
 	}
 	return found
 }
 
-// saysNotRun reports whether a status promises that the request has not run.
-func saysNotRun(status int) bool {
+// meansNotExecuted reports whether a status promises that the request has not run.
+func meansNotExecuted(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -190,8 +190,8 @@
 	return false
 }
 
-// judgeRun judges what one server has begun.
-func (r Record) judgeRun(run site.Run) []Violation {
+// checkRun judges what one server has begun.
+func (r Record) checkRun(run site.Run) []Violation {
 	var found []Violation
 	add := func(promise Guarantee, detail string) {
 		found = append(found, Violation{Guarantee: promise, At: run.At, Request: run.RequestID, Detail: run.Server + ": " + detail})
@@ -204,37 +204,37 @@
 	}
 	for _, naming := range r.VersionAnnouncements {
 		due := naming.At.Add(r.VersionApply + slack)
-		if run.Version != 0 && run.Version < naming.Version && run.At.After(due) && r.calm(naming.At, run.At) {
+		if run.Version != 0 && run.Version < naming.Version && run.At.After(due) && r.nothingDisturbed(naming.At, run.At) {
 			add(VersionInTime, fmt.Sprintf("it ran on version %d, %s after %d was named", run.Version, run.At.Sub(naming.At), naming.Version))
 		}
 	}
 	for _, departure := range r.Departures {
-		if run.Server == departure.Server && run.At.After(departure.At.Add(r.Drain+slack)) && r.calm(departure.At, run.At) {
+		if run.Server == departure.Server && run.At.After(departure.At.Add(r.Drain+slack)) && r.nothingDisturbed(departure.At, run.At) {
 			add(NoWorkToLeaving, fmt.Sprintf("it ran %s after the server said that it leaves", run.At.Sub(departure.At)))
 		}
 	}
 	return found
 }
 
-// judgeStop judges a request that was under way at an entry when it was stopped as
+// checkStop judges a request that was under way at an entry when it was stopped as
 // planned, while nothing else was disturbed.
-func (r Record) judgeStop(attempt Attempt) []Violation {
+func (r Record) checkStop(attempt Attempt) []Violation {
 	if attempt.Status == 0 || attempt.Complete {
 		return nil
 	}
 	for _, stop := range r.Stops {
 		under := attempt.Entry == stop.Name && attempt.Sent.Before(stop.From) && attempt.Ended.After(stop.From) && attempt.Ended.Before(stop.From.Add(r.Grace))
-		if under && r.calm(attempt.Sent, attempt.Ended) {
+		if under && r.nothingDisturbed(attempt.Sent, attempt.Ended) {
 			return []Violation{{Guarantee: StopDropsNothing, At: attempt.Ended, Request: attempt.ID, Detail: attempt.Entry + " cut it " + attempt.Ended.Sub(stop.From).String() + " after its stop"}}
 		}
 	}
 	return nil
 }
 
-// calm reports whether nothing was disturbed from a while before one moment to another.
-func (r Record) calm(from, to time.Time) bool {
+// nothingDisturbed reports whether nothing was disturbed from a while before one moment to another.
+func (r Record) nothingDisturbed(from, to time.Time) bool {
 	for _, span := range r.Disturbances {
-		if span.disturbs(from, to) {
+		if span.overlaps(from, to) {
 			return false
 		}
 	}
--- a/internal/experiment/soak/judge_place.go
+++ b/internal/experiment/soak/judge_place.go
@@ -29,11 +29,11 @@
 	return senders
 }
 
-// inTouch reports whether an entry, and what all depend on, has been undisturbed for a while.
-func (r Record) inTouch(entry string, at time.Time) bool {
+// entryConnected reports whether an entry, and what all depend on, has been undisturbed for a while.
+func (r Record) entryConnected(entry string, at time.Time) bool {
 	for _, spans := range [][]Interval{r.Disturbances, r.Stops} {
 		for _, span := range spans {
-			if (span.Name == "" || span.Name == entry) && !span.From.After(at) && span.To.Add(contact).After(at) {
+			if (span.Name == "" || span.Name == entry) && !span.From.After(at) && span.To.Add(recoveryMargin).After(at) {
 				return false
 			}
 		}
@@ -41,10 +41,10 @@
 	return true
 }
 
-// judgeRestrictions judges where requests came by the configurations that may have been in force
+// checkRestrictions judges where requests came by the configurations that may have been in force
 // at the entry that sent them. Requests whose caller still waits are judged later, and those
 // that no configuration allowed have been judged.
-func (r Record) judgeRestrictions(senders map[string]string) []Violation {
+func (r Record) checkRestrictions(senders map[string]string) []Violation {
 	var found []Violation
 	for _, arrival := range r.Arrivals {
 		entry, known := senders[arrival.RequestID]
@@ -67,7 +67,7 @@
 		}
 		if next := index + 1; next < len(r.Restrictions) {
 			due := r.Restrictions[next].At.Add(r.ConfigurationApply + slack)
-			if arrival.At.After(due) && r.inTouch(entry, arrival.At) {
+			if arrival.At.After(due) && r.entryConnected(entry, arrival.At) {
 				continue
 			}
 		}
@@ -78,13 +78,13 @@
 	return len(r.Restrictions) == 0
 }
 
-// judgeEvacuations judges what evacuated zones received after the bound.
-func (r Record) judgeEvacuations(senders map[string]string) []Violation {
+// checkEvacuations judges what evacuated zones received after the bound.
+func (r Record) checkEvacuations(senders map[string]string) []Violation {
 	var found []Violation
 	for _, delivery := range r.Deliveries {
 		entry, known := senders[delivery.RequestID]
 		for _, evacuation := range r.Evacuations {
-			if known && evacuation.forbids(delivery, r.EvacuationApply+slack) && r.inTouch(entry, delivery.At) {
+			if known && evacuation.forbids(delivery, r.EvacuationApply+slack) && r.entryConnected(entry, delivery.At) {
 				found = append(found, Violation{
 					Guarantee: NoWorkToEvacuated, At: delivery.At, Request: delivery.RequestID,
 					Detail: fmt.Sprintf("%s sent it to %s, %s after the evacuation of %s was asked for", entry, delivery.Server, delivery.At.Sub(evacuation.Requested), evacuation.Zone),
@@ -101,9 +101,9 @@
 	return delivery.Zone == e.Zone && delivery.At.After(e.Requested.Add(bound)) && lasted
 }
 
-// judgeCold judges what cold servers received in any second, from all entries whether in touch
+// checkCold judges what cold servers received in any second, from all entries whether in touch
 // or not.
-func (r Record) judgeCold() []Violation {
+func (r Record) checkCold() []Violation {
 	var found []Violation
 	for server, peak := range site.ColdPeaks(r.Deliveries) {
 		if float64(peak.Requests) > r.ColdLimit {
@@ -116,15 +116,15 @@
 	return found
 }
 
-// judgeReload judges a request that was under way at an entry, or came to it, while changed
+// checkReload judges a request that was under way at an entry, or came to it, while changed
 // settings were coming into force and nothing was disturbed.
-func (r Record) judgeReload(attempt Attempt) []Violation {
+func (r Record) checkReload(attempt Attempt) []Violation {
 	if attempt.Status != 0 && attempt.Complete {
 		return nil
 	}
 	for _, reload := range r.Reloads {
 		under := attempt.Entry == reload.Name && attempt.Sent.Before(reload.To) && attempt.Ended.After(reload.From)
-		if under && r.calm(attempt.Sent, attempt.Ended) && r.inTouch(attempt.Entry, attempt.Ended) {
+		if under && r.nothingDisturbed(attempt.Sent, attempt.Ended) && r.entryConnected(attempt.Entry, attempt.Ended) {
 			return []Violation{{Guarantee: ReloadDropsNothing, At: attempt.Ended, Request: attempt.ID, Detail: attempt.Entry + " cut it " + attempt.Ended.Sub(reload.From).String() + " after its settings changed"}}
 		}
 	}
--- a/internal/experiment/soak/query_of_death.go
+++ b/internal/experiment/soak/query_of_death.go
@@ -15,56 +15,56 @@
 
 // Shape of contents that end the servers which run them.
 const (
-	// endingBody begins the bodies of such contents, of which a run has endingContents: they come
+	// crashBody begins the bodies of such contents, of which a run has endingContents: they come
 	// again, so that what is known of them must outlast what strikes the processes meanwhile.
-	endingBody     = "ends its server "
-	endingID       = "ending-"
-	endingContents = 2
-	// endingPace is how often one is asked while the fault lasts, endingTime the least that it does;
+	crashBody     = "ends its server "
+	crashIDPrefix       = "ending-"
+	crashFingerprints = 2
+	// crashRequestInterval is how often one is asked while the fault lasts, endingTime the least that it does;
 	// what was drawn comes on top of it. An entry that hears nothing of the others is not asked often
 	// enough to find out by itself within contact of the third end.
-	endingPace = 400 * time.Millisecond
-	endingTime = 6 * time.Second
-	// endingAfter is how long a server runs such a request, endedFor how long it is away then.
-	endingAfter = 50 * time.Millisecond
-	endedFor    = 1500 * time.Millisecond
-	// endedServers names what is disturbed while servers end: no entry is.
-	endedServers = "ended servers"
-	// endsLook is how often is looked for servers that have ended.
-	endsLook = 200 * time.Millisecond
-	// endsAllowed and lateAllowed are those of the platform: so many sends may come later than contact
+	crashRequestInterval = 400 * time.Millisecond
+	minCrashTime = 6 * time.Second
+	// crashDelay is how long a server runs such a request, endedFor how long it is away then.
+	crashDelay = 50 * time.Millisecond
+	crashDowntime    = 1500 * time.Millisecond
+	// crashedServers names what is disturbed while servers end: no entry is.
+	crashedServers = "ended servers"
+	// crashPollInterval is how often is looked for servers that have ended.
+	crashPollInterval = 200 * time.Millisecond
+	// allowedCrashes and lateAllowed are those of the platform: so many sends may come later than contact
 	// after so many servers have ended.
-	endsAllowed = 3
-	lateAllowed = 3
+	allowedCrashes = 3
+	allowedLateSends = 3
 )
 
-// askEnding has a content asked at all entries for a time, by callers that are not counted among the
+// sendCrashing has a content asked at all entries for a time, by callers that are not counted among the
 // others: nobody expects an answer.
-func (r *run) askEnding(fault Fault) {
-	r.site.CrashOn(site.Crashing{Body: endingBody, After: endingAfter})
-	lasts, content := endingTime+fault.Duration, fault.Count%endingContents
-	r.disturb(lasts+endedFor, endedServers)
+func (r *run) sendCrashing(fault Fault) {
+	r.site.CrashOn(site.Crashing{Body: crashBody, After: crashDelay})
+	lasts, content := minCrashTime+fault.Duration, fault.Count%crashFingerprints
+	r.recordDisturbance(lasts+crashDowntime, crashedServers)
 	ctx, cancel := context.WithTimeout(r.context, lasts)
-	r.after(lasts, func() error { cancel(); return nil })
-	r.endings++
-	number := r.endings
+	r.schedule(lasts, func() error { cancel(); return nil })
+	r.crashFaults++
+	number := r.crashFaults
 	random := rand.New(rand.NewPCG(r.options.Seed, uint64(number)))
-	r.calling.Go(func() { r.callers.askEnding(ctx, content, number, random) })
-	for pause := endsLook; pause < lasts+2*endedFor; pause += endsLook {
-		r.after(pause, r.startEnded)
+	r.callerGroup.Go(func() { r.callers.sendCrashing(ctx, content, number, random) })
+	for pause := crashPollInterval; pause < lasts+2*crashDowntime; pause += crashPollInterval {
+		r.schedule(pause, r.restartCrashed)
 	}
 }
 
-// askEnding asks for a content until the context ends.
-func (c *callers) askEnding(ctx context.Context, content, fault int, random *rand.Rand) {
+// sendCrashing asks for a content until the context ends.
+func (c *callers) sendCrashing(ctx context.Context, content, fault int, random *rand.Rand) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: callTimeout}
-	ticker := time.NewTicker(endingPace)
+	ticker := time.NewTicker(crashRequestInterval)
 	defer ticker.Stop()
 	for number := 0; ctx.Err() == nil; number++ {
 		zone, index := random.IntN(c.site.Options.Zones), random.IntN(c.site.Options.Entries)
-		id := fmt.Sprintf("%s%d-%d-%d", endingID, content, fault, number)
-		c.noteEnding(id, launch.SiteProcessName(site.RoleEntry, zone, index))
-		go c.sendEnding(client, zone, index, id, content)
+		id := fmt.Sprintf("%s%d-%d-%d", crashIDPrefix, content, fault, number)
+		c.recordCrashSender(id, launch.SiteProcessName(site.RoleEntry, zone, index))
+		go c.sendCrashingRequest(client, zone, index, id, content)
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -72,8 +72,8 @@
 	}
 }
 
-func (c *callers) sendEnding(client *http.Client, zone, index int, id string, content int) {
-	request, err := c.site.NewRequest(zone, index, http.MethodPost, site.StreamPrefix+"ending", id, endingBody+fmt.Sprint(content), 1)
+func (c *callers) sendCrashingRequest(client *http.Client, zone, index int, id string, content int) {
+	request, err := c.site.NewRequest(zone, index, http.MethodPost, site.StreamPrefix+"ending", id, crashBody+fmt.Sprint(content), 1)
 	if err != nil {
 		return
 	}
@@ -86,20 +86,20 @@
 	_ = response.Body.Close()
 }
 
-// noteEnding notes to which entry a request was sent.
-func (c *callers) noteEnding(id, entry string) {
+// recordCrashSender notes to which entry a request was sent.
+func (c *callers) recordCrashSender(id, entry string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.endings == nil {
-		c.endings = map[string]string{}
+	if c.crashSenders == nil {
+		c.crashSenders = map[string]string{}
 	}
-	c.endings[id] = entry
+	c.crashSenders[id] = entry
 }
 
-// startEnded starts servers again that have ended a while ago, where nothing else has.
-func (r *run) startEnded() error {
+// restartCrashed starts servers again that have ended a while ago, where nothing else has.
+func (r *run) restartCrashed() error {
 	for _, end := range r.site.Ends() {
-		if r.restarted[end.Server] || time.Since(end.At) < endedFor {
+		if r.restarted[end.Server] || time.Since(end.At) < crashDowntime {
 			continue
 		}
 		r.restarted[end.Server] = true
@@ -117,21 +117,21 @@
 	return nil
 }
 
-// judgeEndings judges what came to servers of contents that had ended as many as are allowed.
-func (r Record) judgeEndings() []Violation {
+// checkCrashes judges what came to servers of contents that had ended as many as are allowed.
+func (r Record) checkCrashes() []Violation {
 	var found []Violation
-	for content := range endingContents {
-		prefix := fmt.Sprintf("%s%d-", endingID, content)
-		known, ended := thirdEnd(r.Crashes, prefix)
+	for content := range crashFingerprints {
+		prefix := fmt.Sprintf("%s%d-", crashIDPrefix, content)
+		known, ended := lastAllowedCrash(r.Crashes, prefix)
 		if !ended {
 			continue
 		}
 		late := 0
 		for _, arrival := range r.Arrivals {
-			if !strings.HasPrefix(arrival.RequestID, prefix) || !arrival.At.After(known.Add(contact)) || !r.inTouch(r.CrashSenders[arrival.RequestID], arrival.At) {
+			if !strings.HasPrefix(arrival.RequestID, prefix) || !arrival.At.After(known.Add(recoveryMargin)) || !r.entryConnected(r.CrashSenders[arrival.RequestID], arrival.At) {
 				continue
 			}
-			if late++; late > lateAllowed {
+			if late++; late > allowedLateSends {
 				found = append(found, Violation{
 					Guarantee: QueryOfDeathContained, At: arrival.At, Request: arrival.RequestID,
 					Detail: fmt.Sprintf("%s sent it to %s, %s after three servers had ended under its content", r.CrashSenders[arrival.RequestID], arrival.Server, arrival.At.Sub(known)),
@@ -142,12 +142,12 @@
 	return found
 }
 
-// thirdEnd is when as many servers had ended under a content as are allowed.
-func thirdEnd(ends []site.End, prefix string) (time.Time, bool) {
+// lastAllowedCrash is when as many servers had ended under a content as are allowed.
+func lastAllowedCrash(ends []site.End, prefix string) (time.Time, bool) {
 	count := 0
 	for _, end := range ends {
 		if strings.HasPrefix(end.RequestID, prefix) {
-			if count++; count == endsAllowed {
+			if count++; count == allowedCrashes {
 				return end.At, true
 			}
 		}
--- a/internal/experiment/soak/regions.go
+++ b/internal/experiment/soak/regions.go
@@ -6,9 +6,9 @@
 	"pinevane.example/pinevane/internal/emulator/site"
 )
 
-// narrowTime is the least that narrower regions hold: so long that the configuration is in
+// minNarrowTime is the least that narrower regions hold: so long that the configuration is in
 // force for a while, and what was drawn comes on top of it.
-const narrowTime = 4 * time.Second
+const minNarrowTime = 4 * time.Second
 
 // publishRegions publishes the allowed regions as they now are.
 func (r *run) publishRegions() {
@@ -25,7 +25,7 @@
 	wide := *list
 	*list = regions
 	r.publishRegions()
-	r.after(lasts, func() error {
+	r.schedule(lasts, func() error {
 		r.busy[key] = false
 		*list = wide
 		r.publishRegions()
@@ -39,7 +39,7 @@
 	if fault.Index%2 == 0 {
 		list, key = &r.allowed.Once, "regions of requests that run once"
 	}
-	r.narrow(list, key, (*list)[fault.Count%len(*list):][:1], narrowTime+fault.Duration)
+	r.narrow(list, key, (*list)[fault.Count%len(*list):][:1], minNarrowTime+fault.Duration)
 }
 
 // narrowTenant allows requests of the tenant in all regions but one. The middle one, which both
@@ -50,5 +50,5 @@
 	if other := fault.Count % r.site.Options.Zones; other != shared {
 		regions = append(regions, site.RegionName(other))
 	}
-	r.narrow(&r.allowed.Tenant, "regions of the tenant", regions, narrowTime+fault.Duration)
+	r.narrow(&r.allowed.Tenant, "regions of the tenant", regions, minNarrowTime+fault.Duration)
 }
--- a/internal/experiment/soak/run_test.go
+++ b/internal/experiment/soak/run_test.go
@@ -24,25 +24,25 @@
 	}{{0, 0}, {1, 0}, {2, 1}} {
 		r := &run{callers: &callers{attempts: []Attempt{earlier}}}
 		for range 20 {
-			r.callers.note(served)
+			r.callers.recordAttempt(served)
 		}
 		for range one.refused {
-			r.callers.note(refused)
+			r.callers.recordAttempt(refused)
 		}
-		r.judgeRecovery(since)
-		require.Len(t, r.found, one.found)
+		r.checkRecovery(since)
+		require.Len(t, r.violations, one.found)
 	}
 	r := &run{callers: &callers{attempts: []Attempt{earlier}}}
-	r.judgeRecovery(since)
-	require.Len(t, r.found, 1)
-	assert.Equal(t, RecoveryInTime, r.found[0].Guarantee)
+	r.checkRecovery(since)
+	require.Len(t, r.violations, 1)
+	assert.Equal(t, RecoveryInTime, r.violations[0].Guarantee)
 }
 
 // A process that has ended though nothing ended it is found and started again; one that a fault
 // has ended is not.
 func TestProcessThatHasEndedIsFound(t *testing.T) {
 	const endsAtOnce = "/bin/true"
-	fleet, err := launch.NewSiteFleet(endsAtOnce, "", shape())
+	fleet, err := launch.NewSiteFleet(endsAtOnce, "", siteOptions())
 	require.NoError(t, err)
 	defer fleet.Close()
 	options := fleet.Site.Options
@@ -58,11 +58,11 @@
 	r := &run{options: Options{Output: io.Discard}, fleet: fleet, site: fleet.Site, busy: map[string]bool{killed: true}}
 	expected := options.Zones*(options.Entries+options.ModelServers) - 1
 	assert.Eventually(t, func() bool {
-		r.found = nil
-		require.NoError(t, r.lookAtProcesses())
-		return len(r.found) == expected
+		r.violations = nil
+		require.NoError(t, r.checkProcesses())
+		return len(r.violations) == expected
 	}, 10*time.Second, 50*time.Millisecond)
-	for _, found := range r.found {
+	for _, found := range r.violations {
 		assert.Equal(t, NoUnexpectedExit, found.Guarantee)
 		assert.NotContains(t, found.Detail, killed)
 	}
--- a/internal/experiment/soak/schedule.go
+++ b/internal/experiment/soak/schedule.go
@@ -86,24 +86,24 @@
 	// its faults strike; after that it is calm.
 	seriesPeriod = 9 * time.Second
 	seriesSpread = 4 * time.Second
-	mostInSeries = 4
-	shortest     = 300 * time.Millisecond
-	longest      = 3 * time.Second
-	// seedStream tells the schedule's random numbers from others of the same seed.
-	seedStream = 1
+	maxInSeries = 4
+	minFaultDuration     = 300 * time.Millisecond
+	maxFaultDuration      = 3 * time.Second
+	// scheduleSeedStream tells the schedule's random numbers from others of the same seed.
+	scheduleSeedStream = 1
 )
 
 // GenerateSchedule makes the schedule of a seed: series of one to four faults that overlap, with calm
 // between them, of some kinds, on a fleet of zones with a number of machines.
 func GenerateSchedule(seed uint64, duration time.Duration, zones, machines int, kinds []FaultKind) []Fault {
-	random := rand.New(rand.NewPCG(seed, seedStream))
+	random := rand.New(rand.NewPCG(seed, scheduleSeedStream))
 	var schedule []Fault
 	for begin := time.Duration(0); begin+seriesPeriod <= duration; begin += seriesPeriod {
-		for range 1 + random.IntN(mostInSeries) {
+		for range 1 + random.IntN(maxInSeries) {
 			schedule = append(schedule, Fault{
 				Kind:     kinds[random.IntN(len(kinds))],
 				At:       begin + time.Duration(random.Int64N(int64(seriesSpread))),
-				Duration: shortest + time.Duration(random.Int64N(int64(longest-shortest))),
+				Duration: minFaultDuration + time.Duration(random.Int64N(int64(maxFaultDuration-minFaultDuration))),
 				Zone:     random.IntN(zones), Index: random.IntN(machines), Count: 1 + random.IntN(8),
 			})
 		}
--- a/internal/experiment/soak/settings.go
+++ b/internal/experiment/soak/settings.go
@@ -10,24 +10,24 @@
 // addedZone is a zone without machines that changed settings name.
 const addedZone = "hall-added"
 
-// machine is a process of a fault: an entry or an agent.
-type machine struct {
+// process is a process of a fault: an entry or an agent.
+type process struct {
 	role        string
 	zone, index int
 }
 
-func (m machine) name() string { return launch.SiteProcessName(m.role, m.zone, m.index) }
+func (m process) name() string { return launch.SiteProcessName(m.role, m.zone, m.index) }
 
-// anyProcess picks an entry or an agent.
-func (r *run) anyProcess(fault Fault) machine {
+// pickProcess picks an entry or an agent.
+func (r *run) pickProcess(fault Fault) process {
 	if fault.Count%2 == 0 {
-		return machine{role: site.RoleEntry, zone: fault.Zone, index: fault.Index % r.site.Options.Entries}
+		return process{role: site.RoleEntry, zone: fault.Zone, index: fault.Index % r.site.Options.Entries}
 	}
-	return machine{role: site.RoleAgent, zone: fault.Zone, index: fault.Index % r.site.Options.ModelServers}
+	return process{role: site.RoleAgent, zone: fault.Zone, index: fault.Index % r.site.Options.ModelServers}
 }
 
 // reload gives a process another settings file, unless it is stopped or about to be started.
-func (r *run) reload(process machine, settings []byte) error {
+func (r *run) reload(process process, settings []byte) error {
 	if r.busy[process.name()] {
 		return nil
 	}
@@ -37,8 +37,8 @@
 }
 
 // reloadFor gives a process other settings for a time and then its own again.
-func (r *run) reloadFor(process machine, settings []byte, lasts time.Duration) error {
-	r.after(lasts, func() error {
+func (r *run) reloadFor(process process, settings []byte, lasts time.Duration) error {
+	r.schedule(lasts, func() error {
 		return r.reload(process, r.site.Settings(process.role, process.zone, process.index))
 	})
 	return r.reload(process, settings)
@@ -46,7 +46,7 @@
 
 // changeSettings names another zone, and other bounds of repeats, in a settings file.
 func (r *run) changeSettings(fault Fault) error {
-	process := r.anyProcess(fault)
+	process := r.pickProcess(fault)
 	changed := r.site.ChangedSettings(process.role, process.zone, process.index, func(settings map[string]any) {
 		settings["zones"].(map[string]any)[addedZone] = site.RegionName(fault.Count % r.site.Options.Zones)
 		settings["bounds"].(map[string]any)["budgetSlack"] = r.site.Options.BudgetSlack + fault.Count
@@ -54,9 +54,9 @@
 	return r.reloadFor(process, changed, fault.Duration)
 }
 
-// spoilSettings writes a settings file that can't be taken over.
-func (r *run) spoilSettings(fault Fault) error {
-	process := r.anyProcess(fault)
+// writeInvalidSettings writes a settings file that can't be taken over.
+func (r *run) writeInvalidSettings(fault Fault) error {
+	process := r.pickProcess(fault)
 	spoilt := r.site.Settings(process.role, process.zone, process.index)
 	switch fault.Index % 3 {
 	case 0:
--- a/internal/experiment/soak/soak.go
+++ b/internal/experiment/soak/soak.go
@@ -32,25 +32,25 @@
 const (
 	firstNetwork  = 200
 	networks      = 50
-	readyLimit    = 20 * time.Second
-	progressPause = 30 * time.Second
-	// lookPause is how often the judge looks while the fleet runs, and looks how often at most
+	readyTimeout    = 20 * time.Second
+	progressInterval = 30 * time.Second
+	// minCheckInterval is how often the judge looks while the fleet runs, and looks how often at most
 	// in a whole run, since each look goes through all that was seen.
-	lookPause = 5 * time.Second
-	looks     = 100
-	// endedAtOnce is how long a process is waited for that is looked after.
-	endedAtOnce = time.Millisecond
-	// callerStreams tells the callers' random numbers from others of the same seed.
-	callerStreams = 100
+	minCheckInterval = 5 * time.Second
+	maxChecks     = 100
+	// exitPollTimeout is how long a process is waited for that is looked after.
+	exitPollTimeout = time.Millisecond
+	// callerSeedStream tells the callers' random numbers from others of the same seed.
+	callerSeedStream = 100
 	// settleTime follows the last fault; then the fleet must serve again.
 	settleTime = 12 * time.Second
-	// finalTime is how long requests are counted then, finalShare the part of them that
+	// finalPeriod is how long requests are counted then, finalShare the part of them that
 	// must be answered.
-	finalTime  = 3 * time.Second
-	finalShare = 0.95
+	finalPeriod  = 3 * time.Second
+	minFinalRatio = 0.95
 )
 
-func shape() site.Options {
+func siteOptions() site.Options {
 	return site.Options{
 		Network: site.FreeNetwork(firstNetwork, networks, os.Getpid()), Zones: 3, Entries: 2, ModelServers: 3, PlainServers: 1,
 		Weights:   site.Weights{Model: "dialect", Pieces: 48, PieceBytes: 24576, Layers: 16},
@@ -77,19 +77,19 @@
 	busy     map[string]bool
 	version  uint64
 	record   Record
-	found    []Violation
-	struck   map[FaultKind]int
+	violations    []Violation
+	faultCounts   map[FaultKind]int
 	allowed  site.AllowedRegions
-	// told are the violations that have been printed.
-	told map[Violation]bool
-	// calling are the callers, which end with their context.
-	calling sync.WaitGroup
+	// printed are the violations that have been printed.
+	printed map[Violation]bool
+	// callerGroup are the callers, which end with their context.
+	callerGroup sync.WaitGroup
 	context context.Context
 	// bursts counts the bursts of callers, whose numbers follow those of the lasting ones.
 	bursts int
-	// endings counts the faults that ask for contents which end servers; restarted are the servers
+	// crashFaults counts the faults that ask for contents which end servers; restarted are the servers
 	// that were started again since.
-	endings   int
+	crashFaults   int
 	restarted map[string]bool
 }
 
@@ -99,8 +99,8 @@
 	do func() error
 }
 
-// after queues something to be done a while from now.
-func (r *run) after(pause time.Duration, do func() error) {
+// schedule queues something to be done a while from now.
+func (r *run) schedule(pause time.Duration, do func() error) {
 	r.timeline = append(r.timeline, step{at: time.Now().Add(pause), do: do})
 	slices.SortStableFunc(r.timeline, func(a, b step) int { return cmp.Compare(a.at.UnixNano(), b.at.UnixNano()) })
 }
@@ -108,18 +108,18 @@
 // Run plays the schedule of a seed and reports what it found. A broken promise is a
 // *fault.PromiseBroken.
 func Run(options Options) error {
-	fleet, err := launch.NewSiteFleet(options.Executable, options.LogDirectory, shape())
+	fleet, err := launch.NewSiteFleet(options.Executable, options.LogDirectory, siteOptions())
 	if err != nil {
 		return err
 	}
 	defer fleet.Close()
 	r := newRun(options, fleet)
-	if err := fleet.StartAll(readyLimit); err != nil {
+	if err := fleet.StartAll(readyTimeout); err != nil {
 		return err
 	}
 	r.printf("seed %d: %d entries and %d agents run, as processes, in %d zones; logs in %s", options.Seed,
 		r.site.Options.Zones*r.site.Options.Entries, r.site.Options.Zones*r.site.Options.ModelServers, r.site.Options.Zones, options.LogDirectory)
-	return r.play()
+	return r.execute()
 }
 
 // newRun prepares a run on a fleet of which no process runs yet.
@@ -127,7 +127,7 @@
 	bounds := fleet.Site.Options
 	r := &run{
 		options: options, fleet: fleet, site: fleet.Site, callers: &callers{site: fleet.Site},
-		busy: map[string]bool{}, version: 1, struck: map[FaultKind]int{}, told: map[Violation]bool{}, restarted: map[string]bool{}, allowed: bounds.TwoRoutes(),
+		busy: map[string]bool{}, version: 1, faultCounts: map[FaultKind]int{}, printed: map[Violation]bool{}, restarted: map[string]bool{}, allowed: bounds.TwoRoutes(),
 		record: Record{
 			VersionApply: time.Duration(bounds.VersionMs) * time.Millisecond, Drain: time.Duration(bounds.DrainMs) * time.Millisecond,
 			Grace:              time.Duration(bounds.GraceS * float64(time.Second)),
@@ -144,25 +144,25 @@
 	_, _ = fmt.Fprintf(r.options.Output, format+"\n", values...)
 }
 
-func (r *run) play() error {
+func (r *run) execute() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	r.context = ctx
-	r.call(ctx, 0)
-	err := r.follow()
+	r.startCallers(ctx, 0)
+	err := r.runSchedule()
 	cancel()
-	r.calling.Wait()
+	r.callerGroup.Wait()
 	if err != nil {
 		return err
 	}
 	return r.report()
 }
 
-// call starts callers in every zone, numbered from one on, that last as long as a context.
-func (r *run) call(ctx context.Context, first int) {
+// startCallers starts callers in every zone, numbered from one on, that last as long as a context.
+func (r *run) startCallers(ctx context.Context, first int) {
 	for zone := range r.site.Options.Zones {
 		for caller := first; caller < first+callersPerZone; caller++ {
-			random := rand.New(rand.NewPCG(r.options.Seed, callerStreams+uint64(zone+caller*r.site.Options.Zones)))
-			r.calling.Go(func() { r.callers.run(ctx, zone, caller, random) })
+			random := rand.New(rand.NewPCG(r.options.Seed, callerSeedStream+uint64(zone+caller*r.site.Options.Zones)))
+			r.callerGroup.Go(func() { r.callers.run(ctx, zone, caller, random) })
 		}
 	}
 }
@@ -171,41 +171,41 @@
 func (r *run) burst(lasts time.Duration) {
 	r.bursts++
 	ctx, cancel := context.WithTimeout(r.context, lasts)
-	r.call(ctx, r.bursts*callersPerZone)
-	r.after(lasts, func() error { cancel(); return nil })
+	r.startCallers(ctx, r.bursts*callersPerZone)
+	r.schedule(lasts, func() error { cancel(); return nil })
 }
 
-// follow plays the schedule, lets the fleet settle, and counts what it then serves.
-func (r *run) follow() error {
+// runSchedule plays the schedule, lets the fleet settle, and counts what it then serves.
+func (r *run) runSchedule() error {
 	began := time.Now()
 	for _, one := range GenerateSchedule(r.options.Seed, r.options.Duration, r.site.Options.Zones, r.site.Options.ModelServers, r.options.Kinds) {
 		r.timeline = append(r.timeline, step{at: began.Add(one.At), do: func() error {
-			r.struck[one.Kind]++
-			return r.strike(one)
+			r.faultCounts[one.Kind]++
+			return r.inject(one)
 		}})
 	}
-	r.after(r.options.Duration, func() error { return nil })
-	for pause := progressPause; pause < r.options.Duration; pause += progressPause {
-		r.after(pause, func() error { r.progress(began); return nil })
+	r.schedule(r.options.Duration, func() error { return nil })
+	for pause := progressInterval; pause < r.options.Duration; pause += progressInterval {
+		r.schedule(pause, func() error { r.printProgress(began); return nil })
 	}
-	for pause := r.lookPause(); pause < r.options.Duration; pause += r.lookPause() {
-		r.after(pause, func() error { return r.look() })
+	for pause := r.checkInterval(); pause < r.options.Duration; pause += r.checkInterval() {
+		r.schedule(pause, func() error { return r.checkSoFar() })
 	}
-	if err := r.work(); err != nil {
+	if err := r.runTimeline(); err != nil {
 		return err
 	}
-	r.after(settleTime, func() error { return nil })
-	if err := r.work(); err != nil {
+	r.schedule(settleTime, func() error { return nil })
+	if err := r.runTimeline(); err != nil {
 		return err
 	}
 	counted := time.Now()
-	time.Sleep(finalTime)
-	r.judgeRecovery(counted)
+	time.Sleep(finalPeriod)
+	r.checkRecovery(counted)
 	return nil
 }
 
-// work does what is on the timeline until nothing is left.
-func (r *run) work() error {
+// runTimeline does what is on the timeline until nothing is left.
+func (r *run) runTimeline() error {
 	for len(r.timeline) > 0 {
 		next := r.timeline[0]
 		r.timeline = r.timeline[1:]
@@ -217,54 +217,54 @@
 	return nil
 }
 
-func (r *run) progress(began time.Time) {
+func (r *run) printProgress(began time.Time) {
 	struck := 0
-	for _, count := range r.struck {
+	for _, count := range r.faultCounts {
 		struck += count
 	}
-	r.printf("%4.0f s: %d faults, %d requests", time.Since(began).Seconds(), struck, len(r.callers.all()))
+	r.printf("%4.0f s: %d faults, %d requests", time.Since(began).Seconds(), struck, len(r.callers.allAttempts()))
 }
 
-// lookPause is how often the judge looks.
-func (r *run) lookPause() time.Duration { return max(lookPause, r.options.Duration/looks) }
+// checkInterval is how often the judge looks.
+func (r *run) checkInterval() time.Duration { return max(minCheckInterval, r.options.Duration/maxChecks) }
 
-// look judges what was seen so far and prints what is new.
-func (r *run) look() error {
-	r.gather()
-	for _, one := range append(r.found, Check(r.record)...) {
-		r.tell(one)
+// checkSoFar judges what was seen so far and prints what is new.
+func (r *run) checkSoFar() error {
+	r.collect()
+	for _, one := range append(r.violations, Check(r.record)...) {
+		r.printViolation(one)
 	}
-	return r.lookAtProcesses()
+	return r.checkProcesses()
 }
 
-// gather takes over what callers and servers have seen.
-func (r *run) gather() {
+// collect takes over what callers and servers have seen.
+func (r *run) collect() {
 	// What callers saw comes first: each request of theirs has then left its traces at servers.
-	r.record.Attempts, r.record.CrashSenders = r.callers.all(), r.callers.allEndings()
+	r.record.Attempts, r.record.CrashSenders = r.callers.allAttempts(), r.callers.allCrashSenders()
 	r.record.Crashes = r.site.Ends()
 	r.record.Runs, r.record.Arrivals, r.record.Deliveries = r.site.Ledger.Runs(), r.site.Ledger.Arrivals(), r.site.Ledger.Deliveries()
 	r.record.Notices = r.site.Ledger.Asks()
 }
 
-// tell prints a violation once.
-func (r *run) tell(one Violation) {
-	if r.told[one] {
+// printViolation prints a violation once.
+func (r *run) printViolation(one Violation) {
+	if r.printed[one] {
 		return
 	}
-	r.told[one] = true
+	r.printed[one] = true
 	r.printf("  seed %d, %s: %s, request %q: %s", r.options.Seed, one.At.Format("15:04:05.000"), one.Guarantee, one.Request, one.Detail)
 }
 
-// lookAtProcesses notes processes that have ended by themselves, and starts them again.
-func (r *run) lookAtProcesses() error {
+// checkProcesses notes processes that have ended by themselves, and starts them again.
+func (r *run) checkProcesses() error {
 	for zone := range r.site.Options.Zones {
 		for role, count := range map[string]int{site.RoleEntry: r.site.Options.Entries, site.RoleAgent: r.site.Options.ModelServers} {
 			for index := range count {
 				name := launch.SiteProcessName(role, zone, index)
-				if r.busy[name] || !r.fleet.Group.WaitExit(name, endedAtOnce) {
+				if r.busy[name] || !r.fleet.Group.WaitExit(name, exitPollTimeout) {
 					continue
 				}
-				r.found = append(r.found, Violation{Guarantee: NoUnexpectedExit, At: time.Now(), Detail: name + " has ended"})
+				r.violations = append(r.violations, Violation{Guarantee: NoUnexpectedExit, At: time.Now(), Detail: name + " has ended"})
 				if err := r.fleet.Restart(role, zone, index); err != nil {
 					return err
 				}
@@ -274,10 +274,10 @@
 	return nil
 }
 
-// judgeRecovery counts the requests since a moment at which all faults are long over.
-func (r *run) judgeRecovery(since time.Time) {
+// checkRecovery counts the requests since a moment at which all faults are long over.
+func (r *run) checkRecovery(since time.Time) {
 	total, served := 0, 0
-	for _, attempt := range r.callers.all() {
+	for _, attempt := range r.callers.allAttempts() {
 		if attempt.Sent.After(since) {
 			total++
 			if attempt.Status == 200 && attempt.Correct {
@@ -285,29 +285,29 @@
 			}
 		}
 	}
-	if total == 0 || float64(served) < finalShare*float64(total) {
-		r.found = append(r.found, Violation{Guarantee: RecoveryInTime, At: since, Detail: fmt.Sprintf("%d of %d requests served after all faults", served, total)})
+	if total == 0 || float64(served) < minFinalRatio*float64(total) {
+		r.violations = append(r.violations, Violation{Guarantee: RecoveryInTime, At: since, Detail: fmt.Sprintf("%d of %d requests served after all faults", served, total)})
 	}
 }
 
 // report judges the whole run and prints it.
 func (r *run) report() error {
-	if err := r.lookAtProcesses(); err != nil {
+	if err := r.checkProcesses(); err != nil {
 		return err
 	}
-	r.gather()
-	found := append(r.found, Check(r.record)...)
+	r.collect()
+	found := append(r.violations, Check(r.record)...)
 	answered, refused := 0, 0
 	for _, attempt := range r.record.Attempts {
 		switch {
 		case attempt.Status == 200 && attempt.Correct:
 			answered++
-		case saysNotRun(attempt.Status):
+		case meansNotExecuted(attempt.Status):
 			refused++
 		}
 	}
 	for _, kind := range FaultKinds {
-		if count := r.struck[kind]; count > 0 {
+		if count := r.faultCounts[kind]; count > 0 {
 			r.printf("  %-24s %d", kind, count)
 		}
 	}
@@ -316,7 +316,7 @@
 	r.printf("cold servers received up to %d requests in a second, and bear %g", r.site.Ledger.MostWhileCold(), r.record.ColdLimit)
 	r.printf("violations: %d", len(found))
 	for _, one := range found {
-		r.tell(one)
+		r.printViolation(one)
 	}
 	if len(found) > 0 {
 		return &fault.GuaranteeViolated{Guarantee: string(found[0].Guarantee), Detail: found[0].Detail}
--- a/internal/experiment/soak/soak_test.go
+++ b/internal/experiment/soak/soak_test.go
@@ -10,9 +10,9 @@
 	"pinevane.example/pinevane/internal/emulator/site"
 )
 
-// soundRecord is a run in which every promise held: one request of each kind, a version
+// validRecord is a run in which every promise held: one request of each kind, a version
 // that was named and a server that left.
-func soundRecord(began time.Time) Record {
+func validRecord(began time.Time) Record {
 	at := func(seconds float64) time.Time { return began.Add(time.Duration(seconds * float64(time.Second))) }
 	run := func(id, server string, version uint64, seconds float64) site.Run {
 		return site.Run{RequestID: id, Server: server, Version: version, Tenant: site.Tenant, At: at(seconds)}
@@ -67,7 +67,7 @@
 // The check of each promise finds what breaks it, and only that.
 func TestEachBrokenPromiseIsFound(t *testing.T) {
 	began := time.Now()
-	require.Empty(t, Check(soundRecord(began)))
+	require.Empty(t, Check(validRecord(began)))
 	deliver := func(server string, seconds float64) site.Delivery {
 		return site.Delivery{RequestID: "once", Server: server, Zone: site.ZoneName(1), At: began.Add(time.Duration(seconds * float64(time.Second)))}
 	}
@@ -99,7 +99,7 @@
 			r.Attempts[2].Sent, r.Attempts[2].Ended, r.Attempts[2].Status = began.Add(69*time.Second), began.Add(70100*time.Millisecond), 0
 		}},
 		{QueryOfDeathContained, func(r *Record) {
-			for range lateAllowed + 1 {
+			for range allowedLateSends + 1 {
 				r.Arrivals = append(r.Arrivals, site.Arrival{RequestID: "ending-0-1-3", Server: "i-1", Path: site.StreamPrefix, Region: site.RegionName(2), At: began.Add(86 * time.Second)})
 			}
 		}},
@@ -111,7 +111,7 @@
 			}
 		}},
 	} {
-		record := soundRecord(began)
+		record := validRecord(began)
 		one.spoil(&record)
 		found := Check(record)
 		if assert.Len(t, found, 1, one.promise) {
@@ -123,7 +123,7 @@
 // Bounds of time hold only where nothing was disturbed shortly before.
 func TestBoundsOfTimeWaitForCalm(t *testing.T) {
 	began := time.Now()
-	record := soundRecord(began)
+	record := validRecord(began)
 	record.Runs[1].Version = 1
 	record.Disturbances = []Interval{{From: began.Add(15 * time.Second), To: began.Add(18 * time.Second)}}
 	assert.Empty(t, Check(record), "the version was named 2 s after the store was back")
@@ -136,7 +136,7 @@
 func TestBoundsOfPlacesHoldForEntriesInTouch(t *testing.T) {
 	began := time.Now()
 	at := func(seconds float64) time.Time { return began.Add(time.Duration(seconds * float64(time.Second))) }
-	record := soundRecord(began)
+	record := validRecord(began)
 	record.Arrivals[0].At, record.Deliveries[1].At = at(55), at(34)
 	require.Len(t, Check(record), 2)
 	for _, one := range []struct {
@@ -152,7 +152,7 @@
 		record.Disturbances = one.spans
 		assert.Len(t, Check(record), one.found, one.what)
 	}
-	record = soundRecord(began)
+	record = validRecord(began)
 	record.Arrivals[0].At, record.Deliveries[1].At = at(51.5), at(32.5)
 	assert.Empty(t, Check(record), "before the bounds")
 	record.Arrivals[0].At, record.Deliveries[1].At = at(60.5), at(38.5)
@@ -161,7 +161,7 @@
 
 // Requests whose callers still wait are judged once it is known which entry they were sent to.
 func TestRequestsUnderWayAreJudgedLater(t *testing.T) {
-	record := soundRecord(time.Now())
+	record := validRecord(time.Now())
 	record.Deliveries[1].At = record.Evacuations[0].Requested.Add(4 * time.Second)
 	answered := record.Attempts
 	record.Attempts = nil
@@ -173,7 +173,7 @@
 // Requests of a server that lies are as bound as all others: one that may run once has not run
 // twice because the server failed it after it had begun.
 func TestSecondRunAfterALyingServerIsFound(t *testing.T) {
-	record := soundRecord(time.Now())
+	record := validRecord(time.Now())
 	lying := record.Runs[0]
 	lying.Server = "p-lying"
 	record.Runs = append(record.Runs, lying)
@@ -192,7 +192,7 @@
 		for _, fault := range GenerateSchedule(seed, time.Minute, 3, 3, FaultKinds) {
 			struck[fault.Kind] = true
 			assert.Less(t, fault.At, time.Minute-4*time.Second)
-			assert.GreaterOrEqual(t, fault.Duration, shortest)
+			assert.GreaterOrEqual(t, fault.Duration, minFaultDuration)
 		}
 	}
 	assert.Len(t, struck, len(FaultKinds))
@@ -204,10 +204,10 @@
 // A stream's answer is its own only when every event is there once and in order.
 func TestOwnAnswers(t *testing.T) {
 	stream := Attempt{ID: "a", Kind: CallStream}
-	assert.True(t, isOwn(stream, "id: 1\ndata: a/1\n\nid: 2\ndata: a/2\n\n", "POST", "/stream/gloss", "", 2))
-	assert.False(t, isOwn(stream, "id: 1\ndata: a/1\n\n", "POST", "/stream/gloss", "", 2), "one is missing")
-	assert.False(t, isOwn(stream, "id: 1\ndata: a/1\n\nid: 1\ndata: a/1\n\n", "POST", "/stream/gloss", "", 2), "one comes twice")
-	assert.False(t, isOwn(stream, "id: 1\ndata: b/1\n\nid: 2\ndata: b/2\n\n", "POST", "/stream/gloss", "", 2), "another's")
-	assert.True(t, isOwn(Attempt{ID: "c", Kind: CallOnce}, "POST /once/save words of c", "POST", "/once/save", "words of c", 0))
-	assert.False(t, isOwn(Attempt{ID: "c", Kind: CallOnce}, "POST /once/save words of d", "POST", "/once/save", "words of c", 0))
+	assert.True(t, isCorrect(stream, "id: 1\ndata: a/1\n\nid: 2\ndata: a/2\n\n", "POST", "/stream/gloss", "", 2))
+	assert.False(t, isCorrect(stream, "id: 1\ndata: a/1\n\n", "POST", "/stream/gloss", "", 2), "one is missing")
+	assert.False(t, isCorrect(stream, "id: 1\ndata: a/1\n\nid: 1\ndata: a/1\n\n", "POST", "/stream/gloss", "", 2), "one comes twice")
+	assert.False(t, isCorrect(stream, "id: 1\ndata: b/1\n\nid: 2\ndata: b/2\n\n", "POST", "/stream/gloss", "", 2), "another's")
+	assert.True(t, isCorrect(Attempt{ID: "c", Kind: CallOnce}, "POST /once/save words of c", "POST", "/once/save", "words of c", 0))
+	assert.False(t, isCorrect(Attempt{ID: "c", Kind: CallOnce}, "POST /once/save words of d", "POST", "/once/save", "words of c", 0))
 }
--- a/internal/experiment/soak/zones.go
+++ b/internal/experiment/soak/zones.go
@@ -8,12 +8,12 @@
 
 // Times of evacuations that are not drawn.
 const (
-	// evacuationTime is the least that an evacuation lasts: the platform's 5 s, after which
+	// minEvacuationTime is the least that an evacuation lasts: the platform's 5 s, after which
 	// nothing may arrive, and what was drawn comes on top of it.
-	evacuationTime = 5 * time.Second
-	// askedAgain is when a zone is evacuated anew after that was taken back, less than servers
+	minEvacuationTime = 5 * time.Second
+	// evacuateAgainDelay is when a zone is evacuated anew after that was taken back, less than servers
 	// take to say that they have become cold.
-	askedAgain = 200 * time.Millisecond
+	evacuateAgainDelay = 200 * time.Millisecond
 )
 
 // evacuate asks that a zone's servers get nothing new for a time, after which they are cold.
@@ -24,7 +24,7 @@
 // evacuateTwice takes an evacuation back after a time and asks for it again.
 func (r *run) evacuateTwice(zone int, first, second time.Duration) {
 	r.evacuateThen(zone, first, func() {
-		r.after(askedAgain, func() error { r.evacuate(zone, second); return nil })
+		r.schedule(evacuateAgainDelay, func() error { r.evacuate(zone, second); return nil })
 	})
 }
 
@@ -37,7 +37,7 @@
 	r.site.Evacuate(name)
 	index := len(r.record.Evacuations)
 	r.record.Evacuations = append(r.record.Evacuations, Evacuation{Zone: name, Requested: time.Now()})
-	r.after(lasts, func() error {
+	r.schedule(lasts, func() error {
 		r.busy[name] = false
 		r.record.Evacuations[index].Ended = time.Now()
 		r.site.EndEvacuation(name)
@@ -46,16 +46,16 @@
 	})
 }
 
-// turnCold makes the servers of a zone cold while they are in use.
-func (r *run) turnCold(zone int) {
+// turnZoneCold makes the servers of a zone cold while they are in use.
+func (r *run) turnZoneCold(zone int) {
 	for index := range r.site.Options.ModelServers {
 		r.site.Models[r.site.Options.ModelIP(zone, index)].SetCold(true)
 	}
 }
 
-// startCold crashes a server and starts it anew as a cold one.
-func (r *run) startCold(zone, index int, server *site.Server) error {
-	r.disturb(serverFaultTime, server.ID())
+// restartCold crashes a server and starts it anew as a cold one.
+func (r *run) restartCold(zone, index int, server *site.Server) error {
+	r.recordDisturbance(serverFaultPeriod, server.ID())
 	if err := r.site.RestartModel(zone, index); err != nil {
 		return err
 	}
--- a/internal/silencer/proxy.go
+++ b/internal/silencer/proxy.go
@@ -14,15 +14,15 @@
 	server   string
 
 	mutex sync.Mutex
-	open  []*passage
+	relays  []*relay
 }
 
-// passage is one connection through a proxy.
-type passage struct {
-	near, far net.Conn
+// relay is one connection through a proxy.
+type relay struct {
+	client, server net.Conn
 
 	mutex sync.Mutex
-	held  bool
+	blackholed  bool
 }
 
 // NewProxy listens on a loopback address of its own in front of a server.
@@ -44,10 +44,10 @@
 func (p *Proxy) Blackhole() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for _, one := range p.open {
-		one.hold()
+	for _, one := range p.relays {
+		one.blackhole()
 	}
-	return len(p.open)
+	return len(p.relays)
 }
 
 // Close ends the listener and every connection.
@@ -55,7 +55,7 @@
 	_ = p.listener.Close()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for _, one := range p.open {
+	for _, one := range p.relays {
 		one.close()
 	}
 }
@@ -71,55 +71,55 @@
 			_ = near.Close()
 			continue
 		}
-		one := &passage{near: near, far: far}
+		one := &relay{client: near, server: far}
 		p.mutex.Lock()
-		p.open = append(p.open, one)
+		p.relays = append(p.relays, one)
 		p.mutex.Unlock()
-		go one.pass(near, far)
-		go one.pass(far, near)
+		go one.forward(near, far)
+		go one.forward(far, near)
 	}
 }
 
-func (c *passage) hold() {
+func (c *relay) blackhole() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.held = true
+	c.blackholed = true
 }
 
-func (c *passage) close() {
-	_ = c.near.Close()
-	_ = c.far.Close()
+func (c *relay) close() {
+	_ = c.client.Close()
+	_ = c.server.Close()
 }
 
-// pass copies bytes until one side ends. The end of a held connection is not passed on
+// forward copies bytes until one side ends. The end of a held connection is not passed on
 // either.
-func (c *passage) pass(from, to net.Conn) {
+func (c *relay) forward(from, to net.Conn) {
 	buffer := make([]byte, 4<<10)
 	for {
 		count, err := from.Read(buffer)
 		if !c.write(to, buffer[:count]) || err != nil {
-			c.end()
+			c.closeUnlessBlackholed()
 			return
 		}
 	}
 }
 
 // write passes bytes on unless the connection is held.
-func (c *passage) write(to io.Writer, bytes []byte) bool {
+func (c *relay) write(to io.Writer, bytes []byte) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.held || len(bytes) == 0 {
+	if c.blackholed || len(bytes) == 0 {
 		return true
 	}
 	_, err := to.Write(bytes)
 	return err == nil
 }
 
-// end closes both sides of a connection that is not held.
-func (c *passage) end() {
+// closeUnlessBlackholed closes both sides of a connection that is not held.
+func (c *relay) closeUnlessBlackholed() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.held {
+	if !c.blackholed {
 		c.close()
 	}
 }
--- a/internal/silencer/proxy_test.go
+++ b/internal/silencer/proxy_test.go
@@ -26,11 +26,11 @@
 		return near, far
 	}
 	oldNear, oldFar := connect()
-	assert.True(t, hears(t, oldNear, oldFar))
+	assert.True(t, receives(t, oldNear, oldFar))
 	assert.Equal(t, 1, proxy.Blackhole())
-	assert.False(t, hears(t, oldNear, oldFar))
-	assert.False(t, hears(t, oldFar, oldNear))
+	assert.False(t, receives(t, oldNear, oldFar))
+	assert.False(t, receives(t, oldFar, oldNear))
 	newNear, newFar := connect()
-	assert.True(t, hears(t, newNear, newFar))
-	assert.True(t, hears(t, newFar, newNear))
+	assert.True(t, receives(t, newNear, newFar))
+	assert.True(t, receives(t, newFar, newNear))
 }
--- a/internal/silencer/silencer_test.go
+++ b/internal/silencer/silencer_test.go
@@ -25,7 +25,7 @@
 	return near, far
 }
 
-func hears(t *testing.T, near, far net.Conn) bool {
+func receives(t *testing.T, near, far net.Conn) bool {
 	t.Helper()
 	_, err := near.Write([]byte("x"))
 	require.NoError(t, err)
@@ -51,11 +51,11 @@
 	count, err := Silence(Between(isOld, anywhere))
 	require.NoError(t, err)
 	assert.Equal(t, 2, count, "both ends")
-	assert.False(t, hears(t, oldNear, oldFar))
-	assert.False(t, hears(t, oldFar, oldNear))
-	assert.True(t, hears(t, otherNear, otherFar))
+	assert.False(t, receives(t, oldNear, oldFar))
+	assert.False(t, receives(t, oldFar, oldNear))
+	assert.True(t, receives(t, otherNear, otherFar))
 	newNear, newFar := pair(t, listener)
-	assert.True(t, hears(t, newNear, newFar))
+	assert.True(t, receives(t, newNear, newFar))
 }
 
 // What is lost now and then is sent again and arrives; where all is lost the connection is silent.
@@ -79,7 +79,7 @@
 	assert.NoError(t, err)
 	_, err = DropPackets(lossy, 1)
 	require.NoError(t, err)
-	assert.False(t, hears(t, near, far))
+	assert.False(t, receives(t, near, far))
 }
 
 // Seen: under losses one run of some thirty ended with "bad file descriptor". Cause: connections
