--- a/internal/command/soak.go
+++ b/internal/command/soak.go
@@ -49,15 +49,15 @@
 }
 
 // soakKinds reads a list of kinds of faults; all of them when it is empty.
-func soakKinds(list string) ([]soak.FaultKind, error) {
+func soakKinds(list string) ([]soak.Kind, error) {
 	if list == "" {
-		return soak.FaultKinds, nil
+		return soak.Kinds, nil
 	}
-	var kinds []soak.FaultKind
+	var kinds []soak.Kind
 	for name := range strings.SplitSeq(list, ",") {
-		kind := soak.FaultKind(name)
-		if !slices.Contains(soak.FaultKinds, kind) {
-			return nil, &fault.InvalidSetting{Flag: "--kinds", Value: name, Allowed: fmt.Sprint(soak.FaultKinds)}
+		kind := soak.Kind(name)
+		if !slices.Contains(soak.Kinds, kind) {
+			return nil, &fault.InvalidSetting{Flag: "--kinds", Value: name, Allowed: fmt.Sprint(soak.Kinds)}
 		}
 		kinds = append(kinds, kind)
 	}
--- a/internal/experiment/rollout/simulation.go
+++ b/internal/experiment/rollout/simulation.go
@@ -61,9 +61,9 @@
 	// stallWindow is how long a hanging transfer lasts until it is given up.
 	stallWindow = 3 * slot
 	// silenceTimeout is how long a dead machine is waited for.
-	silenceTimeout = 2 * slot
-	progressTimeout       = 4 * slot
-	tickPeriod     = slot
+	silenceTimeout  = 2 * slot
+	progressTimeout = 4 * slot
+	tickPeriod      = slot
 	// limitFactor ends a rollout that does not converge, in lower bounds.
 	limitFactor = 20
 	// maxJitter lengthens each transfer by up to this share.
@@ -109,16 +109,16 @@
 // machine is one simulated machine.
 type machine struct {
 	dissemination.Machine
-	index    int
-	fetcher  *dissemination.Fetcher
-	dead     bool
-	stalled  bool
-	sending  bool
-	receiving  bool
-	queue    []*request
-	awaiting []*request
+	index     int
+	fetcher   *dissemination.Fetcher
+	dead      bool
+	stalled   bool
+	sending   bool
+	receiving bool
+	queue     []*request
+	awaiting  []*request
 	// correct is the simulator's own record of which chunks are held and right.
-	correct     []bool
+	correct  []bool
 	complete time.Duration
 }
 
@@ -129,13 +129,13 @@
 	machines []*machine
 	byID     map[dissemination.MachineID]*machine
 	// originQueue holds requests at the origin; originBusy counts its transfers.
-	originQueue []*request
-	originSending  int
-	originSent  int
-	partitioned bool
-	alive       int
-	completed        int
-	result      Result
+	originQueue     []*request
+	originSending   int
+	originSent      int
+	partitioned     bool
+	alive           int
+	completed       int
+	result          Result
 	zoneCrossings   int
 	regionCrossings int
 }
@@ -194,8 +194,8 @@
 // staleMissing and staleGhosts are the shares of machines that a wrong list
 // lacks and that it has although they are gone.
 const (
-	staleMissing = 0.03
-	staleDeparted  = 0.02
+	staleMissing  = 0.03
+	staleDeparted = 0.02
 )
 
 // assignPlans gives each machine its list and its fetcher.
--- a/internal/experiment/soak/asks.go
+++ b/internal/experiment/soak/asks.go
@@ -15,13 +15,13 @@
 	minLimitTime = 8 * time.Second
 	// backoffRequests is how many requests are turned away with a wish for rest, restTime the rest.
 	backoffRequests = 3
-	backoffTime   = 2500 * time.Millisecond
+	backoffTime     = 2500 * time.Millisecond
 )
 
 // Bounds of what servers that ask for something may get all the same.
 const (
 	// noticeDelay is how long after an answer its wish binds the entry that has passed it on.
-	noticeDelay    = 500 * time.Millisecond
+	noticeDelay          = 500 * time.Millisecond
 	allowedDuringBackoff = 2
 )
 
@@ -62,7 +62,7 @@
 
 // serverNotices are what one server has asked for, with the entries that were told.
 type serverNotices struct {
-	notices    []site.Ask
+	notices []site.Ask
 	entries []string
 }
 
--- a/internal/experiment/soak/callers.go
+++ b/internal/experiment/soak/callers.go
@@ -18,7 +18,7 @@
 // Shape of the load.
 const (
 	callersPerZone = 6
-	maxEvents     = 40
+	maxEvents      = 40
 	callTimeout    = 7 * time.Second
 	// reconnectDelay follows a connection that an entry did not take.
 	reconnectDelay = 50 * time.Millisecond
--- a/internal/experiment/soak/faults.go
+++ b/internal/experiment/soak/faults.go
@@ -15,7 +15,7 @@
 	// storeOutage is how long the store is away around lapsed servers, and
 	// returnPause how long they take to write their lines anew.
 	storeOutage = 2 * time.Second
-	returnDelay     = 900 * time.Millisecond
+	returnDelay = 900 * time.Millisecond
 	// secondVersionDelay follows the first of two.
 	secondVersionDelay = 2 * time.Second
 	// stopTimeout is when a stopped entry must have ended.
@@ -37,7 +37,7 @@
 		return r.kill(site.RoleEntry, zone, entry)
 	case KillAgent:
 		return r.kill(site.RoleAgent, zone, agent)
-	case KillMany:
+	case KillZone:
 		return r.killZone(zone)
 	case FreezeEntry:
 		return r.freeze(launch.SiteProcessName(site.RoleEntry, zone, entry), fault.Duration)
--- a/internal/experiment/soak/query_of_death.go
+++ b/internal/experiment/soak/query_of_death.go
@@ -17,24 +17,24 @@
 const (
 	// crashBody begins the bodies of such contents, of which a run has endingContents: they come
 	// again, so that what is known of them must outlast what strikes the processes meanwhile.
-	crashBody     = "ends its server "
-	crashIDPrefix       = "ending-"
+	crashBody         = "ends its server "
+	crashIDPrefix     = "ending-"
 	crashFingerprints = 2
 	// crashRequestInterval is how often one is asked while the fault lasts, endingTime the least that it does;
 	// what was drawn comes on top of it. An entry that hears nothing of the others is not asked often
 	// enough to find out by itself within contact of the third end.
 	crashRequestInterval = 400 * time.Millisecond
-	minCrashTime = 6 * time.Second
+	minCrashTime         = 6 * time.Second
 	// crashDelay is how long a server runs such a request, endedFor how long it is away then.
-	crashDelay = 50 * time.Millisecond
-	crashDowntime    = 1500 * time.Millisecond
+	crashDelay    = 50 * time.Millisecond
+	crashDowntime = 1500 * time.Millisecond
 	// crashedServers names what is disturbed while servers end: no entry is.
 	crashedServers = "ended servers"
 	// crashPollInterval is how often is looked for servers that have ended.
 	crashPollInterval = 200 * time.Millisecond
 	// allowedCrashes and lateAllowed are those of the platform: so many sends may come later than contact
 	// after so many servers have ended.
-	allowedCrashes = 3
+	allowedCrashes   = 3
 	allowedLateSends = 3
 )
 
--- a/internal/experiment/soak/schedule.go
+++ b/internal/experiment/soak/schedule.go
@@ -10,57 +10,57 @@
 	"time"
 )
 
-// FaultKind is a kind of fault.
-type FaultKind string
+// Kind is a kind of fault.
+type Kind string
 
 // The kinds of faults.
 const (
-	KillEntry            FaultKind = "kill-entry"
-	KillAgent            FaultKind = "kill-agent"
-	KillMany             FaultKind = "kill-many"
-	FreezeEntry          FaultKind = "freeze-entry"
-	FreezeAgent          FaultKind = "freeze-agent"
-	StopEntry            FaultKind = "stop-entry"
-	StoreDown            FaultKind = "store-down"
-	StoreLosesHistory    FaultKind = "store-forgets"
-	StoreRefuses         FaultKind = "store-refuses"
-	ServersExpire        FaultKind = "servers-lapse"
-	ServerCrash          FaultKind = "server-crash"
-	ServerCrashUnnoticed FaultKind = "server-crash-unnoticed"
-	ServerLeaves         FaultKind = "server-leaves"
-	PiecesCorrupted      FaultKind = "pieces-rot"
-	OriginCorrupts       FaultKind = "origin-spoils"
-	CutStreams           FaultKind = "cut-streams"
-	LoseAnswers          FaultKind = "lose-answers"
-	Shed                 FaultKind = "shed"
-	SurplusAnswers       FaultKind = "surplus-answers"
-	NewVersion           FaultKind = "new-version"
-	TwoVersions          FaultKind = "two-versions"
-	Reconfigure          FaultKind = "reconfigure"
-	Evacuate             FaultKind = "evacuate"
-	EvacuateTwice        FaultKind = "evacuate-twice"
-	ServerTurnsCold      FaultKind = "server-turns-cold"
-	ServerStartsCold     FaultKind = "server-starts-cold"
-	ZoneTurnsCold        FaultKind = "zone-turns-cold"
-	RouteNarrows         FaultKind = "route-narrows"
-	TenantNarrows        FaultKind = "tenant-narrows"
-	FalselyHealthyErrors FaultKind = "lie-errors"
-	FalselyHealthyResets FaultKind = "lie-resets"
-	FalselyHealthyHangs  FaultKind = "lie-hangs"
-	FalselyUnhealthy     FaultKind = "falsely-ill"
-	Flap                 FaultKind = "flap"
-	SettingsChange       FaultKind = "settings-change"
-	SettingsInvalid      FaultKind = "settings-spoilt"
-	Burst                FaultKind = "burst"
-	QueryOfDeath         FaultKind = "query-of-death"
-	ServerNoticeLimit    FaultKind = "server-names-limit"
-	ServerNoticeLeaving  FaultKind = "server-says-it-leaves"
-	ServerNoticeBackoff  FaultKind = "server-asks-for-rest"
+	KillEntry            Kind = "kill-entry"
+	KillAgent            Kind = "kill-agent"
+	KillZone             Kind = "kill-many"
+	FreezeEntry          Kind = "freeze-entry"
+	FreezeAgent          Kind = "freeze-agent"
+	StopEntry            Kind = "stop-entry"
+	StoreDown            Kind = "store-down"
+	StoreLosesHistory    Kind = "store-forgets"
+	StoreRefuses         Kind = "store-refuses"
+	ServersExpire        Kind = "servers-lapse"
+	ServerCrash          Kind = "server-crash"
+	ServerCrashUnnoticed Kind = "server-crash-unnoticed"
+	ServerLeaves         Kind = "server-leaves"
+	PiecesCorrupted      Kind = "pieces-rot"
+	OriginCorrupts       Kind = "origin-spoils"
+	CutStreams           Kind = "cut-streams"
+	LoseAnswers          Kind = "lose-answers"
+	Shed                 Kind = "shed"
+	SurplusAnswers       Kind = "surplus-answers"
+	NewVersion           Kind = "new-version"
+	TwoVersions          Kind = "two-versions"
+	Reconfigure          Kind = "reconfigure"
+	Evacuate             Kind = "evacuate"
+	EvacuateTwice        Kind = "evacuate-twice"
+	ServerTurnsCold      Kind = "server-turns-cold"
+	ServerStartsCold     Kind = "server-starts-cold"
+	ZoneTurnsCold        Kind = "zone-turns-cold"
+	RouteNarrows         Kind = "route-narrows"
+	TenantNarrows        Kind = "tenant-narrows"
+	FalselyHealthyErrors Kind = "lie-errors"
+	FalselyHealthyResets Kind = "lie-resets"
+	FalselyHealthyHangs  Kind = "lie-hangs"
+	FalselyUnhealthy     Kind = "falsely-ill"
+	Flap                 Kind = "flap"
+	SettingsChange       Kind = "settings-change"
+	SettingsInvalid      Kind = "settings-spoilt"
+	Burst                Kind = "burst"
+	QueryOfDeath         Kind = "query-of-death"
+	ServerNoticeLimit    Kind = "server-names-limit"
+	ServerNoticeLeaving  Kind = "server-says-it-leaves"
+	ServerNoticeBackoff  Kind = "server-asks-for-rest"
 )
 
-// FaultKinds lists every kind.
-var FaultKinds = []FaultKind{
-	KillEntry, KillAgent, KillMany, FreezeEntry, FreezeAgent, StopEntry, StoreDown, StoreLosesHistory, StoreRefuses, ServersExpire,
+// Kinds lists every kind.
+var Kinds = []Kind{
+	KillEntry, KillAgent, KillZone, FreezeEntry, FreezeAgent, StopEntry, StoreDown, StoreLosesHistory, StoreRefuses, ServersExpire,
 	ServerCrash, ServerCrashUnnoticed, ServerLeaves, PiecesCorrupted, OriginCorrupts, CutStreams, LoseAnswers, Shed, SurplusAnswers,
 	NewVersion, TwoVersions, Reconfigure, Evacuate, EvacuateTwice, ServerTurnsCold, ServerStartsCold, ZoneTurnsCold, RouteNarrows, TenantNarrows,
 	FalselyHealthyErrors, FalselyHealthyResets, FalselyHealthyHangs, FalselyUnhealthy, Flap, SettingsChange, SettingsInvalid, Burst, QueryOfDeath,
@@ -69,7 +69,7 @@
 
 // Fault is one fault of a schedule.
 type Fault struct {
-	Kind FaultKind
+	Kind Kind
 	// At is when it strikes, counted from the start of the load; For is how long it
 	// lasts, where it lasts.
 	At       time.Duration
@@ -84,18 +84,18 @@
 const (
 	// seriesPeriod is how often a series of faults begins, seriesSpread the time in which
 	// its faults strike; after that it is calm.
-	seriesPeriod = 9 * time.Second
-	seriesSpread = 4 * time.Second
-	maxInSeries = 4
-	minFaultDuration     = 300 * time.Millisecond
-	maxFaultDuration      = 3 * time.Second
+	seriesPeriod     = 9 * time.Second
+	seriesSpread     = 4 * time.Second
+	maxInSeries      = 4
+	minFaultDuration = 300 * time.Millisecond
+	maxFaultDuration = 3 * time.Second
 	// scheduleSeedStream tells the schedule's random numbers from others of the same seed.
 	scheduleSeedStream = 1
 )
 
 // GenerateSchedule makes the schedule of a seed: series of one to four faults that overlap, with calm
 // between them, of some kinds, on a fleet of zones with a number of machines.
-func GenerateSchedule(seed uint64, duration time.Duration, zones, machines int, kinds []FaultKind) []Fault {
+func GenerateSchedule(seed uint64, duration time.Duration, zones, machines int, kinds []Kind) []Fault {
 	random := rand.New(rand.NewPCG(seed, scheduleSeedStream))
 	var schedule []Fault
 	for begin := time.Duration(0); begin+seriesPeriod <= duration; begin += seriesPeriod {
--- a/internal/experiment/soak/soak.go
+++ b/internal/experiment/soak/soak.go
@@ -24,20 +24,20 @@
 	Seed         uint64
 	Duration     time.Duration
 	// Kinds are those that the schedule is drawn from.
-	Kinds  []FaultKind
+	Kinds  []Kind
 	Output io.Writer
 }
 
 // Times and sizes of a run.
 const (
-	firstNetwork  = 200
-	networks      = 50
-	readyTimeout    = 20 * time.Second
+	firstNetwork     = 200
+	networks         = 50
+	readyTimeout     = 20 * time.Second
 	progressInterval = 30 * time.Second
 	// minCheckInterval is how often the judge looks while the fleet runs, and looks how often at most
 	// in a whole run, since each look goes through all that was seen.
 	minCheckInterval = 5 * time.Second
-	maxChecks     = 100
+	maxChecks        = 100
 	// exitPollTimeout is how long a process is waited for that is looked after.
 	exitPollTimeout = time.Millisecond
 	// callerSeedStream tells the callers' random numbers from others of the same seed.
@@ -46,7 +46,7 @@
 	settleTime = 12 * time.Second
 	// finalPeriod is how long requests are counted then, finalShare the part of them that
 	// must be answered.
-	finalPeriod  = 3 * time.Second
+	finalPeriod   = 3 * time.Second
 	minFinalRatio = 0.95
 )
 
@@ -73,24 +73,24 @@
 
 	// timeline holds what is still to be done; only the run's own goroutine touches it
 	// and what is below.
-	timeline []step
-	busy     map[string]bool
-	version  uint64
-	record   Record
-	violations    []Violation
-	faultCounts   map[FaultKind]int
-	allowed  site.AllowedRegions
+	timeline    []step
+	busy        map[string]bool
+	version     uint64
+	record      Record
+	violations  []Violation
+	faultCounts map[Kind]int
+	allowed     site.AllowedRegions
 	// printed are the violations that have been printed.
 	printed map[Violation]bool
 	// callerGroup are the callers, which end with their context.
 	callerGroup sync.WaitGroup
-	context context.Context
+	context     context.Context
 	// bursts counts the bursts of callers, whose numbers follow those of the lasting ones.
 	bursts int
 	// crashFaults counts the faults that ask for contents which end servers; restarted are the servers
 	// that were started again since.
-	crashFaults   int
-	restarted map[string]bool
+	crashFaults int
+	restarted   map[string]bool
 }
 
 // step is something to do at a time.
@@ -127,7 +127,7 @@
 	bounds := fleet.Site.Options
 	r := &run{
 		options: options, fleet: fleet, site: fleet.Site, callers: &callers{site: fleet.Site},
-		busy: map[string]bool{}, version: 1, faultCounts: map[FaultKind]int{}, printed: map[Violation]bool{}, restarted: map[string]bool{}, allowed: bounds.TwoRoutes(),
+		busy: map[string]bool{}, version: 1, faultCounts: map[Kind]int{}, printed: map[Violation]bool{}, restarted: map[string]bool{}, allowed: bounds.TwoRoutes(),
 		record: Record{
 			VersionApply: time.Duration(bounds.VersionMs) * time.Millisecond, Drain: time.Duration(bounds.DrainMs) * time.Millisecond,
 			Grace:              time.Duration(bounds.GraceS * float64(time.Second)),
@@ -226,7 +226,9 @@
 }
 
 // checkInterval is how often the judge looks.
-func (r *run) checkInterval() time.Duration { return max(minCheckInterval, r.options.Duration/maxChecks) }
+func (r *run) checkInterval() time.Duration {
+	return max(minCheckInterval, r.options.Duration/maxChecks)
+}
 
 // checkSoFar judges what was seen so far and prints what is new.
 func (r *run) checkSoFar() error {
@@ -306,7 +308,7 @@
 			refused++
 		}
 	}
-	for _, kind := range FaultKinds {
+	for _, kind := range Kinds {
 		if count := r.faultCounts[kind]; count > 0 {
 			r.printf("  %-24s %d", kind, count)
 		}
--- a/internal/experiment/soak/soak_test.go
+++ b/internal/experiment/soak/soak_test.go
@@ -186,18 +186,18 @@
 
 // A seed always gives the same schedule, and many seeds give every kind of fault.
 func TestSchedulesComeFromTheSeed(t *testing.T) {
-	assert.Equal(t, GenerateSchedule(7, time.Minute, 3, 3, FaultKinds), GenerateSchedule(7, time.Minute, 3, 3, FaultKinds))
-	struck := map[FaultKind]bool{}
+	assert.Equal(t, GenerateSchedule(7, time.Minute, 3, 3, Kinds), GenerateSchedule(7, time.Minute, 3, 3, Kinds))
+	struck := map[Kind]bool{}
 	for seed := range uint64(30) {
-		for _, fault := range GenerateSchedule(seed, time.Minute, 3, 3, FaultKinds) {
+		for _, fault := range GenerateSchedule(seed, time.Minute, 3, 3, Kinds) {
 			struck[fault.Kind] = true
 			assert.Less(t, fault.At, time.Minute-4*time.Second)
 			assert.GreaterOrEqual(t, fault.Duration, minFaultDuration)
 		}
 	}
-	assert.Len(t, struck, len(FaultKinds))
-	for _, fault := range GenerateSchedule(7, time.Minute, 3, 3, []FaultKind{Burst, ZoneTurnsCold}) {
-		assert.Contains(t, []FaultKind{Burst, ZoneTurnsCold}, fault.Kind)
+	assert.Len(t, struck, len(Kinds))
+	for _, fault := range GenerateSchedule(7, time.Minute, 3, 3, []Kind{Burst, ZoneTurnsCold}) {
+		assert.Contains(t, []Kind{Burst, ZoneTurnsCold}, fault.Kind)
 	}
 }
 
--- a/internal/experiment/soak/upgrade_test.go
+++ b/internal/experiment/soak/upgrade_test.go
@@ -32,7 +32,7 @@
 	// replaceInterval is the time between the replacements of agents, and of entries, which end within
 	// their grace one zone after the other.
 	replaceInterval = 300 * time.Millisecond
-	buildTimeout   = 3 * time.Minute
+	buildTimeout    = 3 * time.Minute
 )
 
 // git runs a command of git in this repository.
@@ -138,7 +138,7 @@
 	for _, group := range groups {
 		defer group.Stop()
 	}
-	r := newRun(Options{Executable: former, Output: io.Discard, Seed: 1, Kinds: FaultKinds}, fleet)
+	r := newRun(Options{Executable: former, Output: io.Discard, Seed: 1, Kinds: Kinds}, fleet)
 	require.NoError(t, fleet.StartAll(readyTimeout))
 	ctx, cancel := context.WithCancel(context.Background())
 	r.context = ctx
--- a/internal/silencer/proxy.go
+++ b/internal/silencer/proxy.go
@@ -13,16 +13,16 @@
 	listener net.Listener
 	server   string
 
-	mutex sync.Mutex
-	relays  []*relay
+	mutex  sync.Mutex
+	relays []*relay
 }
 
 // relay is one connection through a proxy.
 type relay struct {
 	client, server net.Conn
 
-	mutex sync.Mutex
-	blackholed  bool
+	mutex      sync.Mutex
+	blackholed bool
 }
 
 // NewProxy listens on a loopback address of its own in front of a server.
