--- a/internal/experiment/soak/asks.go
+++ b/internal/experiment/soak/asks.go
@@ -8,31 +8,31 @@
 	"pinevane.example/pinevane/internal/emulator/site"
 )
 
-// Shapes of what servers ask for.
+// Parameters of the notices that servers send.
 const (
-	// minLimitTime is how long a limit is named; what was drawn comes on top of it. It leaves time to judge after
-	// contact.
+	// minLimitTime is the minimum time for which a rate limit is announced; the fault's duration is added to it. It
+	// leaves time for checks after recoveryMargin.
 	minLimitTime = 8 * time.Second
-	// backoffRequests is how many requests are turned away with a wish for rest, restTime the rest.
+	// backoffRequests is how many requests are refused with a backoff notice, backoffTime the backoff.
 	backoffRequests = 3
 	backoffTime     = 2500 * time.Millisecond
 )
 
-// Bounds of what servers that ask for something may get all the same.
+// Tolerances for requests that servers may still receive after a notice.
 const (
-	// noticeDelay is how long after an answer its wish binds the entry that has passed it on.
+	// noticeDelay is how long after a response its notice takes effect at the entry that received it.
 	noticeDelay          = 500 * time.Millisecond
 	allowedDuringBackoff = 2
 )
 
-// announceRateLimit has a server name half a request to four a second for a while.
+// announceRateLimit has a server announce a limit of 0.5 to 4 requests a second for a time.
 func (r *run) announceRateLimit(server *site.Server, fault Fault) {
 	server.NameLimit(strconv.FormatFloat(float64(fault.Count)/2, 'f', -1, 64))
 	r.schedule(minLimitTime+fault.Duration, func() error { server.NameLimit(""); return nil })
 }
 
-// noticeLeaving has a server say in its answers that it leaves, while its line says nothing of that, and puts an empty
-// one in its place after it.
+// noticeLeaving has a server announce in its responses, but not in its store record, that it leaves, and replaces it
+// by an empty one later.
 func (r *run) noticeLeaving(zone, index int, server *site.Server) {
 	if r.busy[server.ID()] {
 		return
@@ -42,17 +42,17 @@
 	r.restartAfterDrain(zone, index, server)
 }
 
-// noticeBackoff has a server turn some requests away and ask for rest.
+// noticeBackoff has a server refuse some requests with a backoff notice.
 func (r *run) noticeBackoff(server *site.Server, fault Fault) {
 	r.setServerFaultsFor(server, site.Faults{Shed: backoffRequests, ShedRest: backoffTime}, minFalseHealthTime+fault.Duration)
 }
 
-// entryUndisturbed reports whether an entry has been neither stopped, killed nor frozen between two moments: what it was
-// told before is forgotten with that.
+// entryUndisturbed reports whether an entry was neither stopped, killed nor frozen between two times. An entry that was
+// may have lost the notices that it received before.
 func (r Record) entryUndisturbed(entry string, from, to time.Time) bool {
-	for _, spans := range [][]Interval{r.Disturbances, r.Stops} {
-		for _, span := range spans {
-			if span.Name == entry && span.overlaps(from, to) {
+	for _, intervals := range [][]Interval{r.Disturbances, r.Stops} {
+		for _, interval := range intervals {
+			if interval.Name == entry && interval.overlaps(from, to) {
 				return false
 			}
 		}
@@ -60,26 +60,26 @@
 	return true
 }
 
-// serverNotices are what one server has asked for, with the entries that were told.
+// serverNotices are the notices of one server, each with the entry that received it.
 type serverNotices struct {
 	notices []site.Ask
 	entries []string
 }
 
-// checkNotices judges what servers got from entries that they had asked for rest, to be left alone, or to keep to a
-// rate.
+// checkNotices checks the requests that servers received from entries after a notice of theirs: that the server
+// leaves, a backoff, or a rate limit.
 func (r Record) checkNotices(senders map[string]string) []Violation {
 	byServer := map[string]*serverNotices{}
-	for _, ask := range r.Notices {
-		entry, known := senders[ask.RequestID]
+	for _, notice := range r.Notices {
+		entry, known := senders[notice.RequestID]
 		if !known {
 			continue
 		}
-		if byServer[ask.Server] == nil {
-			byServer[ask.Server] = &serverNotices{}
+		if byServer[notice.Server] == nil {
+			byServer[notice.Server] = &serverNotices{}
 		}
-		one := byServer[ask.Server]
-		one.notices, one.entries = append(one.notices, ask), append(one.entries, entry)
+		ofServer := byServer[notice.Server]
+		ofServer.notices, ofServer.entries = append(ofServer.notices, notice), append(ofServer.entries, entry)
 	}
 	deliveries := map[string][]site.Delivery{}
 	for _, delivery := range r.Deliveries {
@@ -88,20 +88,21 @@
 		}
 	}
 	var found []Violation
-	for server, told := range byServer {
-		found = append(found, r.checkLeavingNotices(told, deliveries[server], senders)...)
-		found = append(found, r.checkBackoffs(told, deliveries[server], senders)...)
-		found = append(found, r.checkRateLimit(told, deliveries[server], senders)...)
+	for server, received := range byServer {
+		found = append(found, r.checkLeavingNotices(received, deliveries[server], senders)...)
+		found = append(found, r.checkBackoffs(received, deliveries[server], senders)...)
+		found = append(found, r.checkRateLimit(received, deliveries[server], senders)...)
 	}
 	return found
 }
 
-// checkLeavingNotices finds requests to a server from entries that have long passed on that it leaves.
-func (r Record) checkLeavingNotices(told *serverNotices, deliveries []site.Delivery, senders map[string]string) []Violation {
+// checkLeavingNotices finds requests to a server from entries that received its leaving notice more than the drain time
+// before.
+func (r Record) checkLeavingNotices(received *serverNotices, deliveries []site.Delivery, senders map[string]string) []Violation {
 	first := map[string]time.Time{}
-	for index, ask := range told.notices {
-		if _, known := first[told.entries[index]]; ask.Leaving && !known {
-			first[told.entries[index]] = ask.At
+	for index, notice := range received.notices {
+		if _, known := first[received.entries[index]]; notice.Leaving && !known {
+			first[received.entries[index]] = notice.At
 		}
 	}
 	var found []Violation
@@ -111,30 +112,30 @@
 		if known && delivery.At.After(at.Add(r.Drain+slack)) && r.entryUndisturbed(entry, at, delivery.At) {
 			found = append(found, Violation{
 				Guarantee: NoWorkToLeaving, At: delivery.At, Request: delivery.RequestID,
-				Detail: fmt.Sprintf("%s sent it to %s %s after it had passed on that the server leaves", entry, delivery.Server, delivery.At.Sub(at)),
+				Detail: fmt.Sprintf("%s sent it to %s %s after receiving the server's leaving notice", entry, delivery.Server, delivery.At.Sub(at)),
 			})
 		}
 	}
 	return found
 }
 
-// checkBackoffs finds requests to a server from entries that it has asked for rest.
-func (r Record) checkBackoffs(told *serverNotices, deliveries []site.Delivery, senders map[string]string) []Violation {
+// checkBackoffs finds requests to a server from entries that received its backoff notice.
+func (r Record) checkBackoffs(received *serverNotices, deliveries []site.Delivery, senders map[string]string) []Violation {
 	var found []Violation
-	for index, ask := range told.notices {
-		entry, count := told.entries[index], 0
-		if ask.Rest == 0 {
+	for index, notice := range received.notices {
+		entry, count := received.entries[index], 0
+		if notice.Rest == 0 {
 			continue
 		}
 		for _, delivery := range deliveries {
-			if senders[delivery.RequestID] != entry || delivery.At.Before(ask.At.Add(noticeDelay)) || delivery.At.After(ask.At.Add(ask.Rest)) {
+			if senders[delivery.RequestID] != entry || delivery.At.Before(notice.At.Add(noticeDelay)) || delivery.At.After(notice.At.Add(notice.Rest)) {
 				continue
 			}
 			count++
-			if count == allowedDuringBackoff+1 && r.entryUndisturbed(entry, ask.At, delivery.At) {
+			if count == allowedDuringBackoff+1 && r.entryUndisturbed(entry, notice.At, delivery.At) {
 				found = append(found, Violation{
 					Guarantee: BackoffKept, At: delivery.At, Request: delivery.RequestID,
-					Detail: fmt.Sprintf("%s sent it and %d more to %s, which had asked it for %s of rest %s before", entry, allowedDuringBackoff, delivery.Server, ask.Rest, delivery.At.Sub(ask.At)),
+					Detail: fmt.Sprintf("%s sent it and %d more to %s, which had requested a backoff of %s %s before", entry, allowedDuringBackoff, delivery.Server, notice.Rest, delivery.At.Sub(notice.At)),
 				})
 			}
 		}
@@ -142,27 +143,28 @@
 	return found
 }
 
-// checkRateLimit finds the first span in which a server got more than it had named, from entries that were told.
-func (r Record) checkRateLimit(told *serverNotices, deliveries []site.Delivery, senders map[string]string) []Violation {
+// checkRateLimit finds the first interval in which a server received more than its announced rate from entries that
+// had received the announcement.
+func (r Record) checkRateLimit(received *serverNotices, deliveries []site.Delivery, senders map[string]string) []Violation {
 	var named []site.Ask
 	first := map[string]time.Time{}
-	for index, ask := range told.notices {
-		if !ask.Limited {
+	for index, notice := range received.notices {
+		if !notice.Limited {
 			continue
 		}
-		named = append(named, ask)
-		if _, known := first[told.entries[index]]; !known {
-			first[told.entries[index]] = ask.At
+		named = append(named, notice)
+		if _, known := first[received.entries[index]]; !known {
+			first[received.entries[index]] = notice.At
 		}
 	}
 	if len(named) == 0 {
 		return nil
 	}
-	from, last, most := named[0].At.Add(recoveryMargin), named[len(named)-1].At, 0.0
-	for _, ask := range named {
-		most = max(most, ask.PerSecond)
+	from, last, maxRate := named[0].At.Add(recoveryMargin), named[len(named)-1].At, 0.0
+	for _, notice := range named {
+		maxRate = max(maxRate, notice.PerSecond)
 	}
-	allowed := site.LimitBears(most)
+	allowed := site.LimitBears(maxRate)
 	var counted []site.Delivery
 	for _, delivery := range deliveries {
 		entry := senders[delivery.RequestID]
@@ -177,7 +179,7 @@
 		if float64(len(counted)) > allowed {
 			return []Violation{{
 				Guarantee: RateLimitKept, At: delivery.At, Request: delivery.RequestID,
-				Detail: fmt.Sprintf("%s got %d requests in %s from entries that it had told, and had named %g a second", delivery.Server, len(counted), site.LimitSpan, most),
+				Detail: fmt.Sprintf("%s received %d requests in %s from entries that had received its limit of %g a second", delivery.Server, len(counted), site.LimitSpan, maxRate),
 			}}
 		}
 	}
--- a/internal/experiment/soak/callers.go
+++ b/internal/experiment/soak/callers.go
@@ -15,23 +15,23 @@
 	"pinevane.example/pinevane/internal/launch"
 )
 
-// Shape of the load.
+// Parameters of the load.
 const (
 	callersPerZone = 6
 	maxEvents      = 40
 	callTimeout    = 7 * time.Second
-	// reconnectDelay follows a connection that an entry did not take.
+	// reconnectDelay is the delay after an entry refused a connection.
 	reconnectDelay = 50 * time.Millisecond
 	requestDelay   = 15 * time.Millisecond
 )
 
-// callers send requests of every kind and record what came of them.
+// callers send requests of every kind and record their outcomes.
 type callers struct {
 	site *site.Site
 
 	mutex    sync.Mutex
 	attempts []Attempt
-	// crashSenders are the entries that requests were sent to whose content ends its servers.
+	// crashSenders maps each request that crashes servers to the entry that it was sent to.
 	crashSenders map[string]string
 }
 
@@ -41,21 +41,22 @@
 	c.attempts = append(c.attempts, attempt)
 }
 
-// allAttempts returns what was recorded so far.
+// allAttempts returns a copy of the attempts recorded so far.
 func (c *callers) allAttempts() []Attempt {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return append([]Attempt(nil), c.attempts...)
 }
 
-// allCrashSenders returns the entries that requests were sent to whose content ends its servers.
+// allCrashSenders returns a copy of crashSenders.
 func (c *callers) allCrashSenders() map[string]string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return maps.Clone(c.crashSenders)
 }
 
-// run calls the entries of one zone until the context ends, over kept connections.
+// run sends requests to the entries of one zone over persistent connections until the context
+// ends.
 func (c *callers) run(ctx context.Context, zone, caller int, random *rand.Rand) {
 	client := &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 1}, Timeout: callTimeout}
 	defer client.CloseIdleConnections()
@@ -81,7 +82,7 @@
 	}
 }
 
-// send makes one request. It returns false when the entry took no connection, so that
+// send sends one request. It returns false when the entry refused the connection, so that
 // nothing was sent.
 func (c *callers) send(client *http.Client, zone, index int, attempt *Attempt, events int) bool {
 	method, path := http.MethodPost, site.OncePrefix+"save"
@@ -112,7 +113,7 @@
 	return true
 }
 
-// isCorrect reports whether an answer is the whole one to the request.
+// isCorrect reports whether an answer is the complete answer to the request.
 func isCorrect(attempt Attempt, answer, method, path, body string, events int) bool {
 	if attempt.Kind != CallStream {
 		if method == http.MethodGet {
--- a/internal/experiment/soak/faults.go
+++ b/internal/experiment/soak/faults.go
@@ -8,26 +8,26 @@
 	"pinevane.example/pinevane/internal/launch"
 )
 
-// Times of faults that are not drawn.
+// Fixed times of faults, the same for every seed.
 const (
-	// restartDelay is how long the platform takes to start a process that has ended.
+	// restartDelay is how long the platform takes to restart a process that has exited.
 	restartDelay = 700 * time.Millisecond
-	// storeOutage is how long the store is away around lapsed servers, and
-	// returnPause how long they take to write their lines anew.
+	// storeOutage is how long the store is down when the records of servers expire, and
+	// returnDelay how long the servers then take to write them again.
 	storeOutage = 2 * time.Second
 	returnDelay = 900 * time.Millisecond
-	// secondVersionDelay follows the first of two.
+	// secondVersionDelay is the time between two version announcements of one fault.
 	secondVersionDelay = 2 * time.Second
-	// stopTimeout is when a stopped entry must have ended.
+	// stopTimeout is how long a stopped process may take to exit.
 	stopTimeout = 10 * time.Second
-	// minBurstTime is the least that a burst of callers lasts; what was drawn comes on top of it.
+	// minBurstTime is the minimum duration of a burst; the fault's duration is added to it.
 	minBurstTime = 2 * time.Second
-	// serverFaultPeriod is how long a server's own faults, which requests use up, may
-	// still show.
+	// serverFaultPeriod is how long a server's injected faults, each of which affects a number
+	// of requests, may have effects.
 	serverFaultPeriod = 3 * time.Second
 )
 
-// inject carries a fault out. What ends it is queued on the run's timeline.
+// inject injects a fault and schedules its end on the run's timeline.
 func (r *run) inject(fault Fault) error {
 	zone, now := fault.Zone, time.Now()
 	entry, agent := fault.Index%r.site.Options.Entries, fault.Index%r.site.Options.ModelServers
@@ -131,15 +131,15 @@
 	return nil
 }
 
-// recordDisturbance notes that some processes or servers are disturbed for a time from now on; without
-// any, it is something that all depend on.
-func (r *run) recordDisturbance(lasts time.Duration, names ...string) {
+// recordDisturbance records that some processes or servers are disturbed from now on for a
+// time. Without names, the disturbance concerns something that all depend on.
+func (r *run) recordDisturbance(duration time.Duration, names ...string) {
 	now := time.Now()
 	if len(names) == 0 {
 		names = []string{""}
 	}
 	for _, name := range names {
-		r.record.Disturbances = append(r.record.Disturbances, Interval{From: now, To: now.Add(lasts), Name: name})
+		r.record.Disturbances = append(r.record.Disturbances, Interval{From: now, To: now.Add(duration), Name: name})
 	}
 }
 
@@ -153,7 +153,7 @@
 	r.record.VersionAnnouncements = append(r.record.VersionAnnouncements, VersionAnnouncement{Version: r.version, At: now})
 }
 
-// kill ends a process without warning and starts it again.
+// kill kills a process and restarts it after restartDelay.
 func (r *run) kill(role string, zone, index int) error {
 	name := launch.SiteProcessName(role, zone, index)
 	if r.busy[name] {
@@ -172,7 +172,7 @@
 	return nil
 }
 
-// killZone ends every process of a zone at the same time.
+// killZone kills every process of a zone at the same time.
 func (r *run) killZone(zone int) error {
 	for index := range r.site.Options.Entries {
 		if err := r.kill(site.RoleEntry, zone, index); err != nil {
@@ -187,21 +187,21 @@
 	return nil
 }
 
-// freeze stops a process for a while; it wakes believing its old view of the world.
-func (r *run) freeze(name string, lasts time.Duration) error {
+// freeze suspends a process for a time; when it resumes, its state is out of date.
+func (r *run) freeze(name string, duration time.Duration) error {
 	if r.busy[name] {
 		return nil
 	}
 	r.busy[name] = true
-	r.recordDisturbance(lasts, name)
-	r.schedule(lasts, func() error {
+	r.recordDisturbance(duration, name)
+	r.schedule(duration, func() error {
 		r.busy[name] = false
 		return r.fleet.Group.Signal(name, syscall.SIGCONT)
 	})
 	return r.fleet.Group.Signal(name, syscall.SIGSTOP)
 }
 
-// stop ends an entry as planned and starts it again once it has ended.
+// stop shuts an entry down gracefully and restarts it once it has exited.
 func (r *run) stop(zone, index int) error {
 	name := launch.SiteProcessName(site.RoleEntry, zone, index)
 	if r.busy[name] {
@@ -213,7 +213,7 @@
 	r.schedule(r.record.Grace, func() error {
 		r.busy[name] = false
 		if !r.fleet.Group.WaitExit(name, stopTimeout) {
-			r.violations = append(r.violations, Violation{Guarantee: StopDropsNothing, At: time.Now(), Detail: name + " did not end within its grace"})
+			r.violations = append(r.violations, Violation{Guarantee: StopDropsNothing, At: time.Now(), Detail: name + " did not exit within its grace period"})
 			return nil
 		}
 		return r.fleet.Restart(site.RoleEntry, zone, index)
@@ -221,26 +221,26 @@
 	return r.fleet.Group.Signal(name, syscall.SIGTERM)
 }
 
-// expireServers has the store lose every model server's line while it is away; the servers write
-// them anew after it.
+// expireServers has every model server's record in the store expire while the store is down;
+// the servers write them again afterwards.
 func (r *run) expireServers() {
 	r.site.Store.SetDown(true)
 	r.recordDisturbance(storeOutage + returnDelay)
-	var lapsed []*site.Server
+	var expired []*site.Server
 	for _, server := range r.site.Models {
 		server.Lapse()
-		lapsed = append(lapsed, server)
+		expired = append(expired, server)
 	}
 	r.schedule(storeOutage, func() error { r.site.Store.SetDown(false); return nil })
 	r.schedule(storeOutage+returnDelay, func() error {
-		for _, server := range lapsed {
+		for _, server := range expired {
 			server.Return()
 		}
 		return nil
 	})
 }
 
-// announceLeaving has a server announce its end, and puts an empty one in its place after it.
+// announceLeaving has a server announce that it leaves, and replaces it by an empty one later.
 func (r *run) announceLeaving(zone, index int, server *site.Server) {
 	if r.busy[server.ID()] {
 		return
@@ -251,10 +251,11 @@
 	r.restartAfterDrain(zone, index, server)
 }
 
-// leavingExtraTime is how long a server that leaves serves on after its drain.
+// leavingExtraTime is how long a leaving server continues to serve after its drain time.
 const leavingExtraTime = 2 * time.Second
 
-// restartAfterDrain puts an empty server in the place of one that leaves, unless that has been replaced meanwhile.
+// restartAfterDrain replaces a leaving server by an empty one after its drain time, unless it has been replaced
+// before.
 func (r *run) restartAfterDrain(zone, index int, server *site.Server) {
 	r.schedule(r.record.Drain+leavingExtraTime, func() error {
 		if r.site.Models[r.site.Options.ModelIP(zone, index)] != server {
--- a/internal/experiment/soak/health.go
+++ b/internal/experiment/soak/health.go
@@ -6,17 +6,17 @@
 	"pinevane.example/pinevane/internal/emulator/site"
 )
 
-// Times of servers whose health lies or flaps.
+// Timing of servers whose reported health is false or flaps.
 const (
-	// minFalseHealthTime is the least that a server lies: so long that its ejection ends and it is tried
-	// again, and what was drawn comes on top of it.
+	// minFalseHealthTime is the minimum time for which a server's reported health is false. It is
+	// long enough for an ejection to end and a probe to follow. The fault's duration is added to it.
 	minFalseHealthTime = 2 * time.Second
-	// A flapping server is down and up by turns of flapPeriod.
+	// A flapping server is down and up alternately, for flapPeriod each.
 	flapPeriod = 400 * time.Millisecond
 	flapTurns  = 8
 )
 
-// pickServer picks a server of either service.
+// pickServer returns the server, of either service, that a fault affects.
 func (r *run) pickServer(fault Fault) *site.Server {
 	options := r.site.Options
 	if fault.Count%2 == 0 {
@@ -25,19 +25,19 @@
 	return r.site.Models[options.ModelIP(fault.Zone, fault.Index%options.ModelServers)]
 }
 
-// setServerFaultsFor gives a server faults for a time. Requests that it took while it had them may be
-// held by it until their time is over.
-func (r *run) setServerFaultsFor(server *site.Server, faults site.Faults, lasts time.Duration) {
+// setServerFaultsFor sets faults at a server for a time. With LyingHangs the server may hold
+// requests that it accepted in that time until their timeout.
+func (r *run) setServerFaultsFor(server *site.Server, faults site.Faults, duration time.Duration) {
 	server.SetFaults(faults)
 	held := time.Duration(0)
 	if faults.Lying == site.LyingHangs {
 		held = time.Duration(r.site.Options.TimeoutMs) * time.Millisecond
 	}
-	r.recordDisturbance(lasts+held, server.ID())
-	r.schedule(lasts, func() error { server.SetFaults(site.Faults{}); return nil })
+	r.recordDisturbance(duration+held, server.ID())
+	r.schedule(duration, func() error { server.SetFaults(site.Faults{}); return nil })
 }
 
-// flap has a server reset every connection, and serve, by turns.
+// flap has a server alternate between resetting every connection and serving.
 func (r *run) flap(server *site.Server) {
 	r.recordDisturbance(flapTurns*flapPeriod, server.ID())
 	for turn := range flapTurns {
--- a/internal/experiment/soak/judge.go
+++ b/internal/experiment/soak/judge.go
@@ -8,10 +8,10 @@
 	"pinevane.example/pinevane/internal/emulator/site"
 )
 
-// Guarantee names what a violation breaks.
+// Guarantee names a guarantee that a violation breaks.
 type Guarantee string
 
-// The promises that are checked.
+// The guarantees that are checked.
 const (
 	CompleteOwnAnswer     Guarantee = "whole own answer"
 	AtMostOnce            Guarantee = "at most once"
@@ -32,19 +32,19 @@
 	RateLimitKept         Guarantee = "a server gets no more than it names"
 )
 
-// RequestKind tells how often a request may run.
+// RequestKind says how often a request may run.
 type RequestKind int
 
 // The kinds of requests.
 const (
-	// CallOnce may run at most once, CallSafe more often; CallStream is a stream that may
-	// be continued.
+	// CallOnce may run at most once, CallSafe may run more often; CallStream is a stream that
+	// may be resumed.
 	CallOnce RequestKind = iota + 1
 	CallSafe
 	CallStream
 )
 
-// Attempt is one request as its caller saw it.
+// Attempt is one request as its caller observed it.
 type Attempt struct {
 	ID   string
 	Kind RequestKind
@@ -52,10 +52,10 @@
 	Entry string
 	Sent  time.Time
 	Ended time.Time
-	// Status is 0 when no head of an answer came.
+	// Status is 0 when no response header was received.
 	Status int
-	// Complete is set when the answer came to its end, Own when it is the answer to this
-	// request with nothing missing.
+	// Complete is set when the answer was read to its end, Correct when it is the answer to
+	// this request with nothing missing.
 	Complete bool
 	Correct  bool
 }
@@ -64,28 +64,28 @@
 type Interval struct {
 	From time.Time
 	To   time.Time
-	// Name is the process or server that it concerns, empty for what all depend on.
+	// Name is the affected process or server, empty for something that all depend on.
 	Name string
 }
 
-// overlaps reports whether what was disturbed, or is shortly after it, lies between two moments.
+// overlaps reports whether the interval, extended by recoveryMargin, overlaps the period between two times.
 func (s Interval) overlaps(from, to time.Time) bool {
 	return s.From.Before(to) && s.To.Add(recoveryMargin).After(from)
 }
 
-// Departure is a server that has announced its end.
+// Departure is a server's announcement that it leaves.
 type Departure struct {
 	Server string
 	At     time.Time
 }
 
-// VersionAnnouncement is a named version of the weights.
+// VersionAnnouncement is the announcement of a version of the weights.
 type VersionAnnouncement struct {
 	Version uint64
 	At      time.Time
 }
 
-// Record is everything that a run has seen.
+// Record is everything that a run has recorded.
 type Record struct {
 	Attempts             []Attempt
 	Runs                 []site.Run
@@ -94,21 +94,21 @@
 	Stops                []Interval
 	Departures           []Departure
 	VersionAnnouncements []VersionAnnouncement
-	// Residencies hold from before the first process starts.
+	// Residencies apply from before the first process starts.
 	Residencies site.Residencies
-	// Restrictions are those of the configurations, in order, the first of which was published
-	// before any process started.
+	// Restrictions are the region restrictions of the published configurations, in order. The
+	// first was published before any process started.
 	Restrictions []Restriction
 	Deliveries   []site.Delivery
-	// Notices are what servers have asked for in their answers.
+	// Notices are the server notices in responses.
 	Notices     []site.Ask
 	Evacuations []Evacuation
-	// Crashes are the servers that requests have ended, Endings the entries that such requests were sent to.
+	// Crashes are the servers that requests have crashed, CrashSenders the entries that such requests were sent to.
 	Crashes      []site.End
 	CrashSenders map[string]string
-	// Reloads are the times in which changed settings come into force.
+	// Reloads are the intervals in which changed settings take effect.
 	Reloads []Interval
-	// VersionApply and those below it are the bounds of the platform.
+	// VersionApply and the durations below are the platform's time limits.
 	VersionApply       time.Duration
 	ConfigurationApply time.Duration
 	EvacuationApply    time.Duration
@@ -118,7 +118,7 @@
 	ColdLimit float64
 }
 
-// Violation is one broken promise.
+// Violation is one violated guarantee.
 type Violation struct {
 	Guarantee Guarantee
 	At        time.Time
@@ -126,15 +126,15 @@
 	Detail    string
 }
 
-// Margins of the judge.
+// Margins of the checks.
 const (
-	// recoveryMargin is how long after a disturbance bounds of time do not hold yet.
+	// recoveryMargin is how long after a disturbance time limits are not checked.
 	recoveryMargin = 3 * time.Second
-	// slack is allowed on bounds of time for what is on its way.
+	// slack is added to time limits for messages in flight.
 	slack = 300 * time.Millisecond
 )
 
-// Check finds every broken promise in a record.
+// Check returns every violated guarantee in a record.
 func Check(record Record) []Violation {
 	var found []Violation
 	runs := map[string][]site.Run{}
@@ -152,7 +152,7 @@
 	for _, arrival := range record.Arrivals {
 		if record.Residencies.Outside(arrival) {
 			found = append(found, Violation{
-				Guarantee: AllowedRegions, At: arrival.At, Request: arrival.RequestID, Detail: "it came to " + arrival.Server + " in " + arrival.Region,
+				Guarantee: AllowedRegions, At: arrival.At, Request: arrival.RequestID, Detail: "it arrived at " + arrival.Server + " in " + arrival.Region,
 			})
 		}
 	}
@@ -166,11 +166,11 @@
 
 func checkAttempt(attempt Attempt, runs []site.Run) []Violation {
 	var found []Violation
-	add := func(promise Guarantee, detail string) {
-		found = append(found, Violation{Guarantee: promise, At: attempt.Ended, Request: attempt.ID, Detail: detail})
+	add := func(guarantee Guarantee, detail string) {
+		found = append(found, Violation{Guarantee: guarantee, At: attempt.Ended, Request: attempt.ID, Detail: detail})
 	}
 	if attempt.Status == http.StatusOK && attempt.Complete && !attempt.Correct {
-		add(CompleteOwnAnswer, "a complete answer lacks something, or is another's, from "+attempt.Entry)
+		add(CompleteOwnAnswer, "a complete answer has missing parts or belongs to another request, from "+attempt.Entry)
 	}
 	if attempt.Kind == CallOnce && len(runs) > 1 {
 		add(AtMostOnce, fmt.Sprintf("ran %d times", len(runs)))
@@ -181,7 +181,7 @@
 	return found
 }
 
-// meansNotExecuted reports whether a status promises that the request has not run.
+// meansNotExecuted reports whether a status guarantees that the request has not run.
 func meansNotExecuted(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -190,51 +190,52 @@
 	return false
 }
 
-// checkRun judges what one server has begun.
+// checkRun checks one execution of a request at a server.
 func (r Record) checkRun(run site.Run) []Violation {
 	var found []Violation
-	add := func(promise Guarantee, detail string) {
-		found = append(found, Violation{Guarantee: promise, At: run.At, Request: run.RequestID, Detail: run.Server + ": " + detail})
+	add := func(guarantee Guarantee, detail string) {
+		found = append(found, Violation{Guarantee: guarantee, At: run.At, Request: run.RequestID, Detail: run.Server + ": " + detail})
 	}
 	if run.Spoilt {
-		add(ConsistentWeights, "it ran on missing or wrong pieces")
+		add(ConsistentWeights, "it ran on missing or corrupt pieces")
 	}
 	if run.KeySeen || run.Tenant != site.Tenant {
-		add(CallerIsolation, "it came with the caller's key or another tenant")
+		add(CallerIsolation, "it arrived with the caller's key or another tenant")
 	}
 	for _, naming := range r.VersionAnnouncements {
 		due := naming.At.Add(r.VersionApply + slack)
 		if run.Version != 0 && run.Version < naming.Version && run.At.After(due) && r.nothingDisturbed(naming.At, run.At) {
-			add(VersionInTime, fmt.Sprintf("it ran on version %d, %s after %d was named", run.Version, run.At.Sub(naming.At), naming.Version))
+			add(VersionInTime, fmt.Sprintf("it ran on version %d, %s after %d was announced", run.Version, run.At.Sub(naming.At), naming.Version))
 		}
 	}
 	for _, departure := range r.Departures {
 		if run.Server == departure.Server && run.At.After(departure.At.Add(r.Drain+slack)) && r.nothingDisturbed(departure.At, run.At) {
-			add(NoWorkToLeaving, fmt.Sprintf("it ran %s after the server said that it leaves", run.At.Sub(departure.At)))
+			add(NoWorkToLeaving, fmt.Sprintf("it ran %s after the server announced that it leaves", run.At.Sub(departure.At)))
 		}
 	}
 	return found
 }
 
-// checkStop judges a request that was under way at an entry when it was stopped as
-// planned, while nothing else was disturbed.
+// checkStop checks a request that was in progress at an entry when the entry was stopped
+// gracefully, while nothing else was disturbed.
 func (r Record) checkStop(attempt Attempt) []Violation {
 	if attempt.Status == 0 || attempt.Complete {
 		return nil
 	}
 	for _, stop := range r.Stops {
-		under := attempt.Entry == stop.Name && attempt.Sent.Before(stop.From) && attempt.Ended.After(stop.From) && attempt.Ended.Before(stop.From.Add(r.Grace))
-		if under && r.nothingDisturbed(attempt.Sent, attempt.Ended) {
+		inProgress := attempt.Entry == stop.Name && attempt.Sent.Before(stop.From) && attempt.Ended.After(stop.From) && attempt.Ended.Before(stop.From.Add(r.Grace))
+		if inProgress && r.nothingDisturbed(attempt.Sent, attempt.Ended) {
 			return []Violation{{Guarantee: StopDropsNothing, At: attempt.Ended, Request: attempt.ID, Detail: attempt.Entry + " cut it " + attempt.Ended.Sub(stop.From).String() + " after its stop"}}
 		}
 	}
 	return nil
 }
 
-// nothingDisturbed reports whether nothing was disturbed from a while before one moment to another.
+// nothingDisturbed reports whether nothing was disturbed from recoveryMargin before one time to
+// another.
 func (r Record) nothingDisturbed(from, to time.Time) bool {
-	for _, span := range r.Disturbances {
-		if span.overlaps(from, to) {
+	for _, interval := range r.Disturbances {
+		if interval.overlaps(from, to) {
 			return false
 		}
 	}
--- a/internal/experiment/soak/query_of_death.go
+++ b/internal/experiment/soak/query_of_death.go
@@ -13,58 +13,60 @@
 	"pinevane.example/pinevane/internal/launch"
 )
 
-// Shape of contents that end the servers which run them.
+// Parameters of the requests that crash the servers which run them.
 const (
-	// crashBody begins the bodies of such contents, of which a run has endingContents: they come
-	// again, so that what is known of them must outlast what strikes the processes meanwhile.
+	// crashBody begins the bodies of such requests, of which a run has crashFingerprints different
+	// ones. They recur, so what entries know of them must survive the other faults.
 	crashBody         = "ends its server "
 	crashIDPrefix     = "ending-"
 	crashFingerprints = 2
-	// crashRequestInterval is how often one is asked while the fault lasts, endingTime the least that it does;
-	// what was drawn comes on top of it. An entry that hears nothing of the others is not asked often
-	// enough to find out by itself within contact of the third end.
+	// crashRequestInterval is the time between such requests while the fault lasts, minCrashTime its
+	// minimum duration, to which the fault's duration is added. At this rate an entry that receives
+	// nothing from the others can't detect the fingerprint by itself within recoveryMargin of the
+	// third crash.
 	crashRequestInterval = 400 * time.Millisecond
 	minCrashTime         = 6 * time.Second
-	// crashDelay is how long a server runs such a request, endedFor how long it is away then.
+	// crashDelay is how long a server runs such a request before it crashes, crashDowntime how long it
+	// is down then.
 	crashDelay    = 50 * time.Millisecond
 	crashDowntime = 1500 * time.Millisecond
-	// crashedServers names what is disturbed while servers end: no entry is.
+	// crashedServers names the disturbance while servers crash; it matches no entry.
 	crashedServers = "ended servers"
-	// crashPollInterval is how often is looked for servers that have ended.
+	// crashPollInterval is the time between checks for crashed servers.
 	crashPollInterval = 200 * time.Millisecond
-	// allowedCrashes and lateAllowed are those of the platform: so many sends may come later than contact
-	// after so many servers have ended.
+	// allowedCrashes and allowedLateSends are the platform's limits: once allowedCrashes servers have
+	// crashed, at most allowedLateSends requests may arrive later than recoveryMargin after that.
 	allowedCrashes   = 3
 	allowedLateSends = 3
 )
 
-// sendCrashing has a content asked at all entries for a time, by callers that are not counted among the
-// others: nobody expects an answer.
+// sendCrashing sends requests with a crashing fingerprint to all entries for a time. Their callers are
+// not counted with the others, as no answer is expected.
 func (r *run) sendCrashing(fault Fault) {
 	r.site.CrashOn(site.Crashing{Body: crashBody, After: crashDelay})
-	lasts, content := minCrashTime+fault.Duration, fault.Count%crashFingerprints
-	r.recordDisturbance(lasts+crashDowntime, crashedServers)
-	ctx, cancel := context.WithTimeout(r.context, lasts)
-	r.schedule(lasts, func() error { cancel(); return nil })
+	duration, fingerprint := minCrashTime+fault.Duration, fault.Count%crashFingerprints
+	r.recordDisturbance(duration+crashDowntime, crashedServers)
+	ctx, cancel := context.WithTimeout(r.context, duration)
+	r.schedule(duration, func() error { cancel(); return nil })
 	r.crashFaults++
 	number := r.crashFaults
 	random := rand.New(rand.NewPCG(r.options.Seed, uint64(number)))
-	r.callerGroup.Go(func() { r.callers.sendCrashing(ctx, content, number, random) })
-	for pause := crashPollInterval; pause < lasts+2*crashDowntime; pause += crashPollInterval {
-		r.schedule(pause, r.restartCrashed)
+	r.callerGroup.Go(func() { r.callers.sendCrashing(ctx, fingerprint, number, random) })
+	for delay := crashPollInterval; delay < duration+2*crashDowntime; delay += crashPollInterval {
+		r.schedule(delay, r.restartCrashed)
 	}
 }
 
-// sendCrashing asks for a content until the context ends.
-func (c *callers) sendCrashing(ctx context.Context, content, fault int, random *rand.Rand) {
+// sendCrashing sends requests with a fingerprint until the context ends.
+func (c *callers) sendCrashing(ctx context.Context, fingerprint, fault int, random *rand.Rand) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: callTimeout}
 	ticker := time.NewTicker(crashRequestInterval)
 	defer ticker.Stop()
 	for number := 0; ctx.Err() == nil; number++ {
 		zone, index := random.IntN(c.site.Options.Zones), random.IntN(c.site.Options.Entries)
-		id := fmt.Sprintf("%s%d-%d-%d", crashIDPrefix, content, fault, number)
+		id := fmt.Sprintf("%s%d-%d-%d", crashIDPrefix, fingerprint, fault, number)
 		c.recordCrashSender(id, launch.SiteProcessName(site.RoleEntry, zone, index))
-		go c.sendCrashingRequest(client, zone, index, id, content)
+		go c.sendCrashingRequest(client, zone, index, id, fingerprint)
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -72,21 +74,21 @@
 	}
 }
 
-func (c *callers) sendCrashingRequest(client *http.Client, zone, index int, id string, content int) {
-	request, err := c.site.NewRequest(zone, index, http.MethodPost, site.StreamPrefix+"ending", id, crashBody+fmt.Sprint(content), 1)
+func (c *callers) sendCrashingRequest(client *http.Client, zone, index int, id string, fingerprint int) {
+	request, err := c.site.NewRequest(zone, index, http.MethodPost, site.StreamPrefix+"ending", id, crashBody+fmt.Sprint(fingerprint), 1)
 	if err != nil {
 		return
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		// The entry is away, or has no answer: the servers' records tell what the request did.
+		// The entry is down or gave no answer. The servers' records show what the request did.
 		return
 	}
 	_, _ = io.Copy(io.Discard, response.Body)
 	_ = response.Body.Close()
 }
 
-// recordCrashSender notes to which entry a request was sent.
+// recordCrashSender records to which entry a request was sent.
 func (c *callers) recordCrashSender(id, entry string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -96,16 +98,17 @@
 	c.crashSenders[id] = entry
 }
 
-// restartCrashed starts servers again that have ended a while ago, where nothing else has.
+// restartCrashed restarts the servers that crashed at least crashDowntime ago, unless they were
+// replaced before.
 func (r *run) restartCrashed() error {
-	for _, end := range r.site.Ends() {
-		if r.restarted[end.Server] || time.Since(end.At) < crashDowntime {
+	for _, crash := range r.site.Ends() {
+		if r.restarted[crash.Server] || time.Since(crash.At) < crashDowntime {
 			continue
 		}
-		r.restarted[end.Server] = true
+		r.restarted[crash.Server] = true
 		for zone := range r.site.Options.Zones {
 			for index := range r.site.Options.ModelServers {
-				if r.site.Models[r.site.Options.ModelIP(zone, index)].ID() != end.Server {
+				if r.site.Models[r.site.Options.ModelIP(zone, index)].ID() != crash.Server {
 					continue
 				}
 				if err := r.site.RestartModelUnnoticed(zone, index); err != nil {
@@ -117,13 +120,14 @@
 	return nil
 }
 
-// checkCrashes judges what came to servers of contents that had ended as many as are allowed.
+// checkCrashes finds requests that arrived at servers although their fingerprint had crashed allowedCrashes
+// servers before.
 func (r Record) checkCrashes() []Violation {
 	var found []Violation
-	for content := range crashFingerprints {
-		prefix := fmt.Sprintf("%s%d-", crashIDPrefix, content)
-		known, ended := lastAllowedCrash(r.Crashes, prefix)
-		if !ended {
+	for fingerprint := range crashFingerprints {
+		prefix := fmt.Sprintf("%s%d-", crashIDPrefix, fingerprint)
+		known, crashed := lastAllowedCrash(r.Crashes, prefix)
+		if !crashed {
 			continue
 		}
 		late := 0
@@ -134,7 +138,7 @@
 			if late++; late > allowedLateSends {
 				found = append(found, Violation{
 					Guarantee: QueryOfDeathContained, At: arrival.At, Request: arrival.RequestID,
-					Detail: fmt.Sprintf("%s sent it to %s, %s after three servers had ended under its content", r.CrashSenders[arrival.RequestID], arrival.Server, arrival.At.Sub(known)),
+					Detail: fmt.Sprintf("%s sent it to %s, %s after its fingerprint had crashed three servers", r.CrashSenders[arrival.RequestID], arrival.Server, arrival.At.Sub(known)),
 				})
 			}
 		}
@@ -142,13 +146,13 @@
 	return found
 }
 
-// lastAllowedCrash is when as many servers had ended under a content as are allowed.
-func lastAllowedCrash(ends []site.End, prefix string) (time.Time, bool) {
+// lastAllowedCrash returns when a fingerprint had crashed allowedCrashes servers.
+func lastAllowedCrash(crashes []site.End, prefix string) (time.Time, bool) {
 	count := 0
-	for _, end := range ends {
-		if strings.HasPrefix(end.RequestID, prefix) {
+	for _, crash := range crashes {
+		if strings.HasPrefix(crash.RequestID, prefix) {
 			if count++; count == allowedCrashes {
-				return end.At, true
+				return crash.At, true
 			}
 		}
 	}
--- a/internal/experiment/soak/regions.go
+++ b/internal/experiment/soak/regions.go
@@ -6,18 +6,18 @@
 	"pinevane.example/pinevane/internal/emulator/site"
 )
 
-// minNarrowTime is the least that narrower regions hold: so long that the configuration is in
-// force for a while, and what was drawn comes on top of it.
+// minNarrowTime is the minimum time for which allowed regions are narrowed. It is long enough for
+// the configuration to be in force for some time. The fault's duration is added to it.
 const minNarrowTime = 4 * time.Second
 
-// publishRegions publishes the allowed regions as they now are.
+// publishRegions publishes the current allowed regions.
 func (r *run) publishRegions() {
 	at := time.Now()
 	r.record.Restrictions = append(r.record.Restrictions, Restriction{At: at, Residencies: r.site.Restrict(r.allowed)})
 }
 
-// narrow sets one of the lists of regions for a time and then back to a wider one.
-func (r *run) narrow(list *[]string, key string, regions []string, lasts time.Duration) {
+// narrow replaces one of the lists of regions for a time and then restores it.
+func (r *run) narrow(list *[]string, key string, regions []string, duration time.Duration) {
 	if r.busy[key] {
 		return
 	}
@@ -25,7 +25,7 @@
 	wide := *list
 	*list = regions
 	r.publishRegions()
-	r.schedule(lasts, func() error {
+	r.schedule(duration, func() error {
 		r.busy[key] = false
 		*list = wide
 		r.publishRegions()
@@ -33,7 +33,7 @@
 	})
 }
 
-// narrowRoute allows requests of a route in one of its regions only.
+// narrowRoute restricts the requests of a route to one of its regions.
 func (r *run) narrowRoute(fault Fault) {
 	list, key := &r.allowed.Streams, "regions of streams"
 	if fault.Index%2 == 0 {
@@ -42,8 +42,8 @@
 	r.narrow(list, key, (*list)[fault.Count%len(*list):][:1], minNarrowTime+fault.Duration)
 }
 
-// narrowTenant allows requests of the tenant in all regions but one. The middle one, which both
-// routes share, is among them.
+// narrowTenant restricts the tenant's requests to the middle region, which both routes share, and
+// at most one other.
 func (r *run) narrowTenant(fault Fault) {
 	const shared = 1
 	regions := []string{site.RegionName(shared)}
--- a/internal/experiment/soak/run_test.go
+++ b/internal/experiment/soak/run_test.go
@@ -12,25 +12,25 @@
 	"pinevane.example/pinevane/internal/launch"
 )
 
-// A fleet that serves too few requests after all faults has not recovered, nor has one that
-// gets none.
+// A fleet that serves too few requests after the last fault has not recovered, nor has one that
+// receives none.
 func TestMissingRecoveryIsFound(t *testing.T) {
 	since := time.Now()
 	served := Attempt{Sent: since.Add(time.Second), Status: 200, Correct: true}
 	refused := Attempt{Sent: since.Add(time.Second), Status: 503}
 	earlier := Attempt{Sent: since.Add(-time.Second), Status: 503}
-	for _, one := range []struct {
+	for _, test := range []struct {
 		refused, found int
 	}{{0, 0}, {1, 0}, {2, 1}} {
 		r := &run{callers: &callers{attempts: []Attempt{earlier}}}
 		for range 20 {
 			r.callers.recordAttempt(served)
 		}
-		for range one.refused {
+		for range test.refused {
 			r.callers.recordAttempt(refused)
 		}
 		r.checkRecovery(since)
-		require.Len(t, r.violations, one.found)
+		require.Len(t, r.violations, test.found)
 	}
 	r := &run{callers: &callers{attempts: []Attempt{earlier}}}
 	r.checkRecovery(since)
@@ -38,11 +38,10 @@
 	assert.Equal(t, RecoveryInTime, r.violations[0].Guarantee)
 }
 
-// A process that has ended though nothing ended it is found and started again; one that a fault
-// has ended is not.
-func TestProcessThatHasEndedIsFound(t *testing.T) {
-	const endsAtOnce = "/bin/true"
-	fleet, err := launch.NewSiteFleet(endsAtOnce, "", siteOptions())
+// A process that exited without a fault is reported and restarted; one that a fault killed is not.
+func TestExitedProcessIsFound(t *testing.T) {
+	const exitsImmediately = "/bin/true"
+	fleet, err := launch.NewSiteFleet(exitsImmediately, "", siteOptions())
 	require.NoError(t, err)
 	defer fleet.Close()
 	options := fleet.Site.Options
--- a/internal/experiment/soak/schedule.go
+++ b/internal/experiment/soak/schedule.go
@@ -1,6 +1,6 @@
-// Package soak runs entries and agents as real processes against the stand-in of the
-// users' platform, under faults drawn from a seed, and checks the promises from what
-// callers and servers have seen.
+// Package soak runs entries and agents as real processes against the emulated platform, under
+// faults generated from a seed, and checks the guarantees against the records of callers and
+// servers.
 package soak
 
 import (
@@ -70,31 +70,32 @@
 // Fault is one fault of a schedule.
 type Fault struct {
 	Kind Kind
-	// At is when it strikes, counted from the start of the load; For is how long it
-	// lasts, where it lasts.
+	// At is when the fault begins, counted from the start of the load; Duration is how long
+	// it lasts, if its kind has a duration.
 	At       time.Duration
 	Duration time.Duration
-	// Zone and Index choose the machine, Count how much is struck.
+	// Zone and Index select the machine, Count the extent of the fault.
 	Zone  int
 	Index int
 	Count int
 }
 
-// Shape of schedules.
+// Parameters of schedules.
 const (
-	// seriesPeriod is how often a series of faults begins, seriesSpread the time in which
-	// its faults strike; after that it is calm.
+	// seriesPeriod is the time between the starts of two series of faults, seriesSpread the time
+	// within which the faults of a series begin. None begins in the rest of the period.
 	seriesPeriod     = 9 * time.Second
 	seriesSpread     = 4 * time.Second
 	maxInSeries      = 4
 	minFaultDuration = 300 * time.Millisecond
 	maxFaultDuration = 3 * time.Second
-	// scheduleSeedStream tells the schedule's random numbers from others of the same seed.
+	// scheduleSeedStream separates the schedule's random numbers from others of the same seed.
 	scheduleSeedStream = 1
 )
 
-// GenerateSchedule makes the schedule of a seed: series of one to four faults that overlap, with calm
-// between them, of some kinds, on a fleet of zones with a number of machines.
+// GenerateSchedule generates the schedule of a seed: series of one to four overlapping faults of
+// the given kinds, with pauses between the series, on a fleet of zones with a number of machines
+// in each.
 func GenerateSchedule(seed uint64, duration time.Duration, zones, machines int, kinds []Kind) []Fault {
 	random := rand.New(rand.NewPCG(seed, scheduleSeedStream))
 	var schedule []Fault
--- a/internal/experiment/soak/settings.go
+++ b/internal/experiment/soak/settings.go
@@ -7,10 +7,10 @@
 	"pinevane.example/pinevane/internal/launch"
 )
 
-// addedZone is a zone without machines that changed settings name.
+// addedZone is a zone without machines that changed settings add.
 const addedZone = "hall-added"
 
-// process is a process of a fault: an entry or an agent.
+// process is an entry or agent process that a fault affects.
 type process struct {
 	role        string
 	zone, index int
@@ -18,7 +18,7 @@
 
 func (m process) name() string { return launch.SiteProcessName(m.role, m.zone, m.index) }
 
-// pickProcess picks an entry or an agent.
+// pickProcess returns the entry or agent that a fault affects.
 func (r *run) pickProcess(fault Fault) process {
 	if fault.Count%2 == 0 {
 		return process{role: site.RoleEntry, zone: fault.Zone, index: fault.Index % r.site.Options.Entries}
@@ -26,7 +26,8 @@
 	return process{role: site.RoleAgent, zone: fault.Zone, index: fault.Index % r.site.Options.ModelServers}
 }
 
-// reload gives a process another settings file, unless it is stopped or about to be started.
+// reload replaces a process's settings file and has it reread, unless the process is stopped or
+// about to be started.
 func (r *run) reload(process process, settings []byte) error {
 	if r.busy[process.name()] {
 		return nil
@@ -36,15 +37,15 @@
 	return r.fleet.Reload(process.name(), settings)
 }
 
-// reloadFor gives a process other settings for a time and then its own again.
-func (r *run) reloadFor(process process, settings []byte, lasts time.Duration) error {
-	r.schedule(lasts, func() error {
+// reloadFor gives a process other settings for a time and then restores its own.
+func (r *run) reloadFor(process process, settings []byte, duration time.Duration) error {
+	r.schedule(duration, func() error {
 		return r.reload(process, r.site.Settings(process.role, process.zone, process.index))
 	})
 	return r.reload(process, settings)
 }
 
-// changeSettings names another zone, and other bounds of repeats, in a settings file.
+// changeSettings adds a zone to a settings file and changes the retry budget.
 func (r *run) changeSettings(fault Fault) error {
 	process := r.pickProcess(fault)
 	changed := r.site.ChangedSettings(process.role, process.zone, process.index, func(settings map[string]any) {
@@ -54,19 +55,19 @@
 	return r.reloadFor(process, changed, fault.Duration)
 }
 
-// writeInvalidSettings writes a settings file that can't be taken over.
+// writeInvalidSettings writes a settings file that the process must reject.
 func (r *run) writeInvalidSettings(fault Fault) error {
 	process := r.pickProcess(fault)
-	spoilt := r.site.Settings(process.role, process.zone, process.index)
+	invalid := r.site.Settings(process.role, process.zone, process.index)
 	switch fault.Index % 3 {
 	case 0:
-		spoilt = spoilt[:len(spoilt)/2]
+		invalid = invalid[:len(invalid)/2]
 	case 1:
-		spoilt = r.site.ChangedSettings(process.role, process.zone, process.index, func(settings map[string]any) {
+		invalid = r.site.ChangedSettings(process.role, process.zone, process.index, func(settings map[string]any) {
 			settings["bounds"].(map[string]any)["drainMs"] = 0
 		})
 	default:
-		spoilt = r.site.ChangedSettings(process.role, process.zone, process.index, func(settings map[string]any) { settings["zones"] = "none" })
+		invalid = r.site.ChangedSettings(process.role, process.zone, process.index, func(settings map[string]any) { settings["zones"] = "none" })
 	}
-	return r.reloadFor(process, spoilt, fault.Duration)
+	return r.reloadFor(process, invalid, fault.Duration)
 }
--- a/internal/experiment/soak/soak.go
+++ b/internal/experiment/soak/soak.go
@@ -16,36 +16,36 @@
 	"pinevane.example/pinevane/internal/launch"
 )
 
-// Options set up a soak.
+// Options configures a soak.
 type Options struct {
 	Executable string
-	// LogDirectory gets a log file a process; it is kept.
+	// LogDirectory receives one log file for each process and is kept after the run.
 	LogDirectory string
 	Seed         uint64
 	Duration     time.Duration
-	// Kinds are those that the schedule is drawn from.
+	// Kinds are the fault kinds that the schedule may contain.
 	Kinds  []Kind
 	Output io.Writer
 }
 
-// Times and sizes of a run.
+// Timing and sizes of a run.
 const (
 	firstNetwork     = 200
 	networks         = 50
 	readyTimeout     = 20 * time.Second
 	progressInterval = 30 * time.Second
-	// minCheckInterval is how often the judge looks while the fleet runs, and looks how often at most
-	// in a whole run, since each look goes through all that was seen.
+	// minCheckInterval is the shortest time between checks while the fleet runs, and maxChecks
+	// bounds their number in a run, since each check goes through the whole record.
 	minCheckInterval = 5 * time.Second
 	maxChecks        = 100
-	// exitPollTimeout is how long a process is waited for that is looked after.
+	// exitPollTimeout is how long a check waits for the exit of a process.
 	exitPollTimeout = time.Millisecond
-	// callerSeedStream tells the callers' random numbers from others of the same seed.
+	// callerSeedStream separates the callers' random numbers from others of the same seed.
 	callerSeedStream = 100
-	// settleTime follows the last fault; then the fleet must serve again.
+	// settleTime is the time after the last fault until the fleet must serve again.
 	settleTime = 12 * time.Second
-	// finalPeriod is how long requests are counted then, finalShare the part of them that
-	// must be answered.
+	// finalPeriod is how long requests are settled after that, minFinalRatio the fraction of
+	// them that must be answered.
 	finalPeriod   = 3 * time.Second
 	minFinalRatio = 0.95
 )
@@ -56,23 +56,23 @@
 		Weights:   site.Weights{Model: "dialect", Pieces: 48, PieceBytes: 24576, Layers: 16},
 		EventTime: 10 * time.Millisecond, Slots: 16,
 		VersionMs: 8000, ConfigApplyMs: 2000, DrainMs: 3000, GraceS: 8, BudgetSlack: 100, TimeoutMs: 6000,
-		// Entries act on an evacuation when they hear of it, so that 3 s of the platform's 5 s
-		// must be enough in a fleet this small. What a cold server bears, 15 requests in a
-		// second, is above the 12 that ordinary load sends each, and below the 24 that a
-		// burst sends, or the streams of two zones to the servers of one.
+		// Entries act on an evacuation as soon as they receive it, so 3 s of the platform's 5 s
+		// must be enough in a fleet this small. The limit of a cold server, 15 requests a
+		// second, is above the 12 that normal load sends to each server and below the 24 that
+		// a burst sends, or the streams of two zones to the servers of one.
 		EvacuateMs: 3000, ColdPerS: 8, ColdStartS: 3, ColdOvershoot: 1.5, ColdSlack: 3,
 	}
 }
 
-// run is one soak.
+// run is the state of one soak.
 type run struct {
 	options Options
 	fleet   *launch.SiteFleet
 	site    *site.Site
 	callers *callers
 
-	// timeline holds what is still to be done; only the run's own goroutine touches it
-	// and what is below.
+	// timeline holds the pending steps. It and the fields below are accessed only by the
+	// run's own goroutine.
 	timeline    []step
 	busy        map[string]bool
 	version     uint64
@@ -82,31 +82,31 @@
 	allowed     site.AllowedRegions
 	// printed are the violations that have been printed.
 	printed map[Violation]bool
-	// callerGroup are the callers, which end with their context.
+	// callerGroup waits for the callers, which stop with their context.
 	callerGroup sync.WaitGroup
 	context     context.Context
-	// bursts counts the bursts of callers, whose numbers follow those of the lasting ones.
+	// bursts counts the bursts of callers, whose numbers follow those of the permanent ones.
 	bursts int
-	// crashFaults counts the faults that ask for contents which end servers; restarted are the servers
-	// that were started again since.
+	// crashFaults counts the faults that send requests which crash servers; restarted are the
+	// crashed servers that have been restarted.
 	crashFaults int
 	restarted   map[string]bool
 }
 
-// step is something to do at a time.
+// step is an action scheduled for a time.
 type step struct {
 	at time.Time
 	do func() error
 }
 
-// schedule queues something to be done a while from now.
-func (r *run) schedule(pause time.Duration, do func() error) {
-	r.timeline = append(r.timeline, step{at: time.Now().Add(pause), do: do})
+// schedule adds an action to the timeline, to run after a delay.
+func (r *run) schedule(delay time.Duration, do func() error) {
+	r.timeline = append(r.timeline, step{at: time.Now().Add(delay), do: do})
 	slices.SortStableFunc(r.timeline, func(a, b step) int { return cmp.Compare(a.at.UnixNano(), b.at.UnixNano()) })
 }
 
-// Run plays the schedule of a seed and reports what it found. A broken promise is a
-// *fault.PromiseBroken.
+// Run executes the fault schedule of a seed and reports the violations. A violated guarantee
+// is returned as a *fault.GuaranteeViolated.
 func Run(options Options) error {
 	fleet, err := launch.NewSiteFleet(options.Executable, options.LogDirectory, siteOptions())
 	if err != nil {
@@ -122,7 +122,7 @@
 	return r.execute()
 }
 
-// newRun prepares a run on a fleet of which no process runs yet.
+// newRun prepares a run on a fleet whose processes have not been started.
 func newRun(options Options, fleet *launch.SiteFleet) *run {
 	bounds := fleet.Site.Options
 	r := &run{
@@ -157,7 +157,7 @@
 	return r.report()
 }
 
-// startCallers starts callers in every zone, numbered from one on, that last as long as a context.
+// startCallers starts callers in every zone, numbered from first, that stop with a context.
 func (r *run) startCallers(ctx context.Context, first int) {
 	for zone := range r.site.Options.Zones {
 		for caller := first; caller < first+callersPerZone; caller++ {
@@ -167,29 +167,29 @@
 	}
 }
 
-// burst doubles the callers for a time.
-func (r *run) burst(lasts time.Duration) {
+// burst doubles the number of callers for a time.
+func (r *run) burst(duration time.Duration) {
 	r.bursts++
-	ctx, cancel := context.WithTimeout(r.context, lasts)
+	ctx, cancel := context.WithTimeout(r.context, duration)
 	r.startCallers(ctx, r.bursts*callersPerZone)
-	r.schedule(lasts, func() error { cancel(); return nil })
+	r.schedule(duration, func() error { cancel(); return nil })
 }
 
-// runSchedule plays the schedule, lets the fleet settle, and counts what it then serves.
+// runSchedule injects the scheduled faults, lets the fleet settle and checks its recovery.
 func (r *run) runSchedule() error {
-	began := time.Now()
-	for _, one := range GenerateSchedule(r.options.Seed, r.options.Duration, r.site.Options.Zones, r.site.Options.ModelServers, r.options.Kinds) {
-		r.timeline = append(r.timeline, step{at: began.Add(one.At), do: func() error {
-			r.faultCounts[one.Kind]++
-			return r.inject(one)
+	start := time.Now()
+	for _, scheduled := range GenerateSchedule(r.options.Seed, r.options.Duration, r.site.Options.Zones, r.site.Options.ModelServers, r.options.Kinds) {
+		r.timeline = append(r.timeline, step{at: start.Add(scheduled.At), do: func() error {
+			r.faultCounts[scheduled.Kind]++
+			return r.inject(scheduled)
 		}})
 	}
 	r.schedule(r.options.Duration, func() error { return nil })
-	for pause := progressInterval; pause < r.options.Duration; pause += progressInterval {
-		r.schedule(pause, func() error { r.printProgress(began); return nil })
+	for delay := progressInterval; delay < r.options.Duration; delay += progressInterval {
+		r.schedule(delay, func() error { r.printProgress(start); return nil })
 	}
-	for pause := r.checkInterval(); pause < r.options.Duration; pause += r.checkInterval() {
-		r.schedule(pause, func() error { return r.checkSoFar() })
+	for delay := r.checkInterval(); delay < r.options.Duration; delay += r.checkInterval() {
+		r.schedule(delay, func() error { return r.checkSoFar() })
 	}
 	if err := r.runTimeline(); err != nil {
 		return err
@@ -198,13 +198,13 @@
 	if err := r.runTimeline(); err != nil {
 		return err
 	}
-	counted := time.Now()
+	settled := time.Now()
 	time.Sleep(finalPeriod)
-	r.checkRecovery(counted)
+	r.checkRecovery(settled)
 	return nil
 }
 
-// runTimeline does what is on the timeline until nothing is left.
+// runTimeline runs the steps of the timeline until none is left.
 func (r *run) runTimeline() error {
 	for len(r.timeline) > 0 {
 		next := r.timeline[0]
@@ -217,47 +217,48 @@
 	return nil
 }
 
-func (r *run) printProgress(began time.Time) {
-	struck := 0
+func (r *run) printProgress(start time.Time) {
+	injected := 0
 	for _, count := range r.faultCounts {
-		struck += count
+		injected += count
 	}
-	r.printf("%4.0f s: %d faults, %d requests", time.Since(began).Seconds(), struck, len(r.callers.allAttempts()))
+	r.printf("%4.0f s: %d faults, %d requests", time.Since(start).Seconds(), injected, len(r.callers.allAttempts()))
 }
 
-// checkInterval is how often the judge looks.
+// checkInterval returns the time between checks.
 func (r *run) checkInterval() time.Duration {
 	return max(minCheckInterval, r.options.Duration/maxChecks)
 }
 
-// checkSoFar judges what was seen so far and prints what is new.
+// checkSoFar checks the record so far and prints new violations.
 func (r *run) checkSoFar() error {
 	r.collect()
-	for _, one := range append(r.violations, Check(r.record)...) {
-		r.printViolation(one)
+	for _, violation := range append(r.violations, Check(r.record)...) {
+		r.printViolation(violation)
 	}
 	return r.checkProcesses()
 }
 
-// collect takes over what callers and servers have seen.
+// collect copies what callers and servers have recorded.
 func (r *run) collect() {
-	// What callers saw comes first: each request of theirs has then left its traces at servers.
+	// The callers' records are read first, so that the servers' records of each of their requests
+	// are complete.
 	r.record.Attempts, r.record.CrashSenders = r.callers.allAttempts(), r.callers.allCrashSenders()
 	r.record.Crashes = r.site.Ends()
 	r.record.Runs, r.record.Arrivals, r.record.Deliveries = r.site.Ledger.Runs(), r.site.Ledger.Arrivals(), r.site.Ledger.Deliveries()
 	r.record.Notices = r.site.Ledger.Asks()
 }
 
-// printViolation prints a violation once.
-func (r *run) printViolation(one Violation) {
-	if r.printed[one] {
+// printViolation prints a violation unless it was printed before.
+func (r *run) printViolation(violation Violation) {
+	if r.printed[violation] {
 		return
 	}
-	r.printed[one] = true
-	r.printf("  seed %d, %s: %s, request %q: %s", r.options.Seed, one.At.Format("15:04:05.000"), one.Guarantee, one.Request, one.Detail)
+	r.printed[violation] = true
+	r.printf("  seed %d, %s: %s, request %q: %s", r.options.Seed, violation.At.Format("15:04:05.000"), violation.Guarantee, violation.Request, violation.Detail)
 }
 
-// checkProcesses notes processes that have ended by themselves, and starts them again.
+// checkProcesses records processes that have exited by themselves and restarts them.
 func (r *run) checkProcesses() error {
 	for zone := range r.site.Options.Zones {
 		for role, count := range map[string]int{site.RoleEntry: r.site.Options.Entries, site.RoleAgent: r.site.Options.ModelServers} {
@@ -266,7 +267,7 @@
 				if r.busy[name] || !r.fleet.Group.WaitExit(name, exitPollTimeout) {
 					continue
 				}
-				r.violations = append(r.violations, Violation{Guarantee: NoUnexpectedExit, At: time.Now(), Detail: name + " has ended"})
+				r.violations = append(r.violations, Violation{Guarantee: NoUnexpectedExit, At: time.Now(), Detail: name + " has exited"})
 				if err := r.fleet.Restart(role, zone, index); err != nil {
 					return err
 				}
@@ -276,7 +277,7 @@
 	return nil
 }
 
-// checkRecovery counts the requests since a moment at which all faults are long over.
+// checkRecovery checks the ratio of served requests since a time at which all faults are long over.
 func (r *run) checkRecovery(since time.Time) {
 	total, served := 0, 0
 	for _, attempt := range r.callers.allAttempts() {
@@ -288,11 +289,11 @@
 		}
 	}
 	if total == 0 || float64(served) < minFinalRatio*float64(total) {
-		r.violations = append(r.violations, Violation{Guarantee: RecoveryInTime, At: since, Detail: fmt.Sprintf("%d of %d requests served after all faults", served, total)})
+		r.violations = append(r.violations, Violation{Guarantee: RecoveryInTime, At: since, Detail: fmt.Sprintf("%d of %d requests served after the last fault", served, total)})
 	}
 }
 
-// report judges the whole run and prints it.
+// report checks the whole run and prints the result.
 func (r *run) report() error {
 	if err := r.checkProcesses(); err != nil {
 		return err
@@ -315,10 +316,10 @@
 	}
 	r.printf("requests checked: %d answered, %d refused, %d failed; %d arrivals and %d runs at servers", answered, refused,
 		len(r.record.Attempts)-answered-refused, len(r.record.Arrivals), len(r.record.Runs))
-	r.printf("cold servers received up to %d requests in a second, and bear %g", r.site.Ledger.MostWhileCold(), r.record.ColdLimit)
+	r.printf("cold servers received up to %d requests in a second, limit %g", r.site.Ledger.MostWhileCold(), r.record.ColdLimit)
 	r.printf("violations: %d", len(found))
-	for _, one := range found {
-		r.printViolation(one)
+	for _, violation := range found {
+		r.printViolation(violation)
 	}
 	if len(found) > 0 {
 		return &fault.GuaranteeViolated{Guarantee: string(found[0].Guarantee), Detail: found[0].Detail}
--- a/internal/experiment/soak/soak_test.go
+++ b/internal/experiment/soak/soak_test.go
@@ -10,10 +10,10 @@
 	"pinevane.example/pinevane/internal/emulator/site"
 )
 
-// validRecord is a run in which every promise held: one request of each kind, a version
-// that was named and a server that left.
-func validRecord(began time.Time) Record {
-	at := func(seconds float64) time.Time { return began.Add(time.Duration(seconds * float64(time.Second))) }
+// validRecord returns the record of a run in which every guarantee held, with one request of each
+// kind, an announced version and a server that left.
+func validRecord(start time.Time) Record {
+	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 	run := func(id, server string, version uint64, seconds float64) site.Run {
 		return site.Run{RequestID: id, Server: server, Version: version, Tenant: site.Tenant, At: at(seconds)}
 	}
@@ -64,16 +64,16 @@
 	}
 }
 
-// The check of each promise finds what breaks it, and only that.
-func TestEachBrokenPromiseIsFound(t *testing.T) {
-	began := time.Now()
-	require.Empty(t, Check(validRecord(began)))
+// The check of each guarantee reports its violation and nothing else.
+func TestEachViolationIsFound(t *testing.T) {
+	start := time.Now()
+	require.Empty(t, Check(validRecord(start)))
 	deliver := func(server string, seconds float64) site.Delivery {
-		return site.Delivery{RequestID: "once", Server: server, Zone: site.ZoneName(1), At: began.Add(time.Duration(seconds * float64(time.Second)))}
+		return site.Delivery{RequestID: "once", Server: server, Zone: site.ZoneName(1), At: start.Add(time.Duration(seconds * float64(time.Second)))}
 	}
-	for _, one := range []struct {
-		promise Guarantee
-		spoil   func(*Record)
+	for _, test := range []struct {
+		guarantee Guarantee
+		corrupt   func(*Record)
 	}{
 		{CompleteOwnAnswer, func(r *Record) { r.Attempts[1].Correct = false }},
 		{AtMostOnce, func(r *Record) { r.Runs = append(r.Runs, r.Runs[0]) }},
@@ -86,24 +86,24 @@
 		{AllowedRegions, func(r *Record) { r.Arrivals[0].Region = site.RegionName(2) }},
 		{AllowedRegions, func(r *Record) { r.Arrivals[0].Region = "" }},
 		{StopDropsNothing, func(r *Record) { r.Attempts[1].Complete, r.Attempts[1].Correct = false, false }},
-		{AllowedRegions, func(r *Record) { r.Arrivals[0].At = began.Add(55 * time.Second) }},
-		{NoWorkToEvacuated, func(r *Record) { r.Deliveries[1].At = began.Add(34 * time.Second) }},
+		{AllowedRegions, func(r *Record) { r.Arrivals[0].At = start.Add(55 * time.Second) }},
+		{NoWorkToEvacuated, func(r *Record) { r.Deliveries[1].At = start.Add(34 * time.Second) }},
 		{NoWorkToEvacuated, func(r *Record) {
-			r.Deliveries[2].Zone, r.Deliveries[2].At = site.ZoneName(0), began.Add(52*time.Second)
+			r.Deliveries[2].Zone, r.Deliveries[2].At = site.ZoneName(0), start.Add(52*time.Second)
 		}},
-		{ColdLimitKept, func(r *Record) { r.Deliveries[2].At = began.Add(40900 * time.Millisecond) }},
+		{ColdLimitKept, func(r *Record) { r.Deliveries[2].At = start.Add(40900 * time.Millisecond) }},
 		{ReloadDropsNothing, func(r *Record) {
-			r.Attempts[2].Sent, r.Attempts[2].Ended, r.Attempts[2].Complete = began.Add(71*time.Second), began.Add(73*time.Second), false
+			r.Attempts[2].Sent, r.Attempts[2].Ended, r.Attempts[2].Complete = start.Add(71*time.Second), start.Add(73*time.Second), false
 		}},
 		{ReloadDropsNothing, func(r *Record) {
-			r.Attempts[2].Sent, r.Attempts[2].Ended, r.Attempts[2].Status = began.Add(69*time.Second), began.Add(70100*time.Millisecond), 0
+			r.Attempts[2].Sent, r.Attempts[2].Ended, r.Attempts[2].Status = start.Add(69*time.Second), start.Add(70100*time.Millisecond), 0
 		}},
 		{QueryOfDeathContained, func(r *Record) {
 			for range allowedLateSends + 1 {
-				r.Arrivals = append(r.Arrivals, site.Arrival{RequestID: "ending-0-1-3", Server: "i-1", Path: site.StreamPrefix, Region: site.RegionName(2), At: began.Add(86 * time.Second)})
+				r.Arrivals = append(r.Arrivals, site.Arrival{RequestID: "ending-0-1-3", Server: "i-1", Path: site.StreamPrefix, Region: site.RegionName(2), At: start.Add(86 * time.Second)})
 			}
 		}},
-		{NoWorkToLeaving, func(r *Record) { r.Notices[0].At = began.Add(31 * time.Second) }},
+		{NoWorkToLeaving, func(r *Record) { r.Notices[0].At = start.Add(31 * time.Second) }},
 		{BackoffKept, func(r *Record) { r.Deliveries = append(r.Deliveries, deliver("i-4", 91)) }},
 		{RateLimitKept, func(r *Record) {
 			for range site.LimitSlack + 1 {
@@ -111,56 +111,56 @@
 			}
 		}},
 	} {
-		record := validRecord(began)
-		one.spoil(&record)
+		record := validRecord(start)
+		test.corrupt(&record)
 		found := Check(record)
-		if assert.Len(t, found, 1, one.promise) {
-			assert.Equal(t, one.promise, found[0].Guarantee)
+		if assert.Len(t, found, 1, test.guarantee) {
+			assert.Equal(t, test.guarantee, found[0].Guarantee)
 		}
 	}
 }
 
-// Bounds of time hold only where nothing was disturbed shortly before.
-func TestBoundsOfTimeWaitForCalm(t *testing.T) {
-	began := time.Now()
-	record := validRecord(began)
+// Time limits are checked only where nothing was disturbed shortly before.
+func TestTimeLimitsWaitForRecovery(t *testing.T) {
+	start := time.Now()
+	record := validRecord(start)
 	record.Runs[1].Version = 1
-	record.Disturbances = []Interval{{From: began.Add(15 * time.Second), To: began.Add(18 * time.Second)}}
-	assert.Empty(t, Check(record), "the version was named 2 s after the store was back")
-	record.Disturbances[0].To = began.Add(16 * time.Second)
+	record.Disturbances = []Interval{{From: start.Add(15 * time.Second), To: start.Add(18 * time.Second)}}
+	assert.Empty(t, Check(record), "the version was announced 2 s after the store recovered")
+	record.Disturbances[0].To = start.Add(16 * time.Second)
 	assert.Len(t, Check(record), 1)
 }
 
-// What was sent where a newer configuration or an evacuation forbids it counts from the bound
-// on, and only at entries that were in touch.
-func TestBoundsOfPlacesHoldForEntriesInTouch(t *testing.T) {
-	began := time.Now()
-	at := func(seconds float64) time.Time { return began.Add(time.Duration(seconds * float64(time.Second))) }
-	record := validRecord(began)
+// A request sent to a place that a newer configuration or an evacuation forbids is a violation only
+// after the time limit, and only from a connected entry.
+func TestPlacementLimitsHoldForConnectedEntries(t *testing.T) {
+	start := time.Now()
+	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
+	record := validRecord(start)
 	record.Arrivals[0].At, record.Deliveries[1].At = at(55), at(34)
 	require.Len(t, Check(record), 2)
-	for _, one := range []struct {
-		what  string
-		spans []Interval
-		found int
+	for _, test := range []struct {
+		name      string
+		intervals []Interval
+		found     int
 	}{
-		{"the store was away shortly before", []Interval{{From: at(30), To: at(32)}, {From: at(51), To: at(53)}}, 0},
-		{"the entry stood still", []Interval{{From: at(33), To: at(34)}, {From: at(54), To: at(56)}}, 0},
-		{"the store came back long before", []Interval{{From: at(29), To: at(30.5)}, {From: at(49), To: at(51)}}, 2},
-		{"another entry stood still", []Interval{{From: at(29), To: at(60), Name: "entry-1-0"}}, 2},
+		{"the store was down shortly before", []Interval{{From: at(30), To: at(32)}, {From: at(51), To: at(53)}}, 0},
+		{"the entry was frozen", []Interval{{From: at(33), To: at(34)}, {From: at(54), To: at(56)}}, 0},
+		{"the store recovered long before", []Interval{{From: at(29), To: at(30.5)}, {From: at(49), To: at(51)}}, 2},
+		{"another entry was frozen", []Interval{{From: at(29), To: at(60), Name: "entry-1-0"}}, 2},
 	} {
-		record.Disturbances = one.spans
-		assert.Len(t, Check(record), one.found, one.what)
+		record.Disturbances = test.intervals
+		assert.Len(t, Check(record), test.found, test.name)
 	}
-	record = validRecord(began)
+	record = validRecord(start)
 	record.Arrivals[0].At, record.Deliveries[1].At = at(51.5), at(32.5)
-	assert.Empty(t, Check(record), "before the bounds")
+	assert.Empty(t, Check(record), "before the time limits")
 	record.Arrivals[0].At, record.Deliveries[1].At = at(60.5), at(38.5)
-	assert.Empty(t, Check(record), "after they were taken back")
+	assert.Empty(t, Check(record), "after they were withdrawn")
 }
 
-// Requests whose callers still wait are judged once it is known which entry they were sent to.
-func TestRequestsUnderWayAreJudgedLater(t *testing.T) {
+// Requests whose callers still wait are checked once the entry that they were sent to is recorded.
+func TestRequestsInProgressAreCheckedLater(t *testing.T) {
 	record := validRecord(time.Now())
 	record.Deliveries[1].At = record.Evacuations[0].Requested.Add(4 * time.Second)
 	answered := record.Attempts
@@ -170,9 +170,9 @@
 	assert.Len(t, Check(record), 1)
 }
 
-// Requests of a server that lies are as bound as all others: one that may run once has not run
-// twice because the server failed it after it had begun.
-func TestSecondRunAfterALyingServerIsFound(t *testing.T) {
+// A server whose health is falsely reported good is no exception to at-most-once: a request that it
+// began and then failed must not run again on another server.
+func TestSecondRunAfterFalseHealthIsFound(t *testing.T) {
 	record := validRecord(time.Now())
 	lying := record.Runs[0]
 	lying.Server = "p-lying"
@@ -184,30 +184,30 @@
 	assert.Equal(t, AtMostOnce, found[0].Guarantee)
 }
 
-// A seed always gives the same schedule, and many seeds give every kind of fault.
+// The same seed always gives the same schedule, and 30 seeds together give every kind of fault.
 func TestSchedulesComeFromTheSeed(t *testing.T) {
 	assert.Equal(t, GenerateSchedule(7, time.Minute, 3, 3, Kinds), GenerateSchedule(7, time.Minute, 3, 3, Kinds))
-	struck := map[Kind]bool{}
+	seen := map[Kind]bool{}
 	for seed := range uint64(30) {
 		for _, fault := range GenerateSchedule(seed, time.Minute, 3, 3, Kinds) {
-			struck[fault.Kind] = true
+			seen[fault.Kind] = true
 			assert.Less(t, fault.At, time.Minute-4*time.Second)
 			assert.GreaterOrEqual(t, fault.Duration, minFaultDuration)
 		}
 	}
-	assert.Len(t, struck, len(Kinds))
+	assert.Len(t, seen, len(Kinds))
 	for _, fault := range GenerateSchedule(7, time.Minute, 3, 3, []Kind{Burst, ZoneTurnsCold}) {
 		assert.Contains(t, []Kind{Burst, ZoneTurnsCold}, fault.Kind)
 	}
 }
 
-// A stream's answer is its own only when every event is there once and in order.
-func TestOwnAnswers(t *testing.T) {
+// The answer of a stream is correct only when it has every event once and in order.
+func TestCorrectAnswers(t *testing.T) {
 	stream := Attempt{ID: "a", Kind: CallStream}
 	assert.True(t, isCorrect(stream, "id: 1\ndata: a/1\n\nid: 2\ndata: a/2\n\n", "POST", "/stream/gloss", "", 2))
-	assert.False(t, isCorrect(stream, "id: 1\ndata: a/1\n\n", "POST", "/stream/gloss", "", 2), "one is missing")
-	assert.False(t, isCorrect(stream, "id: 1\ndata: a/1\n\nid: 1\ndata: a/1\n\n", "POST", "/stream/gloss", "", 2), "one comes twice")
-	assert.False(t, isCorrect(stream, "id: 1\ndata: b/1\n\nid: 2\ndata: b/2\n\n", "POST", "/stream/gloss", "", 2), "another's")
+	assert.False(t, isCorrect(stream, "id: 1\ndata: a/1\n\n", "POST", "/stream/gloss", "", 2), "an event is missing")
+	assert.False(t, isCorrect(stream, "id: 1\ndata: a/1\n\nid: 1\ndata: a/1\n\n", "POST", "/stream/gloss", "", 2), "an event is repeated")
+	assert.False(t, isCorrect(stream, "id: 1\ndata: b/1\n\nid: 2\ndata: b/2\n\n", "POST", "/stream/gloss", "", 2), "events of another request")
 	assert.True(t, isCorrect(Attempt{ID: "c", Kind: CallOnce}, "POST /once/save words of c", "POST", "/once/save", "words of c", 0))
 	assert.False(t, isCorrect(Attempt{ID: "c", Kind: CallOnce}, "POST /once/save words of d", "POST", "/once/save", "words of c", 0))
 }
--- a/internal/experiment/soak/upgrade_test.go
+++ b/internal/experiment/soak/upgrade_test.go
@@ -22,43 +22,43 @@
 )
 
 const (
-	// previousBuild is the version that ran before this one on the users' machines.
+	// previousBuild is the commit of the build that ran before this one on the users' machines.
 	previousBuild = "6b6d0af"
-	// allowedServedDrop is how much smaller the share of served requests may be while two builds run
-	// side by side than while one replaces itself.
+	// allowedServedDrop is how much smaller the ratio of served requests may be while two builds run
+	// side by side than while the previous build is replaced by itself.
 	allowedServedDrop = 0.02
-	// announceDelay is how long after the first process of a replacement a version is named.
+	// announceDelay is the time between the start of a replacement and the announcement of a version.
 	announceDelay = 2 * time.Second
-	// replaceInterval is the time between the replacements of agents, and of entries, which end within
-	// their grace one zone after the other.
+	// replaceInterval is the time between the replacements of two agents, and of two entries, which
+	// exit within their grace period.
 	replaceInterval = 300 * time.Millisecond
 	buildTimeout    = 3 * time.Minute
 )
 
-// git runs a command of git in this repository.
+// git runs a git command in this repository.
 func git(ctx context.Context, arguments ...string) (string, error) {
 	output, err := exec.CommandContext(ctx, "git", arguments...).CombinedOutput()
 	return strings.TrimSpace(string(output)), err
 }
 
-// buildBinary builds the binary of a commit, or of the tree as it is where none is named.
+// buildBinary builds the binary of a commit, or of the current tree if commit is empty.
 func buildBinary(t *testing.T, commit string) string {
 	ctx, cancel := context.WithTimeout(context.Background(), buildTimeout)
 	defer cancel()
 	root, err := git(ctx, "rev-parse", "--show-toplevel")
 	if err != nil {
-		t.Skipf("no history of this project to build the former version from: %s", root)
+		t.Skipf("no git history to build the previous version from: %s", root)
 	}
 	if commit != "" {
-		if said, err := git(ctx, "cat-file", "-e", commit+"^{commit}"); err != nil {
-			t.Skipf("the history here does not reach back to %s, the former version: %s", commit, said)
+		if message, err := git(ctx, "cat-file", "-e", commit+"^{commit}"); err != nil {
+			t.Skipf("the git history does not contain %s, the previous version: %s", commit, message)
 		}
 		tree := filepath.Join(t.TempDir(), "former")
-		said, err := git(ctx, "-C", root, "worktree", "add", "--detach", tree, commit)
-		require.NoError(t, err, said)
+		message, err := git(ctx, "-C", root, "worktree", "add", "--detach", tree, commit)
+		require.NoError(t, err, message)
 		t.Cleanup(func() {
-			if said, err := git(context.Background(), "-C", root, "worktree", "remove", "--force", tree); err != nil {
-				t.Log(said)
+			if message, err := git(context.Background(), "-C", root, "worktree", "remove", "--force", tree); err != nil {
+				t.Log(message)
 			}
 		})
 		root = tree
@@ -71,8 +71,8 @@
 	return binary
 }
 
-// replaceProcesses ends every process of one group as planned, agents first and the entries of one zone at a
-// time, and starts it anew in another one.
+// replaceProcesses stops every process of one group gracefully and restarts it in another group: first
+// the agents, one at a time, then the entries, one of each zone at a time.
 func (r *run) replaceProcesses(t *testing.T, from, to *launch.Group) {
 	r.fleet.Group = to
 	options := r.site.Options
@@ -101,12 +101,12 @@
 	}
 }
 
-// sentBetween are the requests sent in a span.
+// sentBetween returns the requests sent between two times.
 func (r *run) sentBetween(from, to time.Time) []Attempt {
 	return slices.DeleteFunc(r.callers.allAttempts(), func(a Attempt) bool { return a.Sent.Before(from) || a.Sent.After(to) })
 }
 
-// unservedCounts counts those of some requests that were not answered, by kind and status.
+// unservedCounts counts the requests that were not answered, by kind and status.
 func unservedCounts(attempts []Attempt) map[string]int {
 	counts := map[string]int{}
 	for _, attempt := range attempts {
@@ -117,7 +117,7 @@
 	return counts
 }
 
-// servedRatio is the share of some requests that were answered.
+// servedRatio returns the ratio of requests that were answered.
 func servedRatio(attempts []Attempt) float64 {
 	lost := 0
 	for _, count := range unservedCounts(attempts) {
@@ -126,43 +126,44 @@
 	return float64(len(attempts)-lost) / max(1, float64(len(attempts)))
 }
 
-// The fleet is replaced under load, process by process: the former build by itself, by this one, and this
-// one by the former; a version of the weights is named amid each. No promise is broken, and as much is
-// served while the builds run side by side as while one replaces itself.
+// The fleet is replaced under load, process by process: the previous build by itself, then by this one, and
+// this one by the previous. A version of the weights is announced during each replacement. No guarantee may be
+// violated, and the ratio of served requests while two builds run side by side may be at most
+// allowedServedDrop below that while one is replaced by itself.
 func TestTwoBuildsSideBySide(t *testing.T) {
-	former, present := buildBinary(t, previousBuild), buildBinary(t, "")
-	fleet, err := launch.NewSiteFleet(former, "", siteOptions())
+	previous, present := buildBinary(t, previousBuild), buildBinary(t, "")
+	fleet, err := launch.NewSiteFleet(previous, "", siteOptions())
 	require.NoError(t, err)
-	groups := []*launch.Group{fleet.Group, launch.NewGroup(former, ""), launch.NewGroup(present, ""), launch.NewGroup(former, "")}
+	groups := []*launch.Group{fleet.Group, launch.NewGroup(previous, ""), launch.NewGroup(present, ""), launch.NewGroup(previous, "")}
 	defer fleet.Close()
 	for _, group := range groups {
 		defer group.Stop()
 	}
-	r := newRun(Options{Executable: former, Output: io.Discard, Seed: 1, Kinds: Kinds}, fleet)
+	r := newRun(Options{Executable: previous, Output: io.Discard, Seed: 1, Kinds: Kinds}, fleet)
 	require.NoError(t, fleet.StartAll(readyTimeout))
 	ctx, cancel := context.WithCancel(context.Background())
 	r.context = ctx
 	r.startCallers(ctx, 0)
-	var shares []float64
+	var ratios []float64
 	for step := 1; step < len(groups); step++ {
-		began := time.Now()
+		start := time.Now()
 		time.AfterFunc(announceDelay, func() { r.site.NameVersion(uint64(step) + 1) })
 		r.replaceProcesses(t, groups[step-1], groups[step])
-		sent := r.sentBetween(began, time.Now())
-		shares = append(shares, servedRatio(sent))
-		t.Logf("step %d, %s, unserved: %v of %d", step, time.Since(began).Round(time.Millisecond), unservedCounts(sent), len(sent))
+		sent := r.sentBetween(start, time.Now())
+		ratios = append(ratios, servedRatio(sent))
+		t.Logf("step %d, %s, unserved: %v of %d", step, time.Since(start).Round(time.Millisecond), unservedCounts(sent), len(sent))
 	}
 	time.Sleep(time.Second)
 	cancel()
 	r.callerGroup.Wait()
 	r.collect()
-	for _, one := range Check(r.record) {
-		t.Errorf("%s: %s %s", one.Guarantee, one.Request, one.Detail)
+	for _, violation := range Check(r.record) {
+		t.Errorf("%s: %s %s", violation.Guarantee, violation.Request, violation.Detail)
 	}
-	t.Logf("served: %.4f while the former build replaced itself, %.4f while the present one came, %.4f while the former one did; %d requests",
-		shares[0], shares[1], shares[2], len(r.record.Attempts))
-	assert.GreaterOrEqual(t, shares[1], shares[0]-allowedServedDrop)
-	assert.GreaterOrEqual(t, shares[2], shares[0]-allowedServedDrop)
+	t.Logf("served: %.4f previous build by itself, %.4f previous by present, %.4f present by previous; %d requests",
+		ratios[0], ratios[1], ratios[2], len(r.record.Attempts))
+	assert.GreaterOrEqual(t, ratios[1], ratios[0]-allowedServedDrop)
+	assert.GreaterOrEqual(t, ratios[2], ratios[0]-allowedServedDrop)
 	for zone := range r.site.Options.Zones {
 		for index := range r.site.Options.ModelServers {
 			assert.EqualValues(t, len(groups), r.site.Models[r.site.Options.ModelIP(zone, index)].Version(), "the newest version")
@@ -170,7 +171,7 @@
 	}
 }
 
-// Without a home folder the go command has no cache.
+// TestMain sets a build cache: without a home directory the go command has none.
 func TestMain(m *testing.M) {
 	if os.Getenv("HOME") == "" && os.Getenv("GOCACHE") == "" {
 		_ = os.Setenv("GOCACHE", filepath.Join(os.TempDir(), "go-build"))
--- a/internal/experiment/soak/zones.go
+++ b/internal/experiment/soak/zones.go
@@ -6,29 +6,29 @@
 	"pinevane.example/pinevane/internal/emulator/site"
 )
 
-// Times of evacuations that are not drawn.
+// Fixed times of evacuations, the same for every seed.
 const (
-	// minEvacuationTime is the least that an evacuation lasts: the platform's 5 s, after which
-	// nothing may arrive, and what was drawn comes on top of it.
+	// minEvacuationTime is the minimum duration of an evacuation: the platform's 5 s, after which
+	// nothing may arrive. The fault's duration is added to it.
 	minEvacuationTime = 5 * time.Second
-	// evacuateAgainDelay is when a zone is evacuated anew after that was taken back, less than servers
-	// take to say that they have become cold.
+	// evacuateAgainDelay is the time between the end of an evacuation and the next one of the same
+	// zone. It is shorter than servers take to announce that they have become cold.
 	evacuateAgainDelay = 200 * time.Millisecond
 )
 
-// evacuate asks that a zone's servers get nothing new for a time, after which they are cold.
-func (r *run) evacuate(zone int, lasts time.Duration) {
-	r.evacuateThen(zone, lasts, func() {})
+// evacuate requests that a zone's servers receive nothing new for a time, after which they are cold.
+func (r *run) evacuate(zone int, duration time.Duration) {
+	r.evacuateThen(zone, duration, func() {})
 }
 
-// evacuateTwice takes an evacuation back after a time and asks for it again.
+// evacuateTwice ends an evacuation after a time and requests it again.
 func (r *run) evacuateTwice(zone int, first, second time.Duration) {
 	r.evacuateThen(zone, first, func() {
 		r.schedule(evacuateAgainDelay, func() error { r.evacuate(zone, second); return nil })
 	})
 }
 
-func (r *run) evacuateThen(zone int, lasts time.Duration, then func()) {
+func (r *run) evacuateThen(zone int, duration time.Duration, then func()) {
 	name := site.ZoneName(zone)
 	if r.busy[name] {
 		return
@@ -37,7 +37,7 @@
 	r.site.Evacuate(name)
 	index := len(r.record.Evacuations)
 	r.record.Evacuations = append(r.record.Evacuations, Evacuation{Zone: name, Requested: time.Now()})
-	r.schedule(lasts, func() error {
+	r.schedule(duration, func() error {
 		r.busy[name] = false
 		r.record.Evacuations[index].Ended = time.Now()
 		r.site.EndEvacuation(name)
@@ -53,7 +53,7 @@
 	}
 }
 
-// restartCold crashes a server and starts it anew as a cold one.
+// restartCold crashes a server and restarts it cold.
 func (r *run) restartCold(zone, index int, server *site.Server) error {
 	r.recordDisturbance(serverFaultPeriod, server.ID())
 	if err := r.site.RestartModel(zone, index); err != nil {
