--- a/internal/experiment/rollout/faults.go
+++ b/internal/experiment/rollout/faults.go
@@ -6,7 +6,7 @@
 	"pinevane.example/pinevane/coordination/dissemination"
 )
 
-// scheduleFaults draws who dies, whose uplink hangs, and when.
+// scheduleFaults chooses at random which machines die, which uplinks stall, and when.
 func (s *simulation) scheduleFaults() {
 	expected := time.Duration(s.lowerBound() * float64(slot))
 	for _, m := range s.machines {
@@ -22,7 +22,7 @@
 	}
 }
 
-// randomTime draws a time below a limit.
+// randomTime returns a random time below a limit.
 func (s *simulation) randomTime(limit time.Duration) time.Duration {
 	return time.Duration(s.random.Int64N(int64(limit)))
 }
@@ -43,7 +43,7 @@
 	m.queue = nil
 }
 
-// stall stops a machine's uplink; what waits for it makes no progress.
+// stall stalls a machine's uplink. The transfers that wait for it fail after stallWindow.
 func (s *simulation) stall(m *machine) {
 	m.stalled = true
 	for _, waiting := range m.queue {
--- a/internal/experiment/rollout/report.go
+++ b/internal/experiment/rollout/report.go
@@ -14,18 +14,18 @@
 	"pinevane.example/pinevane/internal/fault"
 )
 
-// Size of a plot.
+// The size of a plot.
 const (
 	plotWidth  = 7 * vg.Inch
 	plotHeight = 4 * vg.Inch
 )
 
-// starLimit is the product of machines and chunks above which strategies that
-// take as many slots are left out of a report.
+// starLimit is the product of machines and chunks above which a report omits the
+// strategies that take that many slots.
 const starLimit = 100_000
 
 // WriteReport simulates every strategy with the same options and writes their
-// results, completion curves and border crossings to a directory.
+// results, completion curves and origin copies to a directory.
 func WriteReport(directory string, options Options) error {
 	if err := os.MkdirAll(directory, 0o755); err != nil {
 		return &fault.Unavailable{Target: directory, Operation: "create", Cause: err}
@@ -60,9 +60,9 @@
 	var lines []any
 	for _, result := range results {
 		points := make(plotter.XYs, len(result.Curve))
-		for i, share := range result.Curve {
+		for i, fraction := range result.Curve {
 			points[i].X = result.CompletionSlots * float64(i) / curvePoints
-			points[i].Y = share
+			points[i].Y = fraction
 		}
 		lines = append(lines, string(result.Strategy), points)
 	}
--- a/internal/experiment/rollout/simulation.go
+++ b/internal/experiment/rollout/simulation.go
@@ -1,6 +1,5 @@
-// Package rollout measures how weights spread: in virtual time for fleets of
-// any size, with the same dissemination code that agents run, and over real
-// processes on loopback.
+// Package rollout simulates the distribution of weights in virtual time, for
+// fleets of any size, with the same dissemination code that agents run.
 package rollout
 
 import (
@@ -13,7 +12,7 @@
 	"pinevane.example/pinevane/internal/experiment/virtual"
 )
 
-// Duplex says whether a machine's link carries both directions at once.
+// Duplex says whether a machine's link carries both directions at the same time.
 type Duplex string
 
 // The duplex modes.
@@ -22,8 +21,8 @@
 	DuplexHalf Duplex = "half"
 )
 
-// Options describes a simulated rollout. Times are in slots: one slot is the
-// time of one chunk on a machine's link.
+// Options configures a simulated rollout. Times are in slots: one slot is the time
+// to transfer one chunk over a machine's link.
 type Options struct {
 	Machines int
 	Zones    int
@@ -32,45 +31,46 @@
 	Strategy dissemination.Strategy
 	Duplex   Duplex
 	Seed     uint64
-	// Dead is the share of machines that die during the rollout.
+	// Dead is the fraction of machines that die during the rollout.
 	Dead float64
-	// Stalled is the share of machines whose uplink hangs from some moment on.
+	// Stalled is the fraction of machines whose uplink stalls during the rollout.
 	Stalled float64
-	// Corrupt is the share of transfers whose bytes arrive wrong.
+	// Corrupt is the fraction of transfers whose bytes arrive corrupt.
 	Corrupt float64
-	// StaleList is the share of machines that plan with a wrong membership list.
+	// StaleList is the fraction of machines that plan with a stale membership list.
 	StaleList float64
 	// Partition cuts one zone off from the others, but not from the origin.
 	Partition bool
 	// OriginCopies is how many zones read each chunk from the origin.
 	OriginCopies int
-	// HeldFraction is the share of chunks that machines hold already.
+	// HeldFraction is the fraction of chunks that machines hold from the start.
 	HeldFraction float64
-	// SkipVerification makes machines accept corrupt chunks, to show that the
-	// check of what is served notices it.
+	// SkipVerification makes machines accept corrupt chunks, to show that
+	// MixedOrPartial counts them.
 	SkipVerification bool
 }
 
-// The slot model.
+// Parameters of the simulation, in slots.
 const (
 	slot = time.Second
 	// originSlots is how many chunks the origin sends at once.
 	originSlots = 2
-	// controlDelay is the time of one message.
+	// controlDelay is the delay of one message.
 	controlDelay = slot / 20
-	// stallWindow is how long a hanging transfer lasts until it is given up.
+	// stallWindow is the time after which a stalled transfer fails.
 	stallWindow = 3 * slot
-	// silenceTimeout is how long a dead machine is waited for.
+	// silenceTimeout is the time after which a message to an unreachable machine fails.
 	silenceTimeout  = 2 * slot
 	progressTimeout = 4 * slot
 	tickPeriod      = slot
-	// limitFactor ends a rollout that does not converge, in lower bounds.
+	// limitFactor is the multiple of the lower bound after which a rollout is ended as
+	// not converged.
 	limitFactor = 20
-	// maxJitter lengthens each transfer by up to this share.
+	// maxJitter is the largest fraction by which a transfer takes longer.
 	maxJitter = 0.02
 )
 
-// Result is what a rollout came to.
+// Result holds the measurements of a rollout.
 type Result struct {
 	Machines int                    `json:"machines"`
 	Zones    int                    `json:"zones"`
@@ -82,27 +82,27 @@
 	// Live is how many machines hold every chunk; Dead is how many died.
 	Live int `json:"live"`
 	Dead int `json:"dead"`
-	// CompletionSlots is when the last surviving machine was complete.
+	// CompletionSlots is when the last surviving machine completed.
 	CompletionSlots float64 `json:"completion_slots"`
 	LowerBoundSlots float64 `json:"lower_bound_slots"`
 	Ratio           float64 `json:"ratio_to_lower_bound"`
-	// OriginCopies is what the origin sent, failed transfers included.
+	// OriginCopies is the number of copies that the origin sent, including failed transfers.
 	OriginCopies float64 `json:"origin_copies"`
-	// MixedOrPartial counts machines that took their weights for whole while a
-	// chunk was missing or wrong.
+	// MixedOrPartial counts machines that considered their weights complete while a
+	// chunk was missing or corrupt.
 	MixedOrPartial int `json:"mixed_or_partial_served"`
-	// Failed counts transfers that did not give a chunk, by reason.
+	// Failed counts failed transfers by reason.
 	Failed map[string]int `json:"failed_transfers"`
-	// ZoneCrossings and RegionCrossings are transfers a chunk across a border.
+	// ZoneCrossings and RegionCrossings are the transfers per chunk between zones and regions.
 	ZoneCrossings   float64 `json:"zone_crossings_per_chunk"`
 	RegionCrossings float64 `json:"region_crossings_per_chunk"`
-	// Duplicates counts chunks received by a machine that held them already.
+	// Duplicates counts chunks received by a machine that already held them.
 	Duplicates int `json:"duplicate_transfers"`
-	// Messages counts offers and questions.
+	// Messages counts offers and chunk queries.
 	Messages int `json:"control_messages"`
-	// Converged is false when the rollout did not end.
+	// Converged is false when not every surviving machine completed.
 	Converged bool `json:"converged"`
-	// Curve is the share of machines complete at each hundredth of the time.
+	// Curve is the fraction of machines complete at each hundredth of the time.
 	Curve []float64 `json:"-"`
 }
 
@@ -117,7 +117,7 @@
 	receiving bool
 	queue     []*request
 	awaiting  []*request
-	// correct is the simulator's own record of which chunks are held and right.
+	// correct is the simulator's own record of the chunks that are held and not corrupt.
 	correct  []bool
 	complete time.Duration
 }
@@ -128,7 +128,8 @@
 	random   *rand.Rand
 	machines []*machine
 	byID     map[dissemination.MachineID]*machine
-	// originQueue holds requests at the origin; originBusy counts its transfers.
+	// originQueue holds the requests that wait at the origin; originSending counts its
+	// transfers in progress.
 	originQueue     []*request
 	originSending   int
 	originSent      int
@@ -157,7 +158,8 @@
 	return s.summarize()
 }
 
-// timeLimit is when a rollout counts as stuck; a star needs a link a machine.
+// timeLimit returns when a rollout is ended as not converged. Star and chain get one
+// more slot for each machine and chunk, since a star uses one link for every machine.
 func (s *simulation) timeLimit() time.Duration {
 	slots := limitFactor * s.lowerBound()
 	if s.options.Strategy == dissemination.StrategyStar || s.options.Strategy == dissemination.StrategyChain {
@@ -188,17 +190,17 @@
 	return s
 }
 
-// staleRosters is how many different wrong lists there are.
+// staleRosters is the number of different stale membership lists.
 const staleRosters = 4
 
-// staleMissing and staleGhosts are the shares of machines that a wrong list
-// lacks and that it has although they are gone.
+// staleMissing is the fraction of machines that a stale list lacks, staleDeparted the
+// fraction that it lists in addition although they have departed.
 const (
 	staleMissing  = 0.03
 	staleDeparted = 0.02
 )
 
-// assignPlans gives each machine its list and its fetcher.
+// assignPlans gives each machine its membership list and its fetcher.
 func (s *simulation) assignPlans() {
 	all := make([]dissemination.Machine, 0, len(s.machines))
 	for _, m := range s.machines {
@@ -239,16 +241,16 @@
 			list = append(list, m)
 		}
 		if s.random.Float64() < staleDeparted {
-			ghost := m
-			ghost.ID += dissemination.MachineID(fmt.Sprintf("-gone-%d", variant))
-			list = append(list, ghost)
+			departed := m
+			departed.ID += dissemination.MachineID(fmt.Sprintf("-gone-%d", variant))
+			list = append(list, departed)
 		}
 	}
 	return list
 }
 
-// lowerBound is the least number of slots: every machine's link carries every
-// missing chunk once, and the last chunk still has to double its way through.
+// lowerBound returns the minimum number of slots: every machine's link carries every
+// missing chunk once, and the copies of the last chunk at most double in each slot.
 func (s *simulation) lowerBound() float64 {
 	chunks := float64(s.options.Chunks) * (1 - s.options.HeldFraction)
 	bound := chunks
@@ -267,7 +269,7 @@
 	s.After(tickPeriod, func() { s.tick(m) })
 }
 
-// executeActions does what a fetcher wants.
+// executeActions executes the pending actions of a machine's fetcher.
 func (s *simulation) executeActions(m *machine) {
 	for _, action := range m.fetcher.TakeActions() {
 		switch action.Kind {
--- a/internal/experiment/rollout/simulation_test.go
+++ b/internal/experiment/rollout/simulation_test.go
@@ -15,12 +15,12 @@
 	}
 }
 
-func TestUndisturbedRolloutIsNearTheBound(t *testing.T) {
+func TestRolloutWithoutFaultsIsNearTheLowerBound(t *testing.T) {
 	result := Simulate(baseOptions())
 	assert.Equal(t, 120, result.Live)
 	assert.LessOrEqual(t, result.Ratio, 1.35)
 	assert.LessOrEqual(t, result.OriginCopies, 1.05)
-	assert.InDelta(t, 2.0, result.ZoneCrossings, 0.2, "each zone is entered once")
+	assert.InDelta(t, 2.0, result.ZoneCrossings, 0.2, "each chunk enters each of the other zones once")
 }
 
 func TestTheSameSeedGivesTheSameResult(t *testing.T) {
@@ -51,14 +51,14 @@
 	}
 }
 
-// A plan that is no tree once sent a fetcher round in circles.
+// A plan that was not a tree made a fetcher loop without completing.
 func TestPullCompletesWhenMachinesAvoidEachOther(t *testing.T) {
 	options := baseOptions()
 	options.Strategy, options.Stalled, options.Dead = dissemination.StrategyPull, 0.05, 0.05
 	assert.True(t, Simulate(options).Converged)
 }
 
-func TestSharedChunksAreNotDrawnAgain(t *testing.T) {
+func TestHeldChunksAreNotFetchedAgain(t *testing.T) {
 	options := baseOptions()
 	options.HeldFraction = 0.6
 	result := Simulate(options)
@@ -72,7 +72,7 @@
 	assert.True(t, Simulate(options).Converged)
 }
 
-func TestWithoutVerificationWrongWeightsAreNoticed(t *testing.T) {
+func TestCorruptWeightsAreCountedWithoutVerification(t *testing.T) {
 	options := baseOptions()
 	options.Corrupt, options.SkipVerification = 0.01, true
 	assert.Positive(t, Simulate(options).MixedOrPartial)
--- a/internal/experiment/rollout/transport.go
+++ b/internal/experiment/rollout/transport.go
@@ -6,12 +6,12 @@
 	"pinevane.example/pinevane/coordination/dissemination"
 )
 
-// request is a chunk that a machine waits for at a source.
+// request is a machine's request for a chunk at a source; from is nil for the origin.
 type request struct {
 	from  *machine
 	to    *machine
 	chunk int
-	// height is how many levels of machines wait behind the receiver.
+	// height is the number of levels of machines that wait for the chunk behind the receiver.
 	height int
 }
 
@@ -84,18 +84,18 @@
 	})
 }
 
-// canSend reports whether a machine's link is free to send on. A link carries
-// one transfer at a time in each direction, at its whole rate.
+// canSend reports whether a machine's link is free to send. A link carries one transfer
+// at a time in each direction, at its full rate.
 func (s *simulation) canSend(m *machine) bool {
 	return !m.dead && !m.sending && (s.options.Duplex != DuplexHalf || !m.receiving)
 }
 
-// canReceive reports whether a machine's link is free to receive on.
+// canReceive reports whether a machine's link is free to receive.
 func (s *simulation) canReceive(m *machine) bool {
 	return !m.dead && !m.receiving && (s.options.Duplex != DuplexHalf || !m.sending)
 }
 
-// moreUrgent orders the transfers that wait for a link.
+// moreUrgent reports whether transfer a comes before b while both wait for a link.
 func moreUrgent(a, b *request) bool {
 	return dissemination.MoreUrgent(a.height, a.chunk, b.height, b.chunk)
 }
@@ -117,7 +117,8 @@
 	}
 }
 
-// matchReceiver starts a transfer that waits for this machine to be free.
+// matchReceiver starts the most urgent transfer that waits for this receiver and whose
+// sender is free.
 func (s *simulation) matchReceiver(m *machine) {
 	if !s.canReceive(m) {
 		return
@@ -150,95 +151,95 @@
 	}
 }
 
-func remove(list []*request, gone *request) []*request {
+func remove(list []*request, target *request) []*request {
 	for i, candidate := range list {
-		if candidate == gone {
+		if candidate == target {
 			return append(list[:i], list[i+1:]...)
 		}
 	}
 	return list
 }
 
-// startTransfer occupies both ends for the time of a transfer.
-func (s *simulation) startTransfer(started *request) {
-	started.to.awaiting = remove(started.to.awaiting, started)
+// startTransfer occupies both ends for the duration of a transfer.
+func (s *simulation) startTransfer(transfer *request) {
+	transfer.to.awaiting = remove(transfer.to.awaiting, transfer)
 	duration := slot + time.Duration(s.random.Float64()*maxJitter*float64(slot))
 	corrupt := s.random.Float64() < s.options.Corrupt
-	if started.from == nil {
-		started.to.receiving = true
+	if transfer.from == nil {
+		transfer.to.receiving = true
 		s.originSending++
 		s.originSent++
-		s.After(duration, func() { s.endTransfer(started, corrupt) })
+		s.After(duration, func() { s.endTransfer(transfer, corrupt) })
 		return
 	}
-	started.from.sending = true
-	started.to.receiving = true
-	s.After(duration, func() { s.endTransfer(started, corrupt) })
+	transfer.from.sending = true
+	transfer.to.receiving = true
+	s.After(duration, func() { s.endTransfer(transfer, corrupt) })
 }
 
-func (s *simulation) endTransfer(ended *request, corrupt bool) {
-	ended.to.receiving = false
-	if ended.from == nil {
+func (s *simulation) endTransfer(transfer *request, corrupt bool) {
+	transfer.to.receiving = false
+	if transfer.from == nil {
 		s.originSending--
 	} else {
-		ended.from.sending = false
+		transfer.from.sending = false
 	}
 	switch {
-	case ended.to.dead:
-	case ended.from != nil && !s.reachable(ended.to, ended.from):
-		s.fail(ended, stallWindow, dissemination.Unreachable)
-	case ended.from != nil && ended.from.stalled:
-		s.fail(ended, stallWindow, dissemination.Stalled)
+	case transfer.to.dead:
+	case transfer.from != nil && !s.reachable(transfer.to, transfer.from):
+		s.fail(transfer, stallWindow, dissemination.Unreachable)
+	case transfer.from != nil && transfer.from.stalled:
+		s.fail(transfer, stallWindow, dissemination.Stalled)
 	case corrupt && !s.options.SkipVerification:
-		s.fail(ended, 0, dissemination.Corrupted)
+		s.fail(transfer, 0, dissemination.Corrupted)
 	default:
-		s.deliver(ended, corrupt)
+		s.deliver(transfer, corrupt)
 	}
-	if ended.from == nil {
+	if transfer.from == nil {
 		s.matchOrigin()
 	} else {
-		s.matchSender(ended.from)
-		s.matchReceiver(ended.from)
+		s.matchSender(transfer.from)
+		s.matchReceiver(transfer.from)
 	}
-	s.matchReceiver(ended.to)
-	s.matchSender(ended.to)
+	s.matchReceiver(transfer.to)
+	s.matchSender(transfer.to)
 }
 
-func (s *simulation) deliver(ended *request, corrupt bool) {
+func (s *simulation) deliver(transfer *request, corrupt bool) {
 	source := dissemination.MachineID("")
-	if ended.from != nil {
-		source = ended.from.ID
-		s.countCrossings(ended)
+	if transfer.from != nil {
+		source = transfer.from.ID
+		s.countCrossings(transfer)
 	}
-	if ended.to.fetcher.Holds(ended.chunk) {
+	if transfer.to.fetcher.Holds(transfer.chunk) {
 		s.result.Duplicates++
 	}
-	// A copy is right when its source's copy was and nothing happened on the way.
-	ended.to.correct[ended.chunk] = !corrupt && (ended.from == nil || ended.from.correct[ended.chunk])
-	ended.to.fetcher.RecordFetched(source, ended.chunk, s.Now())
-	s.executeActions(ended.to)
-	if ended.to.fetcher.Missing() == 0 && ended.to.complete < 0 {
-		ended.to.complete = s.Now()
+	// A copy is correct if the source's copy was and the transfer did not corrupt it.
+	transfer.to.correct[transfer.chunk] = !corrupt && (transfer.from == nil || transfer.from.correct[transfer.chunk])
+	transfer.to.fetcher.RecordFetched(source, transfer.chunk, s.Now())
+	s.executeActions(transfer.to)
+	if transfer.to.fetcher.Missing() == 0 && transfer.to.complete < 0 {
+		transfer.to.complete = s.Now()
 		s.completed++
 	}
 }
 
-func (s *simulation) countCrossings(ended *request) {
-	if ended.from.Zone != ended.to.Zone {
+func (s *simulation) countCrossings(transfer *request) {
+	if transfer.from.Zone != transfer.to.Zone {
 		s.zoneCrossings++
 	}
-	if ended.from.Region != ended.to.Region {
+	if transfer.from.Region != transfer.to.Region {
 		s.regionCrossings++
 	}
 }
 
-func (s *simulation) fail(failed *request, delay time.Duration, reason dissemination.FailureReason) {
-	failed.to.awaiting = remove(failed.to.awaiting, failed)
+func (s *simulation) fail(transfer *request, delay time.Duration, reason dissemination.FailureReason) {
+	transfer.to.awaiting = remove(transfer.to.awaiting, transfer)
 	source := dissemination.MachineID("")
-	if failed.from != nil {
-		source = failed.from.ID
+	if transfer.from != nil {
+		source = transfer.from.ID
 	}
-	s.After(delay, func() { s.reportFailure(failed, source, reason) })
+	s.After(delay, func() { s.reportFailure(transfer, source, reason) })
 }
 
 var reasonNames = map[dissemination.FailureReason]string{
@@ -248,11 +249,11 @@
 	dissemination.NotHeld:     "not-held",
 }
 
-func (s *simulation) reportFailure(failed *request, source dissemination.MachineID, reason dissemination.FailureReason) {
-	if failed.to.dead {
+func (s *simulation) reportFailure(transfer *request, source dissemination.MachineID, reason dissemination.FailureReason) {
+	if transfer.to.dead {
 		return
 	}
 	s.result.Failed[reasonNames[reason]]++
-	failed.to.fetcher.RecordFetchFailure(source, failed.chunk, reason, s.Now())
-	s.executeActions(failed.to)
+	transfer.to.fetcher.RecordFetchFailure(source, transfer.chunk, reason, s.Now())
+	s.executeActions(transfer.to)
 }
