--- a/internal/experiment/virtual/timeline.go
+++ b/internal/experiment/virtual/timeline.go
@@ -1,5 +1,5 @@
-// Package virtual runs simulations in virtual time: things happen in order of
-// their time, and of their scheduling when the times are equal.
+// Package virtual runs simulations in virtual time: functions run in the order of
+// their times, and in the order in which they were scheduled if the times are equal.
 package virtual
 
 import (
@@ -7,34 +7,35 @@
 	"time"
 )
 
-// Timeline is a virtual clock with what is to happen on it. The zero value is at
-// time zero with nothing to happen.
+// Timeline is a virtual clock with a queue of scheduled functions. The zero value is at
+// time zero with an empty queue.
 type Timeline struct {
 	now    time.Duration
 	order  int
 	events eventQueue
 }
 
-// Now returns the virtual time.
+// Now returns the current virtual time.
 func (t *Timeline) Now() time.Duration { return t.now }
 
-// After schedules a function.
+// After schedules a function to run after a delay.
 func (t *Timeline) After(delay time.Duration, do func()) {
 	t.order++
 	heap.Push(&t.events, event{at: t.now + delay, order: t.order, do: do})
 }
 
-// Pending reports whether anything is still to happen.
+// Pending reports whether any function is scheduled.
 func (t *Timeline) Pending() bool { return len(t.events) > 0 }
 
-// Step moves to the next function and calls it; something must be pending.
+// Step advances the clock to the next scheduled function and calls it. It panics if none
+// is scheduled.
 func (t *Timeline) Step() {
 	next := heap.Pop(&t.events).(event)
 	t.now = next.at
 	next.do()
 }
 
-// event is something that happens at a virtual time.
+// event is a function scheduled for a virtual time.
 type event struct {
 	at    time.Duration
 	order int
