--- a/internal/silencer/proxy.go
+++ b/internal/silencer/proxy.go
@@ -6,9 +6,9 @@
 	"sync"
 )
 
-// Proxy passes connections on to a server until it is told to hold them. A held connection
-// stays open at both ends and goes on taking bytes, so that the kernels acknowledge all of
-// them, and passes nothing on: as behind a middlebox that answers for a peer it has lost.
+// Proxy forwards connections to a server until it blackholes them. A blackholed connection
+// stays open at both ends and continues to read bytes, so that the kernels acknowledge them,
+// but forwards nothing, as behind a middlebox that answers for a peer it has lost.
 type Proxy struct {
 	listener net.Listener
 	server   string
@@ -25,7 +25,7 @@
 	blackholed bool
 }
 
-// NewProxy listens on a loopback address of its own in front of a server.
+// NewProxy returns a proxy for a server, listening on a loopback port of its own.
 func NewProxy(server string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -36,90 +36,90 @@
 	return p, nil
 }
 
-// Address is where the proxy listens.
+// Address returns the address that the proxy listens on.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Blackhole makes the connections that are open now pass nothing on any more, and returns how
-// many there are. Later ones work.
+// Blackhole stops forwarding on the connections that are open now and returns their number.
+// Later connections work.
 func (p *Proxy) Blackhole() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for _, one := range p.relays {
-		one.blackhole()
+	for _, connection := range p.relays {
+		connection.blackhole()
 	}
 	return len(p.relays)
 }
 
-// Close ends the listener and every connection.
+// Close closes the listener and every connection.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for _, one := range p.relays {
-		one.close()
+	for _, connection := range p.relays {
+		connection.close()
 	}
 }
 
 func (p *Proxy) accept() {
 	for {
-		near, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", p.server)
+		server, err := net.Dial("tcp", p.server)
 		if err != nil {
-			_ = near.Close()
+			_ = client.Close()
 			continue
 		}
-		one := &relay{client: near, server: far}
+		connection := &relay{client: client, server: server}
 		p.mutex.Lock()
-		p.relays = append(p.relays, one)
+		p.relays = append(p.relays, connection)
 		p.mutex.Unlock()
-		go one.forward(near, far)
-		go one.forward(far, near)
+		go connection.forward(client, server)
+		go connection.forward(server, client)
 	}
 }
 
-func (c *relay) blackhole() {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	c.blackholed = true
+func (r *relay) blackhole() {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.blackholed = true
 }
 
-func (c *relay) close() {
-	_ = c.client.Close()
-	_ = c.server.Close()
+func (r *relay) close() {
+	_ = r.client.Close()
+	_ = r.server.Close()
 }
 
-// forward copies bytes until one side ends. The end of a held connection is not passed on
-// either.
-func (c *relay) forward(from, to net.Conn) {
+// forward copies bytes until one side closes. The close of a blackholed connection is not
+// forwarded either.
+func (r *relay) forward(from, to net.Conn) {
 	buffer := make([]byte, 4<<10)
 	for {
 		count, err := from.Read(buffer)
-		if !c.write(to, buffer[:count]) || err != nil {
-			c.closeUnlessBlackholed()
+		if !r.write(to, buffer[:count]) || err != nil {
+			r.closeUnlessBlackholed()
 			return
 		}
 	}
 }
 
-// write passes bytes on unless the connection is held.
-func (c *relay) write(to io.Writer, bytes []byte) bool {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	if c.blackholed || len(bytes) == 0 {
+// write writes bytes unless the connection is blackholed.
+func (r *relay) write(to io.Writer, bytes []byte) bool {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if r.blackholed || len(bytes) == 0 {
 		return true
 	}
 	_, err := to.Write(bytes)
 	return err == nil
 }
 
-// closeUnlessBlackholed closes both sides of a connection that is not held.
-func (c *relay) closeUnlessBlackholed() {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	if !c.blackholed {
-		c.close()
+// closeUnlessBlackholed closes both sides of the connection unless it is blackholed.
+func (r *relay) closeUnlessBlackholed() {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if !r.blackholed {
+		r.close()
 	}
 }
--- a/internal/silencer/proxy_test.go
+++ b/internal/silencer/proxy_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A held connection takes bytes and passes none on, without an end; later ones work.
-func TestHeldConnectionsPassNothingOn(t *testing.T) {
+// A blackholed connection accepts bytes, forwards none and stays open; later ones work.
+func TestBlackholedConnectionsForwardNothing(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
--- a/internal/silencer/silencer.go
+++ b/internal/silencer/silencer.go
@@ -1,7 +1,7 @@
 // Package silencer is for tests: it makes open TCP connections of this process go silent
-// for good, without a reset, while new ones work. Nothing that is sent on a silenced
-// connection arrives, and nothing is acknowledged, as behind a middlebox that has forgotten
-// the connection.
+// permanently, without a reset, while new ones work. Nothing that is sent on a silenced
+// connection arrives, and nothing is acknowledged, as behind a middlebox that has dropped
+// the connection from its table.
 package silencer
 
 import (
@@ -20,15 +20,15 @@
 	Remote netip.AddrPort
 }
 
-// Filter picks connections by their ends. Of a connection within this process each end is
-// asked for on its own.
+// Filter selects connections by their addresses. It is called separately for each end of a
+// connection within this process.
 type Filter func(Connection) bool
 
-// Any picks every connection.
+// Any selects every connection.
 func Any(Connection) bool { return true }
 
-// Between picks the connections that have an end fulfilling one condition and another
-// fulfilling the other, whichever of them was the one that dialled.
+// Between selects the connections with one end that satisfies the first condition and the
+// other end the second, whichever of them dialed.
 func Between(one, other func(netip.AddrPort) bool) Filter {
 	return func(c Connection) bool {
 		return (one(c.Local) && other(c.Remote)) || (one(c.Remote) && other(c.Local))
@@ -36,29 +36,29 @@
 }
 
 // dropAll is a socket filter that accepts no byte of any packet: the kernel drops every
-// segment that reaches the socket before it is looked at. It needs no privileges.
+// segment that reaches the socket before processing it. It needs no privileges.
 var dropAll = []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: 0}}
 
-// Silence makes the open connections that a filter picks go silent and returns how many
-// ends it has silenced. Listening sockets stay as they are.
-func Silence(picked Filter) (int, error) { return attach(picked, dropAll) }
+// Silence silences the open connections that a filter selects and returns how many ends it
+// silenced. Listening sockets are not affected.
+func Silence(selected Filter) (int, error) { return attach(selected, dropAll) }
 
-// DropPackets makes the open connections that a filter picks lose a share of the packets that reach each
-// end, and returns how many ends do. The kernels send again what is lost.
-func DropPackets(picked Filter, share float64) (int, error) {
-	// random reads a random number instead of the packet: SKF_AD_OFF, as an unsigned number, and
-	// SKF_AD_RANDOM of the kernel.
+// DropPackets makes each end of the open connections that a filter selects drop a ratio of its
+// incoming packets, and returns the number of these ends. The kernels retransmit the dropped packets.
+func DropPackets(selected Filter, ratio float64) (int, error) {
+	// random is the offset at which the filter reads a random number instead of the packet: the
+	// kernel's SKF_AD_OFF, as an unsigned number, plus SKF_AD_RANDOM.
 	const random = 0xfffff000 + 56
-	return attach(picked, []unix.SockFilter{
+	return attach(selected, []unix.SockFilter{
 		{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: random},
-		{Code: unix.BPF_JMP | unix.BPF_JGE | unix.BPF_K, K: uint32(share * math.MaxUint32), Jt: 1},
+		{Code: unix.BPF_JMP | unix.BPF_JGE | unix.BPF_K, K: uint32(ratio * math.MaxUint32), Jt: 1},
 		{Code: unix.BPF_RET | unix.BPF_K, K: 0},
 		{Code: unix.BPF_RET | unix.BPF_K, K: math.MaxUint32},
 	})
 }
 
-// attach gives the open connections that a filter picks a program for their packets.
-func attach(picked Filter, instructions []unix.SockFilter) (int, error) {
+// attach attaches a packet filter program to the open connections that a filter selects.
+func attach(selected Filter, instructions []unix.SockFilter) (int, error) {
 	entries, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		return 0, err
@@ -70,7 +70,7 @@
 			continue
 		}
 		connection, open := connectionOf(descriptor)
-		if !open || !picked(connection) {
+		if !open || !selected(connection) {
 			continue
 		}
 		filtered, err := attachTo(descriptor, instructions)
@@ -84,8 +84,8 @@
 	return attached, nil
 }
 
-// attachTo gives one connection a filter, and reports false for one that was closed since it was
-// listed.
+// attachTo attaches a packet filter program to one connection, and reports false if the connection
+// was closed since it was listed.
 func attachTo(descriptor int, instructions []unix.SockFilter) (bool, error) {
 	program := unix.SockFprog{Len: uint16(len(instructions)), Filter: &instructions[0]}
 	err := unix.SetsockoptSockFprog(descriptor, unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &program)
@@ -95,8 +95,8 @@
 	return err == nil, err
 }
 
-// connectionOf reports whether a descriptor is an open TCP connection over IPv4, and its
-// ends.
+// connectionOf returns the addresses of an open TCP connection, and false if the descriptor is
+// none.
 func connectionOf(descriptor int) (Connection, bool) {
 	kind, err := unix.GetsockoptInt(descriptor, unix.SOL_SOCKET, unix.SO_TYPE)
 	if err != nil || kind != unix.SOCK_STREAM {
--- a/internal/silencer/silencer_test.go
+++ b/internal/silencer/silencer_test.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// pair makes one connection to a listener and returns both of its ends.
+// pair opens a connection to a listener and returns both of its ends.
 func pair(t *testing.T, listener net.Listener) (near, far net.Conn) {
 	t.Helper()
 	near, err := net.Dial("tcp", listener.Addr().String())
@@ -37,8 +37,8 @@
 	return err == nil
 }
 
-// Open connections go silent both ways without a reset; those made later work, and so do
-// the ones that were not picked.
+// Open connections go silent in both directions without a reset; later ones work, and so do
+// those that were not selected.
 func TestOpenConnectionsGoSilent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -58,8 +58,8 @@
 	assert.True(t, receives(t, newNear, newFar))
 }
 
-// What is lost now and then is sent again and arrives; where all is lost the connection is silent.
-func TestLossIsMadeUpFor(t *testing.T) {
+// Packets that are dropped at a ratio are retransmitted and arrive; at ratio 1 the connection is silent.
+func TestDroppedPacketsAreRetransmitted(t *testing.T) {
 	const packets = 20
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -82,11 +82,9 @@
 	assert.False(t, receives(t, near, far))
 }
 
-// Seen: under losses one run of some thirty ended with "bad file descriptor". Cause: connections
-// come and go while those of the process are listed.
-//
-// A connection that was closed since it was listed is passed over.
-func TestConnectionClosedSinceItWasListedIsPassedOver(t *testing.T) {
+// A connection that was closed since it was listed is skipped. Connections open and close while those
+// of the process are listed: with packet loss, about one run in thirty failed with "bad file descriptor".
+func TestConnectionClosedSinceItWasListedIsSkipped(t *testing.T) {
 	socket, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
 	require.NoError(t, err)
 	require.NoError(t, unix.Close(socket))
