--- a/internal/launch/exec_test.go
+++ b/internal/launch/exec_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Daemons start no process: only this package may import os/exec.
+// Daemons start no processes: only this package may import os/exec.
 func TestOnlyThisPackageStartsProcesses(t *testing.T) {
 	root := filepath.Join("..", "..")
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
--- a/internal/launch/group.go
+++ b/internal/launch/group.go
@@ -12,13 +12,13 @@
 	"pinevane.example/pinevane/internal/fault"
 )
 
-// process is one running process.
+// process is a started process.
 type process struct {
 	command *exec.Cmd
 	exited  chan struct{}
 }
 
-// Group is a set of named processes of the pinevane binary.
+// Group is a set of named processes that run the pinevane binary.
 type Group struct {
 	executable   string
 	logDirectory string
@@ -33,7 +33,7 @@
 	return &Group{executable: executable, logDirectory: logDirectory, processes: map[string]*process{}}
 }
 
-// Run starts a process under a name. It is killed when this process dies.
+// Run starts a process under a name. The kernel kills it when this process exits.
 func (g *Group) Run(name string, arguments []string) error {
 	command := exec.Command(g.executable, arguments...)
 	command.Stdout, command.Stderr = io.Discard, io.Discard
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// WaitExit waits until a process has ended and reports whether it did in time.
+// WaitExit waits until a process has exited and reports whether it did so within the limit.
 func (g *Group) WaitExit(name string, limit time.Duration) bool {
 	target := g.find(name)
 	if target == nil {
@@ -92,14 +92,14 @@
 	}
 }
 
-// Count returns how many processes were started.
+// Count returns the number of names under which a process was started.
 func (g *Group) Count() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return len(g.processes)
 }
 
-// Stop kills every process of the group that still runs.
+// Stop kills every running process of the group and waits for their exit.
 func (g *Group) Stop() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/launch/launch.go
+++ b/internal/launch/launch.go
@@ -1,7 +1,7 @@
-// Package launch starts a whole fleet of plain processes on one machine, for
-// the desk commands (demo, experiment) and their scenarios. Daemons never start
+// Package launch starts a complete fleet as local processes on one machine, for
+// the commands demo and experiment and their scenarios. Daemons never start
 // processes: no other package of the project may import os/exec, which a test
-// holds them to.
+// enforces.
 package launch
 
 import (
@@ -22,18 +22,18 @@
 	"pinevane.example/pinevane/internal/node"
 )
 
-// Options sets up a fleet.
+// Options configures a fleet.
 type Options struct {
 	// Executable is the path of the pinevane binary.
 	Executable string
 	Deployment *deployment.Deployment
-	// LogDirectory gets a file a process; empty discards the logs.
+	// LogDirectory receives one log file for each process; if empty, logs are discarded.
 	LogDirectory string
 	// LinkRate and OriginRate are in bytes a second; zero means no limit.
 	LinkRate   int64
 	OriginRate int64
-	// EntryFlags, AgentFlags and MachineFlags are given to every entry, agent and
-	// machine stand-in.
+	// EntryFlags, AgentFlags and MachineFlags are passed to every entry, agent and
+	// emulated machine.
 	EntryFlags   []string
 	AgentFlags   []string
 	MachineFlags []string
@@ -55,7 +55,7 @@
 	platformZone = 250
 )
 
-// New lays out a fleet without starting anything.
+// New returns a fleet without starting anything.
 func New(options Options) *Fleet {
 	network := firstNetwork + os.Getpid()%networks
 	return &Fleet{
@@ -67,13 +67,13 @@
 	}
 }
 
-// PlatformAddress is where the stand-ins of the platform's services listen.
+// PlatformAddress returns the address that the emulated platform services listen on.
 func (f *Fleet) PlatformAddress() string {
 	return fmt.Sprintf("127.%d.%d.1:%d", f.network, platformZone, deployment.ProcessPort)
 }
 
-// Start starts the platform, every machine and every process, and publishes the
-// documents and the membership list.
+// Start starts the emulated platform, which serves the configuration documents, publishes the
+// membership list and starts every back end, entry and agent.
 func (f *Fleet) Start() error {
 	platformArguments := []string{
 		"emulate", "platform", "--listen", f.PlatformAddress(), "--documents", f.options.Deployment.Directory,
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// StartBackEnd starts the stand-in of a machine's engine or plain service.
+// StartBackEnd starts the emulated engine or plain service of a machine.
 func (f *Fleet) StartBackEnd(machine deployment.Machine) error {
 	if machine.Role != external.RoleAgent {
 		return nil
@@ -150,7 +150,7 @@
 	})
 }
 
-// WaitFor polls a condition until it holds or time is over.
+// WaitFor polls a condition until it holds or the limit has passed.
 func WaitFor(limit time.Duration, what string, condition func() bool) error {
 	const poll = 25 * time.Millisecond
 	for deadline := time.Now().Add(limit); time.Now().Before(deadline); time.Sleep(poll) {
@@ -161,7 +161,7 @@
 	return &fault.Timeout{Condition: what, After: limit}
 }
 
-// PublishMembers adds or replaces lines of the membership list.
+// PublishMembers adds, replaces and removes members of the membership list.
 func (f *Fleet) PublishMembers(machines []deployment.Machine, removed ...string) error {
 	changed := map[string][]byte{}
 	for _, machine := range machines {
@@ -183,8 +183,8 @@
 	return f.send(http.MethodPost, "http://"+f.PlatformAddress()+path+"/control/change", request)
 }
 
-// InjectFault sets the fault state of the stand-in at an address; the prefix is
-// empty but for publications, where it is their path and "/control".
+// InjectFault sets the fault state of the emulated service at an address. The prefix is
+// empty except for publications, where it is their path and "/control".
 func (f *Fleet) InjectFault(address, prefix string, faults emulator.Faults) error {
 	return f.send(http.MethodPut, "http://"+address+prefix+emulator.FaultPath, faults)
 }
@@ -209,7 +209,7 @@
 	return nil
 }
 
-// Get reads a JSON answer.
+// Get fetches a URL and decodes its JSON response.
 func (f *Fleet) Get(ctx context.Context, url string, into any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -229,14 +229,14 @@
 	return nil
 }
 
-// Dump reads a process's state, with its blackboard left raw.
+// Dump fetches a process's state dump, with the blackboard values undecoded.
 func (f *Fleet) Dump(machine deployment.Machine) (*Dump, error) {
 	dump := &Dump{}
 	err := f.Get(context.Background(), "http://"+machine.AdminAddress()+node.DumpPath, dump)
 	return dump, err
 }
 
-// Dump is a state dump as read from another process.
+// Dump is a state dump fetched from another process.
 type Dump struct {
 	node.Dump
 	Blackboard []RawEntry `json:"blackboard"`
@@ -248,7 +248,7 @@
 	Value json.RawMessage `json:"value"`
 }
 
-// Entry decodes a blackboard entry and reports whether it is there.
+// Entry decodes a blackboard entry and reports whether it exists and could be decoded.
 func (d *Dump) Entry(name string, into any) bool {
 	for _, entry := range d.Blackboard {
 		if entry.Name == name {
@@ -258,8 +258,7 @@
 	return false
 }
 
-// Serves reports whether an agent admits requests to a version that it is not
-// about to retire.
+// Serves reports whether an agent serves a version that is not being retired.
 func (d *Dump) Serves(model, version string) bool {
 	var versions []servedVersion
 	if !d.Entry("engine.served", &versions) {
@@ -279,8 +278,8 @@
 	Retiring bool   `json:"retiring"`
 }
 
-// ModelDocument returns the key and content of the instance document that sets
-// a model, with some of its scalar parameters replaced.
+// ModelDocument returns the key and content of the instance document of a model,
+// with some of its scalar parameters replaced.
 func (f *Fleet) ModelDocument(model string, parameters map[string]string) (map[string][]byte, error) {
 	documents, err := configuration.ReadDirectory(f.options.Deployment.Directory)
 	if err != nil {
@@ -294,7 +293,7 @@
 	return nil, &fault.InvalidDocument{Document: f.options.Deployment.Directory, Path: "instance", Reason: "no document sets model " + model}
 }
 
-// replaceScalars replaces the values of "name: value" lines, keeping indents.
+// replaceScalars replaces the values of "name: value" lines and keeps their indentation.
 func replaceScalars(document string, values map[string]string) string {
 	lines := strings.Split(document, "\n")
 	for i, line := range lines {
--- a/internal/launch/site.go
+++ b/internal/launch/site.go
@@ -12,7 +12,7 @@
 	"pinevane.example/pinevane/internal/fault"
 )
 
-// SiteFleet is entries and agents as processes, on the stand-in of the users' platform.
+// SiteFleet is a fleet of entry and agent processes on the emulated platform.
 type SiteFleet struct {
 	Site  *site.Site
 	Group *Group
@@ -20,7 +20,7 @@
 	folder string
 }
 
-// NewSiteFleet starts the stand-in and no process yet. With a log directory each process
+// NewSiteFleet starts the emulated platform, but no processes. With a log directory each process
 // writes its log to a file there.
 func NewSiteFleet(executable, logDirectory string, options site.Options) (*SiteFleet, error) {
 	folder, err := os.MkdirTemp("", "pinevane-fleet")
@@ -34,19 +34,19 @@
 	return &SiteFleet{Site: running, Group: NewGroup(executable, logDirectory), folder: folder}, nil
 }
 
-// Close ends every process and the stand-in.
+// Close kills every process and closes the emulated platform.
 func (f *SiteFleet) Close() {
 	f.Group.Stop()
 	f.Site.Close()
 	_ = os.RemoveAll(f.folder)
 }
 
-// SiteProcessName names a process by its role and place.
+// SiteProcessName returns the name of a process with a role, zone and index.
 func SiteProcessName(role string, zone, index int) string {
 	return fmt.Sprintf("%s-%d-%d", role, zone, index)
 }
 
-// Start starts a process on a machine for the first time.
+// Start starts the first process of a machine.
 func (f *SiteFleet) Start(role string, zone, index int) error {
 	if err := f.Site.OpenStore(role, zone, index); err != nil {
 		return &fault.Unavailable{Target: "stand-in", Operation: "listen", Cause: err}
@@ -54,7 +54,7 @@
 	return f.Restart(role, zone, index)
 }
 
-// Restart starts a process on a machine on which one has run.
+// Restart starts a process on a machine that has run one before.
 func (f *SiteFleet) Restart(role string, zone, index int) error {
 	name := SiteProcessName(role, zone, index)
 	if err := f.writeSettings(name, f.Site.Settings(role, zone, index)); err != nil {
@@ -63,8 +63,8 @@
 	return f.Group.Run(name, []string{role, "--settings", f.settingsPath(name)})
 }
 
-// Reload replaces the settings file of a running process and sends it the hang-up signal, at
-// which it reads the file.
+// Reload replaces the settings file of a running process and sends it SIGHUP, on which it rereads
+// the file.
 func (f *SiteFleet) Reload(name string, settings []byte) error {
 	if err := f.writeSettings(name, settings); err != nil {
 		return err
@@ -100,7 +100,7 @@
 	return f.WaitReady(limit)
 }
 
-// WaitReady waits until every entry calls itself ready.
+// WaitReady waits until every entry reports that it is ready.
 func (f *SiteFleet) WaitReady(limit time.Duration) error {
 	options := f.Site.Options
 	return WaitFor(limit, "entries ready", func() bool {
