--- a/internal/demo/system.go
+++ b/internal/demo/system.go
@@ -122,7 +122,7 @@
 	d.printf("an empty server is in service %.1f s after it was added; the origin has sent %.2f copies", time.Since(added).Seconds(), d.site.Origin.Copies())
 	d.checkServerNotices()
 	d.site.Configure(nil)
-	stopped := launch.SiteProcess(site.RoleEntry, 0, 0)
+	stopped := launch.SiteProcessName(site.RoleEntry, 0, 0)
 	stopping := time.Now()
 	if err := d.group.Signal(stopped, syscall.SIGTERM); err != nil {
 		return err
--- a/internal/experiment/rollout/faults.go
+++ b/internal/experiment/rollout/faults.go
@@ -6,7 +6,7 @@
 	"pinevane.example/pinevane/coordination/dissemination"
 )
 
-// scheduleFaults draws who dies, whose uplink hangs, and when.
+// scheduleFaults chooses at random which machines die, which uplinks stall, and when.
 func (s *simulation) scheduleFaults() {
 	expected := time.Duration(s.lowerBound() * float64(slot))
 	for _, m := range s.machines {
@@ -14,7 +14,7 @@
 			s.After(s.randomTime(expected), func() { s.kill(m) })
 		}
 		if s.random.Float64() < s.options.Stalled {
-			s.After(s.randomTime(expected), func() { s.hang(m) })
+			s.After(s.randomTime(expected), func() { s.stall(m) })
 		}
 	}
 	if s.options.Partition {
@@ -22,7 +22,7 @@
 	}
 }
 
-// randomTime draws a time below a limit.
+// randomTime returns a random time below a limit.
 func (s *simulation) randomTime(limit time.Duration) time.Duration {
 	return time.Duration(s.random.Int64N(int64(limit)))
 }
@@ -35,7 +35,7 @@
 	s.alive--
 	s.result.Dead++
 	if m.complete >= 0 {
-		s.done--
+		s.completed--
 	}
 	for _, waiting := range m.queue {
 		s.fail(waiting, silenceTimeout, dissemination.Unreachable)
@@ -43,8 +43,8 @@
 	m.queue = nil
 }
 
-// hang stops a machine's uplink; what waits for it makes no progress.
-func (s *simulation) hang(m *machine) {
+// stall stalls a machine's uplink. The transfers that wait for it fail after stallWindow.
+func (s *simulation) stall(m *machine) {
 	m.stalled = true
 	for _, waiting := range m.queue {
 		s.fail(waiting, stallWindow, dissemination.Stalled)
--- a/internal/experiment/rollout/transport.go
+++ b/internal/experiment/rollout/transport.go
@@ -6,12 +6,12 @@
 	"pinevane.example/pinevane/coordination/dissemination"
 )
 
-// request is a chunk that a machine waits for at a source.
+// request is a machine's request for a chunk at a source; from is nil for the origin.
 type request struct {
 	from  *machine
 	to    *machine
 	chunk int
-	// height is how many levels of machines wait behind the receiver.
+	// height is the number of levels of machines that wait for the chunk behind the receiver.
 	height int
 }
 
@@ -30,24 +30,24 @@
 		peer := s.byID[action.Peer]
 		if s.reachable(m, peer) {
 			peer.fetcher.RecordOffer(m.ID, action.Chunk, s.Now())
-			s.carryOut(peer)
+			s.executeActions(peer)
 			return
 		}
 		s.After(silenceTimeout, func() {
 			m.fetcher.RecordOfferFailure(action.Peer, action.Chunk, s.Now())
-			s.carryOut(m)
+			s.executeActions(m)
 		})
 	})
 }
 
-func (s *simulation) sendAsk(m *machine, action dissemination.Action) {
+func (s *simulation) sendQuery(m *machine, action dissemination.Action) {
 	s.result.Messages++
 	s.After(controlDelay, func() {
 		peer := s.byID[action.Peer]
 		if !s.reachable(m, peer) {
 			s.After(silenceTimeout, func() {
 				m.fetcher.RecordQueryFailure(action.Peer, action.Chunk, s.Now())
-				s.carryOut(m)
+				s.executeActions(m)
 			})
 			return
 		}
@@ -62,7 +62,7 @@
 			default:
 				m.fetcher.RecordDenial(peer.ID, action.Chunk)
 			}
-			s.carryOut(m)
+			s.executeActions(m)
 		})
 	})
 }
@@ -71,7 +71,7 @@
 	wanted := &request{from: s.byID[action.Peer], to: m, chunk: action.Chunk, height: m.fetcher.Height(action.Chunk)}
 	s.After(controlDelay, func() {
 		if !s.reachable(m, wanted.from) {
-			s.After(silenceTimeout, func() { s.report(wanted, action.Peer, dissemination.Unreachable) })
+			s.After(silenceTimeout, func() { s.reportFailure(wanted, action.Peer, dissemination.Unreachable) })
 			return
 		}
 		if wanted.from.stalled {
@@ -84,18 +84,18 @@
 	})
 }
 
-// canSend reports whether a machine's link is free to send on. A link carries
-// one transfer at a time in each direction, at its whole rate.
+// canSend reports whether a machine's link is free to send. A link carries one transfer
+// at a time in each direction, at its full rate.
 func (s *simulation) canSend(m *machine) bool {
-	return !m.dead && !m.sending && (s.options.Duplex != DuplexHalf || !m.getting)
+	return !m.dead && !m.sending && (s.options.Duplex != DuplexHalf || !m.receiving)
 }
 
-// canGet reports whether a machine's link is free to receive on.
-func (s *simulation) canGet(m *machine) bool {
-	return !m.dead && !m.getting && (s.options.Duplex != DuplexHalf || !m.sending)
+// canReceive reports whether a machine's link is free to receive.
+func (s *simulation) canReceive(m *machine) bool {
+	return !m.dead && !m.receiving && (s.options.Duplex != DuplexHalf || !m.sending)
 }
 
-// moreUrgent orders the transfers that wait for a link.
+// moreUrgent reports whether transfer a comes before b while both wait for a link.
 func moreUrgent(a, b *request) bool {
 	return dissemination.MoreUrgent(a.height, a.chunk, b.height, b.chunk)
 }
@@ -107,19 +107,20 @@
 	}
 	var first *request
 	for _, waiting := range m.queue {
-		if s.canGet(waiting.to) && (first == nil || moreUrgent(waiting, first)) {
+		if s.canReceive(waiting.to) && (first == nil || moreUrgent(waiting, first)) {
 			first = waiting
 		}
 	}
 	if first != nil {
 		m.queue = remove(m.queue, first)
-		s.begin(first)
+		s.startTransfer(first)
 	}
 }
 
-// matchReceiver starts a transfer that waits for this machine to be free.
+// matchReceiver starts the most urgent transfer that waits for this receiver and whose
+// sender is free.
 func (s *simulation) matchReceiver(m *machine) {
-	if !s.canGet(m) {
+	if !s.canReceive(m) {
 		return
 	}
 	var first *request
@@ -130,115 +131,115 @@
 	}
 	if first != nil {
 		first.from.queue = remove(first.from.queue, first)
-		s.begin(first)
+		s.startTransfer(first)
 		return
 	}
 	s.matchOrigin()
 }
 
 func (s *simulation) matchOrigin() {
-	for i := 0; i < len(s.originQueue) && s.originBusy < originSlots; {
+	for i := 0; i < len(s.originQueue) && s.originSending < originSlots; {
 		waiting := s.originQueue[i]
-		if !s.canGet(waiting.to) {
+		if !s.canReceive(waiting.to) {
 			i++
 			continue
 		}
 		s.originQueue = append(s.originQueue[:i], s.originQueue[i+1:]...)
 		if !waiting.to.dead {
-			s.begin(waiting)
+			s.startTransfer(waiting)
 		}
 	}
 }
 
-func remove(list []*request, gone *request) []*request {
+func remove(list []*request, target *request) []*request {
 	for i, candidate := range list {
-		if candidate == gone {
+		if candidate == target {
 			return append(list[:i], list[i+1:]...)
 		}
 	}
 	return list
 }
 
-// begin occupies both ends for the time of a transfer.
-func (s *simulation) begin(started *request) {
-	started.to.awaiting = remove(started.to.awaiting, started)
-	duration := slot + time.Duration(s.random.Float64()*maximumJitter*float64(slot))
+// startTransfer occupies both ends for the duration of a transfer.
+func (s *simulation) startTransfer(transfer *request) {
+	transfer.to.awaiting = remove(transfer.to.awaiting, transfer)
+	duration := slot + time.Duration(s.random.Float64()*maxJitter*float64(slot))
 	corrupt := s.random.Float64() < s.options.Corrupt
-	if started.from == nil {
-		started.to.getting = true
-		s.originBusy++
+	if transfer.from == nil {
+		transfer.to.receiving = true
+		s.originSending++
 		s.originSent++
-		s.After(duration, func() { s.end(started, corrupt) })
+		s.After(duration, func() { s.endTransfer(transfer, corrupt) })
 		return
 	}
-	started.from.sending = true
-	started.to.getting = true
-	s.After(duration, func() { s.end(started, corrupt) })
+	transfer.from.sending = true
+	transfer.to.receiving = true
+	s.After(duration, func() { s.endTransfer(transfer, corrupt) })
 }
 
-func (s *simulation) end(ended *request, corrupt bool) {
-	ended.to.getting = false
-	if ended.from == nil {
-		s.originBusy--
+func (s *simulation) endTransfer(transfer *request, corrupt bool) {
+	transfer.to.receiving = false
+	if transfer.from == nil {
+		s.originSending--
 	} else {
-		ended.from.sending = false
+		transfer.from.sending = false
 	}
 	switch {
-	case ended.to.dead:
-	case ended.from != nil && !s.reachable(ended.to, ended.from):
-		s.fail(ended, stallWindow, dissemination.Unreachable)
-	case ended.from != nil && ended.from.stalled:
-		s.fail(ended, stallWindow, dissemination.Stalled)
+	case transfer.to.dead:
+	case transfer.from != nil && !s.reachable(transfer.to, transfer.from):
+		s.fail(transfer, stallWindow, dissemination.Unreachable)
+	case transfer.from != nil && transfer.from.stalled:
+		s.fail(transfer, stallWindow, dissemination.Stalled)
 	case corrupt && !s.options.SkipVerification:
-		s.fail(ended, 0, dissemination.Corrupted)
+		s.fail(transfer, 0, dissemination.Corrupted)
 	default:
-		s.deliver(ended, corrupt)
+		s.deliver(transfer, corrupt)
 	}
-	if ended.from == nil {
+	if transfer.from == nil {
 		s.matchOrigin()
 	} else {
-		s.matchSender(ended.from)
-		s.matchReceiver(ended.from)
+		s.matchSender(transfer.from)
+		s.matchReceiver(transfer.from)
 	}
-	s.matchReceiver(ended.to)
-	s.matchSender(ended.to)
+	s.matchReceiver(transfer.to)
+	s.matchSender(transfer.to)
 }
 
-func (s *simulation) deliver(ended *request, corrupt bool) {
+func (s *simulation) deliver(transfer *request, corrupt bool) {
 	source := dissemination.MachineID("")
-	if ended.from != nil {
-		source = ended.from.ID
-		s.countBorders(ended)
+	if transfer.from != nil {
+		source = transfer.from.ID
+		s.countCrossings(transfer)
 	}
-	if ended.to.fetcher.Holds(ended.chunk) {
+	if transfer.to.fetcher.Holds(transfer.chunk) {
 		s.result.Duplicates++
 	}
-	// A copy is right when its source's copy was and nothing happened on the way.
-	ended.to.good[ended.chunk] = !corrupt && (ended.from == nil || ended.from.good[ended.chunk])
-	ended.to.fetcher.RecordFetched(source, ended.chunk, s.Now())
-	s.carryOut(ended.to)
-	if ended.to.fetcher.Missing() == 0 && ended.to.complete < 0 {
-		ended.to.complete = s.Now()
-		s.done++
+	// A copy is correct if the source's copy was and the transfer did not corrupt it.
+	transfer.to.correct[transfer.chunk] = !corrupt && (transfer.from == nil || transfer.from.correct[transfer.chunk])
+	transfer.to.fetcher.RecordFetched(source, transfer.chunk, s.Now())
+	s.executeActions(transfer.to)
+	if transfer.to.fetcher.Missing() == 0 && transfer.to.complete < 0 {
+		transfer.to.complete = s.Now()
+		s.completed++
 	}
 }
 
-func (s *simulation) countBorders(ended *request) {
-	if ended.from.Zone != ended.to.Zone {
-		s.zoneCross++
+func (s *simulation) countCrossings(transfer *request) {
+	if transfer.from.Zone != transfer.to.Zone {
+		s.zoneCrossings++
 	}
-	if ended.from.Region != ended.to.Region {
-		s.regionCross++
+	if transfer.from.Region != transfer.to.Region {
+		s.regionCrossings++
 	}
 }
 
-func (s *simulation) fail(failed *request, delay time.Duration, reason dissemination.FailureReason) {
-	failed.to.awaiting = remove(failed.to.awaiting, failed)
+func (s *simulation) fail(transfer *request, delay time.Duration, reason dissemination.FailureReason) {
+	transfer.to.awaiting = remove(transfer.to.awaiting, transfer)
 	source := dissemination.MachineID("")
-	if failed.from != nil {
-		source = failed.from.ID
+	if transfer.from != nil {
+		source = transfer.from.ID
 	}
-	s.After(delay, func() { s.report(failed, source, reason) })
+	s.After(delay, func() { s.reportFailure(transfer, source, reason) })
 }
 
 var reasonNames = map[dissemination.FailureReason]string{
@@ -248,11 +249,11 @@
 	dissemination.NotHeld:     "not-held",
 }
 
-func (s *simulation) report(failed *request, source dissemination.MachineID, reason dissemination.FailureReason) {
-	if failed.to.dead {
+func (s *simulation) reportFailure(transfer *request, source dissemination.MachineID, reason dissemination.FailureReason) {
+	if transfer.to.dead {
 		return
 	}
 	s.result.Failed[reasonNames[reason]]++
-	failed.to.fetcher.RecordFetchFailure(source, failed.chunk, reason, s.Now())
-	s.carryOut(failed.to)
+	transfer.to.fetcher.RecordFetchFailure(source, transfer.chunk, reason, s.Now())
+	s.executeActions(transfer.to)
 }
--- a/internal/experiment/soak/asks.go
+++ b/internal/experiment/soak/asks.go
@@ -8,32 +8,32 @@
 	"pinevane.example/pinevane/internal/emulator/site"
 )
 
-// Shapes of what servers ask for.
+// Parameters of the notices that servers send.
 const (
-	// limitTime is how long a limit is named; what was drawn comes on top of it. It leaves time to judge after
-	// contact.
-	limitTime = 8 * time.Second
-	// restsAsked is how many requests are turned away with a wish for rest, restTime the rest.
-	restsAsked = 3
-	restTime   = 2500 * time.Millisecond
+	// minLimitTime is the minimum time for which a rate limit is announced; the fault's duration is added to it. It
+	// leaves time for checks after recoveryMargin.
+	minLimitTime = 8 * time.Second
+	// backoffRequests is how many requests are refused with a backoff notice, backoffTime the backoff.
+	backoffRequests = 3
+	backoffTime     = 2500 * time.Millisecond
 )
 
-// Bounds of what servers that ask for something may get all the same.
+// Tolerances for requests that servers may still receive after a notice.
 const (
-	// askKnown is how long after an answer its wish binds the entry that has passed it on.
-	askKnown    = 500 * time.Millisecond
-	restAllowed = 2
+	// noticeDelay is how long after a response its notice takes effect at the entry that received it.
+	noticeDelay          = 500 * time.Millisecond
+	allowedDuringBackoff = 2
 )
 
-// nameLimit has a server name half a request to four a second for a while.
-func (r *run) nameLimit(server *site.Server, fault Fault) {
+// announceRateLimit has a server announce a limit of 0.5 to 4 requests a second for a time.
+func (r *run) announceRateLimit(server *site.Server, fault Fault) {
 	server.AnnounceLimit(strconv.FormatFloat(float64(fault.Count)/2, 'f', -1, 64))
-	r.after(limitTime+fault.For, func() error { server.AnnounceLimit(""); return nil })
+	r.schedule(minLimitTime+fault.Duration, func() error { server.AnnounceLimit(""); return nil })
 }
 
-// sayLeaving has a server say in its answers that it leaves, while its line says nothing of that, and puts an empty
-// one in its place after it.
-func (r *run) sayLeaving(zone, index int, server *site.Server) {
+// noticeLeaving has a server announce in its responses, but not in its store record, that it leaves, and replaces it
+// by an empty one later.
+func (r *run) noticeLeaving(zone, index int, server *site.Server) {
 	if r.busy[server.ID()] {
 		return
 	}
@@ -42,17 +42,17 @@
 	r.restartAfterDrain(zone, index, server)
 }
 
-// askForRest has a server turn some requests away and ask for rest.
-func (r *run) askForRest(server *site.Server, fault Fault) {
-	r.spoilFor(server, site.Faults{Shed: restsAsked, ShedBackoff: restTime}, lyingTime+fault.For)
+// noticeBackoff has a server refuse some requests with a backoff notice.
+func (r *run) noticeBackoff(server *site.Server, fault Fault) {
+	r.setServerFaultsFor(server, site.Faults{Shed: backoffRequests, ShedBackoff: backoffTime}, minFalseHealthTime+fault.Duration)
 }
 
-// untouched reports whether an entry has been neither stopped, killed nor frozen between two moments: what it was
-// told before is forgotten with that.
-func (r Record) untouched(entry string, from, to time.Time) bool {
-	for _, spans := range [][]Span{r.Disturbed, r.Stops} {
-		for _, span := range spans {
-			if span.Name == entry && span.disturbs(from, to) {
+// entryUndisturbed reports whether an entry was neither stopped, killed nor frozen between two times. An entry that was
+// may have lost the notices that it received before.
+func (r Record) entryUndisturbed(entry string, from, to time.Time) bool {
+	for _, intervals := range [][]Interval{r.Disturbances, r.Stops} {
+		for _, interval := range intervals {
+			if interval.Name == entry && interval.overlaps(from, to) {
 				return false
 			}
 		}
@@ -60,26 +60,26 @@
 	return true
 }
 
-// asksAt are what one server has asked for, with the entries that were told.
-type asksAt struct {
-	asks    []site.ServerNotice
+// serverNotices are the notices of one server, each with the entry that received it.
+type serverNotices struct {
+	notices []site.ServerNotice
 	entries []string
 }
 
-// judgeAsks judges what servers got from entries that they had asked for rest, to be left alone, or to keep to a
-// rate.
-func (r Record) judgeAsks(senders map[string]string) []Violation {
-	byServer := map[string]*asksAt{}
-	for _, ask := range r.Asks {
-		entry, known := senders[ask.RequestID]
+// checkNotices checks the requests that servers received from entries after a notice of theirs: that the server
+// leaves, a backoff, or a rate limit.
+func (r Record) checkNotices(senders map[string]string) []Violation {
+	byServer := map[string]*serverNotices{}
+	for _, notice := range r.Notices {
+		entry, known := senders[notice.RequestID]
 		if !known {
 			continue
 		}
-		if byServer[ask.Server] == nil {
-			byServer[ask.Server] = &asksAt{}
+		if byServer[notice.Server] == nil {
+			byServer[notice.Server] = &serverNotices{}
 		}
-		one := byServer[ask.Server]
-		one.asks, one.entries = append(one.asks, ask), append(one.entries, entry)
+		ofServer := byServer[notice.Server]
+		ofServer.notices, ofServer.entries = append(ofServer.notices, notice), append(ofServer.entries, entry)
 	}
 	deliveries := map[string][]site.Delivery{}
 	for _, delivery := range r.Deliveries {
@@ -88,53 +88,54 @@
 		}
 	}
 	var found []Violation
-	for server, told := range byServer {
-		found = append(found, r.judgeSaidLeaving(told, deliveries[server], senders)...)
-		found = append(found, r.judgeRests(told, deliveries[server], senders)...)
-		found = append(found, r.judgeLimit(told, deliveries[server], senders)...)
+	for server, received := range byServer {
+		found = append(found, r.checkLeavingNotices(received, deliveries[server], senders)...)
+		found = append(found, r.checkBackoffs(received, deliveries[server], senders)...)
+		found = append(found, r.checkRateLimit(received, deliveries[server], senders)...)
 	}
 	return found
 }
 
-// judgeSaidLeaving finds requests to a server from entries that have long passed on that it leaves.
-func (r Record) judgeSaidLeaving(told *asksAt, deliveries []site.Delivery, senders map[string]string) []Violation {
+// checkLeavingNotices finds requests to a server from entries that received its leaving notice more than the drain time
+// before.
+func (r Record) checkLeavingNotices(received *serverNotices, deliveries []site.Delivery, senders map[string]string) []Violation {
 	first := map[string]time.Time{}
-	for index, ask := range told.asks {
-		if _, known := first[told.entries[index]]; ask.Leaving && !known {
-			first[told.entries[index]] = ask.At
+	for index, notice := range received.notices {
+		if _, known := first[received.entries[index]]; notice.Leaving && !known {
+			first[received.entries[index]] = notice.At
 		}
 	}
 	var found []Violation
 	for _, delivery := range deliveries {
 		entry := senders[delivery.RequestID]
 		at, known := first[entry]
-		if known && delivery.At.After(at.Add(r.Drain+slack)) && r.untouched(entry, at, delivery.At) {
+		if known && delivery.At.After(at.Add(r.Drain+slack)) && r.entryUndisturbed(entry, at, delivery.At) {
 			found = append(found, Violation{
-				Promise: LeavingIsLeft, At: delivery.At, Request: delivery.RequestID,
-				Detail: fmt.Sprintf("%s sent it to %s %s after it had passed on that the server leaves", entry, delivery.Server, delivery.At.Sub(at)),
+				Guarantee: NoWorkToLeaving, At: delivery.At, Request: delivery.RequestID,
+				Detail: fmt.Sprintf("%s sent it to %s %s after receiving the server's leaving notice", entry, delivery.Server, delivery.At.Sub(at)),
 			})
 		}
 	}
 	return found
 }
 
-// judgeRests finds requests to a server from entries that it has asked for rest.
-func (r Record) judgeRests(told *asksAt, deliveries []site.Delivery, senders map[string]string) []Violation {
+// checkBackoffs finds requests to a server from entries that received its backoff notice.
+func (r Record) checkBackoffs(received *serverNotices, deliveries []site.Delivery, senders map[string]string) []Violation {
 	var found []Violation
-	for index, ask := range told.asks {
-		entry, count := told.entries[index], 0
-		if ask.Backoff == 0 {
+	for index, notice := range received.notices {
+		entry, count := received.entries[index], 0
+		if notice.Backoff == 0 {
 			continue
 		}
 		for _, delivery := range deliveries {
-			if senders[delivery.RequestID] != entry || delivery.At.Before(ask.At.Add(askKnown)) || delivery.At.After(ask.At.Add(ask.Backoff)) {
+			if senders[delivery.RequestID] != entry || delivery.At.Before(notice.At.Add(noticeDelay)) || delivery.At.After(notice.At.Add(notice.Backoff)) {
 				continue
 			}
 			count++
-			if count == restAllowed+1 && r.untouched(entry, ask.At, delivery.At) {
+			if count == allowedDuringBackoff+1 && r.entryUndisturbed(entry, notice.At, delivery.At) {
 				found = append(found, Violation{
-					Promise: RestIsKept, At: delivery.At, Request: delivery.RequestID,
-					Detail: fmt.Sprintf("%s sent it and %d more to %s, which had asked it for %s of rest %s before", entry, restAllowed, delivery.Server, ask.Backoff, delivery.At.Sub(ask.At)),
+					Guarantee: BackoffKept, At: delivery.At, Request: delivery.RequestID,
+					Detail: fmt.Sprintf("%s sent it and %d more to %s, which had requested a backoff of %s %s before", entry, allowedDuringBackoff, delivery.Server, notice.Backoff, delivery.At.Sub(notice.At)),
 				})
 			}
 		}
@@ -142,32 +143,33 @@
 	return found
 }
 
-// judgeLimit finds the first span in which a server got more than it had named, from entries that were told.
-func (r Record) judgeLimit(told *asksAt, deliveries []site.Delivery, senders map[string]string) []Violation {
+// checkRateLimit finds the first interval in which a server received more than its announced rate from entries that
+// had received the announcement.
+func (r Record) checkRateLimit(received *serverNotices, deliveries []site.Delivery, senders map[string]string) []Violation {
 	var named []site.ServerNotice
 	first := map[string]time.Time{}
-	for index, ask := range told.asks {
-		if !ask.Limited {
+	for index, notice := range received.notices {
+		if !notice.Limited {
 			continue
 		}
-		named = append(named, ask)
-		if _, known := first[told.entries[index]]; !known {
-			first[told.entries[index]] = ask.At
+		named = append(named, notice)
+		if _, known := first[received.entries[index]]; !known {
+			first[received.entries[index]] = notice.At
 		}
 	}
 	if len(named) == 0 {
 		return nil
 	}
-	from, last, most := named[0].At.Add(contact), named[len(named)-1].At, 0.0
-	for _, ask := range named {
-		most = max(most, ask.PerSecond)
+	from, last, maxRate := named[0].At.Add(recoveryMargin), named[len(named)-1].At, 0.0
+	for _, notice := range named {
+		maxRate = max(maxRate, notice.PerSecond)
 	}
-	allowed := site.MaxUnderLimit(most)
+	allowed := site.MaxUnderLimit(maxRate)
 	var counted []site.Delivery
 	for _, delivery := range deliveries {
 		entry := senders[delivery.RequestID]
 		at, known := first[entry]
-		if !known || delivery.At.Before(from) || delivery.At.After(last) || delivery.At.Before(at.Add(askKnown)) || !r.untouched(entry, at, delivery.At) {
+		if !known || delivery.At.Before(from) || delivery.At.After(last) || delivery.At.Before(at.Add(noticeDelay)) || !r.entryUndisturbed(entry, at, delivery.At) {
 			continue
 		}
 		counted = append(counted, delivery)
@@ -176,8 +178,8 @@
 		}
 		if float64(len(counted)) > allowed {
 			return []Violation{{
-				Promise: LimitIsKept, At: delivery.At, Request: delivery.RequestID,
-				Detail: fmt.Sprintf("%s got %d requests in %s from entries that it had told, and had named %g a second", delivery.Server, len(counted), site.LimitWindow, most),
+				Guarantee: RateLimitKept, At: delivery.At, Request: delivery.RequestID,
+				Detail: fmt.Sprintf("%s received %d requests in %s from entries that had received its limit of %g a second", delivery.Server, len(counted), site.LimitWindow, maxRate),
 			}}
 		}
 	}
--- a/internal/experiment/soak/callers.go
+++ b/internal/experiment/soak/callers.go
@@ -15,55 +15,56 @@
 	"pinevane.example/pinevane/internal/launch"
 )
 
-// Shape of the load.
+// Parameters of the load.
 const (
 	callersPerZone = 6
-	mostEvents     = 40
+	maxEvents      = 40
 	callTimeout    = 7 * time.Second
-	// reconnectPause follows a connection that an entry did not take.
-	reconnectPause = 50 * time.Millisecond
-	pauseBetween   = 15 * time.Millisecond
+	// reconnectDelay is the delay after an entry refused a connection.
+	reconnectDelay = 50 * time.Millisecond
+	requestDelay   = 15 * time.Millisecond
 )
 
-// callers send requests of every kind and record what came of them.
+// callers send requests of every kind and record their outcomes.
 type callers struct {
 	site *site.Site
 
 	mutex    sync.Mutex
 	attempts []Attempt
-	// endings are the entries that requests were sent to whose content ends its servers.
-	endings map[string]string
+	// crashSenders maps each request that crashes servers to the entry that it was sent to.
+	crashSenders map[string]string
 }
 
-func (c *callers) note(attempt Attempt) {
+func (c *callers) recordAttempt(attempt Attempt) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.attempts = append(c.attempts, attempt)
 }
 
-// all returns what was recorded so far.
-func (c *callers) all() []Attempt {
+// allAttempts returns a copy of the attempts recorded so far.
+func (c *callers) allAttempts() []Attempt {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return append([]Attempt(nil), c.attempts...)
 }
 
-// allEndings returns the entries that requests were sent to whose content ends its servers.
-func (c *callers) allEndings() map[string]string {
+// allCrashSenders returns a copy of crashSenders.
+func (c *callers) allCrashSenders() map[string]string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return maps.Clone(c.endings)
+	return maps.Clone(c.crashSenders)
 }
 
-// run calls the entries of one zone until the context ends, over kept connections.
+// run sends requests to the entries of one zone over persistent connections until the context
+// ends.
 func (c *callers) run(ctx context.Context, zone, caller int, random *rand.Rand) {
 	client := &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 1}, Timeout: callTimeout}
 	defer client.CloseIdleConnections()
 	for number := 0; ctx.Err() == nil; number++ {
 		attempt := Attempt{ID: fmt.Sprintf("soak-%d-%d-%d", zone, caller, number)}
 		index := (caller + number/8) % c.site.Options.Entries
-		attempt.Entry = launch.SiteProcess(site.RoleEntry, zone, index)
-		events := 1 + random.IntN(mostEvents)
+		attempt.Entry = launch.SiteProcessName(site.RoleEntry, zone, index)
+		events := 1 + random.IntN(maxEvents)
 		switch number % 4 {
 		case 0:
 			attempt.Kind = CallOnce
@@ -73,15 +74,15 @@
 			attempt.Kind = CallStream
 		}
 		if c.send(client, zone, index, &attempt, events) {
-			c.note(attempt)
-			time.Sleep(pauseBetween)
+			c.recordAttempt(attempt)
+			time.Sleep(requestDelay)
 		} else {
-			time.Sleep(reconnectPause)
+			time.Sleep(reconnectDelay)
 		}
 	}
 }
 
-// send makes one request. It returns false when the entry took no connection, so that
+// send sends one request. It returns false when the entry refused the connection, so that
 // nothing was sent.
 func (c *callers) send(client *http.Client, zone, index int, attempt *Attempt, events int) bool {
 	method, path := http.MethodPost, site.OncePrefix+"save"
@@ -107,13 +108,13 @@
 	}
 	answer, err := io.ReadAll(response.Body)
 	_ = response.Body.Close()
-	attempt.Ended, attempt.Status, attempt.Whole = time.Now(), response.StatusCode, err == nil
-	attempt.Own = isOwn(*attempt, string(answer), method, path, body, events)
+	attempt.Ended, attempt.Status, attempt.Complete = time.Now(), response.StatusCode, err == nil
+	attempt.Correct = isCorrect(*attempt, string(answer), method, path, body, events)
 	return true
 }
 
-// isOwn reports whether an answer is the whole one to the request.
-func isOwn(attempt Attempt, answer, method, path, body string, events int) bool {
+// isCorrect reports whether an answer is the complete answer to the request.
+func isCorrect(attempt Attempt, answer, method, path, body string, events int) bool {
 	if attempt.Kind != CallStream {
 		if method == http.MethodGet {
 			return strings.HasPrefix(answer, method+" "+path+" ")
--- a/internal/experiment/soak/faults.go
+++ b/internal/experiment/soak/faults.go
@@ -8,27 +8,27 @@
 	"pinevane.example/pinevane/internal/launch"
 )
 
-// Times of faults that are not drawn.
+// Fixed times of faults, the same for every seed.
 const (
-	// restartPause is how long the platform takes to start a process that has ended.
-	restartPause = 700 * time.Millisecond
-	// storeKeepsQuiet is how long the store is away around lapsed servers, and
-	// returnPause how long they take to write their lines anew.
-	storeKeepsQuiet = 2 * time.Second
-	returnPause     = 900 * time.Millisecond
-	// secondVersion follows the first of two.
-	secondVersion = 2 * time.Second
-	// stopLimit is when a stopped entry must have ended.
-	stopLimit = 10 * time.Second
-	// burstTime is the least that a burst of callers lasts; what was drawn comes on top of it.
-	burstTime = 2 * time.Second
-	// serverFaultTime is how long a server's own faults, which requests use up, may
-	// still show.
-	serverFaultTime = 3 * time.Second
+	// restartDelay is how long the platform takes to restart a process that has exited.
+	restartDelay = 700 * time.Millisecond
+	// storeOutage is how long the store is down when the records of servers expire, and
+	// returnDelay how long the servers then take to write them again.
+	storeOutage = 2 * time.Second
+	returnDelay = 900 * time.Millisecond
+	// secondVersionDelay is the time between two version announcements of one fault.
+	secondVersionDelay = 2 * time.Second
+	// stopTimeout is how long a stopped process may take to exit.
+	stopTimeout = 10 * time.Second
+	// minBurstTime is the minimum duration of a burst; the fault's duration is added to it.
+	minBurstTime = 2 * time.Second
+	// serverFaultPeriod is how long a server's injected faults, each of which affects a number
+	// of requests, may have effects.
+	serverFaultPeriod = 3 * time.Second
 )
 
-// strike carries a fault out. What ends it is queued on the run's timeline.
-func (r *run) strike(fault Fault) error {
+// inject injects a fault and schedules its end on the run's timeline.
+func (r *run) inject(fault Fault) error {
 	zone, now := fault.Zone, time.Now()
 	entry, agent := fault.Index%r.site.Options.Entries, fault.Index%r.site.Options.ModelServers
 	server := r.site.Models[r.site.Options.ModelIP(zone, agent)]
@@ -37,143 +37,143 @@
 		return r.kill(site.RoleEntry, zone, entry)
 	case KillAgent:
 		return r.kill(site.RoleAgent, zone, agent)
-	case KillMany:
-		return r.killMany(zone)
+	case KillZone:
+		return r.killZone(zone)
 	case FreezeEntry:
-		return r.freeze(launch.SiteProcess(site.RoleEntry, zone, entry), fault.For)
+		return r.freeze(launch.SiteProcessName(site.RoleEntry, zone, entry), fault.Duration)
 	case FreezeAgent:
-		return r.freeze(launch.SiteProcess(site.RoleAgent, zone, agent), fault.For)
+		return r.freeze(launch.SiteProcessName(site.RoleAgent, zone, agent), fault.Duration)
 	case StopEntry:
 		return r.stop(zone, entry)
 	case StoreDown:
 		r.site.Store.SetDown(true)
-		r.disturb(fault.For)
-		r.after(fault.For, func() error { r.site.Store.SetDown(false); return nil })
-	case StoreForgets:
+		r.recordDisturbance(fault.Duration)
+		r.schedule(fault.Duration, func() error { r.site.Store.SetDown(false); return nil })
+	case StoreLosesHistory:
 		r.site.Store.BlockWatches()
-		r.disturb(fault.For)
-		r.after(fault.For, func() error { r.site.Store.Compact(); return nil })
+		r.recordDisturbance(fault.Duration)
+		r.schedule(fault.Duration, func() error { r.site.Store.Compact(); return nil })
 	case StoreRefuses:
 		r.site.Store.Refuse(r.site.Options.EntryIP(zone, entry), r.site.Options.ModelIP(zone, agent))
-		r.disturb(fault.For, launch.SiteProcess(site.RoleEntry, zone, entry), launch.SiteProcess(site.RoleAgent, zone, agent))
-		r.after(fault.For, func() error { r.site.Store.Refuse(); return nil })
-	case ServersLapse:
-		r.lapse()
-	case ServerCrash, ServerUnlisted:
-		r.disturb(serverFaultTime, server.ID())
+		r.recordDisturbance(fault.Duration, launch.SiteProcessName(site.RoleEntry, zone, entry), launch.SiteProcessName(site.RoleAgent, zone, agent))
+		r.schedule(fault.Duration, func() error { r.site.Store.Refuse(); return nil })
+	case ServersExpire:
+		r.expireServers()
+	case ServerCrash, ServerCrashUnnoticed:
+		r.recordDisturbance(serverFaultPeriod, server.ID())
 		if fault.Kind == ServerCrash {
 			return r.site.RestartModel(zone, agent)
 		}
 		return r.site.RestartModelStillListed(zone, agent)
 	case ServerLeaves:
-		r.leave(zone, agent, server)
-	case PiecesRot:
-		r.disturb(serverFaultTime, server.ID())
+		r.announceLeaving(zone, agent, server)
+	case PiecesCorrupted:
+		r.recordDisturbance(serverFaultPeriod, server.ID())
 		for piece := range fault.Count {
 			server.CorruptStaged(piece)
 		}
-	case OriginSpoils:
+	case OriginCorrupts:
 		r.site.Origin.CorruptPieces(fault.Count)
 	case CutStreams:
-		r.spoilServer(server, site.Faults{CutAfter: fault.Count, CutCount: fault.Count})
+		r.setServerFaults(server, site.Faults{CutAfter: fault.Count, CutCount: fault.Count})
 	case LoseAnswers:
-		r.spoilServer(server, site.Faults{LoseAnswers: fault.Count})
+		r.setServerFaults(server, site.Faults{LoseAnswers: fault.Count})
 	case Shed:
-		r.spoilServer(server, site.Faults{Shed: fault.Count})
+		r.setServerFaults(server, site.Faults{Shed: fault.Count})
 	case SurplusAnswers:
-		r.spoilServer(server, site.Faults{ExtraAnswers: fault.Count})
+		r.setServerFaults(server, site.Faults{ExtraAnswers: fault.Count})
 	case NewVersion:
-		r.nameVersion(now)
+		r.announceVersion(now)
 	case TwoVersions:
-		r.nameVersion(now)
-		r.after(secondVersion, func() error { r.nameVersion(time.Now()); return nil })
+		r.announceVersion(now)
+		r.schedule(secondVersionDelay, func() error { r.announceVersion(time.Now()); return nil })
 	case Reconfigure:
 		r.site.Configure(nil)
 	case Evacuate:
-		r.evacuate(zone, evacuationTime+fault.For)
+		r.evacuate(zone, minEvacuationTime+fault.Duration)
 	case EvacuateTwice:
-		r.evacuateTwice(zone, fault.For, evacuationTime+fault.For)
-	case ServerCold:
+		r.evacuateTwice(zone, fault.Duration, minEvacuationTime+fault.Duration)
+	case ServerTurnsCold:
 		server.SetCold(true)
-	case ServerNewCold:
-		return r.startCold(zone, agent, server)
-	case ZoneCold:
-		r.turnCold(zone)
+	case ServerStartsCold:
+		return r.restartCold(zone, agent, server)
+	case ZoneTurnsCold:
+		r.turnZoneCold(zone)
 	case RouteNarrows:
 		r.narrowRoute(fault)
 	case TenantNarrows:
 		r.narrowTenant(fault)
-	case LieErrors:
-		r.spoilFor(r.anyServer(fault), site.Faults{Failure: site.FailWithErrors}, lyingTime+fault.For)
-	case LieResets:
-		r.spoilFor(r.anyServer(fault), site.Faults{Failure: site.FailWithResets}, lyingTime+fault.For)
-	case LieHangs:
-		r.spoilFor(r.anyServer(fault), site.Faults{Failure: site.FailWithHangs}, lyingTime+fault.For)
-	case FalselyIll:
-		r.spoilFor(server, site.Faults{FailHealthChecks: true}, lyingTime+fault.For)
+	case FalselyHealthyErrors:
+		r.setServerFaultsFor(r.pickServer(fault), site.Faults{Failure: site.FailWithErrors}, minFalseHealthTime+fault.Duration)
+	case FalselyHealthyResets:
+		r.setServerFaultsFor(r.pickServer(fault), site.Faults{Failure: site.FailWithResets}, minFalseHealthTime+fault.Duration)
+	case FalselyHealthyHangs:
+		r.setServerFaultsFor(r.pickServer(fault), site.Faults{Failure: site.FailWithHangs}, minFalseHealthTime+fault.Duration)
+	case FalselyUnhealthy:
+		r.setServerFaultsFor(server, site.Faults{FailHealthChecks: true}, minFalseHealthTime+fault.Duration)
 	case Flap:
-		r.flap(r.anyServer(fault))
+		r.flap(r.pickServer(fault))
 	case SettingsChange:
 		return r.changeSettings(fault)
-	case SettingsSpoilt:
-		return r.spoilSettings(fault)
+	case SettingsInvalid:
+		return r.writeInvalidSettings(fault)
 	case Burst:
-		r.burst(burstTime + fault.For)
+		r.burst(minBurstTime + fault.Duration)
 	case QueryOfDeath:
-		r.askEnding(fault)
-	case ServerLimits:
-		r.nameLimit(r.anyServer(fault), fault)
-	case ServerSaysGone:
-		r.sayLeaving(zone, agent, server)
-	case ServerRests:
-		r.askForRest(r.anyServer(fault), fault)
+		r.sendCrashing(fault)
+	case ServerNoticeLimit:
+		r.announceRateLimit(r.pickServer(fault), fault)
+	case ServerNoticeLeaving:
+		r.noticeLeaving(zone, agent, server)
+	case ServerNoticeBackoff:
+		r.noticeBackoff(r.pickServer(fault), fault)
 	}
 	return nil
 }
 
-// disturb notes that some processes or servers are disturbed for a time from now on; without
-// any, it is something that all depend on.
-func (r *run) disturb(lasts time.Duration, names ...string) {
+// recordDisturbance records that some processes or servers are disturbed from now on for a
+// time. Without names, the disturbance concerns something that all depend on.
+func (r *run) recordDisturbance(duration time.Duration, names ...string) {
 	now := time.Now()
 	if len(names) == 0 {
 		names = []string{""}
 	}
 	for _, name := range names {
-		r.record.Disturbed = append(r.record.Disturbed, Span{From: now, To: now.Add(lasts), Name: name})
+		r.record.Disturbances = append(r.record.Disturbances, Interval{From: now, To: now.Add(duration), Name: name})
 	}
 }
 
-func (r *run) spoilServer(server *site.Server, faults site.Faults) {
-	r.spoilFor(server, faults, serverFaultTime)
+func (r *run) setServerFaults(server *site.Server, faults site.Faults) {
+	r.setServerFaultsFor(server, faults, serverFaultPeriod)
 }
 
-func (r *run) nameVersion(now time.Time) {
+func (r *run) announceVersion(now time.Time) {
 	r.version++
 	r.site.AnnounceVersion(r.version)
-	r.record.Namings = append(r.record.Namings, Naming{Version: r.version, At: now})
+	r.record.VersionAnnouncements = append(r.record.VersionAnnouncements, VersionAnnouncement{Version: r.version, At: now})
 }
 
-// kill ends a process without warning and starts it again.
+// kill kills a process and restarts it after restartDelay.
 func (r *run) kill(role string, zone, index int) error {
-	name := launch.SiteProcess(role, zone, index)
+	name := launch.SiteProcessName(role, zone, index)
 	if r.busy[name] {
 		return nil
 	}
 	r.busy[name] = true
-	r.disturb(restartPause, name)
+	r.recordDisturbance(restartDelay, name)
 	if err := r.fleet.Group.Signal(name, syscall.SIGKILL); err != nil {
 		return err
 	}
-	r.after(restartPause, func() error {
+	r.schedule(restartDelay, func() error {
 		r.busy[name] = false
-		_ = r.fleet.Group.WaitExit(name, stopLimit)
+		_ = r.fleet.Group.WaitExit(name, stopTimeout)
 		return r.fleet.Restart(role, zone, index)
 	})
 	return nil
 }
 
-// killMany ends every process of a zone at the same time.
-func (r *run) killMany(zone int) error {
+// killZone kills every process of a zone at the same time.
+func (r *run) killZone(zone int) error {
 	for index := range r.site.Options.Entries {
 		if err := r.kill(site.RoleEntry, zone, index); err != nil {
 			return err
@@ -187,33 +187,33 @@
 	return nil
 }
 
-// freeze stops a process for a while; it wakes believing its old view of the world.
-func (r *run) freeze(name string, lasts time.Duration) error {
+// freeze suspends a process for a time; when it resumes, its state is out of date.
+func (r *run) freeze(name string, duration time.Duration) error {
 	if r.busy[name] {
 		return nil
 	}
 	r.busy[name] = true
-	r.disturb(lasts, name)
-	r.after(lasts, func() error {
+	r.recordDisturbance(duration, name)
+	r.schedule(duration, func() error {
 		r.busy[name] = false
 		return r.fleet.Group.Signal(name, syscall.SIGCONT)
 	})
 	return r.fleet.Group.Signal(name, syscall.SIGSTOP)
 }
 
-// stop ends an entry as planned and starts it again once it has ended.
+// stop shuts an entry down gracefully and restarts it once it has exited.
 func (r *run) stop(zone, index int) error {
-	name := launch.SiteProcess(site.RoleEntry, zone, index)
+	name := launch.SiteProcessName(site.RoleEntry, zone, index)
 	if r.busy[name] {
 		return nil
 	}
 	r.busy[name] = true
 	now := time.Now()
-	r.record.Stops = append(r.record.Stops, Span{From: now, To: now.Add(r.record.Grace), Name: name})
-	r.after(r.record.Grace, func() error {
+	r.record.Stops = append(r.record.Stops, Interval{From: now, To: now.Add(r.record.Grace), Name: name})
+	r.schedule(r.record.Grace, func() error {
 		r.busy[name] = false
-		if !r.fleet.Group.WaitExit(name, stopLimit) {
-			r.found = append(r.found, Violation{Promise: StopCutsNothing, At: time.Now(), Detail: name + " did not end within its grace"})
+		if !r.fleet.Group.WaitExit(name, stopTimeout) {
+			r.violations = append(r.violations, Violation{Guarantee: StopDropsNothing, At: time.Now(), Detail: name + " did not exit within its grace period"})
 			return nil
 		}
 		return r.fleet.Restart(site.RoleEntry, zone, index)
@@ -221,27 +221,27 @@
 	return r.fleet.Group.Signal(name, syscall.SIGTERM)
 }
 
-// lapse has the store lose every model server's line while it is away; the servers write
-// them anew after it.
-func (r *run) lapse() {
+// expireServers has every model server's record in the store expire while the store is down;
+// the servers write them again afterwards.
+func (r *run) expireServers() {
 	r.site.Store.SetDown(true)
-	r.disturb(storeKeepsQuiet + returnPause)
-	var lapsed []*site.Server
+	r.recordDisturbance(storeOutage + returnDelay)
+	var expired []*site.Server
 	for _, server := range r.site.Models {
 		server.StopHeartbeats()
-		lapsed = append(lapsed, server)
+		expired = append(expired, server)
 	}
-	r.after(storeKeepsQuiet, func() error { r.site.Store.SetDown(false); return nil })
-	r.after(storeKeepsQuiet+returnPause, func() error {
-		for _, server := range lapsed {
+	r.schedule(storeOutage, func() error { r.site.Store.SetDown(false); return nil })
+	r.schedule(storeOutage+returnDelay, func() error {
+		for _, server := range expired {
 			server.ResumeHeartbeats()
 		}
 		return nil
 	})
 }
 
-// leave has a server announce its end, and puts an empty one in its place after it.
-func (r *run) leave(zone, index int, server *site.Server) {
+// announceLeaving has a server announce that it leaves, and replaces it by an empty one later.
+func (r *run) announceLeaving(zone, index int, server *site.Server) {
 	if r.busy[server.ID()] {
 		return
 	}
@@ -251,16 +251,17 @@
 	r.restartAfterDrain(zone, index, server)
 }
 
-// leavingServesOn is how long a server that leaves serves on after its drain.
-const leavingServesOn = 2 * time.Second
+// leavingExtraTime is how long a leaving server continues to serve after its drain time.
+const leavingExtraTime = 2 * time.Second
 
-// restartAfterDrain puts an empty server in the place of one that leaves, unless that has been replaced meanwhile.
+// restartAfterDrain replaces a leaving server by an empty one after its drain time, unless it has been replaced
+// before.
 func (r *run) restartAfterDrain(zone, index int, server *site.Server) {
-	r.after(r.record.Drain+leavingServesOn, func() error {
+	r.schedule(r.record.Drain+leavingExtraTime, func() error {
 		if r.site.Models[r.site.Options.ModelIP(zone, index)] != server {
 			return nil
 		}
-		r.disturb(serverFaultTime, server.ID())
+		r.recordDisturbance(serverFaultPeriod, server.ID())
 		return r.site.RestartModel(zone, index)
 	})
 }
--- a/internal/experiment/soak/judge.go
+++ b/internal/experiment/soak/judge.go
@@ -8,43 +8,43 @@
 	"pinevane.example/pinevane/internal/emulator/site"
 )
 
-// Promise names what a violation breaks.
-type Promise string
+// Guarantee names a guarantee that a violation breaks.
+type Guarantee string
 
-// The promises that are checked.
+// The guarantees that are checked.
 const (
-	WholeOwnAnswer     Promise = "whole own answer"
-	AtMostOnce         Promise = "at most once"
-	TrueRefusal        Promise = "a refusal is true"
-	SoundWeights       Promise = "no partial or mixed weights"
-	CallerIsolation    Promise = "the caller's key stays here"
-	VersionInTime      Promise = "versions in time"
-	LeavingIsLeft      Promise = "a leaving server gets no new work"
-	StopCutsNothing    Promise = "a planned stop cuts nothing"
-	RecoveryInTime     Promise = "recovery in time"
-	AllowedRegions     Promise = "requests stay in their allowed regions"
-	EvacuatedIsLeft    Promise = "an evacuated zone gets no new work"
-	ColdIsSpared       Promise = "cold servers get what they bear"
-	ReloadCutsNone     Promise = "changed settings cut nothing"
-	ProcessesStay      Promise = "no process ends by itself"
-	QueryOfDeathIsKept Promise = "a query of death is kept from servers"
-	RestIsKept         Promise = "a server that asks for rest gets it"
-	LimitIsKept        Promise = "a server gets no more than it names"
+	CompleteOwnAnswer     Guarantee = "whole own answer"
+	AtMostOnce            Guarantee = "at most once"
+	RefusedNotExecuted    Guarantee = "a refusal is true"
+	ConsistentWeights     Guarantee = "no partial or mixed weights"
+	CallerIsolation       Guarantee = "the caller's key stays here"
+	VersionInTime         Guarantee = "versions in time"
+	NoWorkToLeaving       Guarantee = "a leaving server gets no new work"
+	StopDropsNothing      Guarantee = "a planned stop cuts nothing"
+	RecoveryInTime        Guarantee = "recovery in time"
+	AllowedRegions        Guarantee = "requests stay in their allowed regions"
+	NoWorkToEvacuated     Guarantee = "an evacuated zone gets no new work"
+	ColdLimitKept         Guarantee = "cold servers get what they bear"
+	ReloadDropsNothing    Guarantee = "changed settings cut nothing"
+	NoUnexpectedExit      Guarantee = "no process ends by itself"
+	QueryOfDeathContained Guarantee = "a query of death is kept from servers"
+	BackoffKept           Guarantee = "a server that asks for rest gets it"
+	RateLimitKept         Guarantee = "a server gets no more than it names"
 )
 
-// RequestKind tells how often a request may run.
+// RequestKind says how often a request may run.
 type RequestKind int
 
 // The kinds of requests.
 const (
-	// CallOnce may run at most once, CallSafe more often; CallStream is a stream that may
-	// be continued.
+	// CallOnce may run at most once, CallSafe may run more often; CallStream is a stream that
+	// may be resumed.
 	CallOnce RequestKind = iota + 1
 	CallSafe
 	CallStream
 )
 
-// Attempt is one request as its caller saw it.
+// Attempt is one request as its caller observed it.
 type Attempt struct {
 	ID   string
 	Kind RequestKind
@@ -52,63 +52,63 @@
 	Entry string
 	Sent  time.Time
 	Ended time.Time
-	// Status is 0 when no head of an answer came.
+	// Status is 0 when no response header was received.
 	Status int
-	// Whole is set when the answer came to its end, Own when it is the answer to this
-	// request with nothing missing.
-	Whole bool
-	Own   bool
+	// Complete is set when the answer was read to its end, Correct when it is the answer to
+	// this request with nothing missing.
+	Complete bool
+	Correct  bool
 }
 
-// Span is a time in which something was disturbed.
-type Span struct {
+// Interval is a time in which something was disturbed.
+type Interval struct {
 	From time.Time
 	To   time.Time
-	// Name is the process or server that it concerns, empty for what all depend on.
+	// Name is the affected process or server, empty for something that all depend on.
 	Name string
 }
 
-// disturbs reports whether what was disturbed, or is shortly after it, lies between two moments.
-func (s Span) disturbs(from, to time.Time) bool {
-	return s.From.Before(to) && s.To.Add(contact).After(from)
+// overlaps reports whether the interval, extended by recoveryMargin, overlaps the period between two times.
+func (s Interval) overlaps(from, to time.Time) bool {
+	return s.From.Before(to) && s.To.Add(recoveryMargin).After(from)
 }
 
-// Departure is a server that has announced its end.
+// Departure is a server's announcement that it leaves.
 type Departure struct {
 	Server string
 	At     time.Time
 }
 
-// Naming is a named version of the weights.
-type Naming struct {
+// VersionAnnouncement is the announcement of a version of the weights.
+type VersionAnnouncement struct {
 	Version uint64
 	At      time.Time
 }
 
-// Record is everything that a run has seen.
+// Record is everything that a run has recorded.
 type Record struct {
-	Attempts   []Attempt
-	Runs       []site.Run
-	Arrivals   []site.Arrival
-	Disturbed  []Span
-	Stops      []Span
-	Departures []Departure
-	Namings    []Naming
-	// Residencies hold from before the first process starts.
+	Attempts             []Attempt
+	Runs                 []site.Run
+	Arrivals             []site.Arrival
+	Disturbances         []Interval
+	Stops                []Interval
+	Departures           []Departure
+	VersionAnnouncements []VersionAnnouncement
+	// Residencies apply from before the first process starts.
 	Residencies site.Residencies
-	// Restrictions are those of the configurations, in order, the first of which was published
-	// before any process started.
+	// Restrictions are the region restrictions of the published configurations, in order. The
+	// first was published before any process started.
 	Restrictions []Restriction
 	Deliveries   []site.Delivery
-	// Asks are what servers have asked for in their answers.
-	Asks        []site.ServerNotice
+	// Notices are the server notices in responses.
+	Notices     []site.ServerNotice
 	Evacuations []Evacuation
-	// Ends are the servers that requests have ended, Endings the entries that such requests were sent to.
-	Ends    []site.ServerCrash
-	Endings map[string]string
-	// Reloads are the times in which changed settings come into force.
-	Reloads []Span
-	// VersionApply and those below it are the bounds of the platform.
+	// Crashes are the servers that requests have crashed, CrashSenders the entries that such requests were sent to.
+	Crashes      []site.ServerCrash
+	CrashSenders map[string]string
+	// Reloads are the intervals in which changed settings take effect.
+	Reloads []Interval
+	// VersionApply and the durations below are the platform's time limits.
 	VersionApply       time.Duration
 	ConfigurationApply time.Duration
 	EvacuationApply    time.Duration
@@ -118,71 +118,71 @@
 	ColdLimit float64
 }
 
-// Violation is one broken promise.
+// Violation is one violated guarantee.
 type Violation struct {
-	Promise Promise
-	At      time.Time
-	Request string
-	Detail  string
+	Guarantee Guarantee
+	At        time.Time
+	Request   string
+	Detail    string
 }
 
-// Margins of the judge.
+// Margins of the checks.
 const (
-	// contact is how long after a disturbance bounds of time do not hold yet.
-	contact = 3 * time.Second
-	// slack is allowed on bounds of time for what is on its way.
+	// recoveryMargin is how long after a disturbance time limits are not checked.
+	recoveryMargin = 3 * time.Second
+	// slack is added to time limits for messages in flight.
 	slack = 300 * time.Millisecond
 )
 
-// Judge finds every broken promise in a record.
-func Judge(record Record) []Violation {
+// Check returns every violated guarantee in a record.
+func Check(record Record) []Violation {
 	var found []Violation
 	runs := map[string][]site.Run{}
 	for _, run := range record.Runs {
 		runs[run.RequestID] = append(runs[run.RequestID], run)
 	}
 	for _, attempt := range record.Attempts {
-		found = append(found, judgeAttempt(attempt, runs[attempt.ID])...)
-		found = append(found, record.judgeStop(attempt)...)
-		found = append(found, record.judgeReload(attempt)...)
+		found = append(found, checkAttempt(attempt, runs[attempt.ID])...)
+		found = append(found, record.checkStop(attempt)...)
+		found = append(found, record.checkReload(attempt)...)
 	}
 	for _, run := range record.Runs {
-		found = append(found, record.judgeRun(run)...)
+		found = append(found, record.checkRun(run)...)
 	}
 	for _, arrival := range record.Arrivals {
 		if record.Residencies.Outside(arrival) {
 			found = append(found, Violation{
-				Promise: AllowedRegions, At: arrival.At, Request: arrival.RequestID, Detail: "it came to " + arrival.Server + " in " + arrival.Region,
+				Guarantee: AllowedRegions, At: arrival.At, Request: arrival.RequestID, Detail: "it arrived at " + arrival.Server + " in " + arrival.Region,
 			})
 		}
 	}
 	senders := record.senders()
-	found = append(found, record.judgeRestrictions(senders)...)
-	found = append(found, record.judgeEvacuations(senders)...)
-	found = append(found, record.judgeEndings()...)
-	found = append(found, record.judgeAsks(senders)...)
-	return append(found, record.judgeCold()...)
+	found = append(found, record.checkRestrictions(senders)...)
+	found = append(found, record.checkEvacuations(senders)...)
+	found = append(found, record.checkCrashes()...)
+	found = append(found, record.checkNotices(senders)...)
+	return append(found, record.checkCold()...)
 }
 
-func judgeAttempt(attempt Attempt, runs []site.Run) []Violation {
+func checkAttempt(attempt Attempt, runs []site.Run) []Violation {
 	var found []Violation
-	add := func(promise Promise, detail string) {
-		found = append(found, Violation{Promise: promise, At: attempt.Ended, Request: attempt.ID, Detail: detail})
+	add := func(guarantee Guarantee, detail string) {
+		found = append(found, Violation{Guarantee: guarantee, At: attempt.Ended, Request: attempt.ID, Detail: detail})
 	}
-	if attempt.Status == http.StatusOK && attempt.Whole && !attempt.Own {
-		add(WholeOwnAnswer, "a complete answer lacks something, or is another's, from "+attempt.Entry)
+	if attempt.Status == http.StatusOK && attempt.Complete && !attempt.Correct {
+		add(CompleteOwnAnswer, "a complete answer has missing parts or belongs to another request, from "+attempt.Entry)
 	}
 	if attempt.Kind == CallOnce && len(runs) > 1 {
 		add(AtMostOnce, fmt.Sprintf("ran %d times", len(runs)))
 	}
-	if saysNotRun(attempt.Status) && len(runs) > 0 {
-		add(TrueRefusal, fmt.Sprintf("%s answered %d, and it ran at %s", attempt.Entry, attempt.Status, runs[0].Server))
+	if meansNotExecuted(attempt.Status) && len(runs) > 0 {
+		add(RefusedNotExecuted, fmt.Sprintf("%s answered %d, and it ran at %s", attempt.Entry, attempt.Status, runs[0].Server))
 	}
 	return found
 }
 
-// saysNotRun reports whether a status promises that the request has not run.
-func saysNotRun(status int) bool {
+// meansNotExecuted reports whether a status guarantees that the request has not run.
+func meansNotExecuted(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -190,51 +190,52 @@
 	return false
 }
 
-// judgeRun judges what one server has begun.
-func (r Record) judgeRun(run site.Run) []Violation {
+// checkRun checks one execution of a request at a server.
+func (r Record) checkRun(run site.Run) []Violation {
 	var found []Violation
-	add := func(promise Promise, detail string) {
-		found = append(found, Violation{Promise: promise, At: run.At, Request: run.RequestID, Detail: run.Server + ": " + detail})
+	add := func(guarantee Guarantee, detail string) {
+		found = append(found, Violation{Guarantee: guarantee, At: run.At, Request: run.RequestID, Detail: run.Server + ": " + detail})
 	}
 	if run.Corrupt {
-		add(SoundWeights, "it ran on missing or wrong pieces")
+		add(ConsistentWeights, "it ran on missing or corrupt pieces")
 	}
 	if run.KeyReceived || run.Tenant != site.Tenant {
-		add(CallerIsolation, "it came with the caller's key or another tenant")
+		add(CallerIsolation, "it arrived with the caller's key or another tenant")
 	}
-	for _, naming := range r.Namings {
+	for _, naming := range r.VersionAnnouncements {
 		due := naming.At.Add(r.VersionApply + slack)
-		if run.Version != 0 && run.Version < naming.Version && run.At.After(due) && r.calm(naming.At, run.At) {
-			add(VersionInTime, fmt.Sprintf("it ran on version %d, %s after %d was named", run.Version, run.At.Sub(naming.At), naming.Version))
+		if run.Version != 0 && run.Version < naming.Version && run.At.After(due) && r.nothingDisturbed(naming.At, run.At) {
+			add(VersionInTime, fmt.Sprintf("it ran on version %d, %s after %d was announced", run.Version, run.At.Sub(naming.At), naming.Version))
 		}
 	}
 	for _, departure := range r.Departures {
-		if run.Server == departure.Server && run.At.After(departure.At.Add(r.Drain+slack)) && r.calm(departure.At, run.At) {
-			add(LeavingIsLeft, fmt.Sprintf("it ran %s after the server said that it leaves", run.At.Sub(departure.At)))
+		if run.Server == departure.Server && run.At.After(departure.At.Add(r.Drain+slack)) && r.nothingDisturbed(departure.At, run.At) {
+			add(NoWorkToLeaving, fmt.Sprintf("it ran %s after the server announced that it leaves", run.At.Sub(departure.At)))
 		}
 	}
 	return found
 }
 
-// judgeStop judges a request that was under way at an entry when it was stopped as
-// planned, while nothing else was disturbed.
-func (r Record) judgeStop(attempt Attempt) []Violation {
-	if attempt.Status == 0 || attempt.Whole {
+// checkStop checks a request that was in progress at an entry when the entry was stopped
+// gracefully, while nothing else was disturbed.
+func (r Record) checkStop(attempt Attempt) []Violation {
+	if attempt.Status == 0 || attempt.Complete {
 		return nil
 	}
 	for _, stop := range r.Stops {
-		under := attempt.Entry == stop.Name && attempt.Sent.Before(stop.From) && attempt.Ended.After(stop.From) && attempt.Ended.Before(stop.From.Add(r.Grace))
-		if under && r.calm(attempt.Sent, attempt.Ended) {
-			return []Violation{{Promise: StopCutsNothing, At: attempt.Ended, Request: attempt.ID, Detail: attempt.Entry + " cut it " + attempt.Ended.Sub(stop.From).String() + " after its stop"}}
+		inProgress := attempt.Entry == stop.Name && attempt.Sent.Before(stop.From) && attempt.Ended.After(stop.From) && attempt.Ended.Before(stop.From.Add(r.Grace))
+		if inProgress && r.nothingDisturbed(attempt.Sent, attempt.Ended) {
+			return []Violation{{Guarantee: StopDropsNothing, At: attempt.Ended, Request: attempt.ID, Detail: attempt.Entry + " cut it " + attempt.Ended.Sub(stop.From).String() + " after its stop"}}
 		}
 	}
 	return nil
 }
 
-// calm reports whether nothing was disturbed from a while before one moment to another.
-func (r Record) calm(from, to time.Time) bool {
-	for _, span := range r.Disturbed {
-		if span.disturbs(from, to) {
+// nothingDisturbed reports whether nothing was disturbed from recoveryMargin before one time to
+// another.
+func (r Record) nothingDisturbed(from, to time.Time) bool {
+	for _, interval := range r.Disturbances {
+		if interval.overlaps(from, to) {
 			return false
 		}
 	}
--- a/internal/experiment/soak/query_of_death.go
+++ b/internal/experiment/soak/query_of_death.go
@@ -13,58 +13,60 @@
 	"pinevane.example/pinevane/internal/launch"
 )
 
-// Shape of contents that end the servers which run them.
+// Parameters of the requests that crash the servers which run them.
 const (
-	// endingBody begins the bodies of such contents, of which a run has endingContents: they come
-	// again, so that what is known of them must outlast what strikes the processes meanwhile.
-	endingBody     = "ends its server "
-	endingID       = "ending-"
-	endingContents = 2
-	// endingPace is how often one is asked while the fault lasts, endingTime the least that it does;
-	// what was drawn comes on top of it. An entry that hears nothing of the others is not asked often
-	// enough to find out by itself within contact of the third end.
-	endingPace = 400 * time.Millisecond
-	endingTime = 6 * time.Second
-	// endingAfter is how long a server runs such a request, endedFor how long it is away then.
-	endingAfter = 50 * time.Millisecond
-	endedFor    = 1500 * time.Millisecond
-	// endedServers names what is disturbed while servers end: no entry is.
-	endedServers = "ended servers"
-	// endsLook is how often is looked for servers that have ended.
-	endsLook = 200 * time.Millisecond
-	// endsAllowed and lateAllowed are those of the platform: so many sends may come later than contact
-	// after so many servers have ended.
-	endsAllowed = 3
-	lateAllowed = 3
+	// crashBody begins the bodies of such requests, of which a run has crashFingerprints different
+	// ones. They recur, so what entries know of them must survive the other faults.
+	crashBody         = "ends its server "
+	crashIDPrefix     = "ending-"
+	crashFingerprints = 2
+	// crashRequestInterval is the time between such requests while the fault lasts, minCrashTime its
+	// minimum duration, to which the fault's duration is added. At this rate an entry that receives
+	// nothing from the others can't detect the fingerprint by itself within recoveryMargin of the
+	// third crash.
+	crashRequestInterval = 400 * time.Millisecond
+	minCrashTime         = 6 * time.Second
+	// crashDelay is how long a server runs such a request before it crashes, crashDowntime how long it
+	// is down then.
+	crashDelay    = 50 * time.Millisecond
+	crashDowntime = 1500 * time.Millisecond
+	// crashedServers names the disturbance while servers crash; it matches no entry.
+	crashedServers = "ended servers"
+	// crashPollInterval is the time between checks for crashed servers.
+	crashPollInterval = 200 * time.Millisecond
+	// allowedCrashes and allowedLateSends are the platform's limits: once allowedCrashes servers have
+	// crashed, at most allowedLateSends requests may arrive later than recoveryMargin after that.
+	allowedCrashes   = 3
+	allowedLateSends = 3
 )
 
-// askEnding has a content asked at all entries for a time, by callers that are not counted among the
-// others: nobody expects an answer.
-func (r *run) askEnding(fault Fault) {
-	r.site.CrashOn(site.CrashTrigger{BodyPrefix: endingBody, After: endingAfter})
-	lasts, content := endingTime+fault.For, fault.Count%endingContents
-	r.disturb(lasts+endedFor, endedServers)
-	ctx, cancel := context.WithTimeout(r.context, lasts)
-	r.after(lasts, func() error { cancel(); return nil })
-	r.endings++
-	number := r.endings
+// sendCrashing sends requests with a crashing fingerprint to all entries for a time. Their callers are
+// not counted with the others, as no answer is expected.
+func (r *run) sendCrashing(fault Fault) {
+	r.site.CrashOn(site.CrashTrigger{BodyPrefix: crashBody, After: crashDelay})
+	duration, fingerprint := minCrashTime+fault.Duration, fault.Count%crashFingerprints
+	r.recordDisturbance(duration+crashDowntime, crashedServers)
+	ctx, cancel := context.WithTimeout(r.context, duration)
+	r.schedule(duration, func() error { cancel(); return nil })
+	r.crashFaults++
+	number := r.crashFaults
 	random := rand.New(rand.NewPCG(r.options.Seed, uint64(number)))
-	r.calling.Go(func() { r.callers.askEnding(ctx, content, number, random) })
-	for pause := endsLook; pause < lasts+2*endedFor; pause += endsLook {
-		r.after(pause, r.startEnded)
+	r.callerGroup.Go(func() { r.callers.sendCrashing(ctx, fingerprint, number, random) })
+	for delay := crashPollInterval; delay < duration+2*crashDowntime; delay += crashPollInterval {
+		r.schedule(delay, r.restartCrashed)
 	}
 }
 
-// askEnding asks for a content until the context ends.
-func (c *callers) askEnding(ctx context.Context, content, fault int, random *rand.Rand) {
+// sendCrashing sends requests with a fingerprint until the context ends.
+func (c *callers) sendCrashing(ctx context.Context, fingerprint, fault int, random *rand.Rand) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: callTimeout}
-	ticker := time.NewTicker(endingPace)
+	ticker := time.NewTicker(crashRequestInterval)
 	defer ticker.Stop()
 	for number := 0; ctx.Err() == nil; number++ {
 		zone, index := random.IntN(c.site.Options.Zones), random.IntN(c.site.Options.Entries)
-		id := fmt.Sprintf("%s%d-%d-%d", endingID, content, fault, number)
-		c.noteEnding(id, launch.SiteProcess(site.RoleEntry, zone, index))
-		go c.sendEnding(client, zone, index, id, content)
+		id := fmt.Sprintf("%s%d-%d-%d", crashIDPrefix, fingerprint, fault, number)
+		c.recordCrashSender(id, launch.SiteProcessName(site.RoleEntry, zone, index))
+		go c.sendCrashingRequest(client, zone, index, id, fingerprint)
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -72,40 +74,41 @@
 	}
 }
 
-func (c *callers) sendEnding(client *http.Client, zone, index int, id string, content int) {
-	request, err := c.site.NewRequest(zone, index, http.MethodPost, site.StreamPrefix+"ending", id, endingBody+fmt.Sprint(content), 1)
+func (c *callers) sendCrashingRequest(client *http.Client, zone, index int, id string, fingerprint int) {
+	request, err := c.site.NewRequest(zone, index, http.MethodPost, site.StreamPrefix+"ending", id, crashBody+fmt.Sprint(fingerprint), 1)
 	if err != nil {
 		return
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		// The entry is away, or has no answer: the servers' records tell what the request did.
+		// The entry is down or gave no answer. The servers' records show what the request did.
 		return
 	}
 	_, _ = io.Copy(io.Discard, response.Body)
 	_ = response.Body.Close()
 }
 
-// noteEnding notes to which entry a request was sent.
-func (c *callers) noteEnding(id, entry string) {
+// recordCrashSender records to which entry a request was sent.
+func (c *callers) recordCrashSender(id, entry string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.endings == nil {
-		c.endings = map[string]string{}
+	if c.crashSenders == nil {
+		c.crashSenders = map[string]string{}
 	}
-	c.endings[id] = entry
+	c.crashSenders[id] = entry
 }
 
-// startEnded starts servers again that have ended a while ago, where nothing else has.
-func (r *run) startEnded() error {
-	for _, end := range r.site.Crashes() {
-		if r.restarted[end.Server] || time.Since(end.At) < endedFor {
+// restartCrashed restarts the servers that crashed at least crashDowntime ago, unless they were
+// replaced before.
+func (r *run) restartCrashed() error {
+	for _, crash := range r.site.Crashes() {
+		if r.restarted[crash.Server] || time.Since(crash.At) < crashDowntime {
 			continue
 		}
-		r.restarted[end.Server] = true
+		r.restarted[crash.Server] = true
 		for zone := range r.site.Options.Zones {
 			for index := range r.site.Options.ModelServers {
-				if r.site.Models[r.site.Options.ModelIP(zone, index)].ID() != end.Server {
+				if r.site.Models[r.site.Options.ModelIP(zone, index)].ID() != crash.Server {
 					continue
 				}
 				if err := r.site.RestartModelStillListed(zone, index); err != nil {
@@ -117,24 +120,25 @@
 	return nil
 }
 
-// judgeEndings judges what came to servers of contents that had ended as many as are allowed.
-func (r Record) judgeEndings() []Violation {
+// checkCrashes finds requests that arrived at servers although their fingerprint had crashed allowedCrashes
+// servers before.
+func (r Record) checkCrashes() []Violation {
 	var found []Violation
-	for content := range endingContents {
-		prefix := fmt.Sprintf("%s%d-", endingID, content)
-		known, ended := thirdEnd(r.Ends, prefix)
-		if !ended {
+	for fingerprint := range crashFingerprints {
+		prefix := fmt.Sprintf("%s%d-", crashIDPrefix, fingerprint)
+		known, crashed := lastAllowedCrash(r.Crashes, prefix)
+		if !crashed {
 			continue
 		}
 		late := 0
 		for _, arrival := range r.Arrivals {
-			if !strings.HasPrefix(arrival.RequestID, prefix) || !arrival.At.After(known.Add(contact)) || !r.inTouch(r.Endings[arrival.RequestID], arrival.At) {
+			if !strings.HasPrefix(arrival.RequestID, prefix) || !arrival.At.After(known.Add(recoveryMargin)) || !r.entryConnected(r.CrashSenders[arrival.RequestID], arrival.At) {
 				continue
 			}
-			if late++; late > lateAllowed {
+			if late++; late > allowedLateSends {
 				found = append(found, Violation{
-					Promise: QueryOfDeathIsKept, At: arrival.At, Request: arrival.RequestID,
-					Detail: fmt.Sprintf("%s sent it to %s, %s after three servers had ended under its content", r.Endings[arrival.RequestID], arrival.Server, arrival.At.Sub(known)),
+					Guarantee: QueryOfDeathContained, At: arrival.At, Request: arrival.RequestID,
+					Detail: fmt.Sprintf("%s sent it to %s, %s after its fingerprint had crashed three servers", r.CrashSenders[arrival.RequestID], arrival.Server, arrival.At.Sub(known)),
 				})
 			}
 		}
@@ -142,13 +146,13 @@
 	return found
 }
 
-// thirdEnd is when as many servers had ended under a content as are allowed.
-func thirdEnd(ends []site.ServerCrash, prefix string) (time.Time, bool) {
+// lastAllowedCrash returns when a fingerprint had crashed allowedCrashes servers.
+func lastAllowedCrash(crashes []site.ServerCrash, prefix string) (time.Time, bool) {
 	count := 0
-	for _, end := range ends {
-		if strings.HasPrefix(end.RequestID, prefix) {
-			if count++; count == endsAllowed {
-				return end.At, true
+	for _, crash := range crashes {
+		if strings.HasPrefix(crash.RequestID, prefix) {
+			if count++; count == allowedCrashes {
+				return crash.At, true
 			}
 		}
 	}
--- a/internal/experiment/soak/run_test.go
+++ b/internal/experiment/soak/run_test.go
@@ -12,37 +12,36 @@
 	"pinevane.example/pinevane/internal/launch"
 )
 
-// A fleet that serves too few requests after all faults has not recovered, nor has one that
-// gets none.
+// A fleet that serves too few requests after the last fault has not recovered, nor has one that
+// receives none.
 func TestMissingRecoveryIsFound(t *testing.T) {
 	since := time.Now()
-	served := Attempt{Sent: since.Add(time.Second), Status: 200, Own: true}
+	served := Attempt{Sent: since.Add(time.Second), Status: 200, Correct: true}
 	refused := Attempt{Sent: since.Add(time.Second), Status: 503}
 	earlier := Attempt{Sent: since.Add(-time.Second), Status: 503}
-	for _, one := range []struct {
+	for _, test := range []struct {
 		refused, found int
 	}{{0, 0}, {1, 0}, {2, 1}} {
 		r := &run{callers: &callers{attempts: []Attempt{earlier}}}
 		for range 20 {
-			r.callers.note(served)
+			r.callers.recordAttempt(served)
 		}
-		for range one.refused {
-			r.callers.note(refused)
+		for range test.refused {
+			r.callers.recordAttempt(refused)
 		}
-		r.judgeRecovery(since)
-		require.Len(t, r.found, one.found)
+		r.checkRecovery(since)
+		require.Len(t, r.violations, test.found)
 	}
 	r := &run{callers: &callers{attempts: []Attempt{earlier}}}
-	r.judgeRecovery(since)
-	require.Len(t, r.found, 1)
-	assert.Equal(t, RecoveryInTime, r.found[0].Promise)
+	r.checkRecovery(since)
+	require.Len(t, r.violations, 1)
+	assert.Equal(t, RecoveryInTime, r.violations[0].Guarantee)
 }
 
-// A process that has ended though nothing ended it is found and started again; one that a fault
-// has ended is not.
-func TestProcessThatHasEndedIsFound(t *testing.T) {
-	const endsAtOnce = "/bin/true"
-	fleet, err := launch.NewSiteFleet(endsAtOnce, "", shape())
+// A process that exited without a fault is reported and restarted; one that a fault killed is not.
+func TestExitedProcessIsFound(t *testing.T) {
+	const exitsImmediately = "/bin/true"
+	fleet, err := launch.NewSiteFleet(exitsImmediately, "", siteOptions())
 	require.NoError(t, err)
 	defer fleet.Close()
 	options := fleet.Site.Options
@@ -54,16 +53,16 @@
 			require.NoError(t, fleet.Start(site.RoleAgent, zone, index))
 		}
 	}
-	killed := launch.SiteProcess(site.RoleAgent, 1, 2)
+	killed := launch.SiteProcessName(site.RoleAgent, 1, 2)
 	r := &run{options: Options{Output: io.Discard}, fleet: fleet, site: fleet.Site, busy: map[string]bool{killed: true}}
 	expected := options.Zones*(options.Entries+options.ModelServers) - 1
 	assert.Eventually(t, func() bool {
-		r.found = nil
-		require.NoError(t, r.lookAtProcesses())
-		return len(r.found) == expected
+		r.violations = nil
+		require.NoError(t, r.checkProcesses())
+		return len(r.violations) == expected
 	}, 10*time.Second, 50*time.Millisecond)
-	for _, found := range r.found {
-		assert.Equal(t, ProcessesStay, found.Promise)
+	for _, found := range r.violations {
+		assert.Equal(t, NoUnexpectedExit, found.Guarantee)
 		assert.NotContains(t, found.Detail, killed)
 	}
 }
--- a/internal/experiment/soak/soak.go
+++ b/internal/experiment/soak/soak.go
@@ -16,118 +16,118 @@
 	"pinevane.example/pinevane/internal/launch"
 )
 
-// Options set up a soak.
+// Options configures a soak.
 type Options struct {
 	Executable string
-	// LogDirectory gets a log file a process; it is kept.
+	// LogDirectory receives one log file for each process and is kept after the run.
 	LogDirectory string
 	Seed         uint64
 	Duration     time.Duration
-	// Kinds are those that the schedule is drawn from.
+	// Kinds are the fault kinds that the schedule may contain.
 	Kinds  []Kind
 	Output io.Writer
 }
 
-// Times and sizes of a run.
+// Timing and sizes of a run.
 const (
-	firstNetwork  = 200
-	networks      = 50
-	readyLimit    = 20 * time.Second
-	progressPause = 30 * time.Second
-	// lookPause is how often the judge looks while the fleet runs, and looks how often at most
-	// in a whole run, since each look goes through all that was seen.
-	lookPause = 5 * time.Second
-	looks     = 100
-	// endedAtOnce is how long a process is waited for that is looked after.
-	endedAtOnce = time.Millisecond
-	// callerStreams tells the callers' random numbers from others of the same seed.
-	callerStreams = 100
-	// settleTime follows the last fault; then the fleet must serve again.
+	firstNetwork     = 200
+	networks         = 50
+	readyTimeout     = 20 * time.Second
+	progressInterval = 30 * time.Second
+	// minCheckInterval is the shortest time between checks while the fleet runs, and maxChecks
+	// bounds their number in a run, since each check goes through the whole record.
+	minCheckInterval = 5 * time.Second
+	maxChecks        = 100
+	// exitPollTimeout is how long a check waits for the exit of a process.
+	exitPollTimeout = time.Millisecond
+	// callerSeedStream separates the callers' random numbers from others of the same seed.
+	callerSeedStream = 100
+	// settleTime is the time after the last fault until the fleet must serve again.
 	settleTime = 12 * time.Second
-	// finalTime is how long requests are counted then, finalShare the part of them that
-	// must be answered.
-	finalTime  = 3 * time.Second
-	finalShare = 0.95
+	// finalPeriod is how long requests are settled after that, minFinalRatio the fraction of
+	// them that must be answered.
+	finalPeriod   = 3 * time.Second
+	minFinalRatio = 0.95
 )
 
-func shape() site.Options {
+func siteOptions() site.Options {
 	return site.Options{
 		Network: site.FreeNetwork(firstNetwork, networks, os.Getpid()), Zones: 3, Entries: 2, ModelServers: 3, PlainServers: 1,
 		Weights:   site.Weights{Model: "dialect", Pieces: 48, PieceBytes: 24576, Layers: 16},
 		EventTime: 10 * time.Millisecond, Slots: 16,
 		VersionMs: 8000, ConfigApplyMs: 2000, DrainMs: 3000, GraceS: 8, BudgetSlack: 100, TimeoutMs: 6000,
-		// Entries act on an evacuation when they hear of it, so that 3 s of the platform's 5 s
-		// must be enough in a fleet this small. What a cold server bears, 15 requests in a
-		// second, is above the 12 that ordinary load sends each, and below the 24 that a
-		// burst sends, or the streams of two zones to the servers of one.
+		// Entries act on an evacuation as soon as they receive it, so 3 s of the platform's 5 s
+		// must be enough in a fleet this small. The limit of a cold server, 15 requests a
+		// second, is above the 12 that normal load sends to each server and below the 24 that
+		// a burst sends, or the streams of two zones to the servers of one.
 		EvacuateMs: 3000, ColdPerS: 8, ColdStartS: 3, ColdOvershoot: 1.5, ColdSlack: 3,
 	}
 }
 
-// run is one soak.
+// run is the state of one soak.
 type run struct {
 	options Options
 	fleet   *launch.SiteFleet
 	site    *site.Site
 	callers *callers
 
-	// timeline holds what is still to be done; only the run's own goroutine touches it
-	// and what is below.
-	timeline []step
-	busy     map[string]bool
-	version  uint64
-	record   Record
-	found    []Violation
-	struck   map[Kind]int
-	allowed  site.AllowedRegions
-	// told are the violations that have been printed.
-	told map[Violation]bool
-	// calling are the callers, which end with their context.
-	calling sync.WaitGroup
-	context context.Context
-	// bursts counts the bursts of callers, whose numbers follow those of the lasting ones.
+	// timeline holds the pending steps. It and the fields below are accessed only by the
+	// run's own goroutine.
+	timeline    []step
+	busy        map[string]bool
+	version     uint64
+	record      Record
+	violations  []Violation
+	faultCounts map[Kind]int
+	allowed     site.AllowedRegions
+	// printed are the violations that have been printed.
+	printed map[Violation]bool
+	// callerGroup waits for the callers, which stop with their context.
+	callerGroup sync.WaitGroup
+	context     context.Context
+	// bursts counts the bursts of callers, whose numbers follow those of the permanent ones.
 	bursts int
-	// endings counts the faults that ask for contents which end servers; restarted are the servers
-	// that were started again since.
-	endings   int
-	restarted map[string]bool
+	// crashFaults counts the faults that send requests which crash servers; restarted are the
+	// crashed servers that have been restarted.
+	crashFaults int
+	restarted   map[string]bool
 }
 
-// step is something to do at a time.
+// step is an action scheduled for a time.
 type step struct {
 	at time.Time
 	do func() error
 }
 
-// after queues something to be done a while from now.
-func (r *run) after(pause time.Duration, do func() error) {
-	r.timeline = append(r.timeline, step{at: time.Now().Add(pause), do: do})
+// schedule adds an action to the timeline, to run after a delay.
+func (r *run) schedule(delay time.Duration, do func() error) {
+	r.timeline = append(r.timeline, step{at: time.Now().Add(delay), do: do})
 	slices.SortStableFunc(r.timeline, func(a, b step) int { return cmp.Compare(a.at.UnixNano(), b.at.UnixNano()) })
 }
 
-// Run plays the schedule of a seed and reports what it found. A broken promise is a
-// *fault.PromiseBroken.
+// Run executes the fault schedule of a seed and reports the violations. A violated guarantee
+// is returned as a *fault.GuaranteeViolated.
 func Run(options Options) error {
-	fleet, err := launch.NewSiteFleet(options.Executable, options.LogDirectory, shape())
+	fleet, err := launch.NewSiteFleet(options.Executable, options.LogDirectory, siteOptions())
 	if err != nil {
 		return err
 	}
 	defer fleet.Close()
 	r := newRun(options, fleet)
-	if err := fleet.StartAll(readyLimit); err != nil {
+	if err := fleet.StartAll(readyTimeout); err != nil {
 		return err
 	}
 	r.printf("seed %d: %d entries and %d agents run, as processes, in %d zones; logs in %s", options.Seed,
 		r.site.Options.Zones*r.site.Options.Entries, r.site.Options.Zones*r.site.Options.ModelServers, r.site.Options.Zones, options.LogDirectory)
-	return r.play()
+	return r.execute()
 }
 
-// newRun prepares a run on a fleet of which no process runs yet.
+// newRun prepares a run on a fleet whose processes have not been started.
 func newRun(options Options, fleet *launch.SiteFleet) *run {
 	bounds := fleet.Site.Options
 	r := &run{
 		options: options, fleet: fleet, site: fleet.Site, callers: &callers{site: fleet.Site},
-		busy: map[string]bool{}, version: 1, struck: map[Kind]int{}, told: map[Violation]bool{}, restarted: map[string]bool{}, allowed: bounds.TwoRoutes(),
+		busy: map[string]bool{}, version: 1, faultCounts: map[Kind]int{}, printed: map[Violation]bool{}, restarted: map[string]bool{}, allowed: bounds.TwoRoutes(),
 		record: Record{
 			VersionApply: time.Duration(bounds.VersionMs) * time.Millisecond, Drain: time.Duration(bounds.DrainMs) * time.Millisecond,
 			Grace:              time.Duration(bounds.GraceS * float64(time.Second)),
@@ -144,68 +144,68 @@
 	_, _ = fmt.Fprintf(r.options.Output, format+"\n", values...)
 }
 
-func (r *run) play() error {
+func (r *run) execute() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	r.context = ctx
-	r.call(ctx, 0)
-	err := r.follow()
+	r.startCallers(ctx, 0)
+	err := r.runSchedule()
 	cancel()
-	r.calling.Wait()
+	r.callerGroup.Wait()
 	if err != nil {
 		return err
 	}
 	return r.report()
 }
 
-// call starts callers in every zone, numbered from one on, that last as long as a context.
-func (r *run) call(ctx context.Context, first int) {
+// startCallers starts callers in every zone, numbered from first, that stop with a context.
+func (r *run) startCallers(ctx context.Context, first int) {
 	for zone := range r.site.Options.Zones {
 		for caller := first; caller < first+callersPerZone; caller++ {
-			random := rand.New(rand.NewPCG(r.options.Seed, callerStreams+uint64(zone+caller*r.site.Options.Zones)))
-			r.calling.Go(func() { r.callers.run(ctx, zone, caller, random) })
+			random := rand.New(rand.NewPCG(r.options.Seed, callerSeedStream+uint64(zone+caller*r.site.Options.Zones)))
+			r.callerGroup.Go(func() { r.callers.run(ctx, zone, caller, random) })
 		}
 	}
 }
 
-// burst doubles the callers for a time.
-func (r *run) burst(lasts time.Duration) {
+// burst doubles the number of callers for a time.
+func (r *run) burst(duration time.Duration) {
 	r.bursts++
-	ctx, cancel := context.WithTimeout(r.context, lasts)
-	r.call(ctx, r.bursts*callersPerZone)
-	r.after(lasts, func() error { cancel(); return nil })
+	ctx, cancel := context.WithTimeout(r.context, duration)
+	r.startCallers(ctx, r.bursts*callersPerZone)
+	r.schedule(duration, func() error { cancel(); return nil })
 }
 
-// follow plays the schedule, lets the fleet settle, and counts what it then serves.
-func (r *run) follow() error {
-	began := time.Now()
-	for _, one := range Draw(r.options.Seed, r.options.Duration, r.site.Options.Zones, r.site.Options.ModelServers, r.options.Kinds) {
-		r.timeline = append(r.timeline, step{at: began.Add(one.At), do: func() error {
-			r.struck[one.Kind]++
-			return r.strike(one)
+// runSchedule injects the scheduled faults, lets the fleet settle and checks its recovery.
+func (r *run) runSchedule() error {
+	start := time.Now()
+	for _, scheduled := range GenerateSchedule(r.options.Seed, r.options.Duration, r.site.Options.Zones, r.site.Options.ModelServers, r.options.Kinds) {
+		r.timeline = append(r.timeline, step{at: start.Add(scheduled.At), do: func() error {
+			r.faultCounts[scheduled.Kind]++
+			return r.inject(scheduled)
 		}})
 	}
-	r.after(r.options.Duration, func() error { return nil })
-	for pause := progressPause; pause < r.options.Duration; pause += progressPause {
-		r.after(pause, func() error { r.progress(began); return nil })
+	r.schedule(r.options.Duration, func() error { return nil })
+	for delay := progressInterval; delay < r.options.Duration; delay += progressInterval {
+		r.schedule(delay, func() error { r.printProgress(start); return nil })
 	}
-	for pause := r.lookPause(); pause < r.options.Duration; pause += r.lookPause() {
-		r.after(pause, func() error { return r.look() })
+	for delay := r.checkInterval(); delay < r.options.Duration; delay += r.checkInterval() {
+		r.schedule(delay, func() error { return r.checkSoFar() })
 	}
-	if err := r.work(); err != nil {
+	if err := r.runTimeline(); err != nil {
 		return err
 	}
-	r.after(settleTime, func() error { return nil })
-	if err := r.work(); err != nil {
+	r.schedule(settleTime, func() error { return nil })
+	if err := r.runTimeline(); err != nil {
 		return err
 	}
-	counted := time.Now()
-	time.Sleep(finalTime)
-	r.judgeRecovery(counted)
+	settled := time.Now()
+	time.Sleep(finalPeriod)
+	r.checkRecovery(settled)
 	return nil
 }
 
-// work does what is on the timeline until nothing is left.
-func (r *run) work() error {
+// runTimeline runs the steps of the timeline until none is left.
+func (r *run) runTimeline() error {
 	for len(r.timeline) > 0 {
 		next := r.timeline[0]
 		r.timeline = r.timeline[1:]
@@ -217,54 +217,57 @@
 	return nil
 }
 
-func (r *run) progress(began time.Time) {
-	struck := 0
-	for _, count := range r.struck {
-		struck += count
+func (r *run) printProgress(start time.Time) {
+	injected := 0
+	for _, count := range r.faultCounts {
+		injected += count
 	}
-	r.printf("%4.0f s: %d faults, %d requests", time.Since(began).Seconds(), struck, len(r.callers.all()))
+	r.printf("%4.0f s: %d faults, %d requests", time.Since(start).Seconds(), injected, len(r.callers.allAttempts()))
 }
 
-// lookPause is how often the judge looks.
-func (r *run) lookPause() time.Duration { return max(lookPause, r.options.Duration/looks) }
+// checkInterval returns the time between checks.
+func (r *run) checkInterval() time.Duration {
+	return max(minCheckInterval, r.options.Duration/maxChecks)
+}
 
-// look judges what was seen so far and prints what is new.
-func (r *run) look() error {
-	r.gather()
-	for _, one := range append(r.found, Judge(r.record)...) {
-		r.tell(one)
+// checkSoFar checks the record so far and prints new violations.
+func (r *run) checkSoFar() error {
+	r.collect()
+	for _, violation := range append(r.violations, Check(r.record)...) {
+		r.printViolation(violation)
 	}
-	return r.lookAtProcesses()
+	return r.checkProcesses()
 }
 
-// gather takes over what callers and servers have seen.
-func (r *run) gather() {
-	// What callers saw comes first: each request of theirs has then left its traces at servers.
-	r.record.Attempts, r.record.Endings = r.callers.all(), r.callers.allEndings()
-	r.record.Ends = r.site.Crashes()
+// collect copies what callers and servers have recorded.
+func (r *run) collect() {
+	// The callers' records are read first, so that the servers' records of each of their requests
+	// are complete.
+	r.record.Attempts, r.record.CrashSenders = r.callers.allAttempts(), r.callers.allCrashSenders()
+	r.record.Crashes = r.site.Crashes()
 	r.record.Runs, r.record.Arrivals, r.record.Deliveries = r.site.Requests.Runs(), r.site.Requests.Arrivals(), r.site.Requests.Deliveries()
-	r.record.Asks = r.site.Requests.Notices()
+	r.record.Notices = r.site.Requests.Notices()
 }
 
-// tell prints a violation once.
-func (r *run) tell(one Violation) {
-	if r.told[one] {
+// printViolation prints a violation unless it was printed before.
+func (r *run) printViolation(violation Violation) {
+	if r.printed[violation] {
 		return
 	}
-	r.told[one] = true
-	r.printf("  seed %d, %s: %s, request %q: %s", r.options.Seed, one.At.Format("15:04:05.000"), one.Promise, one.Request, one.Detail)
+	r.printed[violation] = true
+	r.printf("  seed %d, %s: %s, request %q: %s", r.options.Seed, violation.At.Format("15:04:05.000"), violation.Guarantee, violation.Request, violation.Detail)
 }
 
-// lookAtProcesses notes processes that have ended by themselves, and starts them again.
-func (r *run) lookAtProcesses() error {
+// checkProcesses records processes that have exited by themselves and restarts them.
+func (r *run) checkProcesses() error {
 	for zone := range r.site.Options.Zones {
 		for role, count := range map[string]int{site.RoleEntry: r.site.Options.Entries, site.RoleAgent: r.site.Options.ModelServers} {
 			for index := range count {
-				name := launch.SiteProcess(role, zone, index)
-				if r.busy[name] || !r.fleet.Group.WaitExit(name, endedAtOnce) {
+				name := launch.SiteProcessName(role, zone, index)
+				if r.busy[name] || !r.fleet.Group.WaitExit(name, exitPollTimeout) {
 					continue
 				}
-				r.found = append(r.found, Violation{Promise: ProcessesStay, At: time.Now(), Detail: name + " has ended"})
+				r.violations = append(r.violations, Violation{Guarantee: NoUnexpectedExit, At: time.Now(), Detail: name + " has exited"})
 				if err := r.fleet.Restart(role, zone, index); err != nil {
 					return err
 				}
@@ -274,52 +277,52 @@
 	return nil
 }
 
-// judgeRecovery counts the requests since a moment at which all faults are long over.
-func (r *run) judgeRecovery(since time.Time) {
+// checkRecovery checks the ratio of served requests since a time at which all faults are long over.
+func (r *run) checkRecovery(since time.Time) {
 	total, served := 0, 0
-	for _, attempt := range r.callers.all() {
+	for _, attempt := range r.callers.allAttempts() {
 		if attempt.Sent.After(since) {
 			total++
-			if attempt.Status == 200 && attempt.Own {
+			if attempt.Status == 200 && attempt.Correct {
 				served++
 			}
 		}
 	}
-	if total == 0 || float64(served) < finalShare*float64(total) {
-		r.found = append(r.found, Violation{Promise: RecoveryInTime, At: since, Detail: fmt.Sprintf("%d of %d requests served after all faults", served, total)})
+	if total == 0 || float64(served) < minFinalRatio*float64(total) {
+		r.violations = append(r.violations, Violation{Guarantee: RecoveryInTime, At: since, Detail: fmt.Sprintf("%d of %d requests served after the last fault", served, total)})
 	}
 }
 
-// report judges the whole run and prints it.
+// report checks the whole run and prints the result.
 func (r *run) report() error {
-	if err := r.lookAtProcesses(); err != nil {
+	if err := r.checkProcesses(); err != nil {
 		return err
 	}
-	r.gather()
-	found := append(r.found, Judge(r.record)...)
+	r.collect()
+	found := append(r.violations, Check(r.record)...)
 	answered, refused := 0, 0
 	for _, attempt := range r.record.Attempts {
 		switch {
-		case attempt.Status == 200 && attempt.Own:
+		case attempt.Status == 200 && attempt.Correct:
 			answered++
-		case saysNotRun(attempt.Status):
+		case meansNotExecuted(attempt.Status):
 			refused++
 		}
 	}
 	for _, kind := range Kinds {
-		if count := r.struck[kind]; count > 0 {
+		if count := r.faultCounts[kind]; count > 0 {
 			r.printf("  %-24s %d", kind, count)
 		}
 	}
 	r.printf("requests checked: %d answered, %d refused, %d failed; %d arrivals and %d runs at servers", answered, refused,
 		len(r.record.Attempts)-answered-refused, len(r.record.Arrivals), len(r.record.Runs))
-	r.printf("cold servers received up to %d requests in a second, and bear %g", r.site.Requests.MaxWhileCold(), r.record.ColdLimit)
+	r.printf("cold servers received up to %d requests in a second, limit %g", r.site.Requests.MaxWhileCold(), r.record.ColdLimit)
 	r.printf("violations: %d", len(found))
-	for _, one := range found {
-		r.tell(one)
+	for _, violation := range found {
+		r.printViolation(violation)
 	}
 	if len(found) > 0 {
-		return &fault.GuaranteeViolated{Guarantee: string(found[0].Promise), Detail: found[0].Detail}
+		return &fault.GuaranteeViolated{Guarantee: string(found[0].Guarantee), Detail: found[0].Detail}
 	}
 	return nil
 }
--- a/internal/silencer/proxy_test.go
+++ b/internal/silencer/proxy_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A held connection takes bytes and passes none on, without an end; later ones work.
-func TestHeldConnectionsPassNothingOn(t *testing.T) {
+// A blackholed connection accepts bytes, forwards none and stays open; later ones work.
+func TestBlackholedConnectionsForwardNothing(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
@@ -26,11 +26,11 @@
 		return near, far
 	}
 	oldNear, oldFar := connect()
-	assert.True(t, hears(t, oldNear, oldFar))
-	assert.Equal(t, 1, proxy.Hold())
-	assert.False(t, hears(t, oldNear, oldFar))
-	assert.False(t, hears(t, oldFar, oldNear))
+	assert.True(t, receives(t, oldNear, oldFar))
+	assert.Equal(t, 1, proxy.Blackhole())
+	assert.False(t, receives(t, oldNear, oldFar))
+	assert.False(t, receives(t, oldFar, oldNear))
 	newNear, newFar := connect()
-	assert.True(t, hears(t, newNear, newFar))
-	assert.True(t, hears(t, newFar, newNear))
+	assert.True(t, receives(t, newNear, newFar))
+	assert.True(t, receives(t, newFar, newNear))
 }
--- a/internal/silencer/silencer_test.go
+++ b/internal/silencer/silencer_test.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// pair makes one connection to a listener and returns both of its ends.
+// pair opens a connection to a listener and returns both of its ends.
 func pair(t *testing.T, listener net.Listener) (near, far net.Conn) {
 	t.Helper()
 	near, err := net.Dial("tcp", listener.Addr().String())
@@ -25,7 +25,7 @@
 	return near, far
 }
 
-func hears(t *testing.T, near, far net.Conn) bool {
+func receives(t *testing.T, near, far net.Conn) bool {
 	t.Helper()
 	_, err := near.Write([]byte("x"))
 	require.NoError(t, err)
@@ -37,8 +37,8 @@
 	return err == nil
 }
 
-// Open connections go silent both ways without a reset; those made later work, and so do
-// the ones that were not picked.
+// Open connections go silent in both directions without a reset; later ones work, and so do
+// those that were not selected.
 func TestOpenConnectionsGoSilent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -51,15 +51,15 @@
 	count, err := Silence(Between(isOld, anywhere))
 	require.NoError(t, err)
 	assert.Equal(t, 2, count, "both ends")
-	assert.False(t, hears(t, oldNear, oldFar))
-	assert.False(t, hears(t, oldFar, oldNear))
-	assert.True(t, hears(t, otherNear, otherFar))
+	assert.False(t, receives(t, oldNear, oldFar))
+	assert.False(t, receives(t, oldFar, oldNear))
+	assert.True(t, receives(t, otherNear, otherFar))
 	newNear, newFar := pair(t, listener)
-	assert.True(t, hears(t, newNear, newFar))
+	assert.True(t, receives(t, newNear, newFar))
 }
 
-// What is lost now and then is sent again and arrives; where all is lost the connection is silent.
-func TestLossIsMadeUpFor(t *testing.T) {
+// Packets that are dropped at a ratio are retransmitted and arrive; at ratio 1 the connection is silent.
+func TestDroppedPacketsAreRetransmitted(t *testing.T) {
 	const packets = 20
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -67,7 +67,7 @@
 	near, far := pair(t, listener)
 	only := near.LocalAddr().(*net.TCPAddr).AddrPort()
 	lossy := Between(func(address netip.AddrPort) bool { return address == only }, func(netip.AddrPort) bool { return true })
-	count, err := Lose(lossy, 0.3)
+	count, err := DropPackets(lossy, 0.3)
 	require.NoError(t, err)
 	assert.Equal(t, 2, count, "both ends")
 	for range packets {
@@ -77,16 +77,14 @@
 	require.NoError(t, far.SetReadDeadline(time.Now().Add(20*time.Second)))
 	_, err = io.ReadFull(far, make([]byte, packets))
 	assert.NoError(t, err)
-	_, err = Lose(lossy, 1)
+	_, err = DropPackets(lossy, 1)
 	require.NoError(t, err)
-	assert.False(t, hears(t, near, far))
+	assert.False(t, receives(t, near, far))
 }
 
-// Seen: under losses one run of some thirty ended with "bad file descriptor". Cause: connections
-// come and go while those of the process are listed.
-//
-// A connection that was closed since it was listed is passed over.
-func TestConnectionClosedSinceItWasListedIsPassedOver(t *testing.T) {
+// A connection that was closed since it was listed is skipped. Connections open and close while those
+// of the process are listed: with packet loss, about one run in thirty failed with "bad file descriptor".
+func TestConnectionClosedSinceItWasListedIsSkipped(t *testing.T) {
 	socket, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
 	require.NoError(t, err)
 	require.NoError(t, unix.Close(socket))
