--- a/scenarios/days/play.sh
+++ b/scenarios/days/play.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Plays every day in this folder on a site of the users' bench and fails when a rule is
-# broken. BENCH is the bench's program, SITE the site file.
+# Runs every day in this folder on a site of the users' test bench and fails if a rule is
+# broken. BENCH is the path of the bench program, SITE that of the site file.
 set -euo pipefail
 : "${BENCH:?the path of the bench}" "${SITE:?the path of a site file}"
 folder=$(dirname "$0")
--- a/spec/attempt.pml
+++ b/spec/attempt.pml
@@ -1,14 +1,14 @@
-/* Attempts at most once (coordination/attempt, internal/agent, internal/entry).
+/* At-most-once attempts (coordination/attempt, internal/agent, internal/entry).
  *
- * An entry submits a non-repeatable attempt over a link that may lose the
- * message, lose the link, or deliver late; it may revoke it and try a second
- * agent when told that the attempt did not run. The agent may restart.
+ * An entry submits a non-repeatable attempt over a link that may lose, delay or
+ * reorder messages, or fail. It may revoke the attempt, and tries a second agent after a
+ * reply that the attempt did not run. An agent may restart.
  *
- * Properties: the work runs at most once over both agents; when the entry reports
- * not-run, it has not run and never does.
+ * Properties: the attempt runs at most once on both agents together; when the entry
+ * reports not-run, it has not run and never will.
  *
  * BROKEN_TOMBSTONE: a revocation is not remembered.
- * BROKEN_UNKNOWN: a lost link is taken for proof that the attempt did not run.
+ * BROKEN_UNKNOWN: a failed link is treated as a reply that the attempt did not run.
  */
 #define AGENTS 2
 
@@ -21,7 +21,7 @@
 byte runs = 0;
 bool tombstone[AGENTS];
 bool started[AGENTS];
-byte lives[AGENTS];        /* restarts so far */
+byte lives[AGENTS];        /* number of restarts */
 mtype verdict = none;
 
 proctype agent(byte self)
@@ -38,12 +38,12 @@
                 atomic { started[self] = true; runs++ }
                 if
                 :: reply[self]!ran
-                :: skip                                     /* the answer is lost */
+                :: skip                                     /* the reply is lost */
                 fi
             fi
         :: message == revoke ->
             if
-            :: lives[self] > 0 -> reply[self]!unknown       /* a later life can't know */
+            :: lives[self] > 0 -> reply[self]!unknown       /* unknown after a restart */
             :: lives[self] == 0 && started[self] -> reply[self]!unknown
             :: lives[self] == 0 && !started[self] ->
 #ifndef BROKEN_TOMBSTONE
@@ -77,7 +77,7 @@
     link[target]!submit;
     if
     :: reply[target]?answer
-    :: answer = unknown;                                             /* the link is lost */
+    :: answer = unknown;                                             /* the link failed */
 #ifdef BROKEN_UNKNOWN
        answer = notrun
 #else
--- a/spec/check.sh
+++ b/spec/check.sh
@@ -1,12 +1,13 @@
 #!/usr/bin/env bash
-# Checks every property of every model, and that each broken variant is caught.
+# Checks every property of every model, and that each broken variant violates one.
 set -euo pipefail
 cd "$(dirname "$0")"
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
 failed=0
 
-# explore MODEL PROPERTY [DEFINE]: prints the number of errors and of states.
+# explore MODEL PROPERTY [DEFINE] prints the number of errors, the number of states, and 1 if the
+# search depth was too small, otherwise 0.
 explore() {
   local directory="$work/$1-$2-${3:-sound}"
   mkdir -p "$directory"
--- a/spec/configuration.pml
+++ b/spec/configuration.pml
@@ -1,13 +1,13 @@
 /* Monotonic configuration (coordination/monotonic, internal/relay).
  *
- * A service publishes revisions 1 to 3; a stale replica of it still answers with
- * revision 1. A relay reads either and passes updates to a follower over a
- * channel that delays, repeats and reorders them. The follower may lose its relay
- * and read the stale replica itself.
+ * A service publishes revisions 1 to 3; a stale replica of it still returns
+ * revision 1. A relay reads either and forwards updates to a follower over a
+ * channel that delays, duplicates, loses and reorders them. The follower may lose
+ * its relay and read the stale replica itself.
  *
- * Property: what is in force at the relay and at the follower never goes back.
+ * Property: the revision in force at the relay or the follower never decreases.
  *
- * BROKEN_ORDERING: updates are taken without comparing versions.
+ * BROKEN_ORDERING: updates are applied without comparing versions.
  */
 #define NEWEST 3
 
--- a/spec/escrow.pml
+++ b/spec/escrow.pml
@@ -1,14 +1,15 @@
-/* Limits split over entries (coordination/escrow).
+/* Limits split between entries (coordination/escrow).
  *
- * Two entries hold parts of a limit. One grants a part to the other for a term:
- * it does without from the moment of sending until the grant has surely expired,
- * and the other counts the term from the moment it asked. Messages are lost or
- * late; an entry may pause, which lets time pass for the others only.
+ * Two entries hold shares of a limit. One grants a part of its share to the other
+ * for a term. The donor does not use that part from the time of sending until the
+ * grant has certainly expired, and the receiver counts the term from the time of
+ * its request. Messages may be lost or late; an entry may pause, which lets time
+ * pass for the others only.
  *
- * Property: what both may use at once never exceeds the limit.
+ * Property: the shares usable by both at the same time never exceed the limit.
  *
- * BROKEN_ESCROW: the donor takes its part back as soon as the term is over on its
- * own clock without waiting for the margin, and the receiver counts from receipt.
+ * BROKEN_ESCROW: the donor reclaims its part as soon as the term is over on its own
+ * clock, without the margin, and the receiver counts the term from receipt.
  */
 #define LIMIT 4
 #define TERM 2
@@ -16,10 +17,10 @@
 #define END 8
 
 byte time = 0;
-byte own[2];               /* parts held for good */
-byte granted = 0;          /* what entry 0 gave away */
+byte own[2];               /* permanent shares */
+byte granted = 0;          /* amount granted by entry 0 */
 byte grantedAt = 0;
-byte borrowed = 0;         /* what entry 1 may use */
+byte borrowed = 0;         /* amount borrowed by entry 1 */
 byte expires = 0;
 byte askedAt = 0;
 bool asked = false;
@@ -76,7 +77,7 @@
 #endif
            if
            :: time < expires -> borrowed = amount
-           :: else -> skip                             /* came too late */
+           :: else -> skip                             /* arrived too late */
            fi
        }
     :: timeout -> break
--- a/spec/spread.pml
+++ b/spec/spread.pml
@@ -1,32 +1,33 @@
-/* Spread of records between entries (internal/catalog, coordination/mirror).
+/* Replication of records between entries (internal/catalog, coordination/mirror).
  *
- * Three entries, each linked with each other. A store publishes revisions 1 and 2 of a
+ * Three entries are linked in a full mesh. A store publishes revisions 1 and 2 of a
  * record; entries 0 and 1 may read it at any time. On a link each side sends updates:
- * the revision that it holds (for the digest), and the record itself when the other is
- * not known to have it. A side sends no record before it has compared the other's digest
- * with its own; when both are equal, the other counts as told. One link may be lost, with
- * what is under way on it, and both sides begin anew.
+ * the revision that it holds (as the digest), and the record itself unless the other side
+ * is known to have it. A side sends no record before it has compared the other's digest
+ * with its own; if both are equal, the other is considered up to date. One link may fail
+ * together with its messages in flight, and both sides then start over.
  *
- * Property: once nothing fails any more, two rounds of updates later all entries hold
- * what any of them had read.
+ * Property: two rounds of updates after the last failure all entries hold the newest
+ * revision that any of them had read.
  *
- * BROKEN_COMPARE: the other counts as told after the first comparison, be it equal or not.
- * BROKEN_RESET: what was told on a lost link counts on the next one.
+ * BROKEN_COMPARE: the other is considered up to date after the first comparison, whether
+ * the digests were equal or not.
+ * BROKEN_RESET: what was sent on a failed link is considered received on the next one.
  */
 #define NEWEST 2
 #ifdef BROKEN_RESET
-/* with three entries the third one makes up for one lost link */
+/* with three entries the third one compensates for a failed link */
 #define ENTRIES 2
 #else
 #define ENTRIES 3
 #endif
 #define LOSSES 1
-/* under way at a time, to keep the model small */
+/* maximum number of updates in flight, to keep the model small */
 #define IN_FLIGHT 2
 
 byte service = 1;
 byte held[ENTRIES];
-/* of the directed link from one entry to another, at from * ENTRIES + to */
+/* state of the directed link between two entries, at index from * ENTRIES + to */
 byte told[9];
 bool compared[9];
 bool underway[9];
@@ -96,7 +97,7 @@
     losses++
 }
 
-/* One update on each link, delivered. */
+/* Sends and delivers one update on each link. */
 inline round()
 {
     from = 0;
--- a/spec/version.pml
+++ b/spec/version.pml
@@ -1,19 +1,19 @@
 /* Version pinning and fenced orders (internal/agent, internal/entry, emulator).
  *
- * Two lives of an agent give load orders to one engine: the older one may be
- * paused between deciding and sending. The engine refuses a fence that is not
- * higher than the last. A request is pinned to the version that the agent serves;
- * tokens are checked against it.
+ * Two incarnations of an agent send load orders to one engine; the older one may be
+ * paused between deciding and sending. The engine rejects a fence that is not higher
+ * than the last one. A request is pinned to the version that the agent serves, and
+ * the version of each token is checked against it.
  *
- * Properties: the engine never goes back to an older version; an answer is of one
- * version.
+ * Properties: the engine never returns to an older version; all tokens of an answer
+ * are of one version.
  *
- * BROKEN_FENCE: the engine takes any order. BROKEN_PINNING: tokens are not checked.
+ * BROKEN_FENCE: the engine accepts any order. BROKEN_PINNING: tokens are not checked.
  */
 #define LIVES 2
 
 byte engineVersion = 0;
-byte highest = 0;          /* highest version the engine was ever given */
+byte highest = 0;          /* highest version ever loaded by the engine */
 byte lastFence = 0;
 bool wentBack = false;
 bool mixed = false;
@@ -21,7 +21,7 @@
 proctype agentLife(byte life)
 {
     byte wanted, fence;
-    /* Life 1 read revision 1; life 2 read revision 2. Either may pause here. */
+    /* Incarnation 1 read revision 1, incarnation 2 read revision 2. Either may pause here. */
     wanted = life;
     fence = life;
     atomic {
@@ -50,7 +50,7 @@
     delivered = 0;
     do
     :: delivered < 3 ->
-        token = engineVersion;      /* the engine answers with what is loaded */
+        token = engineVersion;      /* the engine answers with the loaded version */
 #ifndef BROKEN_PINNING
         if
         :: token != pinned -> break /* withheld; the attempt ends with a typed error */
