--- a/coordination/admission/admission.go
+++ b/coordination/admission/admission.go
@@ -2,9 +2,9 @@
 // messages between them: each sender may send a fixed, whole share in any window of that length.
 // The package does no I/O and reads no clock.
 //
-// A token bucket of rate r and depth d admits up to r + d in its worst second, so with as many
-// senders as the limit allows requests each would be left with a rate of 0. Counting the events in
-// the window itself makes the whole limit usable.
+// A token bucket of rate r and depth d admits up to r + d in its worst second. If there are as many
+// senders as requests allowed, each sender's share is one request, and a bucket of depth 1 would
+// have a rate of 0. Counting the events in the window itself makes the whole limit usable.
 package admission
 
 import "time"
@@ -60,8 +60,8 @@
 	return count
 }
 
-// AllowsIn returns how long it takes until the interval that ends then holds fewer than limit
-// events, if none is added; 0 if it does now.
+// AllowsIn returns the time until Allows returns true if no event is added meanwhile; 0 if it does
+// now. For a limit of 0 it returns the interval.
 func (w *Window) AllowsIn(interval, now time.Duration, limit int) time.Duration {
 	w.expire(now)
 	if limit <= 0 {
--- a/coordination/attempt/attempt.go
+++ b/coordination/attempt/attempt.go
@@ -157,9 +157,9 @@
 	return outcome
 }
 
-// Inquire returns what is known of an attempt. It returns NotRun also for an attempt of an open
-// session that may still arrive and start; only a revoked attempt or one of a closed session can't.
-// While the session is open, callers must use Revoke instead.
+// Inquire returns what is known of an attempt. NotRun is final only if the attempt is revoked or its
+// session is closed. In an open session the attempt may still arrive and start, so callers must use
+// Revoke instead.
 func (l *Ledger) Inquire(id ID) Outcome {
 	if id.Incarnation != l.incarnation {
 		return Unknown
--- a/coordination/balance/balance.go
+++ b/coordination/balance/balance.go
@@ -24,7 +24,8 @@
 	// TypicalPrompt and TypicalAnswer are mean sizes in tokens.
 	TypicalPrompt float64
 	TypicalAnswer float64
-	// RequestMilliseconds is the mean time of a complete request at a server that reads no prompts.
+	// RequestMilliseconds is the mean time of a complete request at a server that reads no prompts,
+	// which is one with a ReadPerSecond of 0.
 	RequestMilliseconds float64
 }
 
--- a/coordination/balance/margin.go
+++ b/coordination/balance/margin.go
@@ -8,8 +8,8 @@
 	// after its target, because predictions err in both directions.
 	minMargin = -0.1
 	maxMargin = 0.6
-	// marginStep is how far one request moves the margin: about 25 in a row, a second of one
-	// entry's load, make up a quarter of the target.
+	// marginStep is how far one late request raises the margin, before the factor in Observe. About
+	// 25 in a row, which an entry receives in a second, raise it by a quarter of the target.
 	marginStep = 0.015
 )
 
--- a/coordination/budget/budget.go
+++ b/coordination/budget/budget.go
@@ -75,11 +75,12 @@
 // assumedMembers is the number of members assumed until the others are known.
 const assumedMembers = 16
 
-// SlackShare returns a member's share of the slack of all members. It allows for one member more
-// than seen, so that a member that joins finds its share unspent.
-func SlackShare(slack, maxSeen int, settled bool) float64 {
-	members := maxSeen + 1
-	if !settled {
+// SlackShare returns a member's share of the slack of all members. maxMembers is the largest number
+// of members known at a time; membersKnown is false for a member that has just started and may not
+// know all others. One member more is assumed, so that a member that joins finds its share unspent.
+func SlackShare(slack, maxMembers int, membersKnown bool) float64 {
+	members := maxMembers + 1
+	if !membersKnown {
 		members = max(members, assumedMembers)
 	}
 	return float64(slack) / float64(members)
--- a/coordination/dispatch/candidate.go
+++ b/coordination/dispatch/candidate.go
@@ -46,10 +46,10 @@
 	superseded bool
 	// firstListed is when the list first named this incarnation.
 	firstListed time.Time
-	// nextStart is the start time of an incarnation that the agent reports and the list does not name yet;
-	// until endedUntil the listed one counts as ended.
-	nextStart  incarnation.StartTime
-	endedUntil time.Time
+	// nextStart is the start time of an incarnation that the agent reports and the list does not name yet.
+	// The listed incarnation counts as ended until presumedEndedUntil.
+	nextStart          incarnation.StartTime
+	presumedEndedUntil time.Time
 }
 
 // answerTimes holds moving means of a server's answer times.
--- a/coordination/dispatch/cold_test.go
+++ b/coordination/dispatch/cold_test.go
@@ -61,8 +61,8 @@
 	assert.False(t, core.byID["b"].cold(now))
 }
 
-// FAILBACK: all entries together send a cold server at most its cold rate, even with more entries than
-// requests in it, and nearly that much if all have requests.
+// FAILBACK: all entries together send a cold server at most its cold rate, even if there are more entries
+// than requests allowed, and nearly as many as the rate allows if all entries have requests.
 func TestEntriesShareAColdServer(t *testing.T) {
 	now := epoch
 	for _, entries := range []int{1, 3, 44, 300} {
--- a/coordination/dispatch/evacuation.go
+++ b/coordination/dispatch/evacuation.go
@@ -54,12 +54,12 @@
 
 // EvacuationCounts returns the number of this entry's requests in flight in evacuated zones, and by zone how
 // long the last one took after the newest evacuation.
-func (c *Core) EvacuationCounts() (open int, drainTimes map[string]time.Duration) {
+func (c *Core) EvacuationCounts() (total int, drainTimes map[string]time.Duration) {
 	for zone := range c.evacuated {
 		_, inFlight := c.zoneCounts(zone)
-		open += inFlight
+		total += inFlight
 	}
-	return open, maps.Clone(c.draining.drainTimes)
+	return total, maps.Clone(c.draining.drainTimes)
 }
 
 // updateEvacuations returns the changes of the evacuated zones against the old fleet, and treats the servers
--- a/coordination/dispatch/evacuation_test.go
+++ b/coordination/dispatch/evacuation_test.go
@@ -14,8 +14,8 @@
 	now := epoch
 	core := coldCore("entry-0", 1)
 	core.Update(coldFleet(time.Time{}, "zb"), now)
-	open, drainTimes := core.EvacuationCounts()
-	assert.Zero(t, open)
+	inFlight, drainTimes := core.EvacuationCounts()
+	assert.Zero(t, inFlight)
 	assert.Equal(t, map[string]time.Duration{"zb": 0}, drainTimes, "nothing was open there")
 
 	send := func() *Send {
@@ -28,14 +28,14 @@
 	core.Update(coldFleet(time.Time{}, "za"), now)
 	core.Release(one)
 	assert.Empty(t, core.NewlyIdleZones(now.Add(time.Second)))
-	open, drainTimes = core.EvacuationCounts()
-	assert.Equal(t, 1, open)
+	inFlight, drainTimes = core.EvacuationCounts()
+	assert.Equal(t, 1, inFlight)
 	assert.NotContains(t, drainTimes, "za")
 	core.Release(two)
 	assert.Equal(t, []Change{{Kind: ZoneIdle, Zone: "za", Servers: 1, IdleAfter: 2 * time.Second}}, core.NewlyIdleZones(now.Add(2*time.Second)))
 	assert.Empty(t, core.NewlyIdleZones(now.Add(3*time.Second)), "it is reported once")
-	open, drainTimes = core.EvacuationCounts()
-	assert.Zero(t, open)
+	inFlight, drainTimes = core.EvacuationCounts()
+	assert.Zero(t, inFlight)
 	assert.Equal(t, 2*time.Second, drainTimes["za"])
 
 	core.Update(coldFleet(time.Time{}, "zb"), now)
--- a/coordination/dispatch/fitness.go
+++ b/coordination/dispatch/fitness.go
@@ -35,7 +35,7 @@
 	switch {
 	case !c.Allowed(k.Zone, request.Residency):
 		return excludedRegion
-	case c.Leaving(k), now.Before(k.listing.endedUntil):
+	case c.Leaving(k), now.Before(k.listing.presumedEndedUntil):
 		return excludedLeaving
 	case c.Evacuated(k.Zone):
 		return excludedEvacuated
--- a/coordination/dispatch/property_test.go
+++ b/coordination/dispatch/property_test.go
@@ -28,11 +28,11 @@
 // decisions are checked independently of the code under test.
 type generated struct {
 	*rapid.T
-	core    *Core
-	now     time.Time
-	fleet   Fleet
-	reports map[string]timedReport
-	open    []Decision
+	core     *Core
+	now      time.Time
+	fleet    Fleet
+	reports  map[string]timedReport
+	inFlight []Decision
 	// sentCold holds when this entry sent requests to each server while it was cold by its list entry.
 	sentCold map[string][]time.Time
 	// answeredAt holds when each server last answered.
@@ -149,7 +149,7 @@
 		g.trialAt[decision.Candidate.ID], g.sinceTrial = g.now, 0
 	}
 	g.checkCold(decision.Candidate)
-	g.open = append(g.open, decision)
+	g.inFlight = append(g.inFlight, decision)
 }
 
 // check fails for a server that may not be sent a request by the messages, and reports whether the request
@@ -231,10 +231,10 @@
 	assert.LessOrEqual(g, float64(len(g.sentCold[chosen.ID])), drawnColdLimit/2)
 }
 
-// end ends one of the open requests, begun or not.
+// end ends one of the requests in flight, begun or not.
 func (g *generated) end(at int, begun bool) {
-	decision := g.open[at]
-	g.open = slices.Delete(g.open, at, at+1)
+	decision := g.inFlight[at]
+	g.inFlight = slices.Delete(g.inFlight, at, at+1)
 	g.core.EndPrefill(decision.Send, begun, g.now)
 	g.core.Release(decision.Send)
 	g.sinceTrial++
@@ -276,13 +276,13 @@
 				g.drawReport()
 			case kind == 4 && rapid.IntRange(0, 3).Draw(t, "many") == 0:
 				g.serve()
-			case kind <= 5 && len(g.open) > 0:
-				g.end(rapid.IntRange(0, len(g.open)-1).Draw(t, "ends"), rapid.Bool().Draw(t, "begun"))
+			case kind <= 5 && len(g.inFlight) > 0:
+				g.end(rapid.IntRange(0, len(g.inFlight)-1).Draw(t, "ends"), rapid.Bool().Draw(t, "begun"))
 			default:
 				g.decide()
 			}
 		}
-		for len(g.open) > 0 {
+		for len(g.inFlight) > 0 {
 			g.end(0, true)
 		}
 		for _, one := range g.core.Describe(g.now) {
--- a/coordination/dispatch/regionfleet_test.go
+++ b/coordination/dispatch/regionfleet_test.go
@@ -79,6 +79,7 @@
 	retries           map[time.Time][]*regionRequest
 	free              regionCount
 	singleRegionCount regionCount
+	// free counts the requests that any region may serve, singleRegionCount those restricted to one region.
 	// besideIdle counts free requests refused while a server was idle, besideRoom those refused while a
 	// server had a quarter of its slots free and nothing waiting, misplaced single-region requests sent to
 	// the other region, away free requests of the small region's entries sent to the other region.
--- a/coordination/dispatch/scarcity_test.go
+++ b/coordination/dispatch/scarcity_test.go
@@ -139,10 +139,10 @@
 					day := regionDay{small: 8, large: 2, smallEntries: 6, largeEntries: 2, load: load, singleRegion: singleRegion, reportAge: 300 * time.Millisecond, queries: queries}
 					with, without := playRegions(day, 1), playRegions(day, 0)
 					t.Logf("in time: single-region %.3f, without %.3f; free %.3f, %.3f; all %.3f, %.3f", with.singleRegion.ratio(with.singleRegion.inTime), without.singleRegion.ratio(without.singleRegion.inTime),
-						with.free.ratio(with.free.inTime), without.free.ratio(without.free.inTime), with.inTime(), without.inTime())
+						with.free.ratio(with.free.inTime), without.free.ratio(without.free.inTime), with.inTimeRatio(), without.inTimeRatio())
 					assert.Greater(t, with.free.ratio(with.free.inTime), without.free.ratio(without.free.inTime)-0.02)
 					assert.Greater(t, with.singleRegion.ratio(with.singleRegion.inTime), without.singleRegion.ratio(without.singleRegion.inTime)-0.02)
-					assert.Greater(t, with.inTime(), without.inTime()-0.015)
+					assert.Greater(t, with.inTimeRatio(), without.inTimeRatio()-0.015)
 				})
 			}
 		}
--- a/coordination/dispatch/smallfleet_test.go
+++ b/coordination/dispatch/smallfleet_test.go
@@ -22,9 +22,9 @@
 	reportPeriod  = 100 * time.Millisecond
 	smallDuration = 10 * time.Second
 	smallTarget   = 400 * time.Millisecond
-	// A request that can be retried is abandoned after smallPatience, any other after smallDeadline.
-	smallPatience = time.Second
-	smallDeadline = 8 * time.Second
+	// A request that can be retried is abandoned after smallRetryTimeout, any other after smallDeadline.
+	smallRetryTimeout = time.Second
+	smallDeadline     = 8 * time.Second
 )
 
 // unresponsiveServer is the index of the server that accepts requests and never answers.
@@ -139,7 +139,7 @@
 	}
 	one := &smallRequest{entry: entry, sent: decision.Send, giveUpAt: now.Add(smallDeadline)}
 	if f.retry {
-		one.giveUpAt = now.Add(smallPatience)
+		one.giveUpAt = now.Add(smallRetryTimeout)
 	}
 	number := f.numberOf(decision.Candidate)
 	if number == unresponsiveServer {
--- a/coordination/dispatch/smallregion_test.go
+++ b/coordination/dispatch/smallregion_test.go
@@ -14,13 +14,14 @@
 // answered in time varies by 0.03 between seeds.
 const regionSeeds = 5
 
+// regionOutcome sums the counts of several runs; the fields are those of regionFleet.
 type regionOutcome struct {
 	free, singleRegion                      regionCount
 	besideIdle, besideRoom, misplaced, away int
 }
 
-// inTime returns the ratio of all requests that were answered in time.
-func (o *regionOutcome) inTime() float64 {
+// inTimeRatio returns the ratio of all requests that were answered in time.
+func (o *regionOutcome) inTimeRatio() float64 {
 	all := o.free
 	all.add(o.singleRegion)
 	return all.ratio(all.inTime)
@@ -74,11 +75,11 @@
 			with, without := playRegions(day, 1), playRegions(day, 0)
 			t.Logf("in time: single-region %.3f, without %.3f; free %.3f, %.3f; all %.3f, %.3f. Refusals per request: single-region %.3f, %.3f; free %.3f, %.3f. Free requests sent to the other region %d, %d of %d; refused beside room %d, %d",
 				with.singleRegion.ratio(with.singleRegion.inTime), without.singleRegion.ratio(without.singleRegion.inTime), with.free.ratio(with.free.inTime), without.free.ratio(without.free.inTime),
-				with.inTime(), without.inTime(), with.singleRegion.ratio(with.singleRegion.refusals), without.singleRegion.ratio(without.singleRegion.refusals),
+				with.inTimeRatio(), without.inTimeRatio(), with.singleRegion.ratio(with.singleRegion.refusals), without.singleRegion.ratio(without.singleRegion.refusals),
 				with.free.ratio(with.free.refusals), without.free.ratio(without.free.refusals), with.away, without.away, with.free.total, with.besideRoom, without.besideRoom)
 			assert.Greater(t, with.singleRegion.ratio(with.singleRegion.inTime), tc.floor)
 			assert.Less(t, without.singleRegion.ratio(without.singleRegion.inTime), tc.floor, "the floor is reached without the penalty")
-			assert.Greater(t, with.inTime(), without.inTime()-tc.mostLost)
+			assert.Greater(t, with.inTimeRatio(), without.inTimeRatio()-tc.mostLost)
 			assert.Zero(t, with.besideIdle, "free requests refused beside an idle server")
 			if tc.queries {
 				assert.Zero(t, with.besideRoom, "free requests refused beside a server with room")
--- a/coordination/dispatch/word.go
+++ b/coordination/dispatch/word.go
@@ -122,15 +122,15 @@
 }
 
 // aheadOfList reports whether a report is on an incarnation that the list does not name yet. The listed one
-// is sent nothing until the list catches up, or has had the time to.
+// is sent nothing until the list names the newer one, or aheadOfListTime has passed.
 func (k *Candidate) aheadOfList(report LoadReport, at time.Time) bool {
 	if !k.listing.server.StartTime.Before(report.StartTime) {
 		return false
 	}
 	if k.listing.nextStart != report.StartTime {
-		k.listing.nextStart, k.listing.endedUntil = report.StartTime, at.Add(aheadOfListTime)
+		k.listing.nextStart, k.listing.presumedEndedUntil = report.StartTime, at.Add(aheadOfListTime)
 	}
-	return at.Before(k.listing.endedUntil)
+	return at.Before(k.listing.presumedEndedUntil)
 }
 
 // FailureSuspected reports whether there is evidence against a server other than its silence, for a request
--- a/coordination/dissemination/fetcher.go
+++ b/coordination/dissemination/fetcher.go
@@ -8,7 +8,7 @@
 // ActionKind is the kind of an action that a Fetcher requests.
 type ActionKind int
 
-// The kinds of actions.
+// The actions that a Fetcher requests from its caller.
 const (
 	// Offer announces to a peer that this machine holds a chunk.
 	Offer ActionKind = iota + 1
@@ -43,12 +43,12 @@
 	NotHeld
 )
 
-// Options configures a Fetcher. Times are in the unit of the caller's clock.
+// Options configures a Fetcher. Durations are measured by the caller's clock.
 type Options struct {
 	Self   MachineID
 	Plan   Plan
 	Chunks int
-	// Held marks the chunks that are already here; nil means none.
+	// Held marks the chunks that this machine already holds; nil means none.
 	Held []bool
 	// PeersOnly makes the machine fetch chunks only from machines that offer them, never from
 	// the origin.
@@ -112,7 +112,7 @@
 	denials int
 	// sources are the machines that have offered the chunk.
 	sources []MachineID
-	// requesters are the machines that have queried for the chunk before it was here.
+	// requesters are the machines that queried for the chunk before this machine held it.
 	requesters []MachineID
 }
 
@@ -161,7 +161,7 @@
 	return fetcher
 }
 
-// Missing returns the number of chunks that are not here yet.
+// Missing returns the number of chunks that this machine does not hold yet.
 func (f *Fetcher) Missing() int { return f.missing }
 
 // HasSource reports whether a peer has offered a chunk that is missing here.
@@ -192,7 +192,7 @@
 // typical origin outage of some seconds. A root that takes longer counts as stuck.
 const rootTrustRounds = 24
 
-// Expects reports whether a chunk is here, has a source, or will be read from the origin by this
+// Expects reports whether a chunk is held, has a source, or will be read from the origin by this
 // machine or by one that has confirmed it, and how long ago that was confirmed. So the whole zone
 // knows that the root of a chunk is alive while the origin is unavailable, and leaves the origin to
 // it. Ages only grow from machine to machine, so that machines whose membership lists differ can't
@@ -217,7 +217,7 @@
 	return actions
 }
 
-// Start begins the transfer. Chunks that are already here are offered immediately.
+// Start begins the transfer. Chunks that are already held are offered immediately.
 func (f *Fetcher) Start(now time.Duration) {
 	f.lastProgress, f.started = now, now
 	f.SetPlan(f.options.Plan, now)
--- a/coordination/dissemination/peers.go
+++ b/coordination/dissemination/peers.go
@@ -2,12 +2,11 @@
 
 import "time"
 
-// peerState holds until when a peer is avoided, and why.
+// peerState holds the times at which the restrictions on a peer end.
 type peerState struct {
-	// unreachableUntil is until when nothing is sent to the peer.
+	// Nothing is sent to the peer before unreachableUntil.
 	unreachableUntil time.Duration
-	// avoidedUntil is until when chunks are not fetched from the peer while there is another
-	// source.
+	// Before avoidedUntil, chunks are fetched from the peer only if there is no other source.
 	avoidedUntil time.Duration
 }
 
--- a/coordination/dissemination/plan.go
+++ b/coordination/dissemination/plan.go
@@ -284,7 +284,8 @@
 // partitioned zone can reach none of them.
 const maxEarlierHeads = 2
 
-// earlierHeads returns heads of the zones that rank before a zone for a chunk.
+// earlierHeads returns the heads, as of headIndex, of up to maxEarlierHeads zones that rank before a
+// zone for a chunk.
 func (p rotatedPlan) earlierHeads(chunk, zoneIndex int) []MachineID {
 	var heads []MachineID
 	own := p.zoneRank(chunk, zoneIndex)
--- a/coordination/escrow/escrow_test.go
+++ b/coordination/escrow/escrow_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestLenderGivesUpTheGrantUntilItHasExpired(t *testing.T) {
+func TestLentAmountIsUnusableUntilTheGrantExpires(t *testing.T) {
 	lender, borrower := NewAccount(Options{}), NewAccount(Options{})
 	lender.SetBase(0.5, 0)
 	borrower.SetBase(0.5, 0)
--- a/coordination/health/evidence.go
+++ b/coordination/health/evidence.go
@@ -51,12 +51,12 @@
 	trialFailedThreshold = 1.5
 	// maxEvidence limits the evidence that must decay before a healthy server is used again.
 	maxEvidence = 10
-	// evidenceHalfLife is the half-life of the evidence: each entry sends a server a request every
-	// few seconds.
+	// evidenceHalfLife is the half-life of the evidence. It is chosen for entries that send a server
+	// a request every few seconds.
 	evidenceHalfLife = 5 * time.Second
 	// rateHalfLife is the half-life of the service's outcome rates.
 	rateHalfLife = 10 * time.Second
-	// priorAttempts is the number of attempts that priorRates weigh as much as.
+	// priorAttempts is the weight of priorRates, as a number of attempts.
 	priorAttempts = 10
 	// retryFailureRate is the smallest assumed failure rate of a request that has failed before,
 	// since the request itself may be the cause.
--- a/coordination/health/health.go
+++ b/coordination/health/health.go
@@ -44,9 +44,9 @@
 	maxRounds    = 3
 	// forgiveInterval is the time as a healthy server after which one ejection is forgotten.
 	forgiveInterval = 5 * time.Second
-	// trialTurn is how long each entry of the zone may begin a trial, one entry after the other. It
-	// is longer than a report takes to reach the zone, so that two entries do not begin trials at
-	// the same time.
+	// trialTurn is the length of one entry's turn. The entries of a zone take turns, and an entry may
+	// begin a trial only in its own. A turn is longer than a report takes to reach the zone, so that
+	// two entries do not begin trials at the same time.
 	trialTurn = 300 * time.Millisecond
 	// trialTimeout is the time after which an unfinished trial no longer blocks another one.
 	trialTimeout = 1500 * time.Millisecond
--- a/coordination/health/lost.go
+++ b/coordination/health/lost.go
@@ -27,10 +27,10 @@
 	// had gone without an answer at the last trial, but at least trialTimeout: a server that is
 	// down costs the zone about four requests in the first 7 s and then one in 8 s.
 	maxLostTrialPause = 8 * time.Second
-	// lostTurn is how long each entry may begin a trial, one entry after the other. In the last
-	// lostTurnGuard of its turn it may not, so that its report reaches the next entry first.
-	// trialTurn is too short here: a trial may have been due for a while when an entry learns of
-	// the loss, so that its first request comes at any time of a turn and not at its beginning.
+	// lostTurn is the length of one entry's turn to begin the trial of a lost server. In the last
+	// lostTurnGuard of its turn an entry may not begin one, so that its report reaches the next entry
+	// first. trialTurn is too short here: a trial may have been due for a while when an entry learns
+	// of the loss, so that its first request comes at any time of a turn and not at its beginning.
 	lostTurn      = 600 * time.Millisecond
 	lostTurnGuard = 200 * time.Millisecond
 	// attemptsPerLostTrial is the smallest number of attempts at a service that an entry makes for
@@ -96,7 +96,7 @@
 	return t.isOwnTurn(&rec.lost.turns, server+"/lost", number, int((now-due)/lostTurn))
 }
 
-// nextLostTrial returns when the next trial may begin, and since when the server has not answered.
+// nextLostTrial returns since when the server has not answered, and when the next trial is due.
 // If the server is ejected, answers to other entries do not count, because the failure must be
 // cleared at this entry.
 func (r *record) nextLostTrial(lostAt time.Duration) (begin, due time.Duration) {
--- a/coordination/health/words.go
+++ b/coordination/health/words.go
@@ -105,7 +105,7 @@
 	case report.Ejected:
 		return t.applyEjection(rec, report, at, changedAt, now)
 	case report.Returned:
-		return t.applyReturn(rec, report, changedAt, now)
+		return t.applyRecovery(rec, report, changedAt, now)
 	}
 	rec.beginFailurePeriod(at-report.FailureAge, at)
 	rec.recordPeerEvidence(report, at)
@@ -239,8 +239,8 @@
 	return ejected < max(1, int(maxPeerEjectedRatio*float64(len(servers))))
 }
 
-// applyReturn applies a report that a server has passed its trial.
-func (t *Tracker) applyReturn(rec *record, report Report, changedAt, now time.Duration) (Change, bool) {
+// applyRecovery applies a report that an ejected server has passed its trial.
+func (t *Tracker) applyRecovery(rec *record, report Report, changedAt, now time.Duration) (Change, bool) {
 	if !rec.ejected || changedAt <= rec.changedAt {
 		return Change{}, false
 	}
--- a/coordination/mirror/changes.go
+++ b/coordination/mirror/changes.go
@@ -19,7 +19,7 @@
 	last   map[string]uint64
 	order  []change
 	digest uint64
-	// keyHashes holds the part of each key in the digest.
+	// keyHashes holds the hash that each key contributes to the digest.
 	keyHashes map[string]uint64
 }
 
@@ -33,7 +33,7 @@
 	return &ChangeLog{last: map[string]uint64{}, keyHashes: map[string]uint64{}}
 }
 
-// Add records that a record has changed.
+// Add appends a changed record to the log.
 func (c *ChangeLog) Add(record Record) {
 	c.sequence++
 	c.last[record.Key] = c.sequence
@@ -48,7 +48,7 @@
 // its entries are superseded.
 const compactFrom = 256
 
-// updateDigest replaces a key's part in the digest. A deleted key has none, so that a
+// updateDigest replaces a key's hash in the digest. A deleted key has none, so that a
 // peer that never had the key has the same digest.
 func (c *ChangeLog) updateDigest(record Record) {
 	c.digest ^= c.keyHashes[record.Key]
--- a/coordination/monotonic/monotonic.go
+++ b/coordination/monotonic/monotonic.go
@@ -79,8 +79,8 @@
 	documents map[string][]byte
 	// history lists the keys changed by each version, oldest first.
 	history []change
-	// floor is the version before the oldest entry of history.
-	floor Version
+	// historyBase is the version before the oldest entry of history.
+	historyBase Version
 	// monotonic is false only in tests that disable the safeguard.
 	monotonic bool
 }
@@ -128,7 +128,7 @@
 	f.version = update.Version
 	if previous.IsZero() {
 		f.history = nil
-		f.floor = update.Version
+		f.historyBase = update.Version
 		return
 	}
 	f.appendHistory(change{version: update.Version, keys: changed})
@@ -151,7 +151,7 @@
 func (f *Feed) appendHistory(c change) {
 	f.history = append(f.history, c)
 	if len(f.history) > HistoryLimit {
-		f.floor = f.history[0].version
+		f.historyBase = f.history[0].version
 		f.history = slices.Delete(f.history, 0, 1)
 	}
 }
@@ -188,7 +188,7 @@
 
 func (f *Feed) keysChangedSince(base Version) ([]string, bool) {
 	start := -1
-	if base == f.floor && !base.IsZero() {
+	if base == f.historyBase && !base.IsZero() {
 		start = 0
 	}
 	for i := range f.history {
--- a/coordination/overlay/roster_test.go
+++ b/coordination/overlay/roster_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Two processes that know the same members refresh each other's heartbeat times with one bound
-// per zone.
+// Two processes that know the same members refresh each other's heartbeat times with one upper bound
+// of the ages per zone.
 func TestRosterRefreshesTheSameMembers(t *testing.T) {
 	all := buildOverlays(zonesOf(3, 3))
 	reporter, receiver := all["m0-00"], all["m0-01"]
--- a/coordination/quarantine/evidence.go
+++ b/coordination/quarantine/evidence.go
@@ -36,7 +36,8 @@
 	explained bool
 }
 
-// clearing is the time up to which a fingerprint is cleared, and whether that lifted a quarantine.
+// clearing records that a fingerprint was answered: crashes up to the time at do not count against
+// it. liftsQuarantine is set if the answer lifted a quarantine.
 type clearing struct {
 	at              time.Duration
 	liftsQuarantine bool
--- a/coordination/shedding/load_test.go
+++ b/coordination/shedding/load_test.go
@@ -140,8 +140,8 @@
 // counts.
 func simulateSeeds(sc scenario, p policy) (float64, outcome) {
 	sum := outcome{byKind: make([]count, len(sc.kinds))}
-	for part := range sum.bySize {
-		sum.bySize[part] = make([]count, len(sc.kinds))
+	for class := range sum.bySize {
+		sum.bySize[class] = make([]count, len(sc.kinds))
 	}
 	for sc.seed = range seeds {
 		run := simulate(sc, p)
@@ -149,8 +149,8 @@
 		sum.large.add(run.large)
 		for i := range run.byKind {
 			sum.byKind[i].add(run.byKind[i])
-			for part := range sum.bySize {
-				sum.bySize[part][i].add(run.bySize[part][i])
+			for class := range sum.bySize {
+				sum.bySize[class][i].add(run.bySize[class][i])
 			}
 		}
 		for second := range run.retries {
--- a/coordination/shedding/shedding.go
+++ b/coordination/shedding/shedding.go
@@ -31,8 +31,8 @@
 	return max(limit-arrival.Elapsed, time.Duration(lateFraction*float64(limit)))
 }
 
-// Late reports whether a retry that is expected to start after the given time starts later than its
-// target, counted from the first attempt.
+// Late reports whether a retry misses its target, which counts from the first attempt, if it starts
+// after the expected delay from now. A first attempt is never late.
 func (a Arrival) Late(expected, target time.Duration) bool {
 	return a.Elapsed > 0 && a.Elapsed+expected > target
 }
--- a/coordination/shedding/shedding_test.go
+++ b/coordination/shedding/shedding_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// A short target must also limit the wait of requests with longer targets, in proportion to how
-// often it occurs.
+// Short targets must also limit the wait of requests with longer targets: the more of the requests
+// have a short target, the more.
 func TestTargetBound(t *testing.T) {
 	var targets TargetEstimator
 	assert.Equal(t, 500*ms, targets.Bound(500*ms), "no targets recorded")
--- a/coordination/shedding/simulation_test.go
+++ b/coordination/shedding/simulation_test.go
@@ -160,8 +160,8 @@
 		f.scenario.entries = defaultEntries
 	}
 	f.out.byKind = make([]count, len(sc.kinds))
-	for part := range f.out.bySize {
-		f.out.bySize[part] = make([]count, len(sc.kinds))
+	for class := range f.out.bySize {
+		f.out.bySize[class] = make([]count, len(sc.kinds))
 	}
 	for i := range serverCount {
 		f.servers = append(f.servers, &server{reportedAt: -time.Duration(i) * sc.reportAge / serverCount})
@@ -215,8 +215,8 @@
 	return c
 }
 
-// updateCounts updates the counts that a caller belongs to. The largest tenth have more than 1.9
-// times the mean size.
+// updateCounts updates each count that includes the caller: of all callers, of its kind, of its size
+// class and of the largest tenth, which have more than 1.9 times the mean size.
 func (f *fleet) updateCounts(c *caller, update func(*count)) {
 	update(&f.out.all)
 	update(&f.out.byKind[c.kind])
--- a/coordination/shedding/sizes_test.go
+++ b/coordination/shedding/sizes_test.go
@@ -36,8 +36,8 @@
 	t.Helper()
 	names := [sizeClasses]string{"largest tenth", "next fifth", "middle", "smallest tenth"}
 	for i := range out.byKind {
-		for part, name := range names {
-			ofKind := out.bySize[part][i].servedRatio() / out.byKind[i].servedRatio()
+		for class, name := range names {
+			ofKind := out.bySize[class][i].servedRatio() / out.byKind[i].servedRatio()
 			assert.GreaterOrEqual(t, ofKind, minServedRatio, "%s of kind %d", name, i)
 		}
 	}
--- a/coordination/shedding/unlearned.go
+++ b/coordination/shedding/unlearned.go
@@ -36,8 +36,8 @@
 	a.seen++
 }
 
-// elapsed returns a lower bound of the time since the caller's first attempt; 0 means a first
-// attempt, as far as can be told.
+// elapsed returns a lower bound of the time since the first attempt of a caller with the given
+// remaining time; 0 means a first attempt, as far as can be told.
 func (a *startupArrivals) elapsed(remaining time.Duration) time.Duration {
 	kept := a.remaining[:min(a.seen, maxStartupArrivals)]
 	if len(kept) < minStartupArrivals {
--- a/coordination/silence/silence.go
+++ b/coordination/silence/silence.go
@@ -114,20 +114,21 @@
 	// Confirmed are the connections that were found silent themselves.
 	Confirmed []uint64
 	// Suspects are the connections that carry a request and look silent themselves. Other
-	// connections that carry one are spared, except with ByAnswers. With the suspects, 0.76 to 0.96
+	// connections that carry one are not covered, except with ByAnswers. With the suspects, 0.76 to 0.96
 	// of the calls that began in the half second after idle connections went silent were in time,
 	// with Confirmed alone 0.68 to 0.76 (nine and six runs); the streams in progress at a single
 	// silent server paused for 0.5 to 0.6 s instead of 1.1 s in seven of nine runs.
 	Suspects []uint64
-	// IdleOnly spares the connections that carry a request, other than Confirmed: two packets lost
+	// IdleOnly excludes the connections that carry a request, other than Confirmed: two packets lost
 	// in a row make a single connection look silent.
 	IdleOnly bool
 	// Working are the servers with older connections that have shown activity since, so that packet
-	// loss explains what looks silent there. Their connections are spared, other than Confirmed.
+	// loss explains what looks silent there. Their connections are not covered, other than Confirmed.
 	Working []string
 	// ByAnswers is set when only bytes of answers count as activity, because packets were
-	// acknowledged but not forwarded. Requests that must not be repeated are spared then and keep
-	// waiting: ending one certainly loses it, and answers are weaker evidence than packets.
+	// acknowledged but not forwarded. Connections with requests that must not be repeated are not
+	// covered then and keep waiting: ending one certainly loses it, and answers are weaker evidence
+	// than packets.
 	ByAnswers bool
 }
 
@@ -169,8 +170,8 @@
 	probedAt    time.Duration
 	connectedAt time.Duration
 	pending     bool
-	// seenAt is when a connection to the server was last observed or made.
-	seenAt time.Duration
+	// observedAt is when a connection to the server was last observed or made.
+	observedAt time.Duration
 }
 
 // Detector holds the state that is kept between ticks.
@@ -206,7 +207,7 @@
 func (d *Detector) RecordProbe(server string, began time.Duration, succeeded bool) {
 	probe := d.probeOf(server)
 	probe.pending = false
-	probe.seenAt = max(probe.seenAt, began)
+	probe.observedAt = max(probe.observedAt, began)
 	if succeeded {
 		probe.connectedAt = max(probe.connectedAt, began)
 	}
@@ -226,7 +227,7 @@
 	d.SkipTick(now)
 	for _, conn := range all {
 		probe := d.probeOf(conn.Server)
-		probe.connectedAt, probe.seenAt = max(probe.connectedAt, conn.Opened), now
+		probe.connectedAt, probe.observedAt = max(probe.connectedAt, conn.Opened), now
 	}
 	d.prune(now)
 	var result Result
@@ -244,7 +245,7 @@
 		return
 	}
 	d.prunedAt = now
-	maps.DeleteFunc(d.probes, func(_ string, probe *probeState) bool { return now-probe.seenAt > serverTTL })
+	maps.DeleteFunc(d.probes, func(_ string, probe *probeState) bool { return now-probe.observedAt > serverTTL })
 	maps.DeleteFunc(d.silentAt, func(_ string, at time.Duration) bool { return now-at > serverTTL })
 	forgotten := func(server string, _ time.Duration) bool {
 		_, known := d.silentAt[server]
--- a/coordination/silence/silence_test.go
+++ b/coordination/silence/silence_test.go
@@ -253,7 +253,7 @@
 
 // A request that must not be repeated keeps waiting when connections are found silent by answers
 // alone.
-func TestNonRepeatableRequestIsSparedByAnswers(t *testing.T) {
+func TestNonRepeatableRequestIsNotCoveredByAnswers(t *testing.T) {
 	f := newFixture()
 	for _, server := range []string{"a", "a", "b", "b"} {
 		f.addIdle(server)
@@ -272,17 +272,17 @@
 }
 
 // Connections to two servers, or two to one, lose two packets in a row. Acknowledged requests that
-// wait at their server and requests that must not be repeated are spared; an unacknowledged request
-// and a stream with overdue events are not.
+// wait at their server and requests that must not be repeated are not covered; an unacknowledged
+// request and a stream with overdue events are.
 func TestAcknowledgedRequestsSurvivePacketLoss(t *testing.T) {
 	covered := []bool{true, true, false, false, true, true, false, true}
 	for name, test := range map[string]struct {
 		servers []string
-		// sign is when a connection to the first server shows activity: first with data in flight
+		// activeAt is when a connection to the first server shows activity: first with data in flight
 		// from before the losses, and from minActivityDelay on with data that shows that the server
 		// works.
-		sign    time.Duration
-		covered []bool
+		activeAt time.Duration
+		covered  []bool
 	}{
 		"two servers":                         {[]string{"a", "b"}, 50 * ms, covered},
 		"one server":                          {[]string{"a", "a"}, 50 * ms, covered},
@@ -305,9 +305,9 @@
 				f.open[id-1].Acknowledged, f.open[id-1].Requested = true, f.now-200*ms
 			}
 			f.open[6].LastRead = f.now
-			f.advance(test.sign, 1, 2)
+			f.advance(test.activeAt, 1, 2)
 			f.open[6].LastRead, f.open[6].LastPacket = f.now, f.now
-			f.advance(100*ms-test.sign, 1, 2)
+			f.advance(100*ms-test.activeAt, 1, 2)
 			f.sendRepeatable(8)
 			f.advance(175*ms, 1, 2)
 			for _, server := range test.servers {
@@ -330,8 +330,8 @@
 // two connections to two servers that each lost two packets in a row took all idle ones with them,
 // though others of the same age received answers.
 //
-// Connections of a server are spared if an older one has shown activity since, except those found
-// silent themselves. Those of servers without such activity are not spared.
+// Connections of a server are not covered if an older one has shown activity since, except those
+// found silent themselves. Those of servers without such activity are covered.
 func TestWorkingConnectionSparesItsServer(t *testing.T) {
 	for name, test := range map[string]struct {
 		working []int
--- a/coordination/turnover/evacuation.go
+++ b/coordination/turnover/evacuation.go
@@ -6,8 +6,8 @@
 )
 
 // SwitchOffsetWithEvacuation returns when a member switches while some zones are evacuated.
-// Their servers receive no requests and switch at the beginning of the window; the
-// others divide the window among themselves, because they are all that serves.
+// Servers of evacuated zones receive no requests and switch at the beginning of the window; the
+// servers of the other zones divide the window among themselves.
 func SwitchOffsetWithEvacuation(key string, members []Member, self Member, evacuated func(zone string) bool, window Window) time.Duration {
 	if evacuated(self.Zone) {
 		return min(window.Start, window.End)
--- a/coordination/turnover/fallback.go
+++ b/coordination/turnover/fallback.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Bounds of falling back to an inForce version.
+// Bounds of falling back to an older version.
 const (
 	// stallTime is how long a transfer may go without a new piece until its source counts
 	// as unavailable: many times the interval at which an origin sends pieces.
 	stallTime = 600 * time.Millisecond
-	// minGain is how much sooner a server must be able to serve with the inForce version:
+	// minGain is how much sooner a server must be able to serve with the older version:
 	// the later switch to the newest one costs about as much time again.
 	minGain = 2 * time.Second
 	// minService is how long the older version must then serve at least.
@@ -45,12 +45,12 @@
 
 // ShouldFetchOlder reports whether a server that serves nothing should first fetch an older
 // version, of which its peers hold complete copies, because the newest takes long to arrive.
-// InForce is the time for which the older version may still begin requests, activation the time to
+// inForceRemaining is the time for which the older version may still begin requests, activation the time to
 // put a version into service. Where half of the servers are replaced while the origin is
 // unavailable for six seconds, they serve four seconds after their start instead of ten: 0.03 to
 // 0.04 of a day's value.
-func ShouldFetchOlder(newest Transfer, inForce, activation time.Duration) bool {
-	if newest.Missing == 0 || inForce-newest.CopyTime-activation < minService {
+func ShouldFetchOlder(newest Transfer, inForceRemaining, activation time.Duration) bool {
+	if newest.Missing == 0 || inForceRemaining-newest.CopyTime-activation < minService {
 		return false
 	}
 	remaining, known := newest.remaining()
@@ -58,27 +58,27 @@
 }
 
 // ShouldKeepOlder reports whether a server continues to fetch an older version, which was
-// incomplete when a newer one was announced, beside the newest. InForce is the time for which the
+// incomplete when a newer one was announced, beside the newest. inForceRemaining is the time for which the
 // older version may still begin requests, activation the time to put a version into service, and
-// lastSwitch the time until the last point at which the server may stop serving its current
+// lastSwitchRemaining the time until the last point at which the server may stop serving its current
 // version, 0 for a server that serves nothing. The older version is dropped when its
 // transfer has stalled, when too little time of service remains for it, and when the newest is
 // fully held by peers and arrives in time. Where the origin fails half a second before the
 // announcement of a version that follows another by three seconds, servers use the other one until
 // its deadline: 0.10 of the value of such a day at 99 servers. On two days on which the origin
 // fails half a second after the announcement there is no gain.
-func ShouldKeepOlder(newest, older Transfer, inForce, activation, lastSwitch time.Duration) bool {
+func ShouldKeepOlder(newest, older Transfer, inForceRemaining, activation, lastSwitchRemaining time.Duration) bool {
 	olderRemaining, flowing := older.remaining()
-	if !flowing || newest.Missing == 0 || inForce-olderRemaining-activation-SendCutoff < minService {
+	if !flowing || newest.Missing == 0 || inForceRemaining-olderRemaining-activation-SendCutoff < minService {
 		return false
 	}
 	newestRemaining, flowing := newest.remaining()
 	switch {
 	case newest.Missing == newest.Pieces || !flowing:
 		return true
-	case lastSwitch <= 0:
+	case lastSwitchRemaining <= 0:
 		return newestRemaining-olderRemaining > minGain
 	}
 	// Until all of the newest has left the origin, its arrival time is uncertain.
-	return newest.Unsourced > 0 || newestRemaining > lastSwitch
+	return newest.Unsourced > 0 || newestRemaining > lastSwitchRemaining
 }
--- a/coordination/turnover/fallback_test.go
+++ b/coordination/turnover/fallback_test.go
@@ -20,10 +20,10 @@
 	done := stalled
 	done.Missing = 0
 	for _, test := range []struct {
-		name    string
-		newest  Transfer
-		inForce time.Duration
-		want    bool
+		name             string
+		newest           Transfer
+		inForceRemaining time.Duration
+		want             bool
 	}{
 		{"peers hold the newest", flowing, 10 * time.Second, false},
 		{"the newest has just been announced", justAnnounced, 10 * time.Second, false},
@@ -33,7 +33,7 @@
 		{"the newest is complete", done, 10 * time.Second, false},
 		{"no manifest arrives for a while", Transfer{Missing: 1, SinceProgress: stallTime + 1, CopyTime: time.Second}, 10 * time.Second, true},
 	} {
-		assert.Equal(t, test.want, ShouldFetchOlder(test.newest, test.inForce, 500*time.Millisecond), test.name)
+		assert.Equal(t, test.want, ShouldFetchOlder(test.newest, test.inForceRemaining, 500*time.Millisecond), test.name)
 	}
 }
 
@@ -49,12 +49,12 @@
 	flowing, slow := copyOf(60, 0, 50*time.Millisecond), arriving
 	slow.OriginTime = 9 * time.Second
 	for _, test := range []struct {
-		name       string
-		newest     Transfer
-		older      Transfer
-		inForce    time.Duration
-		lastSwitch time.Duration
-		want       bool
+		name                string
+		newest              Transfer
+		older               Transfer
+		inForceRemaining    time.Duration
+		lastSwitchRemaining time.Duration
+		want                bool
 	}{
 		{"nothing of the newest has arrived yet", nothing, older, 8 * time.Second, 3 * time.Second, true},
 		{"the newest arrives in time", flowing, older, 8 * time.Second, 3 * time.Second, false},
@@ -69,6 +69,6 @@
 		{"only the older one has stalled", nothing, copyOf(12, 12, stallTime+1), 8 * time.Second, 3 * time.Second, false},
 		{"all of the older one is missing, too", nothing, copyOf(64, 0, 0), 4500 * time.Millisecond, 3 * time.Second, false},
 	} {
-		assert.Equal(t, test.want, ShouldKeepOlder(test.newest, test.older, test.inForce, activation, test.lastSwitch), test.name)
+		assert.Equal(t, test.want, ShouldKeepOlder(test.newest, test.older, test.inForceRemaining, activation, test.lastSwitchRemaining), test.name)
 	}
 }
