--- a/coordination/dispatch/candidate.go
+++ b/coordination/dispatch/candidate.go
@@ -148,9 +148,9 @@
 	// ColdFor is how much longer the server counts as cold. Evacuated servers are sent no new requests.
 	ColdFor   time.Duration
 	Evacuated bool
-	// Limit is the rate limit that the server names, BackoffLeft how much longer it is backing off.
-	Limit       RateLimitStatus
-	BackoffLeft time.Duration
+	// Limit is the rate limit that the server names, BackoffRemaining how much longer it is backing off.
+	Limit            RateLimitStatus
+	BackoffRemaining time.Duration
 	// AnnouncedLeaving is set when an answer has announced that the server is about to stop.
 	AnnouncedLeaving bool
 }
@@ -166,7 +166,7 @@
 			ColdFor:          max(0, candidate.coldUntil().Sub(now)),
 			Evacuated:        c.Evacuated(candidate.Zone),
 			Limit:            c.rateLimitStatus(candidate, now),
-			BackoffLeft:      candidate.backoffLeft(now),
+			BackoffRemaining: candidate.backoffLeft(now),
 			AnnouncedLeaving: candidate.notices.leaving,
 		})
 	}
--- a/coordination/dispatch/health.go
+++ b/coordination/dispatch/health.go
@@ -170,7 +170,7 @@
 // leavesTimeForRetry reports whether a lost server's trial that times out leaves the request the time that an
 // answer typically takes elsewhere.
 func (c *Core) leavesTimeForRetry(k *Candidate, request *Request, now time.Time) bool {
-	return request.TimeLeft <= 0 || c.lostTrialTimeout(k, request, now)+c.typicalTrialTime(k, request, now) <= request.TimeLeft
+	return request.TimeRemaining <= 0 || c.lostTrialTimeout(k, request, now)+c.typicalTrialTime(k, request, now) <= request.TimeRemaining
 }
 
 // updateHealth passes the listed servers to the health tracker.
--- a/coordination/dispatch/lost_test.go
+++ b/coordination/dispatch/lost_test.go
@@ -117,14 +117,14 @@
 	s.reportLost()
 	request := s.request()
 	request.MinOverdueTime = time.Second
-	request.TimeLeft = 2 * time.Second
+	request.TimeRemaining = 2 * time.Second
 	s.served(request, "a2")
-	request.TimeLeft = 4 * time.Second
+	request.TimeRemaining = 4 * time.Second
 	trial := s.goesTo(request, "a1")
 	assert.True(t, trial.Trial)
 	usual := s.core.TypicalWait(trial, request)
 	assert.Positive(t, trial.OverdueAfter)
-	assert.LessOrEqual(t, trial.OverdueAfter+usual, request.TimeLeft)
+	assert.LessOrEqual(t, trial.OverdueAfter+usual, request.TimeRemaining)
 	assert.GreaterOrEqual(t, trial.OverdueAfter, 4*usual, "a server that serves is not abandoned early either")
 	s.ends(trial)
 	ordinary := s.goesTo(request, "a2")
@@ -214,9 +214,9 @@
 	s.at(300 * time.Millisecond)
 	s.core.ApplyReport(LoadReport{Address: "a1:1", Version: 1}, s.now)
 	request := s.request()
-	request.TimeLeft, request.MinOverdueTime = 2*request.Target-1, 100*time.Millisecond
+	request.TimeRemaining, request.MinOverdueTime = 2*request.Target-1, 100*time.Millisecond
 	s.refused(request, RefusedNoServer)
-	request.TimeLeft = 2 * request.Target
+	request.TimeRemaining = 2 * request.Target
 	trial := s.goesTo(request, "a1")
 	assert.True(t, trial.Trial)
 	assert.Equal(t, request.Target, trial.OverdueAfter)
--- a/coordination/dispatch/messages.go
+++ b/coordination/dispatch/messages.go
@@ -110,8 +110,8 @@
 	// LastAttempt is set when no attempt would follow a failed one, for lack of time, attempts or retry
 	// budget.
 	LastAttempt bool
-	// TimeLeft is what remains of the caller's time, 0 if it is unlimited.
-	TimeLeft time.Duration
+	// TimeRemaining is what remains of the caller's time, 0 if it is unlimited.
+	TimeRemaining time.Duration
 	// MinOverdueTime is the minimum silence after which an answer can be overdue.
 	MinOverdueTime time.Duration
 	// OtherEntries is the number of other entries that may be sending to the service's servers.
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -53,7 +53,7 @@
 	w.bindVersion()
 	w.bindResidency()
 	w.criteria.LastAttempt = w.isLastAttempt()
-	w.criteria.TimeLeft, w.criteria.MinOverdueTime = time.Until(w.request.Deadline), minOverdueOf(w.request.Route)
+	w.criteria.TimeRemaining, w.criteria.MinOverdueTime = time.Until(w.request.Deadline), minOverdueOf(w.request.Route)
 	w.queryLoads(ctx)
 	chosen, refusal := w.choose()
 	if refusal != nil {
--- a/internal/forward/dump.go
+++ b/internal/forward/dump.go
@@ -74,7 +74,7 @@
 			ID: server.ID, Service: server.Service, Address: server.Address, Zone: server.Zone,
 			Draining: server.Draining, InFlight: one.InFlight, Outstanding: one.Outstanding, Version: one.Version,
 			EjectedFor: one.Health.Remaining.Seconds(), Health: healthView(one.Health), StatusAge: one.ReportAge.Seconds(), MeanMilliseconds: one.MeanMilliseconds,
-			ColdFor: one.ColdFor.Seconds(), Evacuated: one.Evacuated, BackoffRemaining: one.BackoffLeft.Seconds(), AnnouncedLeaving: one.AnnouncedLeaving,
+			ColdFor: one.ColdFor.Seconds(), Evacuated: one.Evacuated, BackoffRemaining: one.BackoffRemaining.Seconds(), AnnouncedLeaving: one.AnnouncedLeaving,
 		}
 		if one.Limit.InForce {
 			view.Limit = &LimitView{PerSecond: one.Limit.PerSecond, Age: one.Limit.SinceNamed.Seconds(), Share: one.Limit.Share}
