--- a/coordination/dispatch/asked.go
+++ b/coordination/dispatch/asked.go
@@ -104,8 +104,8 @@
 	return !n.backoffUntil.IsZero() && now.Before(n.backoffUntil)
 }
 
-// backoffLeft returns how much longer the server is backing off.
-func (k *Candidate) backoffLeft(now time.Time) time.Duration {
+// backoffRemaining returns how much longer the server is backing off.
+func (k *Candidate) backoffRemaining(now time.Time) time.Duration {
 	return max(0, k.notices.backoffUntil.Sub(now))
 }
 
@@ -127,7 +127,7 @@
 
 // opensIn returns the time until a server excluded only by its notices may be sent a request; 0 means now.
 func (c *Core) opensIn(k *Candidate, now time.Time) time.Duration {
-	return max(k.backoffLeft(now), c.limitOpensIn(k, now))
+	return max(k.backoffRemaining(now), c.limitOpensIn(k, now))
 }
 
 // byNotice reports whether a server is excluded only because of its notices.
--- a/coordination/dispatch/candidate.go
+++ b/coordination/dispatch/candidate.go
@@ -54,7 +54,7 @@
 
 // answerTimes holds moving means of a server's answer times.
 type answerTimes struct {
-	// meanMilliseconds is the moving mean time of whole answers.
+	// meanMilliseconds is the moving mean time of complete answers.
 	meanMilliseconds float64
 	// firstMean is the moving mean time to the first event of streams.
 	firstMean time.Duration
@@ -66,7 +66,7 @@
 	firstMeanWeight = 0.1
 )
 
-func (a *answerTimes) addWhole(elapsed time.Duration) {
+func (a *answerTimes) addComplete(elapsed time.Duration) {
 	value := float64(elapsed) / float64(time.Millisecond)
 	if a.meanMilliseconds == 0 {
 		a.meanMilliseconds = value
@@ -143,7 +143,7 @@
 	Version   uint64
 	Health    health.View
 	ReportAge time.Duration
-	// MeanMilliseconds is the moving mean time of whole answers.
+	// MeanMilliseconds is the moving mean time of complete answers.
 	MeanMilliseconds float64
 	// ColdFor is how much longer the server counts as cold. Evacuated servers are sent no new requests.
 	ColdFor   time.Duration
@@ -166,7 +166,7 @@
 			ColdFor:          max(0, candidate.coldUntil().Sub(now)),
 			Evacuated:        c.Evacuated(candidate.Zone),
 			Limit:            c.rateLimitStatus(candidate, now),
-			BackoffRemaining: candidate.backoffLeft(now),
+			BackoffRemaining: candidate.backoffRemaining(now),
 			AnnouncedLeaving: candidate.notices.leaving,
 		})
 	}
--- a/coordination/dispatch/cold.go
+++ b/coordination/dispatch/cold.go
@@ -53,9 +53,9 @@
 // RecordCold records how much longer a server is cold according to its answer. The only health checks are the
 // requests that callers send to a service's health path: entries and agents make none, because they are
 // billed. A faulty answer makes a server cold for no longer than a start does.
-func (c *Core) RecordCold(k *Candidate, left time.Duration, now time.Time) {
-	if left > 0 {
-		k.answeredColdUntil = now.Add(min(left, k.coldTime))
+func (c *Core) RecordCold(k *Candidate, remaining time.Duration, now time.Time) {
+	if remaining > 0 {
+		k.answeredColdUntil = now.Add(min(remaining, k.coldTime))
 		c.extendForCold(k)
 	}
 }
--- a/coordination/dispatch/core.go
+++ b/coordination/dispatch/core.go
@@ -32,7 +32,7 @@
 // Policy holds the weights of the decision's mechanisms. A weight that switches a mechanism off allows its
 // effect to be measured.
 type Policy struct {
-	// RefusalShare is the weight of the limit within which a request of usual size is to begin, from which
+	// RefusalShare is the weight of the limit within which a request of typical size is to begin, from which
 	// the maximum wait follows; 0 never refuses.
 	RefusalShare float64
 	// InTimeShare is the ratio of requests with nearly the maximum wait that are to begin in time; 0 keeps
@@ -82,7 +82,7 @@
 	regionServers map[string]map[string]int
 	// scarce is, by region, the weight of a slot there for the request being decided.
 	scarce map[string]float64
-	// retryDetectors learns, by route, the time that callers have left at first attempts. overloadDetectors
+	// retryDetectors learns, by route, the remaining time of callers at first attempts. overloadDetectors
 	// learns whether each service is overloaded. Both count time since started.
 	retryDetectors map[string]*shedding.RetryDetector
 	// targets learns the typical target of each service.
--- a/coordination/dispatch/health.go
+++ b/coordination/dispatch/health.go
@@ -247,5 +247,7 @@
 // EjectedServers returns the number of servers that are ejected or on trial.
 func (c *Core) EjectedServers() int { return len(c.health.Ejected()) }
 
-// RecordAnswerTime records how long a whole answer took.
-func (c *Core) RecordAnswerTime(k *Candidate, elapsed time.Duration) { k.answerTimes.addWhole(elapsed) }
+// RecordAnswerTime records how long a complete answer took.
+func (c *Core) RecordAnswerTime(k *Candidate, elapsed time.Duration) {
+	k.answerTimes.addComplete(elapsed)
+}
--- a/coordination/dispatch/lost_test.go
+++ b/coordination/dispatch/lost_test.go
@@ -122,10 +122,10 @@
 	request.TimeRemaining = 4 * time.Second
 	trial := s.goesTo(request, "a1")
 	assert.True(t, trial.Trial)
-	usual := s.core.TypicalWait(trial, request)
+	typicalWait := s.core.TypicalWait(trial, request)
 	assert.Positive(t, trial.OverdueAfter)
-	assert.LessOrEqual(t, trial.OverdueAfter+usual, request.TimeRemaining)
-	assert.GreaterOrEqual(t, trial.OverdueAfter, 4*usual, "a server that serves is not abandoned early either")
+	assert.LessOrEqual(t, trial.OverdueAfter+typicalWait, request.TimeRemaining)
+	assert.GreaterOrEqual(t, trial.OverdueAfter, 4*typicalWait, "a server that serves is not abandoned early either")
 	s.ends(trial)
 	ordinary := s.goesTo(request, "a2")
 	assert.Zero(t, ordinary.OverdueAfter)
--- a/coordination/dispatch/messages.go
+++ b/coordination/dispatch/messages.go
@@ -101,7 +101,7 @@
 	Engine *Engine
 	// Figures are those of Engine, completed and corrected by Core.Figures.
 	Figures balance.Server
-	// Target is the promised time to the first event, or to the whole answer.
+	// Target is the promised time to the first event, or to the complete answer.
 	Target time.Duration
 	// Streaming requests are answered in events.
 	Streaming bool
--- a/coordination/dispatch/refusal.go
+++ b/coordination/dispatch/refusal.go
@@ -118,8 +118,8 @@
 		if !reported.Reachable || now.Sub(reported.at) > reportTTL || !c.allowedAt(reported.Address, request.Residency) {
 			continue
 		}
-		left := engine.CopyTime * time.Duration(reported.MissingPieces) / time.Duration(engine.Pieces)
-		earliest = min(earliest, left+engine.ActivationTime+switchTime/2)
+		remaining := engine.CopyTime * time.Duration(reported.MissingPieces) / time.Duration(engine.Pieces)
+		earliest = min(earliest, remaining+engine.ActivationTime+switchTime/2)
 	}
 	return max(earliest, refusalRetryFloor)
 }
--- a/coordination/dispatch/returns.go
+++ b/coordination/dispatch/returns.go
@@ -7,11 +7,11 @@
 	"pinevane.example/pinevane/coordination/shedding"
 )
 
-// RecordArrival records a request whose caller has the given time left, 0 if not specified, and returns
-// whether it came back after a refusal.
-func (c *Core) RecordArrival(request *Request, left time.Duration, now time.Time) shedding.Arrival {
+// RecordArrival records a request whose caller has the given remaining time, 0 if not specified, and
+// returns its Arrival, whose Elapsed shows whether it is a retry after a refusal.
+func (c *Core) RecordArrival(request *Request, remaining time.Duration, now time.Time) shedding.Arrival {
 	getOrCreate(c.targets, request.Service).Record(request.Target)
-	return shedding.Arrival{Remaining: left, Elapsed: getOrCreate(c.retryDetectors, request.Route).RecordArrival(now.Sub(c.started), left)}
+	return shedding.Arrival{Remaining: remaining, Elapsed: getOrCreate(c.retryDetectors, request.Route).RecordArrival(now.Sub(c.started), remaining)}
 }
 
 // RecordRefusal records that a request was refused, so that its caller may come back.
@@ -46,7 +46,7 @@
 	maps.DeleteFunc(c.retryDetectors, func(route string, _ *shedding.RetryDetector) bool { return !retained[route] })
 }
 
-// startLimit returns the latest predicted start of a request of usual size; at 0 or less, no request is
+// startLimit returns the latest predicted start of a request of typical size; at 0 or less, no request is
 // refused for load.
 func (c *Core) startLimit(request *Request) time.Duration {
 	target := getOrCreate(c.targets, request.Service).Bound(request.Target)
--- a/coordination/dispatch/returns_test.go
+++ b/coordination/dispatch/returns_test.go
@@ -11,10 +11,10 @@
 	"pinevane.example/pinevane/coordination/shedding"
 )
 
-// returningCaller returns the request of a caller with some time left, at an entry that has served others of
-// its route, all of which had six seconds left, and that knows one full server, which has a slot soon. If
-// refused is set, a first attempt was refused just before.
-func returningCaller(left time.Duration, refused bool) (*Core, *Candidate, *Request, time.Time) {
+// returningCaller returns the request of a caller with the given remaining time, at an entry that has served
+// others of its route, all of which had six seconds remaining, and that knows one full server, which has a
+// slot soon. If refused is set, a first attempt was refused just before.
+func returningCaller(remaining time.Duration, refused bool) (*Core, *Candidate, *Request, time.Time) {
 	now := epoch.Add(time.Minute)
 	core, server, request := idleServer(now, 0)
 	for i := range 40 {
@@ -24,26 +24,26 @@
 		getOrCreate(core.overloadDetectors, "s").RecordRefusal(now.Sub(epoch), shedding.Arrival{})
 	}
 	server.report.Running = 16
-	request.Route, request.Arrival = "r", core.RecordArrival(&Request{Service: "s", Route: "r"}, left, now)
+	request.Route, request.Arrival = "r", core.RecordArrival(&Request{Service: "s", Route: "r"}, remaining, now)
 	return core, server, request, now
 }
 
-// A full server that has a slot soon is left to requests that can still be answered in time while some of
-// these are refused; afterwards it takes late requests at once.
+// A full server that has a slot soon is reserved for requests that can still be answered in time while some
+// of these are refused; afterwards it takes late requests at once.
 func TestLateRequestsGoBehindInOverload(t *testing.T) {
 	for name, one := range map[string]struct {
-		left      time.Duration
-		calm      bool
+		remaining time.Duration
+		noRefusal bool
 		lateShare float64
 		refused   bool
 	}{
-		"first attempt":                       {left: 6 * time.Second, lateShare: 0.15},
-		"late while others are refused":       {left: 5 * time.Second, lateShare: 0.15, refused: true},
-		"late after that":                     {left: 5 * time.Second, lateShare: 0.15, calm: true},
-		"late where the mechanism is off":     {left: 5 * time.Second, lateShare: 1},
-		"back so soon that it can be in time": {left: 5950 * time.Millisecond, lateShare: 0.15},
+		"first attempt":                       {remaining: 6 * time.Second, lateShare: 0.15},
+		"late while others are refused":       {remaining: 5 * time.Second, lateShare: 0.15, refused: true},
+		"late after that":                     {remaining: 5 * time.Second, lateShare: 0.15, noRefusal: true},
+		"late where the mechanism is off":     {remaining: 5 * time.Second, lateShare: 1},
+		"back so soon that it can be in time": {remaining: 5950 * time.Millisecond, lateShare: 0.15},
 	} {
-		core, server, request, now := returningCaller(one.left, !one.calm)
+		core, server, request, now := returningCaller(one.remaining, !one.noRefusal)
 		core.policy.LateShare = one.lateShare
 		request.Queried = []*Candidate{server}
 		assert.Equal(t, !one.refused, core.AnyAdmits(request, now), name)
@@ -73,8 +73,8 @@
 	assert.InDelta(t, 1, getOrCreate(core.overloadDetectors, "s").LateFraction(now.Sub(epoch), 0.15), 1e-9)
 }
 
-// While a refused caller may be coming back, the times left of arrivals are not learned as those of first
-// attempts.
+// While a refused caller may be coming back, the remaining times of arrivals are not learned as those
+// of first attempts.
 func TestRefusedCallersAreNotLearnedFrom(t *testing.T) {
 	core, _, request, now := returningCaller(6*time.Second, false)
 	core.RecordRefusal(request, now)
@@ -102,7 +102,7 @@
 	assert.Contains(t, core.retryDetectors, "r")
 }
 
-// While servers are full, other entries refuse callers that may come back here: their times left are not
+// While servers are full, other entries refuse callers that may come back here: their remaining times are not
 // learned as those of first attempts, though this entry has refused nobody.
 func TestNothingIsLearnedOfCallersWhileServersAreFull(t *testing.T) {
 	for name, running := range map[string]int{"full": 19, "idle": 0} {
--- a/coordination/dispatch/smallregion_test.go
+++ b/coordination/dispatch/smallregion_test.go
@@ -51,9 +51,9 @@
 		queries            bool
 		// local sends single-region requests only to the entries of their region.
 		local bool
-		// floor is the minimum ratio of single-region requests answered in time, mostLost the maximum loss of
+		// floor is the minimum ratio of single-region requests answered in time, maxLoss the maximum loss of
 		// the ratio of all requests against a run without the penalty.
-		floor, mostLost float64
+		floor, maxLoss float64
 		// seeds is set where more than regionSeeds are needed to resolve the ratio to 0.01.
 		seeds int
 	}{
@@ -62,10 +62,10 @@
 		"0.7, 0.15 single-region, local":        {load: 0.7, singleRegion: 0.15, local: true, floor: 0.88},
 		"0.95 of the slots, 0.15 single-region": {load: 0.95, singleRegion: 0.15, floor: 0.58},
 		"0.95 of the slots, 0.25 single-region": {load: 0.95, singleRegion: 0.25, floor: 0.5},
-		"1.1 of the slots, 0.15 single-region":  {load: 1.1, singleRegion: 0.15, floor: 0.32, mostLost: 0.02},
-		"1.1 of the slots, 0.25 single-region":  {load: 1.1, singleRegion: 0.25, floor: 0.33, mostLost: 0.04},
+		"1.1 of the slots, 0.15 single-region":  {load: 1.1, singleRegion: 0.15, floor: 0.32, maxLoss: 0.02},
+		"1.1 of the slots, 0.25 single-region":  {load: 1.1, singleRegion: 0.25, floor: 0.33, maxLoss: 0.04},
 		"agents queried, 0.95 and 0.15":         {load: 0.95, singleRegion: 0.15, queries: true, floor: 0.97},
-		"agents queried, 1.1 and 0.15":          {load: 1.1, singleRegion: 0.15, queries: true, floor: 0.7, mostLost: 0.005},
+		"agents queried, 1.1 and 0.15":          {load: 1.1, singleRegion: 0.15, queries: true, floor: 0.7, maxLoss: 0.005},
 		"agents queried, 1.1 and 0.25":          {load: 1.1, singleRegion: 0.25, queries: true, floor: 0.63},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -79,7 +79,7 @@
 				with.free.ratio(with.free.refusals), without.free.ratio(without.free.refusals), with.away, without.away, with.free.total, with.besideRoom, without.besideRoom)
 			assert.Greater(t, with.singleRegion.ratio(with.singleRegion.inTime), tc.floor)
 			assert.Less(t, without.singleRegion.ratio(without.singleRegion.inTime), tc.floor, "the floor is reached without the penalty")
-			assert.Greater(t, with.inTimeRatio(), without.inTimeRatio()-tc.mostLost)
+			assert.Greater(t, with.inTimeRatio(), without.inTimeRatio()-tc.maxLoss)
 			assert.Zero(t, with.besideIdle, "free requests refused beside an idle server")
 			if tc.queries {
 				assert.Zero(t, with.besideRoom, "free requests refused beside a server with room")
--- a/coordination/dispatch/versions.go
+++ b/coordination/dispatch/versions.go
@@ -72,8 +72,8 @@
 	if engine.Pieces == 0 || k.report.MissingPieces == 0 || !c.hasNarrowLink(k) {
 		return false
 	}
-	left := engine.CopyTime * time.Duration(k.report.MissingPieces) / time.Duration(engine.Pieces)
-	return now.Add(left + activationOrderTime + soundLinkMargin).After(deadline)
+	remaining := engine.CopyTime * time.Duration(k.report.MissingPieces) / time.Duration(engine.Pieces)
+	return now.Add(remaining + activationOrderTime + soundLinkMargin).After(deadline)
 }
 
 // switchCost returns the penalty of a request that would still run when its server is to switch versions:
--- a/coordination/dispatch/versions_test.go
+++ b/coordination/dispatch/versions_test.go
@@ -13,28 +13,28 @@
 func TestUnpreparedServerIsLeftOutInTime(t *testing.T) {
 	now := epoch
 	core := testCore("z", nil)
-	at := func(left time.Duration) *Request {
-		return withFigures(Request{VersionDeadlines: VersionDeadlines{{Version: 2, Until: now.Add(left)}}, Prompt: 1000}, copiedEngine())
+	at := func(remaining time.Duration) *Request {
+		return withFigures(Request{VersionDeadlines: VersionDeadlines{{Version: 2, Until: now.Add(remaining)}}, Prompt: 1000}, copiedEngine())
 	}
 	for _, one := range []struct {
-		missing int
-		link    time.Duration
-		left    time.Duration
-		want    Eligibility
+		missing   int
+		link      time.Duration
+		remaining time.Duration
+		want      Eligibility
 	}{
-		{missing: 80, link: narrowLink, left: 5 * time.Second, want: Eligible},
-		{missing: 80, link: narrowLink, left: 3200 * time.Millisecond, want: excludedVersionDeadline},
-		{missing: 20, link: narrowLink, left: 3200 * time.Millisecond, want: Eligible},
-		{missing: 20, link: narrowLink, left: 1400 * time.Millisecond, want: excludedVersionDeadline},
-		{missing: 0, link: narrowLink, left: 1400 * time.Millisecond, want: excludedVersionDeadline},
-		{missing: 96, link: 20 * time.Millisecond, left: 1400 * time.Millisecond, want: Eligible},
-		{missing: 96, link: 20 * time.Millisecond, left: 900 * time.Millisecond, want: excludedVersionDeadline},
-		{missing: 0, left: 1400 * time.Millisecond, want: Eligible},
-		{missing: 0, left: 900 * time.Millisecond, want: excludedVersionDeadline},
+		{missing: 80, link: narrowLink, remaining: 5 * time.Second, want: Eligible},
+		{missing: 80, link: narrowLink, remaining: 3200 * time.Millisecond, want: excludedVersionDeadline},
+		{missing: 20, link: narrowLink, remaining: 3200 * time.Millisecond, want: Eligible},
+		{missing: 20, link: narrowLink, remaining: 1400 * time.Millisecond, want: excludedVersionDeadline},
+		{missing: 0, link: narrowLink, remaining: 1400 * time.Millisecond, want: excludedVersionDeadline},
+		{missing: 96, link: 20 * time.Millisecond, remaining: 1400 * time.Millisecond, want: Eligible},
+		{missing: 96, link: 20 * time.Millisecond, remaining: 900 * time.Millisecond, want: excludedVersionDeadline},
+		{missing: 0, remaining: 1400 * time.Millisecond, want: Eligible},
+		{missing: 0, remaining: 900 * time.Millisecond, want: excludedVersionDeadline},
 	} {
 		server := modelServer(now, one.missing)
 		server.report.LinkRTT = one.link
-		assert.Equal(t, one.want, core.eligibility(server, at(one.left), now), "%d missing, link %s, %s left", one.missing, one.link, one.left)
+		assert.Equal(t, one.want, core.eligibility(server, at(one.remaining), now), "%d missing, link %s, %s left", one.missing, one.link, one.remaining)
 	}
 }
 
--- a/coordination/quarantine/evidence.go
+++ b/coordination/quarantine/evidence.go
@@ -36,8 +36,8 @@
 	explained bool
 }
 
-// clearing records that a fingerprint was answered: crashes up to the time at do not count against
-// it. liftsQuarantine is set if the answer lifted a quarantine.
+// clearing records that a fingerprint was cleared by an answer or an operator: crashes up to the time
+// at do not count against it. liftsQuarantine is set if the clearing lifted a quarantine.
 type clearing struct {
 	at              time.Duration
 	liftsQuarantine bool
--- a/coordination/silence/silence.go
+++ b/coordination/silence/silence.go
@@ -185,8 +185,8 @@
 	silentAt    map[string]time.Duration
 	silentSince map[string]time.Duration
 	lastActive  map[string]time.Duration
-	// prunedAt is when unused servers were last removed.
-	prunedAt time.Duration
+	// expiredAt is when unused servers were last removed.
+	expiredAt time.Duration
 }
 
 // NewDetector returns a detector without observations.
@@ -229,7 +229,7 @@
 		probe := d.probeOf(conn.Server)
 		probe.connectedAt, probe.observedAt = max(probe.connectedAt, conn.Opened), now
 	}
-	d.prune(now)
+	d.expireServers(now)
 	var result Result
 	// Each method covers a case that the other misses: without the second, streams in progress
 	// pause for 1.1 s where a middlebox acknowledges packets; without the first, a lone stream
@@ -239,12 +239,12 @@
 	return result
 }
 
-// prune removes the servers that have not been observed for serverTTL.
-func (d *Detector) prune(now time.Duration) {
-	if now-d.prunedAt < serverTTL {
+// expireServers removes the servers that have not been observed for serverTTL.
+func (d *Detector) expireServers(now time.Duration) {
+	if now-d.expiredAt < serverTTL {
 		return
 	}
-	d.prunedAt = now
+	d.expiredAt = now
 	maps.DeleteFunc(d.probes, func(_ string, probe *probeState) bool { return now-probe.observedAt > serverTTL })
 	maps.DeleteFunc(d.silentAt, func(_ string, at time.Duration) bool { return now-at > serverTTL })
 	forgotten := func(server string, _ time.Duration) bool {
