--- a/coordination/dispatch/candidate.go
+++ b/coordination/dispatch/candidate.go
@@ -46,15 +46,15 @@
 	superseded bool
 	// firstListed is when the list first named this incarnation.
 	firstListed time.Time
-	// nextStart is the start time of an incarnation that the agent reports and the list does not name yet;
-	// until endedUntil the listed one counts as ended.
-	nextStart  incarnation.StartTime
-	endedUntil time.Time
+	// nextStart is the start time of an incarnation that the agent reports and the list does not name yet.
+	// The listed incarnation counts as ended until presumedEndedUntil.
+	nextStart          incarnation.StartTime
+	presumedEndedUntil time.Time
 }
 
 // answerTimes holds moving means of a server's answer times.
 type answerTimes struct {
-	// meanMilliseconds is the moving mean time of whole answers.
+	// meanMilliseconds is the moving mean time of complete answers.
 	meanMilliseconds float64
 	// firstMean is the moving mean time to the first event of streams.
 	firstMean time.Duration
@@ -66,7 +66,7 @@
 	firstMeanWeight = 0.1
 )
 
-func (a *answerTimes) addWhole(elapsed time.Duration) {
+func (a *answerTimes) addComplete(elapsed time.Duration) {
 	value := float64(elapsed) / float64(time.Millisecond)
 	if a.meanMilliseconds == 0 {
 		a.meanMilliseconds = value
@@ -143,14 +143,14 @@
 	Version   uint64
 	Health    health.View
 	ReportAge time.Duration
-	// MeanMilliseconds is the moving mean time of whole answers.
+	// MeanMilliseconds is the moving mean time of complete answers.
 	MeanMilliseconds float64
 	// ColdFor is how much longer the server counts as cold. Evacuated servers are sent no new requests.
 	ColdFor   time.Duration
 	Evacuated bool
-	// Limit is the rate limit that the server names, BackoffLeft how much longer it is backing off.
-	Limit       RateLimitStatus
-	BackoffLeft time.Duration
+	// Limit is the rate limit that the server names, BackoffRemaining how much longer it is backing off.
+	Limit            RateLimitStatus
+	BackoffRemaining time.Duration
 	// AnnouncedLeaving is set when an answer has announced that the server is about to stop.
 	AnnouncedLeaving bool
 }
@@ -166,7 +166,7 @@
 			ColdFor:          max(0, candidate.coldUntil().Sub(now)),
 			Evacuated:        c.Evacuated(candidate.Zone),
 			Limit:            c.rateLimitStatus(candidate, now),
-			BackoffLeft:      candidate.backoffLeft(now),
+			BackoffRemaining: candidate.backoffRemaining(now),
 			AnnouncedLeaving: candidate.notices.leaving,
 		})
 	}
--- a/coordination/dispatch/health.go
+++ b/coordination/dispatch/health.go
@@ -170,7 +170,7 @@
 // leavesTimeForRetry reports whether a lost server's trial that times out leaves the request the time that an
 // answer typically takes elsewhere.
 func (c *Core) leavesTimeForRetry(k *Candidate, request *Request, now time.Time) bool {
-	return request.TimeLeft <= 0 || c.lostTrialTimeout(k, request, now)+c.typicalTrialTime(k, request, now) <= request.TimeLeft
+	return request.TimeRemaining <= 0 || c.lostTrialTimeout(k, request, now)+c.typicalTrialTime(k, request, now) <= request.TimeRemaining
 }
 
 // updateHealth passes the listed servers to the health tracker.
@@ -247,5 +247,7 @@
 // EjectedServers returns the number of servers that are ejected or on trial.
 func (c *Core) EjectedServers() int { return len(c.health.Ejected()) }
 
-// RecordAnswerTime records how long a whole answer took.
-func (c *Core) RecordAnswerTime(k *Candidate, elapsed time.Duration) { k.answerTimes.addWhole(elapsed) }
+// RecordAnswerTime records how long a complete answer took.
+func (c *Core) RecordAnswerTime(k *Candidate, elapsed time.Duration) {
+	k.answerTimes.addComplete(elapsed)
+}
--- a/coordination/dispatch/messages.go
+++ b/coordination/dispatch/messages.go
@@ -101,7 +101,7 @@
 	Engine *Engine
 	// Figures are those of Engine, completed and corrected by Core.Figures.
 	Figures balance.Server
-	// Target is the promised time to the first event, or to the whole answer.
+	// Target is the promised time to the first event, or to the complete answer.
 	Target time.Duration
 	// Streaming requests are answered in events.
 	Streaming bool
@@ -110,8 +110,8 @@
 	// LastAttempt is set when no attempt would follow a failed one, for lack of time, attempts or retry
 	// budget.
 	LastAttempt bool
-	// TimeLeft is what remains of the caller's time, 0 if it is unlimited.
-	TimeLeft time.Duration
+	// TimeRemaining is what remains of the caller's time, 0 if it is unlimited.
+	TimeRemaining time.Duration
 	// MinOverdueTime is the minimum silence after which an answer can be overdue.
 	MinOverdueTime time.Duration
 	// OtherEntries is the number of other entries that may be sending to the service's servers.
--- a/coordination/dispatch/smallregion_test.go
+++ b/coordination/dispatch/smallregion_test.go
@@ -14,13 +14,14 @@
 // answered in time varies by 0.03 between seeds.
 const regionSeeds = 5
 
+// regionOutcome sums the counts of several runs; the fields are those of regionFleet.
 type regionOutcome struct {
 	free, singleRegion                      regionCount
 	besideIdle, besideRoom, misplaced, away int
 }
 
-// inTime returns the ratio of all requests that were answered in time.
-func (o *regionOutcome) inTime() float64 {
+// inTimeRatio returns the ratio of all requests that were answered in time.
+func (o *regionOutcome) inTimeRatio() float64 {
 	all := o.free
 	all.add(o.singleRegion)
 	return all.ratio(all.inTime)
@@ -50,9 +51,9 @@
 		queries            bool
 		// local sends single-region requests only to the entries of their region.
 		local bool
-		// floor is the minimum ratio of single-region requests answered in time, mostLost the maximum loss of
+		// floor is the minimum ratio of single-region requests answered in time, maxLoss the maximum loss of
 		// the ratio of all requests against a run without the penalty.
-		floor, mostLost float64
+		floor, maxLoss float64
 		// seeds is set where more than regionSeeds are needed to resolve the ratio to 0.01.
 		seeds int
 	}{
@@ -61,10 +62,10 @@
 		"0.7, 0.15 single-region, local":        {load: 0.7, singleRegion: 0.15, local: true, floor: 0.88},
 		"0.95 of the slots, 0.15 single-region": {load: 0.95, singleRegion: 0.15, floor: 0.58},
 		"0.95 of the slots, 0.25 single-region": {load: 0.95, singleRegion: 0.25, floor: 0.5},
-		"1.1 of the slots, 0.15 single-region":  {load: 1.1, singleRegion: 0.15, floor: 0.32, mostLost: 0.02},
-		"1.1 of the slots, 0.25 single-region":  {load: 1.1, singleRegion: 0.25, floor: 0.33, mostLost: 0.04},
+		"1.1 of the slots, 0.15 single-region":  {load: 1.1, singleRegion: 0.15, floor: 0.32, maxLoss: 0.02},
+		"1.1 of the slots, 0.25 single-region":  {load: 1.1, singleRegion: 0.25, floor: 0.33, maxLoss: 0.04},
 		"agents queried, 0.95 and 0.15":         {load: 0.95, singleRegion: 0.15, queries: true, floor: 0.97},
-		"agents queried, 1.1 and 0.15":          {load: 1.1, singleRegion: 0.15, queries: true, floor: 0.7, mostLost: 0.005},
+		"agents queried, 1.1 and 0.15":          {load: 1.1, singleRegion: 0.15, queries: true, floor: 0.7, maxLoss: 0.005},
 		"agents queried, 1.1 and 0.25":          {load: 1.1, singleRegion: 0.25, queries: true, floor: 0.63},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -74,11 +75,11 @@
 			with, without := playRegions(day, 1), playRegions(day, 0)
 			t.Logf("in time: single-region %.3f, without %.3f; free %.3f, %.3f; all %.3f, %.3f. Refusals per request: single-region %.3f, %.3f; free %.3f, %.3f. Free requests sent to the other region %d, %d of %d; refused beside room %d, %d",
 				with.singleRegion.ratio(with.singleRegion.inTime), without.singleRegion.ratio(without.singleRegion.inTime), with.free.ratio(with.free.inTime), without.free.ratio(without.free.inTime),
-				with.inTime(), without.inTime(), with.singleRegion.ratio(with.singleRegion.refusals), without.singleRegion.ratio(without.singleRegion.refusals),
+				with.inTimeRatio(), without.inTimeRatio(), with.singleRegion.ratio(with.singleRegion.refusals), without.singleRegion.ratio(without.singleRegion.refusals),
 				with.free.ratio(with.free.refusals), without.free.ratio(without.free.refusals), with.away, without.away, with.free.total, with.besideRoom, without.besideRoom)
 			assert.Greater(t, with.singleRegion.ratio(with.singleRegion.inTime), tc.floor)
 			assert.Less(t, without.singleRegion.ratio(without.singleRegion.inTime), tc.floor, "the floor is reached without the penalty")
-			assert.Greater(t, with.inTime(), without.inTime()-tc.mostLost)
+			assert.Greater(t, with.inTimeRatio(), without.inTimeRatio()-tc.maxLoss)
 			assert.Zero(t, with.besideIdle, "free requests refused beside an idle server")
 			if tc.queries {
 				assert.Zero(t, with.besideRoom, "free requests refused beside a server with room")
