--- a/internal/agent/activation.go
+++ b/internal/agent/activation.go
@@ -24,9 +24,11 @@
 const (
 	// activationTick is the period at which the engine's status is queried.
 	activationTick = 200 * time.Millisecond
-	// canaryTimeout is how long to wait while all earlier machines are unreachable.
+	// canaryTimeout is how long to wait while all machines that are earlier in the zone's order
+	// are unreachable.
 	canaryTimeout = 3 * time.Second
-	// maxCanaries is the maximum number of earlier machines whose state is queried.
+	// maxCanaries is the maximum number of machines, from the start of the zone's order, whose
+	// state is queried.
 	maxCanaries = 3
 	// probeTimeout limits the probe of a newly loaded version.
 	probeTimeout = 10 * time.Second
@@ -156,7 +158,7 @@
 	c.incarnation = status.Incarnation
 }
 
-// publish writes the admitted versions to the blackboard; the mutex is held.
+// publish writes the admitted versions to the blackboard. The mutex must be held.
 func (c *activationController) publish() {
 	admitted := make([]protocol.ServedVersion, 0, len(c.served))
 	for _, version := range c.served {
@@ -403,7 +405,7 @@
 }
 
 // retireUnassigned retires models that are no longer assigned to this machine after
-// a change of the configuration or the membership list; the mutex is held.
+// a change of the configuration or the membership list. The mutex must be held.
 func (c *activationController) retireUnassigned() {
 	snapshot, configured := blackboard.Read(c.node.Board, node.SnapshotKey)
 	members, listed := blackboard.Read(c.node.Board, node.MembersKey)
--- a/internal/agent/keys.go
+++ b/internal/agent/keys.go
@@ -7,8 +7,8 @@
 	"pinevane.example/pinevane/internal/protocol"
 )
 
-// keyName identifies a caller's idempotency key within its tenant.
-type keyName struct {
+// scopedKey identifies a caller's idempotency key within its tenant.
+type scopedKey struct {
 	tenant string
 	key    string
 }
@@ -16,42 +16,42 @@
 // keyEntry records a non-repeatable call that has started; its answer is nil
 // until the call has succeeded.
 type keyEntry struct {
-	name   keyName
-	id     attempt.ID
-	answer *protocol.Answer
+	scopedKey scopedKey
+	id        attempt.ID
+	answer    *protocol.Answer
 }
 
 // keyLedger records the most recent non-repeatable calls, by attempt and by the
 // caller's key. It is not safe for concurrent use.
 type keyLedger struct {
 	limit  int
-	byKey  map[keyName]*keyEntry
+	byKey  map[scopedKey]*keyEntry
 	byID   map[attempt.ID]*keyEntry
 	recent []*keyEntry
 }
 
 func newKeyLedger(limit int) *keyLedger {
-	return &keyLedger{limit: limit, byKey: map[keyName]*keyEntry{}, byID: map[attempt.ID]*keyEntry{}}
+	return &keyLedger{limit: limit, byKey: map[scopedKey]*keyEntry{}, byID: map[attempt.ID]*keyEntry{}}
 }
 
-func nameOf(submit protocol.Submit) keyName {
-	return keyName{tenant: submit.Tenant, key: submit.Key}
+func scopedKeyOf(submit protocol.Submit) scopedKey {
+	return scopedKey{tenant: submit.Tenant, key: submit.Key}
 }
 
 // claim reserves a key for an attempt. If the key is already in use, known is
 // true and answer is that of the earlier call, or nil while there is none.
 func (l *keyLedger) claim(submit protocol.Submit) (answer *protocol.Answer, known bool) {
-	if earlier, taken := l.byKey[nameOf(submit)]; taken {
+	if earlier, taken := l.byKey[scopedKeyOf(submit)]; taken {
 		return earlier.answer, true
 	}
-	l.add(&keyEntry{name: nameOf(submit), id: submit.ID})
+	l.add(&keyEntry{scopedKey: scopedKeyOf(submit), id: submit.ID})
 	return nil, false
 }
 
 // release removes a key whose call certainly did not run.
 func (l *keyLedger) release(submit protocol.Submit) {
-	entry, held := l.byID[submit.ID]
-	if !held {
+	entry, found := l.byID[submit.ID]
+	if !found {
 		return
 	}
 	l.drop(entry)
@@ -60,9 +60,9 @@
 
 // record stores the answer of a non-repeatable call.
 func (l *keyLedger) record(submit protocol.Submit, answer *protocol.Answer) {
-	entry, held := l.byID[submit.ID]
-	if !held {
-		entry = &keyEntry{name: nameOf(submit), id: submit.ID}
+	entry, found := l.byID[submit.ID]
+	if !found {
+		entry = &keyEntry{scopedKey: scopedKeyOf(submit), id: submit.ID}
 		l.add(entry)
 	}
 	entry.answer = answer
@@ -70,15 +70,15 @@
 
 // answerOf returns the answer of an attempt, or nil.
 func (l *keyLedger) answerOf(id attempt.ID) *protocol.Answer {
-	if entry, held := l.byID[id]; held {
+	if entry, found := l.byID[id]; found {
 		return entry.answer
 	}
 	return nil
 }
 
 func (l *keyLedger) add(entry *keyEntry) {
-	if entry.name.key != "" {
-		l.byKey[entry.name] = entry
+	if entry.scopedKey.key != "" {
+		l.byKey[entry.scopedKey] = entry
 	}
 	l.byID[entry.id] = entry
 	l.recent = append(l.recent, entry)
@@ -90,7 +90,7 @@
 
 func (l *keyLedger) drop(entry *keyEntry) {
 	delete(l.byID, entry.id)
-	if l.byKey[entry.name] == entry {
-		delete(l.byKey, entry.name)
+	if l.byKey[entry.scopedKey] == entry {
+		delete(l.byKey, entry.scopedKey)
 	}
 }
--- a/internal/agent/transfer.go
+++ b/internal/agent/transfer.go
@@ -65,7 +65,7 @@
 	return t
 }
 
-// updatePlan computes the plan from the assignment. The mutex is held, or the
+// updatePlan computes the plan from the assignment. The mutex must be held, or the
 // transfer is not shared yet.
 func (t *transfer) updatePlan() {
 	roster := dissemination.NewRoster(t.assigned.machines)
--- a/internal/agent/weights.go
+++ b/internal/agent/weights.go
@@ -187,7 +187,7 @@
 	c.uplink.SetLimit(limit)
 }
 
-// start starts a transfer; the mutex is held.
+// start starts a transfer. The mutex must be held.
 func (c *weightsController) start(ctx context.Context, assigned assignment) {
 	c.node.Log.Log(logging.RolloutDetected, zap.String("model", assigned.model.Name),
 		zap.String("version", assigned.model.Version), zap.Int("machines", len(assigned.machines)))
@@ -198,7 +198,7 @@
 }
 
 // abandon cancels a transfer whose version is no longer assigned. Chunks that the
-// next version shares stay in the store. The mutex is held.
+// next version shares stay in the store. The mutex must be held.
 func (c *weightsController) abandon(digest weights.Digest, existing *transfer) {
 	existing.cancel()
 	delete(c.transfers, digest)
@@ -209,7 +209,7 @@
 	}
 }
 
-// publishStaged writes the staged versions to the blackboard; the mutex is held.
+// publishStaged writes the staged versions to the blackboard. The mutex must be held.
 func (c *weightsController) publishStaged() {
 	staged := make([]StagedVersion, 0, len(c.staged))
 	for _, version := range c.staged {
--- a/internal/bytequota/quota.go
+++ b/internal/bytequota/quota.go
@@ -6,12 +6,12 @@
 
 import "sync"
 
-// Quota is a bound and the bytes held of it. It is safe for concurrent use.
+// Quota limits the bytes held by all tenants together to a bound. It is safe for concurrent use.
 type Quota struct {
 	mutex sync.Mutex
 	bound int64
 	held  int64
-	// tenants holds the bytes of each tenant that holds any.
+	// tenants maps each tenant that holds bytes to their number.
 	tenants map[string]int64
 	refused uint64
 }
--- a/internal/bytequota/read.go
+++ b/internal/bytequota/read.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// grownSize returns the size to which a full buffer grows: twice as much, up to one byte more than the
-// source's size, which lets the read that detects the end fit.
+// grownSize returns the size to which a full buffer grows: twice as much, but at most one byte more than
+// the source's size. That byte is room for the read that detects the end.
 func grownSize(full, size int64) int64 {
 	grown := max(2*full, chunkBytes)
 	if size >= full {
--- a/internal/command/daemons.go
+++ b/internal/command/daemons.go
@@ -26,14 +26,14 @@
 )
 
 // limitMemory keeps the memory of a daemon within its share of a machine.
-func limitMemory() { limitMemoryAt(heapGrowthPercent) }
+func limitMemory() { limitMemoryWithGCPercent(heapGrowthPercent) }
 
-func limitMemoryAt(percent int) {
+func limitMemoryWithGCPercent(gcPercent int) {
 	if os.Getenv("GOMEMLIMIT") == "" {
 		debug.SetMemoryLimit(memoryLimitBytes)
 	}
 	if os.Getenv("GOGC") == "" {
-		debug.SetGCPercent(percent)
+		debug.SetGCPercent(gcPercent)
 	}
 }
 
--- a/internal/command/platform.go
+++ b/internal/command/platform.go
@@ -42,7 +42,7 @@
 	if err := checkRole(role, settings); err != nil {
 		return err
 	}
-	limitMemoryAt(platformHeapGrowthPercent)
+	limitMemoryWithGCPercent(platformHeapGrowthPercent)
 	log := logging.NewBounded(level, settings.Name, os.Stdout)
 	defer log.Sync()
 	process := daemon.New(daemon.Options{
@@ -85,15 +85,15 @@
 type settingsWatcher struct {
 	path   string
 	hangUp chan os.Signal
-	// last is the modification time of the file when it was last read.
-	last string
+	// lastModified is the file's modification time when it was last read.
+	lastModified string
 }
 
 // watchSettings returns a watcher that detects changes from now on.
 func watchSettings(path string) *settingsWatcher {
 	w := &settingsWatcher{path: path, hangUp: make(chan os.Signal, 1)}
 	signal.Notify(w.hangUp, syscall.SIGHUP)
-	w.last = modificationTime(path)
+	w.lastModified = modificationTime(path)
 	return w
 }
 
@@ -104,11 +104,11 @@
 	for {
 		select {
 		case <-w.hangUp:
-			w.last = modificationTime(w.path)
+			w.lastModified = modificationTime(w.path)
 			reload()
 		case <-ticker.C:
-			if current := modificationTime(w.path); current != w.last {
-				w.last = current
+			if current := modificationTime(w.path); current != w.lastModified {
+				w.lastModified = current
 				reload()
 			}
 		}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -114,7 +114,7 @@
 			func(s catalog.Status) float64 { return s.FreshAge }),
 		gauge("pinevane_evacuated_zones", "Zones whose servers are sent nothing new, because the operator has evacuated them.",
 			func(s catalog.Status) float64 { return float64(len(s.EvacuatedZones)) }),
-		newFaultyCollector(d.Catalog),
+		newFaultyRecordCollector(d.Catalog),
 		prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "pinevane_store_calls_total", Help: "Calls to the platform's store."},
 			func() float64 { return float64(d.Catalog.StoreCalls()) }),
 	)
@@ -151,8 +151,8 @@
 // Limits of the HTTP servers of a process. There is no write timeout, because
 // streams are long-lived.
 const (
-	readHeaderTimeout  = 5 * time.Second
-	maximumHeaderBytes = 64 << 10
+	readHeaderTimeout = 5 * time.Second
+	maxHeaderBytes    = 64 << 10
 )
 
 // Serve listens on an address and serves a handler there until Close.
@@ -169,7 +169,7 @@
 // called on each change of a connection's state.
 func (d *Daemon) ServeOn(listener net.Listener, handler http.Handler, onState func(net.Conn, http.ConnState)) {
 	server := &http.Server{
-		Handler: handler, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maximumHeaderBytes,
+		Handler: handler, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: d.Log.Standard(logging.HTTPServerError), ConnState: onState,
 	}
 	d.mutex.Lock()
--- a/internal/daemon/faulty.go
+++ b/internal/daemon/faulty.go
@@ -6,24 +6,24 @@
 	"pinevane.example/pinevane/internal/catalog"
 )
 
-// faultyCollector exports the number of invalid server records as a metric, by kind of fault.
-type faultyCollector struct {
+// faultyRecordCollector exports the number of invalid server records as a metric, by kind of fault.
+type faultyRecordCollector struct {
 	catalog     *catalog.Catalog
 	description *prometheus.Desc
 }
 
-func newFaultyCollector(source *catalog.Catalog) *faultyCollector {
-	return &faultyCollector{catalog: source, description: prometheus.NewDesc(
+func newFaultyRecordCollector(source *catalog.Catalog) *faultyRecordCollector {
+	return &faultyRecordCollector{catalog: source, description: prometheus.NewDesc(
 		"pinevane_faulty_records_total", "Records of servers that could not be used, each time that one was read.", []string{"fault"}, nil)}
 }
 
 // Describe implements prometheus.Collector.
-func (c *faultyCollector) Describe(descriptions chan<- *prometheus.Desc) {
+func (c *faultyRecordCollector) Describe(descriptions chan<- *prometheus.Desc) {
 	descriptions <- c.description
 }
 
 // Collect implements prometheus.Collector.
-func (c *faultyCollector) Collect(metrics chan<- prometheus.Metric) {
+func (c *faultyRecordCollector) Collect(metrics chan<- prometheus.Metric) {
 	for kind, count := range c.catalog.FaultyRecords() {
 		metrics <- prometheus.MustNewConstMetric(c.description, prometheus.CounterValue, float64(count), string(kind))
 	}
--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -248,7 +248,7 @@
 		// The records of the lost back ends are gone, so their executions can't be counted.
 		return report, nil
 	}
-	calls, generations, err := r.records()
+	calls, generations, err := r.executionCounts()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -44,7 +44,7 @@
 // report verifies the guarantees and returns the report of the run.
 func (d *demo) report(times []time.Duration, originBytes int64) (*Report, error) {
 	results := d.recorder.Results()
-	calls, generations, err := d.records()
+	calls, generations, err := d.executionCounts()
 	if err != nil {
 		return nil, err
 	}
@@ -60,7 +60,7 @@
 	report := &Report{
 		Deployment: d.deployment.Name, Machines: len(d.machines(external.RoleAgent, true)), Live: len(times), Chunks: next.ChunkCount(),
 		FirstLive: times[0].Seconds(), HalfLive: times[len(times)/2].Seconds(), AllLive: times[len(times)-1].Seconds(),
-		LowerBound:  float64(next.Bytes) / (linkRate * d.linkRatio()),
+		LowerBound:  float64(next.Bytes) / (linkRate * d.linkFraction()),
 		OriginBytes: originBytes, OriginCopies: float64(originBytes) / float64(next.Bytes),
 		Requests: workload.Summarize(results), Violations: violations,
 	}
@@ -111,8 +111,8 @@
 
 func megabytes[T int64 | int](bytes T) float64 { return float64(bytes) / (1 << 20) }
 
-// records returns how often each request was executed by the back ends.
-func (d *demo) records() (calls, generations promise.Runs, err error) {
+// executionCounts returns how often each request was executed by the back ends.
+func (d *demo) executionCounts() (calls, generations promise.Runs, err error) {
 	calls, generations = promise.Runs{}, promise.Runs{}
 	for _, machine := range d.fleet.Machines {
 		if machine.Role != external.RoleAgent {
--- a/internal/demo/requests.go
+++ b/internal/demo/requests.go
@@ -11,7 +11,7 @@
 	"pinevane.example/pinevane/internal/workload"
 )
 
-// Mix and sizes of the demo's requests.
+// Kinds of the demo's requests, and lengths of their answers in tokens.
 const (
 	shortTokens = 24
 	longTokens  = 160
@@ -21,7 +21,7 @@
 	callRatio  = 0.4
 )
 
-func (d *demo) linkRatio() float64 { return d.snapshot.Rollout.LinkFraction }
+func (d *demo) linkFraction() float64 { return d.snapshot.Rollout.LinkFraction }
 
 func (d *demo) tenants() []string { return slices.Sorted(maps.Keys(d.snapshot.Tenants)) }
 
--- a/internal/demo/system.go
+++ b/internal/demo/system.go
@@ -50,7 +50,7 @@
 	fleet   *launch.SiteFleet
 	site    *site.Site
 	group   *launch.Group
-	// residencies are enforced from before the first process starts.
+	// residencies are in force before the first process starts.
 	residencies site.Residencies
 
 	answered   atomic.Int64
@@ -83,15 +83,15 @@
 	if err := d.fleet.StartAll(systemReady); err != nil {
 		return err
 	}
-	shape := d.site.Options
-	d.printf("%d entries and %d agents are running as processes in %d zones", shape.Zones*shape.Entries, shape.Zones*shape.ModelServers, shape.Zones)
+	options := d.site.Options
+	d.printf("%d entries and %d agents are running as processes in %d zones", options.Zones*options.Entries, options.Zones*options.ModelServers, options.Zones)
 	ctx, cancel := context.WithCancel(context.Background())
 	var callers sync.WaitGroup
 	for caller := range systemCallers {
 		callers.Go(func() { d.runCaller(ctx, caller) })
 	}
 	time.Sleep(systemWarmUp)
-	err := d.operate()
+	err := d.runOperatorActions()
 	cancel()
 	callers.Wait()
 	if err != nil {
@@ -100,8 +100,8 @@
 	return d.report()
 }
 
-// operate performs the operators' actions under load.
-func (d *systemDemo) operate() error {
+// runOperatorActions performs the operators' actions under load.
+func (d *systemDemo) runOperatorActions() error {
 	announced := time.Now()
 	d.site.AnnounceVersion(2)
 	if err := launch.WaitFor(systemVersionTime, "version 2 to be in service everywhere", func() bool { return d.allServe(2) }); err != nil {
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -44,8 +44,8 @@
 
 // Limits of a deployment that is emulated on one machine.
 const (
-	maximumZones    = 64
-	maximumMachines = 250
+	maxZones    = 64
+	maxMachines = 250
 )
 
 // Read reads and validates the deployment file of a directory.
@@ -59,7 +59,7 @@
 	if err := yaml.NewDecoder(bytes.NewReader(data), yaml.Strict()).Decode(result); err != nil {
 		return nil, &fault.InvalidDocument{Document: path, Path: "document", Reason: err.Error()}
 	}
-	if len(result.Zones) == 0 || len(result.Zones) > maximumZones {
+	if len(result.Zones) == 0 || len(result.Zones) > maxZones {
 		return nil, &fault.InvalidDocument{Document: path, Path: "zones", Reason: "must have 1 to 64 entries"}
 	}
 	for i, zone := range result.Zones {
@@ -67,7 +67,7 @@
 		for _, count := range zone.Services {
 			machines += count
 		}
-		if machines < 1 || machines > maximumMachines || zone.Entries < 0 || zone.Engines < 0 {
+		if machines < 1 || machines > maxMachines || zone.Entries < 0 || zone.Engines < 0 {
 			return nil, &fault.InvalidDocument{Document: path, Path: fmt.Sprintf("zones[%d]", i), Reason: "must have 1 to 250 machines"}
 		}
 	}
--- a/internal/emulator/answer.go
+++ b/internal/emulator/answer.go
@@ -32,9 +32,9 @@
 }
 
 // Answer returns the complete answer to a prompt.
-func Answer(identity weights.Digest, adapter, prompt string, maximumTokens int) string {
+func Answer(identity weights.Digest, adapter, prompt string, maxTokens int) string {
 	var text strings.Builder
-	for index := range min(maximumTokens, maxAnswerTokens) {
+	for index := range min(maxTokens, maxAnswerTokens) {
 		text.WriteString(Token(identity, adapter, prompt, index))
 	}
 	return text.String()
--- a/internal/emulator/site/answers.go
+++ b/internal/emulator/site/answers.go
@@ -70,7 +70,7 @@
 	return LimitOvershoot*perSecond*LimitWindow.Seconds() + LimitSlack
 }
 
-// writeNotice sets the server notice in response headers and records it; the mutex is held. Status
+// writeNotice sets the server notice in response headers and records it. The mutex must be held. Status
 // reports pass an empty request ID and are not recorded.
 func (s *Server) writeNotice(header http.Header, requestID string, backoff time.Duration) {
 	notice := ServerNotice{RequestID: requestID, Server: s.options.ID, At: time.Now(), Leaving: s.leaving, Backoff: backoff}
--- a/internal/emulator/site/orders.go
+++ b/internal/emulator/site/orders.go
@@ -24,7 +24,7 @@
 	return layerRange{to: s.options.Weights.Layers}
 }
 
-// completelyLoaded reports whether every layer of the version is loaded; the mutex is held.
+// completelyLoaded reports whether every layer of the version is loaded. The mutex must be held.
 func (s *Server) completelyLoaded() bool { return s.version != 0 && s.loadedLayers == s.allLayers() }
 
 // layers returns the loaded layer range for status reports, or nil while an order is executed.
--- a/internal/emulator/site/server.go
+++ b/internal/emulator/site/server.go
@@ -67,8 +67,8 @@
 	Requests  *RequestLog
 	// StartTime is the announced start time in Unix milliseconds, 0 to omit it.
 	StartTime int64
-	// ColdTime is the duration of the cold start that SetCold begins, ColdLimit the number of
-	// requests per second that the server tolerates in it; 0 means no limit.
+	// ColdTime is the duration of the cold start that SetCold begins. ColdLimit is the number of
+	// requests per second above which a cold server becomes overloaded; 0 means no limit.
 	ColdTime  time.Duration
 	ColdLimit float64
 	// OnBegin is called with the ID and body of each request that the server begins to execute,
@@ -257,7 +257,7 @@
 	return s.overloaded
 }
 
-// recordDelivery records a request that reached the server it was meant for; the mutex is held. A
+// recordDelivery records a request that reached the server it was meant for. The mutex must be held. A
 // server that receives more requests per second than it tolerates in a cold start stops answering.
 func (s *Server) recordDelivery(id string) {
 	now := time.Now()
@@ -355,7 +355,7 @@
 	writeJSON(writer, report)
 }
 
-// notifyWaiting wakes waiting requests; the mutex is held.
+// notifyWaiting wakes waiting requests. The mutex must be held.
 func (s *Server) notifyWaiting() {
 	close(s.slotFreed)
 	s.slotFreed = make(chan struct{})
--- a/internal/emulator/site/site.go
+++ b/internal/emulator/site/site.go
@@ -194,8 +194,8 @@
 
 func (o Options) originAddress() string { return fmt.Sprintf("%s:%d", o.ip(200, 2), originPort) }
 
-// FreeNetwork returns a network of a range that no other emulation uses. It tries them in turn
-// from begin, and returns that one if none is free.
+// FreeNetwork returns the number of a loopback network that no other emulation uses. It tries count
+// networks from first on, starting at offset begin, and returns the network at that offset if none is free.
 func FreeNetwork(first, count, begin int) int {
 	for offset := range count {
 		network := first + (begin+offset)%count
--- a/internal/emulator/site/store.go
+++ b/internal/emulator/site/store.go
@@ -94,7 +94,7 @@
 	return s.revision
 }
 
-// notifyWatches wakes waiting watches; the mutex is held.
+// notifyWatches wakes waiting watches. The mutex must be held.
 func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -198,7 +198,7 @@
 	return s.calls
 }
 
-// rejects reports whether a call is answered with 503; the mutex is held.
+// rejects reports whether a call is answered with 503. The mutex must be held.
 func (s *Store) rejects(request *http.Request) bool {
 	machine, _ := request.Context().Value(machineKey{}).(string)
 	return s.down || s.refused[machine]
@@ -275,7 +275,7 @@
 	}
 }
 
-// changesAfter returns the changes after a revision, or an error status; the mutex is held.
+// changesAfter returns the changes after a revision, or an error status. The mutex must be held.
 func (s *Store) changesAfter(request *http.Request, prefix string, after uint64) (int, []record) {
 	if s.rejects(request) {
 		return http.StatusServiceUnavailable, nil
--- a/internal/entry/borrowing.go
+++ b/internal/entry/borrowing.go
@@ -32,10 +32,11 @@
 	Grant  escrow.Grant `cbor:"2,keyasint"`
 }
 
-// SharesKey is the blackboard key of the tenants with demand.
+// SharesKey is the blackboard key of the shares of the tenants that have demand or open requests.
 var SharesKey = blackboard.NewKey[[]ShareView]("limits.shares")
 
-// borrowInterval is how often demand is compared with the usable share.
+// borrowInterval is the interval at which each tenant's demand is compared with the entry's usable share of
+// the tenant's limit.
 const borrowInterval = 500 * time.Millisecond
 
 // dialTimeout is the timeout for a link to another entry.
--- a/internal/entry/generate.go
+++ b/internal/entry/generate.go
@@ -96,10 +96,10 @@
 		Repeatable: g.call.repeatable, Key: g.call.key, RemainingMilliseconds: remaining.Milliseconds(),
 		Generate: &protocol.Generate{
 			Model: g.request.model, Version: chosen.version, Adapter: g.request.adapter,
-			Prompt: g.request.prompt, MaximumTokens: g.request.maximumTokens, ResumeFrom: g.nextIndex,
+			Prompt: g.request.prompt, MaximumTokens: g.request.maxTokens, ResumeFrom: g.nextIndex,
 		},
 	}
-	started, err := g.entry.replicas.submit(chosen.target, work, eventBufferSize(g.request.maximumTokens-g.nextIndex)+extraEvents)
+	started, err := g.entry.replicas.submit(chosen.target, work, eventBufferSize(g.request.maxTokens-g.nextIndex)+extraEvents)
 	if err != nil {
 		var notSent *fault.Refusal
 		errors.As(err, &notSent)
@@ -108,12 +108,12 @@
 	return g.awaitEvents(ctx, chosen, started)
 }
 
-// maximumBufferedEvents bounds the events of one attempt that are buffered for the caller. If a
+// maxBufferedEvents bounds the events of one attempt that are buffered for the caller. If a
 // slow caller fills the buffer, events are dropped, and the attempt is cancelled and resumed at the
 // first missing token.
-const maximumBufferedEvents = 4 << 10
+const maxBufferedEvents = 4 << 10
 
-func eventBufferSize(tokens int) int { return min(tokens, maximumBufferedEvents) }
+func eventBufferSize(tokens int) int { return min(tokens, maxBufferedEvents) }
 
 // timeRemaining returns the time remaining until the deadline.
 func timeRemaining(ctx context.Context) (time.Duration, *fault.Refusal) {
@@ -153,7 +153,8 @@
 	return fault.Unknown(fault.ReasonCanceled, "the caller hung up")
 }
 
-// handleEvent handles one event. ended is true if it was the attempt's last.
+// handleEvent handles one event. done is true if the request needs no further attempt, ended if the event
+// was the attempt's last.
 func (g *generation) handleEvent(started *runningAttempt, chosen choice, event protocol.Event) (done bool, refusal *fault.Refusal, ended bool) {
 	switch event.Kind {
 	case protocol.Token:
--- a/internal/entry/http.go
+++ b/internal/entry/http.go
@@ -39,8 +39,8 @@
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
-// maximumKeyBytes bounds the length of an idempotency key.
-const maximumKeyBytes = 256
+// maxKeyBytes bounds the length of an idempotency key.
+const maxKeyBytes = 256
 
 func (e *Entry) mountRoutes(router chi.Router) {
 	router.Post("/v1/chat/completions", e.authenticated(e.chatCompletions))
@@ -119,7 +119,7 @@
 	}
 	c.tenant = tenant
 	c.key = request.Header.Get(HeaderIdempotencyKey)
-	if len(c.key) > maximumKeyBytes {
+	if len(c.key) > maxKeyBytes {
 		return badRequest(HeaderIdempotencyKey, "must be at most 256 bytes")
 	}
 	switch request.Header.Get(HeaderRepeatable) {
--- a/internal/entry/limits_test.go
+++ b/internal/entry/limits_test.go
@@ -133,5 +133,5 @@
 			taken++
 		}
 	}
-	assert.InDelta(t, maximumRetryBalance+1000*retryRatio, taken, 2)
+	assert.InDelta(t, maxRetryBalance+1000*retryRatio, taken, 2)
 }
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -51,8 +51,8 @@
 
 // Each request adds retryRatio of a retry to the budget, up to maximumRetryBalance.
 const (
-	retryRatio          = 0.2
-	maximumRetryBalance = 64
+	retryRatio      = 0.2
+	maxRetryBalance = 64
 )
 
 // retryBudget limits retries to a ratio of the traffic, so that they don't overload a failing fleet.
@@ -61,12 +61,12 @@
 	balance float64
 }
 
-func newRetryBudget() *retryBudget { return &retryBudget{balance: maximumRetryBalance} }
+func newRetryBudget() *retryBudget { return &retryBudget{balance: maxRetryBalance} }
 
 func (b *retryBudget) deposit() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.balance = min(maximumRetryBalance, b.balance+retryRatio)
+	b.balance = min(maxRetryBalance, b.balance+retryRatio)
 }
 
 func (b *retryBudget) withdraw() bool {
--- a/internal/entry/openai.go
+++ b/internal/entry/openai.go
@@ -16,9 +16,9 @@
 
 // Defaults and limits of a generation request.
 const (
-	defaultMaximumTokens = 256
-	maximumTokensLimit   = 1 << 20
-	maximumMessages      = 1024
+	defaultMaxTokens = 256
+	maxTokensLimit   = 1 << 20
+	maxMessages      = 1024
 )
 
 // chatMessage is one message of a conversation.
@@ -41,12 +41,12 @@
 
 // generationRequest is a validated request to a model.
 type generationRequest struct {
-	model         string
-	adapter       string
-	prompt        string
-	maximumTokens int
-	stream        bool
-	chat          bool
+	model     string
+	adapter   string
+	prompt    string
+	maxTokens int
+	stream    bool
+	chat      bool
 }
 
 func (e *Entry) chatCompletions(ctx context.Context, writer http.ResponseWriter, request *http.Request, c *call) *fault.Refusal {
@@ -69,7 +69,7 @@
 	if refusal := checkModel(c, parsedRequest); refusal != nil {
 		return refusal
 	}
-	release, refusal := e.limits.admit(c.tenant.Name, parsedRequest.maximumTokens)
+	release, refusal := e.limits.admit(c.tenant.Name, parsedRequest.maxTokens)
 	if refusal != nil {
 		return refusal
 	}
@@ -93,7 +93,7 @@
 		return generationRequest{}, badRequest("body", "is not valid JSON: "+err.Error())
 	}
 	model, adapter, _ := strings.Cut(parsed.Model, ":")
-	parsedRequest := generationRequest{model: model, adapter: adapter, prompt: parsed.Prompt, stream: parsed.Stream, chat: chat, maximumTokens: defaultMaximumTokens}
+	parsedRequest := generationRequest{model: model, adapter: adapter, prompt: parsed.Prompt, stream: parsed.Stream, chat: chat, maxTokens: defaultMaxTokens}
 	if model == "" {
 		return parsedRequest, badRequest("model", "must be set")
 	}
@@ -101,13 +101,13 @@
 		if given == nil {
 			continue
 		}
-		if *given < 1 || *given > maximumTokensLimit {
+		if *given < 1 || *given > maxTokensLimit {
 			return parsedRequest, badRequest("max_tokens", "must be 1 to 1048576 tokens")
 		}
-		parsedRequest.maximumTokens = *given
+		parsedRequest.maxTokens = *given
 	}
 	if chat {
-		if len(parsed.Messages) == 0 || len(parsed.Messages) > maximumMessages {
+		if len(parsed.Messages) == 0 || len(parsed.Messages) > maxMessages {
 			return parsedRequest, badRequest("messages", "must have 1 to 1024 entries")
 		}
 		parsedRequest.prompt = PromptOf(parsed.Messages)
--- a/internal/entry/replicas.go
+++ b/internal/entry/replicas.go
@@ -31,8 +31,8 @@
 	ejectionThreshold = 3
 	// ejectionDuration is how long an ejected back end gets no new requests.
 	ejectionDuration = 5 * time.Second
-	// maximumEjectedRatio bounds the ratio of back ends that are ejected at once.
-	maximumEjectedRatio = 0.5
+	// maxEjectedRatio bounds the ratio of back ends that are ejected at once.
+	maxEjectedRatio = 0.5
 	// ownZoneFactor multiplies the size of the subset in the entry's own zone.
 	ownZoneFactor = 8
 )
@@ -149,7 +149,7 @@
 }
 
 // servicePoolSize bounds the back ends of one plain service that entries use. Every entry uses the
-// same ones, so that all agree on a key's home.
+// same ones, so that all agree on the owner of an idempotency key.
 const servicePoolSize = 64
 
 // subset picks the agents that this entry keeps links to: for engines, more in its own zone than in
@@ -381,7 +381,7 @@
 			ejected++
 		}
 	}
-	return float64(ejected+1) <= maximumEjectedRatio*float64(len(s.replicas))
+	return float64(ejected+1) <= maxEjectedRatio*float64(len(s.replicas))
 }
 
 // Timeout and interval of inquiries.
--- a/internal/entry/router.go
+++ b/internal/entry/router.go
@@ -37,8 +37,8 @@
 	prefix string
 	// excluded lists back ends that have been tried already.
 	excluded []*replica
-	// homeKey, if set, allows only the key's home.
-	homeKey string
+	// idempotencyKey is a key with its tenant. If set, it allows only the back end that owns it.
+	idempotencyKey string
 }
 
 // spillThreshold is the load of the least loaded back end in the own zone from which other zones
@@ -49,8 +49,8 @@
 func (r *router) choose(required requirements) (choice, bool) {
 	r.set.mutex.Lock()
 	defer r.set.mutex.Unlock()
-	if required.homeKey != "" {
-		return r.home(required)
+	if required.idempotencyKey != "" {
+		return r.ownerOfKey(required)
 	}
 	usable := r.candidates(required, false)
 	if len(usable) == 0 {
@@ -131,16 +131,16 @@
 	return "", false
 }
 
-// home returns the back end that a caller's key belongs to: the first by rendezvous hashing over
+// ownerOfKey returns the back end that owns an idempotency key: the first by rendezvous hashing over
 // all that serve the service, reachable or not. Entries with the same membership list agree on it.
-func (r *router) home(required requirements) (choice, bool) {
+func (r *router) ownerOfKey(required requirements) (choice, bool) {
 	var ids []string
 	for id, candidate := range r.set.replicas {
 		if candidate.member.Service == required.service {
 			ids = append(ids, id)
 		}
 	}
-	ranked := placement.Rank("key/"+required.homeKey, ids)
+	ranked := placement.Rank("key/"+required.idempotencyKey, ids)
 	if len(ranked) == 0 {
 		return choice{}, false
 	}
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -69,7 +69,7 @@
 func (e *Entry) runCall(ctx context.Context, c *call, work *protocol.Call) (*protocol.Answer, *fault.Refusal) {
 	required := requirements{service: work.Service}
 	if !c.repeatable && c.key != "" {
-		required.homeKey = c.tenant.Name + "/" + c.key
+		required.idempotencyKey = c.tenant.Name + "/" + c.key
 	}
 	mayHaveRun := false
 	for attempts := 1; ; attempts++ {
@@ -123,21 +123,22 @@
 	}
 	select {
 	case event := <-started.events:
-		return answerOf(started, event)
+		return finishAttempt(started, event)
 	case <-started.link.Done():
 	case <-ctx.Done():
 		return nil, e.abandonCall(ctx, started)
 	}
 	select {
 	case event := <-started.events:
-		return answerOf(started, event)
+		return finishAttempt(started, event)
 	default:
 	}
 	started.end(false)
 	return e.resolveCall(ctx, c, started)
 }
 
-func answerOf(started *runningAttempt, event protocol.Event) (*protocol.Answer, *fault.Refusal) {
+// finishAttempt ends an attempt with its last event, and returns the answer or the refusal.
+func finishAttempt(started *runningAttempt, event protocol.Event) (*protocol.Answer, *fault.Refusal) {
 	switch {
 	case event.Kind == protocol.Answered && event.Answer != nil:
 		started.end(true)
@@ -150,9 +151,8 @@
 	return nil, fault.Unknown(event.Reason, event.Detail)
 }
 
-// revokeWait is how long to wait, after a call was cancelled, for the confirmation that it did not
-// run.
-const revokeWait = 50 * time.Millisecond
+// cancelConfirmTimeout is the timeout for the back end's confirmation that a cancelled call did not run.
+const cancelConfirmTimeout = 50 * time.Millisecond
 
 // abandonCall cancels a call whose deadline has expired or whose caller has disconnected.
 func (e *Entry) abandonCall(ctx context.Context, started *runningAttempt) *fault.Refusal {
@@ -164,7 +164,7 @@
 		if event.Kind == protocol.Refused {
 			refusal.Execution = fault.ExecutionNotRun
 		}
-	case <-time.After(revokeWait):
+	case <-time.After(cancelConfirmTimeout):
 	}
 	return refusal
 }
--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -7,8 +7,8 @@
 	"pinevane.example/pinevane/internal/fault"
 )
 
-// last returns the last line with one of the events.
-func last(lines []Line, events ...string) (Line, bool) {
+// lastLine returns the last line with one of the events.
+func lastLine(lines []Line, events ...string) (Line, bool) {
 	for index := len(lines) - 1; index >= 0; index-- {
 		for _, event := range events {
 			if lines[index].Event == event {
@@ -22,7 +22,7 @@
 // cause explains the outcome of a request from its own lines and from all lines of its
 // explanation.
 func cause(own, all []Line) string {
-	end, ended := last(own, requestAnswered, requestDenied, requestGivenUp, streamCut, callerLeft)
+	end, ended := lastLine(own, requestAnswered, requestDenied, requestGivenUp, streamCut, callerLeft)
 	if !ended {
 		return "the logs contain no end of the request: its process stopped, or lines are missing"
 	}
@@ -46,14 +46,14 @@
 	text := fmt.Sprintf("answered with status %s by server %s after %.3f s", end.text("status"), end.text("server"), end.number("took"))
 	if first, target := end.number("first_event"), end.number("target"); target > 0 && first > target {
 		text += fmt.Sprintf("; late: the first event came after %.3f s, the target is %.3f s", first, target)
-		if choice, found := last(own, requestSent); found {
+		if choice, found := lastLine(own, requestSent); found {
 			text += fmt.Sprintf("; %.3f s were expected of the server, from a status report %.3f s old", choice.number("expected"), choice.number("status_age"))
 		}
 	}
-	if choice, found := last(own, requestSent); found {
+	if choice, found := lastLine(own, requestSent); found {
 		text += repeatCause(choice)
 	}
-	if failure, found := last(own, attemptFailed); found {
+	if failure, found := lastLine(own, attemptFailed); found {
 		text += "; an earlier attempt failed: " + failure.text("reason") + " at " + failure.text("server")
 	}
 	return text
@@ -70,7 +70,7 @@
 
 func deniedCause(all []Line, end Line) string {
 	text := fmt.Sprintf("denied with %s by configuration %s, in force for %.3f s", end.text("status"), end.text("configuration"), end.number("configuration_age"))
-	if newest, found := last(all, snapshotAccepted); found && newest.text("version") != end.text("configuration") {
+	if newest, found := lastLine(all, snapshotAccepted); found && newest.text("version") != end.text("configuration") {
 		text += "; version " + newest.text("version") + " came into force at " + newest.Time.Format("15:04:05.000")
 	}
 	return text
@@ -78,10 +78,10 @@
 
 // refusalCause explains why a request was refused without being run.
 func refusalCause(own, all []Line, end Line) string {
-	if line, found := last(own, contentWithheld); found {
+	if line, found := lastLine(own, contentWithheld); found {
 		return quarantineCause(all, line)
 	}
-	if line, found := last(own, noServerChosen); found {
+	if line, found := lastLine(own, noServerChosen); found {
 		text := "no server was chosen; servers by reason: " + line.text("servers")
 		if line.number("wait") > 0 {
 			text += fmt.Sprintf("; the shortest wait for other requests would have been %.3f s, %.3f s are allowed", line.number("wait"), line.number("most_wait"))
@@ -89,7 +89,7 @@
 		}
 		return text + repeatCause(line) + regionCause(line, end) + evacuationCause(all, line) + versionCause(all, line)
 	}
-	if _, found := last(own, attemptFailed); found {
+	if _, found := lastLine(own, attemptFailed); found {
 		return failureCause(own, all)
 	}
 	return end.text("reason")
@@ -121,7 +121,7 @@
 
 // failureCause explains the last failed attempt and why it was not retried.
 func failureCause(own, all []Line) string {
-	failure, found := last(own, attemptFailed)
+	failure, found := lastLine(own, attemptFailed)
 	if !found {
 		return "no failed attempt is in the logs; lines are missing"
 	}
@@ -130,9 +130,9 @@
 		text += ": " + detail
 	}
 	text += ")" + healthCause(own, all, failure)
-	if line, found := last(own, retryWithheld); found && !line.Time.Before(failure.Time) {
+	if line, found := lastLine(own, retryWithheld); found && !line.Time.Before(failure.Time) {
 		text += "; it was not tried again because of: " + line.text("because")
-	} else if line, found := last(own, noServerChosen); found && !line.Time.Before(failure.Time) {
+	} else if line, found := lastLine(own, noServerChosen); found && !line.Time.Before(failure.Time) {
 		text += "; no other server was chosen, servers by reason: " + line.text("servers") + regionCause(line, Line{}) + evacuationCause(all, line)
 	}
 	return text + versionCause(all, failure)
@@ -140,7 +140,7 @@
 
 // versionCause describes a version change that was in progress at the time of a line.
 func versionCause(all []Line, at Line) string {
-	announced, found := last(all, versionAnnounced)
+	announced, found := lastLine(all, versionAnnounced)
 	if !found || announced.Time.After(at.Time) {
 		return ""
 	}
--- a/internal/explain/content.go
+++ b/internal/explain/content.go
@@ -8,7 +8,7 @@
 // addFingerprintLines adds the lines of all processes that concern the fingerprint of a request: the
 // crashes of servers that were running it, its quarantine, and the end of the quarantine.
 func addFingerprintLines(selected, lines, own []Line) []Line {
-	line, found := last(own, contentWithheld, requestSent)
+	line, found := lastLine(own, contentWithheld, requestSent)
 	if !found || line.text("content") == "" {
 		return selected
 	}
@@ -35,7 +35,7 @@
 func quarantineCause(all []Line, withheld Line) string {
 	text := fmt.Sprintf("servers have crashed while running requests with its fingerprint %s, most recently %s (%s, for %.0f s more)",
 		withheld.text("content"), withheld.text("servers"), withheld.text("reason"), withheld.number("left"))
-	if quarantine, found := last(all, fingerprintQuarantined); found {
+	if quarantine, found := lastLine(all, fingerprintQuarantined); found {
 		text += "; " + quarantine.text("entry") + " reported this at " + quarantine.Time.Format("15:04:05.000")
 	}
 	return text
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -26,14 +26,14 @@
 	Fields  map[string]any
 }
 
-// maximumLineBytes limits the length of a log line.
-const maximumLineBytes = 1 << 20
+// maxLineBytes limits the length of a log line.
+const maxLineBytes = 1 << 20
 
 // Read reads the JSON lines of a log. A prefix before the opening brace of a line, as
 // log collectors write it, is ignored. Lines without an event are skipped.
 func Read(source io.Reader) ([]Line, error) {
 	scanner := bufio.NewScanner(source)
-	scanner.Buffer(make([]byte, 0, 64<<10), maximumLineBytes)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	var lines []Line
 	for scanner.Scan() {
 		if line, readable := parse(scanner.Bytes()); readable {
--- a/internal/explain/sizes.go
+++ b/internal/explain/sizes.go
@@ -15,8 +15,8 @@
 	size  float64
 }
 
-// sizeLabels returns the size class of each size of each route: the largest tenth, the fifth below it,
-// the smallest tenth or the others.
+// sizeLabels returns the size class of each size of each route: the largest tenth, the fifth just below
+// the largest tenth, the smallest tenth, or the others.
 func (l Losses) sizeLabels() map[sizeKey]string {
 	byRoute := map[string][]float64{}
 	for _, one := range l.requests {
--- a/internal/external/http.go
+++ b/internal/external/http.go
@@ -19,9 +19,9 @@
 
 // Limits on what is read from the platform.
 const (
-	maximumAnswerBytes = 64 << 20
-	maximumErrorBytes  = 4 << 10
-	maximumLineBytes   = 1 << 20
+	maxAnswerBytes = 64 << 20
+	maxErrorBytes  = 4 << 10
+	maxLineBytes   = 1 << 20
 )
 
 // watchMargin is how much longer than the requested wait a watch may take.
@@ -79,7 +79,7 @@
 }
 
 func drain(response *http.Response) {
-	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maximumErrorBytes))
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxErrorBytes))
 	_ = response.Body.Close()
 }
 
@@ -92,7 +92,7 @@
 		return e.statusError("GET "+path, response)
 	}
 	defer drain(response)
-	if err := json.NewDecoder(io.LimitReader(response.Body, maximumAnswerBytes)).Decode(into); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxAnswerBytes)).Decode(into); err != nil {
 		return &fault.Unavailable{Target: e.name, Operation: "GET " + path, Cause: err}
 	}
 	return nil
@@ -141,7 +141,7 @@
 	if response.StatusCode != http.StatusOK {
 		return monotonic.Update{}, false, p.endpoint.statusError("watch", response)
 	}
-	data, err := io.ReadAll(io.LimitReader(response.Body, maximumAnswerBytes))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
 		return monotonic.Update{}, false, &fault.Unavailable{Target: p.endpoint.name, Operation: "watch", Cause: err}
 	}
@@ -230,7 +230,7 @@
 
 // Get reads a small answer from a path of the agent at an address.
 func (p *HTTPPeerStore) Get(ctx context.Context, address, path string) ([]byte, error) {
-	return readBlob(ctx, newEndpoint("agent "+address, address, p.transport), path, maximumLineBytes)
+	return readBlob(ctx, newEndpoint("agent "+address, address, p.transport), path, maxLineBytes)
 }
 
 // Post sends a small body to a path of the agent at an address and returns the body of the answer.
@@ -244,7 +244,7 @@
 		return nil, e.statusError("POST "+path, response)
 	}
 	defer drain(response)
-	data, err := io.ReadAll(io.LimitReader(response.Body, maximumLineBytes))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxLineBytes))
 	if err != nil {
 		return nil, &fault.Unavailable{Target: e.name, Operation: "POST " + path, Cause: err}
 	}
@@ -325,7 +325,7 @@
 	if response.StatusCode == http.StatusOK {
 		return nil
 	}
-	reason, _ := io.ReadAll(io.LimitReader(response.Body, maximumErrorBytes))
+	reason, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
 	if response.StatusCode == http.StatusConflict || response.StatusCode == http.StatusUnprocessableEntity {
 		return &fault.OrderRejected{Action: string(order.Action), Reason: string(bytes.TrimSpace(reason))}
 	}
@@ -347,7 +347,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	lines := bufio.NewScanner(response.Body)
-	lines.Buffer(make([]byte, 0, 4<<10), maximumLineBytes)
+	lines.Buffer(make([]byte, 0, 4<<10), maxLineBytes)
 	for lines.Scan() {
 		var event GenerationEvent
 		if err := json.Unmarshal(lines.Bytes(), &event); err != nil {
@@ -406,12 +406,12 @@
 		return ServiceAnswer{}, &fault.Unavailable{Target: e.name, Operation: call.Method + " " + call.Path, Cause: err}
 	}
 	defer func() { _ = response.Body.Close() }()
-	body, err := readBounded(response.Body, maximumServiceAnswerBytes)
+	body, err := readBounded(response.Body, maxServiceAnswerBytes)
 	if err != nil {
 		return ServiceAnswer{}, &fault.Unavailable{Target: e.name, Operation: "read answer", Cause: err}
 	}
 	return ServiceAnswer{Status: response.StatusCode, ContentType: response.Header.Get("Content-Type"), Body: body}, nil
 }
 
-// maximumServiceAnswerBytes bounds the size of a plain service's answer.
-const maximumServiceAnswerBytes = 8 << 20
+// maxServiceAnswerBytes bounds the size of a plain service's answer.
+const maxServiceAnswerBytes = 8 << 20
--- a/internal/external/platform.go
+++ b/internal/external/platform.go
@@ -63,7 +63,7 @@
 	Put(ctx context.Context, chunk weights.Chunk, content io.Reader) error
 	// Open opens a stored chunk for reading.
 	Open(ctx context.Context, digest weights.Digest) (io.ReadCloser, error)
-	// Delete removes chunks that no wanted version needs.
+	// Delete removes the given chunks, which no assigned version needs.
 	Delete(ctx context.Context, digests []weights.Digest) error
 }
 
@@ -101,7 +101,7 @@
 // Action is what an order tells an engine to do.
 type Action string
 
-// The actions of orders.
+// Actions of orders to an engine.
 const (
 	ActionLoad   Action = "load"
 	ActionUnload Action = "unload"
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -266,7 +266,7 @@
 	return fmt.Sprintf("frame: %s: %s", e.Field, e.Reason)
 }
 
-// GuaranteeViolated reports a guarantee whose violation a demo or an experiment detected.
+// GuaranteeViolated reports that a demo or an experiment detected the violation of a guarantee.
 type GuaranteeViolated struct {
 	Guarantee string
 	Detail    string
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -31,12 +31,12 @@
 func (g *Gateway) serve(writer http.ResponseWriter, incoming *http.Request) {
 	g.open.Add(1)
 	defer g.open.Add(-1)
-	if _, stopping := g.stoppingFor(); stopping {
+	if _, stopping := g.timeSinceStopSignal(); stopping {
 		writer.Header().Set("Connection", "close")
 	}
 	caller := newCallerWriter(writer, writeTimeout)
 	defer caller.extendDeadline()
-	request, refusal := g.read(writer, incoming)
+	request, refusal := g.readRequest(writer, incoming)
 	defer request.Memory.Close()
 	if refusal == nil {
 		refusal = g.forwarder.Serve(incoming.Context(), caller, request)
@@ -46,9 +46,9 @@
 	}
 }
 
-// read turns an incoming request into one to forward. Beside a refusal it returns
+// readRequest turns an incoming request into one to forward. Beside a refusal it returns
 // the request with the fields set so far.
-func (g *Gateway) read(writer http.ResponseWriter, incoming *http.Request) (*forward.Request, *fault.Refusal) {
+func (g *Gateway) readRequest(writer http.ResponseWriter, incoming *http.Request) (*forward.Request, *fault.Refusal) {
 	call, err := g.dialect.ReadCall(incoming.Header)
 	request := &forward.Request{
 		Call: call, Method: incoming.Method, Target: incoming.RequestURI, Host: incoming.Host, Header: incoming.Header, Arrived: time.Now(),
@@ -59,7 +59,7 @@
 	if !strings.HasPrefix(request.Target, "/") || strings.HasPrefix(request.Target, "//") {
 		return request, fault.NotRun(fault.ReasonUnknownService, "the request's target is no path")
 	}
-	if since, stopping := g.stoppingFor(); stopping && since > readinessDelay {
+	if since, stopping := g.timeSinceStopSignal(); stopping && since > readinessDelay {
 		refusal := fault.NotRun(fault.ReasonLeaving, "the process is stopping")
 		refusal.RetryAfter = stoppingRetry
 		return request, refusal
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -38,8 +38,8 @@
 	// memory bounds the request and response bytes held for callers.
 	memory *bytequota.Quota
 	open   atomic.Int64
-	// stopping is the Unix time of the stop signal in nanoseconds, 0 before it.
-	stopping atomic.Int64
+	// stopSignalAt is the Unix time of the stop signal in nanoseconds, 0 before the signal.
+	stopSignalAt atomic.Int64
 }
 
 // New returns an entry that does not listen yet.
@@ -115,7 +115,7 @@
 // waits for the open requests to finish.
 func (g *Gateway) drain(callers *callerListener) {
 	began := time.Now()
-	g.stopping.Store(began.UnixNano())
+	g.stopSignalAt.Store(began.UnixNano())
 	g.log.Log(logging.ProcessStopping, zap.Int64("open", g.open.Load()))
 	grace := g.daemon.Settings().Bounds.Grace - stopMargin
 	for time.Since(began) < grace {
@@ -130,9 +130,9 @@
 	g.log.Log(logging.ProcessDraining, zap.Int64("open", g.open.Load()))
 }
 
-// stoppingFor returns how long ago the stop signal arrived, and whether it has.
-func (g *Gateway) stoppingFor() (time.Duration, bool) {
-	at := g.stopping.Load()
+// timeSinceStopSignal returns how long ago the stop signal arrived, and whether it has.
+func (g *Gateway) timeSinceStopSignal() (time.Duration, bool) {
+	at := g.stopSignalAt.Load()
 	if at == 0 {
 		return 0, false
 	}
@@ -141,7 +141,7 @@
 
 func (g *Gateway) ready() bool {
 	view := g.daemon.Catalog.View()
-	_, stopping := g.stoppingFor()
+	_, stopping := g.timeSinceStopSignal()
 	return !stopping && view.Configuration != nil && len(view.Servers) > 0
 }
 
--- a/internal/gateway/idle.go
+++ b/internal/gateway/idle.go
@@ -17,8 +17,8 @@
 	stateActive connectionState = iota
 	// stateIdle means that the server waits for the first byte of the next request.
 	stateIdle
-	// stateClosing means that the idle connection is being closed. A request whose first
-	// byte is read nevertheless is still served.
+	// stateClosing means that the idle connection is being closed. If the first byte of a
+	// request is read before that has happened, the request is still served.
 	stateClosing
 )
 
--- a/internal/gateway/slow_test.go
+++ b/internal/gateway/slow_test.go
@@ -21,8 +21,9 @@
 // longResponse is larger than the socket buffers of both ends of a connection.
 const longResponse = 64 << 20
 
-// serveLength serves a response of a length with a timeout for each chunk, and sends the result of its write to ended.
-func serveLength(t *testing.T, length int, chunkTimeout time.Duration) (address string, ended chan error) {
+// serveResponse starts a server whose response has the given length and a write timeout for each chunk. The
+// result of the write is sent to ended.
+func serveResponse(t *testing.T, length int, chunkTimeout time.Duration) (address string, ended chan error) {
 	ended = make(chan error, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		caller := newCallerWriter(writer, chunkTimeout)
@@ -48,7 +49,7 @@
 // handler that writes to it until it disconnects.
 func TestCallerThatStopsReadingIsCutOff(t *testing.T) {
 	const chunkTimeout = 250 * time.Millisecond
-	address, ended := serveLength(t, longResponse, chunkTimeout)
+	address, ended := serveResponse(t, longResponse, chunkTimeout)
 	sendGet(t, address)
 	select {
 	case err := <-ended:
@@ -68,7 +69,7 @@
 		// several timeouts.
 		pause = chunkTimeout / 5
 	)
-	address, ended := serveLength(t, length, chunkTimeout)
+	address, ended := serveResponse(t, length, chunkTimeout)
 	connection := sendGet(t, address)
 	response, err := http.ReadResponse(bufio.NewReader(connection), nil)
 	require.NoError(t, err)
--- a/internal/logging/events_test.go
+++ b/internal/logging/events_test.go
@@ -22,5 +22,5 @@
 		row := "| " + event.Number + " | " + event.Level.String() + " | " + event.Message + " | " + event.Meaning + " |"
 		assert.Contains(t, string(data), row)
 	}
-	assert.Equal(t, len(Catalogue), strings.Count(string(data), "\n| PV"), "docs/EVENTS.md lists another number of events")
+	assert.Equal(t, len(Catalogue), strings.Count(string(data), "\n| PV"), "docs/EVENTS.md lists a different number of events")
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -259,15 +259,15 @@
 // Limits of the HTTP servers. There is no write timeout, because streams are
 // long-lived.
 const (
-	readHeaderTimeout  = 5 * time.Second
-	idleTimeout        = 90 * time.Second
-	maximumHeaderBytes = 32 << 10
+	readHeaderTimeout = 5 * time.Second
+	idleTimeout       = 90 * time.Second
+	maxHeaderBytes    = 32 << 10
 )
 
 func newServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler: handler, ReadHeaderTimeout: readHeaderTimeout,
-		IdleTimeout: idleTimeout, MaxHeaderBytes: maximumHeaderBytes,
+		IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
 }
 
