--- a/internal/agent/keys.go
+++ b/internal/agent/keys.go
@@ -16,9 +16,9 @@
 // keyEntry records a non-repeatable call that has started; its answer is nil
 // until the call has succeeded.
 type keyEntry struct {
-	scopedKey scopedKey
-	id        attempt.ID
-	answer    *protocol.Answer
+	idempotencyKey scopedKey
+	id             attempt.ID
+	answer         *protocol.Answer
 }
 
 // keyLedger records the most recent non-repeatable calls, by attempt and by the
@@ -44,7 +44,7 @@
 	if earlier, taken := l.byKey[scopedKeyOf(submit)]; taken {
 		return earlier.answer, true
 	}
-	l.add(&keyEntry{scopedKey: scopedKeyOf(submit), id: submit.ID})
+	l.add(&keyEntry{idempotencyKey: scopedKeyOf(submit), id: submit.ID})
 	return nil, false
 }
 
@@ -62,7 +62,7 @@
 func (l *keyLedger) record(submit protocol.Submit, answer *protocol.Answer) {
 	entry, found := l.byID[submit.ID]
 	if !found {
-		entry = &keyEntry{scopedKey: scopedKeyOf(submit), id: submit.ID}
+		entry = &keyEntry{idempotencyKey: scopedKeyOf(submit), id: submit.ID}
 		l.add(entry)
 	}
 	entry.answer = answer
@@ -77,8 +77,8 @@
 }
 
 func (l *keyLedger) add(entry *keyEntry) {
-	if entry.scopedKey.key != "" {
-		l.byKey[entry.scopedKey] = entry
+	if entry.idempotencyKey.key != "" {
+		l.byKey[entry.idempotencyKey] = entry
 	}
 	l.byID[entry.id] = entry
 	l.recent = append(l.recent, entry)
@@ -90,7 +90,7 @@
 
 func (l *keyLedger) drop(entry *keyEntry) {
 	delete(l.byID, entry.id)
-	if l.byKey[entry.scopedKey] == entry {
-		delete(l.byKey, entry.scopedKey)
+	if l.byKey[entry.idempotencyKey] == entry {
+		delete(l.byKey, entry.idempotencyKey)
 	}
 }
--- a/internal/agent/weights.go
+++ b/internal/agent/weights.go
@@ -55,8 +55,8 @@
 const (
 	// maxUploads limits the chunks that are sent to peers concurrently.
 	maxUploads = 8
-	// maxEarlyOffers limits the chunks offered for manifests that are not known yet.
-	maxEarlyOffers = 64 << 10
+	// maxEarlyChunks limits the chunks offered for manifests that are not known yet.
+	maxEarlyChunks = 64 << 10
 	// maxOfferBytes limits the size of an offer's body.
 	maxOfferBytes = 1 << 20
 	// progressPeriod is the minimum time between updates of the progress on the blackboard.
@@ -95,25 +95,25 @@
 	transfers map[weights.Digest]*transfer
 	manifests map[weights.Digest][]byte
 	staged    map[weights.Digest]StagedVersion
-	// early holds offers for manifests that are not known yet; earlyCount is the
+	// earlyOffers holds offers for manifests that are not known yet; earlyChunkCount is the
 	// number of chunks in them.
-	early      map[weights.Digest][]offer
-	earlyCount int
+	earlyOffers     map[weights.Digest][]offer
+	earlyChunkCount int
 }
 
 func newWeightsController(base *node.Node, options Options) *weightsController {
 	controller := &weightsController{
 		node: base, options: options,
-		origin:    external.NewHTTPOrigin(options.OriginAddress),
-		store:     external.NewHTTPStore(options.StoreAddress),
-		peers:     external.NewHTTPPeerStore(),
-		downlink:  newLinkLimiter(options.LinkBytesPerSecond, 1),
-		uplink:    newLinkLimiter(options.LinkBytesPerSecond, 1),
-		uploads:   make(chan struct{}, maxUploads),
-		transfers: map[weights.Digest]*transfer{},
-		manifests: map[weights.Digest][]byte{},
-		staged:    map[weights.Digest]StagedVersion{},
-		early:     map[weights.Digest][]offer{},
+		origin:      external.NewHTTPOrigin(options.OriginAddress),
+		store:       external.NewHTTPStore(options.StoreAddress),
+		peers:       external.NewHTTPPeerStore(),
+		downlink:    newLinkLimiter(options.LinkBytesPerSecond, 1),
+		uplink:      newLinkLimiter(options.LinkBytesPerSecond, 1),
+		uploads:     make(chan struct{}, maxUploads),
+		transfers:   map[weights.Digest]*transfer{},
+		manifests:   map[weights.Digest][]byte{},
+		staged:      map[weights.Digest]StagedVersion{},
+		earlyOffers: map[weights.Digest][]offer{},
 		received: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "pinevane_weights_received_bytes_total",
 			Help: "Weight bytes received, by source (peer or origin).",
@@ -253,10 +253,10 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.manifests[digest] = data
-	early := c.early[digest]
-	delete(c.early, digest)
+	early := c.earlyOffers[digest]
+	delete(c.earlyOffers, digest)
 	for _, pending := range early {
-		c.earlyCount -= len(pending.Chunks)
+		c.earlyChunkCount -= len(pending.Chunks)
 	}
 	return early
 }
@@ -277,9 +277,9 @@
 	existing, running := c.transfers[incoming.Manifest]
 	_, manifestKnown := c.manifests[incoming.Manifest]
 	if !running || !manifestKnown {
-		if c.earlyCount+len(incoming.Chunks) <= maxEarlyOffers {
-			c.early[incoming.Manifest] = append(c.early[incoming.Manifest], incoming)
-			c.earlyCount += len(incoming.Chunks)
+		if c.earlyChunkCount+len(incoming.Chunks) <= maxEarlyChunks {
+			c.earlyOffers[incoming.Manifest] = append(c.earlyOffers[incoming.Manifest], incoming)
+			c.earlyChunkCount += len(incoming.Chunks)
 		}
 		c.mutex.Unlock()
 		return dissemination.QueryReply{}
--- a/internal/bytequota/read.go
+++ b/internal/bytequota/read.go
@@ -6,7 +6,7 @@
 )
 
 // chunkBytes is the smallest charge: a caller that announces a large body and sends little of it
-// holds no more than one chunk in vain.
+// is charged for one chunk only.
 const chunkBytes = 16 << 10
 
 // ErrExhausted means that the quota has no room for the bytes to be read.
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -59,7 +59,7 @@
 	fleet      *launch.Fleet
 	client     *workload.Client
 	recorder   *workload.Recorder
-	startTime  time.Time
+	startedAt  time.Time
 	model      string
 	versions   []weights.Synthetic
 	manifests  map[string]*weights.Manifest
@@ -108,7 +108,7 @@
 		return nil, err
 	}
 	d := &demo{
-		options: options, deployment: deployed, snapshot: snapshot, recorder: &workload.Recorder{}, startTime: time.Now(),
+		options: options, deployment: deployed, snapshot: snapshot, recorder: &workload.Recorder{}, startedAt: time.Now(),
 		model: deployed.Weights[0].Model, versions: deployed.Weights, manifests: map[string]*weights.Manifest{},
 	}
 	identities := workload.NewIdentities()
@@ -127,7 +127,7 @@
 }
 
 func (d *demo) printf(format string, arguments ...any) {
-	_, _ = fmt.Fprintf(d.options.Output, "%6.1fs  %s\n", time.Since(d.startTime).Seconds(), fmt.Sprintf(format, arguments...))
+	_, _ = fmt.Fprintf(d.options.Output, "%6.1fs  %s\n", time.Since(d.startedAt).Seconds(), fmt.Sprintf(format, arguments...))
 }
 
 func (d *demo) machines(role external.Role, engines bool) []deployment.Machine {
--- a/internal/emulator/origin.go
+++ b/internal/emulator/origin.go
@@ -142,8 +142,8 @@
 	o.shaper.write(counted, request, content, stallAt)
 }
 
-func corruptRandomly(content []byte, share float64) {
-	if share > 0 && rand.Float64() < share {
+func corruptRandomly(content []byte, probability float64) {
+	if probability > 0 && rand.Float64() < probability {
 		content[len(content)/2] ^= 0xff
 	}
 }
--- a/internal/emulator/site/origin.go
+++ b/internal/emulator/site/origin.go
@@ -39,8 +39,8 @@
 
 	mutex sync.Mutex
 	// newest is the latest announced version.
-	newest uint64
-	bytes  int64
+	newest    uint64
+	sentBytes int64
 	// corruptPieces is the number of upcoming pieces to send corrupt.
 	corruptPieces int
 	// corruptManifest puts a wrong digest into the next manifest.
@@ -108,7 +108,7 @@
 func (o *Origin) Copies() float64 {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return float64(o.bytes) / float64(o.weights.Pieces*o.weights.PieceBytes)
+	return float64(o.sentBytes) / float64(o.weights.Pieces*o.weights.PieceBytes)
 }
 
 // Handler serves the origin.
@@ -170,7 +170,7 @@
 	}
 	content := o.weights.Piece(version, index)
 	o.mutex.Lock()
-	o.bytes += int64(len(content))
+	o.sentBytes += int64(len(content))
 	if o.corruptPieces > 0 {
 		o.corruptPieces--
 		content[len(content)/2] ^= 1
--- a/internal/emulator/site/requestlog.go
+++ b/internal/emulator/site/requestlog.go
@@ -34,31 +34,31 @@
 
 // RequestLog records arrivals, deliveries, executions and notices of all servers.
 type RequestLog struct {
-	runs       list[Run]
-	deliveries list[Delivery]
-	arrivals   list[Arrival]
-	notices    list[ServerNotice]
+	runs       syncList[Run]
+	deliveries syncList[Delivery]
+	arrivals   syncList[Arrival]
+	notices    syncList[ServerNotice]
 }
 
-// list is a concurrent list of records in order of time.
-type list[T any] struct {
+// syncList is a list of records in order of time. It is safe for concurrent use.
+type syncList[T any] struct {
 	mutex sync.Mutex
 	items []T
 }
 
-func (e *list[T]) add(record T) {
+func (e *syncList[T]) add(record T) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.items = append(e.items, record)
 }
 
-func (e *list[T]) all() []T {
+func (e *syncList[T]) all() []T {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return slices.Clone(e.items)
 }
 
-func (e *list[T]) contain(match func(T) bool) bool {
+func (e *syncList[T]) contain(match func(T) bool) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return slices.ContainsFunc(e.items, match)
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -32,8 +32,8 @@
 // limiter enforces an entry's share of each tenant's limits. The share is a fraction of the limit,
 // 0 to 1, and applies to requests, tokens and concurrency alike.
 type limiter struct {
-	now     func() time.Time
-	started time.Time
+	now       func() time.Time
+	startedAt time.Time
 
 	mutex      sync.Mutex
 	configured bool
@@ -54,11 +54,11 @@
 }
 
 func newLimiter(now func() time.Time) *limiter {
-	return &limiter{now: now, started: now(), tenants: map[string]*tenantShare{}}
+	return &limiter{now: now, startedAt: now(), tenants: map[string]*tenantShare{}}
 }
 
 // clock returns the monotonic time since the limiter was created.
-func (l *limiter) clock() time.Duration { return l.now().Sub(l.started) }
+func (l *limiter) clock() time.Duration { return l.now().Sub(l.startedAt) }
 
 // burstSeconds is how many seconds' worth of its rate a tenant may use at once.
 const burstSeconds = 2
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -116,7 +116,8 @@
 	// regions.
 	ReasonResidency Reason = "data-residency"
 	// ReasonQuarantined refuses a request whose fingerprint has crashed the servers that ran it;
-	// ReasonSuspected refuses one whose fingerprint is suspected of it and still under test.
+	// ReasonSuspected refuses a request whose fingerprint is suspected of crashing servers and is still being
+	// tested.
 	ReasonQuarantined Reason = "content-quarantined"
 	ReasonSuspected   Reason = "content-suspected"
 	// ReasonMemory refuses a request whose body does not fit into the process's memory limit.
--- a/internal/gateway/slow_test.go
+++ b/internal/gateway/slow_test.go
@@ -111,7 +111,7 @@
 	return connection
 }
 
-func statusFrom(t *testing.T, connection net.Conn) (int, string) {
+func readResponse(t *testing.T, connection net.Conn) (int, string) {
 	_ = connection.SetReadDeadline(time.Now().Add(5 * time.Second))
 	response, err := http.ReadResponse(bufio.NewReader(connection), nil)
 	require.NoError(t, err)
@@ -126,7 +126,7 @@
 	const within = 200 * time.Millisecond
 	connection := sendBody(t, serveBodies(t, within, 0), 1000, 10)
 	began := time.Now()
-	status, reason := statusFrom(t, connection)
+	status, reason := readResponse(t, connection)
 	assert.Equal(t, http.StatusServiceUnavailable, status)
 	assert.Equal(t, "deadline-exceeded\n", reason)
 	assert.Less(t, time.Since(began), within+500*time.Millisecond)
@@ -144,13 +144,13 @@
 		_, err := connection.Write([]byte{'x'})
 		require.NoError(t, err)
 	}
-	status, body := statusFrom(t, connection)
+	status, body := readResponse(t, connection)
 	assert.Equal(t, http.StatusOK, status)
 	assert.Equal(t, "20", body)
 	time.Sleep(within)
 	_, err := io.WriteString(connection, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc")
 	require.NoError(t, err)
-	status, _ = statusFrom(t, connection)
+	status, _ = readResponse(t, connection)
 	assert.Equal(t, http.StatusOK, status)
 }
 
@@ -165,12 +165,12 @@
 	time.Sleep(300 * time.Millisecond)
 	began := time.Now()
 	for range 3 {
-		status, reason := statusFrom(t, sendBody(t, address, 3<<20, 1<<20))
+		status, reason := readResponse(t, sendBody(t, address, 3<<20, 1<<20))
 		assert.Equal(t, http.StatusServiceUnavailable, status)
 		assert.Equal(t, "memory\n", reason)
 	}
 	assert.Less(t, time.Since(began), 3*time.Second)
-	status, _ := statusFrom(t, sendBody(t, address, 800, 800))
+	status, _ := readResponse(t, sendBody(t, address, 800, 800))
 	assert.Equal(t, http.StatusOK, status)
 }
 
