--- a/internal/agent/gate.go
+++ b/internal/agent/gate.go
@@ -28,8 +28,8 @@
 // replayed to entries that lost their link and to callers that reuse a key.
 const maxKeptAnswers = 4096
 
-// runningAttempt is an attempt that is in progress.
-type runningAttempt struct {
+// running is an attempt that is in progress.
+type running struct {
 	cancel     context.CancelFunc
 	link       *peering.Link
 	repeatable bool
@@ -47,7 +47,7 @@
 	mutex    sync.Mutex
 	ledger   *attempt.Ledger
 	sessions map[*peering.Link]uint64
-	running  map[attempt.ID]*runningAttempt
+	running  map[attempt.ID]*running
 	keys     *keyLedger
 }
 
@@ -56,7 +56,7 @@
 		node: base, options: options, engine: engine, service: service,
 		ledger:   attempt.NewLedger(base.Incarnation()),
 		sessions: map[*peering.Link]uint64{},
-		running:  map[attempt.ID]*runningAttempt{},
+		running:  map[attempt.ID]*running{},
 		keys:     newKeyLedger(maxKeptAnswers),
 	}
 	base.Hub.OnOpen(g.openSession)
@@ -160,7 +160,7 @@
 	}
 	remaining := time.Duration(submit.RemainingMilliseconds) * time.Millisecond
 	ctx, cancel := context.WithTimeout(context.Background(), remaining)
-	active := &runningAttempt{cancel: cancel, link: link, repeatable: submit.Repeatable}
+	active := &running{cancel: cancel, link: link, repeatable: submit.Repeatable}
 	if submit.Generate != nil {
 		active.model, active.version = submit.Generate.Model, submit.Generate.Version
 	}
