--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -67,7 +67,7 @@
 	stopped sync.Map
 }
 
-// Run runs the demo. The report is nil if the fleet was held; the error is a *fault.PromiseBroken
+// Run runs the demo. The report is nil if the fleet was held; the error is a *fault.GuaranteeViolated
 // if a guarantee was violated.
 func Run(options Options) (*Report, error) {
 	d, err := prepare(options)
@@ -324,7 +324,7 @@
 	return nil
 }
 
-// startLoad starts callers that send requests to all entries until the context is canceled; their
+// startLoad starts callers that send requests to all entries until the context is cancelled; their
 // current requests are completed.
 func (d *demo) startLoad(ctx context.Context) *sync.WaitGroup {
 	var load sync.WaitGroup
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// check returns a *fault.PromiseBroken if a guarantee was violated or a version answered no
+// check returns a *fault.GuaranteeViolated if a guarantee was violated or a version answered no
 // request.
 func (r *Report) check(versions []weights.Synthetic) error {
 	if len(r.Violations) > 0 {
--- a/internal/emulator/site/orders.go
+++ b/internal/emulator/site/orders.go
@@ -44,7 +44,7 @@
 	Expected *int   `json:"expectedRevision"`
 }
 
-// layers returns the requested range, and false if it is empty or not within all.
+// layers returns the requested range, and false if it is empty or exceeds the model's layers.
 func (o startOrder) layers(all layerRange) (layerRange, bool) {
 	requested := all
 	if o.From != nil {
@@ -83,8 +83,8 @@
 	}
 }
 
-// stagedCorrupt reports whether a staged piece of the layers is missing or corrupt; the mutex is
-// held. A piece that two layers share belongs to both.
+// stagedCorrupt reports whether a staged piece of the layers is missing or corrupt. The mutex
+// must be held. A piece that two layers share belongs to both.
 func (s *Server) stagedCorrupt(version uint64, layers layerRange) bool {
 	weights := s.options.Weights
 	first := layers.from * weights.Pieces / weights.Layers
--- a/internal/emulator/site/requestlog.go
+++ b/internal/emulator/site/requestlog.go
@@ -98,7 +98,7 @@
 }
 
 // ColdPeak is the highest number of requests that a server received within a second of its cold
-// start, and the last of them.
+// start, and the last of these requests.
 type ColdPeak struct {
 	Requests int
 	Last     Delivery
--- a/internal/emulator/site/server.go
+++ b/internal/emulator/site/server.go
@@ -23,7 +23,7 @@
 	ShedBackoff time.Duration
 	// Silent accepts requests and status queries and never answers.
 	Silent bool
-	// Failure makes the server report as healthy while every request fails.
+	// Failure makes every request fail while the server reports that it is healthy.
 	Failure FailureMode
 	// FailHealthChecks fails status reports and health checks while requests are served.
 	FailHealthChecks bool
@@ -31,7 +31,7 @@
 	ExtraAnswers int
 }
 
-// FailureMode is how a server that reports as healthy fails its requests.
+// FailureMode is how requests fail at a server that reports that it is healthy.
 type FailureMode int
 
 // Failure modes: requests are executed and then answered with an error, have their connection
@@ -57,8 +57,8 @@
 	Weights *Weights
 	// Version is the initially loaded version, 0 for none.
 	Version uint64
-	// EventTime is the time of a stream event or of a plain answer, Warm the time to load a
-	// version.
+	// EventTime is the time that a stream event or a response without a stream takes. Warm is the
+	// time to load a version.
 	EventTime time.Duration
 	Warm      time.Duration
 	// Heartbeat is the interval at which the server's record is written.
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -60,7 +60,7 @@
 // clock returns the monotonic time since the limiter was created.
 func (l *limiter) clock() time.Duration { return l.now().Sub(l.startedAt) }
 
-// burstSeconds is how many seconds' worth of its rate a tenant may use at once.
+// burstSeconds is the size of a tenant's token bucket, in seconds of its rate.
 const burstSeconds = 2
 
 // configure sets every tenant's base share for a number of entries.
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -49,7 +49,7 @@
 	m.requests.WithLabelValues(string(refusal.Reason), string(refusal.Execution)).Inc()
 }
 
-// Each request adds retryRatio of a retry to the budget, up to maximumRetryBalance.
+// Each request adds retryRatio of a retry to the budget, up to maxRetryBalance.
 const (
 	retryRatio      = 0.2
 	maxRetryBalance = 64
--- a/internal/entry/replicas.go
+++ b/internal/entry/replicas.go
@@ -371,7 +371,7 @@
 	}
 }
 
-// mayEject reports whether another ejection stays within maximumEjectedRatio. The mutex must be
+// mayEject reports whether another ejection stays within maxEjectedRatio. The mutex must be
 // held.
 func (s *replicaSet) mayEject() bool {
 	now := time.Now()
