--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -59,7 +59,7 @@
 	fleet      *launch.Fleet
 	client     *workload.Client
 	recorder   *workload.Recorder
-	startTime  time.Time
+	startedAt  time.Time
 	model      string
 	versions   []weights.Synthetic
 	manifests  map[string]*weights.Manifest
@@ -67,7 +67,7 @@
 	stopped sync.Map
 }
 
-// Run runs the demo. The report is nil if the fleet was held; the error is a *fault.PromiseBroken
+// Run runs the demo. The report is nil if the fleet was held; the error is a *fault.GuaranteeViolated
 // if a guarantee was violated.
 func Run(options Options) (*Report, error) {
 	d, err := prepare(options)
@@ -108,7 +108,7 @@
 		return nil, err
 	}
 	d := &demo{
-		options: options, deployment: deployed, snapshot: snapshot, recorder: &workload.Recorder{}, startTime: time.Now(),
+		options: options, deployment: deployed, snapshot: snapshot, recorder: &workload.Recorder{}, startedAt: time.Now(),
 		model: deployed.Weights[0].Model, versions: deployed.Weights, manifests: map[string]*weights.Manifest{},
 	}
 	identities := workload.NewIdentities()
@@ -127,7 +127,7 @@
 }
 
 func (d *demo) printf(format string, arguments ...any) {
-	_, _ = fmt.Fprintf(d.options.Output, "%6.1fs  %s\n", time.Since(d.startTime).Seconds(), fmt.Sprintf(format, arguments...))
+	_, _ = fmt.Fprintf(d.options.Output, "%6.1fs  %s\n", time.Since(d.startedAt).Seconds(), fmt.Sprintf(format, arguments...))
 }
 
 func (d *demo) machines(role external.Role, engines bool) []deployment.Machine {
@@ -324,7 +324,7 @@
 	return nil
 }
 
-// startLoad starts callers that send requests to all entries until the context is canceled; their
+// startLoad starts callers that send requests to all entries until the context is cancelled; their
 // current requests are completed.
 func (d *demo) startLoad(ctx context.Context) *sync.WaitGroup {
 	var load sync.WaitGroup
