--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -253,6 +253,6 @@
 	if err != nil {
 		return nil, err
 	}
-	report.Violations = promise.Judge(results, calls, generations)
+	report.Violations = promise.Check(results, calls, generations)
 	return report, nil
 }
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, err
 	}
-	violations := promise.Judge(results, calls, generations)
+	violations := promise.Check(results, calls, generations)
 	for _, result := range results {
 		if !result.Answered && result.Execution == fault.ExecutionUnknown {
 			violations = append(violations, promise.Violation{
--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -336,5 +336,5 @@
 			generations[record.ID]++
 		}
 	}
-	return promise.Judge(f.Recorder.Results(), calls, generations)
+	return promise.Check(f.Recorder.Results(), calls, generations)
 }
--- a/internal/promise/promise.go
+++ b/internal/promise/promise.go
@@ -38,8 +38,8 @@
 // Runs counts how often the back ends ran each request identifier.
 type Runs map[string]int
 
-// Judge checks results against the back ends' records.
-func Judge(results []workload.Result, calls, generations Runs) []Violation {
+// Check checks results against the back ends' records.
+func Check(results []workload.Result, calls, generations Runs) []Violation {
 	var violations []Violation
 	add := func(name Name, result workload.Result, detail string) {
 		violations = append(violations, Violation{Promise: name, Request: result.ID, Detail: detail})
