--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -25,8 +25,8 @@
 	"pinevane.example/pinevane/internal/workload"
 )
 
-// Limit is how long a test waits for a condition. Only a broken fleet takes it.
-const Limit = 20 * time.Second
+// WaitTimeout is how long a test waits for a condition. Only a broken fleet takes it.
+const WaitTimeout = 20 * time.Second
 
 // Names used by every test fleet.
 const (
@@ -101,7 +101,7 @@
 		f.Entries = append(f.Entries, f.StartEntry(fmt.Sprintf("entry-%d", i)))
 	}
 	t.Cleanup(f.stopAll)
-	f.WaitServed("1")
+	f.WaitServing("1")
 	f.waitEntries()
 	return f
 }
@@ -185,7 +185,7 @@
 func (f *Fleet) WaitStopped(p *Process) {
 	select {
 	case <-p.ended:
-	case <-time.After(Limit):
+	case <-time.After(WaitTimeout):
 		f.t.Fatal("the planned stop does not end")
 	}
 }
@@ -232,7 +232,7 @@
 // Wait polls a condition.
 func (f *Fleet) Wait(what string, condition func() bool) {
 	f.t.Helper()
-	require.Eventually(f.t, condition, Limit, 10*time.Millisecond, what)
+	require.Eventually(f.t, condition, WaitTimeout, 10*time.Millisecond, what)
 }
 
 // Serves reports whether a machine admits new requests to a version.
@@ -246,8 +246,8 @@
 	return false
 }
 
-// WaitServed waits until every engine serves a version.
-func (f *Fleet) WaitServed(version string) {
+// WaitServing waits until every engine serves a version.
+func (f *Fleet) WaitServing(version string) {
 	f.t.Helper()
 	f.Wait("version "+version+" on every replica", func() bool {
 		for _, machine := range f.Engines {
@@ -259,9 +259,9 @@
 	})
 }
 
-// WaitOffered waits until an entry sends new requests to no other version of the model: the engines hold
+// WaitOnlyOffered waits until an entry sends new requests to no other version of the model: the engines hold
 // a version before their agents have proven it and say so, and until then the one before takes requests.
-func (f *Fleet) WaitOffered(process *Process, version string) {
+func (f *Fleet) WaitOnlyOffered(process *Process, version string) {
 	f.t.Helper()
 	f.Wait("version "+version+" alone offered by every replica", func() bool {
 		views, _ := blackboard.Read(process.Node.Board, entry.ReplicasKey)
--- a/internal/fleettest/fleet_test.go
+++ b/internal/fleettest/fleet_test.go
@@ -49,7 +49,7 @@
 	group := load(f, 8, done)
 	before := f.Origin.Drawn()
 	f.PublishVersion("2")
-	f.WaitServed("2")
+	f.WaitServing("2")
 	f.Wait("an answer of the new version", func() bool {
 		return workload.Summarize(f.Recorder.Results()).Versions["2"] > 0
 	})
@@ -85,17 +85,17 @@
 		machine.Engine.SetFaults(emulator.Faults{})
 	}
 	f.PublishVersion("3")
-	f.WaitServed("3")
+	f.WaitServing("3")
 }
 
 func TestGoingBackToTheOldVersionDrawsNothing(t *testing.T) {
 	t.Parallel()
 	f := New(t, 2, 0, 1)
 	f.PublishVersion("2")
-	f.WaitServed("2")
+	f.WaitServing("2")
 	drawn := f.Origin.Drawn()
 	f.PublishVersion("1")
-	f.WaitServed("1")
+	f.WaitServing("1")
 	assert.Equal(t, drawn, f.Origin.Drawn())
 }
 
@@ -269,7 +269,7 @@
 	t.Parallel()
 	f := New(t, 1, 0, 1)
 	f.PublishVersion("2")
-	f.WaitServed("2")
+	f.WaitServing("2")
 	// The service starts over with an old state of the same epoch.
 	f.Configuration.Reset(1, Documents("1", string(manifestOf(t, "1"))))
 	time.Sleep(300 * time.Millisecond)
@@ -277,7 +277,7 @@
 	assert.Equal(t, "2", snapshot.Models[Model].Version)
 	// With a higher epoch its word counts again.
 	f.Configuration.Reset(2, Documents("1", string(manifestOf(t, "1"))))
-	f.WaitServed("1")
+	f.WaitServing("1")
 }
 
 func manifestOf(t *testing.T, version string) string {
@@ -292,8 +292,8 @@
 	f := New(t, 2, 0, 1)
 	f.Origin.SetFaults(emulator.Faults{CorruptShare: 0.3})
 	f.PublishVersion("2")
-	f.WaitServed("2")
-	f.WaitOffered(f.Entries[0], "2")
+	f.WaitServing("2")
+	f.WaitOnlyOffered(f.Entries[0], "2")
 	result := f.Do(f.Entries[0], Stream("clean", 16))
 	assert.True(t, result.Answered, "%+v", result)
 	assert.Equal(t, "2", result.Version)
@@ -309,7 +309,7 @@
 		assert.Equal(t, "1", result.Version)
 	}
 	f.Origin.SetFaults(emulator.Faults{})
-	f.WaitServed("2")
+	f.WaitServing("2")
 }
 
 func TestAVersionReplacedInMidFlightIsAbandoned(t *testing.T) {
@@ -319,7 +319,7 @@
 	f.PublishVersion("2")
 	f.Origin.SetFaults(emulator.Faults{})
 	f.PublishVersion("3")
-	f.WaitServed("3")
+	f.WaitServing("3")
 	for _, machine := range f.Engines {
 		for _, loaded := range machine.Engine.Status().Loaded {
 			assert.NotEqual(t, "2", loaded.Version)
