--- a/internal/sitetest/crashing_test.go
+++ b/internal/sitetest/crashing_test.go
@@ -157,7 +157,7 @@
 	f.askUntilShut()
 	for zone := range f.Site.Options.Zones {
 		for index := range f.Site.Options.Entries {
-			f.Kill(Name(catalog.RoleEntry, zone, index))
+			f.Kill(ProcessName(catalog.RoleEntry, zone, index))
 		}
 	}
 	for zone := range f.Site.Options.Zones {
@@ -295,7 +295,7 @@
 		assert.Greater(t, retryAfter(t, answer), time.Minute, "when the caller may come back")
 	}
 	f.Site.CrashOn(site.Crashing{})
-	held, isList := f.Process(Name(catalog.RoleEntry, 0, 0)).Dump()["contents"].([]forward.FingerprintView)
+	held, isList := f.Process(ProcessName(catalog.RoleEntry, 0, 0)).Dump()["contents"].([]forward.FingerprintView)
 	require.True(t, isList)
 	require.Len(t, held, 1)
 	assert.Equal(t, "quarantined", held[0].State)
--- a/internal/sitetest/deaf_store_test.go
+++ b/internal/sitetest/deaf_store_test.go
@@ -33,7 +33,7 @@
 		for zone := range 2 {
 			for index := range 2 {
 				for _, role := range []string{catalog.RoleEntry, catalog.RoleAgent} {
-					name := Name(role, zone, index)
+					name := ProcessName(role, zone, index)
 					notice, _ := f.Process(name).Catalog.View().Newest("m")
 					assert.Equal(t, version, notice.Version, name)
 					late := notice.Since.Sub(named)
@@ -98,7 +98,7 @@
 		for zone := range 2 {
 			for index := range 2 {
 				for _, role := range []string{catalog.RoleEntry, catalog.RoleAgent} {
-					name := Name(role, zone, index)
+					name := ProcessName(role, zone, index)
 					notice, _ := f.Process(name).Catalog.View().Newest("m")
 					assert.Equal(t, version, notice.Version, name)
 					early := named.Sub(notice.Since)
@@ -169,7 +169,7 @@
 		for zone := range 2 {
 			for index := range 2 {
 				for _, role := range []string{catalog.RoleEntry, catalog.RoleAgent} {
-					process := Name(role, zone, index)
+					process := ProcessName(role, zone, index)
 					notice, _ := f.Process(process).Catalog.View().Newest("m")
 					if notice.Version == version {
 						assert.False(t, notice.Since.After(named), "%s: version %d %s late", process, version, notice.Since.Sub(named))
@@ -195,7 +195,7 @@
 	for zone := range 2 {
 		for index := range 2 {
 			for _, role := range []string{catalog.RoleEntry, catalog.RoleAgent} {
-				notice, _ := f.Process(Name(role, zone, index)).Catalog.View().Newest("m")
+				notice, _ := f.Process(ProcessName(role, zone, index)).Catalog.View().Newest("m")
 				assert.Equal(t, version, notice.Version, "%s %d-%d", role, zone, index)
 			}
 		}
--- a/internal/sitetest/evacuation_failure_test.go
+++ b/internal/sitetest/evacuation_failure_test.go
@@ -29,7 +29,7 @@
 // cutOff ends the second entry and has the store turn the first one away, until every watch
 // that was waiting has ended.
 func (f *Fleet) cutOff() {
-	f.Kill(Name(catalog.RoleEntry, 1, 0))
+	f.Kill(ProcessName(catalog.RoleEntry, 1, 0))
 	f.Site.Store.Refuse(f.Site.Options.EntryIP(0, 0))
 	time.Sleep(600 * time.Millisecond)
 }
@@ -40,7 +40,7 @@
 	whole := 0
 	for number := range count {
 		answer, err := f.Stream(context.Background(), 0, 0, name+"-"+strconv.Itoa(number), 2)
-		if err == nil && answer.Status == http.StatusOK && answer.Whole {
+		if err == nil && answer.Status == http.StatusOK && answer.Complete {
 			whole++
 		}
 	}
@@ -68,7 +68,7 @@
 			zone := site.ZoneName(0)
 			f.Site.Evacuate(zone)
 			asked := time.Now()
-			f.Kill(Name(catalog.RoleEntry, 0, 0))
+			f.Kill(ProcessName(catalog.RoleEntry, 0, 0))
 			f.cutOff()
 			f.StartEntry(0, 0)
 			time.Sleep(time.Until(asked.Add(evacuateMs * time.Millisecond)))
@@ -99,7 +99,7 @@
 	}
 	assert.Positive(t, f.between(zone, asked, time.Now()), "the entry has not heard")
 	f.Site.Store.Refuse()
-	entry := f.Process(Name(catalog.RoleEntry, 0, 0))
+	entry := f.Process(ProcessName(catalog.RoleEntry, 0, 0))
 	f.Eventually("the entry has heard", newsTime, func() bool { return entry.Catalog.View().Evacuated(zone) })
 	// The view is published some moments before the entry's choices go by it.
 	time.Sleep(50 * time.Millisecond)
@@ -150,10 +150,10 @@
 	time.Sleep(300 * time.Millisecond)
 	for index := range options.ModelServers {
 		f.Site.Models[options.ModelIP(2, index)].Crash()
-		f.Kill(Name(catalog.RoleAgent, 2, index))
+		f.Kill(ProcessName(catalog.RoleAgent, 2, index))
 	}
 	for index := range options.Entries {
-		f.Kill(Name(catalog.RoleEntry, 2, index))
+		f.Kill(ProcessName(catalog.RoleEntry, 2, index))
 	}
 	lost := time.Now()
 	served, sent := 0, 0
@@ -161,7 +161,7 @@
 		for index := range options.Entries {
 			answer, err := f.Stream(context.Background(), sent%2, index, "left-"+strconv.Itoa(sent), 2)
 			sent++
-			if err == nil && answer.Status == http.StatusOK && answer.Whole {
+			if err == nil && answer.Status == http.StatusOK && answer.Complete {
 				served++
 			}
 		}
--- a/internal/sitetest/evacuation_test.go
+++ b/internal/sitetest/evacuation_test.go
@@ -77,7 +77,7 @@
 		} else {
 			answer, err = f.Stream(context.Background(), zone, index, id, 3)
 		}
-		if err == nil && answer.Status == http.StatusOK && answer.Whole {
+		if err == nil && answer.Status == http.StatusOK && answer.Complete {
 			return true
 		}
 		f.t.Logf("request %s: %v %d %s", id, err, answer.Status, answer.Body)
@@ -228,7 +228,7 @@
 		open.Go(func() {
 			answer, err := f.Stream(context.Background(), 1, number%options.Entries, "broken-"+strconv.Itoa(number), events)
 			assert.NoError(t, err)
-			assert.True(t, answer.Whole)
+			assert.True(t, answer.Complete)
 			assert.Len(t, answer.Events, events)
 		})
 	}
@@ -249,7 +249,7 @@
 	f.Site.Evacuate(zone)
 	asked := time.Now()
 	time.Sleep(evacuateMs * time.Millisecond)
-	f.Kill(Name(catalog.RoleEntry, 0, 2))
+	f.Kill(ProcessName(catalog.RoleEntry, 0, 2))
 	f.StartEntry(0, 2)
 	f.Eventually("the entry is ready", 5*time.Second, func() bool { return f.ready(0, 2) })
 	for number := range 20 {
@@ -392,7 +392,7 @@
 // toldOfCold reports whether an entry has the words of all agents that their servers are cold,
 // one of them with requests received.
 func (f *Fleet) toldOfCold(zone, index int) bool {
-	views, _ := f.Process(Name(catalog.RoleEntry, zone, index)).Dump()["servers"].([]forward.ServerView)
+	views, _ := f.Process(ProcessName(catalog.RoleEntry, zone, index)).Dump()["servers"].([]forward.ServerView)
 	cold, received := 0, 0
 	for _, view := range views {
 		received += view.Status.Received
--- a/internal/sitetest/explain_test.go
+++ b/internal/sitetest/explain_test.go
@@ -110,7 +110,7 @@
 		}
 	}
 	answer := <-done
-	assert.False(t, answer.Whole)
+	assert.False(t, answer.Complete)
 	lines, told := story(f, t, "long-gloss", "PV4107")
 	want := "; version 2 had been named"
 	assert.Contains(t, told.Cause, "the stream was cut after event")
--- a/internal/sitetest/fleet.go
+++ b/internal/sitetest/fleet.go
@@ -36,7 +36,7 @@
 	t    *testing.T
 	Site *site.Site
 	// Log collects the lines of all processes.
-	Log *Lines
+	Log *LogBuffer
 
 	mutex     sync.Mutex
 	processes map[string]*process
@@ -52,21 +52,21 @@
 	done   chan struct{}
 }
 
-// Lines is a log that tests read.
-type Lines struct {
+// LogBuffer is a log that tests read.
+type LogBuffer struct {
 	mutex sync.Mutex
 	text  strings.Builder
 }
 
 // Write implements io.Writer.
-func (l *Lines) Write(line []byte) (int, error) {
+func (l *LogBuffer) Write(line []byte) (int, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.text.Write(line)
 }
 
 // String returns all lines.
-func (l *Lines) String() string {
+func (l *LogBuffer) String() string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.text.String()
@@ -104,7 +104,7 @@
 	t.Helper()
 	running, err := site.Start(options)
 	require.NoError(t, err)
-	f := &Fleet{t: t, Site: running, Log: &Lines{}, processes: map[string]*process{}, opened: map[string]bool{}, settings: map[string][]byte{}}
+	f := &Fleet{t: t, Site: running, Log: &LogBuffer{}, processes: map[string]*process{}, opened: map[string]bool{}, settings: map[string][]byte{}}
 	t.Cleanup(f.close)
 	for zone := range options.Zones {
 		for index := range options.Entries {
@@ -140,8 +140,8 @@
 	f.Site.Close()
 }
 
-// Name names a process.
-func Name(role string, zone, index int) string { return launch.SiteProcess(role, zone, index) }
+// ProcessName names a process.
+func ProcessName(role string, zone, index int) string { return launch.SiteProcess(role, zone, index) }
 
 func (f *Fleet) build(role string, zone, index int) *daemon.Daemon {
 	settings, err := platform.ParseSettings(f.Site.Settings(role, zone, index))
@@ -165,7 +165,7 @@
 func (f *Fleet) settingsOf(role string, zone, index int) []byte {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if changed, known := f.settings[Name(role, zone, index)]; known {
+	if changed, known := f.settings[ProcessName(role, zone, index)]; known {
 		return changed
 	}
 	return f.Site.Settings(role, zone, index)
@@ -173,7 +173,7 @@
 
 // Reload changes an entry's settings file and has the entry read it again.
 func (f *Fleet) Reload(zone, index int, data []byte) {
-	name := Name(catalog.RoleEntry, zone, index)
+	name := ProcessName(catalog.RoleEntry, zone, index)
 	f.mutex.Lock()
 	f.settings[name] = data
 	f.mutex.Unlock()
@@ -196,7 +196,7 @@
 // StartEntry starts an entry.
 func (f *Fleet) StartEntry(zone, index int) {
 	base := f.build(catalog.RoleEntry, zone, index)
-	f.run(Name(catalog.RoleEntry, zone, index), base, gateway.New(gateway.Options{Daemon: base, Dialect: platform.Dialect{}, Policy: forward.DefaultPolicy()}).Run)
+	f.run(ProcessName(catalog.RoleEntry, zone, index), base, gateway.New(gateway.Options{Daemon: base, Dialect: platform.Dialect{}, Policy: forward.DefaultPolicy()}).Run)
 }
 
 // StartAgent starts the agent of a model server's machine.
@@ -205,7 +205,7 @@
 	agent := rollout.New(rollout.Options{
 		Daemon: base, Server: platform.NewModelServer(f.Site.ModelAddress(zone, index)), Origin: platform.NewOrigin(),
 	})
-	f.run(Name(catalog.RoleAgent, zone, index), base, agent.Run)
+	f.run(ProcessName(catalog.RoleAgent, zone, index), base, agent.Run)
 }
 
 // Stop stops a process as planned and waits for its end.
@@ -267,7 +267,7 @@
 // seesAgents reports whether an entry has heard from the agent of each model
 // server that serves.
 func (f *Fleet) seesAgents(zone, index int) bool {
-	dump := f.Process(Name(catalog.RoleEntry, zone, index)).Dump()
+	dump := f.Process(ProcessName(catalog.RoleEntry, zone, index)).Dump()
 	return strings.Count(fmt.Sprintf("%+v", dump["servers"]), "Reachable:true") >= f.Site.Options.Zones*f.Site.Options.ModelServers
 }
 
@@ -276,10 +276,10 @@
 	Status int
 	Header http.Header
 	Body   string
-	// Whole is false when the answer broke off.
-	Whole bool
-	// Closes is set when the entry ends the connection after the answer.
-	Closes bool
+	// Complete is false when the answer broke off.
+	Complete bool
+	// ClosesConnection is set when the entry ends the connection after the answer.
+	ClosesConnection bool
 	// Events are the ids of a stream's events.
 	Events []int
 }
@@ -306,9 +306,9 @@
 		return Answer{}, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer := Answer{Status: response.StatusCode, Header: response.Header, Closes: response.Close}
+	answer := Answer{Status: response.StatusCode, Header: response.Header, ClosesConnection: response.Close}
 	data, err := io.ReadAll(response.Body)
-	answer.Body, answer.Whole = string(data), err == nil
+	answer.Body, answer.Complete = string(data), err == nil
 	scanner := bufio.NewScanner(strings.NewReader(answer.Body))
 	for scanner.Scan() {
 		if text, found := strings.CutPrefix(scanner.Text(), "id: "); found {
@@ -325,11 +325,11 @@
 
 // Stream asks for a stream of a number of events.
 func (f *Fleet) Stream(ctx context.Context, zone, index int, id string, events int) (Answer, error) {
-	return f.StreamOfPrompt(ctx, zone, index, id, shortPrompt, events)
+	return f.StreamWithPrompt(ctx, zone, index, id, shortPrompt, events)
 }
 
-// StreamOfPrompt asks for a stream of a number of events after a prompt of a number of tokens.
-func (f *Fleet) StreamOfPrompt(ctx context.Context, zone, index int, id string, prompt, events int) (Answer, error) {
+// StreamWithPrompt asks for a stream of a number of events after a prompt of a number of tokens.
+func (f *Fleet) StreamWithPrompt(ctx context.Context, zone, index int, id string, prompt, events int) (Answer, error) {
 	header := map[string]string{"Model": f.Site.Options.Weights.Model, "Token-Usage": fmt.Sprintf("%d,%d", prompt, events)}
 	return f.Call(ctx, zone, index, http.MethodPost, site.StreamPrefix+"a", id, header, "prompt")
 }
--- a/internal/sitetest/fleet_test.go
+++ b/internal/sitetest/fleet_test.go
@@ -34,7 +34,7 @@
 func (f *Fleet) inForce(version uint64) bool {
 	for zone := range f.Site.Options.Zones {
 		for index := range f.Site.Options.Entries {
-			view := f.Process(Name(catalog.RoleEntry, zone, index)).Catalog.View()
+			view := f.Process(ProcessName(catalog.RoleEntry, zone, index)).Catalog.View()
 			if view.Configuration == nil || view.Configuration.Version < version {
 				return false
 			}
@@ -77,10 +77,10 @@
 // answers 503 until then.
 func TestEntryThatStartsWhileTheStoreIsDown(t *testing.T) {
 	f := Start(t, DefaultOptions())
-	f.Kill(Name(catalog.RoleEntry, 1, 1))
+	f.Kill(ProcessName(catalog.RoleEntry, 1, 1))
 	version := f.Site.Configure(nil)
 	f.Eventually("the change is in force at another", 2*time.Second, func() bool {
-		return f.Process(Name(catalog.RoleEntry, 0, 0)).Catalog.View().Configuration.Version >= version
+		return f.Process(ProcessName(catalog.RoleEntry, 0, 0)).Catalog.View().Configuration.Version >= version
 	})
 	f.Site.Store.SetDown(true)
 	f.StartEntry(1, 1)
@@ -143,21 +143,21 @@
 		streams.Go(func() {
 			answer, err := f.Stream(context.Background(), 0, 0, fmt.Sprintf("long-%d", number), 25)
 			assert.NoError(t, err)
-			assert.True(t, answer.Whole)
+			assert.True(t, answer.Complete)
 			assert.Len(t, answer.Events, 25)
 		})
 	}
 	time.Sleep(300 * time.Millisecond)
 	stopped := make(chan struct{})
 	go func() {
-		f.Stop(Name(catalog.RoleEntry, 0, 0))
+		f.Stop(ProcessName(catalog.RoleEntry, 0, 0))
 		close(stopped)
 	}()
 	f.Eventually("the entry is not ready", time.Second, func() bool { return !f.ready(0, 0) })
 	answer, err := f.Call(context.Background(), 0, 0, http.MethodGet, site.SafePrefix, "late", nil, "")
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusOK, answer.Status)
-	assert.True(t, answer.Closes, "a stopping entry asks its callers to connect anew")
+	assert.True(t, answer.ClosesConnection, "a stopping entry asks its callers to connect anew")
 	streams.Wait()
 	select {
 	case <-stopped:
@@ -180,7 +180,7 @@
 	require.NoError(t, err)
 	_, err = io.Copy(io.Discard, response.Body)
 	require.NoError(t, err)
-	go f.Stop(Name(catalog.RoleEntry, 0, 0))
+	go f.Stop(ProcessName(catalog.RoleEntry, 0, 0))
 	require.NoError(t, connection.SetReadDeadline(time.Now().Add(2800*time.Millisecond)))
 	_, err = reader.ReadByte()
 	assert.ErrorIs(t, err, io.EOF)
@@ -211,7 +211,7 @@
 		assert.Equal(t, http.StatusOK, answer.Status)
 	}
 	f.Eventually("they are taken as gone", 4*time.Second, func() bool {
-		return len(f.Process(Name(catalog.RoleEntry, 0, 0)).Catalog.View().Servers[site.ModelService]) == 0
+		return len(f.Process(ProcessName(catalog.RoleEntry, 0, 0)).Catalog.View().Servers[site.ModelService]) == 0
 	})
 }
 
@@ -229,7 +229,7 @@
 	time.Sleep(2500 * time.Millisecond)
 	for zone := range options.Zones {
 		for index := range options.Entries {
-			known := f.Process(Name(catalog.RoleEntry, zone, index)).Catalog.View().Servers[site.ModelService]
+			known := f.Process(ProcessName(catalog.RoleEntry, zone, index)).Catalog.View().Servers[site.ModelService]
 			assert.Len(t, known, options.Zones*options.ModelServers, "entry %d of zone %d", index, zone)
 		}
 	}
--- a/internal/sitetest/health_test.go
+++ b/internal/sitetest/health_test.go
@@ -215,7 +215,7 @@
 	})
 	knows := time.Since(learned)
 	t.Logf("the zone knows after %s", knows)
-	f.Kill(Name(catalog.RoleEntry, 0, 2))
+	f.Kill(ProcessName(catalog.RoleEntry, 0, 2))
 	f.StartEntry(0, 2)
 	f.Eventually("the entry is ready", 5*time.Second, func() bool { return f.ready(0, 2) && f.seesAgents(0, 2) })
 	f.Eventually("it knows", 300*time.Millisecond, func() bool {
--- a/internal/sitetest/late_cancel_test.go
+++ b/internal/sitetest/late_cancel_test.go
@@ -127,7 +127,7 @@
 	f.Eventually("requests are served again", 2*time.Second, func() bool {
 		attempts++
 		answer, err := f.Stream(context.Background(), 0, 0, fmt.Sprintf("after-%d", attempts), 3)
-		return err == nil && answer.Status == http.StatusOK && answer.Whole
+		return err == nil && answer.Status == http.StatusOK && answer.Complete
 	})
 	for _, run := range f.Site.Ledger.Runs() {
 		assert.False(t, run.Spoilt)
--- a/internal/sitetest/leaving_test.go
+++ b/internal/sitetest/leaving_test.go
@@ -42,7 +42,7 @@
 	assert.GreaterOrEqual(t, shareServed(outcomes, said, said.Add(4*time.Second), time.Second), servedAgain)
 	assert.GreaterOrEqual(t, shareServed(plains, said, said.Add(4*time.Second), time.Second), servedAgain)
 	for _, one := range outcomes {
-		assert.True(t, one.answer.Status != http.StatusOK || one.answer.Whole, "a stream that was cut")
+		assert.True(t, one.answer.Status != http.StatusOK || one.answer.Complete, "a stream that was cut")
 	}
 }
 
--- a/internal/sitetest/recovery_test.go
+++ b/internal/sitetest/recovery_test.go
@@ -72,7 +72,7 @@
 	eldest := time.Duration(0)
 	for zone := range f.Site.Options.Zones {
 		for index := range f.Site.Options.Entries {
-			views, _ := f.Process(Name(catalog.RoleEntry, zone, index)).Dump()["servers"].([]forward.ServerView)
+			views, _ := f.Process(ProcessName(catalog.RoleEntry, zone, index)).Dump()["servers"].([]forward.ServerView)
 			for _, view := range views {
 				if view.Service == site.ModelService {
 					eldest = max(eldest, time.Duration(view.StatusAge*float64(time.Second)))
@@ -158,13 +158,13 @@
 	options.Zones, options.Entries, options.ModelServers = 1, 1, 1
 	running, err := site.Start(options)
 	require.NoError(t, err)
-	f := &Fleet{t: t, Site: running, Log: &Lines{}, processes: map[string]*process{}, opened: map[string]bool{}}
+	f := &Fleet{t: t, Site: running, Log: &LogBuffer{}, processes: map[string]*process{}, opened: map[string]bool{}}
 	t.Cleanup(f.close)
 	proxy := startMuteProxy(t, f.Site.ModelAddress(0, 0))
 	f.StartEntry(0, 0)
 	base := f.build(catalog.RoleAgent, 0, 0)
 	agent := rollout.New(rollout.Options{Daemon: base, Server: platform.NewModelServer(proxy.address), Origin: platform.NewOrigin()})
-	f.run(Name(catalog.RoleAgent, 0, 0), base, agent.Run)
+	f.run(ProcessName(catalog.RoleAgent, 0, 0), base, agent.Run)
 	f.WaitReady()
 	time.Sleep(settleTime)
 	return f, proxy
--- a/internal/sitetest/regions_test.go
+++ b/internal/sitetest/regions_test.go
@@ -150,7 +150,7 @@
 		server.Crash()
 	}
 	f.Eventually("the entry has lost them", 3*time.Second, func() bool {
-		for _, listed := range f.Process(Name(site.RoleEntry, 0, 0)).Catalog.View().Servers {
+		for _, listed := range f.Process(ProcessName(site.RoleEntry, 0, 0)).Catalog.View().Servers {
 			for _, server := range listed {
 				if server.Zone == site.ZoneName(zone) {
 					return false
@@ -203,7 +203,7 @@
 // refusalsFor reads how many requests an entry says that it has refused for a reason.
 func refusalsFor(f *Fleet, t *testing.T, reason string) int {
 	t.Helper()
-	families, err := f.Process(Name(site.RoleEntry, 0, 0)).Registry.Gather()
+	families, err := f.Process(ProcessName(site.RoleEntry, 0, 0)).Registry.Gather()
 	require.NoError(t, err)
 	count := 0.0
 	for _, family := range families {
@@ -270,11 +270,11 @@
 			answer := <-done
 			arrivals := slices.DeleteFunc(f.Site.Ledger.Arrivals(), func(arrival site.Arrival) bool { return arrival.RequestID != id })
 			if one.want == "" {
-				assert.False(t, answer.Whole)
+				assert.False(t, answer.Complete)
 				assert.Len(t, arrivals, 1)
 				return
 			}
-			assert.True(t, answer.Whole)
+			assert.True(t, answer.Complete)
 			assert.Equal(t, consecutive(events), answer.Events)
 			if assert.Len(t, arrivals, 2) {
 				assert.Equal(t, one.want, arrivals[1].Region)
--- a/internal/sitetest/requests_test.go
+++ b/internal/sitetest/requests_test.go
@@ -46,7 +46,7 @@
 				return
 			}
 			assert.Equal(t, http.StatusOK, answer.Status)
-			assert.True(t, answer.Whole)
+			assert.True(t, answer.Complete)
 			assert.Equal(t, consecutive(5), answer.Events)
 			assert.Equal(t, "seal-"+id, answer.Header.Get("Response-Seal"))
 			assert.Contains(t, answer.Body, "data: "+id+"/5")
@@ -135,7 +135,7 @@
 	}()
 	answer, err := f.Stream(context.Background(), 0, 0, "cut", 12)
 	require.NoError(t, err)
-	assert.True(t, answer.Whole)
+	assert.True(t, answer.Complete)
 	assert.Equal(t, consecutive(12), answer.Events)
 	assert.Len(t, runsOf(f, "cut"), 2)
 }
@@ -149,7 +149,7 @@
 	}
 	answer, err := f.Stream(context.Background(), 0, 0, "cut", 12)
 	require.NoError(t, err)
-	assert.False(t, answer.Whole)
+	assert.False(t, answer.Complete)
 	assert.Equal(t, consecutive(4), answer.Events)
 	assert.Len(t, runsOf(f, "cut"), 2)
 }
--- a/internal/sitetest/settings_test.go
+++ b/internal/sitetest/settings_test.go
@@ -56,7 +56,7 @@
 // fault, and the entry serves on by the settings before.
 func TestFaultySettingsThatAreReadAgainChangeNothing(t *testing.T) {
 	f := Start(t, DefaultOptions())
-	before := f.Process(Name(site.RoleEntry, 0, 0)).Settings()
+	before := f.Process(ProcessName(site.RoleEntry, 0, 0)).Settings()
 	for fault, data := range map[string][]byte{
 		"settings file": []byte(`{"nodeName": "entry`),
 		"bounds.drainMs": f.Site.ChangedSettings(site.RoleEntry, 0, 0, func(settings map[string]any) {
@@ -65,7 +65,7 @@
 		"settings field zones": f.Site.ChangedSettings(site.RoleEntry, 0, 0, func(settings map[string]any) { settings["zones"] = "none" }),
 	} {
 		f.Reload(0, 0, data)
-		assert.Equal(t, before, f.Process(Name(site.RoleEntry, 0, 0)).Settings(), fault)
+		assert.Equal(t, before, f.Process(ProcessName(site.RoleEntry, 0, 0)).Settings(), fault)
 		f.logged("PV1007", fault)
 		assert.Equal(t, http.StatusOK, statusOf(t, f, "served-"+strconv.Itoa(len(data))), fault)
 	}
@@ -80,7 +80,7 @@
 		settings["ip"], settings["internalPorts"] = "127.0.0.9", []int{7900, 7915}
 		settings["bounds"].(map[string]any)["drainMs"] = 2500
 	}))
-	after := f.Process(Name(site.RoleEntry, 0, 0)).Settings()
+	after := f.Process(ProcessName(site.RoleEntry, 0, 0)).Settings()
 	assert.NotEqual(t, "127.0.0.9", after.IP)
 	assert.EqualValues(t, 2500, after.Bounds.Drain.Milliseconds())
 	f.logged("PV1011", `"fields":["ip","internal ports"]`)
--- a/internal/sitetest/silence_test.go
+++ b/internal/sitetest/silence_test.go
@@ -60,7 +60,7 @@
 
 // served reports whether a request was answered whole within a time.
 func (o outcome) served(within time.Duration) bool {
-	return o.err == nil && o.answer.Status == http.StatusOK && o.answer.Whole && o.took <= within
+	return o.err == nil && o.answer.Status == http.StatusOK && o.answer.Complete && o.took <= within
 }
 
 // traffic sends requests at a pace, each in its own goroutine, whether or not the ones before
@@ -176,7 +176,7 @@
 		assert.GreaterOrEqual(t, after, backShare*calm, "%s: share served after the service is to be back, calm %.2f", name, calm)
 	}
 	for _, one := range streams {
-		assert.True(t, one.err == nil && (one.answer.Status != http.StatusOK || one.answer.Whole), "stream %s: cut after %d events: %v", one.id, len(one.answer.Events), one.err)
+		assert.True(t, one.err == nil && (one.answer.Status != http.StatusOK || one.answer.Complete), "stream %s: cut after %d events: %v", one.id, len(one.answer.Events), one.err)
 	}
 	for _, one := range once {
 		runs := len(runsOf(f, one.id))
@@ -240,7 +240,7 @@
 	time.Sleep(2500 * time.Millisecond)
 	f.Site.NameVersion(3)
 	time.Sleep(200 * time.Millisecond)
-	name := Name(catalog.RoleEntry, 1, 1)
+	name := ProcessName(catalog.RoleEntry, 1, 1)
 	f.Kill(name)
 	time.Sleep(100 * time.Millisecond)
 	f.StartEntry(1, 1)
--- a/internal/sitetest/sizes_test.go
+++ b/internal/sitetest/sizes_test.go
@@ -41,7 +41,7 @@
 	for number := range int(sizesPerSecond * sizesLast.Seconds()) {
 		prompt := min(sizesMost, 1+int(sizesUsual*math.Exp(0.8*random.NormFloat64()-0.32)))
 		callers.Go(func() {
-			answer, err := f.StreamOfPrompt(context.Background(), number%options.Zones, number/options.Zones%options.Entries,
+			answer, err := f.StreamWithPrompt(context.Background(), number%options.Zones, number/options.Zones%options.Entries,
 				fmt.Sprintf("sizes-%d", number), prompt, sizesEvents)
 			mutex.Lock()
 			defer mutex.Unlock()
--- a/internal/sitetest/start_test.go
+++ b/internal/sitetest/start_test.go
@@ -21,7 +21,7 @@
 	options := f.Site.Options
 	for zone := range options.Zones {
 		for index := range options.Entries {
-			f.Kill(Name(catalog.RoleEntry, zone, index))
+			f.Kill(ProcessName(catalog.RoleEntry, zone, index))
 		}
 	}
 	began := time.Now()
--- a/internal/sitetest/told_asks_test.go
+++ b/internal/sitetest/told_asks_test.go
@@ -20,7 +20,7 @@
 
 // viewAt is what an entry believes of a server.
 func (f *Fleet) viewAt(zone, index int, server string) forward.ServerView {
-	views, isList := f.Process(Name(catalog.RoleEntry, zone, index)).Dump()["servers"].([]forward.ServerView)
+	views, isList := f.Process(ProcessName(catalog.RoleEntry, zone, index)).Dump()["servers"].([]forward.ServerView)
 	require.True(f.t, isList)
 	for _, one := range views {
 		if one.ID == server {
@@ -71,7 +71,7 @@
 	named := func(view forward.ServerView) bool { return view.Limit != nil && view.Limit.PerSecond == 3 }
 	f.Eventually("all know the limit", toldWithin, func() bool { return f.everyEntry(limited.ID(), named) })
 
-	f.Kill(Name(catalog.RoleEntry, 2, 1))
+	f.Kill(ProcessName(catalog.RoleEntry, 2, 1))
 	f.StartEntry(2, 1)
 	f.WaitReady()
 	f.Eventually("the new entry knows both", toldWithin, func() bool {
--- a/internal/sitetest/versions_test.go
+++ b/internal/sitetest/versions_test.go
@@ -25,7 +25,7 @@
 				answer, err := f.Stream(context.Background(), caller%2, caller/2%2, fmt.Sprintf("load-%d-%d", caller, number), 8)
 				mutex.Lock()
 				sent++
-				if err != nil || answer.Status != 200 || !answer.Whole || len(answer.Events) != 8 {
+				if err != nil || answer.Status != 200 || !answer.Complete || len(answer.Events) != 8 {
 					spoilt++
 					t.Logf("stream %d-%d: %v %d %v", caller, number, err, answer.Status, answer.Events)
 				}
