--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -33,7 +33,7 @@
 	Model   = "model"
 	Service = "ledger"
 	Key     = "test-key"
-	keySum  = "62af8704764faf8ea82fc61ce9c4c3908b6cb97d463a634e9e587d7c885db0ef"
+	keyDigest  = "62af8704764faf8ea82fc61ce9c4c3908b6cb97d463a634e9e587d7c885db0ef"
 )
 
 // Fleet is a running fleet.
@@ -60,7 +60,7 @@
 	Node    *node.Node
 	Address string
 	stop    chan struct{}
-	ended   chan struct{}
+	done   chan struct{}
 	stopped bool
 }
 
@@ -155,7 +155,7 @@
 
 func (f *Fleet) start(base *node.Node, run func(<-chan struct{}) error, service string) *Process {
 	require.NoError(f.t, base.Listen())
-	started := &Process{Node: base, Address: base.Address(), stop: make(chan struct{}), ended: make(chan struct{})}
+	started := &Process{Node: base, Address: base.Address(), stop: make(chan struct{}), done: make(chan struct{})}
 	member := external.Member{
 		ID: base.ID(), Role: external.RoleAgent, Zone: base.Zone(), Region: base.Region(),
 		Address: started.Address, Service: service,
@@ -167,7 +167,7 @@
 	require.NoError(f.t, err)
 	f.Membership.Change(map[string][]byte{member.ID: data})
 	go func() {
-		defer close(started.ended)
+		defer close(started.done)
 		_ = run(started.stop)
 	}()
 	return started
@@ -184,7 +184,7 @@
 // WaitStopped waits until a planned stop has ended.
 func (f *Fleet) WaitStopped(p *Process) {
 	select {
-	case <-p.ended:
+	case <-p.done:
 	case <-time.After(WaitTimeout):
 		f.t.Fatal("the planned stop does not end")
 	}
@@ -222,7 +222,7 @@
 	return map[string][]byte{
 		"model.template":   []byte("template: model\nkind: model\nparameters:\n  version: {type: string}\n  manifest: {type: string}\nbody:\n  version: ${version}\n  manifest: ${manifest}\n  replicasPerZone: 16\n"),
 		"service.template": []byte("template: service\nkind: service\nbody:\n  repeatable: false\n"),
-		"tenant.template":  []byte("template: tenant\nkind: tenant\nbody:\n  keyDigests: [\"" + keySum + "\"]\n  priority: 5\n  requestsPerSecond: 10000\n  tokensPerSecond: 1000000\n  concurrency: 1000\n  models: [" + Model + "]\n  services: [" + Service + "]\n"),
+		"tenant.template":  []byte("template: tenant\nkind: tenant\nbody:\n  keyDigests: [\"" + keyDigest + "\"]\n  priority: 5\n  requestsPerSecond: 10000\n  tokensPerSecond: 1000000\n  concurrency: 1000\n  models: [" + Model + "]\n  services: [" + Service + "]\n"),
 		"model":            []byte("instance: " + Model + "\nfrom: model\nparameters: {version: \"" + version + "\", manifest: \"" + manifest + "\"}\n"),
 		"service":          []byte("instance: " + Service + "\nfrom: service\n"),
 		"tenant":           []byte("instance: tenant\nfrom: tenant\n"),
--- a/internal/fleettest/fleet_test.go
+++ b/internal/fleettest/fleet_test.go
@@ -19,8 +19,8 @@
 	"pinevane.example/pinevane/internal/workload"
 )
 
-// load sends streams and calls until done is closed, and waits for their ends.
-func load(f *Fleet, workers int, done <-chan struct{}) *sync.WaitGroup {
+// startLoad sends streams and calls until done is closed, and waits for their ends.
+func startLoad(f *Fleet, workers int, done <-chan struct{}) *sync.WaitGroup {
 	var group sync.WaitGroup
 	for worker := range workers {
 		group.Go(func() {
@@ -46,7 +46,7 @@
 	t.Parallel()
 	f := New(t, 3, 1, 2)
 	done := make(chan struct{})
-	group := load(f, 8, done)
+	group := startLoad(f, 8, done)
 	before := f.Origin.Drawn()
 	f.PublishVersion("2")
 	f.WaitServing("2")
@@ -271,16 +271,16 @@
 	f.PublishVersion("2")
 	f.WaitServing("2")
 	// The service starts over with an old state of the same epoch.
-	f.Configuration.Reset(1, Documents("1", string(manifestOf(t, "1"))))
+	f.Configuration.Reset(1, Documents("1", string(manifestDigest(t, "1"))))
 	time.Sleep(300 * time.Millisecond)
 	snapshot, _ := f.Entries[0].Node.Snapshot()
 	assert.Equal(t, "2", snapshot.Models[Model].Version)
 	// With a higher epoch its word counts again.
-	f.Configuration.Reset(2, Documents("1", string(manifestOf(t, "1"))))
+	f.Configuration.Reset(2, Documents("1", string(manifestDigest(t, "1"))))
 	f.WaitServing("1")
 }
 
-func manifestOf(t *testing.T, version string) string {
+func manifestDigest(t *testing.T, version string) string {
 	t.Helper()
 	_, digest, err := Synthetic(version).Manifest().Encode()
 	require.NoError(t, err)
@@ -331,7 +331,7 @@
 	t.Parallel()
 	f := New(t, 3, 2, 2)
 	done := make(chan struct{})
-	group := load(f, 6, done)
+	group := startLoad(f, 6, done)
 	// A new version, a configuration outage, an engine crash, lost links and a
 	// planned stop, all at once.
 	f.PublishVersion("2")
--- a/internal/promise/promise.go
+++ b/internal/promise/promise.go
@@ -62,22 +62,22 @@
 		if result.Execution == fault.ExecutionNotRun && runs > 0 {
 			add(NotRunIsTrue, result, fmt.Sprintf("refused as not-run (%s), ran %d times", result.Reason, runs))
 		}
-		if mayNotRepeat(result.Request) && runs > 1 {
+		if notRepeatable(result.Request) && runs > 1 {
 			add(AtMostOnce, result, fmt.Sprintf("ran %d times", runs))
 		}
 		if result.Answered && runs == 0 && result.Request.CallerKey == "" {
 			add(AnsweredRan, result, "answered without a run")
 		}
 	}
-	return append(violations, judgeKeys(results, calls)...)
+	return append(violations, checkKeys(results, calls)...)
 }
 
-func mayNotRepeat(request workload.Request) bool {
+func notRepeatable(request workload.Request) bool {
 	return request.NotRepeatable
 }
 
-// judgeKeys checks that a caller's key ran at most once over all its requests.
-func judgeKeys(results []workload.Result, calls Runs) []Violation {
+// checkKeys checks that a caller's key ran at most once over all its requests.
+func checkKeys(results []workload.Result, calls Runs) []Violation {
 	total := map[string]int{}
 	for _, result := range results {
 		if result.Request.CallerKey != "" && result.Request.NotRepeatable {
--- a/internal/sitetest/crashing_test.go
+++ b/internal/sitetest/crashing_test.go
@@ -29,27 +29,27 @@
 // content below goes on reaching servers for as long as it is asked.
 
 const (
-	// endsAllowed is how many servers may end before the content is known.
-	endsAllowed = 3
-	// knownWithin is how soon after the third end every machine knows the content, latecomersAllowed how
+	// maxCrashes is how many servers may end before the content is known.
+	maxCrashes = 3
+	// quarantineDelay is how soon after the third end every machine knows the content, latecomersAllowed how
 	// many sends are allowed after that.
-	knownWithin       = 3 * time.Second
-	latecomersAllowed = 3
-	// askedFor is how long the content is asked, askedEach how often.
-	askedFor  = 8 * time.Second
-	askedEach = 120 * time.Millisecond
-	// endPause is the time from an end to the news of it at the last entry: two questions of the agent,
+	quarantineDelay       = 3 * time.Second
+	maxLateArrivals = 3
+	// crashingDuration is how long the content is asked, askedEach how often.
+	crashingDuration  = 8 * time.Second
+	crashingInterval = 120 * time.Millisecond
+	// crashReportDelay is the time from an end to the news of it at the last entry: two questions of the agent,
 	// the way over two relays, or one refused connection.
-	endPause = time.Second
-	// servedAgain is the share of harmless requests that are served in time once the content is known
+	crashReportDelay = time.Second
+	// minServedRatio is the share of harmless requests that are served in time once the content is known
 	// and the last server that it ended is back.
-	servedAgain = 0.95
+	minServedRatio = 0.95
 
 	// controlPort is that of the entries' control addresses, which serve administration too.
 	controlPort = 8000
 
-	culpritBody = "ends the server"
-	culpritID   = "culprit-"
+	crashingBody = "ends the server"
+	crashingIDPrefix   = "culprit-"
 )
 
 // crashingOptions are a fleet in which the loss of a server is not the loss of a zone.
@@ -59,90 +59,90 @@
 	return options
 }
 
-// harmless sends streams whose content differs from one to the next, at all entries.
-func (f *Fleet) harmless(pace time.Duration) (stop func() []outcome) {
-	return traffic(pace, func(ctx context.Context, number int) outcome {
-		one := outcome{id: fmt.Sprintf("harmless-%d", number), begun: time.Now()}
-		one.answer, one.err = f.streamOf(ctx, number, fmt.Sprintf("harmless/%d", number), one.id, "prompt", 10)
-		one.took = time.Since(one.begun)
+// startHarmlessTraffic sends streams whose content differs from one to the next, at all entries.
+func (f *Fleet) startHarmlessTraffic(pace time.Duration) (stop func() []outcome) {
+	return startTraffic(pace, func(ctx context.Context, number int) outcome {
+		one := outcome{id: fmt.Sprintf("harmless-%d", number), startedAt: time.Now()}
+		one.answer, one.err = f.streamWithBody(ctx, number, fmt.Sprintf("harmless/%d", number), one.id, "prompt", 10)
+		one.duration = time.Since(one.startedAt)
 		return one
 	})
 }
 
-// streamOf asks for a stream with a target and body of its own, at the entry whose turn it is.
-func (f *Fleet) streamOf(ctx context.Context, turn int, target, id, body string, events int) (Answer, error) {
+// streamWithBody asks for a stream with a target and body of its own, at the entry whose turn it is.
+func (f *Fleet) streamWithBody(ctx context.Context, turn int, target, id, body string, events int) (Answer, error) {
 	options := f.Site.Options
 	header := map[string]string{"Model": options.Weights.Model, "Token-Usage": "10," + strconv.Itoa(events)}
 	return f.Call(ctx, turn%options.Zones, turn/options.Zones%options.Entries, http.MethodPost, site.StreamPrefix+target, id, header, body)
 }
 
-// askCulprit asks for the content that ends servers at entries drawn by chance.
-func (f *Fleet) askCulprit(pace time.Duration) (stop func() []outcome) {
-	return traffic(pace, func(ctx context.Context, number int) outcome {
-		one := outcome{id: culpritID + strconv.Itoa(number), begun: time.Now()}
-		one.answer, one.err = f.streamOf(ctx, rand.IntN(4), "culprit", one.id, culpritBody, 10)
-		one.took = time.Since(one.begun)
+// startCrashingTraffic asks for the content that ends servers at entries drawn by chance.
+func (f *Fleet) startCrashingTraffic(pace time.Duration) (stop func() []outcome) {
+	return startTraffic(pace, func(ctx context.Context, number int) outcome {
+		one := outcome{id: crashingIDPrefix + strconv.Itoa(number), startedAt: time.Now()}
+		one.answer, one.err = f.streamWithBody(ctx, rand.IntN(4), "culprit", one.id, crashingBody, 10)
+		one.duration = time.Since(one.startedAt)
 		return one
 	})
 }
 
-// culpritArrivals are the times at which the content has come to servers after a moment.
-func (f *Fleet) culpritArrivals(after time.Time) (late []time.Duration) {
+// crashingArrivals are the times at which the content has come to servers after a moment.
+func (f *Fleet) crashingArrivals(after time.Time) (late []time.Duration) {
 	for _, arrival := range f.Site.Ledger.Arrivals() {
-		if strings.HasPrefix(arrival.RequestID, culpritID) && arrival.At.After(after) {
+		if strings.HasPrefix(arrival.RequestID, crashingIDPrefix) && arrival.At.After(after) {
 			late = append(late, arrival.At.Sub(after))
 		}
 	}
 	return late
 }
 
-// thirdEnd is when the third server ended.
-func (f *Fleet) thirdEnd() time.Time {
+// thirdCrash is when the third server ended.
+func (f *Fleet) thirdCrash() time.Time {
 	ends := f.Site.Ends()
-	require.GreaterOrEqual(f.t, len(ends), endsAllowed, "servers that have ended")
-	return ends[endsAllowed-1].At
+	require.GreaterOrEqual(f.t, len(ends), maxCrashes, "servers that have ended")
+	return ends[maxCrashes-1].At
 }
 
 // BUDGET: content that ends its servers reaches none any more once it has ended three, at whatever
 // entry it is asked, and harmless requests are served.
 func TestContentThatEndsItsServersIsKeptFromThem(t *testing.T) {
 	f := Start(t, crashingOptions())
-	f.Site.CrashOn(site.Crashing{Body: culpritBody, After: 50 * time.Millisecond, Away: 2 * time.Second})
-	stopHarmless, stopCulprit := f.harmless(20*time.Millisecond), f.askCulprit(askedEach)
-	time.Sleep(askedFor)
+	f.Site.CrashOn(site.Crashing{Body: crashingBody, After: 50 * time.Millisecond, Away: 2 * time.Second})
+	stopHarmless, stopCulprit := f.startHarmlessTraffic(20*time.Millisecond), f.startCrashingTraffic(crashingInterval)
+	time.Sleep(crashingDuration)
 	culprits, harmless, ended := stopCulprit(), stopHarmless(), time.Now()
-	third := f.thirdEnd()
-	t.Logf("servers that ended: %d, sends after the third: %d", len(f.Site.Ends()), len(f.culpritArrivals(third)))
-	assert.LessOrEqual(t, len(f.culpritArrivals(third.Add(knownWithin))), latecomersAllowed, "sends after the content must be known")
-	assert.Empty(t, f.culpritArrivals(third.Add(endPause)), "sends after the content can be known")
+	third := f.thirdCrash()
+	t.Logf("servers that ended: %d, sends after the third: %d", len(f.Site.Ends()), len(f.crashingArrivals(third)))
+	assert.LessOrEqual(t, len(f.crashingArrivals(third.Add(quarantineDelay))), maxLateArrivals, "sends after the content must be known")
+	assert.Empty(t, f.crashingArrivals(third.Add(crashReportDelay)), "sends after the content can be known")
 	last := f.Site.Ends()[len(f.Site.Ends())-1].At
 	if back := last.Add(3 * time.Second); back.Before(ended) {
-		assert.GreaterOrEqual(t, shareServed(harmless, back, ended, time.Second), servedAgain, "harmless requests served once the servers are back")
+		assert.GreaterOrEqual(t, servedRatio(harmless, back, ended, time.Second), minServedRatio, "harmless requests served once the servers are back")
 	}
 	assert.Equal(t, f.Site.Options.Zones*f.Site.Options.Entries, countEvents(f, "PV4211", ""), "contents quarantined, by entry: the one alone")
 	for _, one := range culprits {
-		if one.begun.Before(third.Add(endPause)) {
+		if one.startedAt.Before(third.Add(crashReportDelay)) {
 			continue
 		}
 		assert.NotEqual(t, http.StatusOK, one.answer.Status)
-		assert.Less(t, one.took, 100*time.Millisecond, "the time to an answer that nothing is needed for")
+		assert.Less(t, one.duration, 100*time.Millisecond, "the time to an answer that nothing is needed for")
 	}
 }
 
-// askUntilShut asks for the content that ends servers until every entry has quarantined it.
-func (f *Fleet) askUntilShut() {
+// sendUntilQuarantined asks for the content that ends servers until every entry has quarantined it.
+func (f *Fleet) sendUntilQuarantined() {
 	f.t.Helper()
-	stop := f.askCulprit(askedEach)
+	stop := f.startCrashingTraffic(crashingInterval)
 	defer stop()
 	entries := f.Site.Options.Zones * f.Site.Options.Entries
-	f.Eventually("every entry has quarantined the content", askedFor, func() bool { return countEvents(f, "PV4211", "") >= entries })
+	f.Eventually("every entry has quarantined the content", crashingDuration, func() bool { return countEvents(f, "PV4211", "") >= entries })
 }
 
-// askEverywhere asks for the content that ends servers once at each entry.
-func (f *Fleet) askEverywhere(id string) (answers []Answer) {
+// sendToEveryEntry asks for the content that ends servers once at each entry.
+func (f *Fleet) sendToEveryEntry(id string) (answers []Answer) {
 	f.t.Helper()
 	for turn := range f.Site.Options.Zones * f.Site.Options.Entries {
-		answer, err := f.streamOf(context.Background(), turn, "culprit", fmt.Sprintf("%s%s-%d", culpritID, id, turn), culpritBody, 10)
+		answer, err := f.streamWithBody(context.Background(), turn, "culprit", fmt.Sprintf("%s%s-%d", crashingIDPrefix, id, turn), crashingBody, 10)
 		require.NoError(f.t, err)
 		answers = append(answers, answer)
 	}
@@ -153,8 +153,8 @@
 // the agents.
 func TestContentIsKnownWhenAllEntriesWereKilled(t *testing.T) {
 	f := Start(t, crashingOptions())
-	f.Site.CrashOn(site.Crashing{Body: culpritBody, After: 50 * time.Millisecond, Away: 500 * time.Millisecond})
-	f.askUntilShut()
+	f.Site.CrashOn(site.Crashing{Body: crashingBody, After: 50 * time.Millisecond, Away: 500 * time.Millisecond})
+	f.sendUntilQuarantined()
 	for zone := range f.Site.Options.Zones {
 		for index := range f.Site.Options.Entries {
 			f.Kill(ProcessName(catalog.RoleEntry, zone, index))
@@ -167,10 +167,10 @@
 	}
 	f.WaitReady()
 	started := time.Now()
-	for _, answer := range f.askEverywhere("after") {
+	for _, answer := range f.sendToEveryEntry("after") {
 		assert.Equal(t, http.StatusServiceUnavailable, answer.Status)
 	}
-	assert.Empty(t, f.culpritArrivals(started))
+	assert.Empty(t, f.crashingArrivals(started))
 }
 
 // BUDGET: plain services have no agent beside them, and few servers.
@@ -178,42 +178,42 @@
 	options := DefaultOptions()
 	options.PlainServers = 2
 	f := Start(t, options)
-	f.Site.CrashOn(site.Crashing{Body: culpritBody, After: 50 * time.Millisecond, Away: time.Second})
-	stop := traffic(askedEach, func(ctx context.Context, number int) outcome {
-		one := outcome{id: culpritID + strconv.Itoa(number), begun: time.Now()}
-		one.answer, one.err = f.Call(ctx, number%2, number/2%2, http.MethodPost, site.SafePrefix+"culprit", one.id, nil, culpritBody)
+	f.Site.CrashOn(site.Crashing{Body: crashingBody, After: 50 * time.Millisecond, Away: time.Second})
+	stop := startTraffic(crashingInterval, func(ctx context.Context, number int) outcome {
+		one := outcome{id: crashingIDPrefix + strconv.Itoa(number), startedAt: time.Now()}
+		one.answer, one.err = f.Call(ctx, number%2, number/2%2, http.MethodPost, site.SafePrefix+"culprit", one.id, nil, crashingBody)
 		return one
 	})
-	time.Sleep(askedFor)
+	time.Sleep(crashingDuration)
 	stop()
-	third := f.thirdEnd()
-	t.Logf("servers that ended: %d, sends after the third: %d", len(f.Site.Ends()), len(f.culpritArrivals(third)))
-	assert.LessOrEqual(t, len(f.culpritArrivals(third.Add(knownWithin))), latecomersAllowed, "sends after the content must be known")
-	assert.Empty(t, f.culpritArrivals(third.Add(endPause)), "sends after the content can be known")
+	third := f.thirdCrash()
+	t.Logf("servers that ended: %d, sends after the third: %d", len(f.Site.Ends()), len(f.crashingArrivals(third)))
+	assert.LessOrEqual(t, len(f.crashingArrivals(third.Add(quarantineDelay))), maxLateArrivals, "sends after the content must be known")
+	assert.Empty(t, f.crashingArrivals(third.Add(crashReportDelay)), "sends after the content can be known")
 }
 
 // BUDGET: the content is asked so rarely, and nothing else is, that no other request shows that its
 // servers have ended.
 func TestContentThatIsAskedRarelyIsKeptFromServersToo(t *testing.T) {
 	f := Start(t, crashingOptions())
-	f.Site.CrashOn(site.Crashing{Body: culpritBody, After: 50 * time.Millisecond, Away: 10 * time.Second})
+	f.Site.CrashOn(site.Crashing{Body: crashingBody, After: 50 * time.Millisecond, Away: 10 * time.Second})
 	for number := range 6 {
-		_, err := f.streamOf(context.Background(), number, "culprit", culpritID+strconv.Itoa(number), culpritBody, 10)
+		_, err := f.streamWithBody(context.Background(), number, "culprit", crashingIDPrefix+strconv.Itoa(number), crashingBody, 10)
 		require.NoError(t, err)
 		time.Sleep(1300 * time.Millisecond)
 	}
-	assert.Len(t, f.Site.Ends(), endsAllowed)
+	assert.Len(t, f.Site.Ends(), maxCrashes)
 }
 
 // BUDGET: ended servers are back before a connection can show that they were away, under the same IDs.
 func TestContentIsKnownByServersThatAreBackAtOnce(t *testing.T) {
 	f := Start(t, crashingOptions())
-	f.Site.CrashOn(site.Crashing{Body: culpritBody, After: 50 * time.Millisecond, Away: time.Nanosecond, SameID: true})
-	stop := f.askCulprit(400 * time.Millisecond)
-	time.Sleep(askedFor)
+	f.Site.CrashOn(site.Crashing{Body: crashingBody, After: 50 * time.Millisecond, Away: time.Nanosecond, SameID: true})
+	stop := f.startCrashingTraffic(400 * time.Millisecond)
+	time.Sleep(crashingDuration)
 	stop()
-	third := f.thirdEnd()
-	assert.LessOrEqual(t, len(f.culpritArrivals(third.Add(knownWithin))), latecomersAllowed, "sends after the content must be known")
+	third := f.thirdCrash()
+	assert.LessOrEqual(t, len(f.crashingArrivals(third.Add(quarantineDelay))), maxLateArrivals, "sends after the content must be known")
 }
 
 // Servers that reset the connections of requests, and live on, end under no content.
@@ -229,7 +229,7 @@
 	}
 	for number := range 12 {
 		assert.NotEqual(t, http.StatusOK, ask(number).Status)
-		time.Sleep(askedEach)
+		time.Sleep(crashingInterval)
 	}
 	for _, server := range f.Site.Plain {
 		server.SetFaults(site.Faults{})
@@ -244,10 +244,10 @@
 func TestLossOfAllServersBlamesNoContent(t *testing.T) {
 	options := crashingOptions()
 	f := Start(t, options)
-	stop := traffic(10*time.Millisecond, func(ctx context.Context, number int) outcome {
-		one := outcome{begun: time.Now()}
-		one.answer, one.err = f.streamOf(ctx, number, "popular", fmt.Sprintf("popular-%d", number), "popular", 20)
-		one.took = time.Since(one.begun)
+	stop := startTraffic(10*time.Millisecond, func(ctx context.Context, number int) outcome {
+		one := outcome{startedAt: time.Now()}
+		one.answer, one.err = f.streamWithBody(ctx, number, "popular", fmt.Sprintf("popular-%d", number), "popular", 20)
+		one.duration = time.Since(one.startedAt)
 		return one
 	})
 	for range 3 {
@@ -263,15 +263,15 @@
 	time.Sleep(time.Second)
 	outcomes := stop()
 	assert.Zero(t, countEvents(f, "PV4211", ""), "contents quarantined")
-	assert.GreaterOrEqual(t, shareServed(outcomes, back.Add(300*time.Millisecond), back.Add(time.Second), time.Second), servedAgain)
+	assert.GreaterOrEqual(t, servedRatio(outcomes, back.Add(300*time.Millisecond), back.Add(time.Second), time.Second), minServedRatio)
 }
 
 // A server that has said that it leaves ends with requests under way: no content has ended it.
 func TestPlannedEndBlamesNoContent(t *testing.T) {
 	f := Start(t, DefaultOptions())
-	stop := traffic(50*time.Millisecond, func(ctx context.Context, number int) outcome {
-		one := outcome{begun: time.Now()}
-		one.answer, one.err = f.streamOf(ctx, number, "long", fmt.Sprintf("long-%d", number), "long", 400)
+	stop := startTraffic(50*time.Millisecond, func(ctx context.Context, number int) outcome {
+		one := outcome{startedAt: time.Now()}
+		one.answer, one.err = f.streamWithBody(ctx, number, "long", fmt.Sprintf("long-%d", number), "long", 400)
 		return one
 	})
 	time.Sleep(500 * time.Millisecond)
@@ -288,9 +288,9 @@
 // An operator has a content sent to servers again, at one entry, and all follow.
 func TestReleasedContentIsSentAgain(t *testing.T) {
 	f := Start(t, crashingOptions())
-	f.Site.CrashOn(site.Crashing{Body: culpritBody, After: 50 * time.Millisecond, Away: 500 * time.Millisecond})
-	f.askUntilShut()
-	for _, answer := range f.askEverywhere("shut") {
+	f.Site.CrashOn(site.Crashing{Body: crashingBody, After: 50 * time.Millisecond, Away: 500 * time.Millisecond})
+	f.sendUntilQuarantined()
+	for _, answer := range f.sendToEveryEntry("shut") {
 		assert.Equal(t, http.StatusServiceUnavailable, answer.Status)
 		assert.Greater(t, retryAfter(t, answer), time.Minute, "when the caller may come back")
 	}
@@ -299,7 +299,7 @@
 	require.True(t, isList)
 	require.Len(t, held, 1)
 	assert.Equal(t, "quarantined", held[0].State)
-	assert.GreaterOrEqual(t, len(held[0].Servers), endsAllowed)
+	assert.GreaterOrEqual(t, len(held[0].Servers), maxCrashes)
 	release := func(content string) int {
 		response, err := client.Post(fmt.Sprintf("http://%s:%d%s%s", f.Site.Options.EntryIP(1, 1), controlPort, gateway.ReleasePath, content), "", nil)
 		require.NoError(t, err)
@@ -310,7 +310,7 @@
 	assert.Equal(t, http.StatusNotFound, release(strings.Repeat("0", 32)))
 	assert.Equal(t, http.StatusNoContent, release(held[0].Fingerprint))
 	f.Eventually("every entry sends the content", 2*time.Second, func() bool {
-		for _, answer := range f.askEverywhere("released") {
+		for _, answer := range f.sendToEveryEntry("released") {
 			if answer.Status != http.StatusOK {
 				return false
 			}
--- a/internal/sitetest/deaf_store_test.go
+++ b/internal/sitetest/deaf_store_test.go
@@ -12,8 +12,8 @@
 	"pinevane.example/pinevane/internal/emulator/site"
 )
 
-// deafFor is how long the store's watches hear nothing before it forgets its history.
-const deafFor = 800 * time.Millisecond
+// silentFor is how long the store's watches hear nothing before it forgets its history.
+const silentFor = 800 * time.Millisecond
 
 // VERSION: no process takes a version to be named later than it was, also when the store's
 // watches heard nothing of it. Seen: all eight processes took six of six versions to be named
@@ -28,7 +28,7 @@
 		time.Sleep(10 * time.Millisecond)
 		named := time.Now()
 		f.Site.NameVersion(version)
-		time.AfterFunc(deafFor, f.Site.Store.Compact)
+		time.AfterFunc(silentFor, f.Site.Store.Compact)
 		time.Sleep(3500 * time.Millisecond)
 		for zone := range 2 {
 			for index := range 2 {
@@ -53,9 +53,9 @@
 		t.Run(fmt.Sprintf("deaf %v", deaf), func(t *testing.T) {
 			f := Start(t, lateCancelOptions())
 			f.Site.Origin.SetAway(true)
-			stop := traffic(120*time.Millisecond, func(ctx context.Context, number int) outcome {
-				one := outcome{id: fmt.Sprintf("stream-%d", number), begun: time.Now()}
-				one.answer, one.err = f.Stream(ctx, number%2, number/2%2, one.id, heldEvents)
+			stop := startTraffic(120*time.Millisecond, func(ctx context.Context, number int) outcome {
+				one := outcome{id: fmt.Sprintf("stream-%d", number), startedAt: time.Now()}
+				one.answer, one.err = f.Stream(ctx, number%2, number/2%2, one.id, longStreamEvents)
 				return one
 			})
 			time.Sleep(1500 * time.Millisecond)
@@ -65,7 +65,7 @@
 			named := time.Now()
 			f.Site.NameVersion(2)
 			if deaf {
-				time.AfterFunc(deafFor, f.Site.Store.Compact)
+				time.AfterFunc(silentFor, f.Site.Store.Compact)
 			}
 			bound := named.Add(time.Duration(f.Site.Options.VersionMs) * time.Millisecond)
 			time.Sleep(time.Until(bound.Add(2 * time.Second)))
@@ -81,9 +81,9 @@
 	}
 }
 
-// calmAge is the most by which a version may be believed older than it is while all goes well: a
+// maxAnnouncementError is the most by which a version may be believed older than it is while all goes well: a
 // watch of the store with its pause, and some way from process to process.
-const calmAge = time.Second
+const maxAnnouncementError = time.Second
 
 // In calm, the doubt of a store that may be about to forget its history costs nothing.
 func TestVersionsAreHardlyBelievedOlderInCalmAnywhere(t *testing.T) {
@@ -103,7 +103,7 @@
 					assert.Equal(t, version, notice.Version, name)
 					early := named.Sub(notice.Since)
 					assert.GreaterOrEqual(t, early, time.Duration(0), "%s, version %d", name, version)
-					assert.LessOrEqual(t, early, calmAge, "%s, version %d", name, version)
+					assert.LessOrEqual(t, early, maxAnnouncementError, "%s, version %d", name, version)
 					sum, count = sum+early, count+1
 				}
 			}
@@ -120,8 +120,8 @@
 	options := DefaultOptions()
 	options.Weights.Pieces = 96
 	f := Start(t, options)
-	stop := traffic(15*time.Millisecond, func(ctx context.Context, number int) outcome {
-		one := outcome{id: fmt.Sprintf("stream-%d", number), begun: time.Now()}
+	stop := startTraffic(15*time.Millisecond, func(ctx context.Context, number int) outcome {
+		one := outcome{id: fmt.Sprintf("stream-%d", number), startedAt: time.Now()}
 		one.answer, one.err = f.Stream(ctx, number%2, number/2%2, one.id, 4)
 		return one
 	})
@@ -139,7 +139,7 @@
 	time.Sleep(4500 * time.Millisecond)
 	outcomes := stop()
 	for at := -time.Second; at < 3*time.Second; at += half {
-		served := shareServed(outcomes, named.Add(at), named.Add(at+half), time.Second)
+		served := servedRatio(outcomes, named.Add(at), named.Add(at+half), time.Second)
 		t.Logf("%5.1f s after the naming: %.2f served", at.Seconds(), served)
 		// Then the servers change over, which takes as much of their time as without an outage.
 		if at+half <= withheld {
--- a/internal/sitetest/evacuation_failure_test.go
+++ b/internal/sitetest/evacuation_failure_test.go
@@ -14,29 +14,29 @@
 	"pinevane.example/pinevane/internal/emulator/site"
 )
 
-// newsTime is how long an entry that is in touch may take to act on what the store holds; a
+// maxUpdateDelay is how long an entry that is in touch may take to act on what the store holds; a
 // watch waits half a second.
-const newsTime = time.Second
+const maxUpdateDelay = time.Second
 
-// twoEntries is a fleet of two zones with one entry each, so that the first is cut off from
+// twoEntryOptions is a fleet of two zones with one entry each, so that the first is cut off from
 // all others when the second has ended.
-func twoEntries() site.Options {
+func twoEntryOptions() site.Options {
 	options := evacuationOptions()
 	options.Entries = 1
 	return options
 }
 
-// cutOff ends the second entry and has the store turn the first one away, until every watch
+// isolateFirstEntry ends the second entry and has the store turn the first one away, until every watch
 // that was waiting has ended.
-func (f *Fleet) cutOff() {
+func (f *Fleet) isolateFirstEntry() {
 	f.Kill(ProcessName(catalog.RoleEntry, 1, 0))
 	f.Site.Store.Refuse(f.Site.Options.EntryIP(0, 0))
 	time.Sleep(600 * time.Millisecond)
 }
 
-// streams sends a number of streams through the first entry, one after the other, and returns
+// sendStreams sends a number of streams through the first entry, one after the other, and returns
 // how many were answered whole.
-func (f *Fleet) streams(name string, count int) int {
+func (f *Fleet) sendStreams(name string, count int) int {
 	whole := 0
 	for number := range count {
 		answer, err := f.Stream(context.Background(), 0, 0, name+"-"+strconv.Itoa(number), 2)
@@ -47,11 +47,11 @@
 	return whole
 }
 
-// takeBack ends a zone's evacuation and waits until the zone serves again.
-func (f *Fleet) takeBack(zone string) {
+// endEvacuation ends a zone's evacuation and waits until the zone serves again.
+func (f *Fleet) endEvacuation(zone string) {
 	f.Site.EndEvacuation(zone)
 	back := time.Now()
-	f.Eventually(zone+" serves again", 3*time.Second, func() bool { return f.between(zone, back, time.Now()) > 10 })
+	f.Eventually(zone+" serves again", 3*time.Second, func() bool { return f.arrivalsBetween(zone, back, time.Now()) > 10 })
 }
 
 // EVAC, REFUSED: an entry that starts cut off from the store and from all other entries refuses,
@@ -63,13 +63,13 @@
 	}
 	for name, hear := range hears {
 		t.Run(name, func(t *testing.T) {
-			f := Start(t, twoEntries())
+			f := Start(t, twoEntryOptions())
 			// Its own zone, which it prefers.
 			zone := site.ZoneName(0)
 			f.Site.Evacuate(zone)
 			asked := time.Now()
 			f.Kill(ProcessName(catalog.RoleEntry, 0, 0))
-			f.cutOff()
+			f.isolateFirstEntry()
 			f.StartEntry(0, 0)
 			time.Sleep(time.Until(asked.Add(evacuateMs * time.Millisecond)))
 			answer, err := f.Stream(context.Background(), 0, 0, "unheard", 2)
@@ -78,9 +78,9 @@
 			assert.Contains(t, answer.Body, "not-run")
 			hear(f)
 			f.Eventually("the entry is ready", 8*time.Second, func() bool { return f.ready(0, 0) })
-			f.Eventually("the entry serves", 3*time.Second, func() bool { return f.streams("first", 1) == 1 })
-			assert.Equal(t, 20, f.streams("heard", 20))
-			assert.Zero(t, f.between(zone, asked, time.Now()))
+			f.Eventually("the entry serves", 3*time.Second, func() bool { return f.sendStreams("first", 1) == 1 })
+			assert.Equal(t, 20, f.sendStreams("heard", 20))
+			assert.Zero(t, f.arrivalsBetween(zone, asked, time.Now()))
 		})
 	}
 }
@@ -88,24 +88,24 @@
 // EVAC: an entry that is cut off when a zone is evacuated serves on by what it knows, and sends
 // nothing more into the zone from when it hears.
 func TestEntryThatHearsOfAnEvacuationLate(t *testing.T) {
-	f := Start(t, twoEntries())
+	f := Start(t, twoEntryOptions())
 	// Its own zone, which it prefers.
 	zone := site.ZoneName(0)
-	f.cutOff()
+	f.isolateFirstEntry()
 	f.Site.Evacuate(zone)
 	asked := time.Now()
 	for time.Since(asked) < evacuateMs*time.Millisecond+time.Second {
-		assert.Equal(t, 5, f.streams("cut-off-"+strconv.Itoa(int(time.Since(asked))), 5))
+		assert.Equal(t, 5, f.sendStreams("cut-off-"+strconv.Itoa(int(time.Since(asked))), 5))
 	}
-	assert.Positive(t, f.between(zone, asked, time.Now()), "the entry has not heard")
+	assert.Positive(t, f.arrivalsBetween(zone, asked, time.Now()), "the entry has not heard")
 	f.Site.Store.Refuse()
 	entry := f.Process(ProcessName(catalog.RoleEntry, 0, 0))
-	f.Eventually("the entry has heard", newsTime, func() bool { return entry.Catalog.View().Evacuated(zone) })
+	f.Eventually("the entry has heard", maxUpdateDelay, func() bool { return entry.Catalog.View().Evacuated(zone) })
 	// The view is published some moments before the entry's choices go by it.
 	time.Sleep(50 * time.Millisecond)
 	heard := time.Now()
-	assert.Equal(t, 50, f.streams("heard", 50))
-	assert.Zero(t, f.between(zone, heard, time.Now()))
+	assert.Equal(t, 50, f.sendStreams("heard", 50))
+	assert.Zero(t, f.arrivalsBetween(zone, heard, time.Now()))
 }
 
 // EVAC: entries that lose the store midway, all of them, keep the zone empty, also when that has
@@ -114,11 +114,11 @@
 	f := Start(t, evacuationOptions())
 	options := f.Site.Options
 	zone := site.ZoneName(1)
-	stop := busy(f, 6)
+	stop := startLoad(f, 6)
 	time.Sleep(300 * time.Millisecond)
 	f.Site.Evacuate(zone)
 	asked := time.Now()
-	f.Eventually("the entries know", newsTime, func() bool { return countEvents(f, "PV2009", zone) >= options.Zones*options.Entries })
+	f.Eventually("the entries know", maxUpdateDelay, func() bool { return countEvents(f, "PV2009", zone) >= options.Zones*options.Entries })
 	known := time.Now()
 	var refused []string
 	for zone := range options.Zones {
@@ -132,8 +132,8 @@
 	time.Sleep(700 * time.Millisecond)
 	back := time.Now()
 	f.Site.Store.Refuse()
-	assert.Zero(t, f.between(zone, known, back), "nobody knew that it was taken back")
-	f.Eventually("the zone serves again", 3*time.Second, func() bool { return f.between(zone, back, time.Now()) > 10 })
+	assert.Zero(t, f.arrivalsBetween(zone, known, back), "nobody knew that it was taken back")
+	f.Eventually("the zone serves again", 3*time.Second, func() bool { return f.arrivalsBetween(zone, back, time.Now()) > 10 })
 	_, spoilt := stop()
 	assert.Zero(t, spoilt)
 }
@@ -168,8 +168,8 @@
 	}
 	assert.Greater(t, sent, 50)
 	assert.Equal(t, sent, served)
-	assert.Zero(t, evacuation{zone: zone, asked: asked, ended: time.Now()}.late(f))
-	assert.Zero(t, f.between(zone, lost, time.Now()))
+	assert.Zero(t, evacuation{zone: zone, startedAt: asked, endedAt: time.Now()}.lateArrivals(f))
+	assert.Zero(t, f.arrivalsBetween(zone, lost, time.Now()))
 }
 
 // EVAC: two zones at once; one that is taken back is in use again while the other stays empty.
@@ -177,18 +177,18 @@
 	options := evacuationOptions()
 	options.Zones = 3
 	f := Start(t, options)
-	stop := busy(f, 9)
+	stop := startLoad(f, 9)
 	time.Sleep(300 * time.Millisecond)
 	first, second := site.ZoneName(0), site.ZoneName(1)
 	f.Site.Evacuate(first)
 	f.Site.Evacuate(second)
 	asked := time.Now()
 	time.Sleep((evacuateMs + 500) * time.Millisecond)
-	assert.Zero(t, f.between(first, asked.Add(newsTime), time.Now()))
-	f.takeBack(first)
+	assert.Zero(t, f.arrivalsBetween(first, asked.Add(maxUpdateDelay), time.Now()))
+	f.endEvacuation(first)
 	_, spoilt := stop()
 	assert.Zero(t, spoilt)
-	assert.Zero(t, f.between(second, asked.Add(newsTime), time.Now()))
+	assert.Zero(t, f.arrivalsBetween(second, asked.Add(maxUpdateDelay), time.Now()))
 	assert.LessOrEqual(t, f.Site.Ledger.MostWhileCold(), 15)
 }
 
@@ -197,7 +197,7 @@
 // each, are sent no more than they bear.
 func TestEvacuationAskedAgainWithinAHeartbeat(t *testing.T) {
 	f := Start(t, evacuationOptions())
-	stop := busy(f, 6)
+	stop := startLoad(f, 6)
 	time.Sleep(300 * time.Millisecond)
 	zone := site.ZoneName(1)
 	f.Site.Evacuate(zone)
@@ -210,8 +210,8 @@
 	}
 	asked := time.Now()
 	time.Sleep((evacuateMs + 700) * time.Millisecond)
-	assert.Zero(t, f.between(zone, asked.Add(newsTime), time.Now()))
-	f.takeBack(zone)
+	assert.Zero(t, f.arrivalsBetween(zone, asked.Add(maxUpdateDelay), time.Now()))
+	f.endEvacuation(zone)
 	_, spoilt := stop()
 	assert.Zero(t, spoilt)
 	assert.LessOrEqual(t, f.Site.Ledger.MostWhileCold(), 15)
--- a/internal/sitetest/evacuation_test.go
+++ b/internal/sitetest/evacuation_test.go
@@ -33,17 +33,17 @@
 // evacuation is what a test did to a zone, and when.
 type evacuation struct {
 	zone         string
-	asked, ended time.Time
+	startedAt, endedAt time.Time
 }
 
-// late counts the requests that reached the zone's servers after the bound and before the
+// lateArrivals counts the requests that reached the zone's servers after the bound and before the
 // evacuation was taken back.
-func (e evacuation) late(f *Fleet) int {
-	return f.between(e.zone, e.asked.Add(evacuateMs*time.Millisecond), e.ended)
+func (e evacuation) lateArrivals(f *Fleet) int {
+	return f.arrivalsBetween(e.zone, e.startedAt.Add(evacuateMs*time.Millisecond), e.endedAt)
 }
 
-// between counts the requests that reached a zone's servers in a span of time.
-func (f *Fleet) between(zone string, from, until time.Time) int {
+// arrivalsBetween counts the requests that reached a zone's servers in a span of time.
+func (f *Fleet) arrivalsBetween(zone string, from, until time.Time) int {
 	count := 0
 	for _, arrival := range f.Site.Ledger.Deliveries() {
 		if arrival.Zone == zone && arrival.At.After(from) && arrival.At.Before(until) {
@@ -55,19 +55,19 @@
 
 // evacuateFor evacuates a zone for a time, beginning now.
 func (f *Fleet) evacuateFor(zone string, duration time.Duration) evacuation {
-	done := evacuation{zone: zone, asked: time.Now()}
+	done := evacuation{zone: zone, startedAt: time.Now()}
 	f.Site.Evacuate(zone)
 	time.Sleep(duration)
 	f.Site.EndEvacuation(zone)
-	done.ended = time.Now()
+	done.endedAt = time.Now()
 	return done
 }
 
-// busy sends short streams and plain calls through every entry, until the function returned
+// startLoad sends short streams and plain calls through every entry, until the function returned
 // is called, which returns how many were sent and how many not answered whole.
-func busy(f *Fleet, callers int) (stop func() (sent, spoilt int)) {
+func startLoad(f *Fleet, callers int) (stop func() (sent, spoilt int)) {
 	options := f.Site.Options
-	return untilStopped(callers, func(caller, number int) bool {
+	return runCallers(callers, func(caller, number int) bool {
 		id := fmt.Sprintf("busy-%d-%d", caller, number)
 		zone, index := caller%options.Zones, caller/options.Zones%options.Entries
 		var answer Answer
@@ -88,10 +88,10 @@
 // callerPause is the time between two requests of a caller of untilStopped.
 const callerPause = 10 * time.Millisecond
 
-// untilStopped has each of some callers send requests one after the other, until the function
+// runCallers has each of some callers send requests one after the other, until the function
 // returned is called, which returns how many were sent and how many failed. Send reports whether a
 // request was answered as it should be.
-func untilStopped(callers int, send func(caller, number int) bool) (stop func() (sent, failed int)) {
+func runCallers(callers int, send func(caller, number int) bool) (stop func() (sent, failed int)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	var mutex sync.Mutex
@@ -121,39 +121,39 @@
 // request is served elsewhere, and the zone serves again afterwards.
 func TestEvacuatedZoneReceivesNothing(t *testing.T) {
 	f := Start(t, evacuationOptions())
-	stop := busy(f, 6)
+	stop := startLoad(f, 6)
 	time.Sleep(300 * time.Millisecond)
 	began := time.Now()
 	done := f.evacuateFor(site.ZoneName(1), 3*time.Second)
 	f.Eventually("the zone serves again", 3*time.Second, func() bool {
-		return f.between(done.zone, done.ended, time.Now()) > 10
+		return f.arrivalsBetween(done.zone, done.endedAt, time.Now()) > 10
 	})
 	sent, spoilt := stop()
 	assert.Greater(t, sent, 200)
 	assert.Zero(t, spoilt)
-	assert.Positive(t, f.between(done.zone, began.Add(-300*time.Millisecond), began), "the zone was in use before")
-	assert.Zero(t, done.late(f))
-	soon := f.between(done.zone, done.asked.Add(300*time.Millisecond), done.ended)
+	assert.Positive(t, f.arrivalsBetween(done.zone, began.Add(-300*time.Millisecond), began), "the zone was in use before")
+	assert.Zero(t, done.lateArrivals(f))
+	soon := f.arrivalsBetween(done.zone, done.startedAt.Add(300*time.Millisecond), done.endedAt)
 	assert.Zero(t, soon, "entries act when they hear of it, long before the bound")
 }
 
 // EVAC: the same while every answer of the store takes 0.3 s.
 func TestEvacuationWhileTheStoreIsSlow(t *testing.T) {
 	f := Start(t, evacuationOptions())
-	stop := busy(f, 6)
+	stop := startLoad(f, 6)
 	f.Site.Store.SetDelay(300 * time.Millisecond)
 	time.Sleep(500 * time.Millisecond)
 	done := f.evacuateFor(site.ZoneName(0), 2500*time.Millisecond)
 	_, spoilt := stop()
 	assert.Zero(t, spoilt)
-	assert.Zero(t, done.late(f))
+	assert.Zero(t, done.lateArrivals(f))
 }
 
 // EVAC, VERSION: weights are named at the same moment; the emptied zone's servers take them
 // too, and requests find servers of the right version all the time.
 func TestEvacuationBesideANewVersion(t *testing.T) {
 	f := Start(t, evacuationOptions())
-	stop := busy(f, 6)
+	stop := startLoad(f, 6)
 	time.Sleep(300 * time.Millisecond)
 	named := time.Now()
 	f.Site.NameVersion(2)
@@ -163,7 +163,7 @@
 	time.Sleep(time.Until(named.Add(bound + 200*time.Millisecond)))
 	_, spoilt := stop()
 	assert.Zero(t, spoilt)
-	assert.Zero(t, done.late(f))
+	assert.Zero(t, done.lateArrivals(f))
 	for _, run := range f.Site.Ledger.Runs() {
 		if run.Service == site.ModelService && run.At.After(named.Add(bound)) {
 			assert.Equal(t, uint64(2), run.Version)
@@ -175,17 +175,17 @@
 // second asking, and the zone is in use afterwards.
 func TestEvacuationThatIsTakenBackMidway(t *testing.T) {
 	f := Start(t, evacuationOptions())
-	stop := busy(f, 6)
+	stop := startLoad(f, 6)
 	time.Sleep(300 * time.Millisecond)
 	first := f.evacuateFor(site.ZoneName(1), 700*time.Millisecond)
 	second := f.evacuateFor(site.ZoneName(1), 2*time.Second)
 	f.Eventually("the zone serves again", 3*time.Second, func() bool {
-		return f.between(second.zone, second.ended, time.Now()) > 10
+		return f.arrivalsBetween(second.zone, second.endedAt, time.Now()) > 10
 	})
 	_, spoilt := stop()
 	assert.Zero(t, spoilt)
-	assert.Zero(t, first.late(f))
-	assert.Zero(t, second.late(f))
+	assert.Zero(t, first.lateArrivals(f))
+	assert.Zero(t, second.lateArrivals(f))
 }
 
 // EVAC: a stream that is open in the zone goes on there to its end.
@@ -206,9 +206,9 @@
 	done := f.evacuateFor(site.ZoneName(1), 2500*time.Millisecond)
 	open.Wait()
 	assert.Len(t, f.Site.Ledger.Runs(), streams, "no stream was moved")
-	assert.Positive(t, f.between(done.zone, done.asked.Add(-time.Second), done.asked), "some were open in the zone")
+	assert.Positive(t, f.arrivalsBetween(done.zone, done.startedAt.Add(-time.Second), done.startedAt), "some were open in the zone")
 	assert.Positive(t, countEvents(f, "PV2013", done.zone), "their entries say when the last has ended")
-	assert.Zero(t, done.late(f))
+	assert.Zero(t, done.lateArrivals(f))
 }
 
 // EVAC: a stream that breaks off in an evacuated zone is continued outside it.
@@ -234,12 +234,12 @@
 	}
 	f.Eventually("the streams are open", time.Second, func() bool { return len(f.Site.Ledger.Runs()) >= streams })
 	asked := time.Now()
-	inZone := f.between(zone, asked.Add(-time.Second), asked)
+	inZone := f.arrivalsBetween(zone, asked.Add(-time.Second), asked)
 	f.Site.Evacuate(zone)
 	open.Wait()
 	assert.Positive(t, inZone)
 	assert.Len(t, f.Site.Ledger.Runs(), streams+inZone, "each broken stream was continued once")
-	assert.Zero(t, f.between(zone, asked, time.Now()))
+	assert.Zero(t, f.arrivalsBetween(zone, asked, time.Now()))
 }
 
 // EVAC: an entry that starts meanwhile learns it with everything else.
@@ -256,7 +256,7 @@
 		_, err := f.Stream(context.Background(), 0, 2, "late-"+strconv.Itoa(number), 2)
 		require.NoError(t, err)
 	}
-	assert.Zero(t, evacuation{zone: zone, asked: asked, ended: time.Now()}.late(f))
+	assert.Zero(t, evacuation{zone: zone, startedAt: asked, endedAt: time.Now()}.lateArrivals(f))
 }
 
 // EVAC, REFUSED: when the evacuated zone is the only one, requests are refused at once and
@@ -305,20 +305,20 @@
 		require.NoError(t, err)
 		assert.Equal(t, http.StatusOK, answer.Status)
 	}
-	assert.Zero(t, f.between(site.ZoneName(1), known, time.Now()))
+	assert.Zero(t, f.arrivalsBetween(site.ZoneName(1), known, time.Now()))
 }
 
 // FAILBACK: under load from several entries, the servers of a zone that comes back cold from
 // an evacuation receive what they bear and no more, in any second, and something at all.
 func TestZoneThatComesBackColdIsNotOverrun(t *testing.T) {
 	f := Start(t, evacuationOptions())
-	stop := busy(f, 18)
+	stop := startLoad(f, 18)
 	time.Sleep(300 * time.Millisecond)
 	done := f.evacuateFor(site.ZoneName(1), 2*time.Second)
 	time.Sleep(2 * time.Second)
 	_, spoilt := stop()
 	assert.Zero(t, spoilt)
-	assert.Zero(t, done.late(f))
+	assert.Zero(t, done.lateArrivals(f))
 	most := f.Site.Ledger.MostWhileCold()
 	t.Logf("a cold server received up to %d requests in a second", most)
 	assert.LessOrEqual(t, most, 15)
@@ -331,13 +331,13 @@
 // FAILBACK: many requests come right after servers have become cold in ordinary use.
 func TestBurstAtServersThatHaveTurnedCold(t *testing.T) {
 	f := Start(t, evacuationOptions())
-	calm := busy(f, 1)
+	calm := startLoad(f, 1)
 	time.Sleep(500 * time.Millisecond)
 	for _, server := range f.Site.Models {
 		server.SetCold(true)
 	}
 	time.Sleep(300 * time.Millisecond)
-	burst := busy(f, 18)
+	burst := startLoad(f, 18)
 	time.Sleep(time.Second)
 	burst()
 	calm()
@@ -353,7 +353,7 @@
 // only if entries hear of it within half a second.
 func TestServerThatTurnsColdInUseIsNotOverrun(t *testing.T) {
 	f := Start(t, evacuationOptions())
-	stop := busy(f, 4)
+	stop := startLoad(f, 4)
 	time.Sleep(500 * time.Millisecond)
 	for range 2 {
 		for _, server := range f.Site.Models {
@@ -372,14 +372,14 @@
 // received over all entries.
 func TestAgentsTellOfColdServers(t *testing.T) {
 	f := Start(t, evacuationOptions())
-	stop := busy(f, 4)
+	stop := startLoad(f, 4)
 	for _, server := range f.Site.Models {
 		server.SetCold(true)
 	}
 	f.Eventually("every entry has it from the agents", time.Second, func() bool {
 		for zone := range f.Site.Options.Zones {
 			for index := range f.Site.Options.Entries {
-				if !f.toldOfCold(zone, index) {
+				if !f.hasColdReports(zone, index) {
 					return false
 				}
 			}
@@ -389,9 +389,9 @@
 	stop()
 }
 
-// toldOfCold reports whether an entry has the words of all agents that their servers are cold,
+// hasColdReports reports whether an entry has the words of all agents that their servers are cold,
 // one of them with requests received.
-func (f *Fleet) toldOfCold(zone, index int) bool {
+func (f *Fleet) hasColdReports(zone, index int) bool {
 	views, _ := f.Process(ProcessName(catalog.RoleEntry, zone, index)).Dump()["servers"].([]forward.ServerView)
 	cold, received := 0, 0
 	for _, view := range views {
--- a/internal/sitetest/explain_test.go
+++ b/internal/sitetest/explain_test.go
@@ -16,8 +16,8 @@
 	"pinevane.example/pinevane/internal/explain"
 )
 
-// story waits until the request's end is in the logs and tells its story.
-func story(f *Fleet, t *testing.T, id, ending string) ([]explain.Line, explain.Story) {
+// explainRequest waits until the request's end is in the logs and tells its story.
+func explainRequest(f *Fleet, t *testing.T, id, ending string) ([]explain.Line, explain.Story) {
 	t.Helper()
 	f.Eventually("the end is logged", 2*time.Second, func() bool { return countEvents(f, ending, `"`+id+`"`) > 0 })
 	lines, err := explain.Read(strings.NewReader(f.Log.String()))
@@ -25,8 +25,8 @@
 	return lines, explain.Tell(lines, id)
 }
 
-// without returns the lines less those of an event that name the request.
-func without(lines []explain.Line, event string) []explain.Line {
+// withoutEvent returns the lines less those of an event that name the request.
+func withoutEvent(lines []explain.Line, event string) []explain.Line {
 	return slices.DeleteFunc(slices.Clone(lines), func(line explain.Line) bool { return line.Event == event })
 }
 
@@ -38,12 +38,12 @@
 	}
 	_, err := f.Call(context.Background(), 0, 0, http.MethodPost, site.OncePrefix, "lost-save", nil, "save")
 	require.NoError(t, err)
-	lines, told := story(f, t, "lost-save", "PV4104")
+	lines, told := explainRequest(f, t, "lost-save", "PV4104")
 	want := "given up, and it may have run: attempt 1 at server " + runsOf(f, "lost-save")[0].Server + " failed (backend-failed"
 	assert.Contains(t, told.Cause, want)
 	assert.Contains(t, told.Cause, "not tried again because of: may have run")
-	assert.NotContains(t, explain.Tell(without(lines, "PV4105"), "lost-save").Cause, want)
-	assert.NotContains(t, explain.Tell(without(lines, "PV4106"), "lost-save").Cause, "may have run; ")
+	assert.NotContains(t, explain.Tell(withoutEvent(lines, "PV4105"), "lost-save").Cause, want)
+	assert.NotContains(t, explain.Tell(withoutEvent(lines, "PV4106"), "lost-save").Cause, "may have run; ")
 }
 
 // A refusal: no server could begin the request in time.
@@ -72,11 +72,11 @@
 		}
 	}
 	require.NotEmpty(t, refused, "nothing was refused")
-	lines, told := story(f, t, refused, "PV4104")
+	lines, told := explainRequest(f, t, refused, "PV4104")
 	want := "no server was chosen; servers by reason: {"
 	assert.Contains(t, told.Cause, "refused, and certain not to have run")
 	assert.Contains(t, told.Cause, want)
-	assert.NotContains(t, explain.Tell(without(lines, "PV4109"), refused).Cause, want)
+	assert.NotContains(t, explain.Tell(withoutEvent(lines, "PV4109"), refused).Cause, want)
 }
 
 // A stream cut while versions change: no other server of its version is left.
@@ -111,10 +111,10 @@
 	}
 	answer := <-done
 	assert.False(t, answer.Complete)
-	lines, told := story(f, t, "long-gloss", "PV4107")
+	lines, told := explainRequest(f, t, "long-gloss", "PV4107")
 	want := "; version 2 had been named"
 	assert.Contains(t, told.Cause, "the stream was cut after event")
 	assert.Contains(t, told.Cause, "other version")
 	assert.Contains(t, told.Cause, want)
-	assert.NotContains(t, explain.Tell(without(lines, "PV3000"), "long-gloss").Cause, want)
+	assert.NotContains(t, explain.Tell(withoutEvent(lines, "PV3000"), "long-gloss").Cause, want)
 }
--- a/internal/sitetest/fallback_test.go
+++ b/internal/sitetest/fallback_test.go
@@ -67,7 +67,7 @@
 // A version that is on its way when a newer one is named is completed from peers, and serves until
 // the newer one can be had.
 func TestVersionOnItsWayIsCompletedWhenANewerOneIsNamed(t *testing.T) {
-	f := Start(t, slowLinks(8000))
+	f := Start(t, slowLinkOptions(8000))
 	f.Eventually("version 1 is verified", 6*time.Second, func() bool { return countEvents(f, "PV3005", "") >= 4 })
 	f.Site.NameVersion(2)
 	f.Eventually("version 2 has left the origin", 3*time.Second, func() bool { return f.Site.Origin.Copies() >= 1 })
@@ -85,9 +85,9 @@
 	}
 }
 
-// slowLinks are options of a fleet in which a copy takes a machine 1.6 s over its link, and leaves
+// slowLinkOptions are options of a fleet in which a copy takes a machine 1.6 s over its link, and leaves
 // the origin in a fraction of it.
-func slowLinks(versionMs int) site.Options {
+func slowLinkOptions(versionMs int) site.Options {
 	options := DefaultOptions()
 	options.VersionMs = versionMs
 	options.Weights.Pieces, options.Weights.PieceBytes, options.LinkMbps = 64, 25<<10, 8
@@ -97,7 +97,7 @@
 // A version that is whole and waits for its turn is not given up for a part of a later one that
 // nobody can complete.
 func TestWholeFallbackIsNotGivenUpForAPart(t *testing.T) {
-	f := Start(t, slowLinks(8000))
+	f := Start(t, slowLinkOptions(8000))
 	f.Eventually("version 1 is verified", 6*time.Second, func() bool { return countEvents(f, "PV3005", "") >= 4 })
 	f.Site.NameVersion(2)
 	f.Eventually("version 2 is here", 6*time.Second, func() bool { return countEvents(f, "PV3005", `"version":2`) >= 4 })
@@ -112,7 +112,7 @@
 
 // A server that crashes while two versions are on their way serves the one in force again.
 func TestCrashedServerServesAgainWhileTwoVersionsAreOnTheirWay(t *testing.T) {
-	f := Start(t, slowLinks(12000))
+	f := Start(t, slowLinkOptions(12000))
 	f.Eventually("version 1 is verified", 6*time.Second, func() bool { return countEvents(f, "PV3005", "") >= 4 })
 	f.Eventually("version 1 is served", 6*time.Second, func() bool { return f.allServe(1) })
 	f.Site.NameVersion(2)
--- a/internal/sitetest/figures_test.go
+++ b/internal/sitetest/figures_test.go
@@ -13,8 +13,8 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// dropFigures takes figures of speed and size out of the published engine.
-func dropFigures(names ...string) func(configuration map[string]any) {
+// dropEngineParameters takes figures of speed and size out of the published engine.
+func dropEngineParameters(names ...string) func(configuration map[string]any) {
 	return func(configuration map[string]any) {
 		engine := configuration["services"].([]any)[0].(map[string]any)["engine"].(map[string]any)
 		for _, name := range names {
@@ -27,8 +27,8 @@
 // several requests come at a time, and one line of each entry names the figures.
 func TestMissingFiguresAreNamedAndServedWithout(t *testing.T) {
 	f := Start(t, DefaultOptions())
-	version := f.Site.Configure(dropFigures("read_per_s", "step_ms", "usual"))
-	f.Eventually("the change is in force", 2*time.Second, func() bool { return f.inForce(version) })
+	version := f.Site.Configure(dropEngineParameters("read_per_s", "step_ms", "usual"))
+	f.Eventually("the change is in force", 2*time.Second, func() bool { return f.configurationApplied(version) })
 	var callers sync.WaitGroup
 	for number := range 24 {
 		callers.Go(func() {
--- a/internal/sitetest/fleet.go
+++ b/internal/sitetest/fleet.go
@@ -40,10 +40,10 @@
 
 	mutex     sync.Mutex
 	processes map[string]*process
-	opened    map[string]bool
-	// settings hold what a process's settings file says now, by the process's name, where it is
+	openedStores    map[string]bool
+	// settingsOverrides hold what a process's settings file says now, by the process's name, where it is
 	// not what the stand-in gives.
-	settings map[string][]byte
+	settingsOverrides map[string][]byte
 }
 
 type process struct {
@@ -82,7 +82,7 @@
 // Networks of these tests' stand-ins, which are used in turn. Demos and soaks take theirs from 140 on.
 const (
 	firstNetwork = 61
-	networks     = 79
+	networkCount     = 79
 )
 
 // DefaultOptions is a fleet of two zones with bounds that suit a test.
@@ -91,7 +91,7 @@
 	defer networkMutex.Unlock()
 	nextNetwork++
 	return site.Options{
-		Network: site.FreeNetwork(firstNetwork, networks, nextNetwork), Zones: 2, Entries: 2, ModelServers: 2, PlainServers: 1,
+		Network: site.FreeNetwork(firstNetwork, networkCount, nextNetwork), Zones: 2, Entries: 2, ModelServers: 2, PlainServers: 1,
 		Weights:   site.Weights{Model: "m", Pieces: 24, PieceBytes: 4096, Layers: 4},
 		EventTime: 5 * time.Millisecond, Slots: 8,
 		VersionMs: 4000, ConfigApplyMs: 2000, DrainMs: 2000, GraceS: 6, BudgetSlack: 40, TimeoutMs: 4000,
@@ -104,7 +104,7 @@
 	t.Helper()
 	running, err := site.Start(options)
 	require.NoError(t, err)
-	f := &Fleet{t: t, Site: running, Log: &LogBuffer{}, processes: map[string]*process{}, opened: map[string]bool{}, settings: map[string][]byte{}}
+	f := &Fleet{t: t, Site: running, Log: &LogBuffer{}, processes: map[string]*process{}, openedStores: map[string]bool{}, settingsOverrides: map[string][]byte{}}
 	t.Cleanup(f.close)
 	for zone := range options.Zones {
 		for index := range options.Entries {
@@ -118,11 +118,11 @@
 	return f
 }
 
-// logFolderVariable names a folder that gets the logs of every test's fleet.
-const logFolderVariable = "PINEVANE_TEST_LOGS"
+// logDirectoryVariable names a folder that gets the logs of every test's fleet.
+const logDirectoryVariable = "PINEVANE_TEST_LOGS"
 
 func (f *Fleet) close() {
-	if folder := os.Getenv(logFolderVariable); folder != "" {
+	if folder := os.Getenv(logDirectoryVariable); folder != "" {
 		path := filepath.Join(folder, f.t.Name()+".log")
 		if err := os.WriteFile(path, []byte(f.Log.String()), 0o600); err != nil {
 			f.t.Log(err)
@@ -143,12 +143,12 @@
 // ProcessName names a process.
 func ProcessName(role string, zone, index int) string { return launch.SiteProcess(role, zone, index) }
 
-func (f *Fleet) build(role string, zone, index int) *daemon.Daemon {
+func (f *Fleet) newDaemon(role string, zone, index int) *daemon.Daemon {
 	settings, err := platform.ParseSettings(f.Site.Settings(role, zone, index))
 	require.NoError(f.t, err)
 	f.mutex.Lock()
-	opened := f.opened[settings.StoreAddress]
-	f.opened[settings.StoreAddress] = true
+	opened := f.openedStores[settings.StoreAddress]
+	f.openedStores[settings.StoreAddress] = true
 	f.mutex.Unlock()
 	if !opened {
 		require.NoError(f.t, f.Site.OpenStore(role, zone, index))
@@ -156,16 +156,16 @@
 	log := logging.NewBounded(zapcore.InfoLevel, settings.Name, f.Log)
 	return daemon.New(daemon.Options{
 		Settings: settings, Role: role, Store: platform.NewStore(settings.StoreAddress), Decoder: platform.NewDecoder(), Log: log,
-		Reload:      func() (fleet.Settings, error) { return platform.ParseSettings(f.settingsOf(role, zone, index)) },
+		Reload:      func() (fleet.Settings, error) { return platform.ParseSettings(f.currentSettings(role, zone, index)) },
 		AdminListen: settings.IP + ":0",
 	})
 }
 
-// settingsOf is what a process's settings file says now.
-func (f *Fleet) settingsOf(role string, zone, index int) []byte {
+// currentSettings is what a process's settings file says now.
+func (f *Fleet) currentSettings(role string, zone, index int) []byte {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if changed, known := f.settings[ProcessName(role, zone, index)]; known {
+	if changed, known := f.settingsOverrides[ProcessName(role, zone, index)]; known {
 		return changed
 	}
 	return f.Site.Settings(role, zone, index)
@@ -175,12 +175,12 @@
 func (f *Fleet) Reload(zone, index int, data []byte) {
 	name := ProcessName(catalog.RoleEntry, zone, index)
 	f.mutex.Lock()
-	f.settings[name] = data
+	f.settingsOverrides[name] = data
 	f.mutex.Unlock()
 	f.Process(name).Reload()
 }
 
-func (f *Fleet) run(name string, base *daemon.Daemon, run func(<-chan struct{}) error) {
+func (f *Fleet) runProcess(name string, base *daemon.Daemon, run func(<-chan struct{}) error) {
 	started := &process{daemon: base, stop: make(chan struct{}), done: make(chan struct{})}
 	f.mutex.Lock()
 	f.processes[name] = started
@@ -195,17 +195,17 @@
 
 // StartEntry starts an entry.
 func (f *Fleet) StartEntry(zone, index int) {
-	base := f.build(catalog.RoleEntry, zone, index)
-	f.run(ProcessName(catalog.RoleEntry, zone, index), base, gateway.New(gateway.Options{Daemon: base, Dialect: platform.Dialect{}, Policy: forward.DefaultPolicy()}).Run)
+	base := f.newDaemon(catalog.RoleEntry, zone, index)
+	f.runProcess(ProcessName(catalog.RoleEntry, zone, index), base, gateway.New(gateway.Options{Daemon: base, Dialect: platform.Dialect{}, Policy: forward.DefaultPolicy()}).Run)
 }
 
 // StartAgent starts the agent of a model server's machine.
 func (f *Fleet) StartAgent(zone, index int) {
-	base := f.build(catalog.RoleAgent, zone, index)
+	base := f.newDaemon(catalog.RoleAgent, zone, index)
 	agent := rollout.New(rollout.Options{
 		Daemon: base, Server: platform.NewModelServer(f.Site.ModelAddress(zone, index)), Origin: platform.NewOrigin(),
 	})
-	f.run(ProcessName(catalog.RoleAgent, zone, index), base, agent.Run)
+	f.runProcess(ProcessName(catalog.RoleAgent, zone, index), base, agent.Run)
 }
 
 // Stop stops a process as planned and waits for its end.
@@ -250,7 +250,7 @@
 	options := f.Site.Options
 	for zone := range options.Zones {
 		for index := range options.Entries {
-			f.Eventually("an entry is ready", 10*time.Second, func() bool { return f.ready(zone, index) && f.seesAgents(zone, index) })
+			f.Eventually("an entry is ready", 10*time.Second, func() bool { return f.ready(zone, index) && f.hasAllReports(zone, index) })
 		}
 	}
 }
@@ -264,9 +264,9 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// seesAgents reports whether an entry has heard from the agent of each model
+// hasAllReports reports whether an entry has heard from the agent of each model
 // server that serves.
-func (f *Fleet) seesAgents(zone, index int) bool {
+func (f *Fleet) hasAllReports(zone, index int) bool {
 	dump := f.Process(ProcessName(catalog.RoleEntry, zone, index)).Dump()
 	return strings.Count(fmt.Sprintf("%+v", dump["servers"]), "Reachable:true") >= f.Site.Options.Zones*f.Site.Options.ModelServers
 }
--- a/internal/sitetest/fleet_test.go
+++ b/internal/sitetest/fleet_test.go
@@ -30,8 +30,8 @@
 	return count
 }
 
-// inForce reports whether every entry has a configuration version.
-func (f *Fleet) inForce(version uint64) bool {
+// configurationApplied reports whether every entry has a configuration version.
+func (f *Fleet) configurationApplied(version uint64) bool {
 	for zone := range f.Site.Options.Zones {
 		for index := range f.Site.Options.Entries {
 			view := f.Process(ProcessName(catalog.RoleEntry, zone, index)).Catalog.View()
@@ -56,7 +56,7 @@
 	acknowledged := time.Now()
 	version := f.Site.Configure(revoke)
 	time.AfterFunc(800*time.Millisecond, f.Site.Store.Compact)
-	f.Eventually("the change is in force", 2*time.Second, func() bool { return f.inForce(version) })
+	f.Eventually("the change is in force", 2*time.Second, func() bool { return f.configurationApplied(version) })
 	t.Logf("in force after %s", time.Since(acknowledged))
 	answer, err := f.Call(context.Background(), 0, 1, http.MethodGet, site.SafePrefix, "revoked", nil, "")
 	require.NoError(t, err)
@@ -70,7 +70,7 @@
 	f.Site.Store.Refuse(options.EntryIP(0, 0), options.EntryIP(0, 1), options.EntryIP(1, 1))
 	time.Sleep(200 * time.Millisecond)
 	version := f.Site.Configure(revoke)
-	f.Eventually("the change is in force", 2*time.Second, func() bool { return f.inForce(version) })
+	f.Eventually("the change is in force", 2*time.Second, func() bool { return f.configurationApplied(version) })
 }
 
 // CONFIG: an entry that starts while the store is down learns from its peers, and
@@ -110,7 +110,7 @@
 		time.Sleep(500 * time.Millisecond)
 		f.Site.Store.Refuse(options.EntryIP(zone, 0), options.EntryIP(zone, 1))
 		version := f.Site.Configure(revoke)
-		f.Eventually("the change is in force", time.Duration(options.ConfigApplyMs)*time.Millisecond, func() bool { return f.inForce(version) })
+		f.Eventually("the change is in force", time.Duration(options.ConfigApplyMs)*time.Millisecond, func() bool { return f.configurationApplied(version) })
 	}
 }
 
@@ -118,7 +118,7 @@
 func TestLeavingServerGetsNothingMore(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	leaving := f.Site.Models[f.Site.Options.ModelIP(0, 0)]
-	stop := load(f, t)
+	stop := startStreams(f, t)
 	time.Sleep(300 * time.Millisecond)
 	leaving.Leave()
 	said := time.Now()
@@ -186,9 +186,9 @@
 	assert.ErrorIs(t, err, io.EOF)
 }
 
-// lapseInAnOutage has the store lose every model server's line while it is away, and
+// expireServersInOutage has the store lose every model server's line while it is away, and
 // waits until it is back and an entry has seen that.
-func lapseInAnOutage(f *Fleet) {
+func expireServersInOutage(f *Fleet) {
 	f.Site.Store.SetDown(true)
 	time.Sleep(2500 * time.Millisecond)
 	for _, server := range f.Site.Models {
@@ -204,7 +204,7 @@
 	options := DefaultOptions()
 	options.DrainMs = 3000
 	f := Start(t, options)
-	lapseInAnOutage(f)
+	expireServersInOutage(f)
 	for number := range 12 {
 		answer, err := f.Stream(context.Background(), number%2, number/2%2, fmt.Sprintf("lapsed-%d", number), 2)
 		require.NoError(t, err)
@@ -221,7 +221,7 @@
 	options := DefaultOptions()
 	options.DrainMs = 3000
 	f := Start(t, options)
-	lapseInAnOutage(f)
+	expireServersInOutage(f)
 	time.Sleep(time.Second)
 	for _, server := range f.Site.Models {
 		server.Return()
--- a/internal/sitetest/health_test.go
+++ b/internal/sitetest/health_test.go
@@ -48,11 +48,11 @@
 	return received
 }
 
-// saves sends requests that may not run twice, one after the other, through every entry, until
+// startSaves sends requests that may not run twice, one after the other, through every entry, until
 // the function returned is called, which returns how many were sent and how many were not
 // served.
-func saves(f *Fleet, callers int) (stop func() (sent, lost int)) {
-	return untilStopped(callers, func(caller, number int) bool {
+func startSaves(f *Fleet, callers int) (stop func() (sent, lost int)) {
+	return runCallers(callers, func(caller, number int) bool {
 		answer, err := f.Call(context.Background(), 0, caller%f.Site.Options.Entries, http.MethodPost, site.OncePrefix+"a",
 			fmt.Sprintf("save-%d-%d", caller, number), map[string]string{"Deadline-Ms": "600"}, "body")
 		return err == nil && answer.Status == http.StatusOK
@@ -78,7 +78,7 @@
 	for name, lie := range map[string]site.Lie{"errors": site.LyingErrors, "resets": site.LyingResets, "hangs": site.LyingHangs} {
 		t.Run(name, func(t *testing.T) {
 			f := Start(t, healthOptions())
-			stop, stopSaves := busy(f, 9), saves(f, 6)
+			stop, stopSaves := startLoad(f, 9), startSaves(f, 6)
 			time.Sleep(500 * time.Millisecond)
 			model, plain := f.modelServer(0), f.plainServer(0)
 			began := time.Now()
@@ -110,7 +110,7 @@
 // by it or meets two such servers.
 func TestFlappingServersCostNoRequestTwice(t *testing.T) {
 	f := Start(t, healthOptions())
-	stop := busy(f, 9)
+	stop := startLoad(f, 9)
 	time.Sleep(500 * time.Millisecond)
 	flapping := []*site.Server{f.modelServer(0), f.modelServer(1)}
 	for turn := range 12 {
@@ -146,7 +146,7 @@
 // A server whose reports and health checks fail, and that serves, stays in use.
 func TestServerThatIsFalselyIllStaysInUse(t *testing.T) {
 	f := Start(t, healthOptions())
-	stop := busy(f, 9)
+	stop := startLoad(f, 9)
 	time.Sleep(500 * time.Millisecond)
 	began := time.Now()
 	for index := range 2 {
@@ -169,7 +169,7 @@
 // caller sees it, and they are in use again once they answer.
 func TestLostServersCostFewRequests(t *testing.T) {
 	f := Start(t, healthOptions())
-	stop := busy(f, 9)
+	stop := startLoad(f, 9)
 	time.Sleep(500 * time.Millisecond)
 	for index := range 2 {
 		f.modelServer(index).SetFaults(site.Faults{Silent: true})
@@ -217,7 +217,7 @@
 	t.Logf("the zone knows after %s", knows)
 	f.Kill(ProcessName(catalog.RoleEntry, 0, 2))
 	f.StartEntry(0, 2)
-	f.Eventually("the entry is ready", 5*time.Second, func() bool { return f.ready(0, 2) && f.seesAgents(0, 2) })
+	f.Eventually("the entry is ready", 5*time.Second, func() bool { return f.ready(0, 2) && f.hasAllReports(0, 2) })
 	f.Eventually("it knows", 300*time.Millisecond, func() bool {
 		return countEvents(f, "PV4204", model.ID()) == f.Site.Options.Entries+1
 	})
--- a/internal/sitetest/late_cancel_test.go
+++ b/internal/sitetest/late_cancel_test.go
@@ -42,8 +42,8 @@
 }
 
 const (
-	// heldEvents at 100 ms each are longer than the time from the silence to the bound.
-	heldEvents = 25
+	// longStreamEvents at 100 ms each are longer than the time from the silence to the bound.
+	longStreamEvents = 25
 	// silenceBefore is how long before the bound the connections go silent: after the last
 	// request was sent, and before those that wait are taken back.
 	silenceBefore = 700 * time.Millisecond
@@ -56,9 +56,9 @@
 	// the others'. Entries send nothing to an old version from a second before its bound.
 	burstBefore  = 1150 * time.Millisecond
 	burstStreams = 24
-	// lookedAfter is how long after the bound the servers' records are looked at: what was
+	// checkAfter is how long after the bound the servers' records are looked at: what was
 	// under way is over then, and what waited would have begun.
-	lookedAfter = 4 * time.Second
+	checkAfter = 4 * time.Second
 )
 
 func holdQueues(f *Fleet, held bool) {
@@ -74,12 +74,12 @@
 	agents := serverConnections(t)
 	stream := func(kind string) func(context.Context, int) outcome {
 		return func(ctx context.Context, number int) outcome {
-			one := outcome{id: fmt.Sprintf("%s-%d", kind, number), begun: time.Now()}
-			one.answer, one.err = f.Stream(ctx, number%2, number/2%2, one.id, heldEvents)
+			one := outcome{id: fmt.Sprintf("%s-%d", kind, number), startedAt: time.Now()}
+			one.answer, one.err = f.Stream(ctx, number%2, number/2%2, one.id, longStreamEvents)
 			return one
 		}
 	}
-	stop := traffic(120*time.Millisecond, stream("stream"))
+	stop := startTraffic(120*time.Millisecond, stream("stream"))
 	named := time.Now()
 	f.Site.NameVersion(2)
 	bound := named.Add(time.Duration(f.Site.Options.VersionMs) * time.Millisecond)
@@ -101,7 +101,7 @@
 	require.NoError(t, err)
 	time.Sleep(time.Until(bound.Add(releasedAfter)))
 	holdQueues(f, false)
-	time.Sleep(time.Until(bound.Add(lookedAfter)))
+	time.Sleep(time.Until(bound.Add(checkAfter)))
 	stop()
 	for _, run := range f.Site.Ledger.Runs() {
 		if run.Service == site.ModelService && run.Version == 1 && run.At.After(bound) {
@@ -201,7 +201,7 @@
 // old version after its bound.
 func TestVersionIsBoundByItsNamingWhenAllConnectionsAreSilent(t *testing.T) {
 	f := Start(t, DefaultOptions())
-	named, bound := f.nameAmidSilence(ofTheSystem)
+	named, bound := f.announceDuringSilence(systemConnections)
 	before, late, latest := 0, 0, time.Duration(0)
 	for _, run := range f.Site.Ledger.Runs() {
 		switch {
--- a/internal/sitetest/leaving_test.go
+++ b/internal/sitetest/leaving_test.go
@@ -15,16 +15,16 @@
 // not answer.
 
 const (
-	// leftAlone is how long after the first answer that said so every entry has had one.
-	leftAlone = 700 * time.Millisecond
+	// leavingKnownAfter is how long after the first answer that said so every entry has had one.
+	leavingKnownAfter = 700 * time.Millisecond
 )
 
 // DRAIN: guards against requests to a server that has said in its answers that it leaves, while the store is
 // away and its line says that it is ready. What it runs ends in peace.
 func TestServerThatSaysItLeavesIsLeftAlone(t *testing.T) {
 	f := Start(t, crashingOptions())
-	stop := f.harmless(5 * time.Millisecond)
-	stopPlain := f.plainTraffic(10 * time.Millisecond)
+	stop := f.startHarmlessTraffic(5 * time.Millisecond)
+	stopPlain := f.startPlainTraffic(10 * time.Millisecond)
 	time.Sleep(time.Second)
 	f.Site.Store.SetDown(true)
 	leaving := f.Site.Models[f.Site.Options.ModelIP(0, 0)]
@@ -37,10 +37,10 @@
 	outcomes, plains := stop(), stopPlain()
 	f.Site.Store.SetDown(false)
 	for _, server := range []*site.Server{leaving, plain} {
-		assert.Empty(t, f.arrivedAt(server.ID(), said.Add(leftAlone)), "requests to %s", server.ID())
+		assert.Empty(t, f.arrivalsAt(server.ID(), said.Add(leavingKnownAfter)), "requests to %s", server.ID())
 	}
-	assert.GreaterOrEqual(t, shareServed(outcomes, said, said.Add(4*time.Second), time.Second), servedAgain)
-	assert.GreaterOrEqual(t, shareServed(plains, said, said.Add(4*time.Second), time.Second), servedAgain)
+	assert.GreaterOrEqual(t, servedRatio(outcomes, said, said.Add(4*time.Second), time.Second), minServedRatio)
+	assert.GreaterOrEqual(t, servedRatio(plains, said, said.Add(4*time.Second), time.Second), minServedRatio)
 	for _, one := range outcomes {
 		assert.True(t, one.answer.Status != http.StatusOK || one.answer.Complete, "a stream that was cut")
 	}
@@ -49,12 +49,12 @@
 // DRAIN: the same where the server's line says for seconds after it that it is ready, and comes again.
 func TestLineDoesNotTakeBackThatAServerLeaves(t *testing.T) {
 	f := Start(t, DefaultOptions())
-	stop := f.harmless(5 * time.Millisecond)
+	stop := f.startHarmlessTraffic(5 * time.Millisecond)
 	time.Sleep(500 * time.Millisecond)
 	leaving := f.Site.Models[f.Site.Options.ModelIP(0, 0)]
 	leaving.SayLeaving(true)
 	said := time.Now()
-	time.Sleep(leftAlone)
+	time.Sleep(leavingKnownAfter)
 	leaving.SayLeaving(false)
 	time.Sleep(time.Second)
 	leaving.Lapse()
@@ -62,5 +62,5 @@
 	leaving.Return()
 	time.Sleep(2 * time.Second)
 	stop()
-	assert.Empty(t, f.arrivedAt(leaving.ID(), said.Add(leftAlone)))
+	assert.Empty(t, f.arrivalsAt(leaving.ID(), said.Add(leavingKnownAfter)))
 }
--- a/internal/sitetest/limit_test.go
+++ b/internal/sitetest/limit_test.go
@@ -19,12 +19,12 @@
 // where 1.6 a second were named.
 
 const (
-	// limitKnown is how long after a limit was named every entry has passed on an answer that names it, at a
+	// limitKnownAfter is how long after a limit was named every entry has passed on an answer that names it, at a
 	// pace at which each entry sends each server some requests a second, and half a second more.
-	limitKnown = 1500 * time.Millisecond
-	// limitOver is how long after the last answer that named it every entry knows that a limit is over: the span in which
+	limitKnownAfter = 1500 * time.Millisecond
+	// limitClearedAfter is how long after the last answer that named it every entry knows that a limit is over: the span in which
 	// an entry with a share sends its next request, and what others need to be told.
-	limitOver = admission.LimitWindow + toldWithin + 500*time.Millisecond
+	limitClearedAfter = admission.LimitWindow + noticePropagation + 500*time.Millisecond
 )
 
 // limitOptions are six entries, each of which is asked enough to use every server.
@@ -34,8 +34,8 @@
 	return options
 }
 
-// arrivedAt are the moments at which requests came to a server, in order.
-func (f *Fleet) arrivedAt(server string, after time.Time) (moments []time.Time) {
+// arrivalsAt are the moments at which requests came to a server, in order.
+func (f *Fleet) arrivalsAt(server string, after time.Time) (moments []time.Time) {
 	for _, arrival := range f.Site.Ledger.Arrivals() {
 		if arrival.Server == server && arrival.At.After(after) {
 			moments = append(moments, arrival.At)
@@ -44,8 +44,8 @@
 	return moments
 }
 
-// mostWithin is the most of some moments in order that lie within a span.
-func mostWithin(moments []time.Time, span time.Duration) (most int) {
+// maxWithin is the most of some moments in order that lie within a span.
+func maxWithin(moments []time.Time, span time.Duration) (most int) {
 	first := 0
 	for last, at := range moments {
 		for at.Sub(moments[first]) >= span {
@@ -56,13 +56,13 @@
 	return most
 }
 
-// plainTraffic asks a plain service at all entries in turn.
-func (f *Fleet) plainTraffic(pace time.Duration) (stop func() []outcome) {
+// startPlainTraffic asks a plain service at all entries in turn.
+func (f *Fleet) startPlainTraffic(pace time.Duration) (stop func() []outcome) {
 	options := f.Site.Options
-	return traffic(pace, func(ctx context.Context, number int) outcome {
-		one := outcome{id: fmt.Sprintf("plain-%d", number), begun: time.Now()}
+	return startTraffic(pace, func(ctx context.Context, number int) outcome {
+		one := outcome{id: fmt.Sprintf("plain-%d", number), startedAt: time.Now()}
 		one.answer, one.err = f.Call(ctx, number%options.Zones, number/options.Zones%options.Entries, http.MethodGet, site.SafePrefix+"a", one.id, nil, "")
-		one.took = time.Since(one.begun)
+		one.duration = time.Since(one.startedAt)
 		return one
 	})
 }
@@ -73,22 +73,22 @@
 	const rate = 1.5
 	f := Start(t, limitOptions())
 	limited := f.Site.Models[f.Site.Options.ModelIP(0, 0)]
-	stop := f.harmless(10 * time.Millisecond)
+	stop := f.startHarmlessTraffic(10 * time.Millisecond)
 	time.Sleep(time.Second)
 	limited.NameLimit(strconv.FormatFloat(rate, 'f', -1, 64))
 	named := time.Now()
 	time.Sleep(10 * time.Second)
-	held := f.arrivedAt(limited.ID(), named.Add(limitKnown))
+	held := f.arrivalsAt(limited.ID(), named.Add(limitKnownAfter))
 	limited.NameLimit("")
 	over := time.Now()
-	time.Sleep(limitOver + 2*time.Second)
+	time.Sleep(limitClearedAfter + 2*time.Second)
 	outcomes := stop()
-	most := mostWithin(held, site.LimitSpan)
-	t.Logf("most requests in %s: %d, in all of %s: %d", site.LimitSpan, most, over.Sub(named)-limitKnown, len(held))
+	most := maxWithin(held, site.LimitSpan)
+	t.Logf("most requests in %s: %d, in all of %s: %d", site.LimitSpan, most, over.Sub(named)-limitKnownAfter, len(held))
 	assert.LessOrEqual(t, float64(most), site.LimitBears(rate))
 	assert.GreaterOrEqual(t, len(held), 3, "the two entries of its zone go on using it")
-	assert.GreaterOrEqual(t, len(f.arrivedAt(limited.ID(), over.Add(limitOver))), 20, "requests in 2 s once all know that the limit is over")
-	assert.GreaterOrEqual(t, shareServed(outcomes, named, over.Add(limitOver+2*time.Second), time.Second), servedAgain)
+	assert.GreaterOrEqual(t, len(f.arrivalsAt(limited.ID(), over.Add(limitClearedAfter))), 20, "requests in 2 s once all know that the limit is over")
+	assert.GreaterOrEqual(t, servedRatio(outcomes, named, over.Add(limitClearedAfter+2*time.Second), time.Second), minServedRatio)
 }
 
 // LIMIT: the same for a service whose only server names one. What it can't take is refused at once, and the
@@ -105,21 +105,21 @@
 	time.Sleep(time.Second)
 	only.NameLimit(strconv.FormatFloat(rate, 'f', -1, 64))
 	named := time.Now()
-	stop := f.plainTraffic(20 * time.Millisecond)
+	stop := f.startPlainTraffic(20 * time.Millisecond)
 	time.Sleep(8 * time.Second)
 	outcomes := stop()
-	held := f.arrivedAt(only.ID(), named.Add(limitKnown))
-	t.Logf("most requests in %s: %d, in all: %d", site.LimitSpan, mostWithin(held, site.LimitSpan), len(held))
-	assert.LessOrEqual(t, float64(mostWithin(held, site.LimitSpan)), site.LimitBears(rate))
-	assert.GreaterOrEqual(t, len(held), int(rate*(8*time.Second-limitKnown).Seconds()/2), "half of what the server takes is used")
+	held := f.arrivalsAt(only.ID(), named.Add(limitKnownAfter))
+	t.Logf("most requests in %s: %d, in all: %d", site.LimitSpan, maxWithin(held, site.LimitSpan), len(held))
+	assert.LessOrEqual(t, float64(maxWithin(held, site.LimitSpan)), site.LimitBears(rate))
+	assert.GreaterOrEqual(t, len(held), int(rate*(8*time.Second-limitKnownAfter).Seconds()/2), "half of what the server takes is used")
 	refused := 0
 	for _, one := range outcomes {
-		if one.begun.Before(named.Add(limitKnown)) || one.answer.Status == http.StatusOK {
+		if one.startedAt.Before(named.Add(limitKnownAfter)) || one.answer.Status == http.StatusOK {
 			continue
 		}
 		refused++
 		assert.Equal(t, http.StatusServiceUnavailable, one.answer.Status)
-		assert.Less(t, one.took, 200*time.Millisecond, "the time to an answer that nothing is needed for")
+		assert.Less(t, one.duration, 200*time.Millisecond, "the time to an answer that nothing is needed for")
 		assert.Positive(t, retryAfter(t, one.answer))
 		assert.LessOrEqual(t, retryAfter(t, one.answer), 5*time.Second)
 	}
@@ -134,15 +134,15 @@
 	for _, server := range f.Site.Models {
 		server.NameLimit(strconv.FormatFloat(rate, 'f', -1, 64))
 	}
-	stop := f.harmless(20 * time.Millisecond)
+	stop := f.startHarmlessTraffic(20 * time.Millisecond)
 	named := time.Now()
 	time.Sleep(11 * time.Second)
 	stop()
-	asked, total := time.Since(named)-limitKnown, 0
+	asked, total := time.Since(named)-limitKnownAfter, 0
 	for _, server := range f.Site.Models {
-		held := f.arrivedAt(server.ID(), named.Add(limitKnown))
+		held := f.arrivalsAt(server.ID(), named.Add(limitKnownAfter))
 		total += len(held)
-		assert.LessOrEqual(t, float64(mostWithin(held, site.LimitSpan)), site.LimitBears(rate), server.ID())
+		assert.LessOrEqual(t, float64(maxWithin(held, site.LimitSpan)), site.LimitBears(rate), server.ID())
 		assert.GreaterOrEqual(t, len(held), int(rate*asked.Seconds()/2), "half of what %s takes is used", server.ID())
 	}
 	t.Logf("used: %.2f", float64(total)/(rate*asked.Seconds()*float64(len(f.Site.Models))))
--- a/internal/sitetest/mute_proxy_test.go
+++ b/internal/sitetest/mute_proxy_test.go
@@ -11,26 +11,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// muteProxy passes connections on to a server until it is told to fall mute. Then the
+// blackholeProxy passes connections on to a server until it is told to fall mute. Then the
 // connections that are open stay open and are read on both sides, so that everything is
 // acknowledged, and nothing is passed on any more. Later connections work.
-type muteProxy struct {
+type blackholeProxy struct {
 	address  string
 	accepted atomic.Int64
 
 	mutex sync.Mutex
-	// silent is closed when the connections of the present generation fall mute.
-	silent chan struct{}
+	// blackholed is closed when the connections of the present generation fall mute.
+	blackholed chan struct{}
 	// trigger is what a caller sends that makes the proxy fall mute; delivered is whether
 	// it is still passed on.
 	trigger   []byte
-	delivered bool
+	forwardTrigger bool
 }
 
-func startMuteProxy(t *testing.T, target string) *muteProxy {
+func startBlackholeProxy(t *testing.T, target string) *blackholeProxy {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	p := &muteProxy{address: listener.Addr().String(), silent: make(chan struct{})}
+	p := &blackholeProxy{address: listener.Addr().String(), blackholed: make(chan struct{})}
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
@@ -39,35 +39,35 @@
 				return
 			}
 			p.accepted.Add(1)
-			p.carry(near, target)
+			p.forward(near, target)
 		}
 	}()
 	return p
 }
 
-func (p *muteProxy) carry(near net.Conn, target string) {
+func (p *blackholeProxy) forward(near net.Conn, target string) {
 	far, err := net.Dial("tcp", target)
 	if err != nil {
 		_ = near.Close()
 		return
 	}
 	p.mutex.Lock()
-	silent := p.silent
+	silent := p.blackholed
 	p.mutex.Unlock()
-	go p.pump(near, far, silent, true)
-	go p.pump(far, near, silent, false)
+	go p.copyStream(near, far, silent, true)
+	go p.copyStream(far, near, silent, false)
 }
 
-// pump passes on what one side sends until the connection is mute, and reads it all the same
+// copyStream passes on what one side sends until the connection is mute, and reads it all the same
 // from then on.
-func (p *muteProxy) pump(from, to net.Conn, silent chan struct{}, fromCaller bool) {
+func (p *blackholeProxy) copyStream(from, to net.Conn, silent chan struct{}, fromCaller bool) {
 	buffer := make([]byte, 32<<10)
 	for {
 		count, err := from.Read(buffer)
 		pass := !isClosed(silent)
 		if fromCaller && pass && p.triggered(buffer[:count]) {
-			pass = p.delivered
-			p.mute()
+			pass = p.forwardTrigger
+			p.blackhole()
 		}
 		if pass && count > 0 {
 			_, _ = to.Write(buffer[:count])
@@ -91,7 +91,7 @@
 	}
 }
 
-func (p *muteProxy) triggered(sent []byte) bool {
+func (p *blackholeProxy) triggered(sent []byte) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if len(p.trigger) == 0 || !bytes.Contains(sent, p.trigger) {
@@ -101,18 +101,18 @@
 	return true
 }
 
-// mute has the connections that are open now fall mute.
-func (p *muteProxy) mute() {
+// blackhole has the connections that are open now fall mute.
+func (p *blackholeProxy) blackhole() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	close(p.silent)
-	p.silent = make(chan struct{})
+	close(p.blackholed)
+	p.blackholed = make(chan struct{})
 }
 
-// muteAt has all connections fall mute when a caller sends some bytes next, which are
+// blackholeOn has all connections fall mute when a caller sends some bytes next, which are
 // passed on or not.
-func (p *muteProxy) muteAt(trigger string, delivered bool) {
+func (p *blackholeProxy) blackholeOn(trigger string, delivered bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.trigger, p.delivered = []byte(trigger), delivered
+	p.trigger, p.forwardTrigger = []byte(trigger), delivered
 }
--- a/internal/sitetest/recovery_test.go
+++ b/internal/sitetest/recovery_test.go
@@ -22,32 +22,32 @@
 
 // Bounds of the recovery from a silence of all open connections, from its beginning on.
 const (
-	// wordsBack is when the words of all agents reach every entry again: entries distrust
+	// reportRecovery is when the words of all agents reach every entry again: entries distrust
 	// servers whose agents they have not heard for 1.2 s, so that none is distrusted.
-	wordsBack = 800 * time.Millisecond
-	// wordCurrent is the age of a word that has come by a link that works: 0.3 s between
+	reportRecovery = 800 * time.Millisecond
+	// maxReportAge is the age of a word that has come by a link that works: 0.3 s between
 	// two words of an agent, 0.24 s on the way to another zone, and some time to run.
-	wordCurrent = 650 * time.Millisecond
-	// changeInForce is when a change made at the beginning of the silence is in force.
-	changeInForce = time.Second
-	// stagedLater is how much later than in a calm fleet a version may be staged.
-	stagedLater = time.Second
-	// orderSettled is when the fate of an order without an answer is known.
-	orderSettled = time.Second
+	maxReportAge = 650 * time.Millisecond
+	// maxApplyDelay is when a change made at the beginning of the silence is in force.
+	maxApplyDelay = time.Second
+	// maxStagingDelay is how much later than in a calm fleet a version may be staged.
+	maxStagingDelay = time.Second
+	// maxOrderResolution is when the fate of an order without an answer is known.
+	maxOrderResolution = time.Second
 )
 
 // Each connection that is not one of an entry to a server recovers by itself, soon, when
 // all open ones go silent and new ones work.
 func TestEachConnectionRecoversFromSilence(t *testing.T) {
-	t.Run("words of agents reach every entry", testWordsAfterSilence)
+	t.Run("words of agents reach every entry", testReportsAfterSilence)
 	t.Run("no agent declares a sound server unreachable", testServersStayReachable)
 	t.Run("a version is staged when silence comes with the manifest", func(t *testing.T) { testStagingAndSilence(t, 30*time.Millisecond) })
 	t.Run("a version is staged when silence comes amid the pieces", func(t *testing.T) { testStagingAndSilence(t, 100*time.Millisecond) })
 	t.Run("an order that was taken and not answered is settled", func(t *testing.T) { testUnansweredOrder(t, true) })
 	t.Run("an order that was swallowed is settled", func(t *testing.T) { testUnansweredOrder(t, false) })
-	t.Run("a watch behind a proxy that passes nothing on", testWatchBehindMuteProxy)
-	t.Run("a listing behind a proxy that passes nothing on", testListingBehindMuteProxy)
-	t.Run("questions to a server behind a proxy that passes nothing on", testReportsBehindMuteProxy)
+	t.Run("a watch behind a proxy that passes nothing on", testWatchBehindBlackholeProxy)
+	t.Run("a listing behind a proxy that passes nothing on", testListingBehindBlackholeProxy)
+	t.Run("questions to a server behind a proxy that passes nothing on", testReportsBehindBlackholeProxy)
 }
 
 // settleTime is how long a fleet runs until its connections are a while old.
@@ -59,7 +59,7 @@
 	return f
 }
 
-func silence(t *testing.T, picked silencer.Filter) time.Time {
+func silenceConnections(t *testing.T, picked silencer.Filter) time.Time {
 	began := time.Now()
 	count, err := silencer.Silence(picked)
 	require.NoError(t, err)
@@ -67,8 +67,8 @@
 	return began
 }
 
-// eldestWord is the age of the oldest word of an agent at any entry.
-func eldestWord(f *Fleet) time.Duration {
+// oldestReportAge is the age of the oldest word of an agent at any entry.
+func oldestReportAge(f *Fleet) time.Duration {
 	eldest := time.Duration(0)
 	for zone := range f.Site.Options.Zones {
 		for index := range f.Site.Options.Entries {
@@ -83,16 +83,16 @@
 	return eldest
 }
 
-func testWordsAfterSilence(t *testing.T) {
+func testReportsAfterSilence(t *testing.T) {
 	f := startSettled(t)
-	began := silence(t, ofTheSystem)
+	began := silenceConnections(t, systemConnections)
 	worst := time.Duration(0)
 	for time.Since(began) < 3*time.Second {
 		time.Sleep(10 * time.Millisecond)
-		age, since := eldestWord(f), time.Since(began)
+		age, since := oldestReportAge(f), time.Since(began)
 		worst = max(worst, age)
-		if since > wordsBack {
-			require.Less(t, age, wordCurrent, "%s after the silence began", since)
+		if since > reportRecovery {
+			require.Less(t, age, maxReportAge, "%s after the silence began", since)
 		}
 	}
 	t.Logf("the oldest word in the three seconds after the silence began: %s", worst)
@@ -101,24 +101,24 @@
 // A change of the configuration that comes as all open connections go silent is in force at every entry soon after.
 func TestChangeOfConfigurationAfterASilence(t *testing.T) {
 	f := startSettled(t)
-	began := silence(t, ofTheSystem)
+	began := silenceConnections(t, systemConnections)
 	version := f.Site.Configure(revoke)
-	f.Eventually("the change is in force", 5*time.Second, func() bool { return f.inForce(version) })
+	f.Eventually("the change is in force", 5*time.Second, func() bool { return f.configurationApplied(version) })
 	took := time.Since(began)
 	t.Logf("in force at every entry %s after the silence began", took)
-	assert.Less(t, took, changeInForce)
+	assert.Less(t, took, maxApplyDelay)
 }
 
 func testServersStayReachable(t *testing.T) {
 	f := startSettled(t)
-	silence(t, ofTheSystem)
+	silenceConnections(t, systemConnections)
 	time.Sleep(2 * time.Second)
 	assert.Zero(t, countEvents(f, logging.EngineUnreachable.Number, ""))
 }
 
-// staged waits until every agent has staged a version, and returns how long after a time
+// waitStaged waits until every agent has staged a version, and returns how long after a time
 // the last one had.
-func staged(f *Fleet, version int, since time.Time) time.Duration {
+func waitStaged(f *Fleet, version int, since time.Time) time.Duration {
 	agents := f.Site.Options.Zones * f.Site.Options.ModelServers
 	f.Eventually("the version is staged", 20*time.Second, func() bool {
 		return countEvents(f, logging.WeightsStaged.Number, fmt.Sprintf(`"version":%d`, version)) >= agents
@@ -132,39 +132,39 @@
 	stage := func(t *testing.T, disturb bool) time.Duration {
 		f := startSettled(t)
 		if disturb && after == 0 {
-			silence(t, ofTheSystem)
+			silenceConnections(t, systemConnections)
 		}
 		named := time.Now()
 		f.Site.NameVersion(2)
 		if disturb && after > 0 {
 			time.Sleep(after)
-			silence(t, ofTheSystem)
+			silenceConnections(t, systemConnections)
 		}
-		return staged(f, 2, named)
+		return waitStaged(f, 2, named)
 	}
 	var calm, disturbed time.Duration
 	t.Run("calm", func(t *testing.T) { calm = stage(t, false) })
 	t.Run("disturbed", func(t *testing.T) { disturbed = stage(t, true) })
 	t.Logf("staged everywhere after %s, with the silence after %s", calm, disturbed)
-	assert.Less(t, disturbed, calm+stagedLater)
+	assert.Less(t, disturbed, calm+maxStagingDelay)
 }
 
 // A version that is named as all open connections go silent is staged soon after.
 func TestVersionIsStagedWhenSilenceComesFirst(t *testing.T) { testStagingAndSilence(t, 0) }
 
-// agentBehind is a fleet of one agent that reaches its server through a proxy.
-func agentBehind(t *testing.T) (*Fleet, *muteProxy) {
+// agentBehindProxy is a fleet of one agent that reaches its server through a proxy.
+func agentBehindProxy(t *testing.T) (*Fleet, *blackholeProxy) {
 	options := DefaultOptions()
 	options.Zones, options.Entries, options.ModelServers = 1, 1, 1
 	running, err := site.Start(options)
 	require.NoError(t, err)
-	f := &Fleet{t: t, Site: running, Log: &LogBuffer{}, processes: map[string]*process{}, opened: map[string]bool{}}
+	f := &Fleet{t: t, Site: running, Log: &LogBuffer{}, processes: map[string]*process{}, openedStores: map[string]bool{}}
 	t.Cleanup(f.close)
-	proxy := startMuteProxy(t, f.Site.ModelAddress(0, 0))
+	proxy := startBlackholeProxy(t, f.Site.ModelAddress(0, 0))
 	f.StartEntry(0, 0)
-	base := f.build(catalog.RoleAgent, 0, 0)
+	base := f.newDaemon(catalog.RoleAgent, 0, 0)
 	agent := rollout.New(rollout.Options{Daemon: base, Server: platform.NewModelServer(proxy.address), Origin: platform.NewOrigin()})
-	f.run(ProcessName(catalog.RoleAgent, 0, 0), base, agent.Run)
+	f.runProcess(ProcessName(catalog.RoleAgent, 0, 0), base, agent.Run)
 	f.WaitReady()
 	time.Sleep(settleTime)
 	return f, proxy
@@ -173,8 +173,8 @@
 // testUnansweredOrder has all connections to the server fall mute with the order, which the
 // server takes or never sees. The order's fate is known soon, and in the end it was taken once.
 func testUnansweredOrder(t *testing.T, taken bool) {
-	f, proxy := agentBehind(t)
-	proxy.muteAt("POST /-/order", taken)
+	f, proxy := agentBehindProxy(t)
+	proxy.blackholeOn("POST /-/order", taken)
 	f.Site.NameVersion(2)
 	f.Eventually("the order has gone", 10*time.Second, func() bool { return countEvents(f, logging.OrderSent.Number, "") > 0 })
 	sent := time.Now()
@@ -183,7 +183,7 @@
 	})
 	took := time.Since(sent)
 	t.Logf("settled %s after the order was sent", took)
-	assert.Less(t, took, orderSettled)
+	assert.Less(t, took, maxOrderResolution)
 	f.Eventually("the version is live", 5*time.Second, func() bool { return f.Site.Models[f.Site.Options.ModelIP(0, 0)].Version() == 2 })
 	assert.Zero(t, countEvents(f, logging.OrderRefused.Number, ""))
 	assert.Zero(t, countEvents(f, logging.EngineUnreachable.Number, ""))
@@ -194,11 +194,11 @@
 	assert.Equal(t, want, countEvents(f, logging.OrderSent.Number, ""))
 }
 
-// behindMuteProxy starts a store, and a reader of it through a proxy, of which a first
+// storeBehindProxy starts a store, and a reader of it through a proxy, of which a first
 // watch is answered.
-func behindMuteProxy(t *testing.T) (*site.Store, *platform.Store, *muteProxy) {
+func storeBehindProxy(t *testing.T) (*site.Store, *platform.Store, *blackholeProxy) {
 	store := site.NewStore()
-	proxy := startMuteProxy(t, listen(t, store.Handler()))
+	proxy := startBlackholeProxy(t, listen(t, store.Handler()))
 	reader := platform.NewStore(proxy.address)
 	at := store.Put("op/config", map[string]any{"version": 1})
 	_, err := reader.List(context.Background(), "")
@@ -208,10 +208,10 @@
 	return store, reader, proxy
 }
 
-func testWatchBehindMuteProxy(t *testing.T) {
+func testWatchBehindBlackholeProxy(t *testing.T) {
 	const wait = 500 * time.Millisecond
-	store, reader, proxy := behindMuteProxy(t)
-	proxy.mute()
+	store, reader, proxy := storeBehindProxy(t)
+	proxy.blackhole()
 	store.Put("op/config", map[string]any{"version": 2})
 	began := time.Now()
 	listing, err := reader.Watch(context.Background(), "", 1, wait)
@@ -222,9 +222,9 @@
 	assert.Less(t, took, wait+300*time.Millisecond)
 }
 
-func testListingBehindMuteProxy(t *testing.T) {
-	_, reader, proxy := behindMuteProxy(t)
-	proxy.mute()
+func testListingBehindBlackholeProxy(t *testing.T) {
+	_, reader, proxy := storeBehindProxy(t)
+	proxy.blackhole()
 	began := time.Now()
 	listing, err := reader.List(context.Background(), "")
 	took := time.Since(began)
@@ -236,9 +236,9 @@
 
 // All kept connections to a server fall mute: not one question fails by that, and one
 // question finds it out for all of them.
-func testReportsBehindMuteProxy(t *testing.T) {
-	f, proxy := agentBehind(t)
-	proxy.mute()
+func testReportsBehindBlackholeProxy(t *testing.T) {
+	f, proxy := agentBehindProxy(t)
+	proxy.blackhole()
 	dialled := proxy.accepted.Load()
 	time.Sleep(time.Second)
 	assert.Zero(t, countEvents(f, logging.EngineUnreachable.Number, ""))
@@ -246,7 +246,7 @@
 	server := platform.NewModelServer(proxy.address)
 	_, err := server.Report(context.Background())
 	require.NoError(t, err)
-	proxy.mute()
+	proxy.blackhole()
 	ctx, cancel := context.WithTimeout(context.Background(), 250*time.Millisecond)
 	defer cancel()
 	report, err := server.Report(ctx)
--- a/internal/sitetest/regions_test.go
+++ b/internal/sitetest/regions_test.go
@@ -32,8 +32,8 @@
 	return func(configuration map[string]any) { site.AllowTenantRegions(configuration, site.Tenant, regions...) }
 }
 
-// threeRegions is a fleet of three zones, each in a region of its own.
-func threeRegions() site.Options {
+// threeRegionOptions is a fleet of three zones, each in a region of its own.
+func threeRegionOptions() site.Options {
 	options := DefaultOptions()
 	options.Zones, options.Entries, options.PlainServers = 3, 1, 2
 	return options
@@ -47,15 +47,15 @@
 			change(configuration)
 		}
 	})
-	f.Eventually("the configuration is in force", 3*time.Second, func() bool { return f.inForce(version) })
+	f.Eventually("the configuration is in force", 3*time.Second, func() bool { return f.configurationApplied(version) })
 	return version
 }
 
-// mixedTraffic sends streams and plain requests of both kinds to the entries of all zones.
-func mixedTraffic(f *Fleet) (stop func() []outcome) {
+// startMixedTraffic sends streams and plain requests of both kinds to the entries of all zones.
+func startMixedTraffic(f *Fleet) (stop func() []outcome) {
 	zones := f.Site.Options.Zones
-	return traffic(8*time.Millisecond, func(ctx context.Context, number int) outcome {
-		one := outcome{id: fmt.Sprintf("mixed-%d", number), begun: time.Now()}
+	return startTraffic(8*time.Millisecond, func(ctx context.Context, number int) outcome {
+		one := outcome{id: fmt.Sprintf("mixed-%d", number), startedAt: time.Now()}
 		switch number % 3 {
 		case 0:
 			one.answer, one.err = f.Call(ctx, number%zones, 0, http.MethodPost, site.OncePrefix, one.id, nil, "save")
@@ -64,7 +64,7 @@
 		default:
 			one.answer, one.err = f.Stream(ctx, number/3%zones, 0, one.id, 8)
 		}
-		one.took = time.Since(one.begun)
+		one.duration = time.Since(one.startedAt)
 		return one
 	})
 }
@@ -87,9 +87,9 @@
 	return servers
 }
 
-// troubleIn gives a zone's servers, one kind after the other, the faults that make an entry
+// injectFaults gives a zone's servers, one kind after the other, the faults that make an entry
 // look for another server, and takes all of them away in the end.
-func troubleIn(f *Fleet, t *testing.T, zone int) {
+func injectFaults(f *Fleet, t *testing.T, zone int) {
 	const apart = 300 * time.Millisecond
 	for _, faults := range []site.Faults{
 		{Shed: 6}, {LoseAnswers: 6}, {CutAfter: 3, CutCount: 6}, {},
@@ -119,18 +119,18 @@
 		"both":   {restrictRoutes(site.RegionName(0), site.RegionName(home)), restrictTenant(site.RegionName(home), site.RegionName(2))},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := Start(t, threeRegions())
+			f := Start(t, threeRegionOptions())
 			f.configure(changes...)
-			stop := mixedTraffic(f)
+			stop := startMixedTraffic(f)
 			time.Sleep(500 * time.Millisecond)
 			calmUntil := time.Now().Add(-100 * time.Millisecond)
-			troubleIn(f, t, home)
+			injectFaults(f, t, home)
 			outcomes := stop()
 			outside := arrivalsOutside(f, site.RegionName(home))
 			assert.Empty(t, outside[:min(3, len(outside))], "%d requests came to servers of other regions", len(outside))
 			served, calm := 0, 0
 			for _, one := range outcomes {
-				if one.begun.Before(calmUntil) {
+				if one.startedAt.Before(calmUntil) {
 					calm++
 					if one.served(time.Second) {
 						served++
@@ -143,8 +143,8 @@
 	}
 }
 
-// noServerIn ends every server of a zone and takes it off the list.
-func noServerIn(f *Fleet, zone int) {
+// removeServers ends every server of a zone and takes it off the list.
+func removeServers(f *Fleet, zone int) {
 	for _, server := range serversOf(f, zone) {
 		server.Lapse()
 		server.Crash()
@@ -166,9 +166,9 @@
 // request say that the regions decided.
 func TestRequestIsRefusedWhereNoAllowedRegionHasAServer(t *testing.T) {
 	const home = 1
-	f := Start(t, threeRegions())
+	f := Start(t, threeRegionOptions())
 	f.configure(restrictTenant(site.RegionName(home)))
-	noServerIn(f, home)
+	removeServers(f, home)
 	calls := map[string]func(id string) (Answer, error){
 		"stream": func(id string) (Answer, error) { return f.Stream(t.Context(), 0, 0, id, 5) },
 		"once": func(id string) (Answer, error) {
@@ -186,22 +186,22 @@
 		assert.NotEmpty(t, answer.Header.Get("Retry-After"), kind)
 		assert.Less(t, time.Since(began), 500*time.Millisecond, kind)
 		assert.Contains(t, answer.Body, `"reason":"data-residency","execution":"not-run"`, kind)
-		lines, told := story(f, t, "nowhere-"+kind, "PV4104")
+		lines, told := explainRequest(f, t, "nowhere-"+kind, "PV4104")
 		const want = `; only servers in the regions ["region-1"] were allowed, and others would have taken it`
 		assert.Contains(t, told.Cause, "refused, and certain not to have run: no server was chosen", kind)
 		assert.Contains(t, told.Cause, want, kind)
-		assert.NotContains(t, explain.Tell(without(lines, "PV4109"), "nowhere-"+kind).Cause, want, kind)
+		assert.NotContains(t, explain.Tell(withoutEvent(lines, "PV4109"), "nowhere-"+kind).Cause, want, kind)
 	}
 	assert.Empty(t, f.Site.Ledger.Arrivals())
-	assert.Equal(t, len(calls), refusalsFor(f, t, "data-residency"))
+	assert.Equal(t, len(calls), refusalCount(f, t, "data-residency"))
 	f.configure(restrictTenant())
 	answer, err := calls["safe"]("anywhere")
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusOK, answer.Status, "the restriction is gone")
 }
 
-// refusalsFor reads how many requests an entry says that it has refused for a reason.
-func refusalsFor(f *Fleet, t *testing.T, reason string) int {
+// refusalCount reads how many requests an entry says that it has refused for a reason.
+func refusalCount(f *Fleet, t *testing.T, reason string) int {
 	t.Helper()
 	families, err := f.Process(ProcessName(site.RoleEntry, 0, 0)).Registry.Gather()
 	require.NoError(t, err)
@@ -224,13 +224,13 @@
 // Regions of a route and a tenant that have none in common allow no server, and the story
 // says so.
 func TestRegionsWithoutACommonOneAllowNoServer(t *testing.T) {
-	f := Start(t, threeRegions())
+	f := Start(t, threeRegionOptions())
 	f.configure(restrictRoutes(site.RegionName(0)), restrictTenant(site.RegionName(1)))
 	answer, err := f.Call(t.Context(), 0, 0, http.MethodGet, site.SafePrefix, "apart", nil, "")
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusServiceUnavailable, answer.Status)
 	assert.Equal(t, "5", answer.Header.Get("Retry-After"), "only another configuration helps")
-	_, told := story(f, t, "apart", "PV4104")
+	_, told := explainRequest(f, t, "apart", "PV4104")
 	assert.Contains(t, told.Cause, "the allowed regions of the route and the tenant have none in common")
 	assert.Empty(t, f.Site.Ledger.Arrivals())
 }
@@ -248,7 +248,7 @@
 		"moved":    {[]string{site.RegionName(0)}, []string{site.RegionName(2)}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			options := threeRegions()
+			options := threeRegionOptions()
 			options.EventTime = 60 * time.Millisecond
 			f := Start(t, options)
 			f.configure(restrictTenant(one.admitted...))
@@ -286,7 +286,7 @@
 // Names of regions that no zone has allow no server and are logged with the configuration that
 // brought them; everything else of that configuration is in force.
 func TestUnknownRegionsAllowNoServer(t *testing.T) {
-	f := Start(t, threeRegions())
+	f := Start(t, threeRegionOptions())
 	version := f.configure(func(configuration map[string]any) {
 		site.AllowRouteRegions(configuration, "once", "region-9")
 		site.AllowRouteRegions(configuration, "safe", "region-9", site.RegionName(2), site.RegionName(2))
--- a/internal/sitetest/rest_test.go
+++ b/internal/sitetest/rest_test.go
@@ -14,11 +14,11 @@
 // seven requests more in that time, each of which was turned away too.
 
 const (
-	// restAsked is the rest that servers ask for, restGrace how long after that requests may still arrive,
+	// backoffRequested is the rest that servers ask for, restGrace how long after that requests may still arrive,
 	// restAllowed how many may later.
-	restAsked   = 3 * time.Second
-	restGrace   = 500 * time.Millisecond
-	restAllowed = 2
+	backoffRequested   = 3 * time.Second
+	backoffGrace   = 500 * time.Millisecond
+	maxDuringBackoff = 2
 )
 
 // oneEntryOptions are a fleet with one entry, so that what comes to a server comes from that.
@@ -32,24 +32,24 @@
 // served elsewhere, and the server is used again after its rest.
 func TestServerThatAsksForRestGetsIt(t *testing.T) {
 	f := Start(t, oneEntryOptions())
-	stop := f.harmless(5 * time.Millisecond)
+	stop := f.startHarmlessTraffic(5 * time.Millisecond)
 	time.Sleep(500 * time.Millisecond)
 	resting := f.Site.Models[f.Site.Options.ModelIP(0, 0)]
-	resting.SetFaults(site.Faults{Shed: 1, ShedRest: restAsked})
+	resting.SetFaults(site.Faults{Shed: 1, ShedRest: backoffRequested})
 	asked := time.Now()
 	time.Sleep(6 * time.Second)
 	outcomes := stop()
-	moments := f.arrivedAt(resting.ID(), asked)
+	moments := f.arrivalsAt(resting.ID(), asked)
 	during := 0
 	for _, at := range moments {
-		if since := at.Sub(moments[0]); since > restGrace && since < restAsked {
+		if since := at.Sub(moments[0]); since > backoffGrace && since < backoffRequested {
 			during++
 		}
 	}
 	t.Logf("requests in the rest: %d, in all since: %d", during, len(moments))
-	assert.LessOrEqual(t, during, restAllowed)
-	assert.GreaterOrEqual(t, len(f.arrivedAt(resting.ID(), asked.Add(restAsked+time.Second))), 10, "requests after the rest")
-	assert.GreaterOrEqual(t, shareServed(outcomes, asked, asked.Add(6*time.Second), time.Second), servedAgain)
+	assert.LessOrEqual(t, during, maxDuringBackoff)
+	assert.GreaterOrEqual(t, len(f.arrivalsAt(resting.ID(), asked.Add(backoffRequested+time.Second))), 10, "requests after the rest")
+	assert.GreaterOrEqual(t, servedRatio(outcomes, asked, asked.Add(6*time.Second), time.Second), minServedRatio)
 }
 
 // BUDGET: all servers of a service ask for rest. Requests are refused at once, and the callers told when the first
@@ -57,21 +57,21 @@
 func TestAllServersAskForRest(t *testing.T) {
 	f := Start(t, oneEntryOptions())
 	for _, server := range f.Site.Plain {
-		server.SetFaults(site.Faults{Shed: 1000, ShedRest: restAsked})
+		server.SetFaults(site.Faults{Shed: 1000, ShedRest: backoffRequested})
 	}
 	started := time.Now()
-	stop := f.plainTraffic(20 * time.Millisecond)
+	stop := f.startPlainTraffic(20 * time.Millisecond)
 	time.Sleep(2500 * time.Millisecond)
 	outcomes := stop()
 	for _, server := range f.Site.Plain {
-		assert.LessOrEqual(t, len(f.arrivedAt(server.ID(), started.Add(restGrace))), restAllowed)
+		assert.LessOrEqual(t, len(f.arrivalsAt(server.ID(), started.Add(backoffGrace))), maxDuringBackoff)
 	}
 	for _, one := range outcomes {
 		assert.Equal(t, http.StatusServiceUnavailable, one.answer.Status)
-		if one.begun.Before(started.Add(restGrace)) {
+		if one.startedAt.Before(started.Add(backoffGrace)) {
 			continue
 		}
-		assert.Less(t, one.took, 100*time.Millisecond, "the time to an answer that nothing is needed for")
-		assert.GreaterOrEqual(t, retryAfter(t, one.answer), restAsked-one.begun.Sub(started)-200*time.Millisecond, "until the first rest ends")
+		assert.Less(t, one.duration, 100*time.Millisecond, "the time to an answer that nothing is needed for")
+		assert.GreaterOrEqual(t, retryAfter(t, one.answer), backoffRequested-one.startedAt.Sub(started)-200*time.Millisecond, "until the first rest ends")
 	}
 }
--- a/internal/sitetest/restarted_test.go
+++ b/internal/sitetest/restarted_test.go
@@ -21,10 +21,10 @@
 	f := Start(t, options)
 	f.Site.NameVersion(2)
 	f.Eventually("every server serves version 2", 6*time.Second, func() bool { return f.allServe(2) })
-	stop := traffic(20*time.Millisecond, func(ctx context.Context, number int) outcome {
-		one := outcome{id: fmt.Sprintf("stream-%d", number), begun: time.Now()}
-		one.answer, one.err = f.streamOf(ctx, number, "a", one.id, "prompt", 10)
-		one.took = time.Since(one.begun)
+	stop := startTraffic(20*time.Millisecond, func(ctx context.Context, number int) outcome {
+		one := outcome{id: fmt.Sprintf("stream-%d", number), startedAt: time.Now()}
+		one.answer, one.err = f.streamWithBody(ctx, number, "a", one.id, "prompt", 10)
+		one.duration = time.Since(one.startedAt)
 		return one
 	})
 	began := time.Now()
@@ -40,7 +40,7 @@
 	}
 	ended := time.Now()
 	outcomes := stop()
-	assert.GreaterOrEqual(t, shareServed(outcomes, began, ended, time.Second), 0.9, "three of four servers are there all the time")
+	assert.GreaterOrEqual(t, servedRatio(outcomes, began, ended, time.Second), 0.9, "three of four servers are there all the time")
 	for _, run := range f.Site.Ledger.Runs() {
 		assert.False(t, run.Spoilt)
 	}
--- a/internal/sitetest/settings_test.go
+++ b/internal/sitetest/settings_test.go
@@ -13,8 +13,8 @@
 	"pinevane.example/pinevane/internal/emulator/site"
 )
 
-// logged waits for an event with a text; lines are written a moment after they are logged.
-func (f *Fleet) logged(number, with string) {
+// waitLogged waits for an event with a text; lines are written a moment after they are logged.
+func (f *Fleet) waitLogged(number, with string) {
 	f.t.Helper()
 	f.Eventually(number+" with "+with+" is logged", time.Second, func() bool { return countEvents(f, number, with) > 0 })
 }
@@ -32,7 +32,7 @@
 // into an allowed region is.
 func TestRegionsOfSettingsThatAreReadAgainAreInForce(t *testing.T) {
 	const home = 1
-	f := Start(t, threeRegions())
+	f := Start(t, threeRegionOptions())
 	f.configure(restrictRoutes(site.RegionName(home)))
 	require.Equal(t, http.StatusOK, statusOf(t, f, "before"))
 	f.Reload(0, 0, f.Site.ChangedSettings(site.RoleEntry, 0, 0, func(settings map[string]any) {
@@ -49,7 +49,7 @@
 		}
 		assert.Equal(t, want, arrival.Zone, arrival.RequestID)
 	}
-	f.logged("PV1006", `"zones_changed":["hall-1","hall-2"]`)
+	f.waitLogged("PV1006", `"zones_changed":["hall-1","hall-2"]`)
 }
 
 // A settings file that can't be read, or has a faulty field, changes nothing; the log names the
@@ -66,7 +66,7 @@
 	} {
 		f.Reload(0, 0, data)
 		assert.Equal(t, before, f.Process(ProcessName(site.RoleEntry, 0, 0)).Settings(), fault)
-		f.logged("PV1007", fault)
+		f.waitLogged("PV1007", fault)
 		assert.Equal(t, http.StatusOK, statusOf(t, f, "served-"+strconv.Itoa(len(data))), fault)
 	}
 	assert.Zero(t, countEvents(f, "PV1006", ""))
@@ -83,14 +83,14 @@
 	after := f.Process(ProcessName(site.RoleEntry, 0, 0)).Settings()
 	assert.NotEqual(t, "127.0.0.9", after.IP)
 	assert.EqualValues(t, 2500, after.Bounds.Drain.Milliseconds())
-	f.logged("PV1011", `"fields":["ip","internal ports"]`)
+	f.waitLogged("PV1011", `"fields":["ip","internal ports"]`)
 	assert.Equal(t, http.StatusOK, statusOf(t, f, "served"))
 }
 
 // Zones and bounds may change while requests run: none fails for it.
 func TestSettingsChangeUnderLoad(t *testing.T) {
 	f := Start(t, DefaultOptions())
-	stop := mixedTraffic(f)
+	stop := startMixedTraffic(f)
 	for round := range 20 {
 		f.Reload(0, 0, f.Site.ChangedSettings(site.RoleEntry, 0, 0, func(settings map[string]any) {
 			settings["zones"].(map[string]any)["hall-added"] = site.RegionName(round % 2)
--- a/internal/sitetest/silence_test.go
+++ b/internal/sitetest/silence_test.go
@@ -31,41 +31,41 @@
 // Ports of the stand-in on which callers and the platform's balancer reach an entry, and
 // that of the store.
 const (
-	callersPort = 8005
+	callerPort = 8005
 	readyPort   = 8002
 	storePort   = 8007
 )
 
-// ofTheSystem picks the connections of the system's own processes, not its callers'.
-func ofTheSystem(c silencer.Connection) bool {
+// systemConnections picks the connections of the system's own processes, not its callers'.
+func systemConnections(c silencer.Connection) bool {
 	for _, port := range []uint16{c.Local.Port(), c.Remote.Port()} {
-		if port == callersPort || port == readyPort {
+		if port == callerPort || port == readyPort {
 			return false
 		}
 	}
 	return true
 }
 
-// toTheStore picks the connections to the store.
-var toTheStore = silencer.Between(func(one netip.AddrPort) bool { return one.Port() == storePort }, func(netip.AddrPort) bool { return true })
+// storeConnections picks the connections to the store.
+var storeConnections = silencer.Between(func(one netip.AddrPort) bool { return one.Port() == storePort }, func(netip.AddrPort) bool { return true })
 
 // outcome is what became of one request.
 type outcome struct {
 	id     string
-	begun  time.Time
-	took   time.Duration
+	startedAt  time.Time
+	duration   time.Duration
 	answer Answer
 	err    error
 }
 
 // served reports whether a request was answered whole within a time.
 func (o outcome) served(within time.Duration) bool {
-	return o.err == nil && o.answer.Status == http.StatusOK && o.answer.Complete && o.took <= within
+	return o.err == nil && o.answer.Status == http.StatusOK && o.answer.Complete && o.duration <= within
 }
 
-// traffic sends requests at a pace, each in its own goroutine, whether or not the ones before
+// startTraffic sends requests at a pace, each in its own goroutine, whether or not the ones before
 // are answered; stop waits for the last one.
-func traffic(pace time.Duration, send func(ctx context.Context, number int) outcome) (stop func() []outcome) {
+func startTraffic(pace time.Duration, send func(ctx context.Context, number int) outcome) (stop func() []outcome) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var mutex sync.Mutex
 	var outcomes []outcome
@@ -95,11 +95,11 @@
 	}
 }
 
-// shareServed is the share of the requests begun in a span that were served in time.
-func shareServed(outcomes []outcome, from, to time.Time, within time.Duration) float64 {
+// servedRatio is the share of the requests begun in a span that were served in time.
+func servedRatio(outcomes []outcome, from, to time.Time, within time.Duration) float64 {
 	all, served := 0, 0
 	for _, one := range outcomes {
-		if one.begun.Before(from) || !one.begun.Before(to) {
+		if one.startedAt.Before(from) || !one.startedAt.Before(to) {
 			continue
 		}
 		all++
@@ -115,16 +115,16 @@
 
 // Times of the test of service while connections are silent.
 const (
-	calmTime = 2 * time.Second
-	// plainBack and streamsBack are how long after the silence began service is back.
-	plainBack   = time.Second
-	streamsBack = 1500 * time.Millisecond
-	// backShare is the part of the calm share that counts as back.
-	backShare = 0.9
-	// watchedTime is how long service is looked at after it is to be back.
-	watchedTime = 3 * time.Second
-	// inTime is when a request counts as answered in time: the route's target.
-	inTime = time.Second
+	baselineTime = 2 * time.Second
+	// plainRecovery and streamsBack are how long after the silence began service is back.
+	plainRecovery   = time.Second
+	streamRecovery = 1500 * time.Millisecond
+	// minRecoveredRatio is the part of the calm share that counts as back.
+	minRecoveredRatio = 0.9
+	// observedTime is how long service is looked at after it is to be back.
+	observedTime = 3 * time.Second
+	// targetLatency is when a request counts as answered in time: the route's target.
+	targetLatency = time.Second
 	// streamEvents at 20 ms each keep some streams open at any time.
 	streamEvents = 20
 )
@@ -139,41 +139,41 @@
 	f := Start(t, options)
 	call := func(kind, method, path string) func(context.Context, int) outcome {
 		return func(ctx context.Context, number int) outcome {
-			one := outcome{id: fmt.Sprintf("%s-%d", kind, number), begun: time.Now()}
+			one := outcome{id: fmt.Sprintf("%s-%d", kind, number), startedAt: time.Now()}
 			one.answer, one.err = f.Call(ctx, number%2, number/2%2, method, path, one.id, nil, "")
-			one.took = time.Since(one.begun)
+			one.duration = time.Since(one.startedAt)
 			return one
 		}
 	}
-	stopSafe := traffic(20*time.Millisecond, call("safe", http.MethodGet, site.SafePrefix))
-	stopOnce := traffic(50*time.Millisecond, call("once", http.MethodPost, site.OncePrefix))
-	stopStreams := traffic(30*time.Millisecond, func(ctx context.Context, number int) outcome {
-		one := outcome{id: fmt.Sprintf("stream-%d", number), begun: time.Now()}
+	stopSafe := startTraffic(20*time.Millisecond, call("safe", http.MethodGet, site.SafePrefix))
+	stopOnce := startTraffic(50*time.Millisecond, call("once", http.MethodPost, site.OncePrefix))
+	stopStreams := startTraffic(30*time.Millisecond, func(ctx context.Context, number int) outcome {
+		one := outcome{id: fmt.Sprintf("stream-%d", number), startedAt: time.Now()}
 		one.answer, one.err = f.Stream(ctx, number%2, number/2%2, one.id, streamEvents)
-		one.took = time.Since(one.begun)
+		one.duration = time.Since(one.startedAt)
 		return one
 	})
 	began := time.Now()
-	time.Sleep(calmTime)
+	time.Sleep(baselineTime)
 	silent := time.Now()
-	count, err := silencer.Silence(ofTheSystem)
+	count, err := silencer.Silence(systemConnections)
 	require.NoError(t, err)
-	time.Sleep(streamsBack + watchedTime)
+	time.Sleep(streamRecovery + observedTime)
 	safe, once, streams := stopSafe(), stopOnce(), stopStreams()
 	t.Logf("%d ends of connections silenced", count)
 	for name, kind := range map[string]struct {
 		outcomes []outcome
 		back     time.Duration
-	}{"safe": {safe, plainBack}, "once": {once, plainBack}, "streams": {streams, streamsBack}} {
+	}{"safe": {safe, plainRecovery}, "once": {once, plainRecovery}, "streams": {streams, streamRecovery}} {
 		const window = 500 * time.Millisecond
 		var line []string
-		for from := silent.Add(-time.Second); from.Before(silent.Add(streamsBack + watchedTime)); from = from.Add(window) {
-			line = append(line, fmt.Sprintf("%.2f", shareServed(kind.outcomes, from, from.Add(window), inTime)))
+		for from := silent.Add(-time.Second); from.Before(silent.Add(streamRecovery + observedTime)); from = from.Add(window) {
+			line = append(line, fmt.Sprintf("%.2f", servedRatio(kind.outcomes, from, from.Add(window), targetLatency)))
 		}
 		t.Logf("%s served in time by half seconds, silent from the third on: %s", name, strings.Join(line, " "))
-		calm := shareServed(kind.outcomes, began, silent.Add(-inTime), inTime)
-		after := shareServed(kind.outcomes, silent.Add(kind.back), silent.Add(streamsBack+watchedTime), inTime)
-		assert.GreaterOrEqual(t, after, backShare*calm, "%s: share served after the service is to be back, calm %.2f", name, calm)
+		calm := servedRatio(kind.outcomes, began, silent.Add(-targetLatency), targetLatency)
+		after := servedRatio(kind.outcomes, silent.Add(kind.back), silent.Add(streamRecovery+observedTime), targetLatency)
+		assert.GreaterOrEqual(t, after, minRecoveredRatio*calm, "%s: share served after the service is to be back, calm %.2f", name, calm)
 	}
 	for _, one := range streams {
 		assert.True(t, one.err == nil && (one.answer.Status != http.StatusOK || one.answer.Complete), "stream %s: cut after %d events: %v", one.id, len(one.answer.Events), one.err)
@@ -186,17 +186,17 @@
 	}
 }
 
-// nameAmidSilence sends streams, silences some connections just before version 2 is named, which
+// announceDuringSilence sends streams, silences some connections just before version 2 is named, which
 // nobody can fetch, and returns two seconds after the bound of that naming.
-func (f *Fleet) nameAmidSilence(silenced silencer.Filter) (named, bound time.Time) {
+func (f *Fleet) announceDuringSilence(silenced silencer.Filter) (named, bound time.Time) {
 	f.t.Helper()
 	f.Site.Origin.SetAway(true)
-	stop := traffic(15*time.Millisecond, func(ctx context.Context, number int) outcome {
-		one := outcome{id: fmt.Sprintf("stream-%d", number), begun: time.Now()}
+	stop := startTraffic(15*time.Millisecond, func(ctx context.Context, number int) outcome {
+		one := outcome{id: fmt.Sprintf("stream-%d", number), startedAt: time.Now()}
 		one.answer, one.err = f.Stream(ctx, number%2, number/2%2, one.id, 4)
 		return one
 	})
-	time.Sleep(calmTime)
+	time.Sleep(baselineTime)
 	_, err := silencer.Silence(silenced)
 	require.NoError(f.t, err)
 	named = time.Now()
@@ -212,7 +212,7 @@
 // entries heard of the new one.
 func TestVersionIsBoundByItsNamingWhenTheStoresConnectionsAreSilent(t *testing.T) {
 	f := Start(t, DefaultOptions())
-	_, bound := f.nameAmidSilence(toTheStore)
+	_, bound := f.announceDuringSilence(storeConnections)
 	late := 0
 	latest := time.Duration(0)
 	for _, run := range f.Site.Ledger.Runs() {
@@ -246,8 +246,8 @@
 	f.StartEntry(1, 1)
 	f.Eventually("the entry is ready again", 3*time.Second, func() bool { return f.ready(1, 1) })
 	t.Logf("ready again %s before the bound", time.Until(bound).Round(time.Millisecond))
-	stop := traffic(20*time.Millisecond, func(ctx context.Context, number int) outcome {
-		one := outcome{id: fmt.Sprintf("stream-%d", number), begun: time.Now()}
+	stop := startTraffic(20*time.Millisecond, func(ctx context.Context, number int) outcome {
+		one := outcome{id: fmt.Sprintf("stream-%d", number), startedAt: time.Now()}
 		one.answer, one.err = f.Stream(ctx, 1, 1, one.id, 4)
 		return one
 	})
--- a/internal/sitetest/sizes_test.go
+++ b/internal/sitetest/sizes_test.go
@@ -17,10 +17,10 @@
 // An overload of requests whose prompts have a heavy tail: over twice what the servers can read.
 const (
 	sizesPerSecond = 50
-	sizesLast      = 8 * time.Second
+	sizesDuration      = 8 * time.Second
 	sizesRead      = 5000
-	sizesUsual     = 1000
-	sizesMost      = 4000
+	sizesTypical     = 1000
+	sizesMax      = 4000
 	sizesEvents    = 10
 )
 
@@ -28,7 +28,7 @@
 // often as all.
 func TestLargePromptsAreServedInAnOverload(t *testing.T) {
 	options := DefaultOptions()
-	options.ReadPerSecond, options.UsualPrompt = sizesRead, sizesUsual
+	options.ReadPerSecond, options.UsualPrompt = sizesRead, sizesTypical
 	f := Start(t, options)
 	random := rand.New(rand.NewPCG(1, 1))
 	type result struct {
@@ -38,8 +38,8 @@
 	var mutex sync.Mutex
 	var results []result
 	var callers sync.WaitGroup
-	for number := range int(sizesPerSecond * sizesLast.Seconds()) {
-		prompt := min(sizesMost, 1+int(sizesUsual*math.Exp(0.8*random.NormFloat64()-0.32)))
+	for number := range int(sizesPerSecond * sizesDuration.Seconds()) {
+		prompt := min(sizesMax, 1+int(sizesTypical*math.Exp(0.8*random.NormFloat64()-0.32)))
 		callers.Go(func() {
 			answer, err := f.StreamWithPrompt(context.Background(), number%options.Zones, number/options.Zones%options.Entries,
 				fmt.Sprintf("sizes-%d", number), prompt, sizesEvents)
--- a/internal/sitetest/store_test.go
+++ b/internal/sitetest/store_test.go
@@ -11,8 +11,8 @@
 	"pinevane.example/pinevane/internal/emulator/site"
 )
 
-// manyRoutes makes the configuration large: about 75 KB.
-func manyRoutes(configuration map[string]any) {
+// addManyRoutes makes the configuration large: about 75 KB.
+func addManyRoutes(configuration map[string]any) {
 	routes := configuration["routes"].([]any)
 	first := routes[0].(map[string]any)
 	for index := range 350 {
@@ -30,8 +30,8 @@
 	options := DefaultOptions()
 	options.Entries, options.ModelServers = 4, 4
 	f := Start(t, options)
-	version := f.Site.Configure(manyRoutes)
-	f.Eventually("the large configuration is in force", 3*time.Second, func() bool { return f.inForce(version) })
+	version := f.Site.Configure(addManyRoutes)
+	f.Eventually("the large configuration is in force", 3*time.Second, func() bool { return f.configurationApplied(version) })
 	f.Site.Store.SetDown(true)
 	time.Sleep(2500 * time.Millisecond)
 	version = f.Site.Configure(func(configuration map[string]any) {
@@ -45,7 +45,7 @@
 	calls := f.Site.Store.Calls()
 	f.Site.Store.SetDown(false)
 	back := time.Now()
-	f.Eventually("the change is in force", 10*time.Second, func() bool { return f.inForce(version) })
+	f.Eventually("the change is in force", 10*time.Second, func() bool { return f.configurationApplied(version) })
 	took := time.Since(back)
 	t.Logf("in force %s after the store's return, after %d calls", took, f.Site.Store.Calls()-calls)
 	assert.Less(t, took, time.Duration(options.ConfigApplyMs)*time.Millisecond)
--- a/internal/sitetest/told_asks_test.go
+++ b/internal/sitetest/told_asks_test.go
@@ -15,11 +15,11 @@
 	"pinevane.example/pinevane/internal/forward"
 )
 
-// toldWithin is how long it takes until all entries know what a server has asked of one: three hops, each at once.
-const toldWithin = time.Second
+// noticePropagation is how long it takes until all entries know what a server has asked of one: three hops, each at once.
+const noticePropagation = time.Second
 
-// viewAt is what an entry believes of a server.
-func (f *Fleet) viewAt(zone, index int, server string) forward.ServerView {
+// serverView is what an entry believes of a server.
+func (f *Fleet) serverView(zone, index int, server string) forward.ServerView {
 	views, isList := f.Process(ProcessName(catalog.RoleEntry, zone, index)).Dump()["servers"].([]forward.ServerView)
 	require.True(f.t, isList)
 	for _, one := range views {
@@ -30,11 +30,11 @@
 	return forward.ServerView{}
 }
 
-// everyEntry reports whether what each entry believes of a server fulfils a condition.
-func (f *Fleet) everyEntry(server string, condition func(forward.ServerView) bool) bool {
+// allEntries reports whether what each entry believes of a server fulfils a condition.
+func (f *Fleet) allEntries(server string, condition func(forward.ServerView) bool) bool {
 	for zone := range f.Site.Options.Zones {
 		for index := range f.Site.Options.Entries {
-			if !condition(f.viewAt(zone, index, server)) {
+			if !condition(f.serverView(zone, index, server)) {
 				return false
 			}
 		}
@@ -42,15 +42,15 @@
 	return true
 }
 
-// askPlainAt asks a plain service at one entry until a server has answered.
-func (f *Fleet) askPlainAt(zone, index int, server, id string) {
+// sendPlainUntilAnswered asks a plain service at one entry until a server has answered.
+func (f *Fleet) sendPlainUntilAnswered(zone, index int, server, id string) {
 	f.t.Helper()
 	number := 0
 	f.Eventually("the server has answered", 5*time.Second, func() bool {
 		number++
 		begun := time.Now()
 		_, err := f.Call(context.Background(), zone, index, http.MethodGet, site.SafePrefix+"a", fmt.Sprintf("%s-%d", id, number), nil, "")
-		return err == nil && len(f.arrivedAt(server, begun)) > 0
+		return err == nil && len(f.arrivalsAt(server, begun)) > 0
 	})
 }
 
@@ -62,26 +62,26 @@
 	f := Start(t, options)
 	leaving, limited := f.Site.Plain[options.PlainIP(0, 0)], f.Site.Plain[options.PlainIP(0, 1)]
 	leaving.SayLeaving(true)
-	f.askPlainAt(0, 0, leaving.ID(), "leaving")
-	f.Eventually("all know that it leaves", toldWithin, func() bool {
-		return f.everyEntry(leaving.ID(), func(view forward.ServerView) bool { return view.AnnouncedLeaving })
+	f.sendPlainUntilAnswered(0, 0, leaving.ID(), "leaving")
+	f.Eventually("all know that it leaves", noticePropagation, func() bool {
+		return f.allEntries(leaving.ID(), func(view forward.ServerView) bool { return view.AnnouncedLeaving })
 	})
 	limited.NameLimit("3")
-	f.askPlainAt(0, 1, limited.ID(), "limited")
+	f.sendPlainUntilAnswered(0, 1, limited.ID(), "limited")
 	named := func(view forward.ServerView) bool { return view.Limit != nil && view.Limit.PerSecond == 3 }
-	f.Eventually("all know the limit", toldWithin, func() bool { return f.everyEntry(limited.ID(), named) })
+	f.Eventually("all know the limit", noticePropagation, func() bool { return f.allEntries(limited.ID(), named) })
 
 	f.Kill(ProcessName(catalog.RoleEntry, 2, 1))
 	f.StartEntry(2, 1)
 	f.WaitReady()
-	f.Eventually("the new entry knows both", toldWithin, func() bool {
-		return f.viewAt(2, 1, leaving.ID()).AnnouncedLeaving && named(f.viewAt(2, 1, limited.ID()))
+	f.Eventually("the new entry knows both", noticePropagation, func() bool {
+		return f.serverView(2, 1, leaving.ID()).AnnouncedLeaving && named(f.serverView(2, 1, limited.ID()))
 	})
 
 	limited.NameLimit("")
-	f.askPlainAt(0, 0, limited.ID(), "over")
-	f.Eventually("all know that the limit is over", toldWithin, func() bool {
-		return f.everyEntry(limited.ID(), func(view forward.ServerView) bool { return view.Limit == nil })
+	f.sendPlainUntilAnswered(0, 0, limited.ID(), "over")
+	f.Eventually("all know that the limit is over", noticePropagation, func() bool {
+		return f.allEntries(limited.ID(), func(view forward.ServerView) bool { return view.Limit == nil })
 	})
-	assert.Len(t, f.arrivedAt(leaving.ID(), time.Time{}), 1, "requests to the server that leaves")
+	assert.Len(t, f.arrivalsAt(leaving.ID(), time.Time{}), 1, "requests to the server that leaves")
 }
--- a/internal/sitetest/versions_test.go
+++ b/internal/sitetest/versions_test.go
@@ -12,9 +12,9 @@
 	"pinevane.example/pinevane/internal/emulator/site"
 )
 
-// load sends streams until the function returned is called, which waits for the
+// startStreams sends streams until the function returned is called, which waits for the
 // last and returns how many were not answered whole.
-func load(f *Fleet, t *testing.T) (stop func() (sent, spoilt int)) {
+func startStreams(f *Fleet, t *testing.T) (stop func() (sent, spoilt int)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var callers sync.WaitGroup
 	var mutex sync.Mutex
@@ -55,7 +55,7 @@
 // old version, none on spoilt weights.
 func TestNewVersionUnderLoad(t *testing.T) {
 	f := Start(t, DefaultOptions())
-	stop := load(f, t)
+	stop := startStreams(f, t)
 	time.Sleep(300 * time.Millisecond)
 	named := time.Now()
 	f.Site.NameVersion(2)
@@ -93,7 +93,7 @@
 	f.Site.NameVersion(2)
 	f.Eventually("every server serves version 2", bound, func() bool { return f.allServe(2) })
 	time.Sleep(bound)
-	stop := load(f, t)
+	stop := startStreams(f, t)
 	f.Site.NameVersion(3)
 	f.Eventually("every server serves version 3", bound, func() bool { return f.allServe(3) })
 	_, spoilt := stop()
