--- a/internal/fleettest/fleet_test.go
+++ b/internal/fleettest/fleet_test.go
@@ -42,7 +42,7 @@
 	return &group
 }
 
-func TestARolloutUnderLoadServesNoMix(t *testing.T) {
+func TestRolloutUnderLoadMixesNoVersions(t *testing.T) {
 	t.Parallel()
 	f := New(t, 3, 1, 2)
 	done := make(chan struct{})
@@ -62,7 +62,7 @@
 	assert.LessOrEqual(t, f.Origin.Drawn()-before, int64(4<<20), "more than four copies")
 }
 
-func TestARefusedVersionStopsAndTheOldOneGoesOn(t *testing.T) {
+func TestRefusedVersionLeavesOldOneServing(t *testing.T) {
 	t.Parallel()
 	f := New(t, 2, 0, 1)
 	for _, machine := range f.Engines {
@@ -88,7 +88,7 @@
 	f.WaitServing("3")
 }
 
-func TestGoingBackToTheOldVersionDrawsNothing(t *testing.T) {
+func TestRollbackFetchesNothingFromOrigin(t *testing.T) {
 	t.Parallel()
 	f := New(t, 2, 0, 1)
 	f.PublishVersion("2")
@@ -99,7 +99,7 @@
 	assert.Equal(t, drawn, f.Origin.Drawn())
 }
 
-func TestAPlannedStopOfAnAgentCutsNothing(t *testing.T) {
+func TestPlannedStopOfAgentDropsNoRequest(t *testing.T) {
 	t.Parallel()
 	f := New(t, 2, 0, 1)
 	const streams = 8
@@ -122,7 +122,7 @@
 	assert.Empty(t, f.Violations())
 }
 
-func TestAPlannedStopOfAnEntryCutsNothing(t *testing.T) {
+func TestPlannedStopOfEntryDropsNoRequest(t *testing.T) {
 	t.Parallel()
 	f := New(t, 1, 0, 1)
 	var group sync.WaitGroup
@@ -134,7 +134,7 @@
 	assert.Equal(t, 1, workload.Summarize(f.Recorder.Results()).Answered)
 }
 
-func TestAStreamResumesWhenItsEngineRestarts(t *testing.T) {
+func TestStreamResumesWhenItsEngineRestarts(t *testing.T) {
 	t.Parallel()
 	f := New(t, 2, 0, 1)
 	results := make(chan workload.Result, 1)
@@ -154,7 +154,7 @@
 	assert.Empty(t, f.Violations())
 }
 
-func TestANonRepeatableGenerationIsNotTriedAgain(t *testing.T) {
+func TestNonRepeatableGenerationIsNotRetried(t *testing.T) {
 	t.Parallel()
 	f := New(t, 2, 0, 1)
 	request := Stream("once", 500)
@@ -176,7 +176,7 @@
 	assert.Empty(t, f.Violations())
 }
 
-func TestACallWhoseLinkIsLostIsAnsweredAndRanOnce(t *testing.T) {
+func TestCallWithLostLinkIsAnsweredAndRunsOnce(t *testing.T) {
 	t.Parallel()
 	f := New(t, 1, 2, 1)
 	results := make(chan workload.Result, 1)
@@ -219,7 +219,7 @@
 	assert.Empty(t, f.Violations())
 }
 
-func TestARefusalIsProofThatNothingRan(t *testing.T) {
+func TestRefusedCallDidNotRun(t *testing.T) {
 	t.Parallel()
 	f := New(t, 1, 1, 1)
 	f.Services[0].Service.SetFaults(emulator.Faults{})
@@ -239,7 +239,7 @@
 	assert.Empty(t, f.Services[0].Service.Runs())
 }
 
-func TestAnOutageOfTheConfigurationServiceStopsNothing(t *testing.T) {
+func TestConfigurationOutageInterruptsNothing(t *testing.T) {
 	t.Parallel()
 	f := New(t, 2, 0, 1)
 	f.Configuration.SetFaults(emulator.Faults{Down: true})
@@ -252,7 +252,7 @@
 	assert.True(t, f.Do(late, Stream("through the late entry", 8)).Answered)
 }
 
-func TestAnInvalidRevisionLeavesTheLastGoodOneInForce(t *testing.T) {
+func TestInvalidRevisionKeepsLastValidOne(t *testing.T) {
 	t.Parallel()
 	f := New(t, 1, 0, 1)
 	f.Configuration.Change(map[string][]byte{"tenant": []byte("instance: tenant\nfrom: nowhere\n")})
@@ -265,7 +265,7 @@
 	assert.True(t, f.Do(f.Entries[0], Stream("still served", 4)).Answered)
 }
 
-func TestARestartedServiceWithOlderRevisionsDoesNotTakeUsBack(t *testing.T) {
+func TestOlderRevisionsOfSameEpochAreIgnored(t *testing.T) {
 	t.Parallel()
 	f := New(t, 1, 0, 1)
 	f.PublishVersion("2")
@@ -299,7 +299,7 @@
 	assert.Equal(t, "2", result.Version)
 }
 
-func TestAStalledOriginIsWaitedOutAndTheOldVersionServes(t *testing.T) {
+func TestOldVersionServesWhileOriginStalls(t *testing.T) {
 	t.Parallel()
 	f := New(t, 2, 0, 1)
 	f.Origin.SetFaults(emulator.Faults{Stalled: true})
@@ -312,7 +312,7 @@
 	f.WaitServing("2")
 }
 
-func TestAVersionReplacedInMidFlightIsAbandoned(t *testing.T) {
+func TestVersionReplacedDuringTransferIsAbandoned(t *testing.T) {
 	t.Parallel()
 	f := New(t, 2, 0, 1)
 	f.Origin.SetFaults(emulator.Faults{Stalled: true})
@@ -327,7 +327,7 @@
 	}
 }
 
-func TestSimultaneousFaultsKeepThePromises(t *testing.T) {
+func TestSimultaneousFaultsCauseNoViolation(t *testing.T) {
 	t.Parallel()
 	f := New(t, 3, 2, 2)
 	done := make(chan struct{})
--- a/internal/sitetest/crashing_test.go
+++ b/internal/sitetest/crashing_test.go
@@ -105,7 +105,7 @@
 
 // BUDGET: content that ends its servers reaches none any more once it has ended three, at whatever
 // entry it is asked, and harmless requests are served.
-func TestContentThatEndsItsServersIsKeptFromThem(t *testing.T) {
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	f := Start(t, crashingOptions())
 	f.Site.CrashOn(site.Crashing{Body: crashingBody, After: 50 * time.Millisecond, Away: 2 * time.Second})
 	stopHarmless, stopCulprit := f.startHarmlessTraffic(20*time.Millisecond), f.startCrashingTraffic(crashingInterval)
@@ -151,7 +151,7 @@
 
 // BUDGET: all entries are killed at once and start anew, so that nobody knows the content any more but
 // the agents.
-func TestContentIsKnownWhenAllEntriesWereKilled(t *testing.T) {
+func TestQuarantineSurvivesRestartOfAllEntries(t *testing.T) {
 	f := Start(t, crashingOptions())
 	f.Site.CrashOn(site.Crashing{Body: crashingBody, After: 50 * time.Millisecond, Away: 500 * time.Millisecond})
 	f.sendUntilQuarantined()
@@ -174,7 +174,7 @@
 }
 
 // BUDGET: plain services have no agent beside them, and few servers.
-func TestContentThatEndsPlainServersIsKeptFromThem(t *testing.T) {
+func TestCrashingRequestIsQuarantinedForPlainService(t *testing.T) {
 	options := DefaultOptions()
 	options.PlainServers = 2
 	f := Start(t, options)
@@ -194,7 +194,7 @@
 
 // BUDGET: the content is asked so rarely, and nothing else is, that no other request shows that its
 // servers have ended.
-func TestContentThatIsAskedRarelyIsKeptFromServersToo(t *testing.T) {
+func TestRareCrashingRequestIsQuarantined(t *testing.T) {
 	f := Start(t, crashingOptions())
 	f.Site.CrashOn(site.Crashing{Body: crashingBody, After: 50 * time.Millisecond, Away: 10 * time.Second})
 	for number := range 6 {
@@ -206,7 +206,7 @@
 }
 
 // BUDGET: ended servers are back before a connection can show that they were away, under the same IDs.
-func TestContentIsKnownByServersThatAreBackAtOnce(t *testing.T) {
+func TestCrashesOfQuicklyRestartedServersAreDetected(t *testing.T) {
 	f := Start(t, crashingOptions())
 	f.Site.CrashOn(site.Crashing{Body: crashingBody, After: 50 * time.Millisecond, Away: time.Nanosecond, SameID: true})
 	stop := f.startCrashingTraffic(400 * time.Millisecond)
@@ -217,7 +217,7 @@
 }
 
 // Servers that reset the connections of requests, and live on, end under no content.
-func TestResetConnectionsBlameNoContent(t *testing.T) {
+func TestConnectionResetsQuarantineNothing(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	ask := func(number int) Answer {
 		answer, err := f.Call(context.Background(), number%2, number/2%2, http.MethodPost, site.SafePrefix+"same", fmt.Sprintf("same-%d", number), nil, "same")
@@ -241,7 +241,7 @@
 
 // All model servers end at once, three times, while many callers ask for the same content: it ran at
 // most of them.
-func TestLossOfAllServersBlamesNoContent(t *testing.T) {
+func TestLossOfAllServersQuarantinesNothing(t *testing.T) {
 	options := crashingOptions()
 	f := Start(t, options)
 	stop := startTraffic(10*time.Millisecond, func(ctx context.Context, number int) outcome {
@@ -267,7 +267,7 @@
 }
 
 // A server that has said that it leaves ends with requests under way: no content has ended it.
-func TestPlannedEndBlamesNoContent(t *testing.T) {
+func TestPlannedStopQuarantinesNothing(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	stop := startTraffic(50*time.Millisecond, func(ctx context.Context, number int) outcome {
 		one := outcome{startedAt: time.Now()}
@@ -286,7 +286,7 @@
 }
 
 // An operator has a content sent to servers again, at one entry, and all follow.
-func TestReleasedContentIsSentAgain(t *testing.T) {
+func TestReleasedFingerprintIsSentAgain(t *testing.T) {
 	f := Start(t, crashingOptions())
 	f.Site.CrashOn(site.Crashing{Body: crashingBody, After: 50 * time.Millisecond, Away: 500 * time.Millisecond})
 	f.sendUntilQuarantined()
--- a/internal/sitetest/deaf_store_test.go
+++ b/internal/sitetest/deaf_store_test.go
@@ -19,7 +19,7 @@
 // watches heard nothing of it. Seen: all eight processes took six of six versions to be named
 // 0.39 to 0.68 s later, because empty watches had moved on up to when copies were complete, and
 // peers kept that after the store had said that its history was gone.
-func TestNamedWhileTheStoreIsDeaf(t *testing.T) {
+func TestVersionAnnouncedWhileWatchesAreSilent(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	f.Site.Origin.SetAway(true)
 	time.Sleep(1500 * time.Millisecond)
@@ -48,7 +48,7 @@
 // VERSION: nothing begins on an old version past its bound, with requests that wait at the
 // servers, whether or not the store's watches hear of the new one. Seen: beginnings 10 to 184 ms
 // past the bound where they did not.
-func TestNoLateBeginningsAfterADeafStore(t *testing.T) {
+func TestNoLateStartsWhenWatchesAreSilent(t *testing.T) {
 	for _, deaf := range []bool{false, true} {
 		t.Run(fmt.Sprintf("deaf %v", deaf), func(t *testing.T) {
 			f := Start(t, lateCancelOptions())
@@ -86,7 +86,7 @@
 const maxAnnouncementError = time.Second
 
 // In calm, the doubt of a store that may be about to forget its history costs nothing.
-func TestVersionsAreHardlyBelievedOlderInCalmAnywhere(t *testing.T) {
+func TestAnnouncementTimeIsAccurateWithoutFaults(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	f.Site.Origin.SetAway(true)
 	time.Sleep(1500 * time.Millisecond)
@@ -116,7 +116,7 @@
 // and a version is named as it comes back, which takes a while to copy: the old one serves
 // meanwhile. Seen: the version counted as old as the outage, and the old one ended at once
 // everywhere: 0.00 to 0.45 served by half seconds for 2.5 s.
-func TestVersionNamedAtTheEndOfAnOutage(t *testing.T) {
+func TestVersionAnnouncedAtTheEndOfAnOutage(t *testing.T) {
 	options := DefaultOptions()
 	options.Weights.Pieces = 96
 	f := Start(t, options)
@@ -155,7 +155,7 @@
 
 // VERSION: a store that turns some machines away is not out for all. Whom it serves changes each
 // few seconds, for longer than a common outage takes, with a naming before and after each change.
-func TestNamedWhileTheStoreTurnsMachinesAway(t *testing.T) {
+func TestVersionAnnouncedWhileStoreRefusesMachines(t *testing.T) {
 	options := DefaultOptions()
 	f := Start(t, options)
 	f.Site.Origin.SetAway(true)
--- a/internal/sitetest/evacuation_failure_test.go
+++ b/internal/sitetest/evacuation_failure_test.go
@@ -56,7 +56,7 @@
 
 // EVAC, REFUSED: an entry that starts cut off from the store and from all other entries refuses,
 // truly, until it hears, and never sends anything into the zone, whoever it hears from.
-func TestEntryThatStartsCutOffDuringAnEvacuation(t *testing.T) {
+func TestEntryStartsIsolatedDuringEvacuation(t *testing.T) {
 	hears := map[string]func(f *Fleet){
 		"from the store":       func(f *Fleet) { f.Site.Store.Refuse() },
 		"from the other entry": func(f *Fleet) { f.StartEntry(1, 0) },
@@ -87,7 +87,7 @@
 
 // EVAC: an entry that is cut off when a zone is evacuated serves on by what it knows, and sends
 // nothing more into the zone from when it hears.
-func TestEntryThatHearsOfAnEvacuationLate(t *testing.T) {
+func TestEntryLearnsOfEvacuationLate(t *testing.T) {
 	f := Start(t, twoEntryOptions())
 	// Its own zone, which it prefers.
 	zone := site.ZoneName(0)
@@ -110,7 +110,7 @@
 
 // EVAC: entries that lose the store midway, all of them, keep the zone empty, also when that has
 // been taken back meanwhile, and use it again when they hear of that.
-func TestEntriesThatLoseTheStoreDuringAnEvacuation(t *testing.T) {
+func TestEntriesLoseStoreDuringEvacuation(t *testing.T) {
 	f := Start(t, evacuationOptions())
 	options := f.Site.Options
 	zone := site.ZoneName(1)
@@ -195,7 +195,7 @@
 // EVAC, FAILBACK: an evacuation that is taken back and asked for again within a heartbeat, over
 // and over, leaves the zone as the last word says, and its servers, which have become cold with
 // each, are sent no more than they bear.
-func TestEvacuationAskedAgainWithinAHeartbeat(t *testing.T) {
+func TestEvacuationToggledWithinHeartbeat(t *testing.T) {
 	f := Start(t, evacuationOptions())
 	stop := startLoad(f, 6)
 	time.Sleep(300 * time.Millisecond)
--- a/internal/sitetest/evacuation_test.go
+++ b/internal/sitetest/evacuation_test.go
@@ -151,7 +151,7 @@
 
 // EVAC, VERSION: weights are named at the same moment; the emptied zone's servers take them
 // too, and requests find servers of the right version all the time.
-func TestEvacuationBesideANewVersion(t *testing.T) {
+func TestEvacuationDuringVersionChange(t *testing.T) {
 	f := Start(t, evacuationOptions())
 	stop := startLoad(f, 6)
 	time.Sleep(300 * time.Millisecond)
@@ -173,7 +173,7 @@
 
 // EVAC: one that is taken back before its bound, and asked for again at once, counts from the
 // second asking, and the zone is in use afterwards.
-func TestEvacuationThatIsTakenBackMidway(t *testing.T) {
+func TestEvacuationCancelledBeforeDeadline(t *testing.T) {
 	f := Start(t, evacuationOptions())
 	stop := startLoad(f, 6)
 	time.Sleep(300 * time.Millisecond)
@@ -189,7 +189,7 @@
 }
 
 // EVAC: a stream that is open in the zone goes on there to its end.
-func TestOpenStreamsOutlastAnEvacuation(t *testing.T) {
+func TestOpenStreamsFinishDuringEvacuation(t *testing.T) {
 	options := evacuationOptions()
 	options.EventTime = 50 * time.Millisecond
 	f := Start(t, options)
@@ -212,7 +212,7 @@
 }
 
 // EVAC: a stream that breaks off in an evacuated zone is continued outside it.
-func TestBrokenStreamsAreContinuedOutsideAnEvacuatedZone(t *testing.T) {
+func TestBrokenStreamsResumeOutsideEvacuatedZone(t *testing.T) {
 	options := evacuationOptions()
 	options.EventTime = 50 * time.Millisecond
 	// Entries that have just started spend a cautious part of the slack; all break at once here.
@@ -243,7 +243,7 @@
 }
 
 // EVAC: an entry that starts meanwhile learns it with everything else.
-func TestEntryThatStartsDuringAnEvacuation(t *testing.T) {
+func TestEntryStartsDuringEvacuation(t *testing.T) {
 	f := Start(t, evacuationOptions())
 	zone := site.ZoneName(0)
 	f.Site.Evacuate(zone)
@@ -310,7 +310,7 @@
 
 // FAILBACK: under load from several entries, the servers of a zone that comes back cold from
 // an evacuation receive what they bear and no more, in any second, and something at all.
-func TestZoneThatComesBackColdIsNotOverrun(t *testing.T) {
+func TestColdZoneIsNotOverloadedAfterEvacuation(t *testing.T) {
 	f := Start(t, evacuationOptions())
 	stop := startLoad(f, 18)
 	time.Sleep(300 * time.Millisecond)
@@ -329,7 +329,7 @@
 }
 
 // FAILBACK: many requests come right after servers have become cold in ordinary use.
-func TestBurstAtServersThatHaveTurnedCold(t *testing.T) {
+func TestBurstAtColdServers(t *testing.T) {
 	f := Start(t, evacuationOptions())
 	calm := startLoad(f, 1)
 	time.Sleep(500 * time.Millisecond)
@@ -351,7 +351,7 @@
 
 // FAILBACK: servers become cold while each receives twice what a cold one bears. That holds
 // only if entries hear of it within half a second.
-func TestServerThatTurnsColdInUseIsNotOverrun(t *testing.T) {
+func TestServerTurningColdUnderLoadIsNotOverloaded(t *testing.T) {
 	f := Start(t, evacuationOptions())
 	stop := startLoad(f, 4)
 	time.Sleep(500 * time.Millisecond)
@@ -370,7 +370,7 @@
 
 // FAILBACK: agents tell entries that their servers are cold, and how many requests these have
 // received over all entries.
-func TestAgentsTellOfColdServers(t *testing.T) {
+func TestAgentsReportColdServers(t *testing.T) {
 	f := Start(t, evacuationOptions())
 	stop := startLoad(f, 4)
 	for _, server := range f.Site.Models {
--- a/internal/sitetest/fallback_test.go
+++ b/internal/sitetest/fallback_test.go
@@ -25,7 +25,7 @@
 
 // An empty server that comes while the newest version can't be had serves the one that is in
 // force still, from its peers' copies, and the newest once the origin is back.
-func TestEmptyServerTakesTheVersionInForce(t *testing.T) {
+func TestEmptyServerLoadsCurrentVersion(t *testing.T) {
 	f := startWithoutOrigin(t)
 	fresh, err := f.Site.StartModel(1, 5, 0)
 	require.NoError(t, err)
@@ -42,7 +42,7 @@
 
 // A server that crashes while the next version is on its way serves again from what lies at
 // it: pieces of the next one have not taken its place.
-func TestCrashedServerServesTheVersionInForceAgain(t *testing.T) {
+func TestCrashedServerReloadsCurrentVersion(t *testing.T) {
 	options := DefaultOptions()
 	options.VersionMs = 12000
 	f := Start(t, options)
@@ -66,7 +66,7 @@
 //
 // A version that is on its way when a newer one is named is completed from peers, and serves until
 // the newer one can be had.
-func TestVersionOnItsWayIsCompletedWhenANewerOneIsNamed(t *testing.T) {
+func TestVersionInTransferIsCompletedWhenNewerOneIsAnnounced(t *testing.T) {
 	f := Start(t, slowLinkOptions(8000))
 	f.Eventually("version 1 is verified", 6*time.Second, func() bool { return countEvents(f, "PV3005", "") >= 4 })
 	f.Site.NameVersion(2)
@@ -96,7 +96,7 @@
 
 // A version that is whole and waits for its turn is not given up for a part of a later one that
 // nobody can complete.
-func TestWholeFallbackIsNotGivenUpForAPart(t *testing.T) {
+func TestCompleteFallbackIsNotDroppedForPartialVersion(t *testing.T) {
 	f := Start(t, slowLinkOptions(8000))
 	f.Eventually("version 1 is verified", 6*time.Second, func() bool { return countEvents(f, "PV3005", "") >= 4 })
 	f.Site.NameVersion(2)
@@ -111,7 +111,7 @@
 }
 
 // A server that crashes while two versions are on their way serves the one in force again.
-func TestCrashedServerServesAgainWhileTwoVersionsAreOnTheirWay(t *testing.T) {
+func TestCrashedServerRecoversDuringTwoTransfers(t *testing.T) {
 	f := Start(t, slowLinkOptions(12000))
 	f.Eventually("version 1 is verified", 6*time.Second, func() bool { return countEvents(f, "PV3005", "") >= 4 })
 	f.Eventually("version 1 is served", 6*time.Second, func() bool { return f.allServe(1) })
--- a/internal/sitetest/figures_test.go
+++ b/internal/sitetest/figures_test.go
@@ -25,7 +25,7 @@
 
 // A deployment whose configuration lacks figures of its engines is served, also when
 // several requests come at a time, and one line of each entry names the figures.
-func TestMissingFiguresAreNamedAndServedWithout(t *testing.T) {
+func TestMissingEngineParametersAreLogged(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	version := f.Site.Configure(dropEngineParameters("read_per_s", "step_ms", "usual"))
 	f.Eventually("the change is in force", 2*time.Second, func() bool { return f.configurationApplied(version) })
--- a/internal/sitetest/fleet_test.go
+++ b/internal/sitetest/fleet_test.go
@@ -49,7 +49,7 @@
 
 // CONFIG: a change is in force everywhere in time, also when the store's watches
 // hear nothing and its history is then forgotten.
-func TestChangeInForceWhileTheStoreForgets(t *testing.T) {
+func TestConfigurationAppliedAfterStoreCompaction(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	f.Site.Store.SetDeaf()
 	time.Sleep(200 * time.Millisecond)
@@ -64,7 +64,7 @@
 }
 
 // CONFIG: entries that the store turns away learn from the others.
-func TestChangeReachesEntriesThatTheStoreTurnsAway(t *testing.T) {
+func TestConfigurationReachesEntriesRefusedByStore(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	options := f.Site.Options
 	f.Site.Store.Refuse(options.EntryIP(0, 0), options.EntryIP(0, 1), options.EntryIP(1, 1))
@@ -75,7 +75,7 @@
 
 // CONFIG: an entry that starts while the store is down learns from its peers, and
 // answers 503 until then.
-func TestEntryThatStartsWhileTheStoreIsDown(t *testing.T) {
+func TestEntryStartsWhileStoreIsDown(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	f.Kill(ProcessName(catalog.RoleEntry, 1, 1))
 	version := f.Site.Configure(nil)
@@ -103,7 +103,7 @@
 
 // CONFIG: when the store turns away every entry of a zone, be it the one that reads for
 // the others, those of another zone read soon.
-func TestAnotherZoneReadsForOneThatIsTurnedAway(t *testing.T) {
+func TestAnotherZoneReadsForRefusedZone(t *testing.T) {
 	for zone := range DefaultOptions().Zones {
 		f := Start(t, DefaultOptions())
 		options := f.Site.Options
@@ -115,7 +115,7 @@
 }
 
 // DRAIN: a server that announces its end gets nothing more after a moment.
-func TestLeavingServerGetsNothingMore(t *testing.T) {
+func TestLeavingServerReceivesNoNewRequests(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	leaving := f.Site.Models[f.Site.Options.ModelIP(0, 0)]
 	stop := startStreams(f, t)
@@ -134,7 +134,7 @@
 
 // LOST, DRAIN: a planned stop of an entry takes readiness back at once, cuts no
 // stream, and answers what still comes.
-func TestPlannedStopCutsNothing(t *testing.T) {
+func TestPlannedStopDropsNoRequest(t *testing.T) {
 	options := DefaultOptions()
 	options.EventTime = 100 * time.Millisecond
 	f := Start(t, options)
@@ -168,7 +168,7 @@
 
 // LOST: a caller's resting connection is closed while the entry still listens, so
 // that the caller's next request is not refused by a process that is about to end.
-func TestPlannedStopClosesRestingConnections(t *testing.T) {
+func TestPlannedStopClosesIdleConnections(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	connection, err := net.Dial("tcp", strings.TrimPrefix(f.Site.EntryURL(0, 0), "http://"))
 	require.NoError(t, err)
@@ -200,7 +200,7 @@
 
 // A server whose line is lost in an outage of the store serves on after it; one that has
 // not written its line anew after two seconds is taken as gone.
-func TestServersThatLapseInAnOutageServeOn(t *testing.T) {
+func TestServersExpiredInOutageKeepServing(t *testing.T) {
 	options := DefaultOptions()
 	options.DrainMs = 3000
 	f := Start(t, options)
@@ -217,7 +217,7 @@
 
 // A server that lapsed in an outage and wrote the same line anew is a server again at
 // every entry, also at those that hear of it from others.
-func TestServersThatReturnAfterAnOutageAreKnownEverywhere(t *testing.T) {
+func TestServersReregisteredAfterOutageAreUsedEverywhere(t *testing.T) {
 	options := DefaultOptions()
 	options.DrainMs = 3000
 	f := Start(t, options)
--- a/internal/sitetest/health_test.go
+++ b/internal/sitetest/health_test.go
@@ -74,7 +74,7 @@
 // A server that reports that it is well and fails everything costs each entry a request or two,
 // and the zone one trial each time its ejection ends; no caller of a request that may be sent
 // again sees it, and once the server is sound it is in use again.
-func TestLyingServerCostsFewRequests(t *testing.T) {
+func TestFailingServerReportedHealthyCostsFewRequests(t *testing.T) {
 	for name, lie := range map[string]site.Lie{"errors": site.LyingErrors, "resets": site.LyingResets, "hangs": site.LyingHangs} {
 		t.Run(name, func(t *testing.T) {
 			f := Start(t, healthOptions())
@@ -108,7 +108,7 @@
 
 // A server that goes down and up by turns is out for longer each time, and no request is spoilt
 // by it or meets two such servers.
-func TestFlappingServersCostNoRequestTwice(t *testing.T) {
+func TestFlappingServersFailEachRequestOnce(t *testing.T) {
 	f := Start(t, healthOptions())
 	stop := startLoad(f, 9)
 	time.Sleep(500 * time.Millisecond)
@@ -167,7 +167,7 @@
 
 // Half of the servers answer neither their agents nor requests: they get a trial now and then, no
 // caller sees it, and they are in use again once they answer.
-func TestLostServersCostFewRequests(t *testing.T) {
+func TestUnresponsiveServersCostFewRequests(t *testing.T) {
 	f := Start(t, healthOptions())
 	stop := startLoad(f, 9)
 	time.Sleep(500 * time.Millisecond)
@@ -200,7 +200,7 @@
 
 // What one entry has learned of a server holds at every entry of the zone, at once, and an entry
 // that starts then hears of it too.
-func TestZoneKnowsOfAnEjectedServer(t *testing.T) {
+func TestEjectionIsSharedWithinZone(t *testing.T) {
 	f := Start(t, healthOptions())
 	model := f.modelServer(0)
 	model.SetFaults(site.Faults{Lying: site.LyingErrors})
--- a/internal/sitetest/late_cancel_test.go
+++ b/internal/sitetest/late_cancel_test.go
@@ -114,7 +114,7 @@
 // VERSION: requests wait at servers when the connections to them go silent, so that no
 // cancelling arrives any more, and one piece of the new version is not to be had. No request
 // begins on the old version after its bound, and once the piece is there all serve the new one.
-func TestNothingBeginsLateThoughNoCancellingArrives(t *testing.T) {
+func TestNoLateStartsWhenCancellationsAreLost(t *testing.T) {
 	f := Start(t, lateCancelOptions())
 	f.Eventually("version 1 is verified", 3*time.Second, func() bool { return countEvents(f, "PV3005", "") >= 4 })
 	f.Site.Origin.Withhold(f.Site.Options.Weights.Pieces - 1)
@@ -136,7 +136,7 @@
 
 // The same with the new version whole: the servers are ordered before the bound, whatever
 // waits at them.
-func TestNothingBeginsLateWhenTheNewVersionIsHere(t *testing.T) {
+func TestNoLateStartsWhenNewVersionIsStaged(t *testing.T) {
 	f := Start(t, lateCancelOptions())
 	f.Eventually("version 1 is verified", 3*time.Second, func() bool { return countEvents(f, "PV3005", "") >= 4 })
 	late, _ := lateRuns(t, f)
@@ -151,7 +151,7 @@
 // over soon after the change to it, so that it is not taken into service any more; of the second no
 // layer is here. Nothing begins on the old version after its bound though no cancelling arrives:
 // a part of the first is ordered, which begins nothing.
-func TestNothingBeginsLateWhenOnlyAVersionBetweenIsHere(t *testing.T) {
+func TestNoLateStartsWhenOnlyIntermediateVersionIsStaged(t *testing.T) {
 	f := Start(t, lateCancelOptions())
 	late, _ := lateRunsOfTwoVersions(t, f)
 	assert.Empty(t, late, "requests that began on the old version, by the time after its bound")
@@ -165,7 +165,7 @@
 
 // VERSION: the same, looked at from the version between. Some servers change over to it in their
 // turn, and what waits there must not begin after its own bound either.
-func TestNothingBeginsLateOnAVersionBetween(t *testing.T) {
+func TestNoLateStartsOnIntermediateVersion(t *testing.T) {
 	f := Start(t, lateCancelOptions())
 	_, named := lateRunsOfTwoVersions(t, f)
 	bound := named.Add(time.Duration(f.Site.Options.VersionMs) * time.Millisecond)
@@ -199,7 +199,7 @@
 // VERSION: every connection of the system's processes goes silent when a version is named that
 // nobody can fetch. Whatever process hears of it first, and however late, nothing begins on the
 // old version after its bound.
-func TestVersionIsBoundByItsNamingWhenAllConnectionsAreSilent(t *testing.T) {
+func TestDeadlineHoldsWhenAllConnectionsAreSilent(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	named, bound := f.announceDuringSilence(systemConnections)
 	before, late, latest := 0, 0, time.Duration(0)
--- a/internal/sitetest/leaving_test.go
+++ b/internal/sitetest/leaving_test.go
@@ -21,7 +21,7 @@
 
 // DRAIN: guards against requests to a server that has said in its answers that it leaves, while the store is
 // away and its line says that it is ready. What it runs ends in peace.
-func TestServerThatSaysItLeavesIsLeftAlone(t *testing.T) {
+func TestServerAnnouncingLeaveReceivesNoRequests(t *testing.T) {
 	f := Start(t, crashingOptions())
 	stop := f.startHarmlessTraffic(5 * time.Millisecond)
 	stopPlain := f.startPlainTraffic(10 * time.Millisecond)
@@ -47,7 +47,7 @@
 }
 
 // DRAIN: the same where the server's line says for seconds after it that it is ready, and comes again.
-func TestLineDoesNotTakeBackThatAServerLeaves(t *testing.T) {
+func TestServerRecordDoesNotRevokeLeaveNotice(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	stop := f.startHarmlessTraffic(5 * time.Millisecond)
 	time.Sleep(500 * time.Millisecond)
--- a/internal/sitetest/limit_test.go
+++ b/internal/sitetest/limit_test.go
@@ -69,7 +69,7 @@
 
 // LIMIT: guards against entries that go on sending a server what they like after its answers have named how
 // many requests a second it takes. The server is used up to that, and as before once it names none.
-func TestServerThatNamesALimitIsHeldToIt(t *testing.T) {
+func TestServerRateLimitIsRespected(t *testing.T) {
 	const rate = 1.5
 	f := Start(t, limitOptions())
 	limited := f.Site.Models[f.Site.Options.ModelIP(0, 0)]
@@ -93,7 +93,7 @@
 
 // LIMIT: the same for a service whose only server names one. What it can't take is refused at once, and the
 // callers are told when to come back.
-func TestOnlyServerOfAServiceNamesALimit(t *testing.T) {
+func TestRateLimitOfOnlyServer(t *testing.T) {
 	const rate = 5.0
 	options := limitOptions()
 	options.PlainServers = 1
@@ -128,7 +128,7 @@
 
 // LIMIT: while all servers of a service name one, and more is asked than they take, each gets most of what it
 // takes: shares of entries far away are used too.
-func TestLimitsOfAllServersAreUsed(t *testing.T) {
+func TestRateLimitsOfAllServersAreUsed(t *testing.T) {
 	const rate = 2.5
 	f := Start(t, limitOptions())
 	for _, server := range f.Site.Models {
--- a/internal/sitetest/links_test.go
+++ b/internal/sitetest/links_test.go
@@ -11,7 +11,7 @@
 
 // Entries send on the links that they dialled themselves, so that nothing comes back
 // on one for as long as all is quiet. That is no reason to take the link for broken.
-func TestLinksBetweenEntriesLast(t *testing.T) {
+func TestIdleLinksBetweenEntriesStayOpen(t *testing.T) {
 	fleet := Start(t, DefaultOptions())
 	time.Sleep(time.Second)
 	before := countEvents(fleet, logging.PeerLost.Number, "")
--- a/internal/sitetest/recovery_test.go
+++ b/internal/sitetest/recovery_test.go
@@ -99,7 +99,7 @@
 }
 
 // A change of the configuration that comes as all open connections go silent is in force at every entry soon after.
-func TestChangeOfConfigurationAfterASilence(t *testing.T) {
+func TestConfigurationAppliedAfterSilence(t *testing.T) {
 	f := startSettled(t)
 	began := silenceConnections(t, systemConnections)
 	version := f.Site.Configure(revoke)
--- a/internal/sitetest/regions_test.go
+++ b/internal/sitetest/regions_test.go
@@ -164,7 +164,7 @@
 // HOME, REFUSED: where no server of the allowed regions is left, requests of every kind are
 // refused at once, with a time to return, and have not run; the metrics and the story of the
 // request say that the regions decided.
-func TestRequestIsRefusedWhereNoAllowedRegionHasAServer(t *testing.T) {
+func TestRequestIsRefusedWithoutServerInAllowedRegions(t *testing.T) {
 	const home = 1
 	f := Start(t, threeRegionOptions())
 	f.configure(restrictTenant(site.RegionName(home)))
@@ -223,7 +223,7 @@
 
 // Regions of a route and a tenant that have none in common allow no server, and the story
 // says so.
-func TestRegionsWithoutACommonOneAllowNoServer(t *testing.T) {
+func TestDisjointRegionsAllowNoServer(t *testing.T) {
 	f := Start(t, threeRegionOptions())
 	f.configure(restrictRoutes(site.RegionName(0)), restrictTenant(site.RegionName(1)))
 	answer, err := f.Call(t.Context(), 0, 0, http.MethodGet, site.SafePrefix, "apart", nil, "")
@@ -238,7 +238,7 @@
 // HOME: a stream that is under way when the regions change goes on where it is; when it breaks
 // it is continued only in a region that the configuration it was admitted under and the newest
 // one both allow.
-func TestBrokenStreamIsContinuedOnlyInAllowedRegions(t *testing.T) {
+func TestBrokenStreamResumesOnlyInAllowedRegions(t *testing.T) {
 	for name, one := range map[string]struct {
 		admitted, newest []string
 		want             string
--- a/internal/sitetest/requests_test.go
+++ b/internal/sitetest/requests_test.go
@@ -34,7 +34,7 @@
 
 // UNASKED, MIXED: the whole answer to the own request, the tenant set, the key kept
 // back, unknown keys and routes refused.
-func TestCallersGetTheirOwnWholeAnswers(t *testing.T) {
+func TestCallersReceiveTheirOwnCompleteAnswers(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	ctx := context.Background()
 	var all sync.WaitGroup
@@ -76,7 +76,7 @@
 
 // TWICE, REFUSED: a call that may run once and whose answer is lost is not sent
 // again, and is not answered as if it had not run.
-func TestLostAnswerOfAnAtMostOnceCall(t *testing.T) {
+func TestLostAnswerOfAtMostOnceCall(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	for _, server := range f.Site.Plain {
 		server.SetFaults(site.Faults{LoseAnswers: 1})
@@ -89,7 +89,7 @@
 }
 
 // A repeatable call whose answer is lost is answered by another server.
-func TestLostAnswerOfARepeatableCall(t *testing.T) {
+func TestLostAnswerOfRepeatableCall(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	for _, server := range f.Site.Plain {
 		server.SetFaults(site.Faults{LoseAnswers: 1})
@@ -104,7 +104,7 @@
 
 // REFUSED: what every server sheds has not run, is said so at once, and told when
 // to come back.
-func TestShedEverywhereIsRefusedAtOnce(t *testing.T) {
+func TestRequestShedByAllServersIsRefusedAtOnce(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	for _, server := range f.Site.Plain {
 		server.SetFaults(site.Faults{Shed: 10})
@@ -120,7 +120,7 @@
 
 // ORDER: a stream that breaks in the middle of an event goes on at another server
 // after its last whole event, inside the same answer.
-func TestBrokenStreamGoesOnElsewhere(t *testing.T) {
+func TestBrokenStreamResumesOnAnotherServer(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	for _, server := range f.Site.Models {
 		server.SetFaults(site.Faults{CutAfter: 3, CutCount: 1})
@@ -142,7 +142,7 @@
 
 // ORDER, BUDGET: a stream that breaks at its last permitted server ends visibly cut
 // and is sent to no third one.
-func TestStreamThatCannotGoOnIsCut(t *testing.T) {
+func TestStreamWithoutServerLeftIsTruncated(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	for _, server := range f.Site.Models {
 		server.SetFaults(site.Faults{CutAfter: 2, CutCount: 5})
@@ -156,7 +156,7 @@
 
 // BUDGET: with every answer lost, the repeats over the whole fleet stay within the
 // share of the requests and the slack.
-func TestRepeatsStayWithinTheFleetsBudget(t *testing.T) {
+func TestRetriesStayWithinFleetBudget(t *testing.T) {
 	options := DefaultOptions()
 	options.BudgetSlack = 10
 	f := Start(t, options)
@@ -182,7 +182,7 @@
 }
 
 // GONE: when the caller leaves, the work at the server ends at once.
-func TestWorkEndsWhenTheCallerLeaves(t *testing.T) {
+func TestWorkIsCancelledWhenCallerDisconnects(t *testing.T) {
 	options := DefaultOptions()
 	options.EventTime = 50 * time.Millisecond
 	f := Start(t, options)
@@ -200,7 +200,7 @@
 }
 
 // CONFIG: a request is answered at its route's time limit, not held past it.
-func TestSilentServerIsGivenUpAtTheTimeLimit(t *testing.T) {
+func TestSilentServerTimesOut(t *testing.T) {
 	options := DefaultOptions()
 	options.TimeoutMs = 700
 	f := Start(t, options)
--- a/internal/sitetest/rest_test.go
+++ b/internal/sitetest/rest_test.go
@@ -30,7 +30,7 @@
 
 // BUDGET: guards against requests to a server that has turned some away and asked for rest. The requests are
 // served elsewhere, and the server is used again after its rest.
-func TestServerThatAsksForRestGetsIt(t *testing.T) {
+func TestServerBackoffIsRespected(t *testing.T) {
 	f := Start(t, oneEntryOptions())
 	stop := f.startHarmlessTraffic(5 * time.Millisecond)
 	time.Sleep(500 * time.Millisecond)
@@ -54,7 +54,7 @@
 
 // BUDGET: all servers of a service ask for rest. Requests are refused at once, and the callers told when the first
 // rest ends.
-func TestAllServersAskForRest(t *testing.T) {
+func TestAllServersRequestBackoff(t *testing.T) {
 	f := Start(t, oneEntryOptions())
 	for _, server := range f.Site.Plain {
 		server.SetFaults(site.Faults{Shed: 1000, ShedRest: backoffRequested})
--- a/internal/sitetest/restarted_test.go
+++ b/internal/sitetest/restarted_test.go
@@ -16,7 +16,7 @@
 // Servers start again under their names, with nothing in service and nothing staged, one after the
 // other and one of them twice between two of its lines, while a version is in force that they had: each
 // gets it again, nothing runs on what is not there, and callers are served meanwhile.
-func TestRestartedServersServeTheNewestVersionAgain(t *testing.T) {
+func TestRestartedServersServeNewestVersionAgain(t *testing.T) {
 	options := DefaultOptions()
 	f := Start(t, options)
 	f.Site.NameVersion(2)
@@ -50,7 +50,7 @@
 }
 
 // A server starts again with a clock that is set back, and one whose birth is in the future before.
-func TestRestartedServerWithAFalseClockIsUsed(t *testing.T) {
+func TestRestartedServerWithWrongClockIsUsed(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	require.NoError(t, f.Site.RestartModelUnderItsID(0, 0, time.Now().Add(time.Hour)))
 	f.Eventually("the server serves", 4*time.Second, func() bool { return f.allServe(1) })
@@ -69,7 +69,7 @@
 }
 
 // A line of another writer names no server to use, and the others are used.
-func TestLineOfAnotherWriterDisturbsNobody(t *testing.T) {
+func TestInvalidServerRecordsAreIgnored(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	for number, value := range []any{"text", []int{1}, map[string]any{"service": 7}, map[string]any{"service": site.ModelService, "address": "nowhere"}} {
 		f.Site.Store.Put(fmt.Sprintf("servers/other-%d", number), value)
--- a/internal/sitetest/settings_test.go
+++ b/internal/sitetest/settings_test.go
@@ -30,7 +30,7 @@
 // Settings that are read again change the zones and regions of a running entry: a zone that has
 // moved to another region is no longer among those that a route allows, and one that has come
 // into an allowed region is.
-func TestRegionsOfSettingsThatAreReadAgainAreInForce(t *testing.T) {
+func TestReloadAppliesRegions(t *testing.T) {
 	const home = 1
 	f := Start(t, threeRegionOptions())
 	f.configure(restrictRoutes(site.RegionName(home)))
@@ -54,7 +54,7 @@
 
 // A settings file that can't be read, or has a faulty field, changes nothing; the log names the
 // fault, and the entry serves on by the settings before.
-func TestFaultySettingsThatAreReadAgainChangeNothing(t *testing.T) {
+func TestReloadOfInvalidSettingsChangesNothing(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	before := f.Process(ProcessName(site.RoleEntry, 0, 0)).Settings()
 	for fault, data := range map[string][]byte{
@@ -74,7 +74,7 @@
 
 // What a running process can't take over stays as it is, with a line that names it, and the rest
 // is in force.
-func TestSettingsThatNeedARestartAreNamed(t *testing.T) {
+func TestReloadLogsFieldsThatNeedRestart(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	f.Reload(0, 0, f.Site.ChangedSettings(site.RoleEntry, 0, 0, func(settings map[string]any) {
 		settings["ip"], settings["internalPorts"] = "127.0.0.9", []int{7900, 7915}
@@ -88,7 +88,7 @@
 }
 
 // Zones and bounds may change while requests run: none fails for it.
-func TestSettingsChangeUnderLoad(t *testing.T) {
+func TestReloadUnderLoad(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	stop := startMixedTraffic(f)
 	for round := range 20 {
--- a/internal/sitetest/silence_test.go
+++ b/internal/sitetest/silence_test.go
@@ -132,7 +132,7 @@
 // SHORT: all open connections go silent at once, under traffic. Service is back within a
 // second for plain calls and within a second and a half for streams; no stream is cut, and
 // nothing that may run once runs twice.
-func TestServiceIsBackAfterOpenConnectionsGoSilent(t *testing.T) {
+func TestServiceRecoversAfterConnectionsGoSilent(t *testing.T) {
 	options := DefaultOptions()
 	options.EventTime = 20 * time.Millisecond
 	options.BudgetSlack = 200
@@ -210,7 +210,7 @@
 // VERSION: the connections to the store go silent just before a version is named, and nobody
 // can fetch it. From the bound of the naming on nothing begins on the old version, whenever the
 // entries heard of the new one.
-func TestVersionIsBoundByItsNamingWhenTheStoresConnectionsAreSilent(t *testing.T) {
+func TestDeadlineHoldsWhenStoreConnectionsAreSilent(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	_, bound := f.announceDuringSilence(storeConnections)
 	late := 0
@@ -230,7 +230,7 @@
 //
 // VERSION: versions 2 and 3 follow each other while the origin is away; an entry starts anew right
 // after the second naming. Nothing begins on version 1 after the bound of version 2.
-func TestEntryThatStartsBetweenTwoVersionsKeepsTheFirstBound(t *testing.T) {
+func TestRestartedEntryKeepsEarlierDeadline(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	f.Site.Origin.SetAway(true)
 	time.Sleep(500 * time.Millisecond)
--- a/internal/sitetest/sizes_test.go
+++ b/internal/sitetest/sizes_test.go
@@ -26,7 +26,7 @@
 
 // Guards against large requests being left unserved: amid an overload the largest tenth of the prompts is served at least half as
 // often as all.
-func TestLargePromptsAreServedInAnOverload(t *testing.T) {
+func TestLargePromptsAreServedUnderOverload(t *testing.T) {
 	options := DefaultOptions()
 	options.ReadPerSecond, options.UsualPrompt = sizesRead, sizesTypical
 	f := Start(t, options)
--- a/internal/sitetest/told_asks_test.go
+++ b/internal/sitetest/told_asks_test.go
@@ -56,7 +56,7 @@
 
 // DRAIN, LIMIT: what a server has asked of one entry in an answer all know, and one that starts knows it
 // before it has had an answer itself.
-func TestWhatAServerAsksIsToldToAllEntries(t *testing.T) {
+func TestServerNoticesReachAllEntries(t *testing.T) {
 	options := limitOptions()
 	options.PlainServers = 2
 	f := Start(t, options)
--- a/internal/sitetest/versions_test.go
+++ b/internal/sitetest/versions_test.go
@@ -87,7 +87,7 @@
 // BUDGET: a version that is named long after the last one comes into service without
 // servers turning requests away: an entry does not ask those that have changed over for
 // the version before.
-func TestLaterVersionIsNotTurnedAway(t *testing.T) {
+func TestLaterVersionCausesNoWrongVersionRefusals(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	bound := time.Duration(f.Site.Options.VersionMs) * time.Millisecond
 	f.Site.NameVersion(2)
@@ -103,7 +103,7 @@
 }
 
 // WHOLE: pieces that turn bad after they were staged are noticed before the order.
-func TestPiecesThatTurnBadAreFetchedAgain(t *testing.T) {
+func TestPiecesCorruptedAfterStagingAreFetchedAgain(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	f.Site.NameVersion(2)
 	f.Eventually("pieces are staged", 3*time.Second, func() bool { return countEvents(f, "PV3005", `"version":2`) >= 4 })
@@ -121,7 +121,7 @@
 
 // WHOLE: what the origin hands out is checked, and a manifest that its own pieces do
 // not match is not believed for long.
-func TestOriginThatHandsOutWrongBytes(t *testing.T) {
+func TestOriginServesCorruptPieces(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	f.Site.Origin.Spoil(5)
 	f.Site.Origin.SpoilManifest()
@@ -136,7 +136,7 @@
 
 // A server that has crashed is served again from what lies at it, without the
 // origin; one that comes empty gets its pieces from its peers.
-func TestRestartedAndEmptyServersComeBack(t *testing.T) {
+func TestRestartedAndEmptyServersRecover(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	f.Eventually("pieces are verified", 3*time.Second, func() bool { return countEvents(f, "PV3005", "") >= 4 })
 	before := f.Site.Origin.Copies()
@@ -151,7 +151,7 @@
 
 // RECOVER: after a loss of power no server holds anything; the pieces come from the
 // origin once more.
-func TestEverythingEmpty(t *testing.T) {
+func TestAllServersStartEmpty(t *testing.T) {
 	options := DefaultOptions()
 	options.ModelServers = 0
 	f := Start(t, options)
@@ -169,7 +169,7 @@
 
 // A server that has started anew on its old address is sent requests under its new
 // name only, also while the list still names the old one.
-func TestRestartedServerIsKnownByItsNewName(t *testing.T) {
+func TestRestartedServerIsUsedUnderItsNewID(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	f.Eventually("pieces are verified", 3*time.Second, func() bool { return countEvents(f, "PV3005", "") >= 4 })
 	for zone := range f.Site.Options.Zones {
