--- a/internal/fleettest/bench_test.go
+++ b/internal/fleettest/bench_test.go
@@ -11,8 +11,8 @@
 	"pinevane.example/pinevane/internal/node"
 )
 
-// BenchmarkTokens measures the processor time of a token on its way through the
-// engine stand-in, agent, entry and caller, all of which share this process.
+// BenchmarkTokens measures the processor time per token. The emulated engine, the agent, the entry
+// and the caller all run in this process.
 func BenchmarkTokens(b *testing.B) {
 	f := newFleet(b, 1, 0, 1)
 	const streams, tokens = 32, 500
--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -1,5 +1,5 @@
-// Package fleettest runs a small fleet inside a test: the real entries and agents
-// over loopback, before stand-ins in the same process.
+// Package fleettest runs a small fleet inside a test: real entries and agents over loopback, with
+// emulated engines and services in the same process.
 package fleettest
 
 import (
@@ -25,18 +25,18 @@
 	"pinevane.example/pinevane/internal/workload"
 )
 
-// WaitTimeout is how long a test waits for a condition. Only a broken fleet takes it.
+// WaitTimeout bounds each wait for a condition. Only a broken fleet reaches it.
 const WaitTimeout = 20 * time.Second
 
-// Names used by every test fleet.
+// Names that every test fleet uses.
 const (
-	Model   = "model"
-	Service = "ledger"
-	Key     = "test-key"
-	keyDigest  = "62af8704764faf8ea82fc61ce9c4c3908b6cb97d463a634e9e587d7c885db0ef"
+	Model     = "model"
+	Service   = "ledger"
+	Key       = "test-key"
+	keyDigest = "62af8704764faf8ea82fc61ce9c4c3908b6cb97d463a634e9e587d7c885db0ef"
 )
 
-// Fleet is a running fleet.
+// Fleet holds the processes and emulated services of a running fleet.
 type Fleet struct {
 	t             testing.TB
 	Configuration *emulator.Publication
@@ -60,19 +60,19 @@
 	Node    *node.Node
 	Address string
 	stop    chan struct{}
-	done   chan struct{}
+	done    chan struct{}
 	stopped bool
 }
 
-// Machine is a back end with its agent.
+// Machine is a back end together with its agent.
 type Machine struct {
 	*Process
 	Engine  *emulator.Engine
 	Service *emulator.Service
 }
 
-// New starts a fleet of one zone with a number of engines, plain services and
-// entries, and publishes version "1" of the model.
+// New starts a fleet in one zone with the given numbers of engines, plain services and entries, and
+// publishes version "1" of the model.
 func New(t *testing.T, engines, services, entries int) *Fleet {
 	return newFleet(t, engines, services, entries)
 }
@@ -111,14 +111,14 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// engineOptions makes a stand-in engine quick.
+// engineOptions returns the options of an emulated engine with short delays.
 func engineOptions() emulator.EngineOptions {
 	options := emulator.DefaultEngineOptions()
 	options.FirstToken, options.BetweenTokens, options.LoadTime = 2*time.Millisecond, 2*time.Millisecond, 10*time.Millisecond
 	return options
 }
 
-// NodeOptions are the settings of a process of this fleet.
+// NodeOptions returns the options of a process of this fleet.
 func (f *Fleet) NodeOptions(id string, role external.Role) node.Options {
 	return node.Options{
 		ID: id, Role: role, Zone: "zone", Region: "region", Listen: "127.0.0.1:0",
@@ -145,7 +145,7 @@
 	return &Machine{Process: f.start(process.Node(), process.Run, Service), Service: service}
 }
 
-// StartEntry starts one more entry.
+// StartEntry starts another entry.
 func (f *Fleet) StartEntry(id string, seeds ...string) *Process {
 	options := f.NodeOptions(id, external.RoleEntry)
 	options.Seeds = seeds
@@ -173,7 +173,7 @@
 	return started
 }
 
-// BeginStop starts a planned stop.
+// BeginStop begins a planned stop.
 func (p *Process) BeginStop() {
 	if !p.stopped {
 		p.stopped = true
@@ -181,12 +181,12 @@
 	}
 }
 
-// WaitStopped waits until a planned stop has ended.
+// WaitStopped waits until a planned stop is complete.
 func (f *Fleet) WaitStopped(p *Process) {
 	select {
 	case <-p.done:
 	case <-time.After(WaitTimeout):
-		f.t.Fatal("the planned stop does not end")
+		f.t.Fatal("the planned stop did not complete")
 	}
 }
 
@@ -204,12 +204,12 @@
 	}
 }
 
-// Synthetic is the made-up weights of a version.
+// Synthetic returns the generated weights of a version.
 func Synthetic(version string) weights.Synthetic {
 	return weights.Synthetic{Model: Model, Version: version, Bytes: 1 << 20, ChunkBytes: 64 << 10, ChangedShare: 1}
 }
 
-// PublishVersion puts a version into the origin and publishes it.
+// PublishVersion adds a version to the origin and publishes it.
 func (f *Fleet) PublishVersion(version string) {
 	manifest, digest, err := f.Origin.Add(Synthetic(version))
 	require.NoError(f.t, err)
@@ -217,7 +217,7 @@
 	f.Configuration.Change(Documents(version, string(digest)))
 }
 
-// Documents is the whole configuration with a version of the model.
+// Documents returns a complete configuration that contains the given version of the model.
 func Documents(version, manifest string) map[string][]byte {
 	return map[string][]byte{
 		"model.template":   []byte("template: model\nkind: model\nparameters:\n  version: {type: string}\n  manifest: {type: string}\nbody:\n  version: ${version}\n  manifest: ${manifest}\n  replicasPerZone: 16\n"),
@@ -229,13 +229,13 @@
 	}
 }
 
-// Wait polls a condition.
+// Wait polls until a condition holds.
 func (f *Fleet) Wait(what string, condition func() bool) {
 	f.t.Helper()
 	require.Eventually(f.t, condition, WaitTimeout, 10*time.Millisecond, what)
 }
 
-// Serves reports whether a machine admits new requests to a version.
+// Serves reports whether a machine accepts new requests for a version.
 func (m *Machine) Serves(version string) bool {
 	served, _ := blackboard.Read(m.Node.Board, agent.ServedKey)
 	for _, candidate := range served {
@@ -249,7 +249,7 @@
 // WaitServing waits until every engine serves a version.
 func (f *Fleet) WaitServing(version string) {
 	f.t.Helper()
-	f.Wait("version "+version+" on every replica", func() bool {
+	f.Wait("version "+version+" is served by every replica", func() bool {
 		for _, machine := range f.Engines {
 			if !machine.Serves(version) {
 				return false
@@ -259,11 +259,12 @@
 	})
 }
 
-// WaitOnlyOffered waits until an entry sends new requests to no other version of the model: the engines hold
-// a version before their agents have proven it and say so, and until then the one before takes requests.
+// WaitOnlyOffered waits until every replica offers the entry this version and no other. An engine
+// holds a version before its agent has verified and reported it; until then requests go to the
+// previous one.
 func (f *Fleet) WaitOnlyOffered(process *Process, version string) {
 	f.t.Helper()
-	f.Wait("version "+version+" alone offered by every replica", func() bool {
+	f.Wait("version "+version+" is the only one offered by every replica", func() bool {
 		views, _ := blackboard.Read(process.Node.Board, entry.ReplicasKey)
 		offering := 0
 		for _, view := range views {
@@ -281,9 +282,9 @@
 	})
 }
 
-// waitEntries waits until every entry sees every back end.
+// waitEntries waits until every entry is connected to every back end.
 func (f *Fleet) waitEntries() {
-	f.Wait("every entry to see every back end", func() bool {
+	f.Wait("every entry is connected to every back end", func() bool {
 		for _, process := range f.Entries {
 			if !f.Ready(process) {
 				return false
@@ -293,7 +294,7 @@
 	})
 }
 
-// Ready reports whether an entry is ready and linked to every back end.
+// Ready reports whether an entry is ready and connected to every back end.
 func (f *Fleet) Ready(process *Process) bool {
 	views, _ := blackboard.Read(process.Node.Board, entry.ReplicasKey)
 	linked := 0
@@ -313,17 +314,17 @@
 	return result
 }
 
-// Stream is a streamed generation of a number of tokens.
+// Stream returns a request for a streamed generation of the given number of tokens.
 func Stream(prompt string, tokens int) workload.Request {
 	return workload.Request{Kind: workload.KindStream, Model: Model, Prompt: prompt, MaximumTokens: tokens}
 }
 
-// Call is a non-repeatable call of the plain service.
+// Call returns a non-repeatable call to the plain service.
 func Call(body string) workload.Request {
 	return workload.Request{Kind: workload.KindCall, Service: Service, Path: "/items", Body: body, NotRepeatable: true}
 }
 
-// Violations judges every recorded result.
+// Violations checks every recorded result against the back ends' records.
 func (f *Fleet) Violations() []promise.Violation {
 	calls, generations := promise.Runs{}, promise.Runs{}
 	for _, machine := range f.Services {
--- a/internal/fleettest/fleet_test.go
+++ b/internal/fleettest/fleet_test.go
@@ -19,7 +19,7 @@
 	"pinevane.example/pinevane/internal/workload"
 )
 
-// startLoad sends streams and calls until done is closed, and waits for their ends.
+// startLoad sends streams and calls until done is closed. The returned group ends with the last request.
 func startLoad(f *Fleet, workers int, done <-chan struct{}) *sync.WaitGroup {
 	var group sync.WaitGroup
 	for worker := range workers {
@@ -50,7 +50,7 @@
 	before := f.Origin.Drawn()
 	f.PublishVersion("2")
 	f.WaitServing("2")
-	f.Wait("an answer of the new version", func() bool {
+	f.Wait("a request is answered by the new version", func() bool {
 		return workload.Summarize(f.Recorder.Results()).Versions["2"] > 0
 	})
 	close(done)
@@ -59,7 +59,7 @@
 	assert.Empty(t, f.Violations())
 	assert.Zero(t, summary.Wrong)
 	assert.Equal(t, summary.Requests, summary.Answered, "%+v", summary)
-	assert.LessOrEqual(t, f.Origin.Drawn()-before, int64(4<<20), "more than four copies")
+	assert.LessOrEqual(t, f.Origin.Drawn()-before, int64(4<<20), "more than four copies fetched from the origin")
 }
 
 func TestRefusedVersionLeavesOldOneServing(t *testing.T) {
@@ -69,7 +69,7 @@
 		machine.Engine.SetFaults(emulator.Faults{RefusedVersion: "2"})
 	}
 	f.PublishVersion("2")
-	f.Wait("the refusal on every machine", func() bool {
+	f.Wait("every machine refuses the version", func() bool {
 		for _, machine := range f.Engines {
 			if refused, _ := blackboard.Read(machine.Node.Board, agent.RefusedKey); len(refused) == 0 {
 				return false
@@ -108,7 +108,7 @@
 		group.Go(func() { f.Do(f.Entries[0], Stream(fmt.Sprint("long ", i), 400)) })
 	}
 	leaving := f.Engines[0]
-	f.Wait("work on the machine that leaves", func() bool { return leaving.Node.Dump().OpenWork > 0 })
+	f.Wait("the leaving machine has open work", func() bool { return leaving.Node.Dump().OpenWork > 0 })
 	leaving.BeginStop()
 	f.WaitStopped(leaving.Process)
 	before := len(leaving.Engine.Records())
@@ -116,7 +116,7 @@
 		assert.True(t, f.Do(f.Entries[0], Stream(fmt.Sprint("after ", i), 8)).Answered)
 	}
 	group.Wait()
-	assert.Len(t, leaving.Engine.Records(), before, "work came after the stop")
+	assert.Len(t, leaving.Engine.Records(), before, "requests received after the stop")
 	summary := workload.Summarize(f.Recorder.Results())
 	assert.Equal(t, 2*streams, summary.Answered, "%+v", summary)
 	assert.Empty(t, f.Violations())
@@ -127,7 +127,7 @@
 	f := New(t, 1, 0, 1)
 	var group sync.WaitGroup
 	group.Go(func() { f.Do(f.Entries[0], Stream("long", 300)) })
-	f.Wait("the stream to be open", func() bool { return f.Entries[0].Node.Dump().OpenWork > 0 })
+	f.Wait("the stream is open", func() bool { return f.Entries[0].Node.Dump().OpenWork > 0 })
 	f.Entries[0].BeginStop()
 	group.Wait()
 	f.WaitStopped(f.Entries[0])
@@ -140,7 +140,7 @@
 	results := make(chan workload.Result, 1)
 	go func() { results <- f.Do(f.Entries[0], Stream("resumed", 500)) }()
 	var broken *Machine
-	f.Wait("the stream to be under way", func() bool {
+	f.Wait("the stream is running", func() bool {
 		for _, machine := range f.Engines {
 			if machine.Engine.Status().Running > 0 && machine.Node.Dump().OpenWork > 0 {
 				broken = machine
@@ -161,7 +161,7 @@
 	request.NotRepeatable = true
 	results := make(chan workload.Result, 1)
 	go func() { results <- f.Do(f.Entries[0], request) }()
-	f.Wait("the stream to be under way", func() bool {
+	f.Wait("the stream is running", func() bool {
 		for _, machine := range f.Engines {
 			if machine.Engine.Status().Running > 0 {
 				machine.Engine.Restart()
@@ -181,7 +181,7 @@
 	f := New(t, 1, 2, 1)
 	results := make(chan workload.Result, 1)
 	go func() { results <- f.Do(f.Entries[0], Call("lost link")) }()
-	f.Wait("the call to run", func() bool {
+	f.Wait("the call runs", func() bool {
 		for _, machine := range f.Services {
 			if len(machine.Service.Runs()) > 0 {
 				for _, link := range machine.Node.Hub.Accepted() {
@@ -215,7 +215,7 @@
 	}
 	assert.Equal(t, 1, total)
 	again := f.Do(f.Entries[1], request)
-	assert.True(t, again.Answered, "the answer is replayed: %+v", again)
+	assert.True(t, again.Answered, "the stored answer is replayed: %+v", again)
 	assert.Empty(t, f.Violations())
 }
 
@@ -225,9 +225,9 @@
 	f.Services[0].Service.SetFaults(emulator.Faults{})
 	f.Services[0].BeginStop()
 	f.WaitStopped(f.Services[0].Process)
-	// Until the entry has noticed that the link is lost, what it sends may have left:
-	// the outcome is unknown then, and rightly called so.
-	f.Wait("the entry to notice that the link is lost", func() bool {
+	// Before the entry detects the lost link it may have sent the call, and the outcome is then
+	// correctly reported as unknown.
+	f.Wait("the entry detects the lost link", func() bool {
 		views, _ := blackboard.Read(f.Entries[0].Node.Board, entry.ReplicasKey)
 		return len(views) > 0 && !slices.ContainsFunc(views, func(view entry.ReplicaView) bool {
 			return view.ID == f.Services[0].Node.ID() && view.Linked
@@ -248,7 +248,7 @@
 
 	late := f.StartEntry("entry-late", f.Engines[0].Address)
 	f.Entries = append(f.Entries, late)
-	f.Wait("an entry that starts in the outage to learn from a peer", func() bool { return f.Ready(late) })
+	f.Wait("an entry that starts during the outage gets the configuration from a peer", func() bool { return f.Ready(late) })
 	assert.True(t, f.Do(late, Stream("through the late entry", 8)).Answered)
 }
 
@@ -256,7 +256,7 @@
 	t.Parallel()
 	f := New(t, 1, 0, 1)
 	f.Configuration.Change(map[string][]byte{"tenant": []byte("instance: tenant\nfrom: nowhere\n")})
-	f.Wait("the rejection to show", func() bool {
+	f.Wait("the revision is rejected", func() bool {
 		rejected, found := blackboard.Read(f.Entries[0].Node.Board, node.RejectedKey)
 		return found && rejected.Version.Revision == 2
 	})
@@ -270,12 +270,12 @@
 	f := New(t, 1, 0, 1)
 	f.PublishVersion("2")
 	f.WaitServing("2")
-	// The service starts over with an old state of the same epoch.
+	// The service restarts with an older revision of the same epoch.
 	f.Configuration.Reset(1, Documents("1", string(manifestDigest(t, "1"))))
 	time.Sleep(300 * time.Millisecond)
 	snapshot, _ := f.Entries[0].Node.Snapshot()
 	assert.Equal(t, "2", snapshot.Models[Model].Version)
-	// With a higher epoch its word counts again.
+	// A higher epoch supersedes the known revision.
 	f.Configuration.Reset(2, Documents("1", string(manifestDigest(t, "1"))))
 	f.WaitServing("1")
 }
@@ -332,8 +332,8 @@
 	f := New(t, 3, 2, 2)
 	done := make(chan struct{})
 	group := startLoad(f, 6, done)
-	// A new version, a configuration outage, an engine crash, lost links and a
-	// planned stop, all at once.
+	// A version change, a configuration outage, an engine crash, lost links and a planned stop happen
+	// at the same time.
 	f.PublishVersion("2")
 	f.Configuration.SetFaults(emulator.Faults{Down: true})
 	f.Engines[0].Engine.Restart()
@@ -344,7 +344,7 @@
 	f.WaitStopped(f.Engines[2].Process)
 	f.Configuration.SetFaults(emulator.Faults{})
 	for _, machine := range f.Engines[:2] {
-		f.Wait("version 2 on the machines that stay", func() bool { return machine.Serves("2") })
+		f.Wait("the remaining machines serve version 2", func() bool { return machine.Serves("2") })
 	}
 	close(done)
 	group.Wait()
--- a/internal/promise/promise.go
+++ b/internal/promise/promise.go
@@ -1,5 +1,5 @@
-// Package promise judges, from the stand-ins' own records and what callers saw,
-// whether the system kept what it promises. It asks the system itself nothing.
+// Package promise checks the guarantees of the system against the records of the emulated back
+// ends and the results that callers received. It uses no data from the system under test.
 package promise
 
 import (
@@ -9,36 +9,36 @@
 	"pinevane.example/pinevane/internal/workload"
 )
 
-// Name is one of the promises.
+// Name identifies a guarantee.
 type Name string
 
-// The promises that records and answers can show.
+// The guarantees that records and results can verify.
 const (
-	// WholeVersion: no answer from partial weights or a mix of versions.
+	// WholeVersion: no answer comes from partial weights or from a mix of versions.
 	WholeVersion Name = "whole-version"
-	// OwnAnswer: every answer whole and of its own request.
+	// OwnAnswer: every answer is complete and belongs to its request.
 	OwnAnswer Name = "own-answer"
-	// NotRunIsTrue: what is refused as not-run did not run.
+	// NotRunIsTrue: a request refused as not-run did not run.
 	NotRunIsTrue Name = "not-run-is-true"
-	// AtMostOnce: what may not be repeated runs at most once.
+	// AtMostOnce: a request that must not be repeated runs at most once.
 	AtMostOnce Name = "at-most-once"
-	// AnsweredRan: what was answered did run.
+	// AnsweredRan: a request that was answered did run.
 	AnsweredRan Name = "answered-ran"
 	// PlannedStopCutsNothing: a planned stop cuts off no request.
 	PlannedStopCutsNothing Name = "planned-stop-cuts-nothing"
 )
 
-// Violation is one broken promise.
+// Violation reports a request that broke a guarantee.
 type Violation struct {
 	Promise Name   `json:"promise"`
 	Request string `json:"request"`
 	Detail  string `json:"detail"`
 }
 
-// Runs counts how often the back ends ran each request identifier.
+// Runs counts the runs of each request ID on the back ends.
 type Runs map[string]int
 
-// Check checks results against the back ends' records.
+// Check compares results with the runs that the back ends recorded and returns all violations.
 func Check(results []workload.Result, calls, generations Runs) []Violation {
 	var violations []Violation
 	add := func(name Name, result workload.Result, detail string) {
@@ -76,7 +76,7 @@
 	return request.NotRepeatable
 }
 
-// checkKeys checks that a caller's key ran at most once over all its requests.
+// checkKeys checks that each idempotency key ran at most once across all its requests.
 func checkKeys(results []workload.Result, calls Runs) []Violation {
 	total := map[string]int{}
 	for _, result := range results {
--- a/internal/sitetest/crashing_test.go
+++ b/internal/sitetest/crashing_test.go
@@ -33,10 +33,10 @@
 	maxCrashes = 3
 	// quarantineDelay is how soon after the third end every machine knows the content, latecomersAllowed how
 	// many sends are allowed after that.
-	quarantineDelay       = 3 * time.Second
+	quarantineDelay = 3 * time.Second
 	maxLateArrivals = 3
 	// crashingDuration is how long the content is asked, askedEach how often.
-	crashingDuration  = 8 * time.Second
+	crashingDuration = 8 * time.Second
 	crashingInterval = 120 * time.Millisecond
 	// crashReportDelay is the time from an end to the news of it at the last entry: two questions of the agent,
 	// the way over two relays, or one refused connection.
@@ -48,8 +48,8 @@
 	// controlPort is that of the entries' control addresses, which serve administration too.
 	controlPort = 8000
 
-	crashingBody = "ends the server"
-	crashingIDPrefix   = "culprit-"
+	crashingBody     = "ends the server"
+	crashingIDPrefix = "culprit-"
 )
 
 // crashingOptions are a fleet in which the loss of a server is not the loss of a zone.
--- a/internal/sitetest/evacuation_test.go
+++ b/internal/sitetest/evacuation_test.go
@@ -32,7 +32,7 @@
 
 // evacuation is what a test did to a zone, and when.
 type evacuation struct {
-	zone         string
+	zone               string
 	startedAt, endedAt time.Time
 }
 
--- a/internal/sitetest/fleet.go
+++ b/internal/sitetest/fleet.go
@@ -38,9 +38,9 @@
 	// Log collects the lines of all processes.
 	Log *LogBuffer
 
-	mutex     sync.Mutex
-	processes map[string]*process
-	openedStores    map[string]bool
+	mutex        sync.Mutex
+	processes    map[string]*process
+	openedStores map[string]bool
 	// settingsOverrides hold what a process's settings file says now, by the process's name, where it is
 	// not what the stand-in gives.
 	settingsOverrides map[string][]byte
@@ -82,7 +82,7 @@
 // Networks of these tests' stand-ins, which are used in turn. Demos and soaks take theirs from 140 on.
 const (
 	firstNetwork = 61
-	networkCount     = 79
+	networkCount = 79
 )
 
 // DefaultOptions is a fleet of two zones with bounds that suit a test.
--- a/internal/sitetest/mute_proxy_test.go
+++ b/internal/sitetest/mute_proxy_test.go
@@ -23,7 +23,7 @@
 	blackholed chan struct{}
 	// trigger is what a caller sends that makes the proxy fall mute; delivered is whether
 	// it is still passed on.
-	trigger   []byte
+	trigger        []byte
 	forwardTrigger bool
 }
 
--- a/internal/sitetest/rest_test.go
+++ b/internal/sitetest/rest_test.go
@@ -16,8 +16,8 @@
 const (
 	// backoffRequested is the rest that servers ask for, restGrace how long after that requests may still arrive,
 	// restAllowed how many may later.
-	backoffRequested   = 3 * time.Second
-	backoffGrace   = 500 * time.Millisecond
+	backoffRequested = 3 * time.Second
+	backoffGrace     = 500 * time.Millisecond
 	maxDuringBackoff = 2
 )
 
--- a/internal/sitetest/silence_test.go
+++ b/internal/sitetest/silence_test.go
@@ -32,8 +32,8 @@
 // that of the store.
 const (
 	callerPort = 8005
-	readyPort   = 8002
-	storePort   = 8007
+	readyPort  = 8002
+	storePort  = 8007
 )
 
 // systemConnections picks the connections of the system's own processes, not its callers'.
@@ -51,11 +51,11 @@
 
 // outcome is what became of one request.
 type outcome struct {
-	id     string
-	startedAt  time.Time
-	duration   time.Duration
-	answer Answer
-	err    error
+	id        string
+	startedAt time.Time
+	duration  time.Duration
+	answer    Answer
+	err       error
 }
 
 // served reports whether a request was answered whole within a time.
@@ -117,7 +117,7 @@
 const (
 	baselineTime = 2 * time.Second
 	// plainRecovery and streamsBack are how long after the silence began service is back.
-	plainRecovery   = time.Second
+	plainRecovery  = time.Second
 	streamRecovery = 1500 * time.Millisecond
 	// minRecoveredRatio is the part of the calm share that counts as back.
 	minRecoveredRatio = 0.9
--- a/internal/sitetest/sizes_test.go
+++ b/internal/sitetest/sizes_test.go
@@ -17,10 +17,10 @@
 // An overload of requests whose prompts have a heavy tail: over twice what the servers can read.
 const (
 	sizesPerSecond = 50
-	sizesDuration      = 8 * time.Second
+	sizesDuration  = 8 * time.Second
 	sizesRead      = 5000
-	sizesTypical     = 1000
-	sizesMax      = 4000
+	sizesTypical   = 1000
+	sizesMax       = 4000
 	sizesEvents    = 10
 )
 
--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -1,5 +1,4 @@
-// Package testseed fixes the seed of generated test histories, so that a run of
-// the tests gives the same verdict every time.
+// Package testseed fixes the seed of property-based tests, so that their results are reproducible.
 package testseed
 
 import (
@@ -8,11 +7,11 @@
 	"testing"
 )
 
-// seed is where generated histories start.
+// seed is the default of the flag -rapid.seed.
 const seed = "20261202"
 
-// Main runs a package's tests with the fixed seed of pgregory.net/rapid, which
-// the package must import; -rapid.seed on the command line replaces it.
+// Main runs a package's tests with a fixed seed for pgregory.net/rapid, which the package must
+// import. The flag -rapid.seed overrides it.
 func Main(m *testing.M) {
 	if err := flag.Set("rapid.seed", seed); err != nil {
 		panic(err)
