--- a/internal/sitetest/crashing_test.go
+++ b/internal/sitetest/crashing_test.go
@@ -19,14 +19,14 @@
 	"pinevane.example/pinevane/internal/gateway"
 )
 
-// The incident: a request that ends each server which begins to run it was asked again and again, with a
-// new id each time and at any entry. 43 servers ended under one request, and over a tenth of all others
+// Incident: a request that crashes each server that starts it was sent again and again, with a new
+// ID each time and through any entry. It crashed 43 servers, and over a tenth of all other requests
 // failed for seconds.
 //
-// How it came about: what an entry learned at the end of a server counted against the server. Nothing
-// told requests apart by what they ask for, so that neither an entry nor the entries together could
-// know that the servers had one content in common. What proves it: on the code before the repair the
-// content below goes on reaching servers for as long as it is asked.
+// Cause: a crash counted against the server only. Requests were not identified by what they ask
+// for, so that no entry, alone or with the others, could detect that the crashed servers had one
+// request fingerprint in common. Before the fix, the request below reaches servers for as long as
+// it is sent.
 
 const (
 	// maxCrashes is how many servers may end before the content is known.
@@ -45,21 +45,21 @@
 	// and the last server that it ended is back.
 	minServedRatio = 0.95
 
-	// controlPort is that of the entries' control addresses, which serve administration too.
+	// controlPort is the port of the entries' control address, which also serves administration.
 	controlPort = 8000
 
 	crashingBody     = "ends the server"
 	crashingIDPrefix = "culprit-"
 )
 
-// crashingOptions are a fleet in which the loss of a server is not the loss of a zone.
+// crashingOptions returns a fleet in which a zone survives the loss of a server.
 func crashingOptions() site.Options {
 	options := DefaultOptions()
 	options.ModelServers = 4
 	return options
 }
 
-// startHarmlessTraffic sends streams whose content differs from one to the next, at all entries.
+// startHarmlessTraffic sends streams with distinct fingerprints through all entries.
 func (f *Fleet) startHarmlessTraffic(pace time.Duration) (stop func() []outcome) {
 	return startTraffic(pace, func(ctx context.Context, number int) outcome {
 		one := outcome{id: fmt.Sprintf("harmless-%d", number), startedAt: time.Now()}
@@ -69,14 +69,14 @@
 	})
 }
 
-// streamWithBody asks for a stream with a target and body of its own, at the entry whose turn it is.
+// streamWithBody requests a stream with the given target and body, through the entries in turn.
 func (f *Fleet) streamWithBody(ctx context.Context, turn int, target, id, body string, events int) (Answer, error) {
 	options := f.Site.Options
 	header := map[string]string{"Model": options.Weights.Model, "Token-Usage": "10," + strconv.Itoa(events)}
 	return f.Call(ctx, turn%options.Zones, turn/options.Zones%options.Entries, http.MethodPost, site.StreamPrefix+target, id, header, body)
 }
 
-// startCrashingTraffic asks for the content that ends servers at entries drawn by chance.
+// startCrashingTraffic sends the request that crashes servers through randomly chosen entries.
 func (f *Fleet) startCrashingTraffic(pace time.Duration) (stop func() []outcome) {
 	return startTraffic(pace, func(ctx context.Context, number int) outcome {
 		one := outcome{id: crashingIDPrefix + strconv.Itoa(number), startedAt: time.Now()}
@@ -86,7 +86,7 @@
 	})
 }
 
-// crashingArrivals are the times at which the content has come to servers after a moment.
+// crashingArrivals returns when the crashing request arrived at servers, relative to the given time.
 func (f *Fleet) crashingArrivals(after time.Time) (late []time.Duration) {
 	for _, arrival := range f.Site.Ledger.Arrivals() {
 		if strings.HasPrefix(arrival.RequestID, crashingIDPrefix) && arrival.At.After(after) {
@@ -96,15 +96,15 @@
 	return late
 }
 
-// thirdCrash is when the third server ended.
+// thirdCrash returns when the third server crashed.
 func (f *Fleet) thirdCrash() time.Time {
 	ends := f.Site.Ends()
-	require.GreaterOrEqual(f.t, len(ends), maxCrashes, "servers that have ended")
+	require.GreaterOrEqual(f.t, len(ends), maxCrashes, "crashed servers")
 	return ends[maxCrashes-1].At
 }
 
-// BUDGET: content that ends its servers reaches none any more once it has ended three, at whatever
-// entry it is asked, and harmless requests are served.
+// BUDGET: a request that crashes servers reaches no server after three crashes, through any entry,
+// and harmless requests are served.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	f := Start(t, crashingOptions())
 	f.Site.CrashOn(site.Crashing{Body: crashingBody, After: 50 * time.Millisecond, Away: 2 * time.Second})
@@ -112,33 +112,33 @@
 	time.Sleep(crashingDuration)
 	culprits, harmless, ended := stopCulprit(), stopHarmless(), time.Now()
 	third := f.thirdCrash()
-	t.Logf("servers that ended: %d, sends after the third: %d", len(f.Site.Ends()), len(f.crashingArrivals(third)))
-	assert.LessOrEqual(t, len(f.crashingArrivals(third.Add(quarantineDelay))), maxLateArrivals, "sends after the content must be known")
-	assert.Empty(t, f.crashingArrivals(third.Add(crashReportDelay)), "sends after the content can be known")
+	t.Logf("crashed servers: %d, arrivals after the third crash: %d", len(f.Site.Ends()), len(f.crashingArrivals(third)))
+	assert.LessOrEqual(t, len(f.crashingArrivals(third.Add(quarantineDelay))), maxLateArrivals, "arrivals after the fingerprint must be quarantined")
+	assert.Empty(t, f.crashingArrivals(third.Add(crashReportDelay)), "arrivals after the crash reports have spread")
 	last := f.Site.Ends()[len(f.Site.Ends())-1].At
 	if back := last.Add(3 * time.Second); back.Before(ended) {
-		assert.GreaterOrEqual(t, servedRatio(harmless, back, ended, time.Second), minServedRatio, "harmless requests served once the servers are back")
+		assert.GreaterOrEqual(t, servedRatio(harmless, back, ended, time.Second), minServedRatio, "ratio of harmless requests served after the servers have restarted")
 	}
-	assert.Equal(t, f.Site.Options.Zones*f.Site.Options.Entries, countEvents(f, "PV4211", ""), "contents quarantined, by entry: the one alone")
+	assert.Equal(t, f.Site.Options.Zones*f.Site.Options.Entries, countEvents(f, "PV4211", ""), "quarantined fingerprints: one for each entry")
 	for _, one := range culprits {
 		if one.startedAt.Before(third.Add(crashReportDelay)) {
 			continue
 		}
 		assert.NotEqual(t, http.StatusOK, one.answer.Status)
-		assert.Less(t, one.duration, 100*time.Millisecond, "the time to an answer that nothing is needed for")
+		assert.Less(t, one.duration, 100*time.Millisecond, "time to a local refusal")
 	}
 }
 
-// sendUntilQuarantined asks for the content that ends servers until every entry has quarantined it.
+// sendUntilQuarantined sends the crashing request until every entry has quarantined its fingerprint.
 func (f *Fleet) sendUntilQuarantined() {
 	f.t.Helper()
 	stop := f.startCrashingTraffic(crashingInterval)
 	defer stop()
 	entries := f.Site.Options.Zones * f.Site.Options.Entries
-	f.Eventually("every entry has quarantined the content", crashingDuration, func() bool { return countEvents(f, "PV4211", "") >= entries })
+	f.Eventually("every entry has quarantined the fingerprint", crashingDuration, func() bool { return countEvents(f, "PV4211", "") >= entries })
 }
 
-// sendToEveryEntry asks for the content that ends servers once at each entry.
+// sendToEveryEntry sends the crashing request once through each entry.
 func (f *Fleet) sendToEveryEntry(id string) (answers []Answer) {
 	f.t.Helper()
 	for turn := range f.Site.Options.Zones * f.Site.Options.Entries {
@@ -149,8 +149,8 @@
 	return answers
 }
 
-// BUDGET: all entries are killed at once and start anew, so that nobody knows the content any more but
-// the agents.
+// BUDGET: all entries are killed at once and restarted, so that only the agents still know the
+// quarantined fingerprint.
 func TestQuarantineSurvivesRestartOfAllEntries(t *testing.T) {
 	f := Start(t, crashingOptions())
 	f.Site.CrashOn(site.Crashing{Body: crashingBody, After: 50 * time.Millisecond, Away: 500 * time.Millisecond})
@@ -173,7 +173,7 @@
 	assert.Empty(t, f.crashingArrivals(started))
 }
 
-// BUDGET: plain services have no agent beside them, and few servers.
+// BUDGET: the same for a plain service, which has no agents and few servers.
 func TestCrashingRequestIsQuarantinedForPlainService(t *testing.T) {
 	options := DefaultOptions()
 	options.PlainServers = 2
@@ -187,13 +187,13 @@
 	time.Sleep(crashingDuration)
 	stop()
 	third := f.thirdCrash()
-	t.Logf("servers that ended: %d, sends after the third: %d", len(f.Site.Ends()), len(f.crashingArrivals(third)))
-	assert.LessOrEqual(t, len(f.crashingArrivals(third.Add(quarantineDelay))), maxLateArrivals, "sends after the content must be known")
-	assert.Empty(t, f.crashingArrivals(third.Add(crashReportDelay)), "sends after the content can be known")
+	t.Logf("crashed servers: %d, arrivals after the third crash: %d", len(f.Site.Ends()), len(f.crashingArrivals(third)))
+	assert.LessOrEqual(t, len(f.crashingArrivals(third.Add(quarantineDelay))), maxLateArrivals, "arrivals after the fingerprint must be quarantined")
+	assert.Empty(t, f.crashingArrivals(third.Add(crashReportDelay)), "arrivals after the crash reports have spread")
 }
 
-// BUDGET: the content is asked so rarely, and nothing else is, that no other request shows that its
-// servers have ended.
+// BUDGET: the crashing request is rare and the only traffic, so that no other request detects the
+// crashed servers.
 func TestRareCrashingRequestIsQuarantined(t *testing.T) {
 	f := Start(t, crashingOptions())
 	f.Site.CrashOn(site.Crashing{Body: crashingBody, After: 50 * time.Millisecond, Away: 10 * time.Second})
@@ -205,7 +205,7 @@
 	assert.Len(t, f.Site.Ends(), maxCrashes)
 }
 
-// BUDGET: ended servers are back before a connection can show that they were away, under the same IDs.
+// BUDGET: crashed servers restart under the same IDs before any connection is refused.
 func TestCrashesOfQuicklyRestartedServersAreDetected(t *testing.T) {
 	f := Start(t, crashingOptions())
 	f.Site.CrashOn(site.Crashing{Body: crashingBody, After: 50 * time.Millisecond, Away: time.Nanosecond, SameID: true})
@@ -213,10 +213,10 @@
 	time.Sleep(crashingDuration)
 	stop()
 	third := f.thirdCrash()
-	assert.LessOrEqual(t, len(f.crashingArrivals(third.Add(quarantineDelay))), maxLateArrivals, "sends after the content must be known")
+	assert.LessOrEqual(t, len(f.crashingArrivals(third.Add(quarantineDelay))), maxLateArrivals, "arrivals after the fingerprint must be quarantined")
 }
 
-// Servers that reset the connections of requests, and live on, end under no content.
+// Servers that reset connections without crashing cause no crash reports and no quarantine.
 func TestConnectionResetsQuarantineNothing(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	ask := func(number int) Answer {
@@ -234,13 +234,13 @@
 	for _, server := range f.Site.Plain {
 		server.SetFaults(site.Faults{})
 	}
-	assert.Zero(t, countEvents(f, "PV4210", ""), "servers that have ended")
+	assert.Zero(t, countEvents(f, "PV4210", ""), "crashed servers")
 	number := 100
-	f.Eventually("the content is served", 5*time.Second, func() bool { number++; return ask(number).Status == http.StatusOK })
+	f.Eventually("the request is served", 5*time.Second, func() bool { number++; return ask(number).Status == http.StatusOK })
 }
 
-// All model servers end at once, three times, while many callers ask for the same content: it ran at
-// most of them.
+// All model servers restart at once, three times, while many callers send the same request, which
+// was running on most of them. Its fingerprint is not quarantined.
 func TestLossOfAllServersQuarantinesNothing(t *testing.T) {
 	options := crashingOptions()
 	f := Start(t, options)
@@ -262,11 +262,12 @@
 	back := time.Now()
 	time.Sleep(time.Second)
 	outcomes := stop()
-	assert.Zero(t, countEvents(f, "PV4211", ""), "contents quarantined")
+	assert.Zero(t, countEvents(f, "PV4211", ""), "quarantined fingerprints")
 	assert.GreaterOrEqual(t, servedRatio(outcomes, back.Add(300*time.Millisecond), back.Add(time.Second), time.Second), minServedRatio)
 }
 
-// A server that has said that it leaves ends with requests under way: no content has ended it.
+// A server that has announced that it is leaving stops with open requests. It is not counted as a
+// crash.
 func TestPlannedStopQuarantinesNothing(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	stop := startTraffic(50*time.Millisecond, func(ctx context.Context, number int) outcome {
@@ -278,21 +279,21 @@
 	leaving := f.Site.Models[f.Site.Options.ModelIP(0, 0)]
 	leaving.Leave()
 	time.Sleep(time.Second)
-	require.Positive(t, leaving.Running(), "requests under way at its end")
+	require.Positive(t, leaving.Running(), "open requests when the server stops")
 	leaving.Crash()
 	time.Sleep(500 * time.Millisecond)
 	stop()
 	assert.Zero(t, countEvents(f, "PV4210", ""))
 }
 
-// An operator has a content sent to servers again, at one entry, and all follow.
+// An operator releases a quarantined fingerprint at one entry, and all entries send it again.
 func TestReleasedFingerprintIsSentAgain(t *testing.T) {
 	f := Start(t, crashingOptions())
 	f.Site.CrashOn(site.Crashing{Body: crashingBody, After: 50 * time.Millisecond, Away: 500 * time.Millisecond})
 	f.sendUntilQuarantined()
 	for _, answer := range f.sendToEveryEntry("shut") {
 		assert.Equal(t, http.StatusServiceUnavailable, answer.Status)
-		assert.Greater(t, retryAfter(t, answer), time.Minute, "when the caller may come back")
+		assert.Greater(t, retryAfter(t, answer), time.Minute, "retry delay for the caller")
 	}
 	f.Site.CrashOn(site.Crashing{})
 	held, isList := f.Process(ProcessName(catalog.RoleEntry, 0, 0)).Dump()["contents"].([]forward.FingerprintView)
@@ -309,7 +310,7 @@
 	assert.Equal(t, http.StatusBadRequest, release("short"))
 	assert.Equal(t, http.StatusNotFound, release(strings.Repeat("0", 32)))
 	assert.Equal(t, http.StatusNoContent, release(held[0].Fingerprint))
-	f.Eventually("every entry sends the content", 2*time.Second, func() bool {
+	f.Eventually("every entry sends the request", 2*time.Second, func() bool {
 		for _, answer := range f.sendToEveryEntry("released") {
 			if answer.Status != http.StatusOK {
 				return false
--- a/internal/sitetest/deaf_store_test.go
+++ b/internal/sitetest/deaf_store_test.go
@@ -12,13 +12,13 @@
 	"pinevane.example/pinevane/internal/emulator/site"
 )
 
-// silentFor is how long the store's watches hear nothing before it forgets its history.
+// silentFor is how long the store's watches deliver nothing before its history is compacted.
 const silentFor = 800 * time.Millisecond
 
-// VERSION: no process takes a version to be named later than it was, also when the store's
-// watches heard nothing of it. Seen: all eight processes took six of six versions to be named
-// 0.39 to 0.68 s later, because empty watches had moved on up to when copies were complete, and
-// peers kept that after the store had said that its history was gone.
+// VERSION: no process dates a version announcement later than it was made, even when the store's
+// watches did not deliver it. Observed: all eight processes dated six of six announcements 0.39 to
+// 0.68 s late, because empty watches had advanced the time up to which copies were complete, and
+// peers kept that time after the store had reported that its history was compacted.
 func TestVersionAnnouncedWhileWatchesAreSilent(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	f.Site.Origin.SetAway(true)
@@ -38,19 +38,19 @@
 					assert.Equal(t, version, notice.Version, name)
 					late := notice.Since.Sub(named)
 					assert.LessOrEqual(t, late, time.Duration(0), "%s, version %d", name, version)
-					t.Logf("%s, version %d: believed named %s early", name, version, -late.Round(time.Millisecond))
+					t.Logf("%s, version %d: dated %s early", name, version, -late.Round(time.Millisecond))
 				}
 			}
 		}
 	}
 }
 
-// VERSION: nothing begins on an old version past its bound, with requests that wait at the
-// servers, whether or not the store's watches hear of the new one. Seen: beginnings 10 to 184 ms
-// past the bound where they did not.
+// VERSION: no request starts on an old version after its deadline while requests are queued at the
+// servers, whether or not the store's watches deliver the announcement. Observed: starts 10 to
+// 184 ms after the deadline when they did not.
 func TestNoLateStartsWhenWatchesAreSilent(t *testing.T) {
 	for _, deaf := range []bool{false, true} {
-		t.Run(fmt.Sprintf("deaf %v", deaf), func(t *testing.T) {
+		t.Run(fmt.Sprintf("silent watches %v", deaf), func(t *testing.T) {
 			f := Start(t, lateCancelOptions())
 			f.Site.Origin.SetAway(true)
 			stop := startTraffic(120*time.Millisecond, func(ctx context.Context, number int) outcome {
@@ -81,11 +81,11 @@
 	}
 }
 
-// maxAnnouncementError is the most by which a version may be believed older than it is while all goes well: a
-// watch of the store with its pause, and some way from process to process.
+// maxAnnouncementError is the maximum by which a version may be dated too early without faults: one
+// watch of the store with its pause, plus the propagation between processes.
 const maxAnnouncementError = time.Second
 
-// In calm, the doubt of a store that may be about to forget its history costs nothing.
+// Without faults, the allowance for a store that may be about to compact its history costs nothing.
 func TestAnnouncementTimeIsAccurateWithoutFaults(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	f.Site.Origin.SetAway(true)
@@ -109,13 +109,14 @@
 			}
 		}
 	}
-	t.Logf("believed older by %s in the mean", (sum / time.Duration(count)).Round(time.Millisecond))
+	t.Logf("dated early by %s on average", (sum / time.Duration(count)).Round(time.Millisecond))
 }
 
-// VERSION counts no time while the store is out for all. The store is out for about the bound,
-// and a version is named as it comes back, which takes a while to copy: the old one serves
-// meanwhile. Seen: the version counted as old as the outage, and the old one ended at once
-// everywhere: 0.00 to 0.45 served by half seconds for 2.5 s.
+// VERSION does not count the time for which the store is down for all processes. The store is down
+// for about as long as the time limit of a version; a version that takes a while to copy is
+// announced as it comes back, and the old one serves meanwhile. Observed: the version was dated to
+// the start of the outage, and the old one expired everywhere at once: 0.00 to 0.45 served, by half
+// seconds, for 2.5 s.
 func TestVersionAnnouncedAtTheEndOfAnOutage(t *testing.T) {
 	options := DefaultOptions()
 	options.Weights.Pieces = 96
@@ -140,21 +141,22 @@
 	outcomes := stop()
 	for at := -time.Second; at < 3*time.Second; at += half {
 		served := servedRatio(outcomes, named.Add(at), named.Add(at+half), time.Second)
-		t.Logf("%5.1f s after the naming: %.2f served", at.Seconds(), served)
-		// Then the servers change over, which takes as much of their time as without an outage.
+		t.Logf("%5.1f s after the announcement: %.2f served", at.Seconds(), served)
+		// After that the servers switch versions, which takes as much of their time as without an outage.
 		if at+half <= withheld {
-			assert.GreaterOrEqual(t, served, 0.9, "from %s after the naming", at)
+			assert.GreaterOrEqual(t, served, 0.9, "from %s after the announcement", at)
 		}
 	}
 	for _, run := range f.Site.Ledger.Runs() {
 		if run.Service == site.ModelService && run.Version == 1 {
-			assert.False(t, run.At.After(bound), "begun %s after the bound", run.At.Sub(bound))
+			assert.False(t, run.At.After(bound), "started %s after the deadline", run.At.Sub(bound))
 		}
 	}
 }
 
-// VERSION: a store that turns some machines away is not out for all. Whom it serves changes each
-// few seconds, for longer than a common outage takes, with a naming before and after each change.
+// VERSION: a store that refuses some machines is not down for all. The set of machines that it
+// serves changes every few seconds, for longer than the outage that is tolerated, with an
+// announcement before and after each change.
 func TestVersionAnnouncedWhileStoreRefusesMachines(t *testing.T) {
 	options := DefaultOptions()
 	f := Start(t, options)
@@ -172,7 +174,7 @@
 					process := ProcessName(role, zone, index)
 					notice, _ := f.Process(process).Catalog.View().Newest("m")
 					if notice.Version == version {
-						assert.False(t, notice.Since.After(named), "%s: version %d %s late", process, version, notice.Since.Sub(named))
+						assert.False(t, notice.Since.After(named), "%s: version %d dated %s late", process, version, notice.Since.Sub(named))
 					}
 				}
 			}
--- a/internal/sitetest/evacuation_failure_test.go
+++ b/internal/sitetest/evacuation_failure_test.go
@@ -14,28 +14,28 @@
 	"pinevane.example/pinevane/internal/emulator/site"
 )
 
-// maxUpdateDelay is how long an entry that is in touch may take to act on what the store holds; a
+// maxUpdateDelay is the maximum time in which a connected entry acts on a change in the store; a
 // watch waits half a second.
 const maxUpdateDelay = time.Second
 
-// twoEntryOptions is a fleet of two zones with one entry each, so that the first is cut off from
-// all others when the second has ended.
+// twoEntryOptions returns a fleet of two zones with one entry each, so that the first entry is
+// isolated once the second has been killed.
 func twoEntryOptions() site.Options {
 	options := evacuationOptions()
 	options.Entries = 1
 	return options
 }
 
-// isolateFirstEntry ends the second entry and has the store turn the first one away, until every watch
-// that was waiting has ended.
+// isolateFirstEntry kills the second entry and makes the store refuse the first one, and waits
+// until every pending watch has ended.
 func (f *Fleet) isolateFirstEntry() {
 	f.Kill(ProcessName(catalog.RoleEntry, 1, 0))
 	f.Site.Store.Refuse(f.Site.Options.EntryIP(0, 0))
 	time.Sleep(600 * time.Millisecond)
 }
 
-// sendStreams sends a number of streams through the first entry, one after the other, and returns
-// how many were answered whole.
+// sendStreams sends streams through the first entry, one after the other, and returns how many
+// were answered completely.
 func (f *Fleet) sendStreams(name string, count int) int {
 	whole := 0
 	for number := range count {
@@ -54,8 +54,9 @@
 	f.Eventually(zone+" serves again", 3*time.Second, func() bool { return f.arrivalsBetween(zone, back, time.Now()) > 10 })
 }
 
-// EVAC, REFUSED: an entry that starts cut off from the store and from all other entries refuses,
-// truly, until it hears, and never sends anything into the zone, whoever it hears from.
+// EVAC, REFUSED: an entry that starts without access to the store and to other entries refuses
+// requests as not-run until it is connected, and never sends a request to the zone, whichever
+// source it is connected to first.
 func TestEntryStartsIsolatedDuringEvacuation(t *testing.T) {
 	hears := map[string]func(f *Fleet){
 		"from the store":       func(f *Fleet) { f.Site.Store.Refuse() },
@@ -85,8 +86,8 @@
 	}
 }
 
-// EVAC: an entry that is cut off when a zone is evacuated serves on by what it knows, and sends
-// nothing more into the zone from when it hears.
+// EVAC: an isolated entry keeps serving with its last known state when a zone is evacuated, and
+// sends nothing to the zone once it learns of the evacuation.
 func TestEntryLearnsOfEvacuationLate(t *testing.T) {
 	f := Start(t, twoEntryOptions())
 	// Its own zone, which it prefers.
@@ -97,19 +98,19 @@
 	for time.Since(asked) < evacuateMs*time.Millisecond+time.Second {
 		assert.Equal(t, 5, f.sendStreams("cut-off-"+strconv.Itoa(int(time.Since(asked))), 5))
 	}
-	assert.Positive(t, f.arrivalsBetween(zone, asked, time.Now()), "the entry has not heard")
+	assert.Positive(t, f.arrivalsBetween(zone, asked, time.Now()), "the entry has not learned of the evacuation")
 	f.Site.Store.Refuse()
 	entry := f.Process(ProcessName(catalog.RoleEntry, 0, 0))
-	f.Eventually("the entry has heard", maxUpdateDelay, func() bool { return entry.Catalog.View().Evacuated(zone) })
-	// The view is published some moments before the entry's choices go by it.
+	f.Eventually("the entry knows of the evacuation", maxUpdateDelay, func() bool { return entry.Catalog.View().Evacuated(zone) })
+	// The view is published shortly before the entry's routing uses it.
 	time.Sleep(50 * time.Millisecond)
 	heard := time.Now()
 	assert.Equal(t, 50, f.sendStreams("heard", 50))
 	assert.Zero(t, f.arrivalsBetween(zone, heard, time.Now()))
 }
 
-// EVAC: entries that lose the store midway, all of them, keep the zone empty, also when that has
-// been taken back meanwhile, and use it again when they hear of that.
+// EVAC: when all entries lose the store during an evacuation they keep the zone empty, even if the
+// evacuation is ended meanwhile, and use the zone again once they learn of that.
 func TestEntriesLoseStoreDuringEvacuation(t *testing.T) {
 	f := Start(t, evacuationOptions())
 	options := f.Site.Options
@@ -118,7 +119,7 @@
 	time.Sleep(300 * time.Millisecond)
 	f.Site.Evacuate(zone)
 	asked := time.Now()
-	f.Eventually("the entries know", maxUpdateDelay, func() bool { return countEvents(f, "PV2009", zone) >= options.Zones*options.Entries })
+	f.Eventually("the entries know of the evacuation", maxUpdateDelay, func() bool { return countEvents(f, "PV2009", zone) >= options.Zones*options.Entries })
 	known := time.Now()
 	var refused []string
 	for zone := range options.Zones {
@@ -132,14 +133,14 @@
 	time.Sleep(700 * time.Millisecond)
 	back := time.Now()
 	f.Site.Store.Refuse()
-	assert.Zero(t, f.arrivalsBetween(zone, known, back), "nobody knew that it was taken back")
+	assert.Zero(t, f.arrivalsBetween(zone, known, back), "no entry knew that the evacuation had ended")
 	f.Eventually("the zone serves again", 3*time.Second, func() bool { return f.arrivalsBetween(zone, back, time.Now()) > 10 })
 	_, spoilt := stop()
 	assert.Zero(t, spoilt)
 }
 
-// EVAC: a zone is evacuated while another is lost with its servers and entries; the third serves
-// what reaches the entries that are left, and the evacuated one stays empty.
+// EVAC: a zone is evacuated while another is lost with its servers and entries. The third zone
+// serves the requests to the remaining entries, and the evacuated one stays empty.
 func TestEvacuationWhileAnotherZoneIsLost(t *testing.T) {
 	options := evacuationOptions()
 	options.Zones = 3
@@ -172,7 +173,8 @@
 	assert.Zero(t, f.arrivalsBetween(zone, lost, time.Now()))
 }
 
-// EVAC: two zones at once; one that is taken back is in use again while the other stays empty.
+// EVAC: two zones are evacuated at once. When the evacuation of one ends, it is used again while the
+// other stays empty.
 func TestTwoZonesAreEvacuatedAtOnce(t *testing.T) {
 	options := evacuationOptions()
 	options.Zones = 3
@@ -192,9 +194,9 @@
 	assert.LessOrEqual(t, f.Site.Ledger.MostWhileCold(), 15)
 }
 
-// EVAC, FAILBACK: an evacuation that is taken back and asked for again within a heartbeat, over
-// and over, leaves the zone as the last word says, and its servers, which have become cold with
-// each, are sent no more than they bear.
+// EVAC, FAILBACK: an evacuation is ended and requested again within a heartbeat, repeatedly. The
+// last request decides, and the servers, which become cold each time, receive no more than a cold
+// server's capacity.
 func TestEvacuationToggledWithinHeartbeat(t *testing.T) {
 	f := Start(t, evacuationOptions())
 	stop := startLoad(f, 6)
--- a/internal/sitetest/evacuation_test.go
+++ b/internal/sitetest/evacuation_test.go
@@ -17,11 +17,11 @@
 	"pinevane.example/pinevane/internal/forward"
 )
 
-// evacuateMs is the bound of the tests' evacuations.
+// evacuateMs is the time limit for evacuations in these tests.
 const evacuateMs = 1500
 
-// evacuationOptions is a fleet of two zones with three entries each, whose cold servers bear
-// 15 requests a second.
+// evacuationOptions returns a fleet of two zones with three entries each, whose cold servers
+// tolerate 15 requests a second.
 func evacuationOptions() site.Options {
 	options := DefaultOptions()
 	options.Entries = 3
@@ -30,19 +30,19 @@
 	return options
 }
 
-// evacuation is what a test did to a zone, and when.
+// evacuation records which zone a test evacuated, and when.
 type evacuation struct {
 	zone               string
 	startedAt, endedAt time.Time
 }
 
-// lateArrivals counts the requests that reached the zone's servers after the bound and before the
-// evacuation was taken back.
+// lateArrivals counts the requests that reached the zone's servers between the time limit and the
+// end of the evacuation.
 func (e evacuation) lateArrivals(f *Fleet) int {
 	return f.arrivalsBetween(e.zone, e.startedAt.Add(evacuateMs*time.Millisecond), e.endedAt)
 }
 
-// arrivalsBetween counts the requests that reached a zone's servers in a span of time.
+// arrivalsBetween counts the requests that reached a zone's servers in an interval.
 func (f *Fleet) arrivalsBetween(zone string, from, until time.Time) int {
 	count := 0
 	for _, arrival := range f.Site.Ledger.Deliveries() {
@@ -53,7 +53,7 @@
 	return count
 }
 
-// evacuateFor evacuates a zone for a time, beginning now.
+// evacuateFor evacuates a zone now, for the given duration.
 func (f *Fleet) evacuateFor(zone string, duration time.Duration) evacuation {
 	done := evacuation{zone: zone, startedAt: time.Now()}
 	f.Site.Evacuate(zone)
@@ -63,8 +63,8 @@
 	return done
 }
 
-// startLoad sends short streams and plain calls through every entry, until the function returned
-// is called, which returns how many were sent and how many not answered whole.
+// startLoad sends short streams and plain calls through every entry until stop is called. Stop
+// returns how many were sent and how many were not answered completely.
 func startLoad(f *Fleet, callers int) (stop func() (sent, spoilt int)) {
 	options := f.Site.Options
 	return runCallers(callers, func(caller, number int) bool {
@@ -85,12 +85,12 @@
 	})
 }
 
-// callerPause is the time between two requests of a caller of untilStopped.
+// callerPause is the time between two requests of one caller of runCallers.
 const callerPause = 10 * time.Millisecond
 
-// runCallers has each of some callers send requests one after the other, until the function
-// returned is called, which returns how many were sent and how many failed. Send reports whether a
-// request was answered as it should be.
+// runCallers runs callers that each send requests one after the other until stop is called. Send
+// reports whether a request was answered as expected; stop returns how many requests were sent and
+// how many failed.
 func runCallers(callers int, send func(caller, number int) bool) (stop func() (sent, failed int)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -117,7 +117,7 @@
 	}
 }
 
-// EVAC: under load, the servers of an evacuated zone receive nothing after the bound, every
+// EVAC: under load, the servers of an evacuated zone receive nothing after the time limit, every
 // request is served elsewhere, and the zone serves again afterwards.
 func TestEvacuatedZoneReceivesNothing(t *testing.T) {
 	f := Start(t, evacuationOptions())
@@ -131,13 +131,13 @@
 	sent, spoilt := stop()
 	assert.Greater(t, sent, 200)
 	assert.Zero(t, spoilt)
-	assert.Positive(t, f.arrivalsBetween(done.zone, began.Add(-300*time.Millisecond), began), "the zone was in use before")
+	assert.Positive(t, f.arrivalsBetween(done.zone, began.Add(-300*time.Millisecond), began), "the zone was in use before the evacuation")
 	assert.Zero(t, done.lateArrivals(f))
 	soon := f.arrivalsBetween(done.zone, done.startedAt.Add(300*time.Millisecond), done.endedAt)
-	assert.Zero(t, soon, "entries act when they hear of it, long before the bound")
+	assert.Zero(t, soon, "entries act on the announcement, long before the time limit")
 }
 
-// EVAC: the same while every answer of the store takes 0.3 s.
+// EVAC: the same while every response of the store takes 0.3 s.
 func TestEvacuationWhileTheStoreIsSlow(t *testing.T) {
 	f := Start(t, evacuationOptions())
 	stop := startLoad(f, 6)
@@ -149,8 +149,8 @@
 	assert.Zero(t, done.lateArrivals(f))
 }
 
-// EVAC, VERSION: weights are named at the same moment; the emptied zone's servers take them
-// too, and requests find servers of the right version all the time.
+// EVAC, VERSION: a version is announced at the same moment. The evacuated zone's servers load it
+// too, and requests find servers of a permitted version at any time.
 func TestEvacuationDuringVersionChange(t *testing.T) {
 	f := Start(t, evacuationOptions())
 	stop := startLoad(f, 6)
@@ -171,8 +171,8 @@
 	}
 }
 
-// EVAC: one that is taken back before its bound, and asked for again at once, counts from the
-// second asking, and the zone is in use afterwards.
+// EVAC: an evacuation that is ended before its time limit and requested again at once counts from
+// the second request, and the zone is used afterwards.
 func TestEvacuationCancelledBeforeDeadline(t *testing.T) {
 	f := Start(t, evacuationOptions())
 	stop := startLoad(f, 6)
@@ -188,7 +188,7 @@
 	assert.Zero(t, second.lateArrivals(f))
 }
 
-// EVAC: a stream that is open in the zone goes on there to its end.
+// EVAC: a stream that is open in the zone runs there to its end.
 func TestOpenStreamsFinishDuringEvacuation(t *testing.T) {
 	options := evacuationOptions()
 	options.EventTime = 50 * time.Millisecond
@@ -206,16 +206,16 @@
 	done := f.evacuateFor(site.ZoneName(1), 2500*time.Millisecond)
 	open.Wait()
 	assert.Len(t, f.Site.Ledger.Runs(), streams, "no stream was moved")
-	assert.Positive(t, f.arrivalsBetween(done.zone, done.startedAt.Add(-time.Second), done.startedAt), "some were open in the zone")
-	assert.Positive(t, countEvents(f, "PV2013", done.zone), "their entries say when the last has ended")
+	assert.Positive(t, f.arrivalsBetween(done.zone, done.startedAt.Add(-time.Second), done.startedAt), "some streams were open in the zone")
+	assert.Positive(t, countEvents(f, "PV2013", done.zone), "entries log the end of the last open stream")
 	assert.Zero(t, done.lateArrivals(f))
 }
 
-// EVAC: a stream that breaks off in an evacuated zone is continued outside it.
+// EVAC: a stream that breaks in an evacuated zone is resumed outside it.
 func TestBrokenStreamsResumeOutsideEvacuatedZone(t *testing.T) {
 	options := evacuationOptions()
 	options.EventTime = 50 * time.Millisecond
-	// Entries that have just started spend a cautious part of the slack; all break at once here.
+	// Freshly started entries spend only part of the retry slack; here all streams break at once.
 	options.BudgetSlack = 400
 	f := Start(t, options)
 	const streams, events, cutAfter = 8, 40, 20
@@ -238,11 +238,11 @@
 	f.Site.Evacuate(zone)
 	open.Wait()
 	assert.Positive(t, inZone)
-	assert.Len(t, f.Site.Ledger.Runs(), streams+inZone, "each broken stream was continued once")
+	assert.Len(t, f.Site.Ledger.Runs(), streams+inZone, "each broken stream was resumed once")
 	assert.Zero(t, f.arrivalsBetween(zone, asked, time.Now()))
 }
 
-// EVAC: an entry that starts meanwhile learns it with everything else.
+// EVAC: an entry that starts during an evacuation learns of it with the rest of the state.
 func TestEntryStartsDuringEvacuation(t *testing.T) {
 	f := Start(t, evacuationOptions())
 	zone := site.ZoneName(0)
@@ -259,15 +259,15 @@
 	assert.Zero(t, evacuation{zone: zone, startedAt: asked, endedAt: time.Now()}.lateArrivals(f))
 }
 
-// EVAC, REFUSED: when the evacuated zone is the only one, requests are refused at once and
-// truly, with a time to come back.
+// EVAC, REFUSED: when the evacuated zone is the only one, requests are refused at once as not-run,
+// with a Retry-After.
 func TestEvacuationOfTheOnlyZone(t *testing.T) {
 	options := evacuationOptions()
 	options.Zones = 1
 	f := Start(t, options)
 	zone := site.ZoneName(0)
 	f.Site.Evacuate(zone)
-	f.Eventually("the entries know", 2*time.Second, func() bool { return countEvents(f, "PV2009", zone) >= options.Entries })
+	f.Eventually("the entries know of the evacuation", 2*time.Second, func() bool { return countEvents(f, "PV2009", zone) >= options.Entries })
 	began := time.Now()
 	for number := range options.Entries {
 		answer, err := f.Stream(context.Background(), 0, number, "only-"+strconv.Itoa(number), 2)
@@ -285,8 +285,7 @@
 	})
 }
 
-// Bad input: what can't be read or names no zone of the fleet is logged, and the rest is in
-// force.
+// Invalid records, which cannot be read or name no zone of the fleet, are logged; valid ones apply.
 func TestFaultyEvacuations(t *testing.T) {
 	f := Start(t, evacuationOptions())
 	f.Site.Store.PutRaw("op/evacuate/", []byte(`{}`))
@@ -296,7 +295,7 @@
 		return countEvents(f, "PV2011", "names no zone") > 0 && countEvents(f, "PV2011", "hall-of-nowhere") > 0 &&
 			countEvents(f, "PV2011", "op/evacuate/"+site.ZoneName(1)) > 0
 	})
-	f.Eventually("the entries know", 2*time.Second, func() bool {
+	f.Eventually("the entries know of the evacuation", 2*time.Second, func() bool {
 		return countEvents(f, "PV2009", site.ZoneName(1)) >= f.Site.Options.Zones*f.Site.Options.Entries
 	})
 	known := time.Now()
@@ -308,8 +307,8 @@
 	assert.Zero(t, f.arrivalsBetween(site.ZoneName(1), known, time.Now()))
 }
 
-// FAILBACK: under load from several entries, the servers of a zone that comes back cold from
-// an evacuation receive what they bear and no more, in any second, and something at all.
+// FAILBACK: under load from several entries, the cold servers of a zone whose evacuation has ended
+// receive requests, but in no second more than they tolerate.
 func TestColdZoneIsNotOverloadedAfterEvacuation(t *testing.T) {
 	f := Start(t, evacuationOptions())
 	stop := startLoad(f, 18)
@@ -328,7 +327,7 @@
 	}
 }
 
-// FAILBACK: many requests come right after servers have become cold in ordinary use.
+// FAILBACK: a burst of requests arrives right after servers have become cold in normal use.
 func TestBurstAtColdServers(t *testing.T) {
 	f := Start(t, evacuationOptions())
 	calm := startLoad(f, 1)
@@ -349,8 +348,8 @@
 	}
 }
 
-// FAILBACK: servers become cold while each receives twice what a cold one bears. That holds
-// only if entries hear of it within half a second.
+// FAILBACK: servers become cold while each receives twice what a cold one tolerates. The limit holds
+// only if entries learn of it within half a second.
 func TestServerTurningColdUnderLoadIsNotOverloaded(t *testing.T) {
 	f := Start(t, evacuationOptions())
 	stop := startLoad(f, 4)
@@ -368,15 +367,15 @@
 	}
 }
 
-// FAILBACK: agents tell entries that their servers are cold, and how many requests these have
-// received over all entries.
+// FAILBACK: agents report to entries that their servers are cold, and how many requests these have
+// received from all entries.
 func TestAgentsReportColdServers(t *testing.T) {
 	f := Start(t, evacuationOptions())
 	stop := startLoad(f, 4)
 	for _, server := range f.Site.Models {
 		server.SetCold(true)
 	}
-	f.Eventually("every entry has it from the agents", time.Second, func() bool {
+	f.Eventually("every entry has reports of cold servers from all agents", time.Second, func() bool {
 		for zone := range f.Site.Options.Zones {
 			for index := range f.Site.Options.Entries {
 				if !f.hasColdReports(zone, index) {
@@ -389,8 +388,8 @@
 	stop()
 }
 
-// hasColdReports reports whether an entry has the words of all agents that their servers are cold,
-// one of them with requests received.
+// hasColdReports reports whether an entry has status reports of all agents that say that their
+// servers are cold, at least one of them with received requests.
 func (f *Fleet) hasColdReports(zone, index int) bool {
 	views, _ := f.Process(ProcessName(catalog.RoleEntry, zone, index)).Dump()["servers"].([]forward.ServerView)
 	cold, received := 0, 0
--- a/internal/sitetest/explain_test.go
+++ b/internal/sitetest/explain_test.go
@@ -16,21 +16,21 @@
 	"pinevane.example/pinevane/internal/explain"
 )
 
-// explainRequest waits until the request's end is in the logs and tells its story.
+// explainRequest waits until the end of a request is logged and explains the request from the log.
 func explainRequest(f *Fleet, t *testing.T, id, ending string) ([]explain.Line, explain.Story) {
 	t.Helper()
-	f.Eventually("the end is logged", 2*time.Second, func() bool { return countEvents(f, ending, `"`+id+`"`) > 0 })
+	f.Eventually("the end of the request is logged", 2*time.Second, func() bool { return countEvents(f, ending, `"`+id+`"`) > 0 })
 	lines, err := explain.Read(strings.NewReader(f.Log.String()))
 	require.NoError(t, err)
 	return lines, explain.Tell(lines, id)
 }
 
-// withoutEvent returns the lines less those of an event that name the request.
+// withoutEvent returns the lines without those of an event.
 func withoutEvent(lines []explain.Line, event string) []explain.Line {
 	return slices.DeleteFunc(slices.Clone(lines), func(line explain.Line) bool { return line.Event == event })
 }
 
-// An unknown outcome: a call that may run once, whose answer was lost.
+// An unknown outcome: the answer to an at-most-once call is lost.
 func TestExplainUnknownOutcome(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	for _, server := range f.Site.Plain {
@@ -50,8 +50,8 @@
 func TestExplainRefusalUnderLoad(t *testing.T) {
 	options := DefaultOptions()
 	options.Slots, options.EventTime = 1, 100*time.Millisecond
-	// The figures that the entry predicts by are true: it is not by chance, by a stream that
-	// waits at every server, that it knows them to be full.
+	// The published step time is accurate, so that the entry knows reliably that the servers are full.
+	// With inaccurate figures it would only know if a stream happened to wait at every server.
 	options.StepMilliseconds = 100
 	f := Start(t, options)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -71,7 +71,7 @@
 			refused = id
 		}
 	}
-	require.NotEmpty(t, refused, "nothing was refused")
+	require.NotEmpty(t, refused, "no request was refused")
 	lines, told := explainRequest(f, t, refused, "PV4104")
 	want := "no server was chosen; servers by reason: {"
 	assert.Contains(t, told.Cause, "refused, and certain not to have run")
@@ -79,7 +79,7 @@
 	assert.NotContains(t, explain.Tell(withoutEvent(lines, "PV4109"), refused).Cause, want)
 }
 
-// A stream cut while versions change: no other server of its version is left.
+// A stream is truncated during a version change because no other server of its version is left.
 func TestExplainStreamCutDuringVersionChange(t *testing.T) {
 	options := DefaultOptions()
 	options.EventTime = 150 * time.Millisecond
@@ -101,7 +101,7 @@
 		}
 		return left
 	}
-	f.Eventually("the others have changed over", 4*time.Second, func() bool {
+	f.Eventually("the other servers have switched", 4*time.Second, func() bool {
 		return !slices.ContainsFunc(others(), func(server *site.Server) bool { return server.Version() != 2 })
 	})
 	for _, server := range f.Site.Models {
--- a/internal/sitetest/fallback_test.go
+++ b/internal/sitetest/fallback_test.go
@@ -11,7 +11,8 @@
 	"pinevane.example/pinevane/internal/emulator/site"
 )
 
-// awayOptions leave time for an older version while the origin is away.
+// startWithoutOrigin starts a fleet, announces version 2 while the origin is unavailable, and waits
+// until all agents know of it. The time limit of a version is long enough for the outage.
 func startWithoutOrigin(t *testing.T) *Fleet {
 	options := DefaultOptions()
 	options.VersionMs = 12000
@@ -19,12 +20,12 @@
 	f.Eventually("version 1 is verified", 3*time.Second, func() bool { return countEvents(f, "PV3005", "") >= 4 })
 	f.Site.Origin.SetAway(true)
 	f.Site.NameVersion(2)
-	f.Eventually("version 2 is noticed", 3*time.Second, func() bool { return countEvents(f, "PV3001", `"version":2`) >= 4 })
+	f.Eventually("every agent knows of version 2", 3*time.Second, func() bool { return countEvents(f, "PV3001", `"version":2`) >= 4 })
 	return f
 }
 
-// An empty server that comes while the newest version can't be had serves the one that is in
-// force still, from its peers' copies, and the newest once the origin is back.
+// An empty server that starts while the newest version is unavailable serves the current one from
+// its peers' copies, and the newest once the origin is back.
 func TestEmptyServerLoadsCurrentVersion(t *testing.T) {
 	f := startWithoutOrigin(t)
 	fresh, err := f.Site.StartModel(1, 5, 0)
@@ -40,42 +41,43 @@
 	}
 }
 
-// A server that crashes while the next version is on its way serves again from what lies at
-// it: pieces of the next one have not taken its place.
+// A server that crashes while the next version is being transferred serves again from its local
+// copy: pieces of the next version have not replaced it.
 func TestCrashedServerReloadsCurrentVersion(t *testing.T) {
 	options := DefaultOptions()
 	options.VersionMs = 12000
 	f := Start(t, options)
 	f.Eventually("version 1 is verified", 3*time.Second, func() bool { return countEvents(f, "PV3005", "") >= 4 })
 	f.Site.NameVersion(2)
-	f.Eventually("version 2 is here", 4*time.Second, func() bool { return countEvents(f, "PV3005", `"version":2`) >= 4 })
+	f.Eventually("version 2 is staged", 4*time.Second, func() bool { return countEvents(f, "PV3005", `"version":2`) >= 4 })
 	f.Site.Origin.SetAway(true)
 	f.Site.NameVersion(3)
-	f.Eventually("version 3 is noticed", 3*time.Second, func() bool { return countEvents(f, "PV3001", `"version":3`) >= 4 })
+	f.Eventually("every agent knows of version 3", 3*time.Second, func() bool { return countEvents(f, "PV3001", `"version":3`) >= 4 })
 	require.NoError(t, f.Site.RestartModel(0, 0))
 	f.Eventually("the restarted server serves", 3*time.Second, func() bool { return f.Site.Models[f.Site.Options.ModelIP(0, 0)].Version() == 2 })
-	f.Eventually("the others change over to version 2 before the bound of version 1", 12*time.Second, func() bool { return f.allServe(2) })
+	f.Eventually("the other servers switch to version 2 before the deadline of version 1", 12*time.Second, func() bool { return f.allServe(2) })
 	f.Site.Origin.SetAway(false)
 	f.Eventually("every server serves version 3", 12*time.Second, func() bool { return f.allServe(3) })
 }
 
-// Seen: of two versions named three seconds apart the first had left the origin when the origin
-// stopped, a second after the second one. Every machine still waited for an eighth of it, which its
-// peers had, and dropped it for the second version, which nobody had. So all servers were without a
-// version from the bound of the first one on, 4.5 s of a day, until the origin was back.
+// A version in transfer when a newer one is announced is completed from peers, and serves until the
+// newer one is available.
 //
-// A version that is on its way when a newer one is named is completed from peers, and serves until
-// the newer one can be had.
+// Observed: two versions were announced three seconds apart, and the origin stopped a second after
+// the second announcement, when the first version had left it. Every machine still lacked an eighth
+// of the first version, which its peers had, and dropped it for the second version, which no
+// machine had. So all servers were without a version from the deadline of the first one until the
+// origin was back, 4.5 s in one day.
 func TestVersionInTransferIsCompletedWhenNewerOneIsAnnounced(t *testing.T) {
 	f := Start(t, slowLinkOptions(8000))
 	f.Eventually("version 1 is verified", 6*time.Second, func() bool { return countEvents(f, "PV3005", "") >= 4 })
 	f.Site.NameVersion(2)
 	f.Eventually("version 2 has left the origin", 3*time.Second, func() bool { return f.Site.Origin.Copies() >= 1 })
 	f.Site.Origin.SetAway(true)
-	require.Zero(t, countEvents(f, "PV3005", `"version":2`), "it is not here whole anywhere")
+	require.Zero(t, countEvents(f, "PV3005", `"version":2`), "no machine has the complete version")
 	f.Site.NameVersion(3)
-	f.Eventually("version 3 is noticed", 3*time.Second, func() bool { return countEvents(f, "PV3001", `"version":3`) >= 4 })
-	f.Eventually("every server changes over to version 2", 9*time.Second, func() bool { return f.allServe(2) })
+	f.Eventually("every agent knows of version 3", 3*time.Second, func() bool { return countEvents(f, "PV3001", `"version":3`) >= 4 })
+	f.Eventually("every server switches to version 2", 9*time.Second, func() bool { return f.allServe(2) })
 	_, err := f.Stream(context.Background(), 0, 0, "between", 3)
 	assert.NoError(t, err)
 	f.Site.Origin.SetAway(false)
@@ -85,8 +87,8 @@
 	}
 }
 
-// slowLinkOptions are options of a fleet in which a copy takes a machine 1.6 s over its link, and leaves
-// the origin in a fraction of it.
+// slowLinkOptions returns a fleet in which a machine receives a copy over its link in 1.6 s, while
+// the copy leaves the origin in a fraction of that.
 func slowLinkOptions(versionMs int) site.Options {
 	options := DefaultOptions()
 	options.VersionMs = versionMs
@@ -94,32 +96,32 @@
 	return options
 }
 
-// A version that is whole and waits for its turn is not given up for a part of a later one that
-// nobody can complete.
+// A complete version that waits for its switch is not dropped for a part of a later one that cannot
+// be completed.
 func TestCompleteFallbackIsNotDroppedForPartialVersion(t *testing.T) {
 	f := Start(t, slowLinkOptions(8000))
 	f.Eventually("version 1 is verified", 6*time.Second, func() bool { return countEvents(f, "PV3005", "") >= 4 })
 	f.Site.NameVersion(2)
-	f.Eventually("version 2 is here", 6*time.Second, func() bool { return countEvents(f, "PV3005", `"version":2`) >= 4 })
+	f.Eventually("version 2 is staged", 6*time.Second, func() bool { return countEvents(f, "PV3005", `"version":2`) >= 4 })
 	f.Site.NameVersion(3)
-	f.Eventually("version 3 has begun", 3*time.Second, func() bool { return countEvents(f, "PV3101", `"version":3`) >= 4 })
+	f.Eventually("the transfer of version 3 has begun", 3*time.Second, func() bool { return countEvents(f, "PV3101", `"version":3`) >= 4 })
 	f.Site.Origin.SetAway(true)
 	require.Zero(t, countEvents(f, "PV3005", `"version":3`))
 	f.Site.NameVersion(4)
-	f.Eventually("version 4 is noticed", 3*time.Second, func() bool { return countEvents(f, "PV3001", `"version":4`) >= 4 })
-	f.Eventually("every server changes over to version 2", 9*time.Second, func() bool { return f.allServe(2) })
+	f.Eventually("every agent knows of version 4", 3*time.Second, func() bool { return countEvents(f, "PV3001", `"version":4`) >= 4 })
+	f.Eventually("every server switches to version 2", 9*time.Second, func() bool { return f.allServe(2) })
 }
 
-// A server that crashes while two versions are on their way serves the one in force again.
+// A server that crashes while two versions are being transferred serves the current one again.
 func TestCrashedServerRecoversDuringTwoTransfers(t *testing.T) {
 	f := Start(t, slowLinkOptions(12000))
 	f.Eventually("version 1 is verified", 6*time.Second, func() bool { return countEvents(f, "PV3005", "") >= 4 })
 	f.Eventually("version 1 is served", 6*time.Second, func() bool { return f.allServe(1) })
 	f.Site.NameVersion(2)
-	f.Eventually("version 2 has begun", 3*time.Second, func() bool { return countEvents(f, "PV3101", `"version":2`) >= 4 })
+	f.Eventually("the transfer of version 2 has begun", 3*time.Second, func() bool { return countEvents(f, "PV3101", `"version":2`) >= 4 })
 	f.Site.Origin.SetAway(true)
 	f.Site.NameVersion(3)
-	f.Eventually("version 3 is noticed", 3*time.Second, func() bool { return countEvents(f, "PV3001", `"version":3`) >= 4 })
+	f.Eventually("every agent knows of version 3", 3*time.Second, func() bool { return countEvents(f, "PV3001", `"version":3`) >= 4 })
 	require.Zero(t, countEvents(f, "PV3005", `"version":2`))
 	require.NoError(t, f.Site.RestartModel(0, 0))
 	f.Eventually("the restarted server serves", 3*time.Second, func() bool { return f.Site.Models[f.Site.Options.ModelIP(0, 0)].Version() != 0 })
--- a/internal/sitetest/figures_test.go
+++ b/internal/sitetest/figures_test.go
@@ -13,7 +13,7 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// dropEngineParameters takes figures of speed and size out of the published engine.
+// dropEngineParameters removes speed and size parameters from the published engine.
 func dropEngineParameters(names ...string) func(configuration map[string]any) {
 	return func(configuration map[string]any) {
 		engine := configuration["services"].([]any)[0].(map[string]any)["engine"].(map[string]any)
@@ -23,12 +23,12 @@
 	}
 }
 
-// A deployment whose configuration lacks figures of its engines is served, also when
-// several requests come at a time, and one line of each entry names the figures.
+// A configuration that lacks parameters of its engine is used, also under concurrent requests, and
+// each entry logs the missing parameters once.
 func TestMissingEngineParametersAreLogged(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	version := f.Site.Configure(dropEngineParameters("read_per_s", "step_ms", "usual"))
-	f.Eventually("the change is in force", 2*time.Second, func() bool { return f.configurationApplied(version) })
+	f.Eventually("the configuration is applied", 2*time.Second, func() bool { return f.configurationApplied(version) })
 	var callers sync.WaitGroup
 	for number := range 24 {
 		callers.Go(func() {
@@ -41,7 +41,7 @@
 	}
 	callers.Wait()
 	entries := f.Site.Options.Zones * f.Site.Options.Entries
-	f.Eventually("every entry has named the figures", 2*time.Second, func() bool {
+	f.Eventually("every entry has logged the missing parameters", 2*time.Second, func() bool {
 		return countEvents(f, logging.FiguresMissing.Number, `"figures":["step_milliseconds","read_per_second","usual_prompt","usual_answer"]`) == entries
 	})
 }
--- a/internal/sitetest/fleet.go
+++ b/internal/sitetest/fleet.go
@@ -1,5 +1,5 @@
-// Package sitetest runs real entries and agents, inside a test, against the
-// stand-in of the users' platform.
+// Package sitetest runs real entries and agents, inside a test, against an emulation of the users'
+// platform.
 package sitetest
 
 import (
@@ -31,18 +31,18 @@
 	"pinevane.example/pinevane/platform"
 )
 
-// Fleet is the processes of a test.
+// Fleet holds the processes and the emulated site of a test.
 type Fleet struct {
 	t    *testing.T
 	Site *site.Site
-	// Log collects the lines of all processes.
+	// Log collects the log lines of all processes.
 	Log *LogBuffer
 
 	mutex        sync.Mutex
 	processes    map[string]*process
 	openedStores map[string]bool
-	// settingsOverrides hold what a process's settings file says now, by the process's name, where it is
-	// not what the stand-in gives.
+	// settingsOverrides holds the settings files, by process name, that differ from those that the
+	// site generates.
 	settingsOverrides map[string][]byte
 }
 
@@ -52,7 +52,7 @@
 	done   chan struct{}
 }
 
-// LogBuffer is a log that tests read.
+// LogBuffer collects log lines for tests to read.
 type LogBuffer struct {
 	mutex sync.Mutex
 	text  strings.Builder
@@ -65,7 +65,7 @@
 	return l.text.Write(line)
 }
 
-// String returns all lines.
+// String returns all collected lines.
 func (l *LogBuffer) String() string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -74,18 +74,18 @@
 
 var (
 	networkMutex sync.Mutex
-	// nextNetwork is where the next free network is looked for. Runs of these tests at the same time begin at
-	// different ones.
+	// nextNetwork is where the search for a free network begins. It starts at the process ID, so that
+	// concurrent runs of these tests begin at different networks.
 	nextNetwork = os.Getpid()
 )
 
-// Networks of these tests' stand-ins, which are used in turn. Demos and soaks take theirs from 140 on.
+// The networks that these tests use in turn. Demos and soak runs use those from 140 on.
 const (
 	firstNetwork = 61
 	networkCount = 79
 )
 
-// DefaultOptions is a fleet of two zones with bounds that suit a test.
+// DefaultOptions returns a fleet of two zones with bounds that suit a test.
 func DefaultOptions() site.Options {
 	networkMutex.Lock()
 	defer networkMutex.Unlock()
@@ -98,8 +98,7 @@
 	}
 }
 
-// Start starts the stand-in and every process, and waits until the entries are
-// ready.
+// Start starts the emulated site and every process, and waits until the entries are ready.
 func Start(t *testing.T, options site.Options) *Fleet {
 	t.Helper()
 	running, err := site.Start(options)
@@ -118,7 +117,7 @@
 	return f
 }
 
-// logDirectoryVariable names a folder that gets the logs of every test's fleet.
+// logDirectoryVariable names the directory that receives the log of every test's fleet.
 const logDirectoryVariable = "PINEVANE_TEST_LOGS"
 
 func (f *Fleet) close() {
@@ -140,7 +139,7 @@
 	f.Site.Close()
 }
 
-// ProcessName names a process.
+// ProcessName returns the name of a process.
 func ProcessName(role string, zone, index int) string { return launch.SiteProcess(role, zone, index) }
 
 func (f *Fleet) newDaemon(role string, zone, index int) *daemon.Daemon {
@@ -161,7 +160,7 @@
 	})
 }
 
-// currentSettings is what a process's settings file says now.
+// currentSettings returns the current content of a process's settings file.
 func (f *Fleet) currentSettings(role string, zone, index int) []byte {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -171,7 +170,7 @@
 	return f.Site.Settings(role, zone, index)
 }
 
-// Reload changes an entry's settings file and has the entry read it again.
+// Reload replaces an entry's settings file and makes the entry reload it.
 func (f *Fleet) Reload(zone, index int, data []byte) {
 	name := ProcessName(catalog.RoleEntry, zone, index)
 	f.mutex.Lock()
@@ -199,7 +198,7 @@
 	f.runProcess(ProcessName(catalog.RoleEntry, zone, index), base, gateway.New(gateway.Options{Daemon: base, Dialect: platform.Dialect{}, Policy: forward.DefaultPolicy()}).Run)
 }
 
-// StartAgent starts the agent of a model server's machine.
+// StartAgent starts the agent on a model server's machine.
 func (f *Fleet) StartAgent(zone, index int) {
 	base := f.newDaemon(catalog.RoleAgent, zone, index)
 	agent := rollout.New(rollout.Options{
@@ -208,7 +207,7 @@
 	f.runProcess(ProcessName(catalog.RoleAgent, zone, index), base, agent.Run)
 }
 
-// Stop stops a process as planned and waits for its end.
+// Stop performs a planned stop of a process and waits until it is complete.
 func (f *Fleet) Stop(name string) {
 	f.mutex.Lock()
 	stopping := f.processes[name]
@@ -218,7 +217,7 @@
 	<-stopping.done
 }
 
-// Kill ends a process's servers and links at once.
+// Kill closes a process's servers and links at once.
 func (f *Fleet) Kill(name string) {
 	f.mutex.Lock()
 	killed := f.processes[name]
@@ -231,20 +230,20 @@
 	close(killed.stop)
 }
 
-// Process returns the shared part of a running process.
+// Process returns the daemon of a running process.
 func (f *Fleet) Process(name string) *daemon.Daemon {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.processes[name].daemon
 }
 
-// Eventually waits for a condition.
+// Eventually waits until a condition holds and fails the test after the limit.
 func (f *Fleet) Eventually(what string, limit time.Duration, condition func() bool) {
 	f.t.Helper()
 	require.Eventually(f.t, condition, limit, 10*time.Millisecond, what)
 }
 
-// WaitReady waits until every entry is ready and every model server is seen.
+// WaitReady waits until every entry is ready and has a status report from every agent.
 func (f *Fleet) WaitReady() {
 	f.t.Helper()
 	options := f.Site.Options
@@ -264,14 +263,14 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// hasAllReports reports whether an entry has heard from the agent of each model
-// server that serves.
+// hasAllReports reports whether an entry has received a status report from the agent of each model
+// server.
 func (f *Fleet) hasAllReports(zone, index int) bool {
 	dump := f.Process(ProcessName(catalog.RoleEntry, zone, index)).Dump()
 	return strings.Count(fmt.Sprintf("%+v", dump["servers"]), "Reachable:true") >= f.Site.Options.Zones*f.Site.Options.ModelServers
 }
 
-// Answer is what a caller got.
+// Answer is the response that a caller received.
 type Answer struct {
 	Status int
 	Header http.Header
@@ -280,15 +279,15 @@
 	Complete bool
 	// ClosesConnection is set when the entry ends the connection after the answer.
 	ClosesConnection bool
-	// Events are the ids of a stream's events.
+	// Events holds the IDs of a stream's events.
 	Events []int
 }
 
-// client keeps no connection for long, so that none goes to a process that has
-// been started anew on the same address.
+// client closes idle connections soon, so that none is reused for a process that has restarted on
+// the same address.
 var client = &http.Client{Transport: &http.Transport{IdleConnTimeout: 50 * time.Millisecond, DisableCompression: true}}
 
-// Call sends one request to an entry as a caller would.
+// Call sends one request to an entry, as a caller would.
 func (f *Fleet) Call(ctx context.Context, zone, index int, method, path, id string, header map[string]string, body string) (Answer, error) {
 	request, err := http.NewRequestWithContext(ctx, method, f.Site.EntryURL(zone, index)+path, strings.NewReader(body))
 	if err != nil {
@@ -320,15 +319,16 @@
 	return answer, nil
 }
 
-// shortPrompt is the size of a prompt, in tokens, where a test does not care.
+// shortPrompt is the prompt size, in tokens, for tests that do not depend on it.
 const shortPrompt = 10
 
-// Stream asks for a stream of a number of events.
+// Stream requests a stream with the given number of events.
 func (f *Fleet) Stream(ctx context.Context, zone, index int, id string, events int) (Answer, error) {
 	return f.StreamWithPrompt(ctx, zone, index, id, shortPrompt, events)
 }
 
-// StreamWithPrompt asks for a stream of a number of events after a prompt of a number of tokens.
+// StreamWithPrompt requests a stream with the given number of events for a prompt of the given
+// number of tokens.
 func (f *Fleet) StreamWithPrompt(ctx context.Context, zone, index int, id string, prompt, events int) (Answer, error) {
 	header := map[string]string{"Model": f.Site.Options.Weights.Model, "Token-Usage": fmt.Sprintf("%d,%d", prompt, events)}
 	return f.Call(ctx, zone, index, http.MethodPost, site.StreamPrefix+"a", id, header, "prompt")
--- a/internal/sitetest/fleet_test.go
+++ b/internal/sitetest/fleet_test.go
@@ -19,7 +19,7 @@
 	"pinevane.example/pinevane/internal/emulator/site"
 )
 
-// countEvents counts the log lines with an event's number and some more text.
+// countEvents counts the log lines with an event number that contain the given text.
 func countEvents(f *Fleet, number, with string) int {
 	count := 0
 	for line := range strings.SplitSeq(f.Log.String(), "\n") {
@@ -30,7 +30,7 @@
 	return count
 }
 
-// configurationApplied reports whether every entry has a configuration version.
+// configurationApplied reports whether every entry has a configuration version or a later one.
 func (f *Fleet) configurationApplied(version uint64) bool {
 	for zone := range f.Site.Options.Zones {
 		for index := range f.Site.Options.Entries {
@@ -47,8 +47,8 @@
 	configuration["tenants"] = []any{map[string]any{"name": site.Tenant, "apiKeys": []string{"another-key"}}}
 }
 
-// CONFIG: a change is in force everywhere in time, also when the store's watches
-// hear nothing and its history is then forgotten.
+// CONFIG: a change is applied everywhere in time, even if the store's watches deliver nothing and
+// its history is then compacted.
 func TestConfigurationAppliedAfterStoreCompaction(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	f.Site.Store.SetDeaf()
@@ -56,30 +56,30 @@
 	acknowledged := time.Now()
 	version := f.Site.Configure(revoke)
 	time.AfterFunc(800*time.Millisecond, f.Site.Store.Compact)
-	f.Eventually("the change is in force", 2*time.Second, func() bool { return f.configurationApplied(version) })
+	f.Eventually("the change is applied", 2*time.Second, func() bool { return f.configurationApplied(version) })
 	t.Logf("in force after %s", time.Since(acknowledged))
 	answer, err := f.Call(context.Background(), 0, 1, http.MethodGet, site.SafePrefix, "revoked", nil, "")
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusUnauthorized, answer.Status)
 }
 
-// CONFIG: entries that the store turns away learn from the others.
+// CONFIG: entries that the store refuses receive changes from other entries.
 func TestConfigurationReachesEntriesRefusedByStore(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	options := f.Site.Options
 	f.Site.Store.Refuse(options.EntryIP(0, 0), options.EntryIP(0, 1), options.EntryIP(1, 1))
 	time.Sleep(200 * time.Millisecond)
 	version := f.Site.Configure(revoke)
-	f.Eventually("the change is in force", 2*time.Second, func() bool { return f.configurationApplied(version) })
+	f.Eventually("the change is applied", 2*time.Second, func() bool { return f.configurationApplied(version) })
 }
 
-// CONFIG: an entry that starts while the store is down learns from its peers, and
-// answers 503 until then.
+// CONFIG: an entry that starts while the store is down gets its state from peers, and answers 503
+// until then.
 func TestEntryStartsWhileStoreIsDown(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	f.Kill(ProcessName(catalog.RoleEntry, 1, 1))
 	version := f.Site.Configure(nil)
-	f.Eventually("the change is in force at another", 2*time.Second, func() bool {
+	f.Eventually("the change is applied at another entry", 2*time.Second, func() bool {
 		return f.Process(ProcessName(catalog.RoleEntry, 0, 0)).Catalog.View().Configuration.Version >= version
 	})
 	f.Site.Store.SetDown(true)
@@ -90,7 +90,7 @@
 	assert.Equal(t, http.StatusOK, answer.Status)
 }
 
-// Few processes read the store: one entry of the fleet, as long as it can.
+// Only one entry of the fleet reads the store, for as long as it can.
 func TestFewProcessesReadTheStore(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	time.Sleep(time.Second)
@@ -98,11 +98,11 @@
 	time.Sleep(2 * time.Second)
 	perSecond := float64(f.Site.Store.Calls()-before) / 2
 	t.Logf("%.1f calls a second", perSecond)
-	assert.LessOrEqual(t, perSecond, 6.0, "one watch after the other, at most five a second")
+	assert.LessOrEqual(t, perSecond, 6.0, "one watch at a time, at most five a second")
 }
 
-// CONFIG: when the store turns away every entry of a zone, be it the one that reads for
-// the others, those of another zone read soon.
+// CONFIG: when the store refuses every entry of a zone, including the one that reads for all
+// others, entries of another zone soon read instead.
 func TestAnotherZoneReadsForRefusedZone(t *testing.T) {
 	for zone := range DefaultOptions().Zones {
 		f := Start(t, DefaultOptions())
@@ -110,11 +110,11 @@
 		time.Sleep(500 * time.Millisecond)
 		f.Site.Store.Refuse(options.EntryIP(zone, 0), options.EntryIP(zone, 1))
 		version := f.Site.Configure(revoke)
-		f.Eventually("the change is in force", time.Duration(options.ConfigApplyMs)*time.Millisecond, func() bool { return f.configurationApplied(version) })
+		f.Eventually("the change is applied", time.Duration(options.ConfigApplyMs)*time.Millisecond, func() bool { return f.configurationApplied(version) })
 	}
 }
 
-// DRAIN: a server that announces its end gets nothing more after a moment.
+// DRAIN: a server that announces that it is leaving soon receives no new requests.
 func TestLeavingServerReceivesNoNewRequests(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	leaving := f.Site.Models[f.Site.Options.ModelIP(0, 0)]
@@ -132,8 +132,8 @@
 	}
 }
 
-// LOST, DRAIN: a planned stop of an entry takes readiness back at once, cuts no
-// stream, and answers what still comes.
+// LOST, DRAIN: an entry that is stopped as planned reports not ready at once, cuts no stream, and
+// answers requests that still arrive.
 func TestPlannedStopDropsNoRequest(t *testing.T) {
 	options := DefaultOptions()
 	options.EventTime = 100 * time.Millisecond
@@ -157,17 +157,17 @@
 	answer, err := f.Call(context.Background(), 0, 0, http.MethodGet, site.SafePrefix, "late", nil, "")
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusOK, answer.Status)
-	assert.True(t, answer.ClosesConnection, "a stopping entry asks its callers to connect anew")
+	assert.True(t, answer.ClosesConnection, "a stopping entry tells its callers to reconnect")
 	streams.Wait()
 	select {
 	case <-stopped:
 	case <-time.After(time.Duration(options.GraceS * float64(time.Second))):
-		t.Fatal("the entry did not end within its grace")
+		t.Fatal("the entry did not stop within its grace period")
 	}
 }
 
-// LOST: a caller's resting connection is closed while the entry still listens, so
-// that the caller's next request is not refused by a process that is about to end.
+// LOST: a stopping entry closes idle caller connections while it still listens, so that the
+// caller's next request is not refused by a process that is about to exit.
 func TestPlannedStopClosesIdleConnections(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	connection, err := net.Dial("tcp", strings.TrimPrefix(f.Site.EntryURL(0, 0), "http://"))
@@ -186,8 +186,8 @@
 	assert.ErrorIs(t, err, io.EOF)
 }
 
-// expireServersInOutage has the store lose every model server's line while it is away, and
-// waits until it is back and an entry has seen that.
+// expireServersInOutage makes the store lose the record of every model server during an outage,
+// and waits until it is back and an entry has detected that.
 func expireServersInOutage(f *Fleet) {
 	f.Site.Store.SetDown(true)
 	time.Sleep(2500 * time.Millisecond)
@@ -195,28 +195,28 @@
 		server.Lapse()
 	}
 	f.Site.Store.SetDown(false)
-	f.Eventually("an entry has heard of the lapse", 2*time.Second, func() bool { return countEvents(f, "PV4207", "") > 0 })
+	f.Eventually("an entry has detected the expiry", 2*time.Second, func() bool { return countEvents(f, "PV4207", "") > 0 })
 }
 
-// A server whose line is lost in an outage of the store serves on after it; one that has
-// not written its line anew after two seconds is taken as gone.
+// Servers whose records are lost in an outage of the store are used after it; one that has not
+// written its record again within two seconds is treated as removed.
 func TestServersExpiredInOutageKeepServing(t *testing.T) {
 	options := DefaultOptions()
 	options.DrainMs = 3000
 	f := Start(t, options)
 	expireServersInOutage(f)
 	for number := range 12 {
-		answer, err := f.Stream(context.Background(), number%2, number/2%2, fmt.Sprintf("lapsed-%d", number), 2)
+		answer, err := f.Stream(context.Background(), number%2, number/2%2, fmt.Sprintf("expired-%d", number), 2)
 		require.NoError(t, err)
 		assert.Equal(t, http.StatusOK, answer.Status)
 	}
-	f.Eventually("they are taken as gone", 4*time.Second, func() bool {
+	f.Eventually("the servers are removed", 4*time.Second, func() bool {
 		return len(f.Process(ProcessName(catalog.RoleEntry, 0, 0)).Catalog.View().Servers[site.ModelService]) == 0
 	})
 }
 
-// A server that lapsed in an outage and wrote the same line anew is a server again at
-// every entry, also at those that hear of it from others.
+// A server that expired in an outage and wrote the same record again is used by every entry,
+// including those that learn of it from other entries.
 func TestServersReregisteredAfterOutageAreUsedEverywhere(t *testing.T) {
 	options := DefaultOptions()
 	options.DrainMs = 3000
--- a/internal/sitetest/health_test.go
+++ b/internal/sitetest/health_test.go
@@ -15,7 +15,7 @@
 	"pinevane.example/pinevane/internal/emulator/site"
 )
 
-// healthOptions is a fleet of one zone with three entries and four servers of each service.
+// healthOptions returns a fleet of one zone with three entries and four servers of each service.
 func healthOptions() site.Options {
 	options := DefaultOptions()
 	options.Zones, options.Entries, options.ModelServers, options.PlainServers = 1, 3, 4, 4
@@ -23,7 +23,7 @@
 	return options
 }
 
-// modelServer and plainServer return the first servers of the services.
+// modelServer returns the model server with the given index.
 func (f *Fleet) modelServer(index int) *site.Server {
 	return f.Site.Models[f.Site.Options.ModelIP(0, index)]
 }
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// receivedBy lists the requests that a server has received after a moment.
+// receivedBy lists the requests that a server received after the given time.
 func (f *Fleet) receivedBy(server *site.Server, after time.Time) []site.Delivery {
 	var received []site.Delivery
 	for _, delivery := range f.Site.Ledger.Deliveries() {
@@ -48,9 +48,8 @@
 	return received
 }
 
-// startSaves sends requests that may not run twice, one after the other, through every entry, until
-// the function returned is called, which returns how many were sent and how many were not
-// served.
+// startSaves sends at-most-once requests, one after the other, through every entry until stop is
+// called. Stop returns how many were sent and how many were not served.
 func startSaves(f *Fleet, callers int) (stop func() (sent, lost int)) {
 	return runCallers(callers, func(caller, number int) bool {
 		answer, err := f.Call(context.Background(), 0, caller%f.Site.Options.Entries, http.MethodPost, site.OncePrefix+"a",
@@ -59,7 +58,7 @@
 	})
 }
 
-// assertNoneRanTwice checks that no request that may run once only has run twice.
+// assertNoneRanTwice checks that no at-most-once request ran twice.
 func assertNoneRanTwice(t *testing.T, f *Fleet) {
 	t.Helper()
 	ran := map[string]int{}
@@ -71,9 +70,9 @@
 	}
 }
 
-// A server that reports that it is well and fails everything costs each entry a request or two,
-// and the zone one trial each time its ejection ends; no caller of a request that may be sent
-// again sees it, and once the server is sound it is in use again.
+// A server that is reported healthy and fails every request costs each entry one or two requests,
+// and the zone one trial each time its ejection ends. No caller of a repeatable request is
+// affected, and the server is used again after it recovers.
 func TestFailingServerReportedHealthyCostsFewRequests(t *testing.T) {
 	for name, lie := range map[string]site.Lie{"errors": site.LyingErrors, "resets": site.LyingResets, "hangs": site.LyingHangs} {
 		t.Run(name, func(t *testing.T) {
@@ -89,16 +88,16 @@
 			model.SetFaults(site.Faults{})
 			plain.SetFaults(site.Faults{})
 			sound := time.Now()
-			f.Eventually("both are in use again", 8*time.Second, func() bool {
+			f.Eventually("both servers are in use again", 8*time.Second, func() bool {
 				return len(f.receivedBy(model, sound)) > 20 && len(f.receivedBy(plain, sound)) > 20
 			})
 			sent, spoilt := stop()
 			saved, lost := stopSaves()
-			t.Logf("%d streams and calls, %d saves; the lying servers received %d and %d, %d saves were lost", sent, saved, toModel, toPlain, lost)
+			t.Logf("%d streams and calls, %d saves; the failing servers received %d and %d, %d saves were lost", sent, saved, toModel, toPlain, lost)
 			assert.Zero(t, spoilt)
 			assertNoneRanTwice(t, f)
-			// Nine callers have one request each; two failures or three overdue answers decide,
-			// and there is time for two trials.
+			// Nine callers have one request each; two failures or three overdue answers eject the server, and
+			// there is time for two trials.
 			assert.LessOrEqual(t, toModel, 15)
 			assert.LessOrEqual(t, toPlain, 15)
 			assert.LessOrEqual(t, lost, 12)
@@ -106,8 +105,8 @@
 	}
 }
 
-// A server that goes down and up by turns is out for longer each time, and no request is spoilt
-// by it or meets two such servers.
+// A server that alternates between up and down is ejected for longer each time; no request fails
+// because of it or is sent to two such servers.
 func TestFlappingServersFailEachRequestOnce(t *testing.T) {
 	f := Start(t, healthOptions())
 	stop := startLoad(f, 9)
@@ -138,12 +137,12 @@
 	}
 	t.Logf("%d requests, %d met a server that was down, one up to %d times, %d ejections", sent, len(times), most, countEvents(f, "PV4204", "server"))
 	assert.LessOrEqual(t, most, 1)
-	// Five in each of the turns.
+	// Five in each of the 12 rounds.
 	assert.LessOrEqual(t, len(times), 60)
 	assert.Zero(t, spoilt)
 }
 
-// A server whose reports and health checks fail, and that serves, stays in use.
+// A server that serves requests stays in use although its reports and health checks fail.
 func TestServerThatIsFalselyIllStaysInUse(t *testing.T) {
 	f := Start(t, healthOptions())
 	stop := startLoad(f, 9)
@@ -152,7 +151,7 @@
 	for index := range 2 {
 		f.modelServer(index).SetFaults(site.Faults{FalselyIll: true})
 	}
-	f.Eventually("the entries are told", 2*time.Second, func() bool { return countEvents(f, "PV4203", `"reachable":false`) >= 2 })
+	f.Eventually("the entries have received the reports", 2*time.Second, func() bool { return countEvents(f, "PV4203", `"reachable":false`) >= 2 })
 	time.Sleep(2 * time.Second)
 	late := time.Now().Add(-500 * time.Millisecond)
 	sent, spoilt := stop()
@@ -160,13 +159,13 @@
 	for index := range 2 {
 		received := len(f.receivedBy(f.modelServer(index), began))
 		t.Logf("server %d received %d of %d", index, received, sent)
-		assert.NotEmpty(t, f.receivedBy(f.modelServer(index), late), "it is in use to the end")
+		assert.NotEmpty(t, f.receivedBy(f.modelServer(index), late), "the server is in use to the end")
 		assert.Greater(t, received, sent/20)
 	}
 }
 
-// Half of the servers answer neither their agents nor requests: they get a trial now and then, no
-// caller sees it, and they are in use again once they answer.
+// Half of the servers respond neither to their agents nor to requests. They receive occasional
+// trials, no caller is affected, and they are used again once they respond.
 func TestUnresponsiveServersCostFewRequests(t *testing.T) {
 	f := Start(t, healthOptions())
 	stop := startLoad(f, 9)
@@ -174,7 +173,7 @@
 	for index := range 2 {
 		f.modelServer(index).SetFaults(site.Faults{Silent: true})
 	}
-	f.Eventually("the entries are told", 2*time.Second, func() bool { return countEvents(f, "PV4203", `"reachable":false`) >= 2 })
+	f.Eventually("the entries have received the reports", 2*time.Second, func() bool { return countEvents(f, "PV4203", `"reachable":false`) >= 2 })
 	time.Sleep(500 * time.Millisecond)
 	sentTo := func(index int) int { return countEvents(f, "PV4101", f.modelServer(index).ID()) }
 	before := []int{sentTo(0), sentTo(1)}
@@ -182,7 +181,7 @@
 	for index := range 2 {
 		received := sentTo(index) - before[index]
 		t.Logf("server %d was sent %d while it was lost", index, received)
-		// Trials 1.5 s, 1.5 s and 3 s apart at the least, and one in a turn of another entry.
+		// Trials are at least 1.5 s, 1.5 s and 3 s apart, and another entry may add one in its turn.
 		assert.Positive(t, received)
 		assert.LessOrEqual(t, received, 5)
 	}
@@ -190,7 +189,7 @@
 		f.modelServer(index).SetFaults(site.Faults{})
 	}
 	sound := time.Now()
-	f.Eventually("both are in use again", 3*time.Second, func() bool {
+	f.Eventually("both servers are in use again", 3*time.Second, func() bool {
 		return len(f.receivedBy(f.modelServer(0), sound)) > 20 && len(f.receivedBy(f.modelServer(1), sound)) > 20
 	})
 	sent, spoilt := stop()
@@ -198,8 +197,8 @@
 	assert.Zero(t, spoilt)
 }
 
-// What one entry has learned of a server holds at every entry of the zone, at once, and an entry
-// that starts then hears of it too.
+// An ejection by one entry applies at every entry of the zone at once, and an entry that starts
+// afterwards learns of it too.
 func TestEjectionIsSharedWithinZone(t *testing.T) {
 	f := Start(t, healthOptions())
 	model := f.modelServer(0)
@@ -210,15 +209,15 @@
 		require.Equal(t, http.StatusOK, answer.Status)
 	}
 	learned := time.Now()
-	f.Eventually("the zone knows", 300*time.Millisecond, func() bool {
+	f.Eventually("every entry of the zone knows of the ejection", 300*time.Millisecond, func() bool {
 		return countEvents(f, "PV4204", model.ID()) == f.Site.Options.Entries
 	})
 	knows := time.Since(learned)
-	t.Logf("the zone knows after %s", knows)
+	t.Logf("every entry of the zone knows after %s", knows)
 	f.Kill(ProcessName(catalog.RoleEntry, 0, 2))
 	f.StartEntry(0, 2)
 	f.Eventually("the entry is ready", 5*time.Second, func() bool { return f.ready(0, 2) && f.hasAllReports(0, 2) })
-	f.Eventually("it knows", 300*time.Millisecond, func() bool {
+	f.Eventually("the new entry knows of the ejection", 300*time.Millisecond, func() bool {
 		return countEvents(f, "PV4204", model.ID()) == f.Site.Options.Entries+1
 	})
 	before := len(f.receivedBy(model, learned))
@@ -228,8 +227,8 @@
 		assert.Equal(t, http.StatusOK, answer.Status)
 	}
 	received := len(f.receivedBy(model, learned)) - before
-	// A line is written up to 0.1 s after what it tells of.
-	f.Eventually("the log tells of as many trials as reached it", 500*time.Millisecond, func() bool {
+	// A log line is written up to 0.1 s after its event.
+	f.Eventually("as many trials are logged as reached the server", 500*time.Millisecond, func() bool {
 		return countEvents(f, "PV4209", model.ID()) >= received
 	})
 }
