--- a/internal/sitetest/crashing_test.go
+++ b/internal/sitetest/crashing_test.go
@@ -29,20 +29,20 @@
 // it is sent.
 
 const (
-	// maxCrashes is how many servers may end before the content is known.
+	// maxCrashes is how many servers may crash before the fingerprint is quarantined.
 	maxCrashes = 3
-	// quarantineDelay is how soon after the third end every machine knows the content, latecomersAllowed how
-	// many sends are allowed after that.
+	// quarantineDelay is the time after the third crash by which every machine knows the
+	// fingerprint, and maxLateArrivals how many requests with it may arrive after that.
 	quarantineDelay = 3 * time.Second
 	maxLateArrivals = 3
-	// crashingDuration is how long the content is asked, askedEach how often.
+	// crashingDuration is how long the crashing request is sent, and crashingInterval how often.
 	crashingDuration = 8 * time.Second
 	crashingInterval = 120 * time.Millisecond
-	// crashReportDelay is the time from an end to the news of it at the last entry: two questions of the agent,
-	// the way over two relays, or one refused connection.
+	// crashReportDelay is the time from a crash until the last entry knows of it: two load queries
+	// of the agent and two relay hops, or one refused connection.
 	crashReportDelay = time.Second
-	// minServedRatio is the share of harmless requests that are served in time once the content is known
-	// and the last server that it ended is back.
+	// minServedRatio is the ratio of harmless requests that are served in time once the
+	// fingerprint is quarantined and the last crashed server has restarted.
 	minServedRatio = 0.95
 
 	// controlPort is the port of the entries' control address, which also serves administration.
--- a/internal/sitetest/late_cancel_test.go
+++ b/internal/sitetest/late_cancel_test.go
@@ -15,10 +15,10 @@
 	"pinevane.example/pinevane/internal/silencer"
 )
 
-// modelPort is that of the stand-in's servers.
+// modelPort is the port of the emulated model servers.
 const modelPort = 8001
 
-// serverConnections are the open connections to servers, by both ends.
+// serverConnections returns the open connections to servers, as seen from both ends.
 func serverConnections(t *testing.T) map[silencer.Connection]bool {
 	open := map[silencer.Connection]bool{}
 	_, err := silencer.Silence(func(c silencer.Connection) bool {
@@ -31,8 +31,8 @@
 	return open
 }
 
-// lateCancelOptions make requests wait at servers: each stream holds one of few places for
-// long, which the published times of a step do not tell.
+// lateCancelOptions makes requests queue at servers: each stream holds one of few slots for a long
+// time, which the published step time does not reveal.
 func lateCancelOptions() site.Options {
 	options := DefaultOptions()
 	options.Slots = 2
@@ -42,22 +42,24 @@
 }
 
 const (
-	// longStreamEvents at 100 ms each are longer than the time from the silence to the bound.
+	// longStreamEvents at 100 ms each take longer than the time from the silence to the deadline.
 	longStreamEvents = 25
-	// silenceBefore is how long before the bound the connections go silent: after the last
-	// request was sent, and before those that wait are taken back.
+	// silenceBefore is how long before the deadline the connections go silent: after the last
+	// request was sent, and before queued requests are cancelled.
 	silenceBefore = 700 * time.Millisecond
-	// holdBefore is how long before the bound the servers begin nothing more, until releasedAfter it. By
-	// then every place has become free, so that entries that have learned how late servers begin send
-	// to them again, and what they send waits. All that is not turned away begins when it is let go.
+	// holdBefore is how long before the deadline the servers stop starting requests, until
+	// releasedAfter it. By then every slot is free, so that entries that have learned how late
+	// servers start requests send to them again, and these requests queue. All requests that are not
+	// refused start when the queues are released.
 	holdBefore    = 2700 * time.Millisecond
 	releasedAfter = 50 * time.Millisecond
-	// burstBefore is how long before the bound burstStreams come at once, each entry's before it hears of
-	// the others'. Entries send nothing to an old version from a second before its bound.
+	// burstBefore is how long before the deadline burstStreams arrive at once, each entry's before
+	// it learns of the others'. Entries send nothing to an old version from a second before its
+	// deadline.
 	burstBefore  = 1150 * time.Millisecond
 	burstStreams = 24
-	// checkAfter is how long after the bound the servers' records are looked at: what was
-	// under way is over then, and what waited would have begun.
+	// checkAfter is how long after the deadline the servers' records are checked: running requests
+	// have ended by then, and queued ones would have started.
 	checkAfter = 4 * time.Second
 )
 
@@ -67,9 +69,9 @@
 	}
 }
 
-// lateRuns names version 2 under load, silences the connections between entries and servers
-// while requests wait there, and returns the requests that began on version 1 after its bound
-// and whether any was waiting when the connections went silent.
+// lateRuns announces version 2 under load and silences the connections between entries and servers
+// while requests are queued there. It returns the requests that started on version 1 after its
+// deadline, and how many were queued when the connections went silent.
 func lateRuns(t *testing.T, f *Fleet) (late []time.Duration, waiting int) {
 	agents := serverConnections(t)
 	stream := func(kind string) func(context.Context, int) outcome {
@@ -111,16 +113,16 @@
 	return late, waiting
 }
 
-// VERSION: requests wait at servers when the connections to them go silent, so that no
-// cancelling arrives any more, and one piece of the new version is not to be had. No request
-// begins on the old version after its bound, and once the piece is there all serve the new one.
+// VERSION: requests are queued at servers when the connections to them go silent, so that no
+// cancellation arrives, and one piece of the new version is unavailable. No request starts on the
+// old version after its deadline, and once the piece is available all servers switch.
 func TestNoLateStartsWhenCancellationsAreLost(t *testing.T) {
 	f := Start(t, lateCancelOptions())
 	f.Eventually("version 1 is verified", 3*time.Second, func() bool { return countEvents(f, "PV3005", "") >= 4 })
 	f.Site.Origin.Withhold(f.Site.Options.Weights.Pieces - 1)
 	late, waiting := lateRuns(t, f)
-	assert.Positive(t, waiting, "requests that waited at servers when the connections went silent")
-	assert.Empty(t, late, "requests that began on the old version, by the time after its bound")
+	assert.Positive(t, waiting, "requests queued at servers when the connections went silent")
+	assert.Empty(t, late, "requests that started on the old version, by the time after its deadline")
 	f.Site.Origin.Withhold()
 	f.Eventually("every server serves version 2", 5*time.Second, func() bool { return f.allServe(2) })
 	attempts := 0
@@ -134,28 +136,28 @@
 	}
 }
 
-// The same with the new version whole: the servers are ordered before the bound, whatever
-// waits at them.
+// The same with the new version completely staged: the servers are ordered to switch before
+// the deadline, whatever is queued there.
 func TestNoLateStartsWhenNewVersionIsStaged(t *testing.T) {
 	f := Start(t, lateCancelOptions())
 	f.Eventually("version 1 is verified", 3*time.Second, func() bool { return countEvents(f, "PV3005", "") >= 4 })
 	late, _ := lateRuns(t, f)
-	assert.Empty(t, late, "requests that began on the old version, by the time after its bound")
+	assert.Empty(t, late, "requests that started on the old version, by the time after its deadline")
 	f.Eventually("every server serves version 2", 5*time.Second, func() bool { return f.allServe(2) })
 	for _, run := range f.Site.Ledger.Runs() {
 		assert.False(t, run.Spoilt)
 	}
 }
 
-// VERSION: two versions follow each other. The first is here whole, and its own time would be
-// over soon after the change to it, so that it is not taken into service any more; of the second no
-// layer is here. Nothing begins on the old version after its bound though no cancelling arrives:
-// a part of the first is ordered, which begins nothing.
+// VERSION: two versions follow each other. The first is completely staged, but would expire soon
+// after the switch to it, so that it does not enter service; of the second no layer is staged.
+// Nothing starts on the old version after its deadline although no cancellation arrives, because a
+// server is ordered to load a part of the first version, which starts no requests.
 func TestNoLateStartsWhenOnlyIntermediateVersionIsStaged(t *testing.T) {
 	f := Start(t, lateCancelOptions())
 	late, _ := lateRunsOfTwoVersions(t, f)
-	assert.Empty(t, late, "requests that began on the old version, by the time after its bound")
-	assert.Zero(t, countEvents(f, "PV3114", `"serving":1,`), "servers with version 1 that were left to the entries")
+	assert.Empty(t, late, "requests that started on the old version, by the time after its deadline")
+	assert.Zero(t, countEvents(f, "PV3114", `"serving":1,`), "servers with version 1 left to the entries")
 	f.Site.Origin.SetAway(false)
 	f.Eventually("every server serves version 3", 6*time.Second, func() bool { return f.allServe(3) })
 	for _, run := range f.Site.Ledger.Runs() {
@@ -163,8 +165,8 @@
 	}
 }
 
-// VERSION: the same, looked at from the version between. Some servers change over to it in their
-// turn, and what waits there must not begin after its own bound either.
+// VERSION: the same for the intermediate version. Some servers switch to it in their turn, and what
+// is queued there must not start after its own deadline either.
 func TestNoLateStartsOnIntermediateVersion(t *testing.T) {
 	f := Start(t, lateCancelOptions())
 	_, named := lateRunsOfTwoVersions(t, f)
@@ -175,11 +177,11 @@
 			late = append(late, run.At.Sub(bound))
 		}
 	}
-	assert.Empty(t, late, "requests that began on version 2, by the time after its bound")
+	assert.Empty(t, late, "requests that started on version 2, by the time after its deadline")
 }
 
-// lateRunsOfTwoVersions names a third version, which nobody can fetch, as soon as the second is
-// here, and returns what began late on the first and when the third was named.
+// lateRunsOfTwoVersions announces a third version, which no machine can fetch, as soon as the second
+// is staged. It returns the late starts on the first version and when the third was announced.
 func lateRunsOfTwoVersions(t *testing.T, f *Fleet) ([]time.Duration, time.Time) {
 	f.Eventually("version 1 is verified", 3*time.Second, func() bool { return countEvents(f, "PV3005", "") >= 4 })
 	named := make(chan time.Time)
@@ -196,9 +198,9 @@
 	return late, <-named
 }
 
-// VERSION: every connection of the system's processes goes silent when a version is named that
-// nobody can fetch. Whatever process hears of it first, and however late, nothing begins on the
-// old version after its bound.
+// VERSION: every connection of the system's processes goes silent just before a version is announced
+// that no machine can fetch. Whichever process learns of it first, and however late, nothing starts
+// on the old version after its deadline.
 func TestDeadlineHoldsWhenAllConnectionsAreSilent(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	named, bound := f.announceDuringSilence(systemConnections)
@@ -213,6 +215,6 @@
 			before++
 		}
 	}
-	assert.Positive(t, before, "requests that began on the old version within its bound")
-	assert.Zero(t, late, "requests that began on the old version after its bound, the last one %s after it", latest)
+	assert.Positive(t, before, "requests that started on the old version before its deadline")
+	assert.Zero(t, late, "requests that started on the old version after its deadline, the last one %s after it", latest)
 }
--- a/internal/sitetest/leaving_test.go
+++ b/internal/sitetest/leaving_test.go
@@ -10,17 +10,18 @@
 	"pinevane.example/pinevane/internal/emulator/site"
 )
 
-// The incident: a server said in its answers that it was about to end. Entries that had passed such answers on
-// sent it requests 2 s and more later, and the list of servers named it as leaving 12 s late, since the store did
-// not answer.
+// Incident: a server announced in its answers that it was about to stop. Entries that had forwarded
+// such answers sent it requests 2 s and more later, and the list of servers marked it as leaving only
+// 12 s later, because the store did not respond.
 
 const (
-	// leavingKnownAfter is how long after the first answer that said so every entry has had one.
+	// leavingKnownAfter is how long after the first such answer every entry has received one.
 	leavingKnownAfter = 700 * time.Millisecond
 )
 
-// DRAIN: guards against requests to a server that has said in its answers that it leaves, while the store is
-// away and its line says that it is ready. What it runs ends in peace.
+// DRAIN: guards against new requests to a server that has announced in its answers that it is
+// leaving, while the store is down and the server's record says that it is ready. Its open requests
+// run to their end.
 func TestServerAnnouncingLeaveReceivesNoRequests(t *testing.T) {
 	f := Start(t, crashingOptions())
 	stop := f.startHarmlessTraffic(5 * time.Millisecond)
@@ -42,11 +43,12 @@
 	assert.GreaterOrEqual(t, servedRatio(outcomes, said, said.Add(4*time.Second), time.Second), minServedRatio)
 	assert.GreaterOrEqual(t, servedRatio(plains, said, said.Add(4*time.Second), time.Second), minServedRatio)
 	for _, one := range outcomes {
-		assert.True(t, one.answer.Status != http.StatusOK || one.answer.Complete, "a stream that was cut")
+		assert.True(t, one.answer.Status != http.StatusOK || one.answer.Complete, "a stream was cut")
 	}
 }
 
-// DRAIN: the same where the server's line says for seconds after it that it is ready, and comes again.
+// DRAIN: the same when the server's record still says for seconds that it is ready, and is written
+// again.
 func TestServerRecordDoesNotRevokeLeaveNotice(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	stop := f.startHarmlessTraffic(5 * time.Millisecond)
--- a/internal/sitetest/limit_test.go
+++ b/internal/sitetest/limit_test.go
@@ -14,27 +14,28 @@
 	"pinevane.example/pinevane/internal/emulator/site"
 )
 
-// The incident: servers in need named in their answers how many requests a second they take from all entries
-// together. Entries that had passed such answers on went on sending as before: 25 requests in 4 s
-// where 1.6 a second were named.
+// Incident: overloaded servers announced in their answers how many requests a second they accept from
+// all entries together. Entries that had forwarded such answers kept sending as before: 25 requests
+// in 4 s where 1.6 a second were announced.
 
 const (
-	// limitKnownAfter is how long after a limit was named every entry has passed on an answer that names it, at a
-	// pace at which each entry sends each server some requests a second, and half a second more.
+	// limitKnownAfter is how long after a limit was announced every entry has forwarded an answer
+	// that announces it, when each entry sends each server some requests a second, plus half a second.
 	limitKnownAfter = 1500 * time.Millisecond
-	// limitClearedAfter is how long after the last answer that named it every entry knows that a limit is over: the span in which
-	// an entry with a share sends its next request, and what others need to be told.
+	// limitClearedAfter is how long after the last answer that announced a limit every entry knows
+	// that it has ended: the window in which an entry with a share sends its next request, plus the
+	// propagation to the others.
 	limitClearedAfter = admission.LimitWindow + noticePropagation + 500*time.Millisecond
 )
 
-// limitOptions are six entries, each of which is asked enough to use every server.
+// limitOptions returns a fleet of six entries; the load on each is enough to use every server.
 func limitOptions() site.Options {
 	options := DefaultOptions()
 	options.Zones, options.Entries, options.ModelServers = 3, 2, 2
 	return options
 }
 
-// arrivalsAt are the moments at which requests came to a server, in order.
+// arrivalsAt returns when requests arrived at a server, in order.
 func (f *Fleet) arrivalsAt(server string, after time.Time) (moments []time.Time) {
 	for _, arrival := range f.Site.Ledger.Arrivals() {
 		if arrival.Server == server && arrival.At.After(after) {
@@ -44,7 +45,8 @@
 	return moments
 }
 
-// maxWithin is the most of some moments in order that lie within a span.
+// maxWithin returns the maximum number of the sorted times that lie within any interval of the given
+// length.
 func maxWithin(moments []time.Time, span time.Duration) (most int) {
 	first := 0
 	for last, at := range moments {
@@ -56,7 +58,7 @@
 	return most
 }
 
-// startPlainTraffic asks a plain service at all entries in turn.
+// startPlainTraffic sends requests for a plain service through all entries in turn.
 func (f *Fleet) startPlainTraffic(pace time.Duration) (stop func() []outcome) {
 	options := f.Site.Options
 	return startTraffic(pace, func(ctx context.Context, number int) outcome {
@@ -67,8 +69,8 @@
 	})
 }
 
-// LIMIT: guards against entries that go on sending a server what they like after its answers have named how
-// many requests a second it takes. The server is used up to that, and as before once it names none.
+// LIMIT: guards against entries that exceed the rate limit that a server has announced in its
+// answers. The server is used up to that limit, and without one as before.
 func TestServerRateLimitIsRespected(t *testing.T) {
 	const rate = 1.5
 	f := Start(t, limitOptions())
@@ -86,13 +88,13 @@
 	most := maxWithin(held, site.LimitSpan)
 	t.Logf("most requests in %s: %d, in all of %s: %d", site.LimitSpan, most, over.Sub(named)-limitKnownAfter, len(held))
 	assert.LessOrEqual(t, float64(most), site.LimitBears(rate))
-	assert.GreaterOrEqual(t, len(held), 3, "the two entries of its zone go on using it")
-	assert.GreaterOrEqual(t, len(f.arrivalsAt(limited.ID(), over.Add(limitClearedAfter))), 20, "requests in 2 s once all know that the limit is over")
+	assert.GreaterOrEqual(t, len(held), 3, "the two entries of its zone keep using it")
+	assert.GreaterOrEqual(t, len(f.arrivalsAt(limited.ID(), over.Add(limitClearedAfter))), 20, "requests in 2 s once all entries know that the limit has ended")
 	assert.GreaterOrEqual(t, servedRatio(outcomes, named, over.Add(limitClearedAfter+2*time.Second), time.Second), minServedRatio)
 }
 
-// LIMIT: the same for a service whose only server names one. What it can't take is refused at once, and the
-// callers are told when to come back.
+// LIMIT: the same for a service whose only server announces a limit. Requests beyond it are refused at
+// once, with a Retry-After.
 func TestRateLimitOfOnlyServer(t *testing.T) {
 	const rate = 5.0
 	options := limitOptions()
@@ -111,7 +113,7 @@
 	held := f.arrivalsAt(only.ID(), named.Add(limitKnownAfter))
 	t.Logf("most requests in %s: %d, in all: %d", site.LimitSpan, maxWithin(held, site.LimitSpan), len(held))
 	assert.LessOrEqual(t, float64(maxWithin(held, site.LimitSpan)), site.LimitBears(rate))
-	assert.GreaterOrEqual(t, len(held), int(rate*(8*time.Second-limitKnownAfter).Seconds()/2), "half of what the server takes is used")
+	assert.GreaterOrEqual(t, len(held), int(rate*(8*time.Second-limitKnownAfter).Seconds()/2), "half of the server's limit is used")
 	refused := 0
 	for _, one := range outcomes {
 		if one.startedAt.Before(named.Add(limitKnownAfter)) || one.answer.Status == http.StatusOK {
@@ -119,15 +121,15 @@
 		}
 		refused++
 		assert.Equal(t, http.StatusServiceUnavailable, one.answer.Status)
-		assert.Less(t, one.duration, 200*time.Millisecond, "the time to an answer that nothing is needed for")
+		assert.Less(t, one.duration, 200*time.Millisecond, "time to a local refusal")
 		assert.Positive(t, retryAfter(t, one.answer))
 		assert.LessOrEqual(t, retryAfter(t, one.answer), 5*time.Second)
 	}
 	assert.Positive(t, refused)
 }
 
-// LIMIT: while all servers of a service name one, and more is asked than they take, each gets most of what it
-// takes: shares of entries far away are used too.
+// LIMIT: when all servers of a service announce a limit and demand exceeds it, each server receives
+// most of its limit: the shares of distant entries are used too.
 func TestRateLimitsOfAllServersAreUsed(t *testing.T) {
 	const rate = 2.5
 	f := Start(t, limitOptions())
@@ -143,7 +145,7 @@
 		held := f.arrivalsAt(server.ID(), named.Add(limitKnownAfter))
 		total += len(held)
 		assert.LessOrEqual(t, float64(maxWithin(held, site.LimitSpan)), site.LimitBears(rate), server.ID())
-		assert.GreaterOrEqual(t, len(held), int(rate*asked.Seconds()/2), "half of what %s takes is used", server.ID())
+		assert.GreaterOrEqual(t, len(held), int(rate*asked.Seconds()/2), "half of the limit of %s is used", server.ID())
 	}
 	t.Logf("used: %.2f", float64(total)/(rate*asked.Seconds()*float64(len(f.Site.Models))))
 	assert.GreaterOrEqual(t, float64(total), 0.7*rate*asked.Seconds()*float64(len(f.Site.Models)))
--- a/internal/sitetest/links_test.go
+++ b/internal/sitetest/links_test.go
@@ -9,13 +9,13 @@
 	"pinevane.example/pinevane/internal/logging"
 )
 
-// Entries send on the links that they dialled themselves, so that nothing comes back
-// on one for as long as all is quiet. That is no reason to take the link for broken.
+// Entries only send on the links that they dialled, so that such a link receives nothing while the
+// fleet is idle. This must not be taken for a broken link.
 func TestIdleLinksBetweenEntriesStayOpen(t *testing.T) {
 	fleet := Start(t, DefaultOptions())
 	time.Sleep(time.Second)
 	before := countEvents(fleet, logging.PeerLost.Number, "")
 	time.Sleep(4 * time.Second)
 	after := countEvents(fleet, logging.PeerLost.Number, "")
-	assert.Equal(t, before, after, "no link is lost while nothing fails")
+	assert.Equal(t, before, after, "links lost without a fault")
 }
--- a/internal/sitetest/mute_proxy_test.go
+++ b/internal/sitetest/mute_proxy_test.go
@@ -11,18 +11,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// blackholeProxy passes connections on to a server until it is told to fall mute. Then the
-// connections that are open stay open and are read on both sides, so that everything is
-// acknowledged, and nothing is passed on any more. Later connections work.
+// blackholeProxy forwards connections to a server until it is told to blackhole them. The open
+// connections then stay open and are read on both sides, so that all data is acknowledged, but
+// nothing is forwarded any more. Later connections work.
 type blackholeProxy struct {
 	address  string
 	accepted atomic.Int64
 
 	mutex sync.Mutex
-	// blackholed is closed when the connections of the present generation fall mute.
+	// blackholed is closed when the connections that are open at that time are blackholed.
 	blackholed chan struct{}
-	// trigger is what a caller sends that makes the proxy fall mute; delivered is whether
-	// it is still passed on.
+	// trigger is data from a caller that makes the proxy blackhole its connections, and
+	// forwardTrigger is whether that data is still forwarded.
 	trigger        []byte
 	forwardTrigger bool
 }
@@ -58,8 +58,8 @@
 	go p.copyStream(far, near, silent, false)
 }
 
-// copyStream passes on what one side sends until the connection is mute, and reads it all the same
-// from then on.
+// copyStream forwards what one side sends until the connection is blackholed, and keeps reading it
+// after that.
 func (p *blackholeProxy) copyStream(from, to net.Conn, silent chan struct{}, fromCaller bool) {
 	buffer := make([]byte, 32<<10)
 	for {
@@ -101,7 +101,7 @@
 	return true
 }
 
-// blackhole has the connections that are open now fall mute.
+// blackhole stops forwarding on all open connections.
 func (p *blackholeProxy) blackhole() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -109,8 +109,8 @@
 	p.blackholed = make(chan struct{})
 }
 
-// blackholeOn has all connections fall mute when a caller sends some bytes next, which are
-// passed on or not.
+// blackholeOn blackholes all connections when a caller next sends the trigger, which is forwarded
+// or not.
 func (p *blackholeProxy) blackholeOn(trigger string, delivered bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/sitetest/recovery_test.go
+++ b/internal/sitetest/recovery_test.go
@@ -20,37 +20,37 @@
 	"pinevane.example/pinevane/platform"
 )
 
-// Bounds of the recovery from a silence of all open connections, from its beginning on.
+// Time limits for the recovery after all open connections go silent, from the start of the silence.
 const (
-	// reportRecovery is when the words of all agents reach every entry again: entries distrust
-	// servers whose agents they have not heard for 1.2 s, so that none is distrusted.
+	// reportRecovery is when the reports of all agents reach every entry again: entries distrust
+	// servers whose agents have been silent for 1.2 s, so that none is distrusted.
 	reportRecovery = 800 * time.Millisecond
-	// maxReportAge is the age of a word that has come by a link that works: 0.3 s between
-	// two words of an agent, 0.24 s on the way to another zone, and some time to run.
+	// maxReportAge is the maximum age of a report over a working link: 0.3 s between two reports of
+	// an agent, 0.24 s of latency to another zone, and some processing time.
 	maxReportAge = 650 * time.Millisecond
-	// maxApplyDelay is when a change made at the beginning of the silence is in force.
+	// maxApplyDelay is when a change made at the start of the silence is applied.
 	maxApplyDelay = time.Second
-	// maxStagingDelay is how much later than in a calm fleet a version may be staged.
+	// maxStagingDelay is how much later than without a silence a version may be staged.
 	maxStagingDelay = time.Second
-	// maxOrderResolution is when the fate of an order without an answer is known.
+	// maxOrderResolution is when the outcome of an unanswered order is known.
 	maxOrderResolution = time.Second
 )
 
-// Each connection that is not one of an entry to a server recovers by itself, soon, when
-// all open ones go silent and new ones work.
+// Each connection except those from entries to servers recovers soon by itself when all open
+// connections go silent and new ones work.
 func TestEachConnectionRecoversFromSilence(t *testing.T) {
-	t.Run("words of agents reach every entry", testReportsAfterSilence)
-	t.Run("no agent declares a sound server unreachable", testServersStayReachable)
-	t.Run("a version is staged when silence comes with the manifest", func(t *testing.T) { testStagingAndSilence(t, 30*time.Millisecond) })
-	t.Run("a version is staged when silence comes amid the pieces", func(t *testing.T) { testStagingAndSilence(t, 100*time.Millisecond) })
-	t.Run("an order that was taken and not answered is settled", func(t *testing.T) { testUnansweredOrder(t, true) })
-	t.Run("an order that was swallowed is settled", func(t *testing.T) { testUnansweredOrder(t, false) })
-	t.Run("a watch behind a proxy that passes nothing on", testWatchBehindBlackholeProxy)
-	t.Run("a listing behind a proxy that passes nothing on", testListingBehindBlackholeProxy)
-	t.Run("questions to a server behind a proxy that passes nothing on", testReportsBehindBlackholeProxy)
+	t.Run("reports of agents reach every entry", testReportsAfterSilence)
+	t.Run("no agent declares a healthy server unreachable", testServersStayReachable)
+	t.Run("a version is staged when silence starts with the manifest", func(t *testing.T) { testStagingAndSilence(t, 30*time.Millisecond) })
+	t.Run("a version is staged when silence starts during the pieces", func(t *testing.T) { testStagingAndSilence(t, 100*time.Millisecond) })
+	t.Run("an order that was taken but not answered is resolved", func(t *testing.T) { testUnansweredOrder(t, true) })
+	t.Run("an order that was lost is resolved", func(t *testing.T) { testUnansweredOrder(t, false) })
+	t.Run("a watch behind a blackhole proxy", testWatchBehindBlackholeProxy)
+	t.Run("a listing behind a blackhole proxy", testListingBehindBlackholeProxy)
+	t.Run("load queries behind a blackhole proxy", testReportsBehindBlackholeProxy)
 }
 
-// settleTime is how long a fleet runs until its connections are a while old.
+// settleTime is how long a fleet runs before its connections count as established.
 const settleTime = 1500 * time.Millisecond
 
 func startSettled(t *testing.T) *Fleet {
@@ -67,7 +67,7 @@
 	return began
 }
 
-// oldestReportAge is the age of the oldest word of an agent at any entry.
+// oldestReportAge returns the age of the oldest agent report at any entry.
 func oldestReportAge(f *Fleet) time.Duration {
 	eldest := time.Duration(0)
 	for zone := range f.Site.Options.Zones {
@@ -95,17 +95,18 @@
 			require.Less(t, age, maxReportAge, "%s after the silence began", since)
 		}
 	}
-	t.Logf("the oldest word in the three seconds after the silence began: %s", worst)
+	t.Logf("the oldest report in the three seconds after the silence began: %s", worst)
 }
 
-// A change of the configuration that comes as all open connections go silent is in force at every entry soon after.
+// A configuration change that is made as all open connections go silent is soon applied at every
+// entry.
 func TestConfigurationAppliedAfterSilence(t *testing.T) {
 	f := startSettled(t)
 	began := silenceConnections(t, systemConnections)
 	version := f.Site.Configure(revoke)
-	f.Eventually("the change is in force", 5*time.Second, func() bool { return f.configurationApplied(version) })
+	f.Eventually("the change is applied", 5*time.Second, func() bool { return f.configurationApplied(version) })
 	took := time.Since(began)
-	t.Logf("in force at every entry %s after the silence began", took)
+	t.Logf("applied at every entry %s after the silence began", took)
 	assert.Less(t, took, maxApplyDelay)
 }
 
@@ -116,8 +117,8 @@
 	assert.Zero(t, countEvents(f, logging.EngineUnreachable.Number, ""))
 }
 
-// waitStaged waits until every agent has staged a version, and returns how long after a time
-// the last one had.
+// waitStaged waits until every agent has staged a version, and returns how long after the given
+// time the last one had.
 func waitStaged(f *Fleet, version int, since time.Time) time.Duration {
 	agents := f.Site.Options.Zones * f.Site.Options.ModelServers
 	f.Eventually("the version is staged", 20*time.Second, func() bool {
@@ -126,8 +127,8 @@
 	return time.Since(since)
 }
 
-// testStagingAndSilence names a version, has all connections go silent a time after it, and
-// compares when it is staged with a fleet in which nothing happens.
+// testStagingAndSilence announces a version, silences all connections some time later, and compares
+// when it is staged with an undisturbed fleet.
 func testStagingAndSilence(t *testing.T, after time.Duration) {
 	stage := func(t *testing.T, disturb bool) time.Duration {
 		f := startSettled(t)
@@ -149,10 +150,10 @@
 	assert.Less(t, disturbed, calm+maxStagingDelay)
 }
 
-// A version that is named as all open connections go silent is staged soon after.
+// A version that is announced as all open connections go silent is staged soon after.
 func TestVersionIsStagedWhenSilenceComesFirst(t *testing.T) { testStagingAndSilence(t, 0) }
 
-// agentBehindProxy is a fleet of one agent that reaches its server through a proxy.
+// agentBehindProxy starts a fleet of one agent that reaches its server through a proxy.
 func agentBehindProxy(t *testing.T) (*Fleet, *blackholeProxy) {
 	options := DefaultOptions()
 	options.Zones, options.Entries, options.ModelServers = 1, 1, 1
@@ -170,19 +171,19 @@
 	return f, proxy
 }
 
-// testUnansweredOrder has all connections to the server fall mute with the order, which the
-// server takes or never sees. The order's fate is known soon, and in the end it was taken once.
+// testUnansweredOrder blackholes all connections to the server with the order, which the server
+// either takes or never receives. The outcome is known soon, and the order is taken exactly once.
 func testUnansweredOrder(t *testing.T, taken bool) {
 	f, proxy := agentBehindProxy(t)
 	proxy.blackholeOn("POST /-/order", taken)
 	f.Site.NameVersion(2)
-	f.Eventually("the order has gone", 10*time.Second, func() bool { return countEvents(f, logging.OrderSent.Number, "") > 0 })
+	f.Eventually("the order is sent", 10*time.Second, func() bool { return countEvents(f, logging.OrderSent.Number, "") > 0 })
 	sent := time.Now()
-	f.Eventually("the order's fate is known", 10*time.Second, func() bool {
+	f.Eventually("the order is resolved", 10*time.Second, func() bool {
 		return countEvents(f, logging.OrderResolved.Number, fmt.Sprintf(`"taken":%t`, taken)) > 0
 	})
 	took := time.Since(sent)
-	t.Logf("settled %s after the order was sent", took)
+	t.Logf("resolved %s after the order was sent", took)
 	assert.Less(t, took, maxOrderResolution)
 	f.Eventually("the version is live", 5*time.Second, func() bool { return f.Site.Models[f.Site.Options.ModelIP(0, 0)].Version() == 2 })
 	assert.Zero(t, countEvents(f, logging.OrderRefused.Number, ""))
@@ -194,8 +195,8 @@
 	assert.Equal(t, want, countEvents(f, logging.OrderSent.Number, ""))
 }
 
-// storeBehindProxy starts a store, and a reader of it through a proxy, of which a first
-// watch is answered.
+// storeBehindProxy starts a store and a client that reads it through a proxy and has completed a
+// watch.
 func storeBehindProxy(t *testing.T) (*site.Store, *platform.Store, *blackholeProxy) {
 	store := site.NewStore()
 	proxy := startBlackholeProxy(t, listen(t, store.Handler()))
@@ -218,7 +219,7 @@
 	took := time.Since(began)
 	require.NoError(t, err)
 	require.Len(t, listing.Records, 1)
-	t.Logf("heard %s after the watch began", took)
+	t.Logf("received %s after the watch began", took)
 	assert.Less(t, took, wait+300*time.Millisecond)
 }
 
@@ -234,15 +235,15 @@
 	assert.Less(t, took, 500*time.Millisecond)
 }
 
-// All kept connections to a server fall mute: not one question fails by that, and one
-// question finds it out for all of them.
+// All kept connections to a server are blackholed: no load query fails because of it, and one query
+// detects it for all connections.
 func testReportsBehindBlackholeProxy(t *testing.T) {
 	f, proxy := agentBehindProxy(t)
 	proxy.blackhole()
 	dialled := proxy.accepted.Load()
 	time.Sleep(time.Second)
 	assert.Zero(t, countEvents(f, logging.EngineUnreachable.Number, ""))
-	assert.LessOrEqual(t, proxy.accepted.Load()-dialled, int64(3), "connections made anew")
+	assert.LessOrEqual(t, proxy.accepted.Load()-dialled, int64(3), "new connections")
 	server := platform.NewModelServer(proxy.address)
 	_, err := server.Report(context.Background())
 	require.NoError(t, err)
--- a/internal/sitetest/regions_test.go
+++ b/internal/sitetest/regions_test.go
@@ -15,10 +15,10 @@
 	"pinevane.example/pinevane/internal/explain"
 )
 
-// Names of the stand-in's routes.
+// Names of the emulated site's routes.
 var routeNames = []string{"stream", "once", "safe"}
 
-// restrictRoutes allows requests of every route in some regions only.
+// restrictRoutes allows requests of every route in the given regions only.
 func restrictRoutes(regions ...string) func(map[string]any) {
 	return func(configuration map[string]any) {
 		for _, route := range routeNames {
@@ -27,19 +27,19 @@
 	}
 }
 
-// restrictTenant allows requests of the tenant in some regions only.
+// restrictTenant allows requests of the tenant in the given regions only.
 func restrictTenant(regions ...string) func(map[string]any) {
 	return func(configuration map[string]any) { site.AllowTenantRegions(configuration, site.Tenant, regions...) }
 }
 
-// threeRegionOptions is a fleet of three zones, each in a region of its own.
+// threeRegionOptions returns a fleet of three zones, each in its own region.
 func threeRegionOptions() site.Options {
 	options := DefaultOptions()
 	options.Zones, options.Entries, options.PlainServers = 3, 1, 2
 	return options
 }
 
-// configure publishes a configuration and waits until every entry has it.
+// configure publishes a configuration and waits until every entry has applied it.
 func (f *Fleet) configure(changes ...func(map[string]any)) uint64 {
 	f.t.Helper()
 	version := f.Site.Configure(func(configuration map[string]any) {
@@ -47,11 +47,11 @@
 			change(configuration)
 		}
 	})
-	f.Eventually("the configuration is in force", 3*time.Second, func() bool { return f.configurationApplied(version) })
+	f.Eventually("the configuration is applied", 3*time.Second, func() bool { return f.configurationApplied(version) })
 	return version
 }
 
-// startMixedTraffic sends streams and plain requests of both kinds to the entries of all zones.
+// startMixedTraffic sends streams and plain requests of both kinds through the entries of all zones.
 func startMixedTraffic(f *Fleet) (stop func() []outcome) {
 	zones := f.Site.Options.Zones
 	return startTraffic(8*time.Millisecond, func(ctx context.Context, number int) outcome {
@@ -69,12 +69,12 @@
 	})
 }
 
-// arrivalsOutside lists what came to servers of other regions than some.
+// arrivalsOutside lists the requests that reached servers outside the given regions.
 func arrivalsOutside(f *Fleet, regions ...string) []site.Arrival {
 	return slices.DeleteFunc(f.Site.Ledger.Arrivals(), func(one site.Arrival) bool { return slices.Contains(regions, one.Region) })
 }
 
-// serversOf returns the servers of a zone, of both services.
+// serversOf returns the servers of both services in a zone.
 func serversOf(f *Fleet, zone int) []*site.Server {
 	var servers []*site.Server
 	for _, all := range []map[string]*site.Server{f.Site.Models, f.Site.Plain} {
@@ -87,8 +87,8 @@
 	return servers
 }
 
-// injectFaults gives a zone's servers, one kind after the other, the faults that make an entry
-// look for another server, and takes all of them away in the end.
+// injectFaults gives a zone's servers, one kind after the other, the faults that make an entry try
+// another server, and stops all of them at the end.
 func injectFaults(f *Fleet, t *testing.T, zone int) {
 	const apart = 300 * time.Millisecond
 	for _, faults := range []site.Faults{
@@ -108,9 +108,8 @@
 	time.Sleep(apart)
 }
 
-// HOME: whatever happens to the servers of the regions in which requests of a route or a
-// tenant are allowed, none comes to a server of another region, and they are served while
-// there is a sound server.
+// HOME: whatever happens to the servers in the allowed regions of a route or a tenant, no request
+// reaches a server of another region, and requests are served while there is a healthy server.
 func TestRequestsStayInTheirAllowedRegions(t *testing.T) {
 	const home = 1
 	for name, changes := range map[string][]func(map[string]any){
@@ -127,7 +126,7 @@
 			injectFaults(f, t, home)
 			outcomes := stop()
 			outside := arrivalsOutside(f, site.RegionName(home))
-			assert.Empty(t, outside[:min(3, len(outside))], "%d requests came to servers of other regions", len(outside))
+			assert.Empty(t, outside[:min(3, len(outside))], "%d requests reached servers of other regions", len(outside))
 			served, calm := 0, 0
 			for _, one := range outcomes {
 				if one.startedAt.Before(calmUntil) {
@@ -138,18 +137,18 @@
 				}
 			}
 			assert.NotZero(t, calm)
-			assert.Equal(t, calm, served, "requests served before the trouble")
+			assert.Equal(t, calm, served, "requests served before the faults")
 		})
 	}
 }
 
-// removeServers ends every server of a zone and takes it off the list.
+// removeServers stops every server of a zone and removes it from the list of servers.
 func removeServers(f *Fleet, zone int) {
 	for _, server := range serversOf(f, zone) {
 		server.Lapse()
 		server.Crash()
 	}
-	f.Eventually("the entry has lost them", 3*time.Second, func() bool {
+	f.Eventually("the entry has removed the servers", 3*time.Second, func() bool {
 		for _, listed := range f.Process(ProcessName(site.RoleEntry, 0, 0)).Catalog.View().Servers {
 			for _, server := range listed {
 				if server.Zone == site.ZoneName(zone) {
@@ -161,9 +160,9 @@
 	})
 }
 
-// HOME, REFUSED: where no server of the allowed regions is left, requests of every kind are
-// refused at once, with a time to return, and have not run; the metrics and the story of the
-// request say that the regions decided.
+// HOME, REFUSED: without a server in the allowed regions, requests of every kind are refused at once
+// as not-run, with a Retry-After. The metrics and the explanation of the request name the regions
+// as the cause.
 func TestRequestIsRefusedWithoutServerInAllowedRegions(t *testing.T) {
 	const home = 1
 	f := Start(t, threeRegionOptions())
@@ -197,10 +196,10 @@
 	f.configure(restrictTenant())
 	answer, err := calls["safe"]("anywhere")
 	require.NoError(t, err)
-	assert.Equal(t, http.StatusOK, answer.Status, "the restriction is gone")
+	assert.Equal(t, http.StatusOK, answer.Status, "the restriction is lifted")
 }
 
-// refusalCount reads how many requests an entry says that it has refused for a reason.
+// refusalCount reads from an entry's metrics how many requests it has refused for a reason.
 func refusalCount(f *Fleet, t *testing.T, reason string) int {
 	t.Helper()
 	families, err := f.Process(ProcessName(site.RoleEntry, 0, 0)).Registry.Gather()
@@ -221,23 +220,23 @@
 	return int(count)
 }
 
-// Regions of a route and a tenant that have none in common allow no server, and the story
-// says so.
+// Regions of a route and a tenant that have none in common allow no server, and the explanation of
+// the request says so.
 func TestDisjointRegionsAllowNoServer(t *testing.T) {
 	f := Start(t, threeRegionOptions())
 	f.configure(restrictRoutes(site.RegionName(0)), restrictTenant(site.RegionName(1)))
 	answer, err := f.Call(t.Context(), 0, 0, http.MethodGet, site.SafePrefix, "apart", nil, "")
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusServiceUnavailable, answer.Status)
-	assert.Equal(t, "5", answer.Header.Get("Retry-After"), "only another configuration helps")
+	assert.Equal(t, "5", answer.Header.Get("Retry-After"), "only a configuration change helps")
 	_, told := explainRequest(f, t, "apart", "PV4104")
 	assert.Contains(t, told.Cause, "the allowed regions of the route and the tenant have none in common")
 	assert.Empty(t, f.Site.Ledger.Arrivals())
 }
 
-// HOME: a stream that is under way when the regions change goes on where it is; when it breaks
-// it is continued only in a region that the configuration it was admitted under and the newest
-// one both allow.
+// HOME: a stream that is open when the regions change keeps running where it is. When it breaks it
+// is resumed only in a region that both the configuration that admitted it and the newest one
+// allow.
 func TestBrokenStreamResumesOnlyInAllowedRegions(t *testing.T) {
 	for name, one := range map[string]struct {
 		admitted, newest []string
@@ -283,8 +282,8 @@
 	}
 }
 
-// Names of regions that no zone has allow no server and are logged with the configuration that
-// brought them; everything else of that configuration is in force.
+// Region names that no zone has allow no server and are logged with the configuration that contains
+// them; the rest of that configuration applies.
 func TestUnknownRegionsAllowNoServer(t *testing.T) {
 	f := Start(t, threeRegionOptions())
 	version := f.configure(func(configuration map[string]any) {
@@ -306,7 +305,7 @@
 	assert.Equal(t, http.StatusOK, answer.Status, "an empty list restricts nothing")
 	entries := f.Site.Options.Zones * f.Site.Options.Entries
 	ofVersion := fmt.Sprintf(`"configuration":%d`, version)
-	f.Eventually("each entry has logged the doubts", time.Second, func() bool { return countEvents(f, "PV2008", ofVersion) == 3*entries })
+	f.Eventually("each entry has logged the faults", time.Second, func() bool { return countEvents(f, "PV2008", ofVersion) == 3*entries })
 	assert.Equal(t, entries, countEvents(f, "PV2008", `"fault":"no zone has the region","region":"region-9","owners":["route once","route safe"]`))
 	assert.Equal(t, entries, countEvents(f, "PV2008", `"fault":"the region is named twice","region":"region-2"`))
 	assert.Equal(t, entries, countEvents(f, "PV2008", `"fault":"no zone has any of the regions"`))
--- a/internal/sitetest/requests_test.go
+++ b/internal/sitetest/requests_test.go
@@ -32,8 +32,8 @@
 	return runs
 }
 
-// UNASKED, MIXED: the whole answer to the own request, the tenant set, the key kept
-// back, unknown keys and routes refused.
+// UNASKED, MIXED: callers receive the complete answer to their own request. The tenant is set, the
+// caller's key is not forwarded, and unknown keys and routes are refused.
 func TestCallersReceiveTheirOwnCompleteAnswers(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	ctx := context.Background()
@@ -74,8 +74,8 @@
 	assert.Equal(t, http.StatusNotFound, answer.Status)
 }
 
-// TWICE, REFUSED: a call that may run once and whose answer is lost is not sent
-// again, and is not answered as if it had not run.
+// TWICE, REFUSED: an at-most-once call whose answer is lost is not sent again, and is not refused as
+// not-run.
 func TestLostAnswerOfAtMostOnceCall(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	for _, server := range f.Site.Plain {
@@ -88,7 +88,7 @@
 	assert.Len(t, runsOf(f, "lost"), 1)
 }
 
-// A repeatable call whose answer is lost is answered by another server.
+// A repeatable call whose answer is lost is retried on another server.
 func TestLostAnswerOfRepeatableCall(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	for _, server := range f.Site.Plain {
@@ -102,8 +102,7 @@
 	}
 }
 
-// REFUSED: what every server sheds has not run, is said so at once, and told when
-// to come back.
+// REFUSED: a request that every server sheds has not run and is refused at once, with a Retry-After.
 func TestRequestShedByAllServersIsRefusedAtOnce(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	for _, server := range f.Site.Plain {
@@ -118,8 +117,8 @@
 	assert.Empty(t, runsOf(f, "shed"))
 }
 
-// ORDER: a stream that breaks in the middle of an event goes on at another server
-// after its last whole event, inside the same answer.
+// ORDER: a stream that breaks in the middle of an event is resumed on another server after its last
+// complete event, within the same answer.
 func TestBrokenStreamResumesOnAnotherServer(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	for _, server := range f.Site.Models {
@@ -140,8 +139,8 @@
 	assert.Len(t, runsOf(f, "cut"), 2)
 }
 
-// ORDER, BUDGET: a stream that breaks at its last permitted server ends visibly cut
-// and is sent to no third one.
+// ORDER, BUDGET: a stream that breaks at its last permitted server is visibly truncated and is sent
+// to no third one.
 func TestStreamWithoutServerLeftIsTruncated(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	for _, server := range f.Site.Models {
@@ -154,8 +153,8 @@
 	assert.Len(t, runsOf(f, "cut"), 2)
 }
 
-// BUDGET: with every answer lost, the repeats over the whole fleet stay within the
-// share of the requests and the slack.
+// BUDGET: when every answer is lost, the retries of the whole fleet stay within the configured ratio
+// of the requests plus the slack.
 func TestRetriesStayWithinFleetBudget(t *testing.T) {
 	options := DefaultOptions()
 	options.BudgetSlack = 10
@@ -181,7 +180,7 @@
 	assert.LessOrEqual(t, float64(arrivals-requests), 0.2*requests+float64(options.BudgetSlack))
 }
 
-// GONE: when the caller leaves, the work at the server ends at once.
+// GONE: when the caller disconnects, the work at the server ends at once.
 func TestWorkIsCancelledWhenCallerDisconnects(t *testing.T) {
 	options := DefaultOptions()
 	options.EventTime = 50 * time.Millisecond
@@ -189,7 +188,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 400*time.Millisecond)
 	defer cancel()
 	_, _ = f.Stream(ctx, 0, 0, "left", 60)
-	f.Eventually("nothing runs any more", 500*time.Millisecond, func() bool {
+	f.Eventually("no server runs a request", 500*time.Millisecond, func() bool {
 		for _, server := range f.Site.Models {
 			if server.Running() > 0 {
 				return false
@@ -199,7 +198,7 @@
 	})
 }
 
-// CONFIG: a request is answered at its route's time limit, not held past it.
+// CONFIG: a request is answered at its route's timeout and not held longer.
 func TestSilentServerTimesOut(t *testing.T) {
 	options := DefaultOptions()
 	options.TimeoutMs = 700
--- a/internal/sitetest/rest_test.go
+++ b/internal/sitetest/rest_test.go
@@ -10,26 +10,26 @@
 	"pinevane.example/pinevane/internal/emulator/site"
 )
 
-// The incident: a server turned a request of an entry away and asked it for 3 s of rest. The entry sent it up to
-// seven requests more in that time, each of which was turned away too.
+// Incident: a server refused a request of an entry and requested a backoff of 3 s. The entry sent it
+// up to seven more requests in that time, each of which was refused too.
 
 const (
-	// backoffRequested is the rest that servers ask for, restGrace how long after that requests may still arrive,
-	// restAllowed how many may later.
+	// backoffRequested is the backoff that servers request, backoffGrace how long after that
+	// requests may still arrive, and maxDuringBackoff how many may arrive later.
 	backoffRequested = 3 * time.Second
 	backoffGrace     = 500 * time.Millisecond
 	maxDuringBackoff = 2
 )
 
-// oneEntryOptions are a fleet with one entry, so that what comes to a server comes from that.
+// oneEntryOptions returns a fleet with one entry, so that all requests to a server come from it.
 func oneEntryOptions() site.Options {
 	options := DefaultOptions()
 	options.Zones, options.Entries, options.ModelServers, options.PlainServers = 1, 1, 4, 2
 	return options
 }
 
-// BUDGET: guards against requests to a server that has turned some away and asked for rest. The requests are
-// served elsewhere, and the server is used again after its rest.
+// BUDGET: guards against requests to a server that has refused some and requested a backoff. The
+// requests are served elsewhere, and the server is used again after its backoff.
 func TestServerBackoffIsRespected(t *testing.T) {
 	f := Start(t, oneEntryOptions())
 	stop := f.startHarmlessTraffic(5 * time.Millisecond)
@@ -46,14 +46,14 @@
 			during++
 		}
 	}
-	t.Logf("requests in the rest: %d, in all since: %d", during, len(moments))
+	t.Logf("requests during the backoff: %d, total since its start: %d", during, len(moments))
 	assert.LessOrEqual(t, during, maxDuringBackoff)
-	assert.GreaterOrEqual(t, len(f.arrivalsAt(resting.ID(), asked.Add(backoffRequested+time.Second))), 10, "requests after the rest")
+	assert.GreaterOrEqual(t, len(f.arrivalsAt(resting.ID(), asked.Add(backoffRequested+time.Second))), 10, "requests after the backoff")
 	assert.GreaterOrEqual(t, servedRatio(outcomes, asked, asked.Add(6*time.Second), time.Second), minServedRatio)
 }
 
-// BUDGET: all servers of a service ask for rest. Requests are refused at once, and the callers told when the first
-// rest ends.
+// BUDGET: all servers of a service request a backoff. Requests are refused at once, with a
+// Retry-After at the end of the first backoff.
 func TestAllServersRequestBackoff(t *testing.T) {
 	f := Start(t, oneEntryOptions())
 	for _, server := range f.Site.Plain {
@@ -71,7 +71,7 @@
 		if one.startedAt.Before(started.Add(backoffGrace)) {
 			continue
 		}
-		assert.Less(t, one.duration, 100*time.Millisecond, "the time to an answer that nothing is needed for")
-		assert.GreaterOrEqual(t, retryAfter(t, one.answer), backoffRequested-one.startedAt.Sub(started)-200*time.Millisecond, "until the first rest ends")
+		assert.Less(t, one.duration, 100*time.Millisecond, "time to a local refusal")
+		assert.GreaterOrEqual(t, retryAfter(t, one.answer), backoffRequested-one.startedAt.Sub(started)-200*time.Millisecond, "until the first backoff ends")
 	}
 }
--- a/internal/sitetest/restarted_test.go
+++ b/internal/sitetest/restarted_test.go
@@ -13,9 +13,9 @@
 	"pinevane.example/pinevane/internal/emulator/site"
 )
 
-// Servers start again under their names, with nothing in service and nothing staged, one after the
-// other and one of them twice between two of its lines, while a version is in force that they had: each
-// gets it again, nothing runs on what is not there, and callers are served meanwhile.
+// Servers restart under the same IDs with no version loaded or staged, one after the other and one of
+// them twice between two of its records, while the version that they had is current. Each loads it
+// again, no request runs on missing weights, and callers are served meanwhile.
 func TestRestartedServersServeNewestVersionAgain(t *testing.T) {
 	options := DefaultOptions()
 	f := Start(t, options)
@@ -40,16 +40,16 @@
 	}
 	ended := time.Now()
 	outcomes := stop()
-	assert.GreaterOrEqual(t, servedRatio(outcomes, began, ended, time.Second), 0.9, "three of four servers are there all the time")
+	assert.GreaterOrEqual(t, servedRatio(outcomes, began, ended, time.Second), 0.9, "three of four servers are available at any time")
 	for _, run := range f.Site.Ledger.Runs() {
 		assert.False(t, run.Spoilt)
 	}
-	f.Eventually("agents have read anew what lies at their servers", time.Second, func() bool {
+	f.Eventually("agents have read again what their servers hold", time.Second, func() bool {
 		return countEvents(f, "PV3116", "") >= options.Zones*options.ModelServers
 	})
 }
 
-// A server starts again with a clock that is set back, and one whose birth is in the future before.
+// A server restarts with a start time in the future, and then with a clock that is set back.
 func TestRestartedServerWithWrongClockIsUsed(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	require.NoError(t, f.Site.RestartModelUnderItsID(0, 0, time.Now().Add(time.Hour)))
@@ -58,7 +58,7 @@
 	f.Eventually("the server serves again", 4*time.Second, func() bool { return f.allServe(1) })
 	reborn := f.Site.Models[f.Site.Options.ModelIP(0, 0)]
 	number := 0
-	f.Eventually("it gets requests", 4*time.Second, func() bool {
+	f.Eventually("the server receives requests", 4*time.Second, func() bool {
 		number++
 		answer, err := f.Stream(context.Background(), 0, 0, fmt.Sprintf("after-%d", number), 3)
 		if err != nil || answer.Status != http.StatusOK {
@@ -68,7 +68,8 @@
 	})
 }
 
-// A line of another writer names no server to use, and the others are used.
+// Server records that were written by another program and are invalid are ignored, and the other
+// servers are used.
 func TestInvalidServerRecordsAreIgnored(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	for number, value := range []any{"text", []int{1}, map[string]any{"service": 7}, map[string]any{"service": site.ModelService, "address": "nowhere"}} {
--- a/internal/sitetest/settings_test.go
+++ b/internal/sitetest/settings_test.go
@@ -13,13 +13,13 @@
 	"pinevane.example/pinevane/internal/emulator/site"
 )
 
-// waitLogged waits for an event with a text; lines are written a moment after they are logged.
+// waitLogged waits for an event that contains a text; lines are written shortly after their event.
 func (f *Fleet) waitLogged(number, with string) {
 	f.t.Helper()
 	f.Eventually(number+" with "+with+" is logged", time.Second, func() bool { return countEvents(f, number, with) > 0 })
 }
 
-// statusOf is the status of one repeatable request to the first entry.
+// statusOf returns the status of one repeatable request to the first entry.
 func statusOf(t *testing.T, f *Fleet, id string) int {
 	t.Helper()
 	answer, err := f.Call(context.Background(), 0, 0, http.MethodGet, site.SafePrefix, id, nil, "")
@@ -27,9 +27,8 @@
 	return answer.Status
 }
 
-// Settings that are read again change the zones and regions of a running entry: a zone that has
-// moved to another region is no longer among those that a route allows, and one that has come
-// into an allowed region is.
+// A reload of the settings changes the zones and regions of a running entry: a zone that has moved to
+// another region is no longer allowed by a route, and one that has moved to an allowed region is.
 func TestReloadAppliesRegions(t *testing.T) {
 	const home = 1
 	f := Start(t, threeRegionOptions())
@@ -52,8 +51,8 @@
 	f.waitLogged("PV1006", `"zones_changed":["hall-1","hall-2"]`)
 }
 
-// A settings file that can't be read, or has a faulty field, changes nothing; the log names the
-// fault, and the entry serves on by the settings before.
+// A settings file that is unreadable or has an invalid field changes nothing on reload. The log names
+// the fault, and the entry keeps its previous settings.
 func TestReloadOfInvalidSettingsChangesNothing(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	before := f.Process(ProcessName(site.RoleEntry, 0, 0)).Settings()
@@ -72,8 +71,8 @@
 	assert.Zero(t, countEvents(f, "PV1006", ""))
 }
 
-// What a running process can't take over stays as it is, with a line that names it, and the rest
-// is in force.
+// Fields that a running process cannot change keep their values on reload and are logged; the others
+// apply.
 func TestReloadLogsFieldsThatNeedRestart(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	f.Reload(0, 0, f.Site.ChangedSettings(site.RoleEntry, 0, 0, func(settings map[string]any) {
@@ -87,7 +86,7 @@
 	assert.Equal(t, http.StatusOK, statusOf(t, f, "served"))
 }
 
-// Zones and bounds may change while requests run: none fails for it.
+// Zones and bounds may change while requests run; no request fails because of it.
 func TestReloadUnderLoad(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	stop := startMixedTraffic(f)
--- a/internal/sitetest/silence_test.go
+++ b/internal/sitetest/silence_test.go
@@ -18,17 +18,16 @@
 	"pinevane.example/pinevane/internal/silencer"
 )
 
-// The incident: open connections between the system's machines, to the store and to servers
-// went silent for good, without a reset, while new ones worked. The share of requests served
-// fell to 38% while that lasted, and a request began on a version of the weights after
-// the time for that version was over.
+// Incident: open connections between the system's machines, to the store and to servers went silent
+// for good, without a reset, while new ones worked. The ratio of requests served fell to 38% while
+// that lasted, and a request started on a version of the weights after that version's deadline.
 //
-// How it came about: a connection was believed until its own time limit ended it, one to
-// three seconds each, one request at a time; and a version counted as named at the moment
-// at which a process heard of it, however long the connection that would have told it had
-// been silent. What proves it: both tests fail by just that on the code before the mend.
+// Cause: a connection was trusted until its own timeout ended it, after one to three seconds each,
+// one request at a time; and a version counted as announced at the moment at which a process learned
+// of it, however long the connection that should have delivered it had been silent. Both tests fail
+// for these reasons on the code before the fix.
 
-// Ports of the stand-in on which callers and the platform's balancer reach an entry, and
+// Ports of the emulated site: those on which callers and the platform's balancer reach an entry, and
 // that of the store.
 const (
 	callerPort = 8005
@@ -36,7 +35,7 @@
 	storePort  = 8007
 )
 
-// systemConnections picks the connections of the system's own processes, not its callers'.
+// systemConnections selects the connections of the system's own processes, without those of callers.
 func systemConnections(c silencer.Connection) bool {
 	for _, port := range []uint16{c.Local.Port(), c.Remote.Port()} {
 		if port == callerPort || port == readyPort {
@@ -46,10 +45,10 @@
 	return true
 }
 
-// storeConnections picks the connections to the store.
+// storeConnections selects the connections to the store.
 var storeConnections = silencer.Between(func(one netip.AddrPort) bool { return one.Port() == storePort }, func(netip.AddrPort) bool { return true })
 
-// outcome is what became of one request.
+// outcome records the result of one request.
 type outcome struct {
 	id        string
 	startedAt time.Time
@@ -58,13 +57,13 @@
 	err       error
 }
 
-// served reports whether a request was answered whole within a time.
+// served reports whether a request was answered completely within a duration.
 func (o outcome) served(within time.Duration) bool {
 	return o.err == nil && o.answer.Status == http.StatusOK && o.answer.Complete && o.duration <= within
 }
 
-// startTraffic sends requests at a pace, each in its own goroutine, whether or not the ones before
-// are answered; stop waits for the last one.
+// startTraffic sends requests at a fixed pace, each in its own goroutine, without waiting for earlier
+// ones; stop waits for the last one and returns all outcomes.
 func startTraffic(pace time.Duration, send func(ctx context.Context, number int) outcome) (stop func() []outcome) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var mutex sync.Mutex
@@ -95,7 +94,7 @@
 	}
 }
 
-// servedRatio is the share of the requests begun in a span that were served in time.
+// servedRatio returns the ratio of the requests started in an interval that were served in time.
 func servedRatio(outcomes []outcome, from, to time.Time, within time.Duration) float64 {
 	all, served := 0, 0
 	for _, one := range outcomes {
@@ -116,22 +115,23 @@
 // Times of the test of service while connections are silent.
 const (
 	baselineTime = 2 * time.Second
-	// plainRecovery and streamsBack are how long after the silence began service is back.
+	// plainRecovery and streamRecovery are the times from the start of the silence until service has
+	// recovered.
 	plainRecovery  = time.Second
 	streamRecovery = 1500 * time.Millisecond
-	// minRecoveredRatio is the part of the calm share that counts as back.
+	// minRecoveredRatio is the part of the baseline ratio that counts as recovered.
 	minRecoveredRatio = 0.9
-	// observedTime is how long service is looked at after it is to be back.
+	// observedTime is how long service is observed after it must have recovered.
 	observedTime = 3 * time.Second
-	// targetLatency is when a request counts as answered in time: the route's target.
+	// targetLatency is the latency within which a request counts as served in time: the route's target.
 	targetLatency = time.Second
 	// streamEvents at 20 ms each keep some streams open at any time.
 	streamEvents = 20
 )
 
-// SHORT: all open connections go silent at once, under traffic. Service is back within a
-// second for plain calls and within a second and a half for streams; no stream is cut, and
-// nothing that may run once runs twice.
+// SHORT: all open connections go silent at once, under load. Service recovers within a second for
+// plain calls and within a second and a half for streams; no stream is cut, and no at-most-once
+// request runs twice.
 func TestServiceRecoversAfterConnectionsGoSilent(t *testing.T) {
 	options := DefaultOptions()
 	options.EventTime = 20 * time.Millisecond
@@ -160,7 +160,7 @@
 	require.NoError(t, err)
 	time.Sleep(streamRecovery + observedTime)
 	safe, once, streams := stopSafe(), stopOnce(), stopStreams()
-	t.Logf("%d ends of connections silenced", count)
+	t.Logf("%d connection ends silenced", count)
 	for name, kind := range map[string]struct {
 		outcomes []outcome
 		back     time.Duration
@@ -173,7 +173,7 @@
 		t.Logf("%s served in time by half seconds, silent from the third on: %s", name, strings.Join(line, " "))
 		calm := servedRatio(kind.outcomes, began, silent.Add(-targetLatency), targetLatency)
 		after := servedRatio(kind.outcomes, silent.Add(kind.back), silent.Add(streamRecovery+observedTime), targetLatency)
-		assert.GreaterOrEqual(t, after, minRecoveredRatio*calm, "%s: share served after the service is to be back, calm %.2f", name, calm)
+		assert.GreaterOrEqual(t, after, minRecoveredRatio*calm, "%s: ratio served after the service must have recovered, baseline %.2f", name, calm)
 	}
 	for _, one := range streams {
 		assert.True(t, one.err == nil && (one.answer.Status != http.StatusOK || one.answer.Complete), "stream %s: cut after %d events: %v", one.id, len(one.answer.Events), one.err)
@@ -182,12 +182,12 @@
 		runs := len(runsOf(f, one.id))
 		assert.LessOrEqual(t, runs, 1, "%s ran more than once", one.id)
 		refused := one.err == nil && one.answer.Status == http.StatusServiceUnavailable
-		assert.False(t, refused && runs > 0, "%s was refused as not run, and ran", one.id)
+		assert.False(t, refused && runs > 0, "%s was refused as not-run but ran", one.id)
 	}
 }
 
-// announceDuringSilence sends streams, silences some connections just before version 2 is named, which
-// nobody can fetch, and returns two seconds after the bound of that naming.
+// announceDuringSilence sends streams, silences the selected connections just before version 2 is
+// announced, which no machine can fetch, and returns two seconds after the deadline of version 1.
 func (f *Fleet) announceDuringSilence(silenced silencer.Filter) (named, bound time.Time) {
 	f.t.Helper()
 	f.Site.Origin.SetAway(true)
@@ -207,9 +207,9 @@
 	return named, bound
 }
 
-// VERSION: the connections to the store go silent just before a version is named, and nobody
-// can fetch it. From the bound of the naming on nothing begins on the old version, whenever the
-// entries heard of the new one.
+// VERSION: the connections to the store go silent just before a version is announced that no machine
+// can fetch. After the deadline nothing starts on the old version, whenever the entries learned of
+// the new one.
 func TestDeadlineHoldsWhenStoreConnectionsAreSilent(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	_, bound := f.announceDuringSilence(storeConnections)
@@ -221,15 +221,16 @@
 			latest = max(latest, run.At.Sub(bound))
 		}
 	}
-	assert.Zero(t, late, "requests that began on the old version after its bound, the last one %s after it", latest)
+	assert.Zero(t, late, "requests that started on the old version after its deadline, the last one %s after it", latest)
 }
 
-// Seen: 63 requests began on version 1, the last one 1.25 s after the bound of version 2. Cause:
-// the store and the exchange of records hold the newest version only, so that a process that
-// hears of version 3 alone lets version 1 run until the bound of version 3.
+// VERSION: versions 2 and 3 are announced shortly after each other while the origin is unavailable,
+// and an entry restarts right after the second announcement. Nothing starts on version 1 after the
+// deadline that version 2 set.
 //
-// VERSION: versions 2 and 3 follow each other while the origin is away; an entry starts anew right
-// after the second naming. Nothing begins on version 1 after the bound of version 2.
+// Observed: 63 requests started on version 1, the last one 1.25 s after that deadline. Cause: the
+// store and the exchange of records hold only the newest version, so that a process that learns of
+// version 3 alone lets version 1 run until the deadline that version 3 sets.
 func TestRestartedEntryKeepsEarlierDeadline(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	f.Site.Origin.SetAway(true)
@@ -245,7 +246,7 @@
 	time.Sleep(100 * time.Millisecond)
 	f.StartEntry(1, 1)
 	f.Eventually("the entry is ready again", 3*time.Second, func() bool { return f.ready(1, 1) })
-	t.Logf("ready again %s before the bound", time.Until(bound).Round(time.Millisecond))
+	t.Logf("ready again %s before the deadline", time.Until(bound).Round(time.Millisecond))
 	stop := startTraffic(20*time.Millisecond, func(ctx context.Context, number int) outcome {
 		one := outcome{id: fmt.Sprintf("stream-%d", number), startedAt: time.Now()}
 		one.answer, one.err = f.Stream(ctx, 1, 1, one.id, 4)
@@ -260,6 +261,6 @@
 			latest = max(latest, run.At.Sub(bound))
 		}
 	}
-	t.Logf("%d late on version 1, the last %s after the bound of version 2", late, latest)
+	t.Logf("%d late on version 1, the last %s after the deadline", late, latest)
 	assert.Zero(t, late)
 }
--- a/internal/sitetest/sizes_test.go
+++ b/internal/sitetest/sizes_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// An overload of requests whose prompts have a heavy tail: over twice what the servers can read.
+// An overload of requests whose prompt sizes have a heavy tail: over twice what the servers can read.
 const (
 	sizesPerSecond = 50
 	sizesDuration  = 8 * time.Second
@@ -24,8 +24,8 @@
 	sizesEvents    = 10
 )
 
-// Guards against large requests being left unserved: amid an overload the largest tenth of the prompts is served at least half as
-// often as all.
+// Guards against starvation of large requests: under overload the largest tenth of the prompts is
+// served at least half as often as all prompts.
 func TestLargePromptsAreServedUnderOverload(t *testing.T) {
 	options := DefaultOptions()
 	options.ReadPerSecond, options.UsualPrompt = sizesRead, sizesTypical
@@ -63,7 +63,7 @@
 	tenth := len(results) / 10
 	all, largest, smallest := share(results), share(results[len(results)-tenth:]), share(results[:tenth])
 	t.Logf("served: all %.2f, the largest tenth %.2f, the fifth below %.2f, the smallest tenth %.2f", all, largest, share(results[len(results)-3*tenth:len(results)-tenth]), smallest)
-	assert.Less(t, all, 0.8, "no overload")
+	assert.Less(t, all, 0.8, "the fleet is not overloaded")
 	assert.GreaterOrEqual(t, largest, all/2)
 	assert.GreaterOrEqual(t, smallest, all/2)
 }
--- a/internal/sitetest/start_test.go
+++ b/internal/sitetest/start_test.go
@@ -9,13 +9,14 @@
 	"pinevane.example/pinevane/internal/catalog"
 )
 
-// Seen: after all entries of a fleet were killed, callers were turned away for 0.5 to 0.6 s by
-// entries that ran and knew of no server, and came back as late ones. Cause: all entries waited to
-// be told by others what the store holds, the seeds among them: the seeds' settings list each other
-// and not their own address, by which an entry was to know that it is one. Proof: they all read the
-// store for themselves 0.5 s after their start.
+// When all entries of a fleet are killed at once and restarted, they get the state from the seeds,
+// which read the store at once.
 //
-// A fleet of which all entries are killed at once is told by its seeds, which read at once.
+// Observed: after such a restart, callers were refused for 0.5 to 0.6 s by entries that ran and knew
+// of no server, and their retries were late. Cause: all entries, including the seeds, waited for others
+// to send them the state of the store: the seeds' settings list each other but not their own address,
+// by which an entry was to detect that it is a seed. Proof: they all read the store themselves 0.5 s
+// after their start.
 func TestFleetIsReadySoonAfterAllEntriesWereKilled(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	options := f.Site.Options
@@ -32,6 +33,6 @@
 	}
 	f.WaitReady()
 	took := time.Since(began)
-	t.Logf("all entries are ready and hear all agents %s after their start", took)
+	t.Logf("all entries are ready and have reports of all agents %s after their start", took)
 	assert.Less(t, took, 400*time.Millisecond)
 }
--- a/internal/sitetest/store_test.go
+++ b/internal/sitetest/store_test.go
@@ -23,30 +23,29 @@
 	configuration["routes"] = routes
 }
 
-// CONFIG: an outage of the store after which its history is forgotten, at a store whose
-// link carries a few listings a second: not every process of a zone may read everything
-// at the same time.
+// CONFIG: the store compacts its history after an outage, and its link carries only a few listings a
+// second. Not every process of a zone may list everything at the same time.
 func TestAFullZoneLearnsAfterAnOutageOverANarrowLink(t *testing.T) {
 	options := DefaultOptions()
 	options.Entries, options.ModelServers = 4, 4
 	f := Start(t, options)
 	version := f.Site.Configure(addManyRoutes)
-	f.Eventually("the large configuration is in force", 3*time.Second, func() bool { return f.configurationApplied(version) })
+	f.Eventually("the large configuration is applied", 3*time.Second, func() bool { return f.configurationApplied(version) })
 	f.Site.Store.SetDown(true)
 	time.Sleep(2500 * time.Millisecond)
 	version = f.Site.Configure(func(configuration map[string]any) {
 		configuration["tenants"] = []any{map[string]any{"name": site.Tenant, "apiKeys": []string{site.Key, "second-key"}}}
 	})
 	f.Site.Store.Compact()
-	// A listing takes a quarter of a second, and all processes' listings four seconds:
-	// what 20 Mbit/s between regions are to the configurations of a large fleet.
+	// A listing takes a quarter of a second, and all processes' listings four seconds, like the
+	// configurations of a large fleet over 20 Mbit/s between regions.
 	const narrowLink = 4e5
 	f.Site.Store.SetBandwidth(narrowLink)
 	calls := f.Site.Store.Calls()
 	f.Site.Store.SetDown(false)
 	back := time.Now()
-	f.Eventually("the change is in force", 10*time.Second, func() bool { return f.configurationApplied(version) })
+	f.Eventually("the change is applied", 10*time.Second, func() bool { return f.configurationApplied(version) })
 	took := time.Since(back)
-	t.Logf("in force %s after the store's return, after %d calls", took, f.Site.Store.Calls()-calls)
+	t.Logf("applied %s after the store's return, after %d calls", took, f.Site.Store.Calls()-calls)
 	assert.Less(t, took, time.Duration(options.ConfigApplyMs)*time.Millisecond)
 }
--- a/internal/sitetest/told_asks_test.go
+++ b/internal/sitetest/told_asks_test.go
@@ -15,10 +15,11 @@
 	"pinevane.example/pinevane/internal/forward"
 )
 
-// noticePropagation is how long it takes until all entries know what a server has asked of one: three hops, each at once.
+// noticePropagation is the time until all entries know a server notice that one of them received:
+// three hops without delay.
 const noticePropagation = time.Second
 
-// serverView is what an entry believes of a server.
+// serverView returns an entry's view of a server.
 func (f *Fleet) serverView(zone, index int, server string) forward.ServerView {
 	views, isList := f.Process(ProcessName(catalog.RoleEntry, zone, index)).Dump()["servers"].([]forward.ServerView)
 	require.True(f.t, isList)
@@ -30,7 +31,7 @@
 	return forward.ServerView{}
 }
 
-// allEntries reports whether what each entry believes of a server fulfils a condition.
+// allEntries reports whether every entry's view of a server meets a condition.
 func (f *Fleet) allEntries(server string, condition func(forward.ServerView) bool) bool {
 	for zone := range f.Site.Options.Zones {
 		for index := range f.Site.Options.Entries {
@@ -42,7 +43,8 @@
 	return true
 }
 
-// sendPlainUntilAnswered asks a plain service at one entry until a server has answered.
+// sendPlainUntilAnswered sends requests for a plain service through one entry until the given server
+// has answered.
 func (f *Fleet) sendPlainUntilAnswered(zone, index int, server, id string) {
 	f.t.Helper()
 	number := 0
@@ -54,8 +56,8 @@
 	})
 }
 
-// DRAIN, LIMIT: what a server has asked of one entry in an answer all know, and one that starts knows it
-// before it has had an answer itself.
+// DRAIN, LIMIT: a server notice that one entry receives in an answer reaches all entries, and an entry
+// that starts later knows it before it receives an answer itself.
 func TestServerNoticesReachAllEntries(t *testing.T) {
 	options := limitOptions()
 	options.PlainServers = 2
@@ -63,25 +65,25 @@
 	leaving, limited := f.Site.Plain[options.PlainIP(0, 0)], f.Site.Plain[options.PlainIP(0, 1)]
 	leaving.SayLeaving(true)
 	f.sendPlainUntilAnswered(0, 0, leaving.ID(), "leaving")
-	f.Eventually("all know that it leaves", noticePropagation, func() bool {
+	f.Eventually("all entries know that the server is leaving", noticePropagation, func() bool {
 		return f.allEntries(leaving.ID(), func(view forward.ServerView) bool { return view.AnnouncedLeaving })
 	})
 	limited.NameLimit("3")
 	f.sendPlainUntilAnswered(0, 1, limited.ID(), "limited")
 	named := func(view forward.ServerView) bool { return view.Limit != nil && view.Limit.PerSecond == 3 }
-	f.Eventually("all know the limit", noticePropagation, func() bool { return f.allEntries(limited.ID(), named) })
+	f.Eventually("all entries know the limit", noticePropagation, func() bool { return f.allEntries(limited.ID(), named) })
 
 	f.Kill(ProcessName(catalog.RoleEntry, 2, 1))
 	f.StartEntry(2, 1)
 	f.WaitReady()
-	f.Eventually("the new entry knows both", noticePropagation, func() bool {
+	f.Eventually("the new entry knows both notices", noticePropagation, func() bool {
 		return f.serverView(2, 1, leaving.ID()).AnnouncedLeaving && named(f.serverView(2, 1, limited.ID()))
 	})
 
 	limited.NameLimit("")
 	f.sendPlainUntilAnswered(0, 0, limited.ID(), "over")
-	f.Eventually("all know that the limit is over", noticePropagation, func() bool {
+	f.Eventually("all entries know that the limit has ended", noticePropagation, func() bool {
 		return f.allEntries(limited.ID(), func(view forward.ServerView) bool { return view.Limit == nil })
 	})
-	assert.Len(t, f.arrivalsAt(leaving.ID(), time.Time{}), 1, "requests to the server that leaves")
+	assert.Len(t, f.arrivalsAt(leaving.ID(), time.Time{}), 1, "requests to the leaving server")
 }
--- a/internal/sitetest/versions_test.go
+++ b/internal/sitetest/versions_test.go
@@ -12,8 +12,8 @@
 	"pinevane.example/pinevane/internal/emulator/site"
 )
 
-// startStreams sends streams until the function returned is called, which waits for the
-// last and returns how many were not answered whole.
+// startStreams sends streams until stop is called, which waits for the last one and returns how many
+// were sent and how many were not answered completely.
 func startStreams(f *Fleet, t *testing.T) (stop func() (sent, spoilt int)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var callers sync.WaitGroup
@@ -50,9 +50,9 @@
 	return true
 }
 
-// WHOLE, VERSION: under load, a new version comes into service everywhere in time,
-// from about one copy of the origin; no stream is lost, none begins too late on the
-// old version, none on spoilt weights.
+// WHOLE, VERSION: under load, a new version enters service everywhere in time with about one copy
+// fetched from the origin. No stream is lost, starts too late on the old version, or runs on corrupt
+// weights.
 func TestNewVersionUnderLoad(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	stop := startStreams(f, t)
@@ -74,8 +74,8 @@
 	assert.LessOrEqual(t, f.Site.Origin.Copies(), 1.3)
 }
 
-// A version that is replaced while its pieces are still moving is dropped, and the
-// newest is served in time, counted from the first.
+// A version that is replaced during its transfer is dropped, and the newest is served in time,
+// counted from the first announcement.
 func TestTwoVersionsInQuickSuccession(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	f.Site.NameVersion(2)
@@ -84,9 +84,8 @@
 	f.Eventually("every server serves version 3", time.Duration(f.Site.Options.VersionMs)*time.Millisecond, func() bool { return f.allServe(3) })
 }
 
-// BUDGET: a version that is named long after the last one comes into service without
-// servers turning requests away: an entry does not ask those that have changed over for
-// the version before.
+// BUDGET: a version that is announced long after the previous one enters service without refusals:
+// entries send no requests for the previous version to servers that have switched.
 func TestLaterVersionCausesNoWrongVersionRefusals(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	bound := time.Duration(f.Site.Options.VersionMs) * time.Millisecond
@@ -99,10 +98,10 @@
 	_, spoilt := stop()
 	assert.Zero(t, spoilt)
 	turnedAway := countEvents(f, "PV4105", `"reason":"wrong-version"`)
-	assert.LessOrEqual(t, turnedAway, 3, "requests that a server turned away for its version")
+	assert.LessOrEqual(t, turnedAway, 3, "requests that a server refused as wrong-version")
 }
 
-// WHOLE: pieces that turn bad after they were staged are noticed before the order.
+// WHOLE: pieces that become corrupt after they were staged are detected before the order.
 func TestPiecesCorruptedAfterStagingAreFetchedAgain(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	f.Site.NameVersion(2)
@@ -119,8 +118,8 @@
 	}
 }
 
-// WHOLE: what the origin hands out is checked, and a manifest that its own pieces do
-// not match is not believed for long.
+// WHOLE: data from the origin is verified, and a manifest that does not match its own pieces is soon
+// discarded.
 func TestOriginServesCorruptPieces(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	f.Site.Origin.Spoil(5)
@@ -134,8 +133,8 @@
 	}
 }
 
-// A server that has crashed is served again from what lies at it, without the
-// origin; one that comes empty gets its pieces from its peers.
+// A crashed server serves again from its local copy, without the origin; an empty one gets its pieces
+// from its peers.
 func TestRestartedAndEmptyServersRecover(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	f.Eventually("pieces are verified", 3*time.Second, func() bool { return countEvents(f, "PV3005", "") >= 4 })
@@ -149,8 +148,7 @@
 	assert.LessOrEqual(t, f.Site.Origin.Copies()-before, 0.05)
 }
 
-// RECOVER: after a loss of power no server holds anything; the pieces come from the
-// origin once more.
+// RECOVER: after a power loss no server holds any pieces; they are fetched from the origin once more.
 func TestAllServersStartEmpty(t *testing.T) {
 	options := DefaultOptions()
 	options.ModelServers = 0
@@ -167,8 +165,8 @@
 	assert.LessOrEqual(t, f.Site.Origin.Copies(), 2.0)
 }
 
-// A server that has started anew on its old address is sent requests under its new
-// name only, also while the list still names the old one.
+// A server that has restarted on its old address receives requests only under its new ID, even while
+// the list of servers still holds the old one.
 func TestRestartedServerIsUsedUnderItsNewID(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	f.Eventually("pieces are verified", 3*time.Second, func() bool { return countEvents(f, "PV3005", "") >= 4 })
