--- a/internal/sitetest/crashing_test.go
+++ b/internal/sitetest/crashing_test.go
@@ -62,10 +62,10 @@
 // startHarmlessTraffic sends streams with distinct fingerprints through all entries.
 func (f *Fleet) startHarmlessTraffic(pace time.Duration) (stop func() []outcome) {
 	return startTraffic(pace, func(ctx context.Context, number int) outcome {
-		one := outcome{id: fmt.Sprintf("harmless-%d", number), startedAt: time.Now()}
-		one.answer, one.err = f.streamWithBody(ctx, number, fmt.Sprintf("harmless/%d", number), one.id, "prompt", 10)
-		one.duration = time.Since(one.startedAt)
-		return one
+		result := outcome{id: fmt.Sprintf("harmless-%d", number), startedAt: time.Now()}
+		result.answer, result.err = f.streamWithBody(ctx, number, fmt.Sprintf("harmless/%d", number), result.id, "prompt", 10)
+		result.duration = time.Since(result.startedAt)
+		return result
 	})
 }
 
@@ -79,10 +79,10 @@
 // startCrashingTraffic sends the request that crashes servers through randomly chosen entries.
 func (f *Fleet) startCrashingTraffic(pace time.Duration) (stop func() []outcome) {
 	return startTraffic(pace, func(ctx context.Context, number int) outcome {
-		one := outcome{id: crashingIDPrefix + strconv.Itoa(number), startedAt: time.Now()}
-		one.answer, one.err = f.streamWithBody(ctx, rand.IntN(4), "culprit", one.id, crashingBody, 10)
-		one.duration = time.Since(one.startedAt)
-		return one
+		result := outcome{id: crashingIDPrefix + strconv.Itoa(number), startedAt: time.Now()}
+		result.answer, result.err = f.streamWithBody(ctx, rand.IntN(4), "culprit", result.id, crashingBody, 10)
+		result.duration = time.Since(result.startedAt)
+		return result
 	})
 }
 
@@ -108,24 +108,24 @@
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	f := Start(t, crashingOptions())
 	f.Site.CrashOn(site.Crashing{Body: crashingBody, After: 50 * time.Millisecond, Away: 2 * time.Second})
-	stopHarmless, stopCulprit := f.startHarmlessTraffic(20*time.Millisecond), f.startCrashingTraffic(crashingInterval)
+	stopHarmless, stopCrashing := f.startHarmlessTraffic(20*time.Millisecond), f.startCrashingTraffic(crashingInterval)
 	time.Sleep(crashingDuration)
-	culprits, harmless, ended := stopCulprit(), stopHarmless(), time.Now()
-	third := f.thirdCrash()
-	t.Logf("crashed servers: %d, arrivals after the third crash: %d", len(f.Site.Ends()), len(f.crashingArrivals(third)))
-	assert.LessOrEqual(t, len(f.crashingArrivals(third.Add(quarantineDelay))), maxLateArrivals, "arrivals after the fingerprint must be quarantined")
-	assert.Empty(t, f.crashingArrivals(third.Add(crashReportDelay)), "arrivals after the crash reports have spread")
+	crashing, harmless, endedAt := stopCrashing(), stopHarmless(), time.Now()
+	thirdCrashAt := f.thirdCrash()
+	t.Logf("crashed servers: %d, arrivals after the third crash: %d", len(f.Site.Ends()), len(f.crashingArrivals(thirdCrashAt)))
+	assert.LessOrEqual(t, len(f.crashingArrivals(thirdCrashAt.Add(quarantineDelay))), maxLateArrivals, "arrivals after the fingerprint must be quarantined")
+	assert.Empty(t, f.crashingArrivals(thirdCrashAt.Add(crashReportDelay)), "arrivals after the crash reports have spread")
 	last := f.Site.Ends()[len(f.Site.Ends())-1].At
-	if back := last.Add(3 * time.Second); back.Before(ended) {
-		assert.GreaterOrEqual(t, servedRatio(harmless, back, ended, time.Second), minServedRatio, "ratio of harmless requests served after the servers have restarted")
+	if restoredAt := last.Add(3 * time.Second); restoredAt.Before(endedAt) {
+		assert.GreaterOrEqual(t, servedRatio(harmless, restoredAt, endedAt, time.Second), minServedRatio, "ratio of harmless requests served after the servers have restarted")
 	}
 	assert.Equal(t, f.Site.Options.Zones*f.Site.Options.Entries, countEvents(f, "PV4211", ""), "quarantined fingerprints: one for each entry")
-	for _, one := range culprits {
-		if one.startedAt.Before(third.Add(crashReportDelay)) {
+	for _, result := range crashing {
+		if result.startedAt.Before(thirdCrashAt.Add(crashReportDelay)) {
 			continue
 		}
-		assert.NotEqual(t, http.StatusOK, one.answer.Status)
-		assert.Less(t, one.duration, 100*time.Millisecond, "time to a local refusal")
+		assert.NotEqual(t, http.StatusOK, result.answer.Status)
+		assert.Less(t, result.duration, 100*time.Millisecond, "time to a local refusal")
 	}
 }
 
@@ -166,11 +166,11 @@
 		}
 	}
 	f.WaitReady()
-	started := time.Now()
+	startedAt := time.Now()
 	for _, answer := range f.sendToEveryEntry("after") {
 		assert.Equal(t, http.StatusServiceUnavailable, answer.Status)
 	}
-	assert.Empty(t, f.crashingArrivals(started))
+	assert.Empty(t, f.crashingArrivals(startedAt))
 }
 
 // BUDGET: the same for a plain service, which has no agents and few servers.
@@ -180,16 +180,16 @@
 	f := Start(t, options)
 	f.Site.CrashOn(site.Crashing{Body: crashingBody, After: 50 * time.Millisecond, Away: time.Second})
 	stop := startTraffic(crashingInterval, func(ctx context.Context, number int) outcome {
-		one := outcome{id: crashingIDPrefix + strconv.Itoa(number), startedAt: time.Now()}
-		one.answer, one.err = f.Call(ctx, number%2, number/2%2, http.MethodPost, site.SafePrefix+"culprit", one.id, nil, crashingBody)
-		return one
+		result := outcome{id: crashingIDPrefix + strconv.Itoa(number), startedAt: time.Now()}
+		result.answer, result.err = f.Call(ctx, number%2, number/2%2, http.MethodPost, site.SafePrefix+"culprit", result.id, nil, crashingBody)
+		return result
 	})
 	time.Sleep(crashingDuration)
 	stop()
-	third := f.thirdCrash()
-	t.Logf("crashed servers: %d, arrivals after the third crash: %d", len(f.Site.Ends()), len(f.crashingArrivals(third)))
-	assert.LessOrEqual(t, len(f.crashingArrivals(third.Add(quarantineDelay))), maxLateArrivals, "arrivals after the fingerprint must be quarantined")
-	assert.Empty(t, f.crashingArrivals(third.Add(crashReportDelay)), "arrivals after the crash reports have spread")
+	thirdCrashAt := f.thirdCrash()
+	t.Logf("crashed servers: %d, arrivals after the third crash: %d", len(f.Site.Ends()), len(f.crashingArrivals(thirdCrashAt)))
+	assert.LessOrEqual(t, len(f.crashingArrivals(thirdCrashAt.Add(quarantineDelay))), maxLateArrivals, "arrivals after the fingerprint must be quarantined")
+	assert.Empty(t, f.crashingArrivals(thirdCrashAt.Add(crashReportDelay)), "arrivals after the crash reports have spread")
 }
 
 // BUDGET: the crashing request is rare and the only traffic, so that no other request detects the
@@ -212,14 +212,14 @@
 	stop := f.startCrashingTraffic(400 * time.Millisecond)
 	time.Sleep(crashingDuration)
 	stop()
-	third := f.thirdCrash()
-	assert.LessOrEqual(t, len(f.crashingArrivals(third.Add(quarantineDelay))), maxLateArrivals, "arrivals after the fingerprint must be quarantined")
+	thirdCrashAt := f.thirdCrash()
+	assert.LessOrEqual(t, len(f.crashingArrivals(thirdCrashAt.Add(quarantineDelay))), maxLateArrivals, "arrivals after the fingerprint must be quarantined")
 }
 
 // Servers that reset connections without crashing cause no crash reports and no quarantine.
 func TestConnectionResetsQuarantineNothing(t *testing.T) {
 	f := Start(t, DefaultOptions())
-	ask := func(number int) Answer {
+	send := func(number int) Answer {
 		answer, err := f.Call(context.Background(), number%2, number/2%2, http.MethodPost, site.SafePrefix+"same", fmt.Sprintf("same-%d", number), nil, "same")
 		require.NoError(t, err)
 		return answer
@@ -228,7 +228,7 @@
 		server.SetFaults(site.Faults{Lying: site.LyingResets})
 	}
 	for number := range 12 {
-		assert.NotEqual(t, http.StatusOK, ask(number).Status)
+		assert.NotEqual(t, http.StatusOK, send(number).Status)
 		time.Sleep(crashingInterval)
 	}
 	for _, server := range f.Site.Plain {
@@ -236,7 +236,7 @@
 	}
 	assert.Zero(t, countEvents(f, "PV4210", ""), "crashed servers")
 	number := 100
-	f.Eventually("the request is served", 5*time.Second, func() bool { number++; return ask(number).Status == http.StatusOK })
+	f.Eventually("the request is served", 5*time.Second, func() bool { number++; return send(number).Status == http.StatusOK })
 }
 
 // All model servers restart at once, three times, while many callers send the same request, which
@@ -245,10 +245,10 @@
 	options := crashingOptions()
 	f := Start(t, options)
 	stop := startTraffic(10*time.Millisecond, func(ctx context.Context, number int) outcome {
-		one := outcome{startedAt: time.Now()}
-		one.answer, one.err = f.streamWithBody(ctx, number, "popular", fmt.Sprintf("popular-%d", number), "popular", 20)
-		one.duration = time.Since(one.startedAt)
-		return one
+		result := outcome{startedAt: time.Now()}
+		result.answer, result.err = f.streamWithBody(ctx, number, "popular", fmt.Sprintf("popular-%d", number), "popular", 20)
+		result.duration = time.Since(result.startedAt)
+		return result
 	})
 	for range 3 {
 		time.Sleep(1500 * time.Millisecond)
@@ -259,11 +259,11 @@
 		}
 		f.Eventually("every server serves again", 5*time.Second, func() bool { return f.allServe(1) })
 	}
-	back := time.Now()
+	restoredAt := time.Now()
 	time.Sleep(time.Second)
 	outcomes := stop()
 	assert.Zero(t, countEvents(f, "PV4211", ""), "quarantined fingerprints")
-	assert.GreaterOrEqual(t, servedRatio(outcomes, back.Add(300*time.Millisecond), back.Add(time.Second), time.Second), minServedRatio)
+	assert.GreaterOrEqual(t, servedRatio(outcomes, restoredAt.Add(300*time.Millisecond), restoredAt.Add(time.Second), time.Second), minServedRatio)
 }
 
 // A server that has announced that it is leaving stops with open requests. It is not counted as a
@@ -271,9 +271,9 @@
 func TestPlannedStopQuarantinesNothing(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	stop := startTraffic(50*time.Millisecond, func(ctx context.Context, number int) outcome {
-		one := outcome{startedAt: time.Now()}
-		one.answer, one.err = f.streamWithBody(ctx, number, "long", fmt.Sprintf("long-%d", number), "long", 400)
-		return one
+		result := outcome{startedAt: time.Now()}
+		result.answer, result.err = f.streamWithBody(ctx, number, "long", fmt.Sprintf("long-%d", number), "long", 400)
+		return result
 	})
 	time.Sleep(500 * time.Millisecond)
 	leaving := f.Site.Models[f.Site.Options.ModelIP(0, 0)]
@@ -296,20 +296,20 @@
 		assert.Greater(t, retryAfter(t, answer), time.Minute, "retry delay for the caller")
 	}
 	f.Site.CrashOn(site.Crashing{})
-	held, isList := f.Process(ProcessName(catalog.RoleEntry, 0, 0)).Dump()["contents"].([]forward.FingerprintView)
+	fingerprints, isList := f.Process(ProcessName(catalog.RoleEntry, 0, 0)).Dump()["contents"].([]forward.FingerprintView)
 	require.True(t, isList)
-	require.Len(t, held, 1)
-	assert.Equal(t, "quarantined", held[0].State)
-	assert.GreaterOrEqual(t, len(held[0].Servers), maxCrashes)
-	release := func(content string) int {
-		response, err := client.Post(fmt.Sprintf("http://%s:%d%s%s", f.Site.Options.EntryIP(1, 1), controlPort, gateway.ReleasePath, content), "", nil)
+	require.Len(t, fingerprints, 1)
+	assert.Equal(t, "quarantined", fingerprints[0].State)
+	assert.GreaterOrEqual(t, len(fingerprints[0].Servers), maxCrashes)
+	release := func(fingerprint string) int {
+		response, err := client.Post(fmt.Sprintf("http://%s:%d%s%s", f.Site.Options.EntryIP(1, 1), controlPort, gateway.ReleasePath, fingerprint), "", nil)
 		require.NoError(t, err)
 		require.NoError(t, response.Body.Close())
 		return response.StatusCode
 	}
 	assert.Equal(t, http.StatusBadRequest, release("short"))
 	assert.Equal(t, http.StatusNotFound, release(strings.Repeat("0", 32)))
-	assert.Equal(t, http.StatusNoContent, release(held[0].Fingerprint))
+	assert.Equal(t, http.StatusNoContent, release(fingerprints[0].Fingerprint))
 	f.Eventually("every entry sends the request", 2*time.Second, func() bool {
 		for _, answer := range f.sendToEveryEntry("released") {
 			if answer.Status != http.StatusOK {
--- a/internal/sitetest/deaf_store_test.go
+++ b/internal/sitetest/deaf_store_test.go
@@ -26,7 +26,7 @@
 	for version := uint64(2); version <= 7; version++ {
 		f.Site.Store.SetDeaf()
 		time.Sleep(10 * time.Millisecond)
-		named := time.Now()
+		announcedAt := time.Now()
 		f.Site.NameVersion(version)
 		time.AfterFunc(silentFor, f.Site.Store.Compact)
 		time.Sleep(3500 * time.Millisecond)
@@ -34,9 +34,9 @@
 			for index := range 2 {
 				for _, role := range []string{catalog.RoleEntry, catalog.RoleAgent} {
 					name := ProcessName(role, zone, index)
-					notice, _ := f.Process(name).Catalog.View().Newest("m")
-					assert.Equal(t, version, notice.Version, name)
-					late := notice.Since.Sub(named)
+					announcement, _ := f.Process(name).Catalog.View().Newest("m")
+					assert.Equal(t, version, announcement.Version, name)
+					late := announcement.Since.Sub(announcedAt)
 					assert.LessOrEqual(t, late, time.Duration(0), "%s, version %d", name, version)
 					t.Logf("%s, version %d: dated %s early", name, version, -late.Round(time.Millisecond))
 				}
@@ -49,31 +49,31 @@
 // servers, whether or not the store's watches deliver the announcement. Observed: starts 10 to
 // 184 ms after the deadline when they did not.
 func TestNoLateStartsWhenWatchesAreSilent(t *testing.T) {
-	for _, deaf := range []bool{false, true} {
-		t.Run(fmt.Sprintf("silent watches %v", deaf), func(t *testing.T) {
+	for _, silent := range []bool{false, true} {
+		t.Run(fmt.Sprintf("silent watches %v", silent), func(t *testing.T) {
 			f := Start(t, lateCancelOptions())
 			f.Site.Origin.SetAway(true)
 			stop := startTraffic(120*time.Millisecond, func(ctx context.Context, number int) outcome {
-				one := outcome{id: fmt.Sprintf("stream-%d", number), startedAt: time.Now()}
-				one.answer, one.err = f.Stream(ctx, number%2, number/2%2, one.id, longStreamEvents)
-				return one
+				result := outcome{id: fmt.Sprintf("stream-%d", number), startedAt: time.Now()}
+				result.answer, result.err = f.Stream(ctx, number%2, number/2%2, result.id, longStreamEvents)
+				return result
 			})
 			time.Sleep(1500 * time.Millisecond)
-			if deaf {
+			if silent {
 				f.Site.Store.SetDeaf()
 			}
-			named := time.Now()
+			announcedAt := time.Now()
 			f.Site.NameVersion(2)
-			if deaf {
+			if silent {
 				time.AfterFunc(silentFor, f.Site.Store.Compact)
 			}
-			bound := named.Add(time.Duration(f.Site.Options.VersionMs) * time.Millisecond)
-			time.Sleep(time.Until(bound.Add(2 * time.Second)))
+			deadline := announcedAt.Add(time.Duration(f.Site.Options.VersionMs) * time.Millisecond)
+			time.Sleep(time.Until(deadline.Add(2 * time.Second)))
 			stop()
 			var late []time.Duration
 			for _, run := range f.Site.Ledger.Runs() {
-				if run.Service == site.ModelService && run.Version == 1 && run.At.After(bound) {
-					late = append(late, run.At.Sub(bound).Round(time.Millisecond))
+				if run.Service == site.ModelService && run.Version == 1 && run.At.After(deadline) {
+					late = append(late, run.At.Sub(deadline).Round(time.Millisecond))
 				}
 			}
 			assert.Empty(t, late)
@@ -92,16 +92,16 @@
 	time.Sleep(1500 * time.Millisecond)
 	sum, count := time.Duration(0), 0
 	for version := uint64(2); version <= 7; version++ {
-		named := time.Now()
+		announcedAt := time.Now()
 		f.Site.NameVersion(version)
 		time.Sleep(1370 * time.Millisecond)
 		for zone := range 2 {
 			for index := range 2 {
 				for _, role := range []string{catalog.RoleEntry, catalog.RoleAgent} {
 					name := ProcessName(role, zone, index)
-					notice, _ := f.Process(name).Catalog.View().Newest("m")
-					assert.Equal(t, version, notice.Version, name)
-					early := named.Sub(notice.Since)
+					announcement, _ := f.Process(name).Catalog.View().Newest("m")
+					assert.Equal(t, version, announcement.Version, name)
+					early := announcedAt.Sub(announcement.Since)
 					assert.GreaterOrEqual(t, early, time.Duration(0), "%s, version %d", name, version)
 					assert.LessOrEqual(t, early, maxAnnouncementError, "%s, version %d", name, version)
 					sum, count = sum+early, count+1
@@ -122,9 +122,9 @@
 	options.Weights.Pieces = 96
 	f := Start(t, options)
 	stop := startTraffic(15*time.Millisecond, func(ctx context.Context, number int) outcome {
-		one := outcome{id: fmt.Sprintf("stream-%d", number), startedAt: time.Now()}
-		one.answer, one.err = f.Stream(ctx, number%2, number/2%2, one.id, 4)
-		return one
+		result := outcome{id: fmt.Sprintf("stream-%d", number), startedAt: time.Now()}
+		result.answer, result.err = f.Stream(ctx, number%2, number/2%2, result.id, 4)
+		return result
 	})
 	time.Sleep(time.Second)
 	f.Site.Store.SetDown(true)
@@ -132,15 +132,15 @@
 	f.Site.Origin.Withhold(0)
 	f.Site.NameVersion(2)
 	f.Site.Store.SetDown(false)
-	named := time.Now()
+	announcedAt := time.Now()
 	const withheld = 2 * time.Second
 	time.AfterFunc(withheld, func() { f.Site.Origin.Withhold() })
-	bound := named.Add(time.Duration(f.Site.Options.VersionMs) * time.Millisecond)
+	deadline := announcedAt.Add(time.Duration(f.Site.Options.VersionMs) * time.Millisecond)
 	const half = 500 * time.Millisecond
 	time.Sleep(4500 * time.Millisecond)
 	outcomes := stop()
 	for at := -time.Second; at < 3*time.Second; at += half {
-		served := servedRatio(outcomes, named.Add(at), named.Add(at+half), time.Second)
+		served := servedRatio(outcomes, announcedAt.Add(at), announcedAt.Add(at+half), time.Second)
 		t.Logf("%5.1f s after the announcement: %.2f served", at.Seconds(), served)
 		// After that the servers switch versions, which takes as much of their time as without an outage.
 		if at+half <= withheld {
@@ -149,7 +149,7 @@
 	}
 	for _, run := range f.Site.Ledger.Runs() {
 		if run.Service == site.ModelService && run.Version == 1 {
-			assert.False(t, run.At.After(bound), "started %s after the deadline", run.At.Sub(bound))
+			assert.False(t, run.At.After(deadline), "started %s after the deadline", run.At.Sub(deadline))
 		}
 	}
 }
@@ -163,18 +163,18 @@
 	f.Site.Origin.SetAway(true)
 	time.Sleep(1500 * time.Millisecond)
 	version := uint64(1)
-	name := func() {
+	announce := func() {
 		version++
-		named := time.Now()
+		announcedAt := time.Now()
 		f.Site.NameVersion(version)
 		time.Sleep(900 * time.Millisecond)
 		for zone := range 2 {
 			for index := range 2 {
 				for _, role := range []string{catalog.RoleEntry, catalog.RoleAgent} {
 					process := ProcessName(role, zone, index)
-					notice, _ := f.Process(process).Catalog.View().Newest("m")
-					if notice.Version == version {
-						assert.False(t, notice.Since.After(named), "%s: version %d dated %s late", process, version, notice.Since.Sub(named))
+					announcement, _ := f.Process(process).Catalog.View().Newest("m")
+					if announcement.Version == version {
+						assert.False(t, announcement.Since.After(announcedAt), "%s: version %d dated %s late", process, version, announcement.Since.Sub(announcedAt))
 					}
 				}
 			}
@@ -189,16 +189,16 @@
 		}
 		f.Site.Store.Refuse(refused...)
 		time.Sleep(3 * time.Second)
-		name()
+		announce()
 	}
 	f.Site.Store.Refuse()
-	name()
+	announce()
 	time.Sleep(time.Second)
 	for zone := range 2 {
 		for index := range 2 {
 			for _, role := range []string{catalog.RoleEntry, catalog.RoleAgent} {
-				notice, _ := f.Process(ProcessName(role, zone, index)).Catalog.View().Newest("m")
-				assert.Equal(t, version, notice.Version, "%s %d-%d", role, zone, index)
+				announcement, _ := f.Process(ProcessName(role, zone, index)).Catalog.View().Newest("m")
+				assert.Equal(t, version, announcement.Version, "%s %d-%d", role, zone, index)
 			}
 		}
 	}
--- a/internal/sitetest/evacuation_failure_test.go
+++ b/internal/sitetest/evacuation_failure_test.go
@@ -37,51 +37,51 @@
 // sendStreams sends streams through the first entry, one after the other, and returns how many
 // were answered completely.
 func (f *Fleet) sendStreams(name string, count int) int {
-	whole := 0
+	complete := 0
 	for number := range count {
 		answer, err := f.Stream(context.Background(), 0, 0, name+"-"+strconv.Itoa(number), 2)
 		if err == nil && answer.Status == http.StatusOK && answer.Complete {
-			whole++
+			complete++
 		}
 	}
-	return whole
+	return complete
 }
 
 // endEvacuation ends a zone's evacuation and waits until the zone serves again.
 func (f *Fleet) endEvacuation(zone string) {
 	f.Site.EndEvacuation(zone)
-	back := time.Now()
-	f.Eventually(zone+" serves again", 3*time.Second, func() bool { return f.arrivalsBetween(zone, back, time.Now()) > 10 })
+	restoredAt := time.Now()
+	f.Eventually(zone+" serves again", 3*time.Second, func() bool { return f.arrivalsBetween(zone, restoredAt, time.Now()) > 10 })
 }
 
 // EVAC, REFUSED: an entry that starts without access to the store and to other entries refuses
 // requests as not-run until it is connected, and never sends a request to the zone, whichever
 // source it is connected to first.
 func TestEntryStartsIsolatedDuringEvacuation(t *testing.T) {
-	hears := map[string]func(f *Fleet){
+	connections := map[string]func(f *Fleet){
 		"from the store":       func(f *Fleet) { f.Site.Store.Refuse() },
 		"from the other entry": func(f *Fleet) { f.StartEntry(1, 0) },
 	}
-	for name, hear := range hears {
+	for name, connect := range connections {
 		t.Run(name, func(t *testing.T) {
 			f := Start(t, twoEntryOptions())
 			// Its own zone, which it prefers.
 			zone := site.ZoneName(0)
 			f.Site.Evacuate(zone)
-			asked := time.Now()
+			evacuatedAt := time.Now()
 			f.Kill(ProcessName(catalog.RoleEntry, 0, 0))
 			f.isolateFirstEntry()
 			f.StartEntry(0, 0)
-			time.Sleep(time.Until(asked.Add(evacuateMs * time.Millisecond)))
+			time.Sleep(time.Until(evacuatedAt.Add(evacuateMs * time.Millisecond)))
 			answer, err := f.Stream(context.Background(), 0, 0, "unheard", 2)
 			require.NoError(t, err)
 			assert.Equal(t, http.StatusServiceUnavailable, answer.Status)
 			assert.Contains(t, answer.Body, "not-run")
-			hear(f)
+			connect(f)
 			f.Eventually("the entry is ready", 8*time.Second, func() bool { return f.ready(0, 0) })
 			f.Eventually("the entry serves", 3*time.Second, func() bool { return f.sendStreams("first", 1) == 1 })
 			assert.Equal(t, 20, f.sendStreams("heard", 20))
-			assert.Zero(t, f.arrivalsBetween(zone, asked, time.Now()))
+			assert.Zero(t, f.arrivalsBetween(zone, evacuatedAt, time.Now()))
 		})
 	}
 }
@@ -94,19 +94,19 @@
 	zone := site.ZoneName(0)
 	f.isolateFirstEntry()
 	f.Site.Evacuate(zone)
-	asked := time.Now()
-	for time.Since(asked) < evacuateMs*time.Millisecond+time.Second {
-		assert.Equal(t, 5, f.sendStreams("cut-off-"+strconv.Itoa(int(time.Since(asked))), 5))
+	evacuatedAt := time.Now()
+	for time.Since(evacuatedAt) < evacuateMs*time.Millisecond+time.Second {
+		assert.Equal(t, 5, f.sendStreams("cut-off-"+strconv.Itoa(int(time.Since(evacuatedAt))), 5))
 	}
-	assert.Positive(t, f.arrivalsBetween(zone, asked, time.Now()), "the entry has not learned of the evacuation")
+	assert.Positive(t, f.arrivalsBetween(zone, evacuatedAt, time.Now()), "the entry has not learned of the evacuation")
 	f.Site.Store.Refuse()
 	entry := f.Process(ProcessName(catalog.RoleEntry, 0, 0))
 	f.Eventually("the entry knows of the evacuation", maxUpdateDelay, func() bool { return entry.Catalog.View().Evacuated(zone) })
 	// The view is published shortly before the entry's routing uses it.
 	time.Sleep(50 * time.Millisecond)
-	heard := time.Now()
+	knownAt := time.Now()
 	assert.Equal(t, 50, f.sendStreams("heard", 50))
-	assert.Zero(t, f.arrivalsBetween(zone, heard, time.Now()))
+	assert.Zero(t, f.arrivalsBetween(zone, knownAt, time.Now()))
 }
 
 // EVAC: when all entries lose the store during an evacuation they keep the zone empty, even if the
@@ -118,9 +118,9 @@
 	stop := startLoad(f, 6)
 	time.Sleep(300 * time.Millisecond)
 	f.Site.Evacuate(zone)
-	asked := time.Now()
+	evacuatedAt := time.Now()
 	f.Eventually("the entries know of the evacuation", maxUpdateDelay, func() bool { return countEvents(f, "PV2009", zone) >= options.Zones*options.Entries })
-	known := time.Now()
+	knownAt := time.Now()
 	var refused []string
 	for zone := range options.Zones {
 		for index := range options.Entries {
@@ -128,15 +128,15 @@
 		}
 	}
 	f.Site.Store.Refuse(refused...)
-	time.Sleep(time.Until(asked.Add((evacuateMs + 700) * time.Millisecond)))
+	time.Sleep(time.Until(evacuatedAt.Add((evacuateMs + 700) * time.Millisecond)))
 	f.Site.EndEvacuation(zone)
 	time.Sleep(700 * time.Millisecond)
-	back := time.Now()
+	restoredAt := time.Now()
 	f.Site.Store.Refuse()
-	assert.Zero(t, f.arrivalsBetween(zone, known, back), "no entry knew that the evacuation had ended")
-	f.Eventually("the zone serves again", 3*time.Second, func() bool { return f.arrivalsBetween(zone, back, time.Now()) > 10 })
-	_, spoilt := stop()
-	assert.Zero(t, spoilt)
+	assert.Zero(t, f.arrivalsBetween(zone, knownAt, restoredAt), "no entry knew that the evacuation had ended")
+	f.Eventually("the zone serves again", 3*time.Second, func() bool { return f.arrivalsBetween(zone, restoredAt, time.Now()) > 10 })
+	_, failed := stop()
+	assert.Zero(t, failed)
 }
 
 // EVAC: a zone is evacuated while another is lost with its servers and entries. The third zone
@@ -147,7 +147,7 @@
 	f := Start(t, options)
 	zone := site.ZoneName(1)
 	f.Site.Evacuate(zone)
-	asked := time.Now()
+	evacuatedAt := time.Now()
 	time.Sleep(300 * time.Millisecond)
 	for index := range options.ModelServers {
 		f.Site.Models[options.ModelIP(2, index)].Crash()
@@ -169,7 +169,7 @@
 	}
 	assert.Greater(t, sent, 50)
 	assert.Equal(t, sent, served)
-	assert.Zero(t, evacuation{zone: zone, startedAt: asked, endedAt: time.Now()}.lateArrivals(f))
+	assert.Zero(t, evacuation{zone: zone, startedAt: evacuatedAt, endedAt: time.Now()}.lateArrivals(f))
 	assert.Zero(t, f.arrivalsBetween(zone, lost, time.Now()))
 }
 
@@ -184,13 +184,13 @@
 	first, second := site.ZoneName(0), site.ZoneName(1)
 	f.Site.Evacuate(first)
 	f.Site.Evacuate(second)
-	asked := time.Now()
+	evacuatedAt := time.Now()
 	time.Sleep((evacuateMs + 500) * time.Millisecond)
-	assert.Zero(t, f.arrivalsBetween(first, asked.Add(maxUpdateDelay), time.Now()))
+	assert.Zero(t, f.arrivalsBetween(first, evacuatedAt.Add(maxUpdateDelay), time.Now()))
 	f.endEvacuation(first)
-	_, spoilt := stop()
-	assert.Zero(t, spoilt)
-	assert.Zero(t, f.arrivalsBetween(second, asked.Add(maxUpdateDelay), time.Now()))
+	_, failed := stop()
+	assert.Zero(t, failed)
+	assert.Zero(t, f.arrivalsBetween(second, evacuatedAt.Add(maxUpdateDelay), time.Now()))
 	assert.LessOrEqual(t, f.Site.Ledger.MostWhileCold(), 15)
 }
 
@@ -210,12 +210,12 @@
 		f.Site.Evacuate(zone)
 		time.Sleep(60 * time.Millisecond)
 	}
-	asked := time.Now()
+	evacuatedAt := time.Now()
 	time.Sleep((evacuateMs + 700) * time.Millisecond)
-	assert.Zero(t, f.arrivalsBetween(zone, asked.Add(maxUpdateDelay), time.Now()))
+	assert.Zero(t, f.arrivalsBetween(zone, evacuatedAt.Add(maxUpdateDelay), time.Now()))
 	f.endEvacuation(zone)
-	_, spoilt := stop()
-	assert.Zero(t, spoilt)
+	_, failed := stop()
+	assert.Zero(t, failed)
 	assert.LessOrEqual(t, f.Site.Ledger.MostWhileCold(), 15)
 	for _, server := range f.Site.Models {
 		assert.False(t, server.Fallen())
--- a/internal/sitetest/evacuation_test.go
+++ b/internal/sitetest/evacuation_test.go
@@ -65,7 +65,7 @@
 
 // startLoad sends short streams and plain calls through every entry until stop is called. Stop
 // returns how many were sent and how many were not answered completely.
-func startLoad(f *Fleet, callers int) (stop func() (sent, spoilt int)) {
+func startLoad(f *Fleet, callers int) (stop func() (sent, failed int)) {
 	options := f.Site.Options
 	return runCallers(callers, func(caller, number int) bool {
 		id := fmt.Sprintf("busy-%d-%d", caller, number)
@@ -123,15 +123,15 @@
 	f := Start(t, evacuationOptions())
 	stop := startLoad(f, 6)
 	time.Sleep(300 * time.Millisecond)
-	began := time.Now()
+	startedAt := time.Now()
 	done := f.evacuateFor(site.ZoneName(1), 3*time.Second)
 	f.Eventually("the zone serves again", 3*time.Second, func() bool {
 		return f.arrivalsBetween(done.zone, done.endedAt, time.Now()) > 10
 	})
-	sent, spoilt := stop()
+	sent, failed := stop()
 	assert.Greater(t, sent, 200)
-	assert.Zero(t, spoilt)
-	assert.Positive(t, f.arrivalsBetween(done.zone, began.Add(-300*time.Millisecond), began), "the zone was in use before the evacuation")
+	assert.Zero(t, failed)
+	assert.Positive(t, f.arrivalsBetween(done.zone, startedAt.Add(-300*time.Millisecond), startedAt), "the zone was in use before the evacuation")
 	assert.Zero(t, done.lateArrivals(f))
 	soon := f.arrivalsBetween(done.zone, done.startedAt.Add(300*time.Millisecond), done.endedAt)
 	assert.Zero(t, soon, "entries act on the announcement, long before the time limit")
@@ -144,8 +144,8 @@
 	f.Site.Store.SetDelay(300 * time.Millisecond)
 	time.Sleep(500 * time.Millisecond)
 	done := f.evacuateFor(site.ZoneName(0), 2500*time.Millisecond)
-	_, spoilt := stop()
-	assert.Zero(t, spoilt)
+	_, failed := stop()
+	assert.Zero(t, failed)
 	assert.Zero(t, done.lateArrivals(f))
 }
 
@@ -155,17 +155,17 @@
 	f := Start(t, evacuationOptions())
 	stop := startLoad(f, 6)
 	time.Sleep(300 * time.Millisecond)
-	named := time.Now()
+	announcedAt := time.Now()
 	f.Site.NameVersion(2)
 	done := f.evacuateFor(site.ZoneName(1), 2500*time.Millisecond)
-	bound := time.Duration(f.Site.Options.VersionMs) * time.Millisecond
-	f.Eventually("every server serves version 2", time.Until(named.Add(bound)), func() bool { return f.allServe(2) })
-	time.Sleep(time.Until(named.Add(bound + 200*time.Millisecond)))
-	_, spoilt := stop()
-	assert.Zero(t, spoilt)
+	timeLimit := time.Duration(f.Site.Options.VersionMs) * time.Millisecond
+	f.Eventually("every server serves version 2", time.Until(announcedAt.Add(timeLimit)), func() bool { return f.allServe(2) })
+	time.Sleep(time.Until(announcedAt.Add(timeLimit + 200*time.Millisecond)))
+	_, failed := stop()
+	assert.Zero(t, failed)
 	assert.Zero(t, done.lateArrivals(f))
 	for _, run := range f.Site.Ledger.Runs() {
-		if run.Service == site.ModelService && run.At.After(named.Add(bound)) {
+		if run.Service == site.ModelService && run.At.After(announcedAt.Add(timeLimit)) {
 			assert.Equal(t, uint64(2), run.Version)
 		}
 	}
@@ -182,8 +182,8 @@
 	f.Eventually("the zone serves again", 3*time.Second, func() bool {
 		return f.arrivalsBetween(second.zone, second.endedAt, time.Now()) > 10
 	})
-	_, spoilt := stop()
-	assert.Zero(t, spoilt)
+	_, failed := stop()
+	assert.Zero(t, failed)
 	assert.Zero(t, first.lateArrivals(f))
 	assert.Zero(t, second.lateArrivals(f))
 }
@@ -233,13 +233,13 @@
 		})
 	}
 	f.Eventually("the streams are open", time.Second, func() bool { return len(f.Site.Ledger.Runs()) >= streams })
-	asked := time.Now()
-	inZone := f.arrivalsBetween(zone, asked.Add(-time.Second), asked)
+	evacuatedAt := time.Now()
+	inZone := f.arrivalsBetween(zone, evacuatedAt.Add(-time.Second), evacuatedAt)
 	f.Site.Evacuate(zone)
 	open.Wait()
 	assert.Positive(t, inZone)
 	assert.Len(t, f.Site.Ledger.Runs(), streams+inZone, "each broken stream was resumed once")
-	assert.Zero(t, f.arrivalsBetween(zone, asked, time.Now()))
+	assert.Zero(t, f.arrivalsBetween(zone, evacuatedAt, time.Now()))
 }
 
 // EVAC: an entry that starts during an evacuation learns of it with the rest of the state.
@@ -247,7 +247,7 @@
 	f := Start(t, evacuationOptions())
 	zone := site.ZoneName(0)
 	f.Site.Evacuate(zone)
-	asked := time.Now()
+	evacuatedAt := time.Now()
 	time.Sleep(evacuateMs * time.Millisecond)
 	f.Kill(ProcessName(catalog.RoleEntry, 0, 2))
 	f.StartEntry(0, 2)
@@ -256,7 +256,7 @@
 		_, err := f.Stream(context.Background(), 0, 2, "late-"+strconv.Itoa(number), 2)
 		require.NoError(t, err)
 	}
-	assert.Zero(t, evacuation{zone: zone, startedAt: asked, endedAt: time.Now()}.lateArrivals(f))
+	assert.Zero(t, evacuation{zone: zone, startedAt: evacuatedAt, endedAt: time.Now()}.lateArrivals(f))
 }
 
 // EVAC, REFUSED: when the evacuated zone is the only one, requests are refused at once as not-run,
@@ -268,7 +268,7 @@
 	zone := site.ZoneName(0)
 	f.Site.Evacuate(zone)
 	f.Eventually("the entries know of the evacuation", 2*time.Second, func() bool { return countEvents(f, "PV2009", zone) >= options.Entries })
-	began := time.Now()
+	startedAt := time.Now()
 	for number := range options.Entries {
 		answer, err := f.Stream(context.Background(), 0, number, "only-"+strconv.Itoa(number), 2)
 		require.NoError(t, err)
@@ -276,7 +276,7 @@
 		assert.NotEmpty(t, answer.Header.Get("Retry-After"))
 		assert.Contains(t, answer.Body, "not-run")
 	}
-	assert.Less(t, time.Since(began), 500*time.Millisecond)
+	assert.Less(t, time.Since(startedAt), 500*time.Millisecond)
 	assert.Empty(t, f.Site.Ledger.Runs())
 	f.Site.EndEvacuation(zone)
 	f.Eventually("service is back", 2*time.Second, func() bool {
@@ -298,13 +298,13 @@
 	f.Eventually("the entries know of the evacuation", 2*time.Second, func() bool {
 		return countEvents(f, "PV2009", site.ZoneName(1)) >= f.Site.Options.Zones*f.Site.Options.Entries
 	})
-	known := time.Now()
+	knownAt := time.Now()
 	for number := range 20 {
 		answer, err := f.Stream(context.Background(), 1, number%3, "faulty-"+strconv.Itoa(number), 2)
 		require.NoError(t, err)
 		assert.Equal(t, http.StatusOK, answer.Status)
 	}
-	assert.Zero(t, f.arrivalsBetween(site.ZoneName(1), known, time.Now()))
+	assert.Zero(t, f.arrivalsBetween(site.ZoneName(1), knownAt, time.Now()))
 }
 
 // FAILBACK: under load from several entries, the cold servers of a zone whose evacuation has ended
@@ -315,13 +315,13 @@
 	time.Sleep(300 * time.Millisecond)
 	done := f.evacuateFor(site.ZoneName(1), 2*time.Second)
 	time.Sleep(2 * time.Second)
-	_, spoilt := stop()
-	assert.Zero(t, spoilt)
+	_, failed := stop()
+	assert.Zero(t, failed)
 	assert.Zero(t, done.lateArrivals(f))
-	most := f.Site.Ledger.MostWhileCold()
-	t.Logf("a cold server received up to %d requests in a second", most)
-	assert.LessOrEqual(t, most, 15)
-	assert.Greater(t, most, 4, "cold servers are used")
+	highest := f.Site.Ledger.MostWhileCold()
+	t.Logf("a cold server received up to %d requests in a second", highest)
+	assert.LessOrEqual(t, highest, 15)
+	assert.Greater(t, highest, 4, "cold servers are used")
 	for _, server := range f.Site.Models {
 		assert.False(t, server.Fallen())
 	}
@@ -330,19 +330,19 @@
 // FAILBACK: a burst of requests arrives right after servers have become cold in normal use.
 func TestBurstAtColdServers(t *testing.T) {
 	f := Start(t, evacuationOptions())
-	calm := startLoad(f, 1)
+	stopLoad := startLoad(f, 1)
 	time.Sleep(500 * time.Millisecond)
 	for _, server := range f.Site.Models {
 		server.SetCold(true)
 	}
 	time.Sleep(300 * time.Millisecond)
-	burst := startLoad(f, 18)
+	stopBurst := startLoad(f, 18)
 	time.Sleep(time.Second)
-	burst()
-	calm()
-	most := f.Site.Ledger.MostWhileCold()
-	assert.LessOrEqual(t, most, 15)
-	assert.Greater(t, most, 4, "cold servers are used")
+	stopBurst()
+	stopLoad()
+	highest := f.Site.Ledger.MostWhileCold()
+	assert.LessOrEqual(t, highest, 15)
+	assert.Greater(t, highest, 4, "cold servers are used")
 	for _, server := range f.Site.Models {
 		assert.False(t, server.Fallen())
 	}
--- a/internal/sitetest/explain_test.go
+++ b/internal/sitetest/explain_test.go
@@ -38,10 +38,10 @@
 	}
 	_, err := f.Call(context.Background(), 0, 0, http.MethodPost, site.OncePrefix, "lost-save", nil, "save")
 	require.NoError(t, err)
-	lines, told := explainRequest(f, t, "lost-save", "PV4104")
+	lines, explanation := explainRequest(f, t, "lost-save", "PV4104")
 	want := "given up, and it may have run: attempt 1 at server " + runsOf(f, "lost-save")[0].Server + " failed (backend-failed"
-	assert.Contains(t, told.Cause, want)
-	assert.Contains(t, told.Cause, "not tried again because of: may have run")
+	assert.Contains(t, explanation.Cause, want)
+	assert.Contains(t, explanation.Cause, "not tried again because of: may have run")
 	assert.NotContains(t, explain.Tell(withoutEvent(lines, "PV4105"), "lost-save").Cause, want)
 	assert.NotContains(t, explain.Tell(withoutEvent(lines, "PV4106"), "lost-save").Cause, "may have run; ")
 }
@@ -72,10 +72,10 @@
 		}
 	}
 	require.NotEmpty(t, refused, "no request was refused")
-	lines, told := explainRequest(f, t, refused, "PV4104")
+	lines, explanation := explainRequest(f, t, refused, "PV4104")
 	want := "no server was chosen; servers by reason: {"
-	assert.Contains(t, told.Cause, "refused, and certain not to have run")
-	assert.Contains(t, told.Cause, want)
+	assert.Contains(t, explanation.Cause, "refused, and certain not to have run")
+	assert.Contains(t, explanation.Cause, want)
 	assert.NotContains(t, explain.Tell(withoutEvent(lines, "PV4109"), refused).Cause, want)
 }
 
@@ -111,10 +111,10 @@
 	}
 	answer := <-done
 	assert.False(t, answer.Complete)
-	lines, told := explainRequest(f, t, "long-gloss", "PV4107")
+	lines, explanation := explainRequest(f, t, "long-gloss", "PV4107")
 	want := "; version 2 had been named"
-	assert.Contains(t, told.Cause, "the stream was cut after event")
-	assert.Contains(t, told.Cause, "other version")
-	assert.Contains(t, told.Cause, want)
+	assert.Contains(t, explanation.Cause, "the stream was cut after event")
+	assert.Contains(t, explanation.Cause, "other version")
+	assert.Contains(t, explanation.Cause, want)
 	assert.NotContains(t, explain.Tell(withoutEvent(lines, "PV3000"), "long-gloss").Cause, want)
 }
--- a/internal/sitetest/fleet_test.go
+++ b/internal/sitetest/fleet_test.go
@@ -20,10 +20,10 @@
 )
 
 // countEvents counts the log lines with an event number that contain the given text.
-func countEvents(f *Fleet, number, with string) int {
+func countEvents(f *Fleet, number, text string) int {
 	count := 0
 	for line := range strings.SplitSeq(f.Log.String(), "\n") {
-		if strings.Contains(line, `"event":"`+number+`"`) && strings.Contains(line, with) {
+		if strings.Contains(line, `"event":"`+number+`"`) && strings.Contains(line, text) {
 			count++
 		}
 	}
@@ -53,11 +53,11 @@
 	f := Start(t, DefaultOptions())
 	f.Site.Store.SetDeaf()
 	time.Sleep(200 * time.Millisecond)
-	acknowledged := time.Now()
+	acknowledgedAt := time.Now()
 	version := f.Site.Configure(revoke)
 	time.AfterFunc(800*time.Millisecond, f.Site.Store.Compact)
 	f.Eventually("the change is applied", 2*time.Second, func() bool { return f.configurationApplied(version) })
-	t.Logf("in force after %s", time.Since(acknowledged))
+	t.Logf("applied after %s", time.Since(acknowledgedAt))
 	answer, err := f.Call(context.Background(), 0, 1, http.MethodGet, site.SafePrefix, "revoked", nil, "")
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusUnauthorized, answer.Status)
@@ -121,12 +121,12 @@
 	stop := startStreams(f, t)
 	time.Sleep(300 * time.Millisecond)
 	leaving.Leave()
-	said := time.Now()
+	announcedAt := time.Now()
 	time.Sleep(1500 * time.Millisecond)
-	_, spoilt := stop()
-	assert.Zero(t, spoilt)
+	_, failed := stop()
+	assert.Zero(t, failed)
 	for _, run := range f.Site.Ledger.Runs() {
-		if run.At.After(said.Add(time.Second)) {
+		if run.At.After(announcedAt.Add(time.Second)) {
 			assert.NotEqual(t, leaving.ID(), run.Server)
 		}
 	}
--- a/internal/sitetest/health_test.go
+++ b/internal/sitetest/health_test.go
@@ -80,21 +80,21 @@
 			stop, stopSaves := startLoad(f, 9), startSaves(f, 6)
 			time.Sleep(500 * time.Millisecond)
 			model, plain := f.modelServer(0), f.plainServer(0)
-			began := time.Now()
+			startedAt := time.Now()
 			model.SetFaults(site.Faults{Lying: lie})
 			plain.SetFaults(site.Faults{Lying: lie})
 			time.Sleep(4 * time.Second)
-			toModel, toPlain := len(f.receivedBy(model, began)), len(f.receivedBy(plain, began))
+			toModel, toPlain := len(f.receivedBy(model, startedAt)), len(f.receivedBy(plain, startedAt))
 			model.SetFaults(site.Faults{})
 			plain.SetFaults(site.Faults{})
-			sound := time.Now()
+			recoveredAt := time.Now()
 			f.Eventually("both servers are in use again", 8*time.Second, func() bool {
-				return len(f.receivedBy(model, sound)) > 20 && len(f.receivedBy(plain, sound)) > 20
+				return len(f.receivedBy(model, recoveredAt)) > 20 && len(f.receivedBy(plain, recoveredAt)) > 20
 			})
-			sent, spoilt := stop()
+			sent, failed := stop()
 			saved, lost := stopSaves()
 			t.Logf("%d streams and calls, %d saves; the failing servers received %d and %d, %d saves were lost", sent, saved, toModel, toPlain, lost)
-			assert.Zero(t, spoilt)
+			assert.Zero(t, failed)
 			assertNoneRanTwice(t, f)
 			// Nine callers have one request each; two failures or three overdue answers eject the server, and
 			// there is time for two trials.
@@ -125,21 +125,21 @@
 	for _, server := range flapping {
 		server.SetFaults(site.Faults{})
 	}
-	sent, spoilt := stop()
-	times, most := map[string]int{}, 0
+	sent, failed := stop()
+	times, highest := map[string]int{}, 0
 	for line := range strings.SplitSeq(f.Log.String(), "\n") {
 		if strings.Contains(line, `"event":"PV4105"`) {
 			_, id, _ := strings.Cut(line, `"request":"`)
 			id, _, _ = strings.Cut(id, `"`)
 			times[id]++
-			most = max(most, times[id])
+			highest = max(highest, times[id])
 		}
 	}
-	t.Logf("%d requests, %d met a server that was down, one up to %d times, %d ejections", sent, len(times), most, countEvents(f, "PV4204", "server"))
-	assert.LessOrEqual(t, most, 1)
+	t.Logf("%d requests, %d met a server that was down, one up to %d times, %d ejections", sent, len(times), highest, countEvents(f, "PV4204", "server"))
+	assert.LessOrEqual(t, highest, 1)
 	// Five in each of the 12 rounds.
 	assert.LessOrEqual(t, len(times), 60)
-	assert.Zero(t, spoilt)
+	assert.Zero(t, failed)
 }
 
 // A server that serves requests stays in use although its reports and health checks fail.
@@ -147,17 +147,17 @@
 	f := Start(t, healthOptions())
 	stop := startLoad(f, 9)
 	time.Sleep(500 * time.Millisecond)
-	began := time.Now()
+	startedAt := time.Now()
 	for index := range 2 {
 		f.modelServer(index).SetFaults(site.Faults{FalselyIll: true})
 	}
 	f.Eventually("the entries have received the reports", 2*time.Second, func() bool { return countEvents(f, "PV4203", `"reachable":false`) >= 2 })
 	time.Sleep(2 * time.Second)
 	late := time.Now().Add(-500 * time.Millisecond)
-	sent, spoilt := stop()
-	assert.Zero(t, spoilt)
+	sent, failed := stop()
+	assert.Zero(t, failed)
 	for index := range 2 {
-		received := len(f.receivedBy(f.modelServer(index), began))
+		received := len(f.receivedBy(f.modelServer(index), startedAt))
 		t.Logf("server %d received %d of %d", index, received, sent)
 		assert.NotEmpty(t, f.receivedBy(f.modelServer(index), late), "the server is in use to the end")
 		assert.Greater(t, received, sent/20)
@@ -188,13 +188,13 @@
 	for index := range 2 {
 		f.modelServer(index).SetFaults(site.Faults{})
 	}
-	sound := time.Now()
+	recoveredAt := time.Now()
 	f.Eventually("both servers are in use again", 3*time.Second, func() bool {
-		return len(f.receivedBy(f.modelServer(0), sound)) > 20 && len(f.receivedBy(f.modelServer(1), sound)) > 20
+		return len(f.receivedBy(f.modelServer(0), recoveredAt)) > 20 && len(f.receivedBy(f.modelServer(1), recoveredAt)) > 20
 	})
-	sent, spoilt := stop()
+	sent, failed := stop()
 	t.Logf("%d requests", sent)
-	assert.Zero(t, spoilt)
+	assert.Zero(t, failed)
 }
 
 // An ejection by one entry applies at every entry of the zone at once, and an entry that starts
@@ -208,25 +208,25 @@
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, answer.Status)
 	}
-	learned := time.Now()
+	learnedAt := time.Now()
 	f.Eventually("every entry of the zone knows of the ejection", 300*time.Millisecond, func() bool {
 		return countEvents(f, "PV4204", model.ID()) == f.Site.Options.Entries
 	})
-	knows := time.Since(learned)
-	t.Logf("every entry of the zone knows after %s", knows)
+	elapsed := time.Since(learnedAt)
+	t.Logf("every entry of the zone knows after %s", elapsed)
 	f.Kill(ProcessName(catalog.RoleEntry, 0, 2))
 	f.StartEntry(0, 2)
 	f.Eventually("the entry is ready", 5*time.Second, func() bool { return f.ready(0, 2) && f.hasAllReports(0, 2) })
 	f.Eventually("the new entry knows of the ejection", 300*time.Millisecond, func() bool {
 		return countEvents(f, "PV4204", model.ID()) == f.Site.Options.Entries+1
 	})
-	before := len(f.receivedBy(model, learned))
+	before := len(f.receivedBy(model, learnedAt))
 	for number := range 60 {
 		answer, err := f.Stream(context.Background(), 0, 1+number%2, fmt.Sprint("known-", number), 2)
 		require.NoError(t, err)
 		assert.Equal(t, http.StatusOK, answer.Status)
 	}
-	received := len(f.receivedBy(model, learned)) - before
+	received := len(f.receivedBy(model, learnedAt)) - before
 	// A log line is written up to 0.1 s after its event.
 	f.Eventually("as many trials are logged as reached the server", 500*time.Millisecond, func() bool {
 		return countEvents(f, "PV4209", model.ID()) >= received
--- a/internal/sitetest/late_cancel_test.go
+++ b/internal/sitetest/late_cancel_test.go
@@ -76,24 +76,24 @@
 	agents := serverConnections(t)
 	stream := func(kind string) func(context.Context, int) outcome {
 		return func(ctx context.Context, number int) outcome {
-			one := outcome{id: fmt.Sprintf("%s-%d", kind, number), startedAt: time.Now()}
-			one.answer, one.err = f.Stream(ctx, number%2, number/2%2, one.id, longStreamEvents)
-			return one
+			result := outcome{id: fmt.Sprintf("%s-%d", kind, number), startedAt: time.Now()}
+			result.answer, result.err = f.Stream(ctx, number%2, number/2%2, result.id, longStreamEvents)
+			return result
 		}
 	}
 	stop := startTraffic(120*time.Millisecond, stream("stream"))
-	named := time.Now()
+	announcedAt := time.Now()
 	f.Site.NameVersion(2)
-	bound := named.Add(time.Duration(f.Site.Options.VersionMs) * time.Millisecond)
-	time.Sleep(time.Until(bound.Add(-holdBefore)))
+	deadline := announcedAt.Add(time.Duration(f.Site.Options.VersionMs) * time.Millisecond)
+	time.Sleep(time.Until(deadline.Add(-holdBefore)))
 	holdQueues(f, true)
-	time.Sleep(time.Until(bound.Add(-burstBefore)))
+	time.Sleep(time.Until(deadline.Add(-burstBefore)))
 	var burst sync.WaitGroup
 	for number := range burstStreams {
 		burst.Go(func() { stream("burst")(context.Background(), number) })
 	}
 	defer burst.Wait()
-	time.Sleep(time.Until(bound.Add(-silenceBefore)))
+	time.Sleep(time.Until(deadline.Add(-silenceBefore)))
 	for _, server := range f.Site.Models {
 		waiting += server.Waiting()
 	}
@@ -101,13 +101,13 @@
 		return (c.Local.Port() == modelPort || c.Remote.Port() == modelPort) && !agents[c]
 	})
 	require.NoError(t, err)
-	time.Sleep(time.Until(bound.Add(releasedAfter)))
+	time.Sleep(time.Until(deadline.Add(releasedAfter)))
 	holdQueues(f, false)
-	time.Sleep(time.Until(bound.Add(checkAfter)))
+	time.Sleep(time.Until(deadline.Add(checkAfter)))
 	stop()
 	for _, run := range f.Site.Ledger.Runs() {
-		if run.Service == site.ModelService && run.Version == 1 && run.At.After(bound) {
-			late = append(late, run.At.Sub(bound))
+		if run.Service == site.ModelService && run.Version == 1 && run.At.After(deadline) {
+			late = append(late, run.At.Sub(deadline))
 		}
 	}
 	return late, waiting
@@ -169,12 +169,12 @@
 // is queued there must not start after its own deadline either.
 func TestNoLateStartsOnIntermediateVersion(t *testing.T) {
 	f := Start(t, lateCancelOptions())
-	_, named := lateRunsOfTwoVersions(t, f)
-	bound := named.Add(time.Duration(f.Site.Options.VersionMs) * time.Millisecond)
+	_, announcedAt := lateRunsOfTwoVersions(t, f)
+	deadline := announcedAt.Add(time.Duration(f.Site.Options.VersionMs) * time.Millisecond)
 	var late []time.Duration
 	for _, run := range f.Site.Ledger.Runs() {
-		if run.Service == site.ModelService && run.Version == 2 && run.At.After(bound) {
-			late = append(late, run.At.Sub(bound))
+		if run.Service == site.ModelService && run.Version == 2 && run.At.After(deadline) {
+			late = append(late, run.At.Sub(deadline))
 		}
 	}
 	assert.Empty(t, late, "requests that started on version 2, by the time after its deadline")
@@ -184,7 +184,7 @@
 // is staged. It returns the late starts on the first version and when the third was announced.
 func lateRunsOfTwoVersions(t *testing.T, f *Fleet) ([]time.Duration, time.Time) {
 	f.Eventually("version 1 is verified", 3*time.Second, func() bool { return countEvents(f, "PV3005", "") >= 4 })
-	named := make(chan time.Time)
+	announced := make(chan time.Time)
 	go func() {
 		for limit := time.Now().Add(2 * time.Second); time.Now().Before(limit) && countEvents(f, "PV3005", `"version":2`) < 4; {
 			time.Sleep(5 * time.Millisecond)
@@ -192,10 +192,10 @@
 		f.Site.Origin.SetAway(true)
 		now := time.Now()
 		f.Site.NameVersion(3)
-		named <- now
+		announced <- now
 	}()
 	late, _ := lateRuns(t, f)
-	return late, <-named
+	return late, <-announced
 }
 
 // VERSION: every connection of the system's processes goes silent just before a version is announced
@@ -203,14 +203,14 @@
 // on the old version after its deadline.
 func TestDeadlineHoldsWhenAllConnectionsAreSilent(t *testing.T) {
 	f := Start(t, DefaultOptions())
-	named, bound := f.announceDuringSilence(systemConnections)
+	announcedAt, deadline := f.announceDuringSilence(systemConnections)
 	before, late, latest := 0, 0, time.Duration(0)
 	for _, run := range f.Site.Ledger.Runs() {
 		switch {
-		case run.Service != site.ModelService || run.Version != 1 || run.At.Before(named):
-		case run.At.After(bound):
+		case run.Service != site.ModelService || run.Version != 1 || run.At.Before(announcedAt):
+		case run.At.After(deadline):
 			late++
-			latest = max(latest, run.At.Sub(bound))
+			latest = max(latest, run.At.Sub(deadline))
 		default:
 			before++
 		}
--- a/internal/sitetest/leaving_test.go
+++ b/internal/sitetest/leaving_test.go
@@ -33,17 +33,17 @@
 	for _, server := range []*site.Server{leaving, plain} {
 		server.SayLeaving(true)
 	}
-	said := time.Now()
+	announcedAt := time.Now()
 	time.Sleep(4 * time.Second)
 	outcomes, plains := stop(), stopPlain()
 	f.Site.Store.SetDown(false)
 	for _, server := range []*site.Server{leaving, plain} {
-		assert.Empty(t, f.arrivalsAt(server.ID(), said.Add(leavingKnownAfter)), "requests to %s", server.ID())
+		assert.Empty(t, f.arrivalsAt(server.ID(), announcedAt.Add(leavingKnownAfter)), "requests to %s", server.ID())
 	}
-	assert.GreaterOrEqual(t, servedRatio(outcomes, said, said.Add(4*time.Second), time.Second), minServedRatio)
-	assert.GreaterOrEqual(t, servedRatio(plains, said, said.Add(4*time.Second), time.Second), minServedRatio)
-	for _, one := range outcomes {
-		assert.True(t, one.answer.Status != http.StatusOK || one.answer.Complete, "a stream was cut")
+	assert.GreaterOrEqual(t, servedRatio(outcomes, announcedAt, announcedAt.Add(4*time.Second), time.Second), minServedRatio)
+	assert.GreaterOrEqual(t, servedRatio(plains, announcedAt, announcedAt.Add(4*time.Second), time.Second), minServedRatio)
+	for _, result := range outcomes {
+		assert.True(t, result.answer.Status != http.StatusOK || result.answer.Complete, "a stream was cut")
 	}
 }
 
@@ -55,7 +55,7 @@
 	time.Sleep(500 * time.Millisecond)
 	leaving := f.Site.Models[f.Site.Options.ModelIP(0, 0)]
 	leaving.SayLeaving(true)
-	said := time.Now()
+	announcedAt := time.Now()
 	time.Sleep(leavingKnownAfter)
 	leaving.SayLeaving(false)
 	time.Sleep(time.Second)
@@ -64,5 +64,5 @@
 	leaving.Return()
 	time.Sleep(2 * time.Second)
 	stop()
-	assert.Empty(t, f.arrivalsAt(leaving.ID(), said.Add(leavingKnownAfter)))
+	assert.Empty(t, f.arrivalsAt(leaving.ID(), announcedAt.Add(leavingKnownAfter)))
 }
--- a/internal/sitetest/limit_test.go
+++ b/internal/sitetest/limit_test.go
@@ -36,36 +36,36 @@
 }
 
 // arrivalsAt returns when requests arrived at a server, in order.
-func (f *Fleet) arrivalsAt(server string, after time.Time) (moments []time.Time) {
+func (f *Fleet) arrivalsAt(server string, after time.Time) (times []time.Time) {
 	for _, arrival := range f.Site.Ledger.Arrivals() {
 		if arrival.Server == server && arrival.At.After(after) {
-			moments = append(moments, arrival.At)
+			times = append(times, arrival.At)
 		}
 	}
-	return moments
+	return times
 }
 
 // maxWithin returns the maximum number of the sorted times that lie within any interval of the given
 // length.
-func maxWithin(moments []time.Time, span time.Duration) (most int) {
+func maxWithin(times []time.Time, span time.Duration) (highest int) {
 	first := 0
-	for last, at := range moments {
-		for at.Sub(moments[first]) >= span {
+	for last, at := range times {
+		for at.Sub(times[first]) >= span {
 			first++
 		}
-		most = max(most, last-first+1)
+		highest = max(highest, last-first+1)
 	}
-	return most
+	return highest
 }
 
 // startPlainTraffic sends requests for a plain service through all entries in turn.
 func (f *Fleet) startPlainTraffic(pace time.Duration) (stop func() []outcome) {
 	options := f.Site.Options
 	return startTraffic(pace, func(ctx context.Context, number int) outcome {
-		one := outcome{id: fmt.Sprintf("plain-%d", number), startedAt: time.Now()}
-		one.answer, one.err = f.Call(ctx, number%options.Zones, number/options.Zones%options.Entries, http.MethodGet, site.SafePrefix+"a", one.id, nil, "")
-		one.duration = time.Since(one.startedAt)
-		return one
+		result := outcome{id: fmt.Sprintf("plain-%d", number), startedAt: time.Now()}
+		result.answer, result.err = f.Call(ctx, number%options.Zones, number/options.Zones%options.Entries, http.MethodGet, site.SafePrefix+"a", result.id, nil, "")
+		result.duration = time.Since(result.startedAt)
+		return result
 	})
 }
 
@@ -78,19 +78,19 @@
 	stop := f.startHarmlessTraffic(10 * time.Millisecond)
 	time.Sleep(time.Second)
 	limited.NameLimit(strconv.FormatFloat(rate, 'f', -1, 64))
-	named := time.Now()
+	announcedAt := time.Now()
 	time.Sleep(10 * time.Second)
-	held := f.arrivalsAt(limited.ID(), named.Add(limitKnownAfter))
+	arrivals := f.arrivalsAt(limited.ID(), announcedAt.Add(limitKnownAfter))
 	limited.NameLimit("")
-	over := time.Now()
+	clearedAt := time.Now()
 	time.Sleep(limitClearedAfter + 2*time.Second)
 	outcomes := stop()
-	most := maxWithin(held, site.LimitSpan)
-	t.Logf("most requests in %s: %d, in all of %s: %d", site.LimitSpan, most, over.Sub(named)-limitKnownAfter, len(held))
-	assert.LessOrEqual(t, float64(most), site.LimitBears(rate))
-	assert.GreaterOrEqual(t, len(held), 3, "the two entries of its zone keep using it")
-	assert.GreaterOrEqual(t, len(f.arrivalsAt(limited.ID(), over.Add(limitClearedAfter))), 20, "requests in 2 s once all entries know that the limit has ended")
-	assert.GreaterOrEqual(t, servedRatio(outcomes, named, over.Add(limitClearedAfter+2*time.Second), time.Second), minServedRatio)
+	highest := maxWithin(arrivals, site.LimitSpan)
+	t.Logf("most requests in %s: %d, in all of %s: %d", site.LimitSpan, highest, clearedAt.Sub(announcedAt)-limitKnownAfter, len(arrivals))
+	assert.LessOrEqual(t, float64(highest), site.LimitBears(rate))
+	assert.GreaterOrEqual(t, len(arrivals), 3, "the two entries of its zone keep using it")
+	assert.GreaterOrEqual(t, len(f.arrivalsAt(limited.ID(), clearedAt.Add(limitClearedAfter))), 20, "requests in 2 s once all entries know that the limit has ended")
+	assert.GreaterOrEqual(t, servedRatio(outcomes, announcedAt, clearedAt.Add(limitClearedAfter+2*time.Second), time.Second), minServedRatio)
 }
 
 // LIMIT: the same for a service whose only server announces a limit. Requests beyond it are refused at
@@ -106,24 +106,24 @@
 	only := f.Site.Plain[options.PlainIP(0, 0)]
 	time.Sleep(time.Second)
 	only.NameLimit(strconv.FormatFloat(rate, 'f', -1, 64))
-	named := time.Now()
+	announcedAt := time.Now()
 	stop := f.startPlainTraffic(20 * time.Millisecond)
 	time.Sleep(8 * time.Second)
 	outcomes := stop()
-	held := f.arrivalsAt(only.ID(), named.Add(limitKnownAfter))
-	t.Logf("most requests in %s: %d, in all: %d", site.LimitSpan, maxWithin(held, site.LimitSpan), len(held))
-	assert.LessOrEqual(t, float64(maxWithin(held, site.LimitSpan)), site.LimitBears(rate))
-	assert.GreaterOrEqual(t, len(held), int(rate*(8*time.Second-limitKnownAfter).Seconds()/2), "half of the server's limit is used")
+	arrivals := f.arrivalsAt(only.ID(), announcedAt.Add(limitKnownAfter))
+	t.Logf("most requests in %s: %d, in all: %d", site.LimitSpan, maxWithin(arrivals, site.LimitSpan), len(arrivals))
+	assert.LessOrEqual(t, float64(maxWithin(arrivals, site.LimitSpan)), site.LimitBears(rate))
+	assert.GreaterOrEqual(t, len(arrivals), int(rate*(8*time.Second-limitKnownAfter).Seconds()/2), "half of the server's limit is used")
 	refused := 0
-	for _, one := range outcomes {
-		if one.startedAt.Before(named.Add(limitKnownAfter)) || one.answer.Status == http.StatusOK {
+	for _, result := range outcomes {
+		if result.startedAt.Before(announcedAt.Add(limitKnownAfter)) || result.answer.Status == http.StatusOK {
 			continue
 		}
 		refused++
-		assert.Equal(t, http.StatusServiceUnavailable, one.answer.Status)
-		assert.Less(t, one.duration, 200*time.Millisecond, "time to a local refusal")
-		assert.Positive(t, retryAfter(t, one.answer))
-		assert.LessOrEqual(t, retryAfter(t, one.answer), 5*time.Second)
+		assert.Equal(t, http.StatusServiceUnavailable, result.answer.Status)
+		assert.Less(t, result.duration, 200*time.Millisecond, "time to a local refusal")
+		assert.Positive(t, retryAfter(t, result.answer))
+		assert.LessOrEqual(t, retryAfter(t, result.answer), 5*time.Second)
 	}
 	assert.Positive(t, refused)
 }
@@ -137,16 +137,16 @@
 		server.NameLimit(strconv.FormatFloat(rate, 'f', -1, 64))
 	}
 	stop := f.startHarmlessTraffic(20 * time.Millisecond)
-	named := time.Now()
+	announcedAt := time.Now()
 	time.Sleep(11 * time.Second)
 	stop()
-	asked, total := time.Since(named)-limitKnownAfter, 0
+	elapsed, total := time.Since(announcedAt)-limitKnownAfter, 0
 	for _, server := range f.Site.Models {
-		held := f.arrivalsAt(server.ID(), named.Add(limitKnownAfter))
-		total += len(held)
-		assert.LessOrEqual(t, float64(maxWithin(held, site.LimitSpan)), site.LimitBears(rate), server.ID())
-		assert.GreaterOrEqual(t, len(held), int(rate*asked.Seconds()/2), "half of the limit of %s is used", server.ID())
+		arrivals := f.arrivalsAt(server.ID(), announcedAt.Add(limitKnownAfter))
+		total += len(arrivals)
+		assert.LessOrEqual(t, float64(maxWithin(arrivals, site.LimitSpan)), site.LimitBears(rate), server.ID())
+		assert.GreaterOrEqual(t, len(arrivals), int(rate*elapsed.Seconds()/2), "half of the limit of %s is used", server.ID())
 	}
-	t.Logf("used: %.2f", float64(total)/(rate*asked.Seconds()*float64(len(f.Site.Models))))
-	assert.GreaterOrEqual(t, float64(total), 0.7*rate*asked.Seconds()*float64(len(f.Site.Models)))
+	t.Logf("used: %.2f", float64(total)/(rate*elapsed.Seconds()*float64(len(f.Site.Models))))
+	assert.GreaterOrEqual(t, float64(total), 0.7*rate*elapsed.Seconds()*float64(len(f.Site.Models)))
 }
--- a/internal/sitetest/mute_proxy_test.go
+++ b/internal/sitetest/mute_proxy_test.go
@@ -34,37 +34,37 @@
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
-			near, err := listener.Accept()
+			downstream, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			p.accepted.Add(1)
-			p.forward(near, target)
+			p.forward(downstream, target)
 		}
 	}()
 	return p
 }
 
-func (p *blackholeProxy) forward(near net.Conn, target string) {
-	far, err := net.Dial("tcp", target)
+func (p *blackholeProxy) forward(downstream net.Conn, target string) {
+	upstream, err := net.Dial("tcp", target)
 	if err != nil {
-		_ = near.Close()
+		_ = downstream.Close()
 		return
 	}
 	p.mutex.Lock()
-	silent := p.blackholed
+	blackholed := p.blackholed
 	p.mutex.Unlock()
-	go p.copyStream(near, far, silent, true)
-	go p.copyStream(far, near, silent, false)
+	go p.copyStream(downstream, upstream, blackholed, true)
+	go p.copyStream(upstream, downstream, blackholed, false)
 }
 
 // copyStream forwards what one side sends until the connection is blackholed, and keeps reading it
 // after that.
-func (p *blackholeProxy) copyStream(from, to net.Conn, silent chan struct{}, fromCaller bool) {
+func (p *blackholeProxy) copyStream(from, to net.Conn, blackholed chan struct{}, fromCaller bool) {
 	buffer := make([]byte, 32<<10)
 	for {
 		count, err := from.Read(buffer)
-		pass := !isClosed(silent)
+		pass := !isClosed(blackholed)
 		if fromCaller && pass && p.triggered(buffer[:count]) {
 			pass = p.forwardTrigger
 			p.blackhole()
--- a/internal/sitetest/recovery_test.go
+++ b/internal/sitetest/recovery_test.go
@@ -59,37 +59,37 @@
 	return f
 }
 
-func silenceConnections(t *testing.T, picked silencer.Filter) time.Time {
-	began := time.Now()
-	count, err := silencer.Silence(picked)
+func silenceConnections(t *testing.T, selected silencer.Filter) time.Time {
+	startedAt := time.Now()
+	count, err := silencer.Silence(selected)
 	require.NoError(t, err)
 	require.Positive(t, count)
-	return began
+	return startedAt
 }
 
 // oldestReportAge returns the age of the oldest agent report at any entry.
 func oldestReportAge(f *Fleet) time.Duration {
-	eldest := time.Duration(0)
+	oldest := time.Duration(0)
 	for zone := range f.Site.Options.Zones {
 		for index := range f.Site.Options.Entries {
 			views, _ := f.Process(ProcessName(catalog.RoleEntry, zone, index)).Dump()["servers"].([]forward.ServerView)
 			for _, view := range views {
 				if view.Service == site.ModelService {
-					eldest = max(eldest, time.Duration(view.StatusAge*float64(time.Second)))
+					oldest = max(oldest, time.Duration(view.StatusAge*float64(time.Second)))
 				}
 			}
 		}
 	}
-	return eldest
+	return oldest
 }
 
 func testReportsAfterSilence(t *testing.T) {
 	f := startSettled(t)
-	began := silenceConnections(t, systemConnections)
+	startedAt := silenceConnections(t, systemConnections)
 	worst := time.Duration(0)
-	for time.Since(began) < 3*time.Second {
+	for time.Since(startedAt) < 3*time.Second {
 		time.Sleep(10 * time.Millisecond)
-		age, since := oldestReportAge(f), time.Since(began)
+		age, since := oldestReportAge(f), time.Since(startedAt)
 		worst = max(worst, age)
 		if since > reportRecovery {
 			require.Less(t, age, maxReportAge, "%s after the silence began", since)
@@ -102,12 +102,12 @@
 // entry.
 func TestConfigurationAppliedAfterSilence(t *testing.T) {
 	f := startSettled(t)
-	began := silenceConnections(t, systemConnections)
+	startedAt := silenceConnections(t, systemConnections)
 	version := f.Site.Configure(revoke)
 	f.Eventually("the change is applied", 5*time.Second, func() bool { return f.configurationApplied(version) })
-	took := time.Since(began)
-	t.Logf("applied at every entry %s after the silence began", took)
-	assert.Less(t, took, maxApplyDelay)
+	elapsed := time.Since(startedAt)
+	t.Logf("applied at every entry %s after the silence began", elapsed)
+	assert.Less(t, elapsed, maxApplyDelay)
 }
 
 func testServersStayReachable(t *testing.T) {
@@ -135,19 +135,19 @@
 		if disturb && after == 0 {
 			silenceConnections(t, systemConnections)
 		}
-		named := time.Now()
+		announcedAt := time.Now()
 		f.Site.NameVersion(2)
 		if disturb && after > 0 {
 			time.Sleep(after)
 			silenceConnections(t, systemConnections)
 		}
-		return waitStaged(f, 2, named)
+		return waitStaged(f, 2, announcedAt)
 	}
-	var calm, disturbed time.Duration
-	t.Run("calm", func(t *testing.T) { calm = stage(t, false) })
+	var baseline, disturbed time.Duration
+	t.Run("baseline", func(t *testing.T) { baseline = stage(t, false) })
 	t.Run("disturbed", func(t *testing.T) { disturbed = stage(t, true) })
-	t.Logf("staged everywhere after %s, with the silence after %s", calm, disturbed)
-	assert.Less(t, disturbed, calm+maxStagingDelay)
+	t.Logf("staged everywhere after %s, with the silence after %s", baseline, disturbed)
+	assert.Less(t, disturbed, baseline+maxStagingDelay)
 }
 
 // A version that is announced as all open connections go silent is staged soon after.
@@ -182,9 +182,9 @@
 	f.Eventually("the order is resolved", 10*time.Second, func() bool {
 		return countEvents(f, logging.OrderResolved.Number, fmt.Sprintf(`"taken":%t`, taken)) > 0
 	})
-	took := time.Since(sent)
-	t.Logf("resolved %s after the order was sent", took)
-	assert.Less(t, took, maxOrderResolution)
+	elapsed := time.Since(sent)
+	t.Logf("resolved %s after the order was sent", elapsed)
+	assert.Less(t, elapsed, maxOrderResolution)
 	f.Eventually("the version is live", 5*time.Second, func() bool { return f.Site.Models[f.Site.Options.ModelIP(0, 0)].Version() == 2 })
 	assert.Zero(t, countEvents(f, logging.OrderRefused.Number, ""))
 	assert.Zero(t, countEvents(f, logging.EngineUnreachable.Number, ""))
@@ -214,25 +214,25 @@
 	store, reader, proxy := storeBehindProxy(t)
 	proxy.blackhole()
 	store.Put("op/config", map[string]any{"version": 2})
-	began := time.Now()
+	startedAt := time.Now()
 	listing, err := reader.Watch(context.Background(), "", 1, wait)
-	took := time.Since(began)
+	elapsed := time.Since(startedAt)
 	require.NoError(t, err)
 	require.Len(t, listing.Records, 1)
-	t.Logf("received %s after the watch began", took)
-	assert.Less(t, took, wait+300*time.Millisecond)
+	t.Logf("received %s after the watch began", elapsed)
+	assert.Less(t, elapsed, wait+300*time.Millisecond)
 }
 
 func testListingBehindBlackholeProxy(t *testing.T) {
 	_, reader, proxy := storeBehindProxy(t)
 	proxy.blackhole()
-	began := time.Now()
+	startedAt := time.Now()
 	listing, err := reader.List(context.Background(), "")
-	took := time.Since(began)
+	elapsed := time.Since(startedAt)
 	require.NoError(t, err)
 	require.Len(t, listing.Records, 1)
-	t.Logf("listed after %s", took)
-	assert.Less(t, took, 500*time.Millisecond)
+	t.Logf("listed after %s", elapsed)
+	assert.Less(t, elapsed, 500*time.Millisecond)
 }
 
 // All kept connections to a server are blackholed: no load query fails because of it, and one query
--- a/internal/sitetest/regions_test.go
+++ b/internal/sitetest/regions_test.go
@@ -55,23 +55,23 @@
 func startMixedTraffic(f *Fleet) (stop func() []outcome) {
 	zones := f.Site.Options.Zones
 	return startTraffic(8*time.Millisecond, func(ctx context.Context, number int) outcome {
-		one := outcome{id: fmt.Sprintf("mixed-%d", number), startedAt: time.Now()}
+		result := outcome{id: fmt.Sprintf("mixed-%d", number), startedAt: time.Now()}
 		switch number % 3 {
 		case 0:
-			one.answer, one.err = f.Call(ctx, number%zones, 0, http.MethodPost, site.OncePrefix, one.id, nil, "save")
+			result.answer, result.err = f.Call(ctx, number%zones, 0, http.MethodPost, site.OncePrefix, result.id, nil, "save")
 		case 1:
-			one.answer, one.err = f.Call(ctx, number%zones, 0, http.MethodGet, site.SafePrefix, one.id, nil, "")
+			result.answer, result.err = f.Call(ctx, number%zones, 0, http.MethodGet, site.SafePrefix, result.id, nil, "")
 		default:
-			one.answer, one.err = f.Stream(ctx, number/3%zones, 0, one.id, 8)
+			result.answer, result.err = f.Stream(ctx, number/3%zones, 0, result.id, 8)
 		}
-		one.duration = time.Since(one.startedAt)
-		return one
+		result.duration = time.Since(result.startedAt)
+		return result
 	})
 }
 
 // arrivalsOutside lists the requests that reached servers outside the given regions.
 func arrivalsOutside(f *Fleet, regions ...string) []site.Arrival {
-	return slices.DeleteFunc(f.Site.Ledger.Arrivals(), func(one site.Arrival) bool { return slices.Contains(regions, one.Region) })
+	return slices.DeleteFunc(f.Site.Ledger.Arrivals(), func(arrival site.Arrival) bool { return slices.Contains(regions, arrival.Region) })
 }
 
 // serversOf returns the servers of both services in a zone.
@@ -122,22 +122,22 @@
 			f.configure(changes...)
 			stop := startMixedTraffic(f)
 			time.Sleep(500 * time.Millisecond)
-			calmUntil := time.Now().Add(-100 * time.Millisecond)
+			baselineUntil := time.Now().Add(-100 * time.Millisecond)
 			injectFaults(f, t, home)
 			outcomes := stop()
 			outside := arrivalsOutside(f, site.RegionName(home))
 			assert.Empty(t, outside[:min(3, len(outside))], "%d requests reached servers of other regions", len(outside))
-			served, calm := 0, 0
-			for _, one := range outcomes {
-				if one.startedAt.Before(calmUntil) {
-					calm++
-					if one.served(time.Second) {
+			served, baseline := 0, 0
+			for _, result := range outcomes {
+				if result.startedAt.Before(baselineUntil) {
+					baseline++
+					if result.served(time.Second) {
 						served++
 					}
 				}
 			}
-			assert.NotZero(t, calm)
-			assert.Equal(t, calm, served, "requests served before the faults")
+			assert.NotZero(t, baseline)
+			assert.Equal(t, baseline, served, "requests served before the faults")
 		})
 	}
 }
@@ -178,17 +178,17 @@
 		},
 	}
 	for kind, call := range calls {
-		began := time.Now()
+		startedAt := time.Now()
 		answer, err := call("nowhere-" + kind)
 		require.NoError(t, err)
 		assert.Equal(t, http.StatusServiceUnavailable, answer.Status, kind)
 		assert.NotEmpty(t, answer.Header.Get("Retry-After"), kind)
-		assert.Less(t, time.Since(began), 500*time.Millisecond, kind)
+		assert.Less(t, time.Since(startedAt), 500*time.Millisecond, kind)
 		assert.Contains(t, answer.Body, `"reason":"data-residency","execution":"not-run"`, kind)
-		lines, told := explainRequest(f, t, "nowhere-"+kind, "PV4104")
+		lines, explanation := explainRequest(f, t, "nowhere-"+kind, "PV4104")
 		const want = `; only servers in the regions ["region-1"] were allowed, and others would have taken it`
-		assert.Contains(t, told.Cause, "refused, and certain not to have run: no server was chosen", kind)
-		assert.Contains(t, told.Cause, want, kind)
+		assert.Contains(t, explanation.Cause, "refused, and certain not to have run: no server was chosen", kind)
+		assert.Contains(t, explanation.Cause, want, kind)
 		assert.NotContains(t, explain.Tell(withoutEvent(lines, "PV4109"), "nowhere-"+kind).Cause, want, kind)
 	}
 	assert.Empty(t, f.Site.Ledger.Arrivals())
@@ -229,8 +229,8 @@
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusServiceUnavailable, answer.Status)
 	assert.Equal(t, "5", answer.Header.Get("Retry-After"), "only a configuration change helps")
-	_, told := explainRequest(f, t, "apart", "PV4104")
-	assert.Contains(t, told.Cause, "the allowed regions of the route and the tenant have none in common")
+	_, explanation := explainRequest(f, t, "apart", "PV4104")
+	assert.Contains(t, explanation.Cause, "the allowed regions of the route and the tenant have none in common")
 	assert.Empty(t, f.Site.Ledger.Arrivals())
 }
 
@@ -238,7 +238,7 @@
 // is resumed only in a region that both the configuration that admitted it and the newest one
 // allow.
 func TestBrokenStreamResumesOnlyInAllowedRegions(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		admitted, newest []string
 		want             string
 	}{
@@ -250,7 +250,7 @@
 			options := threeRegionOptions()
 			options.EventTime = 60 * time.Millisecond
 			f := Start(t, options)
-			f.configure(restrictTenant(one.admitted...))
+			f.configure(restrictTenant(test.admitted...))
 			const id, events = "moving", 40
 			done := make(chan Answer, 1)
 			go func() {
@@ -259,7 +259,7 @@
 				done <- answer
 			}()
 			f.Eventually("the stream runs", time.Second, func() bool { return len(runsOf(f, id)) == 1 })
-			f.configure(restrictTenant(one.newest...))
+			f.configure(restrictTenant(test.newest...))
 			serving := runsOf(f, id)[0].Server
 			for _, server := range f.Site.Models {
 				if server.ID() == serving {
@@ -268,7 +268,7 @@
 			}
 			answer := <-done
 			arrivals := slices.DeleteFunc(f.Site.Ledger.Arrivals(), func(arrival site.Arrival) bool { return arrival.RequestID != id })
-			if one.want == "" {
+			if test.want == "" {
 				assert.False(t, answer.Complete)
 				assert.Len(t, arrivals, 1)
 				return
@@ -276,7 +276,7 @@
 			assert.True(t, answer.Complete)
 			assert.Equal(t, consecutive(events), answer.Events)
 			if assert.Len(t, arrivals, 2) {
-				assert.Equal(t, one.want, arrivals[1].Region)
+				assert.Equal(t, test.want, arrivals[1].Region)
 			}
 		})
 	}
--- a/internal/sitetest/requests_test.go
+++ b/internal/sitetest/requests_test.go
@@ -108,12 +108,12 @@
 	for _, server := range f.Site.Plain {
 		server.SetFaults(site.Faults{Shed: 10})
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	answer, err := f.Call(context.Background(), 1, 1, http.MethodPost, site.OncePrefix, "shed", nil, "save")
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusServiceUnavailable, answer.Status)
 	assert.NotEmpty(t, answer.Header.Get("Retry-After"))
-	assert.Less(t, time.Since(began), time.Second)
+	assert.Less(t, time.Since(startedAt), time.Second)
 	assert.Empty(t, runsOf(f, "shed"))
 }
 
@@ -206,9 +206,9 @@
 	for _, server := range f.Site.Plain {
 		server.SetFaults(site.Faults{Silent: true})
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	answer, err := f.Call(context.Background(), 0, 0, http.MethodPost, site.OncePrefix, "silent", nil, "save")
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusGatewayTimeout, answer.Status)
-	assert.Less(t, time.Since(began), 1200*time.Millisecond)
+	assert.Less(t, time.Since(startedAt), 1200*time.Millisecond)
 }
--- a/internal/sitetest/rest_test.go
+++ b/internal/sitetest/rest_test.go
@@ -34,22 +34,22 @@
 	f := Start(t, oneEntryOptions())
 	stop := f.startHarmlessTraffic(5 * time.Millisecond)
 	time.Sleep(500 * time.Millisecond)
-	resting := f.Site.Models[f.Site.Options.ModelIP(0, 0)]
-	resting.SetFaults(site.Faults{Shed: 1, ShedRest: backoffRequested})
-	asked := time.Now()
+	backingOff := f.Site.Models[f.Site.Options.ModelIP(0, 0)]
+	backingOff.SetFaults(site.Faults{Shed: 1, ShedRest: backoffRequested})
+	requestedAt := time.Now()
 	time.Sleep(6 * time.Second)
 	outcomes := stop()
-	moments := f.arrivalsAt(resting.ID(), asked)
+	arrivals := f.arrivalsAt(backingOff.ID(), requestedAt)
 	during := 0
-	for _, at := range moments {
-		if since := at.Sub(moments[0]); since > backoffGrace && since < backoffRequested {
+	for _, at := range arrivals {
+		if since := at.Sub(arrivals[0]); since > backoffGrace && since < backoffRequested {
 			during++
 		}
 	}
-	t.Logf("requests during the backoff: %d, total since its start: %d", during, len(moments))
+	t.Logf("requests during the backoff: %d, total since its start: %d", during, len(arrivals))
 	assert.LessOrEqual(t, during, maxDuringBackoff)
-	assert.GreaterOrEqual(t, len(f.arrivalsAt(resting.ID(), asked.Add(backoffRequested+time.Second))), 10, "requests after the backoff")
-	assert.GreaterOrEqual(t, servedRatio(outcomes, asked, asked.Add(6*time.Second), time.Second), minServedRatio)
+	assert.GreaterOrEqual(t, len(f.arrivalsAt(backingOff.ID(), requestedAt.Add(backoffRequested+time.Second))), 10, "requests after the backoff")
+	assert.GreaterOrEqual(t, servedRatio(outcomes, requestedAt, requestedAt.Add(6*time.Second), time.Second), minServedRatio)
 }
 
 // BUDGET: all servers of a service request a backoff. Requests are refused at once, with a
@@ -59,19 +59,19 @@
 	for _, server := range f.Site.Plain {
 		server.SetFaults(site.Faults{Shed: 1000, ShedRest: backoffRequested})
 	}
-	started := time.Now()
+	startedAt := time.Now()
 	stop := f.startPlainTraffic(20 * time.Millisecond)
 	time.Sleep(2500 * time.Millisecond)
 	outcomes := stop()
 	for _, server := range f.Site.Plain {
-		assert.LessOrEqual(t, len(f.arrivalsAt(server.ID(), started.Add(backoffGrace))), maxDuringBackoff)
+		assert.LessOrEqual(t, len(f.arrivalsAt(server.ID(), startedAt.Add(backoffGrace))), maxDuringBackoff)
 	}
-	for _, one := range outcomes {
-		assert.Equal(t, http.StatusServiceUnavailable, one.answer.Status)
-		if one.startedAt.Before(started.Add(backoffGrace)) {
+	for _, result := range outcomes {
+		assert.Equal(t, http.StatusServiceUnavailable, result.answer.Status)
+		if result.startedAt.Before(startedAt.Add(backoffGrace)) {
 			continue
 		}
-		assert.Less(t, one.duration, 100*time.Millisecond, "time to a local refusal")
-		assert.GreaterOrEqual(t, retryAfter(t, one.answer), backoffRequested-one.startedAt.Sub(started)-200*time.Millisecond, "until the first backoff ends")
+		assert.Less(t, result.duration, 100*time.Millisecond, "time to a local refusal")
+		assert.GreaterOrEqual(t, retryAfter(t, result.answer), backoffRequested-result.startedAt.Sub(startedAt)-200*time.Millisecond, "until the first backoff ends")
 	}
 }
--- a/internal/sitetest/restarted_test.go
+++ b/internal/sitetest/restarted_test.go
@@ -22,12 +22,12 @@
 	f.Site.NameVersion(2)
 	f.Eventually("every server serves version 2", 6*time.Second, func() bool { return f.allServe(2) })
 	stop := startTraffic(20*time.Millisecond, func(ctx context.Context, number int) outcome {
-		one := outcome{id: fmt.Sprintf("stream-%d", number), startedAt: time.Now()}
-		one.answer, one.err = f.streamWithBody(ctx, number, "a", one.id, "prompt", 10)
-		one.duration = time.Since(one.startedAt)
-		return one
+		result := outcome{id: fmt.Sprintf("stream-%d", number), startedAt: time.Now()}
+		result.answer, result.err = f.streamWithBody(ctx, number, "a", result.id, "prompt", 10)
+		result.duration = time.Since(result.startedAt)
+		return result
 	})
-	began := time.Now()
+	startedAt := time.Now()
 	for zone := range options.Zones {
 		for index := range options.ModelServers {
 			require.NoError(t, f.Site.RestartModelUnderItsID(zone, index, time.Now()))
@@ -38,9 +38,9 @@
 			f.Eventually("every server serves version 2 again", 4*time.Second, func() bool { return f.allServe(2) })
 		}
 	}
-	ended := time.Now()
+	endedAt := time.Now()
 	outcomes := stop()
-	assert.GreaterOrEqual(t, servedRatio(outcomes, began, ended, time.Second), 0.9, "three of four servers are available at any time")
+	assert.GreaterOrEqual(t, servedRatio(outcomes, startedAt, endedAt, time.Second), 0.9, "three of four servers are available at any time")
 	for _, run := range f.Site.Ledger.Runs() {
 		assert.False(t, run.Spoilt)
 	}
@@ -56,7 +56,7 @@
 	f.Eventually("the server serves", 4*time.Second, func() bool { return f.allServe(1) })
 	require.NoError(t, f.Site.RestartModelUnderItsID(0, 0, time.Now().Add(-time.Hour)))
 	f.Eventually("the server serves again", 4*time.Second, func() bool { return f.allServe(1) })
-	reborn := f.Site.Models[f.Site.Options.ModelIP(0, 0)]
+	restarted := f.Site.Models[f.Site.Options.ModelIP(0, 0)]
 	number := 0
 	f.Eventually("the server receives requests", 4*time.Second, func() bool {
 		number++
@@ -64,7 +64,7 @@
 		if err != nil || answer.Status != http.StatusOK {
 			return false
 		}
-		return f.Site.Ledger.RanAt(reborn.ID(), fmt.Sprintf("after-%d", number))
+		return f.Site.Ledger.RanAt(restarted.ID(), fmt.Sprintf("after-%d", number))
 	})
 }
 
--- a/internal/sitetest/settings_test.go
+++ b/internal/sitetest/settings_test.go
@@ -98,8 +98,8 @@
 	}
 	served := 0
 	outcomes := stop()
-	for _, one := range outcomes {
-		if one.err == nil && one.answer.Status == http.StatusOK {
+	for _, result := range outcomes {
+		if result.err == nil && result.answer.Status == http.StatusOK {
 			served++
 		}
 	}
--- a/internal/sitetest/silence_test.go
+++ b/internal/sitetest/silence_test.go
@@ -46,7 +46,7 @@
 }
 
 // storeConnections selects the connections to the store.
-var storeConnections = silencer.Between(func(one netip.AddrPort) bool { return one.Port() == storePort }, func(netip.AddrPort) bool { return true })
+var storeConnections = silencer.Between(func(address netip.AddrPort) bool { return address.Port() == storePort }, func(netip.AddrPort) bool { return true })
 
 // outcome records the result of one request.
 type outcome struct {
@@ -74,10 +74,10 @@
 		defer ticker.Stop()
 		for number := 0; ; number++ {
 			running.Go(func() {
-				one := send(context.Background(), number)
+				result := send(context.Background(), number)
 				mutex.Lock()
 				defer mutex.Unlock()
-				outcomes = append(outcomes, one)
+				outcomes = append(outcomes, result)
 			})
 			select {
 			case <-ticker.C:
@@ -97,12 +97,12 @@
 // servedRatio returns the ratio of the requests started in an interval that were served in time.
 func servedRatio(outcomes []outcome, from, to time.Time, within time.Duration) float64 {
 	all, served := 0, 0
-	for _, one := range outcomes {
-		if one.startedAt.Before(from) || !one.startedAt.Before(to) {
+	for _, result := range outcomes {
+		if result.startedAt.Before(from) || !result.startedAt.Before(to) {
 			continue
 		}
 		all++
-		if one.served(within) {
+		if result.served(within) {
 			served++
 		}
 	}
@@ -139,23 +139,23 @@
 	f := Start(t, options)
 	call := func(kind, method, path string) func(context.Context, int) outcome {
 		return func(ctx context.Context, number int) outcome {
-			one := outcome{id: fmt.Sprintf("%s-%d", kind, number), startedAt: time.Now()}
-			one.answer, one.err = f.Call(ctx, number%2, number/2%2, method, path, one.id, nil, "")
-			one.duration = time.Since(one.startedAt)
-			return one
+			result := outcome{id: fmt.Sprintf("%s-%d", kind, number), startedAt: time.Now()}
+			result.answer, result.err = f.Call(ctx, number%2, number/2%2, method, path, result.id, nil, "")
+			result.duration = time.Since(result.startedAt)
+			return result
 		}
 	}
 	stopSafe := startTraffic(20*time.Millisecond, call("safe", http.MethodGet, site.SafePrefix))
 	stopOnce := startTraffic(50*time.Millisecond, call("once", http.MethodPost, site.OncePrefix))
 	stopStreams := startTraffic(30*time.Millisecond, func(ctx context.Context, number int) outcome {
-		one := outcome{id: fmt.Sprintf("stream-%d", number), startedAt: time.Now()}
-		one.answer, one.err = f.Stream(ctx, number%2, number/2%2, one.id, streamEvents)
-		one.duration = time.Since(one.startedAt)
-		return one
+		result := outcome{id: fmt.Sprintf("stream-%d", number), startedAt: time.Now()}
+		result.answer, result.err = f.Stream(ctx, number%2, number/2%2, result.id, streamEvents)
+		result.duration = time.Since(result.startedAt)
+		return result
 	})
-	began := time.Now()
+	startedAt := time.Now()
 	time.Sleep(baselineTime)
-	silent := time.Now()
+	silencedAt := time.Now()
 	count, err := silencer.Silence(systemConnections)
 	require.NoError(t, err)
 	time.Sleep(streamRecovery + observedTime)
@@ -163,48 +163,48 @@
 	t.Logf("%d connection ends silenced", count)
 	for name, kind := range map[string]struct {
 		outcomes []outcome
-		back     time.Duration
+		recovery time.Duration
 	}{"safe": {safe, plainRecovery}, "once": {once, plainRecovery}, "streams": {streams, streamRecovery}} {
 		const window = 500 * time.Millisecond
 		var line []string
-		for from := silent.Add(-time.Second); from.Before(silent.Add(streamRecovery + observedTime)); from = from.Add(window) {
+		for from := silencedAt.Add(-time.Second); from.Before(silencedAt.Add(streamRecovery + observedTime)); from = from.Add(window) {
 			line = append(line, fmt.Sprintf("%.2f", servedRatio(kind.outcomes, from, from.Add(window), targetLatency)))
 		}
 		t.Logf("%s served in time by half seconds, silent from the third on: %s", name, strings.Join(line, " "))
-		calm := servedRatio(kind.outcomes, began, silent.Add(-targetLatency), targetLatency)
-		after := servedRatio(kind.outcomes, silent.Add(kind.back), silent.Add(streamRecovery+observedTime), targetLatency)
-		assert.GreaterOrEqual(t, after, minRecoveredRatio*calm, "%s: ratio served after the service must have recovered, baseline %.2f", name, calm)
+		baseline := servedRatio(kind.outcomes, startedAt, silencedAt.Add(-targetLatency), targetLatency)
+		after := servedRatio(kind.outcomes, silencedAt.Add(kind.recovery), silencedAt.Add(streamRecovery+observedTime), targetLatency)
+		assert.GreaterOrEqual(t, after, minRecoveredRatio*baseline, "%s: ratio served after the service must have recovered, baseline %.2f", name, baseline)
 	}
-	for _, one := range streams {
-		assert.True(t, one.err == nil && (one.answer.Status != http.StatusOK || one.answer.Complete), "stream %s: cut after %d events: %v", one.id, len(one.answer.Events), one.err)
+	for _, result := range streams {
+		assert.True(t, result.err == nil && (result.answer.Status != http.StatusOK || result.answer.Complete), "stream %s: cut after %d events: %v", result.id, len(result.answer.Events), result.err)
 	}
-	for _, one := range once {
-		runs := len(runsOf(f, one.id))
-		assert.LessOrEqual(t, runs, 1, "%s ran more than once", one.id)
-		refused := one.err == nil && one.answer.Status == http.StatusServiceUnavailable
-		assert.False(t, refused && runs > 0, "%s was refused as not-run but ran", one.id)
+	for _, result := range once {
+		runs := len(runsOf(f, result.id))
+		assert.LessOrEqual(t, runs, 1, "%s ran more than once", result.id)
+		refused := result.err == nil && result.answer.Status == http.StatusServiceUnavailable
+		assert.False(t, refused && runs > 0, "%s was refused as not-run but ran", result.id)
 	}
 }
 
 // announceDuringSilence sends streams, silences the selected connections just before version 2 is
 // announced, which no machine can fetch, and returns two seconds after the deadline of version 1.
-func (f *Fleet) announceDuringSilence(silenced silencer.Filter) (named, bound time.Time) {
+func (f *Fleet) announceDuringSilence(silenced silencer.Filter) (announcedAt, deadline time.Time) {
 	f.t.Helper()
 	f.Site.Origin.SetAway(true)
 	stop := startTraffic(15*time.Millisecond, func(ctx context.Context, number int) outcome {
-		one := outcome{id: fmt.Sprintf("stream-%d", number), startedAt: time.Now()}
-		one.answer, one.err = f.Stream(ctx, number%2, number/2%2, one.id, 4)
-		return one
+		result := outcome{id: fmt.Sprintf("stream-%d", number), startedAt: time.Now()}
+		result.answer, result.err = f.Stream(ctx, number%2, number/2%2, result.id, 4)
+		return result
 	})
 	time.Sleep(baselineTime)
 	_, err := silencer.Silence(silenced)
 	require.NoError(f.t, err)
-	named = time.Now()
+	announcedAt = time.Now()
 	f.Site.NameVersion(2)
-	bound = named.Add(time.Duration(f.Site.Options.VersionMs) * time.Millisecond)
-	time.Sleep(time.Until(bound.Add(2 * time.Second)))
+	deadline = announcedAt.Add(time.Duration(f.Site.Options.VersionMs) * time.Millisecond)
+	time.Sleep(time.Until(deadline.Add(2 * time.Second)))
 	stop()
-	return named, bound
+	return announcedAt, deadline
 }
 
 // VERSION: the connections to the store go silent just before a version is announced that no machine
@@ -212,13 +212,13 @@
 // the new one.
 func TestDeadlineHoldsWhenStoreConnectionsAreSilent(t *testing.T) {
 	f := Start(t, DefaultOptions())
-	_, bound := f.announceDuringSilence(storeConnections)
+	_, deadline := f.announceDuringSilence(storeConnections)
 	late := 0
 	latest := time.Duration(0)
 	for _, run := range f.Site.Ledger.Runs() {
-		if run.Service == site.ModelService && run.Version == 1 && run.At.After(bound) {
+		if run.Service == site.ModelService && run.Version == 1 && run.At.After(deadline) {
 			late++
-			latest = max(latest, run.At.Sub(bound))
+			latest = max(latest, run.At.Sub(deadline))
 		}
 	}
 	assert.Zero(t, late, "requests that started on the old version after its deadline, the last one %s after it", latest)
@@ -235,9 +235,9 @@
 	f := Start(t, DefaultOptions())
 	f.Site.Origin.SetAway(true)
 	time.Sleep(500 * time.Millisecond)
-	named := time.Now()
+	announcedAt := time.Now()
 	f.Site.NameVersion(2)
-	bound := named.Add(time.Duration(f.Site.Options.VersionMs) * time.Millisecond)
+	deadline := announcedAt.Add(time.Duration(f.Site.Options.VersionMs) * time.Millisecond)
 	time.Sleep(2500 * time.Millisecond)
 	f.Site.NameVersion(3)
 	time.Sleep(200 * time.Millisecond)
@@ -246,19 +246,19 @@
 	time.Sleep(100 * time.Millisecond)
 	f.StartEntry(1, 1)
 	f.Eventually("the entry is ready again", 3*time.Second, func() bool { return f.ready(1, 1) })
-	t.Logf("ready again %s before the deadline", time.Until(bound).Round(time.Millisecond))
+	t.Logf("ready again %s before the deadline", time.Until(deadline).Round(time.Millisecond))
 	stop := startTraffic(20*time.Millisecond, func(ctx context.Context, number int) outcome {
-		one := outcome{id: fmt.Sprintf("stream-%d", number), startedAt: time.Now()}
-		one.answer, one.err = f.Stream(ctx, 1, 1, one.id, 4)
-		return one
+		result := outcome{id: fmt.Sprintf("stream-%d", number), startedAt: time.Now()}
+		result.answer, result.err = f.Stream(ctx, 1, 1, result.id, 4)
+		return result
 	})
-	time.Sleep(time.Until(bound.Add(2500 * time.Millisecond)))
+	time.Sleep(time.Until(deadline.Add(2500 * time.Millisecond)))
 	stop()
 	late, latest := 0, time.Duration(0)
 	for _, run := range f.Site.Ledger.Runs() {
-		if run.Service == site.ModelService && run.Version == 1 && run.At.After(bound) {
+		if run.Service == site.ModelService && run.Version == 1 && run.At.After(deadline) {
 			late++
-			latest = max(latest, run.At.Sub(bound))
+			latest = max(latest, run.At.Sub(deadline))
 		}
 	}
 	t.Logf("%d late on version 1, the last %s after the deadline", late, latest)
--- a/internal/sitetest/start_test.go
+++ b/internal/sitetest/start_test.go
@@ -25,14 +25,14 @@
 			f.Kill(ProcessName(catalog.RoleEntry, zone, index))
 		}
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	for zone := range options.Zones {
 		for index := range options.Entries {
 			f.StartEntry(zone, index)
 		}
 	}
 	f.WaitReady()
-	took := time.Since(began)
-	t.Logf("all entries are ready and have reports of all agents %s after their start", took)
-	assert.Less(t, took, 400*time.Millisecond)
+	elapsed := time.Since(startedAt)
+	t.Logf("all entries are ready and have reports of all agents %s after their start", elapsed)
+	assert.Less(t, elapsed, 400*time.Millisecond)
 }
--- a/internal/sitetest/store_test.go
+++ b/internal/sitetest/store_test.go
@@ -43,9 +43,9 @@
 	f.Site.Store.SetBandwidth(narrowLink)
 	calls := f.Site.Store.Calls()
 	f.Site.Store.SetDown(false)
-	back := time.Now()
+	restoredAt := time.Now()
 	f.Eventually("the change is applied", 10*time.Second, func() bool { return f.configurationApplied(version) })
-	took := time.Since(back)
-	t.Logf("applied %s after the store's return, after %d calls", took, f.Site.Store.Calls()-calls)
-	assert.Less(t, took, time.Duration(options.ConfigApplyMs)*time.Millisecond)
+	elapsed := time.Since(restoredAt)
+	t.Logf("applied %s after the store's return, after %d calls", elapsed, f.Site.Store.Calls()-calls)
+	assert.Less(t, elapsed, time.Duration(options.ConfigApplyMs)*time.Millisecond)
 }
--- a/internal/sitetest/told_asks_test.go
+++ b/internal/sitetest/told_asks_test.go
@@ -23,9 +23,9 @@
 func (f *Fleet) serverView(zone, index int, server string) forward.ServerView {
 	views, isList := f.Process(ProcessName(catalog.RoleEntry, zone, index)).Dump()["servers"].([]forward.ServerView)
 	require.True(f.t, isList)
-	for _, one := range views {
-		if one.ID == server {
-			return one
+	for _, view := range views {
+		if view.ID == server {
+			return view
 		}
 	}
 	return forward.ServerView{}
@@ -50,9 +50,9 @@
 	number := 0
 	f.Eventually("the server has answered", 5*time.Second, func() bool {
 		number++
-		begun := time.Now()
+		startedAt := time.Now()
 		_, err := f.Call(context.Background(), zone, index, http.MethodGet, site.SafePrefix+"a", fmt.Sprintf("%s-%d", id, number), nil, "")
-		return err == nil && len(f.arrivalsAt(server, begun)) > 0
+		return err == nil && len(f.arrivalsAt(server, startedAt)) > 0
 	})
 }
 
@@ -70,14 +70,14 @@
 	})
 	limited.NameLimit("3")
 	f.sendPlainUntilAnswered(0, 1, limited.ID(), "limited")
-	named := func(view forward.ServerView) bool { return view.Limit != nil && view.Limit.PerSecond == 3 }
-	f.Eventually("all entries know the limit", noticePropagation, func() bool { return f.allEntries(limited.ID(), named) })
+	hasLimit := func(view forward.ServerView) bool { return view.Limit != nil && view.Limit.PerSecond == 3 }
+	f.Eventually("all entries know the limit", noticePropagation, func() bool { return f.allEntries(limited.ID(), hasLimit) })
 
 	f.Kill(ProcessName(catalog.RoleEntry, 2, 1))
 	f.StartEntry(2, 1)
 	f.WaitReady()
 	f.Eventually("the new entry knows both notices", noticePropagation, func() bool {
-		return f.serverView(2, 1, leaving.ID()).AnnouncedLeaving && named(f.serverView(2, 1, limited.ID()))
+		return f.serverView(2, 1, leaving.ID()).AnnouncedLeaving && hasLimit(f.serverView(2, 1, limited.ID()))
 	})
 
 	limited.NameLimit("")
--- a/internal/sitetest/versions_test.go
+++ b/internal/sitetest/versions_test.go
@@ -14,11 +14,11 @@
 
 // startStreams sends streams until stop is called, which waits for the last one and returns how many
 // were sent and how many were not answered completely.
-func startStreams(f *Fleet, t *testing.T) (stop func() (sent, spoilt int)) {
+func startStreams(f *Fleet, t *testing.T) (stop func() (sent, failed int)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var callers sync.WaitGroup
 	var mutex sync.Mutex
-	sent, spoilt := 0, 0
+	sent, failed := 0, 0
 	for caller := range 6 {
 		callers.Go(func() {
 			for number := 0; ctx.Err() == nil; number++ {
@@ -26,7 +26,7 @@
 				mutex.Lock()
 				sent++
 				if err != nil || answer.Status != 200 || !answer.Complete || len(answer.Events) != 8 {
-					spoilt++
+					failed++
 					t.Logf("stream %d-%d: %v %d %v", caller, number, err, answer.Status, answer.Events)
 				}
 				mutex.Unlock()
@@ -37,7 +37,7 @@
 	return func() (int, int) {
 		cancel()
 		callers.Wait()
-		return sent, spoilt
+		return sent, failed
 	}
 }
 
@@ -57,17 +57,17 @@
 	f := Start(t, DefaultOptions())
 	stop := startStreams(f, t)
 	time.Sleep(300 * time.Millisecond)
-	named := time.Now()
+	announcedAt := time.Now()
 	f.Site.NameVersion(2)
-	bound := time.Duration(f.Site.Options.VersionMs) * time.Millisecond
-	f.Eventually("every server serves version 2", bound, func() bool { return f.allServe(2) })
-	time.Sleep(time.Until(named.Add(bound + 300*time.Millisecond)))
-	sent, spoilt := stop()
+	timeLimit := time.Duration(f.Site.Options.VersionMs) * time.Millisecond
+	f.Eventually("every server serves version 2", timeLimit, func() bool { return f.allServe(2) })
+	time.Sleep(time.Until(announcedAt.Add(timeLimit + 300*time.Millisecond)))
+	sent, failed := stop()
 	assert.Greater(t, sent, 100)
-	assert.Zero(t, spoilt)
+	assert.Zero(t, failed)
 	for _, run := range f.Site.Ledger.Runs() {
 		assert.False(t, run.Spoilt)
-		if run.Service == site.ModelService && run.At.After(named.Add(bound)) {
+		if run.Service == site.ModelService && run.At.After(announcedAt.Add(timeLimit)) {
 			assert.Equal(t, uint64(2), run.Version)
 		}
 	}
@@ -88,15 +88,15 @@
 // entries send no requests for the previous version to servers that have switched.
 func TestLaterVersionCausesNoWrongVersionRefusals(t *testing.T) {
 	f := Start(t, DefaultOptions())
-	bound := time.Duration(f.Site.Options.VersionMs) * time.Millisecond
+	timeLimit := time.Duration(f.Site.Options.VersionMs) * time.Millisecond
 	f.Site.NameVersion(2)
-	f.Eventually("every server serves version 2", bound, func() bool { return f.allServe(2) })
-	time.Sleep(bound)
+	f.Eventually("every server serves version 2", timeLimit, func() bool { return f.allServe(2) })
+	time.Sleep(timeLimit)
 	stop := startStreams(f, t)
 	f.Site.NameVersion(3)
-	f.Eventually("every server serves version 3", bound, func() bool { return f.allServe(3) })
-	_, spoilt := stop()
-	assert.Zero(t, spoilt)
+	f.Eventually("every server serves version 3", timeLimit, func() bool { return f.allServe(3) })
+	_, failed := stop()
+	assert.Zero(t, failed)
 	turnedAway := countEvents(f, "PV4105", `"reason":"wrong-version"`)
 	assert.LessOrEqual(t, turnedAway, 3, "requests that a server refused as wrong-version")
 }
