--- a/internal/sitetest/evacuation_failure_test.go
+++ b/internal/sitetest/evacuation_failure_test.go
@@ -147,7 +147,7 @@
 	f := Start(t, options)
 	zone := site.ZoneName(1)
 	f.Site.Evacuate(zone)
-	evacuatedAt := time.Now()
+	startedAt := time.Now()
 	time.Sleep(300 * time.Millisecond)
 	for index := range options.ModelServers {
 		f.Site.Models[options.ModelIP(2, index)].Crash()
@@ -169,7 +169,7 @@
 	}
 	assert.Greater(t, sent, 50)
 	assert.Equal(t, sent, served)
-	assert.Zero(t, evacuation{zone: zone, startedAt: evacuatedAt, endedAt: time.Now()}.lateArrivals(f))
+	assert.Zero(t, evacuation{zone: zone, startedAt: startedAt, endedAt: time.Now()}.lateArrivals(f))
 	assert.Zero(t, f.arrivalsBetween(zone, lost, time.Now()))
 }
 
--- a/internal/sitetest/evacuation_test.go
+++ b/internal/sitetest/evacuation_test.go
@@ -247,7 +247,7 @@
 	f := Start(t, evacuationOptions())
 	zone := site.ZoneName(0)
 	f.Site.Evacuate(zone)
-	evacuatedAt := time.Now()
+	startedAt := time.Now()
 	time.Sleep(evacuateMs * time.Millisecond)
 	f.Kill(ProcessName(catalog.RoleEntry, 0, 2))
 	f.StartEntry(0, 2)
@@ -256,7 +256,7 @@
 		_, err := f.Stream(context.Background(), 0, 2, "late-"+strconv.Itoa(number), 2)
 		require.NoError(t, err)
 	}
-	assert.Zero(t, evacuation{zone: zone, startedAt: evacuatedAt, endedAt: time.Now()}.lateArrivals(f))
+	assert.Zero(t, evacuation{zone: zone, startedAt: startedAt, endedAt: time.Now()}.lateArrivals(f))
 }
 
 // EVAC, REFUSED: when the evacuated zone is the only one, requests are refused at once as not-run,
--- a/internal/sitetest/fleet_test.go
+++ b/internal/sitetest/fleet_test.go
@@ -206,7 +206,7 @@
 	f := Start(t, options)
 	expireServersInOutage(f)
 	for number := range 12 {
-		answer, err := f.Stream(context.Background(), number%2, number/2%2, fmt.Sprintf("expired-%d", number), 2)
+		answer, err := f.Stream(context.Background(), number%2, number/2%2, fmt.Sprintf("lapsed-%d", number), 2)
 		require.NoError(t, err)
 		assert.Equal(t, http.StatusOK, answer.Status)
 	}
