--- a/internal/sitetest/fleet_test.go
+++ b/internal/sitetest/fleet_test.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// DRAIN: a server that announces that it is leaving soon receives no new requests.
+// DRAIN: shortly after a server announces that it is leaving, it receives no new requests.
 func TestLeavingServerReceivesNoNewRequests(t *testing.T) {
 	f := Start(t, DefaultOptions())
 	leaving := f.Site.Models[f.Site.Options.ModelIP(0, 0)]
