--- a/internal/catalog/ages.go
+++ b/internal/catalog/ages.go
@@ -64,9 +64,9 @@
 	return versionAge{age: age}
 }
 
-// fleetOutageAge is the age of the copy from which a store that refuses this process counts as out
-// for the whole fleet. An entry that the store serves updates the others every watchWait, and a
-// silent link is replaced within about 2 s.
+// fleetOutageAge is the age that this process's copy must exceed before a store that refuses the
+// process is taken to be out for the whole fleet. An entry that the store serves updates the others
+// every watchWait, and a silent link is replaced within about 2 s.
 const fleetOutageAge = 2500 * time.Millisecond
 
 // recordRefused records that the store refused a call sent at a given time. Requirement VERSION
@@ -99,7 +99,7 @@
 
 // historyLossMargin is the uncertainty of a watermark that no watch has confirmed: before the store
 // loses its history, its watches may return nothing for a second while the watermark advances. The
-// rest, half a second, is reserve.
+// other half second is reserve.
 const historyLossMargin = 1500 * time.Millisecond
 
 // safeWatermark returns the watermark that holds even if the store is about to report, or has
@@ -149,28 +149,28 @@
 func (c *Catalog) correctAges(records []mirror.Record, ages map[string]peerAge) {
 	for _, record := range records {
 		reported, known := ages[record.Key]
-		named, err := c.options.Decoder.Version(record)
+		announced, err := c.options.Decoder.Version(record)
 		if !known || err != nil {
 			continue
 		}
 		if since, bounded := reported.earliest(); bounded {
-			c.correctAge(named, since)
+			c.correctAge(announced, since)
 		}
 	}
 }
 
 // correctAge sets since when a version has been announced, if that was assumed.
-func (c *Catalog) correctAge(named fleet.PublishedVersion, since time.Time) {
+func (c *Catalog) correctAge(announced fleet.PublishedVersion, since time.Time) {
 	old := c.view.Load()
-	announcements := slices.Clone(old.Versions[named.Model])
+	announcements := slices.Clone(old.Versions[announced.Model])
 	for index := range announcements {
-		if announcements[index].Revision != named.Revision || !announcements[index].Assumed {
+		if announcements[index].Revision != announced.Revision || !announcements[index].Assumed {
 			continue
 		}
 		announcements[index].Since, announcements[index].Assumed = since, false
 		next := *old
 		next.Versions = maps.Clone(old.Versions)
-		next.Versions[named.Model] = announcements
+		next.Versions[announced.Model] = announcements
 		c.view.Store(&next)
 		return
 	}
@@ -204,9 +204,9 @@
 	return all
 }
 
-// applyAnnouncements applies a peer's ages of versions where they are shorter than the own ones or
-// the own ones are assumed, and adds versions missed here. Each age is an upper bound; flight is
-// the maximum transit time of the message. Without it, a process that was out of touch for seconds
+// applyAnnouncements applies a peer's ages of versions where they are shorter than the local ones or
+// the local ones are assumed, and adds versions missed here. Each age is an upper bound; flight is
+// the maximum transit time of the message. Without it, a process that was disconnected for seconds
 // when it learned of a version would count it as that much older until its deadline.
 func (c *Catalog) applyAnnouncements(messages []announcementMessage, flight time.Duration, received time.Time) {
 	c.updateView(func(next *View) bool { return next.applyAnnouncements(messages, flight, received) })
--- a/internal/catalog/asks.go
+++ b/internal/catalog/asks.go
@@ -17,8 +17,8 @@
 )
 
 // topicServerNotices carries what servers requested of entries in response headers, from each entry
-// to all others: an entry spares a server that sent its notice to another one, and an entry that
-// starts knows it before its first response.
+// to all others: an entry also observes a notice that a server sent to another entry, and an entry
+// that starts knows it before its first response.
 const topicServerNotices = "server.asks"
 
 // Bounds on the server notices held.
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -150,7 +150,7 @@
 		servers: map[string]fleet.Server{}, formerIncarnations: map[string]incarnation.StartTime{}, faulty: newFaultyRecords(), versionAges: map[string]versionAge{}, expired: map[string]expiredServer{},
 		statuses: map[string]heldStatus{}, links: map[string]*peerLink{}, backupOf: map[string]bool{}, wake: make(chan struct{}, 1), flush: make(chan struct{}, 1),
 		overlay: overlay.New(overlay.Options{
-			Self: options.Self, Zone: options.Zone, Relays: relaysPerZone, Gateways: gatesPerZone, Feeders: feedersPerAgent,
+			Self: options.Self, Zone: options.Zone, Relays: relaysPerZone, Gateways: gatewaysPerZone, Feeders: feedersPerAgent,
 			AliveTimeout: entryTimeout, MemberTTL: entryTTL, Capacity: capacityClass(options.LinkBytesPerSecond),
 		}),
 	}
--- a/internal/catalog/entries.go
+++ b/internal/catalog/entries.go
@@ -142,7 +142,7 @@
 	return c.overlay.IDs()
 }
 
-// ZoneEntries returns the other entries of the own zone with a recent heartbeat.
+// ZoneEntries returns the other entries of the local zone with a recent heartbeat.
 func (c *Catalog) ZoneEntries() []string {
 	now := time.Now()
 	c.mutex.Lock()
--- a/internal/catalog/evacuations_test.go
+++ b/internal/catalog/evacuations_test.go
@@ -129,7 +129,7 @@
 	start := time.Now()
 	watch.recordTurnedCold(start)
 	watch.recordTurnedCold(start.Add(coldWatchDuration / 2))
-	assert.Equal(t, watchInterval, watch.interval(start.Add(coldWatchDuration)), "it is not prolonged")
+	assert.Equal(t, watchInterval, watch.interval(start.Add(coldWatchDuration)), "the second server does not prolong the period")
 	watch.recordTurnedCold(start.Add(minColdWatchSpacing))
 	assert.Equal(t, coldWatchInterval, watch.interval(start.Add(minColdWatchSpacing)))
 }
--- a/internal/catalog/exchange.go
+++ b/internal/catalog/exchange.go
@@ -159,8 +159,8 @@
 		if peer.isEntry() {
 			c.addEntries(&message, peer, now, aged)
 		} else {
-			_, main := c.overlay.Feeds(ip, peer.zone())
-			message.Backup = !main
+			_, isMain := c.overlay.Feeds(ip, peer.zone())
+			message.Backup = !isMain
 			message.Services = c.servicesFor(peer)
 		}
 		if peer.compared {
@@ -324,10 +324,10 @@
 	}
 }
 
-// compareRecords records whether a peer holds the same records. If so, the peer need not be sent
-// earlier changes, and if its large records are not newer either, this process has received every
-// change that the peer has, which is reported. The first time the records differ, the peer is sent
-// everything.
+// compareRecords compares a peer's records with those of this process. It reports whether this
+// process has received every change that the peer has: their records are the same, and none of the
+// peer's large records is newer. A peer with the same records need not be sent earlier changes. The
+// first time the records differ, the peer is sent everything.
 func (c *Catalog) compareRecords(ip string, peerUpdate update) (complete bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/catalog/health.go
+++ b/internal/catalog/health.go
@@ -128,7 +128,7 @@
 // validated converts a report received now, or rejects one with impossible values. An invalid
 // report does not affect the others of its message.
 func (m healthMessage) validated(now time.Time) (heldHealthReport, error) {
-	for _, one := range []struct {
+	for _, duration := range []struct {
 		field        string
 		milliseconds int64
 		minimum      int64
@@ -137,8 +137,8 @@
 		{"answered", m.AnswerAgeMilliseconds, 0}, {"tried", m.LostTrialAgeMilliseconds, 0},
 		{"left", m.RemainingMilliseconds, -maxMilliseconds},
 	} {
-		if one.milliseconds < one.minimum || one.milliseconds > maxMilliseconds {
-			return heldHealthReport{}, &fault.InvalidFrame{Field: topicHealth, Reason: fmt.Sprintf("%s of %d ms", one.field, one.milliseconds)}
+		if duration.milliseconds < duration.minimum || duration.milliseconds > maxMilliseconds {
+			return heldHealthReport{}, &fault.InvalidFrame{Field: topicHealth, Reason: fmt.Sprintf("%s of %d ms", duration.field, duration.milliseconds)}
 		}
 	}
 	held := m.toReport(now)
--- a/internal/catalog/health_test.go
+++ b/internal/catalog/health_test.go
@@ -39,7 +39,7 @@
 	assert.Empty(t, servers("10.0.0.3", true, c.health.sequence), "nothing is sent twice")
 }
 
-// A report arrives as it was made, apart from its age.
+// A received report equals the one sent, and its time of creation is computed from its age.
 func TestHealthReportKeepsItsDurations(t *testing.T) {
 	now := time.Now()
 	original := heldHealthReport{report: ejectedReport("10.0.0.1", "i-1"), at: now.Add(-300 * time.Millisecond), number: 9}
--- a/internal/catalog/horizon.go
+++ b/internal/catalog/horizon.go
@@ -85,7 +85,7 @@
 }
 
 // ageOfReceived returns the maximum age of a change that was just received from a peer. Both the
-// peer's age and the own watermark bound it, and the tighter bound counts. If neither does, the
+// peer's age and the local watermark bound it, and the tighter bound counts. If neither does, the
 // process has only just started: it assumes that the message arrived instantly, and false is
 // returned.
 func ageOfReceived(reported peerAge, known watermark, now time.Time) (age time.Duration, bounded bool) {
--- a/internal/catalog/lapsed.go
+++ b/internal/catalog/lapsed.go
@@ -47,12 +47,12 @@
 		c.recordExpired(next, now)
 	}
 	count := 0
-	for id, one := range c.expired {
-		if !now.Before(one.until) {
+	for id, expired := range c.expired {
+		if !now.Before(expired.until) {
 			delete(c.expired, id)
 			continue
 		}
-		next.Servers[one.server.Service] = append(next.Servers[one.server.Service], one.server)
+		next.Servers[expired.server.Service] = append(next.Servers[expired.server.Service], expired.server)
 		count++
 	}
 	return count
--- a/internal/catalog/links.go
+++ b/internal/catalog/links.go
@@ -15,15 +15,16 @@
 	// relaysPerZone is how many entries of a zone forward its messages: enough for one failure at a
 	// time, and one more.
 	relaysPerZone = 3
-	// gatesPerZone is how many relays are linked to those of other zones.
-	gatesPerZone = 2
+	// gatewaysPerZone is how many relays of each zone are gateways, which link to the gateways of
+	// other zones.
+	gatewaysPerZone = 2
 	// feedersPerAgent is how many relays receive each agent's reports and send it updates.
 	feedersPerAgent = 2
 )
 
 // Timeouts and intervals of links.
 const (
-	// linkTimeout is the silence after which a link counts as broken and its peer as gone.
+	// linkTimeout is the silence after which a link counts as broken and its peer as stopped.
 	linkTimeout = 1500 * time.Millisecond
 	// linkCheckInterval is the maximum time between two checks of the links, minLinkCheckInterval
 	// the minimum: they are checked when one is due a probe or a renewal.
@@ -68,8 +69,8 @@
 	// wantedSince is since when this process wants the link, zero if it does not.
 	wantedSince time.Time
 
-	// compared is set once the peer's records were compared with the own ones; the peer is sent
-	// changes after sentSequence.
+	// compared is set once the peer's records were compared with those of this process; the peer is
+	// sent changes after sentSequence.
 	compared     bool
 	sentSequence uint64
 	sending      bool
@@ -86,7 +87,7 @@
 	rosterDigest   uint64
 
 	// localSent and remoteSent are the sequences up to which the peer was sent status reports of
-	// agents of the own zone and of other zones; remoteSentAt is when. sendingStatuses is set while
+	// agents of the local zone and of other zones; remoteSentAt is when. sendingStatuses is set while
 	// a batch is being sent.
 	localSent       uint64
 	remoteSent      uint64
@@ -173,9 +174,10 @@
 	}
 }
 
-// adoptAccepted uses the link that the other entry made, when the own one is gone. The other entry
-// listens on it and takes the answers to its probes for signs of life: if nothing were sent on it,
-// the other entry would receive no updates without noticing. The mutex must be held.
+// adoptAccepted uses the link that the other entry made, when this process has lost its own. The
+// other entry listens on it and takes the answers to its probes as evidence that it works: if
+// nothing were sent on it, the other entry would receive no updates without noticing. The mutex must
+// be held.
 func (c *Catalog) adoptAccepted(peer *peerLink, now time.Time) {
 	for _, link := range c.options.Hub.Accepted() {
 		remote := link.Remote()
--- a/internal/catalog/links_test.go
+++ b/internal/catalog/links_test.go
@@ -96,28 +96,28 @@
 	other := httptest.NewServer(hub)
 	t.Cleanup(other.Close)
 	t.Cleanup(hub.Close)
-	made, err := c.options.Hub.Link(t.Context(), other.Listener.Addr().String())
+	link, err := c.options.Hub.Link(t.Context(), other.Listener.Addr().String())
 	require.NoError(t, err)
-	return hub, made
+	return hub, link
 }
 
 // When two entries have each made a link to the other, one of them may close its own, because it no
 // longer needs the other, or lose it. It then uses the link that the other made: the other listens
-// on it, and takes answers to its probes for signs of life.
+// on it, and takes answers to its probes as evidence that it works.
 func TestAcceptedLinkReplacesLostLink(t *testing.T) {
 	c := newTestCatalog()
 	own := httptest.NewServer(c.options.Hub)
 	defer own.Close()
 	defer c.options.Hub.Close()
-	hub, made := linkToEntry(t, c)
+	hub, link := linkToEntry(t, c)
 	c.mutex.Lock()
 	peer := c.peerLink("10.0.0.2")
-	peer.open(made, false)
+	peer.open(link, false)
 	c.mutex.Unlock()
 	_, err := hub.Link(t.Context(), own.Listener.Addr().String())
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { return len(c.options.Hub.Accepted()) == 1 }, time.Second, time.Millisecond)
-	require.NoError(t, made.Close())
+	require.NoError(t, link.Close())
 	c.maintainLinks(t.Context())
 	c.maintainLinks(t.Context())
 	c.mutex.Lock()
@@ -128,41 +128,41 @@
 }
 
 // Links survive a pause of the process; a link that answers no probe after it is broken. Guards
-// against two faults: links judged by the time of the last read, before their readers had read what
+// against two faults: links checked by the time of the last read, before their readers had read what
 // arrived during the pause; and a process that was paused repeatedly and dropped a link to an entry
 // that sends on a link of its own, because only answers to probes arrive on such a link and it had
 // sent no probe since the first pause.
 func TestLinksSurviveProcessPause(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
-	_, made := linkToEntry(t, c)
+	_, link := linkToEntry(t, c)
 	c.mutex.Lock()
 	c.recordEntry("10.0.0.2", entryHeartbeat{Zone: "z"})
-	c.peerLink("10.0.0.2").open(made, false)
+	c.peerLink("10.0.0.2").open(link, false)
 	c.mutex.Unlock()
-	held := func() *peering.Link {
+	currentLink := func() *peering.Link {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
 		return c.peerLink("10.0.0.2").link
 	}
 	c.maintainLinks(t.Context())
-	require.Same(t, made, held(), "the link is wanted")
+	require.Same(t, link, currentLink(), "the link is wanted")
 	time.Sleep(linkTimeout + 100*time.Millisecond) // without checks, as if the process were paused
 	checkFor := func(duration time.Duration) {
-		for began := time.Now(); time.Since(began) < duration && held() == made; time.Sleep(20 * time.Millisecond) {
+		for began := time.Now(); time.Since(began) < duration && currentLink() == link; time.Sleep(20 * time.Millisecond) {
 			c.maintainLinks(t.Context())
 		}
 	}
 	checkFor(2 * resumeGrace)
-	require.Same(t, made, held(), "it answers a probe")
+	require.Same(t, link, currentLink(), "it answers a probe")
 	count, err := silencer.Silence(silencer.Any)
 	require.NoError(t, err)
 	require.Positive(t, count)
 	time.Sleep(linkTimeout + 100*time.Millisecond)
 	c.maintainLinks(t.Context())
-	assert.Same(t, made, held(), "right after the pause")
+	assert.Same(t, link, currentLink(), "right after the pause")
 	checkFor(time.Second)
-	assert.NotSame(t, made, held(), "it has answered no probe")
+	assert.NotSame(t, link, currentLink(), "it has answered no probe")
 }
 
 // After a stall of the process, links are given the full time for the answer to a probe again;
@@ -178,10 +178,10 @@
 	p.recordCheck(resumed)
 	assert.Equal(t, resumed, p.probeStart(start))
 	assert.Equal(t, resumed.Add(gap), p.probeStart(resumed.Add(gap)), "a probe sent after it")
-	assert.Negative(t, p.graceLeft(resumed), "links are renewed")
+	assert.Negative(t, p.graceRemaining(resumed), "links are renewed")
 	paused := resumed.Add(minPause + time.Millisecond)
 	p.recordCheck(paused)
-	assert.Equal(t, resumeGrace, p.graceLeft(paused), "no link is renewed")
+	assert.Equal(t, resumeGrace, p.graceRemaining(paused), "no link is renewed")
 }
 
 // flushPending reports whether reports are to be sent before the next statusInterval.
@@ -192,9 +192,9 @@
 }
 
 // A report that ends a silence is sent at once, whether it came from the agent or from another
-// entry. Guards against a gate that had the report from another entry, whose link to the agent
+// entry. Guards against a gateway that had the report from another entry, whose link to the agent
 // recovered first, and left it to the next interval of other zones: an entry received the report
-// after 0.84 s, 0.3 s after the first gate of the agent's zone.
+// after 0.84 s, 0.3 s after the first gateway of the agent's zone.
 func TestReportsEndingASilenceAreSentSoon(t *testing.T) {
 	now := time.Now()
 	for _, one := range []struct {
@@ -227,9 +227,9 @@
 func TestNewLinkIsSentStatusesSoon(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
-	_, made := linkToEntry(t, c)
+	_, link := linkToEntry(t, c)
 	c.mutex.Lock()
-	c.openLink(c.peerLink("10.0.0.2"), made, false)
+	c.openLink(c.peerLink("10.0.0.2"), link, false)
 	c.mutex.Unlock()
 	assert.True(t, flushPending(c))
 	select {
@@ -250,10 +250,10 @@
 	hub.Handle(topicStatuses, func(*peering.Link, *message.Message) { frames.Add(1) })
 	other := httptest.NewServer(hub)
 	t.Cleanup(other.Close)
-	made, err := c.options.Hub.Link(t.Context(), other.Listener.Addr().String())
+	link, err := c.options.Hub.Link(t.Context(), other.Listener.Addr().String())
 	require.NoError(t, err)
 	c.mutex.Lock()
-	c.peerLink("10.0.0.2").open(made, false)
+	c.peerLink("10.0.0.2").open(link, false)
 	c.mutex.Unlock()
 	c.recordEntry("10.0.0.2", entryHeartbeat{Zone: "y"})
 	go c.exchange(t.Context())
@@ -303,7 +303,7 @@
 func TestOnlyNewLinkIsSentStatusesSoon(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
-	_, made := linkToEntry(t, c)
+	_, link := linkToEntry(t, c)
 	hub := peering.NewHub(peering.Hello{ID: "10.0.0.3", Role: RoleEntry, Zone: "z"}, logging.Nop(), peering.NewCounters(prometheus.NewRegistry()))
 	defer hub.Close()
 	var frames atomic.Int64
@@ -313,7 +313,7 @@
 	third, err := c.options.Hub.Link(t.Context(), other.Listener.Addr().String())
 	require.NoError(t, err)
 	c.mutex.Lock()
-	c.peerLink("10.0.0.2").open(made, false)
+	c.peerLink("10.0.0.2").open(link, false)
 	c.peerLink("10.0.0.3").open(third, false)
 	c.mutex.Unlock()
 	c.recordEntry("10.0.0.2", entryHeartbeat{Zone: "z"})
@@ -329,7 +329,7 @@
 		}
 		if turn > 20 {
 			c.mutex.Lock()
-			c.openLink(c.links["10.0.0.2"], made, false)
+			c.openLink(c.links["10.0.0.2"], link, false)
 			c.mutex.Unlock()
 		}
 	}
@@ -343,18 +343,18 @@
 func TestLinksAreCheckedWhenDue(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
-	_, made := linkToEntry(t, c)
+	_, link := linkToEntry(t, c)
 	peer := c.peerLink("10.0.0.2")
-	peer.open(made, false)
-	lastHeard := made.LastReceived()
-	assert.Equal(t, 20*time.Millisecond, c.checkLink(t.Context(), peer, lastHeard.Add(probeAfter-20*time.Millisecond)), "a probe is due then")
-	probed := lastHeard.Add(probeAfter + time.Millisecond)
+	peer.open(link, false)
+	lastReceived := link.LastReceived()
+	assert.Equal(t, 20*time.Millisecond, c.checkLink(t.Context(), peer, lastReceived.Add(probeAfter-20*time.Millisecond)), "a probe is due then")
+	probed := lastReceived.Add(probeAfter + time.Millisecond)
 	assert.Equal(t, peer.renewDelay-probeAfter-time.Millisecond, c.checkLink(t.Context(), peer, probed), "a renewal is due then")
 	assert.Equal(t, probed, peer.probedAt)
-	peer.probedAt = lastHeard.Add(peer.renewDelay)
-	assert.Equal(t, probeGrace, c.checkLink(t.Context(), peer, lastHeard.Add(peer.renewDelay)), "the probe may still be answered")
+	peer.probedAt = lastReceived.Add(peer.renewDelay)
+	assert.Equal(t, probeGrace, c.checkLink(t.Context(), peer, lastReceived.Add(peer.renewDelay)), "the probe may still be answered")
 	peer.accepted = true
-	assert.Equal(t, linkCheckInterval, c.checkLink(t.Context(), peer, lastHeard.Add(peer.renewDelay)), "the peer renews it")
+	assert.Equal(t, linkCheckInterval, c.checkLink(t.Context(), peer, lastReceived.Add(peer.renewDelay)), "the peer renews it")
 }
 
 // The interval for other zones is a multiple of statusInterval: a timer that is slightly early must
@@ -362,9 +362,9 @@
 func TestRemoteIntervalToleratesEarlyTimer(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
-	_, made := linkToEntry(t, c)
+	_, link := linkToEntry(t, c)
 	peer := c.peerLink("10.0.0.2")
-	peer.open(made, false)
+	peer.open(link, false)
 	c.statusSequence = 1
 	now := time.Now()
 	peer.remoteSentAt = now.Add(-remoteStatusInterval + time.Millisecond)
@@ -424,8 +424,8 @@
 	held := map[string]heldStatus{}
 	for index := range 200 {
 		agent := fmt.Sprintf("10.1.0.%d", index)
-		feeds, main := c.overlay.Feeds(agent, "z")
-		held[fmt.Sprint(feeds, main)] = heldStatus{status: fleet.MachineStatus{Address: net.JoinHostPort(agent, "80")}, zone: "z", at: now, direct: true, relayedAt: now}
+		feeds, isMain := c.overlay.Feeds(agent, "z")
+		held[fmt.Sprint(feeds, isMain)] = heldStatus{status: fleet.MachineStatus{Address: net.JoinHostPort(agent, "80")}, zone: "z", at: now, direct: true, relayedAt: now}
 	}
 	later := now.Add(backupDelay + time.Millisecond)
 	assert.True(t, c.relays(held["true true"], now))
--- a/internal/catalog/packing_test.go
+++ b/internal/catalog/packing_test.go
@@ -100,7 +100,7 @@
 	other := httptest.NewServer(hub)
 	t.Cleanup(other.Close)
 	t.Cleanup(hub.Close)
-	made, err := c.options.Hub.Link(t.Context(), other.Listener.Addr().String())
+	link, err := c.options.Hub.Link(t.Context(), other.Listener.Addr().String())
 	require.NoError(t, err)
-	return made
+	return link
 }
--- a/internal/catalog/pause.go
+++ b/internal/catalog/pause.go
@@ -38,8 +38,8 @@
 	p.checkedAt = now
 }
 
-// graceLeft returns how long readers may still read what arrived during a pause.
-func (p *pauseDetector) graceLeft(now time.Time) time.Duration {
+// graceRemaining returns how long readers may still read what arrived during a pause.
+func (p *pauseDetector) graceRemaining(now time.Time) time.Duration {
 	return resumeGrace - now.Sub(p.resumedAt)
 }
 
--- a/internal/catalog/quarantine.go
+++ b/internal/catalog/quarantine.go
@@ -15,7 +15,7 @@
 )
 
 // topicQuarantine carries entries' reports on requests that crash servers to every process. Agents
-// do not act on them: they hold them for entries that start when all others are gone.
+// do not act on them: they hold them for entries that start when all others have stopped.
 const topicQuarantine = "quarantine.words"
 
 // Bounds on messages and reports.
@@ -135,15 +135,15 @@
 	report := quarantine.Report{
 		Kind: quarantine.Kind(m.Kind), Entry: m.Entry, Number: m.Number, Server: m.Server, LiftsQuarantine: m.Lifts, Servers: m.Servers, Round: m.Round,
 	}
-	for _, one := range []struct {
+	for _, duration := range []struct {
 		field        string
 		milliseconds int64
 		target       *time.Duration
 	}{{"age", m.AgeMilliseconds, &report.At}, {"lasts", m.LastsMilliseconds, &report.Duration}} {
-		if one.milliseconds < 0 || one.milliseconds > maxReportDuration.Milliseconds() {
-			return report, &fault.InvalidFrame{Field: topicQuarantine, Reason: fmt.Sprintf("%s of %d ms", one.field, one.milliseconds)}
+		if duration.milliseconds < 0 || duration.milliseconds > maxReportDuration.Milliseconds() {
+			return report, &fault.InvalidFrame{Field: topicQuarantine, Reason: fmt.Sprintf("%s of %d ms", duration.field, duration.milliseconds)}
 		}
-		*one.target = time.Duration(one.milliseconds) * time.Millisecond
+		*duration.target = time.Duration(duration.milliseconds) * time.Millisecond
 	}
 	report.At = now - report.At
 	switch {
@@ -198,8 +198,8 @@
 		Kind: int(report.Kind), Entry: report.Entry, Number: report.Number, AgeMilliseconds: max(0, now-report.At).Milliseconds(), Server: report.Server, Lifts: report.LiftsQuarantine,
 		Servers: report.Servers, Round: report.Round, LastsMilliseconds: report.Duration.Milliseconds(),
 	}
-	for _, one := range report.Suspects {
-		wire.Suspects = append(wire.Suspects, suspectMessage{Fingerprint: newFingerprintMessage(one.Fingerprint), BeforeMilliseconds: one.SentBefore.Milliseconds()})
+	for _, suspect := range report.Suspects {
+		wire.Suspects = append(wire.Suspects, suspectMessage{Fingerprint: newFingerprintMessage(suspect.Fingerprint), BeforeMilliseconds: suspect.SentBefore.Milliseconds()})
 	}
 	if report.Kind != quarantine.Crashed {
 		fingerprint := newFingerprintMessage(report.Fingerprint)
@@ -259,7 +259,7 @@
 }
 
 // sendHeldQuarantine has an agent send the reports it holds to an entry that has linked to it: the
-// entry may have just started, and all others may be gone.
+// entry may have just started, and all others may have stopped.
 func (c *Catalog) sendHeldQuarantine(link *peering.Link) {
 	if c.options.Role != RoleAgent || link.Remote().Role != RoleEntry {
 		return
--- a/internal/catalog/reader.go
+++ b/internal/catalog/reader.go
@@ -193,11 +193,11 @@
 			c.recordRead(position.revision)
 		}
 	}
-	var historyGone *fault.HistoryCompacted
+	var historyCompacted *fault.HistoryCompacted
 	switch {
 	case err == nil:
 		c.recordSuccess(position)
-	case errors.As(err, &historyGone):
+	case errors.As(err, &historyCompacted):
 		c.options.Log.Log(logging.HistoryCompacted, zap.String("prefix", position.prefix), zap.Uint64("after", position.revision))
 		position.forgottenRevision, position.historyLostAt = max(position.revision, 1), time.Now()
 		position.revision = 0
--- a/internal/catalog/restarted_test.go
+++ b/internal/catalog/restarted_test.go
@@ -10,8 +10,8 @@
 	"pinevane.example/pinevane/internal/fault"
 )
 
-func startedRecord(revision uint64, born int64, version int) mirror.Record {
-	value := fmt.Sprintf(`{"service":"m","address":"10.1.0.1:80","zone":"z","state":"ready","sequence":%d,"born":%d,"models":[{"name":"n","version":%d}]}`, revision, born, version)
+func startedRecord(revision uint64, startTime int64, version int) mirror.Record {
+	value := fmt.Sprintf(`{"service":"m","address":"10.1.0.1:80","zone":"z","state":"ready","sequence":%d,"born":%d,"models":[{"name":"n","version":%d}]}`, revision, startTime, version)
 	return mirror.Record{Key: "servers/s", Value: []byte(value), Revision: revision}
 }
 
--- a/internal/catalog/services_test.go
+++ b/internal/catalog/services_test.go
@@ -60,7 +60,7 @@
 	assert.Same(t, before, agent.View())
 }
 
-// A newer configuration is announced at once to the entries of the own zone.
+// A newer configuration is announced at once to the entries of the local zone.
 func TestNewConfigurationsAreAnnouncedAtOnce(t *testing.T) {
 	entry := newTestCatalog()
 	before := entry.freshSequence
--- a/internal/catalog/silentlinks.go
+++ b/internal/catalog/silentlinks.go
@@ -106,8 +106,8 @@
 	if peer.accepted || peer.dialling {
 		return linkCheckInterval
 	}
-	probeLeft := probeGrace - now.Sub(peer.answerableSince(&c.pauses))
-	if remaining := max(peer.renewDelay-silent, probeLeft, c.pauses.graceLeft(now)); remaining > 0 {
+	probeRemaining := probeGrace - now.Sub(peer.answerableSince(&c.pauses))
+	if remaining := max(peer.renewDelay-silent, probeRemaining, c.pauses.graceRemaining(now)); remaining > 0 {
 		return remaining
 	}
 	peer.dialling = true
@@ -126,19 +126,19 @@
 	defer c.mutex.Unlock()
 	peer.dialling = false
 	if err != nil {
-		// Either the link was only slow (peering.ErrHeard), or linkTimeout shows whether the peer
-		// is gone.
+		// Either the link was only slow (peering.ErrLinkAlive), or linkTimeout shows whether the
+		// peer has stopped.
 		c.options.Log.Log(logging.LinkKept, zap.String("peer", peer.ip), zap.Error(err))
 		peer.extendRenewDelay(now)
 		return
 	}
 	c.openLink(peer, link, false)
-	lastHeard := silent.LastReceived()
-	if lastHeard.After(began) {
+	lastReceived := silent.LastReceived()
+	if lastReceived.After(began) {
 		peer.extendRenewDelay(now)
 		return
 	}
-	peer.replaced, peer.replacedAt, peer.silentFor = silent, now, now.Sub(lastHeard)
+	peer.replaced, peer.replacedAt, peer.silentFor = silent, now, now.Sub(lastReceived)
 	c.suspectStore(peer, now)
 }
 
@@ -175,7 +175,7 @@
 		peer.extendRenewDelay(now)
 		return
 	}
-	if now.Sub(peer.replacedAt) >= silenceConfirmation && c.pauses.graceLeft(now) <= 0 {
+	if now.Sub(peer.replacedAt) >= silenceConfirmation && c.pauses.graceRemaining(now) <= 0 {
 		peer.replaced = nil
 		c.options.OnSilent(peer.ip, peer.silentFor)
 	}
--- a/internal/catalog/starved_test.go
+++ b/internal/catalog/starved_test.go
@@ -43,9 +43,9 @@
 
 // timeUntilDropped checks the links every starvedCheckInterval until the link is dropped, and
 // returns the time that took.
-func timeUntilDropped(t *testing.T, c *Catalog, made *peering.Link, held func() *peering.Link) time.Duration {
+func timeUntilDropped(t *testing.T, c *Catalog, link *peering.Link, currentLink func() *peering.Link) time.Duration {
 	began := time.Now()
-	for ; time.Since(began) < 2*deadLinkTimeout && held() == made; time.Sleep(starvedCheckInterval) {
+	for ; time.Since(began) < 2*deadLinkTimeout && currentLink() == link; time.Sleep(starvedCheckInterval) {
 		c.recordEntry("10.0.0.2", entryHeartbeat{Zone: "z"})
 		c.checkLinks(t.Context())
 		c.maintainLinks(t.Context())
@@ -58,12 +58,12 @@
 func TestStarvedProcessDropsDeadLink(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
-	_, made := linkToEntry(t, c)
-	held := useLink(made, c)
+	_, link := linkToEntry(t, c)
+	currentLink := useLink(link, c)
 	count, err := silencer.Silence(silencer.Any)
 	require.NoError(t, err)
 	require.Positive(t, count)
-	assert.Less(t, timeUntilDropped(t, c, made, held), deadLinkTimeout)
+	assert.Less(t, timeUntilDropped(t, c, link, currentLink), deadLinkTimeout)
 }
 
 // The same with a middlebox that acknowledges for a peer that it has lost.
@@ -77,40 +77,40 @@
 	proxy, err := silencer.NewProxy(other.Listener.Addr().String())
 	require.NoError(t, err)
 	defer proxy.Close()
-	made, err := c.options.Hub.Link(t.Context(), proxy.Address())
+	link, err := c.options.Hub.Link(t.Context(), proxy.Address())
 	require.NoError(t, err)
-	held := useLink(made, c)
+	currentLink := useLink(link, c)
 	require.Positive(t, proxy.Hold())
-	assert.Less(t, timeUntilDropped(t, c, made, held), deadLinkTimeout)
+	assert.Less(t, timeUntilDropped(t, c, link, currentLink), deadLinkTimeout)
 }
 
 // A probe whose time ran out during a pause of the process is sent again.
 func TestProbeExpiredDuringPauseIsResent(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
-	_, made := linkToEntry(t, c)
-	held := useLink(made, c)
+	_, link := linkToEntry(t, c)
+	currentLink := useLink(link, c)
 	c.maintainLinks(t.Context())
 	c.mutex.Lock()
 	c.links["10.0.0.2"].probedAt = time.Now()
 	c.mutex.Unlock()
 	time.Sleep(linkTimeout + 100*time.Millisecond)
-	for began := time.Now(); time.Since(began) < 2*resumeGrace && held() == made; time.Sleep(20 * time.Millisecond) {
+	for began := time.Now(); time.Since(began) < 2*resumeGrace && currentLink() == link; time.Sleep(20 * time.Millisecond) {
 		c.maintainLinks(t.Context())
 	}
-	assert.Same(t, made, held())
+	assert.Same(t, link, currentLink())
 }
 
 // After a pause, a replaced link is not reported as silent before its reader has had time to read.
 func TestReplacedLinkIsNotReportedRightAfterPause(t *testing.T) {
 	c := newTestCatalog()
 	defer c.options.Hub.Close()
-	_, made := linkToEntry(t, c)
-	useLink(made, c)
+	_, link := linkToEntry(t, c)
+	useLink(link, c)
 	reported := 0
 	c.options.OnSilent = func(string, time.Duration) { reported++ }
 	peer := c.links["10.0.0.2"]
-	peer.replaced, peer.replacedAt = made, time.Now()
+	peer.replaced, peer.replacedAt = link, time.Now()
 	c.pauses.recordCheck(time.Now())
 	time.Sleep(silenceConfirmation)
 	c.checkLinks(t.Context())
@@ -187,9 +187,9 @@
 	}))
 	defer back.Close()
 	var on atomic.Bool
-	made, err := c.options.Hub.Link(t.Context(), haltingProxy(t, back.Listener.Addr().String(), &on))
+	link, err := c.options.Hub.Link(t.Context(), haltingProxy(t, back.Listener.Addr().String(), &on))
 	require.NoError(t, err)
-	useLink(made, c)
+	useLink(link, c)
 	dials.Store(0)
 	on.Store(true)
 	for began := time.Now(); time.Since(began) < duration; time.Sleep(20 * time.Millisecond) {
--- a/internal/catalog/statuses.go
+++ b/internal/catalog/statuses.go
@@ -166,7 +166,7 @@
 }
 
 // isLate reports whether a report is as late as after a silence of its agent, or of the links it
-// came by. A report of an agent of the own zone may well come from another entry, whose link to the
+// came by. A report of an agent of the local zone may well come from another entry, whose link to the
 // agent recovered first.
 func (c *Catalog) isLate(fresh, held heldStatus) bool {
 	gap := fresh.at.Sub(held.at)
@@ -220,9 +220,9 @@
 	c.sendStatuses(func(peer *peerLink) bool { return all || peer.unused })
 }
 
-// relayStatuses sends each entry the reports it has not been sent: to an entry of the own zone
-// those received directly from agents and, as the first gate, those of other zones; to the gates of
-// other zones all of the own zone.
+// relayStatuses sends each entry the reports it has not been sent: to an entry of the local zone
+// those received directly from agents and, as the first gateway, those of other zones; to the
+// gateways of other zones all of the local zone.
 func (c *Catalog) relayStatuses() { c.sendStatuses(func(*peerLink) bool { return true }) }
 
 // sendStatuses sends reports to the entries selected by wanted.
@@ -232,13 +232,13 @@
 	defer c.mutex.Unlock()
 	c.expireStatuses(now)
 	c.overlay.Advance(now)
-	firstGate := c.overlay.Rank() == 0
+	isFirstGateway := c.overlay.Rank() == 0
 	batches := map[batchKey][]byte{}
 	for _, peer := range c.links {
 		if !peer.isEntry() || peer.sendingStatuses || !wanted(peer) {
 			continue
 		}
-		key, due := c.nextBatch(peer, firstGate, now)
+		key, due := c.nextBatch(peer, isFirstGateway, now)
 		if !due {
 			continue
 		}
@@ -279,11 +279,11 @@
 
 // nextBatch returns the key of a link's next batch and marks it as sent; false if none is due. The
 // mutex must be held.
-func (c *Catalog) nextBatch(peer *peerLink, firstGate bool, now time.Time) (batchKey, bool) {
+func (c *Catalog) nextBatch(peer *peerLink, isFirstGateway bool, now time.Time) (batchKey, bool) {
 	isLocal := peer.zone() == c.options.Zone
 	// Tolerate a timer that is slightly early, so that a round is not delayed by a whole
 	// statusInterval.
-	remoteDue := firstGate && now.Sub(peer.remoteSentAt) >= remoteStatusInterval-statusInterval/4
+	remoteDue := isFirstGateway && now.Sub(peer.remoteSentAt) >= remoteStatusInterval-statusInterval/4
 	peer.unused = false
 	var key batchKey
 	switch {
@@ -353,7 +353,8 @@
 }
 
 // relays reports whether this entry forwards an agent's report to its zone: as the agent's main
-// feeder, or in place of one that does not. The mutex must be held.
+// feeder, or as its backup when no other entry of the zone has forwarded one for backupDelay. The
+// mutex must be held.
 func (c *Catalog) relays(held heldStatus, now time.Time) bool {
 	if !held.direct {
 		return false
@@ -362,8 +363,8 @@
 	if err != nil {
 		return false
 	}
-	feeds, main := c.overlay.Feeds(agent, held.zone)
-	return main || (feeds && now.Sub(held.relayedAt) > backupDelay)
+	feeds, isMain := c.overlay.Feeds(agent, held.zone)
+	return isMain || (feeds && now.Sub(held.relayedAt) > backupDelay)
 }
 
 func (c *Catalog) publishBatch(peer *peerLink, link *peering.Link, payload []byte) {
--- a/internal/catalog/view.go
+++ b/internal/catalog/view.go
@@ -56,8 +56,8 @@
 	agents map[string]string
 }
 
-// maxAnnouncements bounds the announced versions kept of a model: more than an operator announces
-// within the time until a version is in force.
+// maxAnnouncements bounds the version announcements kept for each model. It exceeds the number that
+// an operator makes before a version is in force.
 const maxAnnouncements = 32
 
 // pruneAnnouncements removes announcements that no longer bind: the oldest one, as long as the next
--- a/internal/catalog/words.go
+++ b/internal/catalog/words.go
@@ -6,8 +6,8 @@
 type reportKey struct{ entry, server string }
 
 // heldReport is the newest report of an entry on a server, and when it was made.
-type heldReport[W any] struct {
-	report W
+type heldReport[R any] struct {
+	report R
 	at     time.Time
 	// number is assigned by the reporter; sequence is assigned here and orders the reports for the
 	// links.
@@ -17,8 +17,8 @@
 
 // reportStore holds the newest report of each entry on each server, of one kind, for entries that
 // link later. The catalog's mutex guards it.
-type reportStore[W any] struct {
-	reports map[reportKey]heldReport[W]
+type reportStore[R any] struct {
+	reports map[reportKey]heldReport[R]
 	// sequence is the sequence of the last report stored.
 	sequence uint64
 	// number is the number of this entry's last report. It starts at the start time, so that the
@@ -29,18 +29,18 @@
 	maxReports int
 }
 
-func newReportStore[W any](started time.Time, ttl time.Duration, maxReports int) reportStore[W] {
-	return reportStore[W]{reports: map[reportKey]heldReport[W]{}, number: uint64(started.UnixNano()), ttl: ttl, maxReports: maxReports}
+func newReportStore[R any](started time.Time, ttl time.Duration, maxReports int) reportStore[R] {
+	return reportStore[R]{reports: map[reportKey]heldReport[R]{}, number: uint64(started.UnixNano()), ttl: ttl, maxReports: maxReports}
 }
 
 // nextNumber returns the number for this entry's next report.
-func (s *reportStore[W]) nextNumber() uint64 {
+func (s *reportStore[R]) nextNumber() uint64 {
 	s.number++
 	return s.number
 }
 
 // add stores a report if it is newer than the one held, and reports whether it did.
-func (s *reportStore[W]) add(key reportKey, fresh heldReport[W], now time.Time) bool {
+func (s *reportStore[R]) add(key reportKey, fresh heldReport[R], now time.Time) bool {
 	held, known := s.reports[key]
 	if known && fresh.number <= held.number && now.Sub(held.at) < s.ttl {
 		return false
@@ -54,7 +54,7 @@
 	return true
 }
 
-func (s *reportStore[W]) evictOldest() {
+func (s *reportStore[R]) evictOldest() {
 	var oldest reportKey
 	var at time.Time
 	for key, held := range s.reports {
@@ -66,7 +66,7 @@
 }
 
 // expire removes reports older than the ttl.
-func (s *reportStore[W]) expire(now time.Time) {
+func (s *reportStore[R]) expire(now time.Time) {
 	for key, held := range s.reports {
 		if now.Sub(held.at) > s.ttl {
 			delete(s.reports, key)
@@ -76,8 +76,8 @@
 
 // unsent returns the reports after a sequence that are to be sent to a peer. Only relays forward
 // the reports of others.
-func (s *reportStore[W]) unsent(sentSequence uint64, peer, self string, isRelay bool) map[reportKey]heldReport[W] {
-	unsent := map[reportKey]heldReport[W]{}
+func (s *reportStore[R]) unsent(sentSequence uint64, peer, self string, isRelay bool) map[reportKey]heldReport[R] {
+	unsent := map[reportKey]heldReport[R]{}
 	for key, held := range s.reports {
 		if held.sequence > sentSequence && key.entry != peer && (key.entry == self || isRelay) {
 			unsent[key] = held
--- a/internal/fleet/changes.go
+++ b/internal/fleet/changes.go
@@ -7,7 +7,7 @@
 // operators know them from the checks.
 func (s Settings) RestartNeeded(fresh Settings) []string {
 	var fields []string
-	for _, one := range []struct {
+	for _, field := range []struct {
 		name    string
 		differs bool
 	}{
@@ -19,8 +19,8 @@
 		{"store address", s.StoreAddress != fresh.StoreAddress},
 		{"model server", s.ServerAddress != fresh.ServerAddress || s.Service != fresh.Service},
 	} {
-		if one.differs {
-			fields = append(fields, one.name)
+		if field.differs {
+			fields = append(fields, field.name)
 		}
 	}
 	return fields
--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -93,7 +93,7 @@
 }
 
 // Store reads the platform's published records. Errors are *fault.Unavailable
-// and, from Watch, *fault.HistoryGone.
+// and, from Watch, *fault.HistoryCompacted.
 type Store interface {
 	List(ctx context.Context, prefix string) (Listing, error)
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (Listing, error)
--- a/internal/forward/asking.go
+++ b/internal/forward/asking.go
@@ -12,7 +12,7 @@
 // full servers, each of which gets nine requests a second, choices based on them expected the first
 // event after 0.25 s (median) where it came after 0.68 s; based on answers to load queries it is
 // 0.35 s and 0.37 s. Measured on days of 45 to 76 servers with overload, load queries are worth
-// 0.01 to 0.04 of a day's score.
+// 0.01 to 0.04 of a day's value.
 
 // LoadQuerier sends load queries to the agents beside model servers, named by the servers'
 // addresses.
@@ -55,8 +55,8 @@
 
 func addressesOf(queried []*dispatch.Candidate) []string {
 	addresses := make([]string, 0, len(queried))
-	for _, one := range queried {
-		addresses = append(addresses, one.Address)
+	for _, candidate := range queried {
+		addresses = append(addresses, candidate.Address)
 	}
 	return addresses
 }
--- a/internal/forward/choice.go
+++ b/internal/forward/choice.go
@@ -95,8 +95,8 @@
 		regionsField(w.criteria.Residency))
 }
 
-// fillEngine fills in the description of the service's model server. A prompt size beyond what that
-// can hold counts as unknown.
+// fillEngine fills in the description of the service's model server. The size of a prompt that
+// exceeds the server's capacity counts as unknown.
 func (t *targets) fillEngine(criteria *dispatch.Request) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -114,7 +114,7 @@
 		carrier.close()
 		return nil, &failure{reason: fault.ReasonResidency, execution: fault.ExecutionNotRun, cause: errRegionDisallowed}
 	}
-	if f.targets.unwilling(chosen) {
+	if f.targets.unavailable(chosen) {
 		carrier.close()
 		return nil, &failure{reason: fault.ReasonServerUnwilling, execution: fault.ExecutionNotRun}
 	}
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -157,7 +157,7 @@
 	return f.budgetOf(service).Remaining(now, f.slackShare(now)) >= 1
 }
 
-// slackShare is this entry's share of the retry slack of each service. The mutex is held.
+// slackShare is this entry's share of the retry slack of each service. The mutex must be held.
 func (f *Forwarder) slackShare(now time.Duration) float64 {
 	f.maxPeers = max(f.maxPeers, f.options.Peers())
 	return budget.SlackShare(int(retrySlackFraction*float64(f.targets.bounds.Load().RetrySlack)), f.maxPeers+1, now > settleTime)
@@ -245,17 +245,17 @@
 // pickService picks one of a route's services at random, by weight.
 func pickService(services []fleet.WeightedService) string {
 	total := 0
-	for _, one := range services {
-		total += max(0, one.Weight)
+	for _, service := range services {
+		total += max(0, service.Weight)
 	}
 	if total == 0 {
 		return services[0].Service
 	}
 	drawn := rand.IntN(total)
-	for _, one := range services {
-		drawn -= max(0, one.Weight)
+	for _, service := range services {
+		drawn -= max(0, service.Weight)
 		if drawn < 0 {
-			return one.Service
+			return service.Service
 		}
 	}
 	return services[len(services)-1].Service
--- a/internal/forward/health.go
+++ b/internal/forward/health.go
@@ -75,12 +75,12 @@
 // zoneRefreshPeriod is how often the zone's entries are refreshed.
 const zoneRefreshPeriod = 250 * time.Millisecond
 
-// zoneRefreshDue reports whether the zone's entries are to be refreshed. The mutex is held.
+// zoneRefreshDue reports whether the zone's entries are to be refreshed. The mutex must be held.
 func (t *targets) zoneRefreshDue(now time.Time) bool {
 	return t.health.announcer != nil && now.Sub(t.health.zoneRefreshedAt) >= zoneRefreshPeriod
 }
 
-// recordTrial logs and counts a request that is the trial of its server. The mutex is held.
+// recordTrial logs and counts a request that is the trial of its server. The mutex must be held.
 func (t *targets) recordTrial(w *forwarding, k *dispatch.Candidate, now time.Time) {
 	t.health.trials.Inc()
 	t.log.Log(logging.ServerTrial, zap.String("server", k.ID), zap.String("request", w.request.Call.RequestID))
@@ -88,7 +88,7 @@
 }
 
 // reportHealth logs and counts the recent changes of servers' health, and queues the reports to
-// announce. The mutex is held.
+// announce. The mutex must be held.
 func (t *targets) reportHealth(now time.Time) {
 	updates := t.core.TakeHealthUpdates()
 	for _, change := range updates.Changes {
--- a/internal/forward/health_wait_test.go
+++ b/internal/forward/health_wait_test.go
@@ -19,7 +19,7 @@
 	proceed, entered chan struct{}
 	once             sync.Once
 	entryCalls       chan struct{}
-	hold             chan struct{}
+	entriesProceed   chan struct{}
 	announcedAt      []time.Time
 }
 
@@ -31,14 +31,14 @@
 func (s *blockingAnnouncer) ZoneEntries() []string { return []string{"10.0.0.9"} }
 func (s *blockingAnnouncer) entries() []string {
 	s.entryCalls <- struct{}{}
-	<-s.hold
+	<-s.entriesProceed
 	return []string{"10.0.0.9"}
 }
 
 // forwarderWithBlockingAnnouncer returns a forwarder of two servers with a blockingAnnouncer, which
 // also lists the entries if requested.
 func forwarderWithBlockingAnnouncer(entries bool) (*Forwarder, *blockingAnnouncer) {
-	announcer := &blockingAnnouncer{proceed: make(chan struct{}), entered: make(chan struct{}), entryCalls: make(chan struct{}, 100), hold: make(chan struct{})}
+	announcer := &blockingAnnouncer{proceed: make(chan struct{}), entered: make(chan struct{}), entryCalls: make(chan struct{}, 100), entriesProceed: make(chan struct{})}
 	options := Options{Zone: "z", Self: "10.0.0.1", Log: logging.Nop(), Registry: prometheus.NewRegistry(), Policy: DefaultPolicy(),
 		Peers: func() int { return 1 }, Health: announcer, Bounds: fleet.Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 400, ColdOvershoot: 1.3, ColdSlack: 2}}
 	if entries {
@@ -92,7 +92,7 @@
 	}
 	time.Sleep(200 * time.Millisecond)
 	calls := len(announcer.entryCalls)
-	close(announcer.hold)
+	close(announcer.entriesProceed)
 	close(announcer.proceed)
 	wait.Wait()
 	require.Equal(t, 1, calls)
--- a/internal/forward/metrics.go
+++ b/internal/forward/metrics.go
@@ -110,8 +110,8 @@
 
 // Collect implements prometheus.Collector.
 func (c *boundLoadCollector) Collect(collected chan<- prometheus.Metric) {
-	for _, one := range c.targets.boundLoads() {
-		collected <- prometheus.MustNewConstMetric(c.load, prometheus.GaugeValue, one.Utilization, one.Service, one.Region)
+	for _, boundLoad := range c.targets.boundLoads() {
+		collected <- prometheus.MustNewConstMetric(c.load, prometheus.GaugeValue, boundLoad.Utilization, boundLoad.Service, boundLoad.Region)
 	}
 }
 
--- a/internal/forward/notice.go
+++ b/internal/forward/notice.go
@@ -43,7 +43,7 @@
 }
 
 // applyLimit applies the rate limit that an answer names. An answer without a signature can set a
-// limit but not lift it, because it may come from an intermediary. The mutex is held.
+// limit but not lift it, because it may come from an intermediary. The mutex must be held.
 func (t *targets) applyLimit(k *target, head fleet.AnswerHeader, sentAt, now time.Time) {
 	switch {
 	case head.Limit.Kind == fleet.RateLimitStated:
@@ -56,7 +56,7 @@
 }
 
 // applyLeaving records that a server has announced that it is about to stop, and closes its idle
-// connections because no more requests are sent there. The mutex is held.
+// connections because no more requests are sent there. The mutex must be held.
 func (t *targets) applyLeaving(k *target, now time.Time) {
 	change, isNew := t.core.RecordLeaving(k.Candidate)
 	if isNew {
@@ -67,7 +67,7 @@
 }
 
 // recordLimit logs how an answer changed its server's limit and queues the notice, with the given
-// time, for the other entries. The mutex is held.
+// time, for the other entries. The mutex must be held.
 func (t *targets) recordLimit(k *target, change dispatch.RateLimitChange, at time.Time) {
 	t.logLimit(k.ID, change, "")
 	if change.Announce {
@@ -81,7 +81,7 @@
 	at     time.Time
 }
 
-// queueNotice queues the server's current notice for the other entries. The mutex is held.
+// queueNotice queues the server's current notice for the other entries. The mutex must be held.
 func (t *targets) queueNotice(k *target, at time.Time) {
 	if t.notices == nil {
 		return
@@ -101,17 +101,17 @@
 	}
 }
 
-// unwilling reports whether a server currently accepts no requests. It is checked right before a
+// unavailable reports whether a server currently accepts no requests. It is checked right before a
 // request is written: connecting takes a while, and another answer of the server may have requested
 // a backoff in the meantime.
-func (t *targets) unwilling(k *target) bool {
+func (t *targets) unavailable(k *target) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.core.Unavailable(k.Candidate, time.Now())
 }
 
 // logUnreadable logs an invalid field in a server's answers, once for each server and field. The
-// mutex is held.
+// mutex must be held.
 func (t *targets) logUnreadable(k *target, field string) {
 	key := unreadableField{server: k.ID, field: field}
 	if t.unreadable[key] {
--- a/internal/forward/outbox.go
+++ b/internal/forward/outbox.go
@@ -18,13 +18,13 @@
 	delivering sync.Mutex
 }
 
-// add queues a message. The mutex of targets is held.
+// add queues a message. The mutex of targets must be held.
 func (o *outbox[T]) add(message T) {
 	o.queued = append(o.queued, message)
 	o.pending.Store(true)
 }
 
-// deliver sends all queued messages. The mutex of targets is not held.
+// deliver sends all queued messages. The mutex of targets must not be held.
 func (o *outbox[T]) deliver(servers sync.Locker, send func(T)) {
 	for o.pending.Load() && o.delivering.TryLock() {
 		for _, message := range o.take(servers) {
--- a/internal/forward/policy.go
+++ b/internal/forward/policy.go
@@ -35,7 +35,7 @@
 
 // Check returns a *fault.InvalidSetting for a value that is out of range.
 func (p Policy) Check() error {
-	for _, one := range []struct {
+	for _, setting := range []struct {
 		flag  string
 		value float64
 		max   float64
@@ -43,8 +43,8 @@
 		{"--refusal-share", p.RefusalShare, maxRefusalShare}, {"--in-time-share", p.InTimeShare, maxInTimeShare}, {"--late-share", p.LateShare, maxLateShare}, {"--unseen-load", p.UnseenLoad, maxWeight},
 		{"--lateness", p.Lateness, maxWeight}, {"--switch-weight", p.SwitchWeight, maxWeight}, {"--scarcity", p.Scarcity, maxWeight},
 	} {
-		if !(one.value >= 0 && one.value <= one.max) {
-			return &fault.InvalidSetting{Flag: one.flag, Value: strconv.FormatFloat(one.value, 'g', -1, 64), Allowed: "0 to " + strconv.FormatFloat(one.max, 'g', -1, 64)}
+		if !(setting.value >= 0 && setting.value <= setting.max) {
+			return &fault.InvalidSetting{Flag: setting.flag, Value: strconv.FormatFloat(setting.value, 'g', -1, 64), Allowed: "0 to " + strconv.FormatFloat(setting.max, 'g', -1, 64)}
 		}
 	}
 	if p.SampleSize < 1 || p.SampleSize > maxSampleSize {
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -122,9 +122,9 @@
 func (f *Forwarder) ReleaseQuarantine(id [quarantine.FingerprintSize]byte) bool {
 	released := false
 	f.quarantine.update(func(tracker *quarantine.Tracker, now time.Duration) {
-		for _, one := range tracker.Describe(now) {
-			if one.Fingerprint.ID == id {
-				released = tracker.Release(one.Fingerprint, now)
+		for _, known := range tracker.Describe(now) {
+			if known.Fingerprint.ID == id {
+				released = tracker.Release(known.Fingerprint, now)
 			}
 		}
 	})
@@ -232,8 +232,8 @@
 
 // closedByPeer reports whether an error means that the peer has closed or reset the connection.
 func closedByPeer(err error) bool {
-	for _, one := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
-		if errors.Is(err, one) {
+	for _, closeError := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
+		if errors.Is(err, closeError) {
 			return true
 		}
 	}
@@ -304,12 +304,12 @@
 	f.quarantine.mutex.Lock()
 	defer f.quarantine.mutex.Unlock()
 	views := []FingerprintView{}
-	for _, one := range f.quarantine.tracker.Describe(f.quarantine.since(time.Now())) {
+	for _, known := range f.quarantine.tracker.Describe(f.quarantine.since(time.Now())) {
 		state := "suspected"
-		if one.State == quarantine.InQuarantine {
+		if known.State == quarantine.InQuarantine {
 			state = "quarantined"
 		}
-		views = append(views, FingerprintView{Fingerprint: one.Fingerprint.String(), State: state, Remaining: one.Remaining.Seconds(), Round: one.Round, Servers: one.Servers, Reporter: one.Reporter})
+		views = append(views, FingerprintView{Fingerprint: known.Fingerprint.String(), State: state, Remaining: known.Remaining.Seconds(), Round: known.Round, Servers: known.Servers, Reporter: known.Reporter})
 	}
 	return views
 }
--- a/internal/forward/silence.go
+++ b/internal/forward/silence.go
@@ -107,36 +107,36 @@
 		v.detector.SkipTick(now)
 		return
 	}
-	all, connections := v.observe(now)
-	verdict := v.detector.Tick(now, all)
+	observations, connections := v.observe(now)
+	verdict := v.detector.Tick(now, observations)
 	for _, server := range verdict.Probe {
-		for _, one := range connections {
-			if one.target.Address == server {
-				go v.probe(ctx, one.target)
+		for _, conn := range connections {
+			if conn.target.Address == server {
+				go v.probe(ctx, conn.target)
 				break
 			}
 		}
 	}
 	for _, silent := range verdict.Silent {
-		v.closeSilent(now, silent, all, connections)
+		v.closeSilent(now, silent, observations, connections)
 	}
 }
 
 // needsCheck reports whether an answer has been awaited for at least checkAfter.
 func (v *silenceWatcher) needsCheck(now time.Duration) bool {
-	for one := range v.connections {
-		if one.awaiting.Load() && int64(now)-max(one.requestedAt.Load(), one.readAt.Load()) >= int64(checkAfter) {
+	for conn := range v.connections {
+		if conn.awaiting.Load() && int64(now)-max(conn.requestedAt.Load(), conn.readAt.Load()) >= int64(checkAfter) {
 			return true
 		}
 	}
 	return false
 }
 
-func (v *silenceWatcher) observe(now time.Duration) (all []silence.Observation, connections []*connection) {
-	for one := range v.connections {
-		all, connections = append(all, one.observe(now)), append(connections, one)
+func (v *silenceWatcher) observe(now time.Duration) (observations []silence.Observation, connections []*connection) {
+	for conn := range v.connections {
+		observations, connections = append(observations, conn.observe(now)), append(connections, conn)
 	}
-	return all, connections
+	return observations, connections
 }
 
 // probe makes a new connection to a server as evidence that it is reachable, and keeps it for the
@@ -156,19 +156,19 @@
 }
 
 // closeSilent marks connections as silent, which closes idle ones and fails the requests on the
-// others. The mutex is held.
-func (v *silenceWatcher) closeSilent(now time.Duration, silent silence.SilentSet, all []silence.Observation, connections []*connection) {
+// others. The mutex must be held.
+func (v *silenceWatcher) closeSilent(now time.Duration, silent silence.SilentSet, observations []silence.Observation, connections []*connection) {
 	idle, carrying := 0, 0
-	for index, one := range connections {
-		if !silent.Covers(all[index]) || one.silent.Swap(true) {
+	for index, conn := range connections {
+		if !silent.Covers(observations[index]) || conn.silent.Swap(true) {
 			continue
 		}
-		if all[index].Waiting {
+		if observations[index].Waiting {
 			carrying++
 		} else {
 			idle++
 		}
-		_ = one.net.SetDeadline(time.Unix(1, 0))
+		_ = conn.net.SetDeadline(time.Unix(1, 0))
 	}
 	if idle+carrying == 0 {
 		return
--- a/internal/forward/targets.go
+++ b/internal/forward/targets.go
@@ -92,7 +92,7 @@
 }
 
 // applyChange logs a change of the fleet and closes the connections to a server that gets no more
-// requests. The mutex is held.
+// requests. The mutex must be held.
 func (t *targets) applyChange(change dispatch.Change) {
 	switch change.Kind {
 	case dispatch.ServerLeaving:
@@ -127,7 +127,7 @@
 	return ended
 }
 
-// targetOf returns the target of a listed server. The mutex is held.
+// targetOf returns the target of a listed server. The mutex must be held.
 func (t *targets) targetOf(candidate *dispatch.Candidate) *target {
 	known := t.known[candidate]
 	if known == nil {
--- a/internal/network/client.go
+++ b/internal/network/client.go
@@ -40,7 +40,7 @@
 	MaxHedgeDelay time.Duration
 	// HedgeNewConnections also hedges calls over connections that have carried no answer yet.
 	HedgeNewConnections bool
-	// OnSilent is called for each silent connection that a hedge has revealed. It may be nil.
+	// OnSilent is called for each connection that a hedge has shown to be silent. It may be nil.
 	OnSilent func(silent time.Duration)
 }
 
@@ -344,12 +344,12 @@
 }
 
 // hedgeDelayRemaining returns how much longer the attempt may be silent before it is hedged.
-func (a *attempt) hedgeDelayRemaining(delay time.Duration, hedgeNew bool) time.Duration {
+func (a *attempt) hedgeDelayRemaining(delay time.Duration, hedgeNewConnections bool) time.Duration {
 	answered := a.answeredAt.Load() != 0
 	if answered {
 		return max(delay, bodyHedgeDelay) - a.silentFor()
 	}
-	if !a.connected.Load() || (!a.reused.Load() && !hedgeNew) {
+	if !a.connected.Load() || (!a.reused.Load() && !hedgeNewConnections) {
 		return delay
 	}
 	return delay - a.silentFor()
--- a/internal/peering/hub.go
+++ b/internal/peering/hub.go
@@ -210,7 +210,7 @@
 // one, was only paused. The links to an address keep the shortest connect time of all of them.
 func (h *Hub) Renew(ctx context.Context, silent *Link) (*Link, error) {
 	address := silent.address
-	link, err := h.connect(ctx, address, func(began time.Time) error { return awaitActivity(ctx, silent, began) })
+	link, err := h.connect(ctx, address, func(connectBegan time.Time) error { return awaitActivity(ctx, silent, connectBegan) })
 	if err != nil {
 		return nil, err
 	}
@@ -233,13 +233,14 @@
 }
 
 // awaitActivity gives a silent link more time to receive something, after the new connection that
-// is to replace it was accepted. The time is by how much longer the new connection took than the
-// silent link's did: if the other process was slow to accept it, or this one to read the response,
-// it may have been as slow with the link. A long round trip alone delays no renewal. Without this,
-// links of processes that get their CPU time in slices of some milliseconds were replaced.
-func awaitActivity(ctx context.Context, silent *Link, began time.Time) error {
-	deadline := time.Now().Add(min(time.Since(began)-silent.connectTime, maxGrace))
-	for !silent.LastReceived().After(began) {
+// is to replace it was accepted. The extra time is the difference between the connect times of the
+// new connection and of the silent link: if the other process was slow to accept the connection, or
+// this one to read the response, it may have been as slow with the link. A long round trip alone
+// delays no renewal. Without this, links of processes that get their CPU time in slices of some
+// milliseconds were replaced.
+func awaitActivity(ctx context.Context, silent *Link, connectBegan time.Time) error {
+	deadline := time.Now().Add(min(time.Since(connectBegan)-silent.connectTime, maxGrace))
+	for !silent.LastReceived().After(connectBegan) {
 		remaining := time.Until(deadline)
 		if remaining <= 0 || ctx.Err() != nil {
 			return ctx.Err()
@@ -283,8 +284,8 @@
 // connect makes a link. If beforeHandshake is set it is called once the connection is up, with the
 // time at which dialling began; if it returns an error the connection is closed without a handshake,
 // so that the other process gets no link.
-func (h *Hub) connect(ctx context.Context, address string, beforeHandshake func(began time.Time) error) (*Link, error) {
-	began := time.Now()
+func (h *Hub) connect(ctx context.Context, address string, beforeHandshake func(connectBegan time.Time) error) (*Link, error) {
+	connectBegan := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, HandshakeTimeout)
 	defer cancel()
 	options := &websocket.DialOptions{HTTPClient: h.client, CompressionMode: websocket.CompressionDisabled}
@@ -292,9 +293,9 @@
 	if err != nil {
 		return nil, &fault.Unavailable{Target: address, Operation: "dial", Cause: err}
 	}
-	connectTime := time.Since(began)
+	connectTime := time.Since(connectBegan)
 	if beforeHandshake != nil {
-		if err := beforeHandshake(began); err != nil {
+		if err := beforeHandshake(connectBegan); err != nil {
 			_ = connection.CloseNow()
 			return nil, &fault.Unavailable{Target: address, Operation: "renew", Cause: err}
 		}
--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -24,16 +24,16 @@
 const (
 	topicFollow    = "relay.follow"
 	topicHeartbeat = "relay.alive"
-	// Updates of each publication have a topic of their own, so that traffic is counted by
-	// publication.
+	// topicUpdateSuffix ends the update topic of a publication. Each publication has its own topic,
+	// so that traffic is counted by publication.
 	topicUpdateSuffix = ".update"
 )
 
-// follow requests every update after the versions held.
+// follow requests every update that is newer than the given versions, which the follower holds.
 type follow struct {
 	Configuration monotonic.Version `cbor:"1,keyasint"`
 	Membership    monotonic.Version `cbor:"2,keyasint"`
 }
 
-// heartbeat tells followers that the process they follow is alive.
+// heartbeat shows followers that the process they follow is alive.
 type heartbeat struct{}
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -17,13 +17,13 @@
 func (r *Relay) waitDirect(ctx context.Context) bool {
 	for {
 		r.mutex.Lock()
-		direct, kick := r.direct, r.directChanged
+		direct, changed := r.direct, r.directChanged
 		r.mutex.Unlock()
 		if direct {
 			return true
 		}
 		select {
-		case <-kick:
+		case <-changed:
 		case <-ctx.Done():
 			return false
 		}
@@ -34,9 +34,9 @@
 func (r *Relay) supervise(ctx context.Context) {
 	ticker := time.NewTicker(r.options.HeartbeatInterval / 2)
 	defer ticker.Stop()
-	for beat := 0; ; beat++ {
+	for tick := 0; ; tick++ {
 		r.chooseUpstream(ctx)
-		if beat%2 == 0 {
+		if tick%2 == 0 {
 			r.sendHeartbeats()
 		}
 		select {
--- a/internal/rollout/agent.go
+++ b/internal/rollout/agent.go
@@ -72,7 +72,7 @@
 	// switchAnnouncement is the announcement to the entries of an imminent switch.
 	switchAnnouncement turnover.Announcement
 	ordering           bool
-	// unretiredLogged is the served version for which VersionUnguarded was last logged.
+	// unretiredLogged is the served version for which VersionNotReplaced was last logged.
 	unretiredLogged uint64
 	// announcedRequests are the requests that entries have announced as sent.
 	announcedRequests balance.Announcements
@@ -241,9 +241,9 @@
 	current, older := a.current, a.older
 	a.cold.update(a.daemon.Catalog.View().Servers[a.daemon.Settings().Service], a.daemon.Settings().ServerAddress)
 	a.mutex.Unlock()
-	for _, one := range []*transfer{current, older} {
-		if one != nil {
-			one.updatePlan()
+	for _, t := range []*transfer{current, older} {
+		if t != nil {
+			t.updatePlan()
 		}
 	}
 	a.wake()
@@ -252,9 +252,9 @@
 func (a *Agent) findTransfer(model string, version uint64) *transfer {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	for _, one := range []*transfer{a.current, a.older, a.fallback} {
-		if one != nil && one.model == model && (version == 0 || one.version() == version) {
-			return one
+	for _, t := range []*transfer{a.current, a.older, a.fallback} {
+		if t != nil && t.model == model && (version == 0 || t.version() == version) {
+			return t
 		}
 	}
 	return nil
--- a/internal/rollout/bound.go
+++ b/internal/rollout/bound.go
@@ -70,22 +70,22 @@
 		newer.refetchCorrupt(corrupt)
 		return
 	}
-	part := fleet.StartOrder{Model: newer.model, Version: newer.version(), FromLayer: layers.From, ToLayer: layers.To}
-	a.orderPart(ctx, part, engine, serving, began)
+	order := fleet.StartOrder{Model: newer.model, Version: newer.version(), FromLayer: layers.From, ToLayer: layers.To}
+	a.orderPart(ctx, order, engine, serving, began)
 }
 
-// orderPart orders layers of a version to retire the served one, and reports whether the server
+// orderPart orders some layers of a version to retire the served one, and reports whether the server
 // could be ordered. The layers have been staged and verified since began. The caller holds the
 // staging lock for writing.
-func (a *Agent) orderPart(ctx context.Context, part fleet.StartOrder, engine *fleet.Engine, serving uint64, began time.Time) bool {
+func (a *Agent) orderPart(ctx context.Context, order fleet.StartOrder, engine *fleet.Engine, serving uint64, began time.Time) bool {
 	fresh, err := a.server.Report(ctx)
 	if err != nil || fresh.Busy {
 		return false
 	}
-	a.log.Log(logging.VersionExpired, zap.String("model", part.Model), zap.Uint64("serving", serving), zap.Uint64("version", part.Version),
-		zap.Int("from_layer", part.FromLayer), zap.Int("to_layer", part.ToLayer), zap.Int("layers", engine.Layers))
-	part.Sequence = fresh.Sequence
-	a.sendOrder(ctx, part, serving, time.Since(began))
+	a.log.Log(logging.VersionExpired, zap.String("model", order.Model), zap.Uint64("serving", serving), zap.Uint64("version", order.Version),
+		zap.Int("from_layer", order.FromLayer), zap.Int("to_layer", order.ToLayer), zap.Int("layers", engine.Layers))
+	order.Sequence = fresh.Sequence
+	a.sendOrder(ctx, order, serving, time.Since(began))
 	return true
 }
 
--- a/internal/rollout/endinglayer.go
+++ b/internal/rollout/endinglayer.go
@@ -48,9 +48,9 @@
 	a.previous = saved
 }
 
-// takePreviousLayer removes and returns the saved layer if ordering it retires the served version, so
-// that it is tried once. The newest version must still be buffered, since staging the layer would
-// overwrite its staged pieces.
+// takePreviousLayer returns the saved layer if an order for it retires the served version, and nil
+// otherwise. It removes the layer that it returns, so that the layer is ordered only once. The
+// newest version must still be buffered, since staging the layer would overwrite its staged pieces.
 func (a *Agent) takePreviousLayer(newest *transfer, serving uint64) *previousLayer {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -63,7 +63,7 @@
 }
 
 // orderPreviousLayer orders the server to hold only a layer of an older version, and reports
-// whether it could be ordered. The staged version is given up: it may begin nothing more.
+// whether it could be ordered. The staged version is dropped: no request may begin on it any more.
 func (a *Agent) orderPreviousLayer(ctx context.Context, saved *previousLayer, engine *fleet.Engine, serving uint64) bool {
 	a.mutex.Lock()
 	a.dropFallback()
@@ -77,6 +77,6 @@
 			return false
 		}
 	}
-	part := fleet.StartOrder{Model: saved.model, Version: saved.version, FromLayer: saved.layers.From, ToLayer: saved.layers.To}
-	return a.orderPart(ctx, part, engine, serving, began)
+	order := fleet.StartOrder{Model: saved.model, Version: saved.version, FromLayer: saved.layers.From, ToLayer: saved.layers.To}
+	return a.orderPart(ctx, order, engine, serving, began)
 }
--- a/internal/rollout/fallback.go
+++ b/internal/rollout/fallback.go
@@ -193,7 +193,7 @@
 	}
 }
 
-// dropFallback cancels the transfer of the older version. The caller holds the mutex.
+// dropFallback cancels the transfer of the fallback version. The caller holds the mutex.
 func (a *Agent) dropFallback() {
 	if a.fallback != nil {
 		a.fallback.cancel()
--- a/internal/rollout/load.go
+++ b/internal/rollout/load.go
@@ -21,8 +21,9 @@
 	return addAnnounced(status, &a.announcedRequests, a.reportAt.Sub(a.started), now.Sub(a.started), figures)
 }
 
-// addAnnounced adds announced requests to a server's status: those that its report at reportedAt
-// cannot include yet, and the prompt tokens still to be read, of waiting and running requests.
+// addAnnounced adds announced requests to a server's status. The requests that the report made at
+// reportedAt cannot include yet count as waiting. The unread tokens are the prompt tokens of waiting
+// and running requests that the server has yet to read.
 func addAnnounced(status fleet.MachineStatus, announced *balance.Announcements, reportedAt, now time.Duration, figures balance.Server) fleet.MachineStatus {
 	load := announced.Load(balance.Load{Running: status.Running, Waiting: status.Waiting}, reportedAt, now, figures.TypicalPrompt)
 	unread := max(load.Unread, announced.UnreadTokens(now, figures, status.Running))
--- a/internal/rollout/restarted.go
+++ b/internal/rollout/restarted.go
@@ -19,9 +19,9 @@
 	a.cold = newColdState()
 	a.switchAnnouncement.Withdraw()
 	a.unretiredLogged = 0
-	for _, one := range []*transfer{a.current, a.fallback, a.older} {
-		if one != nil {
-			go one.reverify(ctx)
+	for _, t := range []*transfer{a.current, a.fallback, a.older} {
+		if t != nil {
+			go t.reverify(ctx)
 		}
 	}
 }
--- a/internal/rollout/transfer.go
+++ b/internal/rollout/transfer.go
@@ -374,7 +374,8 @@
 	return dissemination.Unreachable
 }
 
-// checkComplete logs and signals that all pieces are held, and rejects a suspect manifest.
+// checkComplete logs and signals that all pieces are held. If pieces are missing and one has failed
+// its digest maxDigestFailures times, it rejects the manifest.
 func (t *transfer) checkComplete() {
 	t.mutex.Lock()
 	changed := !t.complete && t.fetcher.Missing() == 0
--- a/internal/rollout/uploads.go
+++ b/internal/rollout/uploads.go
@@ -63,8 +63,8 @@
 func (u *uploadQueue) remove(canceled *ticket) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
-	for index, one := range u.waiting {
-		if one == canceled {
+	for index, queued := range u.waiting {
+		if queued == canceled {
 			u.waiting = append(u.waiting[:index], u.waiting[index+1:]...)
 			return
 		}
@@ -108,8 +108,8 @@
 		return nil
 	}
 	best := 0
-	for index, one := range u.waiting {
-		if dissemination.MoreUrgent(one.height, one.piece, u.waiting[best].height, u.waiting[best].piece) {
+	for index, queued := range u.waiting {
+		if dissemination.MoreUrgent(queued.height, queued.piece, u.waiting[best].height, u.waiting[best].piece) {
 			best = index
 		}
 	}
