--- a/coordination/dispatch/smallfleet_test.go
+++ b/coordination/dispatch/smallfleet_test.go
@@ -70,7 +70,7 @@
 type smallFleet struct {
 	entries []*Core
 	servers []*smallServer
-	// retry is set when a request that has not begun after smallPatience is abandoned for another server;
+	// retry is set when a request that has not begun after smallRetryTimeout is abandoned for another server;
 	// otherwise it waits for its deadline.
 	retry bool
 	// reportsHeld is set when the unresponsive server reports the requests that it holds to its agent.
--- a/internal/experiment/rollout/report.go
+++ b/internal/experiment/rollout/report.go
@@ -20,9 +20,9 @@
 	plotHeight = 4 * vg.Inch
 )
 
-// starLimit is the product of machines and chunks above which a report omits the
-// strategies that take that many slots.
-const starLimit = 100_000
+// slowStrategyLimit is the product of machines and chunks above which a report omits star
+// and chain, which may take one slot for each machine and chunk.
+const slowStrategyLimit = 100_000
 
 // WriteReport simulates every strategy with the same options and writes their
 // results, completion curves and origin copies to a directory.
@@ -33,7 +33,7 @@
 	var results []Result
 	for _, strategy := range dissemination.Strategies {
 		slow := strategy == dissemination.StrategyStar || strategy == dissemination.StrategyChain
-		if slow && options.Machines*options.Chunks > starLimit {
+		if slow && options.Machines*options.Chunks > slowStrategyLimit {
 			continue
 		}
 		options.Strategy = strategy
--- a/internal/experiment/rollout/simulation.go
+++ b/internal/experiment/rollout/simulation.go
@@ -159,7 +159,7 @@
 }
 
 // timeLimit returns when a rollout is ended as not converged. Star and chain get one
-// more slot for each machine and chunk, since a star uses one link for every machine.
+// more slot for each machine and chunk, since the origin of a star sends every copy.
 func (s *simulation) timeLimit() time.Duration {
 	slots := limitFactor * s.lowerBound()
 	if s.options.Strategy == dissemination.StrategyStar || s.options.Strategy == dissemination.StrategyChain {
@@ -190,8 +190,8 @@
 	return s
 }
 
-// staleRosters is the number of different stale membership lists.
-const staleRosters = 4
+// staleListCount is the number of different stale membership lists.
+const staleListCount = 4
 
 // staleMissing is the fraction of machines that a stale list lacks, staleDeparted the
 // fraction that it lists in addition although they have departed.
@@ -209,14 +209,14 @@
 	fresh := dissemination.NewRoster(all)
 	freshPlan := dissemination.NewPlanWithCopies(s.options.Strategy, fresh, s.options.OriginCopies)
 	var stale [][]dissemination.Machine
-	for variant := range staleRosters {
+	for variant := range staleListCount {
 		stale = append(stale, s.staleList(all, variant))
 	}
 	held := s.heldChunks()
 	for _, m := range s.machines {
 		plan := freshPlan
 		if s.random.Float64() < s.options.StaleList {
-			list := append([]dissemination.Machine{m.Machine}, stale[s.random.IntN(staleRosters)]...)
+			list := append([]dissemination.Machine{m.Machine}, stale[s.random.IntN(staleListCount)]...)
 			plan = dissemination.NewPlanWithCopies(s.options.Strategy, dissemination.NewRoster(list), s.options.OriginCopies)
 		}
 		copy(m.correct, held)
--- a/internal/experiment/soak/asks.go
+++ b/internal/experiment/soak/asks.go
@@ -31,9 +31,9 @@
 	r.schedule(minLimitTime+fault.Duration, func() error { server.AnnounceLimit(""); return nil })
 }
 
-// noticeLeaving has a server announce in its responses, but not in its store record, that it leaves, and replaces it
-// by an empty one later.
-func (r *run) noticeLeaving(zone, index int, server *site.Server) {
+// announceLeavingInResponses has a server announce in its responses, but not in its store record, that it leaves, and
+// replaces it by an empty one later.
+func (r *run) announceLeavingInResponses(zone, index int, server *site.Server) {
 	if r.busy[server.ID()] {
 		return
 	}
@@ -42,8 +42,8 @@
 	r.restartAfterDrain(zone, index, server)
 }
 
-// noticeBackoff has a server refuse some requests with a backoff notice.
-func (r *run) noticeBackoff(server *site.Server, fault Fault) {
+// requestBackoff has a server refuse some requests and request a backoff in its responses.
+func (r *run) requestBackoff(server *site.Server, fault Fault) {
 	r.setServerFaultsFor(server, site.Faults{Shed: backoffRequests, ShedBackoff: backoffTime}, minFalseHealthTime+fault.Duration)
 }
 
@@ -99,16 +99,16 @@
 // checkLeavingNotices finds requests to a server from entries that received its leaving notice more than the drain time
 // before.
 func (r Record) checkLeavingNotices(received *serverNotices, deliveries []site.Delivery, senders map[string]string) []Violation {
-	first := map[string]time.Time{}
+	firstReceived := map[string]time.Time{}
 	for index, notice := range received.notices {
-		if _, known := first[received.entries[index]]; notice.Leaving && !known {
-			first[received.entries[index]] = notice.At
+		if _, known := firstReceived[received.entries[index]]; notice.Leaving && !known {
+			firstReceived[received.entries[index]] = notice.At
 		}
 	}
 	var found []Violation
 	for _, delivery := range deliveries {
 		entry := senders[delivery.RequestID]
-		at, known := first[entry]
+		at, known := firstReceived[entry]
 		if known && delivery.At.After(at.Add(r.Drain+slack)) && r.entryUndisturbed(entry, at, delivery.At) {
 			found = append(found, Violation{
 				Guarantee: NoWorkToLeaving, At: delivery.At, Request: delivery.RequestID,
@@ -146,29 +146,29 @@
 // checkRateLimit finds the first interval in which a server received more than its announced rate from entries that
 // had received the announcement.
 func (r Record) checkRateLimit(received *serverNotices, deliveries []site.Delivery, senders map[string]string) []Violation {
-	var named []site.ServerNotice
-	first := map[string]time.Time{}
+	var limits []site.ServerNotice
+	firstReceived := map[string]time.Time{}
 	for index, notice := range received.notices {
 		if !notice.Limited {
 			continue
 		}
-		named = append(named, notice)
-		if _, known := first[received.entries[index]]; !known {
-			first[received.entries[index]] = notice.At
+		limits = append(limits, notice)
+		if _, known := firstReceived[received.entries[index]]; !known {
+			firstReceived[received.entries[index]] = notice.At
 		}
 	}
-	if len(named) == 0 {
+	if len(limits) == 0 {
 		return nil
 	}
-	from, last, maxRate := named[0].At.Add(recoveryMargin), named[len(named)-1].At, 0.0
-	for _, notice := range named {
+	from, last, maxRate := limits[0].At.Add(recoveryMargin), limits[len(limits)-1].At, 0.0
+	for _, notice := range limits {
 		maxRate = max(maxRate, notice.PerSecond)
 	}
 	allowed := site.MaxUnderLimit(maxRate)
 	var counted []site.Delivery
 	for _, delivery := range deliveries {
 		entry := senders[delivery.RequestID]
-		at, known := first[entry]
+		at, known := firstReceived[entry]
 		if !known || delivery.At.Before(from) || delivery.At.After(last) || delivery.At.Before(at.Add(noticeDelay)) || !r.entryUndisturbed(entry, at, delivery.At) {
 			continue
 		}
--- a/internal/experiment/soak/faults.go
+++ b/internal/experiment/soak/faults.go
@@ -124,15 +124,15 @@
 	case ServerNoticeLimit:
 		r.announceRateLimit(r.pickServer(fault), fault)
 	case ServerNoticeLeaving:
-		r.noticeLeaving(zone, agent, server)
+		r.announceLeavingInResponses(zone, agent, server)
 	case ServerNoticeBackoff:
-		r.noticeBackoff(r.pickServer(fault), fault)
+		r.requestBackoff(r.pickServer(fault), fault)
 	}
 	return nil
 }
 
 // recordDisturbance records that some processes or servers are disturbed from now on for a
-// time. Without names, the disturbance concerns something that all depend on.
+// time. Without names, the disturbance affects the whole fleet.
 func (r *run) recordDisturbance(duration time.Duration, names ...string) {
 	now := time.Now()
 	if len(names) == 0 {
--- a/internal/experiment/soak/health.go
+++ b/internal/experiment/soak/health.go
@@ -9,14 +9,15 @@
 // Timing of servers whose reported health is false or flaps.
 const (
 	// minFalseHealthTime is the minimum time for which a server's reported health is false. It is
-	// long enough for an ejection to end and a probe to follow. The fault's duration is added to it.
+	// long enough for an ejection to end and a trial request to follow. The fault's duration is added to it.
 	minFalseHealthTime = 2 * time.Second
 	// A flapping server is down and up alternately, for flapPeriod each.
 	flapPeriod = 400 * time.Millisecond
 	flapTurns  = 8
 )
 
-// pickServer returns the server, of either service, that a fault affects.
+// pickServer returns the server that a fault affects: a plain one if fault.Count is even, otherwise a
+// model server.
 func (r *run) pickServer(fault Fault) *site.Server {
 	options := r.site.Options
 	if fault.Count%2 == 0 {
@@ -25,7 +26,7 @@
 	return r.site.Models[options.ModelIP(fault.Zone, fault.Index%options.ModelServers)]
 }
 
-// setServerFaultsFor sets faults at a server for a time. With LyingHangs the server may hold
+// setServerFaultsFor sets faults at a server for a time. With site.FailWithHangs the server may hold
 // requests that it accepted in that time until their timeout.
 func (r *run) setServerFaultsFor(server *site.Server, faults site.Faults, duration time.Duration) {
 	server.SetFaults(faults)
--- a/internal/experiment/soak/judge.go
+++ b/internal/experiment/soak/judge.go
@@ -64,7 +64,7 @@
 type Interval struct {
 	From time.Time
 	To   time.Time
-	// Name is the affected process or server, empty for something that all depend on.
+	// Name is the affected process or server, empty for the whole fleet.
 	Name string
 }
 
--- a/internal/experiment/soak/judge_place.go
+++ b/internal/experiment/soak/judge_place.go
@@ -29,7 +29,7 @@
 	return senders
 }
 
-// entryConnected reports whether an entry, and what all depend on, has been undisturbed for
+// entryConnected reports whether neither the entry nor the whole fleet has been disturbed for
 // recoveryMargin.
 func (r Record) entryConnected(entry string, at time.Time) bool {
 	for _, intervals := range [][]Interval{r.Disturbances, r.Stops} {
@@ -43,8 +43,8 @@
 }
 
 // checkRestrictions checks where requests arrived against the configurations that may have been in
-// force at the entry that sent them. Requests whose caller still waits are checked later; those
-// outside the residencies are reported by Check.
+// force at the entry that sent them. A request whose caller still waits is checked later, when its
+// sender is known. Requests outside r.Residencies are left out, as Check reports them.
 func (r Record) checkRestrictions(senders map[string]string) []Violation {
 	var found []Violation
 	for _, arrival := range r.Arrivals {
--- a/internal/experiment/soak/query_of_death.go
+++ b/internal/experiment/soak/query_of_death.go
@@ -21,9 +21,9 @@
 	crashIDPrefix     = "ending-"
 	crashFingerprints = 2
 	// crashRequestInterval is the time between such requests while the fault lasts, minCrashTime its
-	// minimum duration, to which the fault's duration is added. At this rate an entry that receives
-	// nothing from the others can't detect the fingerprint by itself within recoveryMargin of the
-	// third crash.
+	// minimum duration, to which the fault's duration is added. At this rate an entry
+	// needs the reports of other entries to detect the fingerprint within recoveryMargin of the third
+	// crash.
 	crashRequestInterval = 400 * time.Millisecond
 	minCrashTime         = 6 * time.Second
 	// crashDelay is how long a server runs such a request before it crashes, crashDowntime how long it
@@ -126,19 +126,19 @@
 	var found []Violation
 	for fingerprint := range crashFingerprints {
 		prefix := fmt.Sprintf("%s%d-", crashIDPrefix, fingerprint)
-		known, crashed := lastAllowedCrash(r.Crashes, prefix)
+		lastAllowed, crashed := lastAllowedCrash(r.Crashes, prefix)
 		if !crashed {
 			continue
 		}
 		late := 0
 		for _, arrival := range r.Arrivals {
-			if !strings.HasPrefix(arrival.RequestID, prefix) || !arrival.At.After(known.Add(recoveryMargin)) || !r.entryConnected(r.CrashSenders[arrival.RequestID], arrival.At) {
+			if !strings.HasPrefix(arrival.RequestID, prefix) || !arrival.At.After(lastAllowed.Add(recoveryMargin)) || !r.entryConnected(r.CrashSenders[arrival.RequestID], arrival.At) {
 				continue
 			}
 			if late++; late > allowedLateSends {
 				found = append(found, Violation{
 					Guarantee: QueryOfDeathContained, At: arrival.At, Request: arrival.RequestID,
-					Detail: fmt.Sprintf("%s sent it to %s, %s after its fingerprint had crashed three servers", r.CrashSenders[arrival.RequestID], arrival.Server, arrival.At.Sub(known)),
+					Detail: fmt.Sprintf("%s sent it to %s, %s after its fingerprint had crashed three servers", r.CrashSenders[arrival.RequestID], arrival.Server, arrival.At.Sub(lastAllowed)),
 				})
 			}
 		}
@@ -146,7 +146,8 @@
 	return found
 }
 
-// lastAllowedCrash returns when a fingerprint had crashed allowedCrashes servers.
+// lastAllowedCrash returns the time of a fingerprint's crash number allowedCrashes, and false if there
+// were fewer crashes.
 func lastAllowedCrash(crashes []site.ServerCrash, prefix string) (time.Time, bool) {
 	count := 0
 	for _, crash := range crashes {
--- a/internal/experiment/soak/settings.go
+++ b/internal/experiment/soak/settings.go
@@ -18,7 +18,8 @@
 
 func (m process) name() string { return launch.SiteProcessName(m.role, m.zone, m.index) }
 
-// pickProcess returns the entry or agent that a fault affects.
+// pickProcess returns the process that a fault affects: an entry if fault.Count is even, otherwise an
+// agent.
 func (r *run) pickProcess(fault Fault) process {
 	if fault.Count%2 == 0 {
 		return process{role: site.RoleEntry, zone: fault.Zone, index: fault.Index % r.site.Options.Entries}
--- a/internal/experiment/soak/soak.go
+++ b/internal/experiment/soak/soak.go
@@ -44,7 +44,7 @@
 	callerSeedStream = 100
 	// settleTime is the time after the last fault until the fleet must serve again.
 	settleTime = 12 * time.Second
-	// finalPeriod is how long requests are settled after that, minFinalRatio the fraction of
+	// finalPeriod is how long requests are counted after that, minFinalRatio the fraction of
 	// them that must be answered.
 	finalPeriod   = 3 * time.Second
 	minFinalRatio = 0.95
@@ -73,7 +73,9 @@
 
 	// timeline holds the pending steps. It and the fields below are accessed only by the
 	// run's own goroutine.
-	timeline    []step
+	timeline []step
+	// busy holds the names of processes, servers, zones and lists of regions that a fault has
+	// changed and not yet restored, so that other faults can skip them.
 	busy        map[string]bool
 	version     uint64
 	record      Record
--- a/internal/experiment/virtual/timeline.go
+++ b/internal/experiment/virtual/timeline.go
@@ -10,18 +10,18 @@
 // Timeline is a virtual clock with a queue of scheduled functions. The zero value is at
 // time zero with an empty queue.
 type Timeline struct {
-	now    time.Duration
-	order  int
-	events eventQueue
+	now      time.Duration
+	sequence int
+	events   eventQueue
 }
 
 // Now returns the current virtual time.
 func (t *Timeline) Now() time.Duration { return t.now }
 
 // After schedules a function to run after a delay.
-func (t *Timeline) After(delay time.Duration, do func()) {
-	t.order++
-	heap.Push(&t.events, event{at: t.now + delay, order: t.order, do: do})
+func (t *Timeline) After(delay time.Duration, action func()) {
+	t.sequence++
+	heap.Push(&t.events, event{at: t.now + delay, sequence: t.sequence, action: action})
 }
 
 // Pending reports whether any function is scheduled.
@@ -32,14 +32,14 @@
 func (t *Timeline) Step() {
 	next := heap.Pop(&t.events).(event)
 	t.now = next.at
-	next.do()
+	next.action()
 }
 
 // event is a function scheduled for a virtual time.
 type event struct {
-	at    time.Duration
-	order int
-	do    func()
+	at       time.Duration
+	sequence int
+	action   func()
 }
 
 type eventQueue []event
@@ -49,7 +49,7 @@
 	if q[i].at != q[j].at {
 		return q[i].at < q[j].at
 	}
-	return q[i].order < q[j].order
+	return q[i].sequence < q[j].sequence
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -87,9 +87,9 @@
 		identities:    workload.NewIdentities(),
 	}
 	f.Client = workload.NewClient(f.identities)
-	f.configurationAddress = f.serve(httptest.NewServer(f.Configuration.Handler(external.ConfigurationPath)))
-	f.membershipAddress = f.serve(httptest.NewServer(f.Membership.Handler(external.MembershipPath)))
-	f.originAddress = f.serve(httptest.NewServer(f.Origin.Handler()))
+	f.configurationAddress = f.addressOf(httptest.NewServer(f.Configuration.Handler(external.ConfigurationPath)))
+	f.membershipAddress = f.addressOf(httptest.NewServer(f.Membership.Handler(external.MembershipPath)))
+	f.originAddress = f.addressOf(httptest.NewServer(f.Origin.Handler()))
 	f.PublishVersion("1")
 	for i := range engines {
 		f.Engines = append(f.Engines, f.startEngine(fmt.Sprintf("engine-%d", i)))
@@ -102,11 +102,12 @@
 	}
 	t.Cleanup(f.stopAll)
 	f.WaitServing("1")
-	f.waitEntries()
+	f.waitConnected()
 	return f
 }
 
-func (f *Fleet) serve(server *httptest.Server) string {
+// addressOf returns a server's address, and closes the server's connections when the test ends.
+func (f *Fleet) addressOf(server *httptest.Server) string {
 	f.t.Cleanup(server.CloseClientConnections)
 	return strings.TrimPrefix(server.URL, "http://")
 }
@@ -128,7 +129,7 @@
 
 func (f *Fleet) startEngine(id string) *Machine {
 	engine := emulator.NewEngine(engineOptions(), emulator.NewStore(0))
-	address := f.serve(httptest.NewServer(engine.Handler()))
+	address := f.addressOf(httptest.NewServer(engine.Handler()))
 	process := agent.New(agent.Options{
 		Node: f.NodeOptions(id, external.RoleAgent), BackEndAddress: address, StoreAddress: address,
 		OriginAddress: f.originAddress, RetireGrace: 100 * time.Millisecond,
@@ -138,7 +139,7 @@
 
 func (f *Fleet) startService(id string) *Machine {
 	service := emulator.NewService(Service, 50*time.Millisecond)
-	address := f.serve(httptest.NewServer(service.Handler()))
+	address := f.addressOf(httptest.NewServer(service.Handler()))
 	process := agent.New(agent.Options{
 		Node: f.NodeOptions(id, external.RoleAgent), Service: Service, BackEndAddress: address,
 	}, logging.Nop())
@@ -282,8 +283,8 @@
 	})
 }
 
-// waitEntries waits until every entry is connected to every back end.
-func (f *Fleet) waitEntries() {
+// waitConnected waits until every entry is connected to every back end.
+func (f *Fleet) waitConnected() {
 	f.Wait("every entry is connected to every back end", func() bool {
 		for _, process := range f.Entries {
 			if !f.Ready(process) {
--- a/internal/fleettest/fleet_test.go
+++ b/internal/fleettest/fleet_test.go
@@ -93,10 +93,10 @@
 	f := New(t, 2, 0, 1)
 	f.PublishVersion("2")
 	f.WaitServing("2")
-	drawn := f.Origin.SentBytes()
+	sentBefore := f.Origin.SentBytes()
 	f.PublishVersion("1")
 	f.WaitServing("1")
-	assert.Equal(t, drawn, f.Origin.SentBytes())
+	assert.Equal(t, sentBefore, f.Origin.SentBytes())
 }
 
 func TestPlannedStopOfAgentDropsNoRequest(t *testing.T) {
--- a/internal/launch/group.go
+++ b/internal/launch/group.go
@@ -12,7 +12,7 @@
 	"pinevane.example/pinevane/internal/fault"
 )
 
-// process is a started process.
+// process is a started process; exited is closed when it has exited.
 type process struct {
 	command *exec.Cmd
 	exited  chan struct{}
--- a/internal/launch/launch.go
+++ b/internal/launch/launch.go
@@ -39,7 +39,7 @@
 	MachineFlags []string
 }
 
-// Fleet is a running fleet.
+// Fleet is a fleet of local processes: the machines of a deployment and the emulated platform.
 type Fleet struct {
 	options  Options
 	network  int
--- a/internal/promise/promise.go
+++ b/internal/promise/promise.go
@@ -38,7 +38,8 @@
 // Runs counts the runs of each request ID on the back ends.
 type Runs map[string]int
 
-// Check compares results with the runs that the back ends recorded and returns all violations.
+// Check compares results with the runs that the back ends recorded, of plain calls and of
+// generations, and returns all violations.
 func Check(results []workload.Result, calls, generations Runs) []Violation {
 	var violations []Violation
 	add := func(name Name, result workload.Result, detail string) {
--- a/internal/silencer/silencer.go
+++ b/internal/silencer/silencer.go
@@ -43,14 +43,15 @@
 // silenced. Listening sockets are not affected.
 func Silence(selected Filter) (int, error) { return attach(selected, dropAll) }
 
-// DropPackets makes each end of the open connections that a filter selects drop a ratio of its
-// incoming packets, and returns the number of these ends. The kernels retransmit the dropped packets.
+// DropPackets makes each end of the open connections that a filter selects drop the given ratio of its
+// incoming packets at random, and returns the number of these ends. The kernels retransmit the dropped
+// packets.
 func DropPackets(selected Filter, ratio float64) (int, error) {
-	// random is the offset at which the filter reads a random number instead of the packet: the
+	// randomOffset is the offset at which the filter reads a random number instead of the packet: the
 	// kernel's SKF_AD_OFF, as an unsigned number, plus SKF_AD_RANDOM.
-	const random = 0xfffff000 + 56
+	const randomOffset = 0xfffff000 + 56
 	return attach(selected, []unix.SockFilter{
-		{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: random},
+		{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: randomOffset},
 		{Code: unix.BPF_JMP | unix.BPF_JGE | unix.BPF_K, K: uint32(ratio * math.MaxUint32), Jt: 1},
 		{Code: unix.BPF_RET | unix.BPF_K, K: 0},
 		{Code: unix.BPF_RET | unix.BPF_K, K: math.MaxUint32},
@@ -95,8 +96,8 @@
 	return err == nil, err
 }
 
-// connectionOf returns the addresses of an open TCP connection, and false if the descriptor is
-// none.
+// connectionOf returns the addresses of the TCP connection of a descriptor, and false if the
+// descriptor is not an open TCP connection.
 func connectionOf(descriptor int) (Connection, bool) {
 	kind, err := unix.GetsockoptInt(descriptor, unix.SOL_SOCKET, unix.SO_TYPE)
 	if err != nil || kind != unix.SOCK_STREAM {
--- a/internal/sitetest/deaf_store_test.go
+++ b/internal/sitetest/deaf_store_test.go
@@ -154,9 +154,10 @@
 	}
 }
 
-// VERSION: a store that refuses some machines is not down for all. The set of machines that it
-// serves changes every few seconds, for longer than the outage that is tolerated, with an
-// announcement before and after each change.
+// VERSION: time for which the store refuses only some machines counts, unlike an outage for all, so
+// that no process dates an announcement late. The set of machines that the store serves changes every
+// few seconds, for longer than the outage that is tolerated, with an announcement before and after
+// each change.
 func TestVersionAnnouncedWhileStoreRefusesMachines(t *testing.T) {
 	options := DefaultOptions()
 	f := Start(t, options)
--- a/internal/sitetest/fleet.go
+++ b/internal/sitetest/fleet.go
@@ -1,5 +1,6 @@
 // Package sitetest runs real entries and agents, inside a test, against an emulation of the users'
-// platform.
+// platform. A word in capitals at the head of a test's comment, such as EVAC, names the rule of the
+// platform that the test checks.
 package sitetest
 
 import (
--- a/internal/sitetest/health_test.go
+++ b/internal/sitetest/health_test.go
@@ -48,9 +48,9 @@
 	return received
 }
 
-// startSaves sends at-most-once requests, one after the other, through every entry until stop is
+// startAtMostOnceTraffic sends at-most-once requests, one after the other, through every entry until stop is
 // called. Stop returns how many were sent and how many were not served.
-func startSaves(f *Fleet, callers int) (stop func() (sent, lost int)) {
+func startAtMostOnceTraffic(f *Fleet, callers int) (stop func() (sent, lost int)) {
 	return runCallers(callers, func(caller, number int) bool {
 		answer, err := f.Call(context.Background(), 0, caller%f.Site.Options.Entries, http.MethodPost, site.OncePrefix+"a",
 			fmt.Sprintf("save-%d-%d", caller, number), map[string]string{"Deadline-Ms": "600"}, "body")
@@ -74,15 +74,15 @@
 // and the zone one trial each time its ejection ends. No caller of a repeatable request is
 // affected, and the server is used again after it recovers.
 func TestFailingServerReportedHealthyCostsFewRequests(t *testing.T) {
-	for name, lie := range map[string]site.FailureMode{"errors": site.FailWithErrors, "resets": site.FailWithResets, "hangs": site.FailWithHangs} {
+	for name, failure := range map[string]site.FailureMode{"errors": site.FailWithErrors, "resets": site.FailWithResets, "hangs": site.FailWithHangs} {
 		t.Run(name, func(t *testing.T) {
 			f := Start(t, healthOptions())
-			stop, stopSaves := startLoad(f, 9), startSaves(f, 6)
+			stop, stopAtMostOnce := startLoad(f, 9), startAtMostOnceTraffic(f, 6)
 			time.Sleep(500 * time.Millisecond)
 			model, plain := f.modelServer(0), f.plainServer(0)
 			startedAt := time.Now()
-			model.SetFaults(site.Faults{Failure: lie})
-			plain.SetFaults(site.Faults{Failure: lie})
+			model.SetFaults(site.Faults{Failure: failure})
+			plain.SetFaults(site.Faults{Failure: failure})
 			time.Sleep(4 * time.Second)
 			toModel, toPlain := len(f.receivedBy(model, startedAt)), len(f.receivedBy(plain, startedAt))
 			model.SetFaults(site.Faults{})
@@ -92,7 +92,7 @@
 				return len(f.receivedBy(model, recoveredAt)) > 20 && len(f.receivedBy(plain, recoveredAt)) > 20
 			})
 			sent, failed := stop()
-			saved, lost := stopSaves()
+			saved, lost := stopAtMostOnce()
 			t.Logf("%d streams and calls, %d saves; the failing servers received %d and %d, %d saves were lost", sent, saved, toModel, toPlain, lost)
 			assert.Zero(t, failed)
 			assertNoneRanTwice(t, f)
@@ -114,11 +114,11 @@
 	flapping := []*site.Server{f.modelServer(0), f.modelServer(1)}
 	for turn := range 12 {
 		for index, server := range flapping {
-			lie := site.NoFailure
+			failure := site.NoFailure
 			if (turn+index)%2 == 0 {
-				lie = site.FailWithResets
+				failure = site.FailWithResets
 			}
-			server.SetFaults(site.Faults{Failure: lie})
+			server.SetFaults(site.Faults{Failure: failure})
 		}
 		time.Sleep(500 * time.Millisecond)
 	}
--- a/internal/sitetest/late_cancel_test.go
+++ b/internal/sitetest/late_cancel_test.go
@@ -69,10 +69,10 @@
 	}
 }
 
-// lateRuns announces version 2 under load and silences the connections between entries and servers
-// while requests are queued there. It returns the requests that started on version 1 after its
-// deadline, and how many were queued when the connections went silent.
-func lateRuns(t *testing.T, f *Fleet) (late []time.Duration, waiting int) {
+// lateStarts announces version 2 under load and silences the connections between entries and servers
+// while requests are queued there. It returns how long after the deadline of version 1 requests started
+// on it, one duration a request, and how many requests were queued when the connections went silent.
+func lateStarts(t *testing.T, f *Fleet) (late []time.Duration, waiting int) {
 	agents := serverConnections(t)
 	stream := func(kind string) func(context.Context, int) outcome {
 		return func(ctx context.Context, number int) outcome {
@@ -120,7 +120,7 @@
 	f := Start(t, lateCancelOptions())
 	f.Eventually("version 1 is verified", 3*time.Second, func() bool { return countEvents(f, "PV3005", "") >= 4 })
 	f.Site.Origin.Withhold(f.Site.Options.Weights.Pieces - 1)
-	late, waiting := lateRuns(t, f)
+	late, waiting := lateStarts(t, f)
 	assert.Positive(t, waiting, "requests queued at servers when the connections went silent")
 	assert.Empty(t, late, "requests that started on the old version, by the time after its deadline")
 	f.Site.Origin.Withhold()
@@ -141,7 +141,7 @@
 func TestNoLateStartsWhenNewVersionIsStaged(t *testing.T) {
 	f := Start(t, lateCancelOptions())
 	f.Eventually("version 1 is verified", 3*time.Second, func() bool { return countEvents(f, "PV3005", "") >= 4 })
-	late, _ := lateRuns(t, f)
+	late, _ := lateStarts(t, f)
 	assert.Empty(t, late, "requests that started on the old version, by the time after its deadline")
 	f.Eventually("every server serves version 2", 5*time.Second, func() bool { return f.allServe(2) })
 	for _, run := range f.Site.Requests.Runs() {
@@ -155,7 +155,7 @@
 // server is ordered to load a part of the first version, which starts no requests.
 func TestNoLateStartsWhenOnlyIntermediateVersionIsStaged(t *testing.T) {
 	f := Start(t, lateCancelOptions())
-	late, _ := lateRunsOfTwoVersions(t, f)
+	late, _ := lateStartsOfTwoVersions(t, f)
 	assert.Empty(t, late, "requests that started on the old version, by the time after its deadline")
 	assert.Zero(t, countEvents(f, "PV3114", `"serving":1,`), "servers with version 1 left to the entries")
 	f.Site.Origin.SetDown(false)
@@ -169,7 +169,7 @@
 // is queued there must not start after its own deadline either.
 func TestNoLateStartsOnIntermediateVersion(t *testing.T) {
 	f := Start(t, lateCancelOptions())
-	_, announcedAt := lateRunsOfTwoVersions(t, f)
+	_, announcedAt := lateStartsOfTwoVersions(t, f)
 	deadline := announcedAt.Add(time.Duration(f.Site.Options.VersionMs) * time.Millisecond)
 	var late []time.Duration
 	for _, run := range f.Site.Requests.Runs() {
@@ -180,9 +180,10 @@
 	assert.Empty(t, late, "requests that started on version 2, by the time after its deadline")
 }
 
-// lateRunsOfTwoVersions announces a third version, which no machine can fetch, as soon as the second
-// is staged. It returns the late starts on the first version and when the third was announced.
-func lateRunsOfTwoVersions(t *testing.T, f *Fleet) ([]time.Duration, time.Time) {
+// lateStartsOfTwoVersions announces a third version, which no machine can fetch, as soon as the second
+// is staged. It returns the late starts on the first version, as lateStarts does, and when the third
+// was announced.
+func lateStartsOfTwoVersions(t *testing.T, f *Fleet) ([]time.Duration, time.Time) {
 	f.Eventually("version 1 is verified", 3*time.Second, func() bool { return countEvents(f, "PV3005", "") >= 4 })
 	announced := make(chan time.Time)
 	go func() {
@@ -194,7 +195,7 @@
 		f.Site.AnnounceVersion(3)
 		announced <- now
 	}()
-	late, _ := lateRuns(t, f)
+	late, _ := lateStarts(t, f)
 	return late, <-announced
 }
 
--- a/internal/sitetest/leaving_test.go
+++ b/internal/sitetest/leaving_test.go
@@ -38,7 +38,7 @@
 	outcomes, plains := stop(), stopPlain()
 	f.Site.Store.SetDown(false)
 	for _, server := range []*site.Server{leaving, plain} {
-		assert.Empty(t, f.arrivalsAt(server.ID(), announcedAt.Add(leavingKnownAfter)), "requests to %s", server.ID())
+		assert.Empty(t, f.arrivalTimes(server.ID(), announcedAt.Add(leavingKnownAfter)), "requests to %s", server.ID())
 	}
 	assert.GreaterOrEqual(t, servedRatio(outcomes, announcedAt, announcedAt.Add(4*time.Second), time.Second), minServedRatio)
 	assert.GreaterOrEqual(t, servedRatio(plains, announcedAt, announcedAt.Add(4*time.Second), time.Second), minServedRatio)
@@ -64,5 +64,5 @@
 	leaving.ResumeHeartbeats()
 	time.Sleep(2 * time.Second)
 	stop()
-	assert.Empty(t, f.arrivalsAt(leaving.ID(), announcedAt.Add(leavingKnownAfter)))
+	assert.Empty(t, f.arrivalTimes(leaving.ID(), announcedAt.Add(leavingKnownAfter)))
 }
--- a/internal/sitetest/limit_test.go
+++ b/internal/sitetest/limit_test.go
@@ -35,8 +35,8 @@
 	return options
 }
 
-// arrivalsAt returns when requests arrived at a server, in order.
-func (f *Fleet) arrivalsAt(server string, after time.Time) (times []time.Time) {
+// arrivalTimes returns when requests arrived at a server after the given time, in order.
+func (f *Fleet) arrivalTimes(server string, after time.Time) (times []time.Time) {
 	for _, arrival := range f.Site.Requests.Arrivals() {
 		if arrival.Server == server && arrival.At.After(after) {
 			times = append(times, arrival.At)
@@ -80,7 +80,7 @@
 	limited.AnnounceLimit(strconv.FormatFloat(rate, 'f', -1, 64))
 	announcedAt := time.Now()
 	time.Sleep(10 * time.Second)
-	arrivals := f.arrivalsAt(limited.ID(), announcedAt.Add(limitKnownAfter))
+	arrivals := f.arrivalTimes(limited.ID(), announcedAt.Add(limitKnownAfter))
 	limited.AnnounceLimit("")
 	clearedAt := time.Now()
 	time.Sleep(limitClearedAfter + 2*time.Second)
@@ -89,7 +89,7 @@
 	t.Logf("most requests in %s: %d, in all of %s: %d", site.LimitWindow, highest, clearedAt.Sub(announcedAt)-limitKnownAfter, len(arrivals))
 	assert.LessOrEqual(t, float64(highest), site.MaxUnderLimit(rate))
 	assert.GreaterOrEqual(t, len(arrivals), 3, "the two entries of its zone keep using it")
-	assert.GreaterOrEqual(t, len(f.arrivalsAt(limited.ID(), clearedAt.Add(limitClearedAfter))), 20, "requests in 2 s once all entries know that the limit has ended")
+	assert.GreaterOrEqual(t, len(f.arrivalTimes(limited.ID(), clearedAt.Add(limitClearedAfter))), 20, "requests in 2 s once all entries know that the limit has ended")
 	assert.GreaterOrEqual(t, servedRatio(outcomes, announcedAt, clearedAt.Add(limitClearedAfter+2*time.Second), time.Second), minServedRatio)
 }
 
@@ -110,7 +110,7 @@
 	stop := f.startPlainTraffic(20 * time.Millisecond)
 	time.Sleep(8 * time.Second)
 	outcomes := stop()
-	arrivals := f.arrivalsAt(only.ID(), announcedAt.Add(limitKnownAfter))
+	arrivals := f.arrivalTimes(only.ID(), announcedAt.Add(limitKnownAfter))
 	t.Logf("most requests in %s: %d, in all: %d", site.LimitWindow, maxWithin(arrivals, site.LimitWindow), len(arrivals))
 	assert.LessOrEqual(t, float64(maxWithin(arrivals, site.LimitWindow)), site.MaxUnderLimit(rate))
 	assert.GreaterOrEqual(t, len(arrivals), int(rate*(8*time.Second-limitKnownAfter).Seconds()/2), "half of the server's limit is used")
@@ -129,7 +129,7 @@
 }
 
 // LIMIT: when all servers of a service announce a limit and demand exceeds it, each server receives
-// most of its limit: the shares of distant entries are used too.
+// most of its limit, including the shares of the entries in other zones.
 func TestRateLimitsOfAllServersAreUsed(t *testing.T) {
 	const rate = 2.5
 	f := Start(t, limitOptions())
@@ -142,7 +142,7 @@
 	stop()
 	elapsed, total := time.Since(announcedAt)-limitKnownAfter, 0
 	for _, server := range f.Site.Models {
-		arrivals := f.arrivalsAt(server.ID(), announcedAt.Add(limitKnownAfter))
+		arrivals := f.arrivalTimes(server.ID(), announcedAt.Add(limitKnownAfter))
 		total += len(arrivals)
 		assert.LessOrEqual(t, float64(maxWithin(arrivals, site.LimitWindow)), site.MaxUnderLimit(rate), server.ID())
 		assert.GreaterOrEqual(t, len(arrivals), int(rate*elapsed.Seconds()/2), "half of the limit of %s is used", server.ID())
--- a/internal/sitetest/mute_proxy_test.go
+++ b/internal/sitetest/mute_proxy_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// blackholeProxy forwards connections to a server until it is told to blackhole them. The open
+// blackholeProxy forwards connections to a server until a test has it blackhole them. The open
 // connections then stay open and are read on both sides, so that all data is acknowledged, but
 // nothing is forwarded any more. Later connections work.
 type blackholeProxy struct {
--- a/internal/sitetest/recovery_test.go
+++ b/internal/sitetest/recovery_test.go
@@ -22,8 +22,8 @@
 
 // Time limits for the recovery after all open connections go silent, from the start of the silence.
 const (
-	// reportRecovery is when the reports of all agents reach every entry again: entries distrust
-	// servers whose agents have been silent for 1.2 s, so that none is distrusted.
+	// reportRecovery is when the reports of all agents reach every entry again. It is below the 1.2 s
+	// of silence of an agent after which entries distrust its server.
 	reportRecovery = 800 * time.Millisecond
 	// maxReportAge is the maximum age of a report over a working link: 0.3 s between two reports of
 	// an agent, 0.24 s of latency to another zone, and some processing time.
--- a/internal/sitetest/rest_test.go
+++ b/internal/sitetest/rest_test.go
@@ -39,7 +39,7 @@
 	requestedAt := time.Now()
 	time.Sleep(6 * time.Second)
 	outcomes := stop()
-	arrivals := f.arrivalsAt(backingOff.ID(), requestedAt)
+	arrivals := f.arrivalTimes(backingOff.ID(), requestedAt)
 	during := 0
 	for _, at := range arrivals {
 		if since := at.Sub(arrivals[0]); since > backoffGrace && since < backoffRequested {
@@ -48,7 +48,7 @@
 	}
 	t.Logf("requests during the backoff: %d, total since its start: %d", during, len(arrivals))
 	assert.LessOrEqual(t, during, maxDuringBackoff)
-	assert.GreaterOrEqual(t, len(f.arrivalsAt(backingOff.ID(), requestedAt.Add(backoffRequested+time.Second))), 10, "requests after the backoff")
+	assert.GreaterOrEqual(t, len(f.arrivalTimes(backingOff.ID(), requestedAt.Add(backoffRequested+time.Second))), 10, "requests after the backoff")
 	assert.GreaterOrEqual(t, servedRatio(outcomes, requestedAt, requestedAt.Add(6*time.Second), time.Second), minServedRatio)
 }
 
@@ -64,7 +64,7 @@
 	time.Sleep(2500 * time.Millisecond)
 	outcomes := stop()
 	for _, server := range f.Site.Plain {
-		assert.LessOrEqual(t, len(f.arrivalsAt(server.ID(), startedAt.Add(backoffGrace))), maxDuringBackoff)
+		assert.LessOrEqual(t, len(f.arrivalTimes(server.ID(), startedAt.Add(backoffGrace))), maxDuringBackoff)
 	}
 	for _, result := range outcomes {
 		assert.Equal(t, http.StatusServiceUnavailable, result.answer.Status)
--- a/internal/sitetest/start_test.go
+++ b/internal/sitetest/start_test.go
@@ -15,7 +15,7 @@
 // Observed: after such a restart, callers were refused for 0.5 to 0.6 s by entries that ran and knew
 // of no server, and their retries were late. Cause: all entries, including the seeds, waited for others
 // to send them the state of the store: the seeds' settings list each other but not their own address,
-// by which an entry was to detect that it is a seed. Proof: they all read the store themselves 0.5 s
+// by which an entry was to detect that it is a seed. Evidence: they all read the store themselves 0.5 s
 // after their start.
 func TestFleetIsReadySoonAfterAllEntriesWereKilled(t *testing.T) {
 	f := Start(t, DefaultOptions())
--- a/internal/sitetest/told_asks_test.go
+++ b/internal/sitetest/told_asks_test.go
@@ -52,7 +52,7 @@
 		number++
 		startedAt := time.Now()
 		_, err := f.Call(context.Background(), zone, index, http.MethodGet, site.SafePrefix+"a", fmt.Sprintf("%s-%d", id, number), nil, "")
-		return err == nil && len(f.arrivalsAt(server, startedAt)) > 0
+		return err == nil && len(f.arrivalTimes(server, startedAt)) > 0
 	})
 }
 
@@ -85,5 +85,5 @@
 	f.Eventually("all entries know that the limit has ended", noticePropagation, func() bool {
 		return f.allEntries(limited.ID(), func(view forward.ServerView) bool { return view.Limit == nil })
 	})
-	assert.Len(t, f.arrivalsAt(leaving.ID(), time.Time{}), 1, "requests to the leaving server")
+	assert.Len(t, f.arrivalTimes(leaving.ID(), time.Time{}), 1, "requests to the leaving server")
 }
